--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink runs dispatchers behind the line protocol, from standard input to standard output.
+// Command simadapter runs dispatchers behind the line protocol, from standard input to standard output.
 package main
 
 import (
@@ -7,21 +7,21 @@
 	"io"
 	"os"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/wire"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers every batch of in until it ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
-	live := map[int64]*brain.Dispatcher{}
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
+	live := map[int64]*dispatch.Dispatcher{}
 	for {
 		b, err := r.Next()
 		if errors.Is(err, io.EOF) {
@@ -42,7 +42,7 @@
 				continue
 			}
 			if p.Start != nil {
-				d, err := brain.New(p.Start.Settings, p.Start.Seed)
+				d, err := dispatch.New(p.Start.Settings, p.Start.Seed)
 				if err != nil {
 					return fmt.Errorf("batch %s: instance %d: %w", b.Serial, p.Router, err)
 				}
--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -16,9 +16,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
-	"github.com/topazfront/topazfront/internal/standin/worker"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -181,14 +181,14 @@
 }
 
 func (c standinCmd) Run(ctx context.Context) error {
-	store, cell := worker.NewStore(50, 100), worker.NewCell()
+	store, cell := fakeworker.NewStore(50, 100), fakeworker.NewCell()
 	var list config.WorkerList
-	models := map[string]worker.Model{}
+	models := map[string]fakeworker.Model{}
 	for _, m := range c.Model {
-		models[m] = worker.Model{Name: m, Class: "quote", MemoryMB: 200, Lanes: 2, Load: 300 * time.Millisecond}
+		models[m] = fakeworker.Model{Name: m, Class: "quote", MemoryMB: 200, Lanes: 2, Load: 300 * time.Millisecond}
 	}
 	for i := range c.Workers {
-		w, err := worker.Start(worker.Config{ID: fmt.Sprintf("w%d", i), Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100,
+		w, err := fakeworker.Start(fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100,
 			LoadsAtOnce: 4, IdleKeep: 10 * time.Second, LoadsOnMiss: true, GrowsCopies: true, Store: store, Cell: cell,
 			Seed: uint64(i), Models: models, ServerMetrics: true, DefaultLoad: 300 * time.Millisecond})
 		if err != nil {
@@ -214,7 +214,7 @@
 		return err
 	}
 	fmt.Printf("now: topazfront serve --config %s\nthen: topazfront call --address %s --model %s --stream --param %s=5\n",
-		file, c.Listen, c.Model[0], worker.ParamMessages)
+		file, c.Listen, c.Model[0], fakeworker.ParamMessages)
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/topazfront/gossip.go
+++ b/cmd/topazfront/gossip.go
@@ -16,11 +16,11 @@
 	"text/tabwriter"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/adminapi"
 	"github.com/topazfront/topazfront/internal/config"
-	"github.com/topazfront/topazfront/internal/control"
 	"github.com/topazfront/topazfront/internal/gossip"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 	"github.com/topazfront/topazfront/internal/gossip/gossipsim"
-	"github.com/topazfront/topazfront/internal/peers"
 )
 
 type gossipCmd struct {
@@ -42,7 +42,7 @@
 // ask prints a method's answer: as JSON, or by print.
 func ask[T any](c *running, method string, print func(w io.Writer, got T)) error {
 	var raw json.RawMessage
-	if err := control.Call(c.Socket, method, nil, &raw, c.Timeout); err != nil {
+	if err := adminapi.Call(c.Socket, method, nil, &raw, c.Timeout); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -61,7 +61,7 @@
 type gossipStatusCmd struct{ running }
 
 func (c *gossipStatusCmd) Run() error {
-	return ask(&c.running, "gossip.status", func(w io.Writer, s peers.Status) {
+	return ask(&c.running, "gossip.status", func(w io.Writer, s agent.Status) {
 		fmt.Fprintf(w, "router\t%s at %s, signing with key %s\n", s.ID, s.Addr, s.Key)
 		fmt.Fprintf(w, "routers\t%d live, itself included; %d known; at most %d were live at once\n", s.Live, s.Members+1, s.MostLive)
 		fmt.Fprintf(w, "local health\t%d (0 is good)\n", s.Health)
@@ -81,7 +81,7 @@
 type gossipPeersCmd struct{ running }
 
 func (c *gossipPeersCmd) Run() error {
-	return ask(&c.running, "gossip.peers", func(w io.Writer, list []peers.Peer) {
+	return ask(&c.running, "gossip.peers", func(w io.Writer, list []agent.Peer) {
 		fmt.Fprintln(w, "router\taddress\tstate\theard itself\tdoubted by\tweight\tkeys")
 		for _, p := range list {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%.2f\t%s\n", p.ID, p.Addr, p.State, p.Direct, p.Doubted, p.Weight,
@@ -104,7 +104,7 @@
 type gossipKeysCmd struct{ running }
 
 func (c *gossipKeysCmd) Run() error {
-	return ask(&c.running, "gossip.keys", func(w io.Writer, k peers.KeyList) {
+	return ask(&c.running, "gossip.keys", func(w io.Writer, k agent.KeyList) {
 		fmt.Fprintf(w, "signs with\t%s\nadmitted\tkeys\n", k.Own)
 		for _, id := range slices.Sorted(maps.Keys(k.Members)) {
 			fmt.Fprintf(w, "%s\t%s\n", id, strings.Join(k.Members[id], " "))
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := config.FormatKey(peers.Key{Name: c.Key, Private: own})
+	raw, err := config.FormatKey(agent.Key{Name: c.Key, Private: own})
 	if err != nil {
 		return err
 	}
--- a/cmd/topazfront/main.go
+++ b/cmd/topazfront/main.go
@@ -16,12 +16,12 @@
 
 	"github.com/alecthomas/kong"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/baseline"
 	"github.com/topazfront/topazfront/internal/config"
-	"github.com/topazfront/topazfront/internal/day"
-	"github.com/topazfront/topazfront/internal/gateway"
+	"github.com/topazfront/topazfront/internal/grpcgateway"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/scenario"
 )
 
 // program is the command line.
@@ -81,7 +81,7 @@
 type versionCmd struct{}
 
 func (versionCmd) Run() error {
-	fmt.Println("topazfront", gateway.Version)
+	fmt.Println("topazfront", grpcgateway.Version)
 	return nil
 }
 
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	g, err := gateway.Start(cfg, gateway.Options{Log: p.logger(cfg.Log.Level, cfg.Log.Format)})
+	g, err := grpcgateway.Start(cfg, grpcgateway.Options{Log: p.logger(cfg.Log.Level, cfg.Log.Format)})
 	if err != nil {
 		return err
 	}
@@ -143,8 +143,8 @@
 type dayListCmd struct{}
 
 func (dayListCmd) Run() error {
-	for _, n := range day.Names() {
-		s, err := day.Load(n)
+	for _, n := range scenario.Names() {
+		s, err := scenario.Load(n)
 		if err != nil {
 			return err
 		}
@@ -152,8 +152,8 @@
 			s.Traffic.Rate, s.About)
 	}
 	fmt.Println("\nkinds of trouble:")
-	for _, k := range day.KindNames() {
-		fmt.Printf("  %-16s %s\n", k, day.Kinds[k])
+	for _, k := range scenario.KindNames() {
+		fmt.Printf("  %-16s %s\n", k, scenario.Kinds[k])
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 }
 
 func (c dayRunCmd) Run(ctx context.Context, p *program) error {
-	s, err := day.Load(c.Day)
+	s, err := scenario.Load(c.Day)
 	if err != nil {
 		return err
 	}
@@ -182,14 +182,16 @@
 	if c.Calm {
 		s.Trouble = nil
 	}
-	var reports []*day.Report
+	var reports []*scenario.Report
 	broken := false
 	for _, policy := range c.Policy {
 		o := options(ctx, p, c.Quietly)
 		if policy == "random" {
-			o.Decider = func(s brain.Settings, seed uint64) (router.Decider, error) { return baseline.NewRandom(s, seed), nil }
+			o.Decider = func(s dispatch.Settings, seed uint64) (router.Decider, error) {
+				return baseline.NewRandom(s, seed), nil
+			}
 		}
-		r, err := day.Play(s, o)
+		r, err := scenario.Play(s, o)
 		if err != nil {
 			return err
 		}
@@ -221,8 +223,8 @@
 	return nil
 }
 
-func options(ctx context.Context, p *program, quietly bool) day.Options {
-	o := day.Options{Stop: ctx.Done()}
+func options(ctx context.Context, p *program, quietly bool) scenario.Options {
+	o := scenario.Options{Stop: ctx.Done()}
 	if p.LogLevel != "" {
 		o.Log = p.logger("info", "text")
 	}
@@ -233,12 +235,12 @@
 }
 
 // live rewrites one line on a terminal, and writes one line in two seconds elsewhere.
-func live(f *os.File) func(day.Progress) {
+func live(f *os.File) func(scenario.Progress) {
 	info, err := f.Stat()
 	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0
 	var mu sync.Mutex
 	n := 0
-	return func(p day.Progress) {
+	return func(p scenario.Progress) {
 		mu.Lock()
 		defer mu.Unlock()
 		if terminal {
@@ -255,17 +257,17 @@
 }
 
 func (c demoCmd) Run(ctx context.Context, p *program) error {
-	s, err := day.Load("demo")
+	s, err := scenario.Load("demo")
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%s: %d routers, %d workers, %v calls a second for %v s on loopback\n", s.About, s.Routers,
 		s.Fleet.Workers, s.Traffic.Rate, s.Length)
 	for _, t := range s.Trouble {
-		fmt.Printf("  from %4v s  %-10s %s\n", t.At, t.Kind, day.Kinds[t.Kind])
+		fmt.Printf("  from %4v s  %-10s %s\n", t.At, t.Kind, scenario.Kinds[t.Kind])
 	}
 	o := options(ctx, p, false)
-	r, err := day.Play(s, o)
+	r, err := scenario.Play(s, o)
 	if err != nil {
 		return err
 	}
@@ -289,21 +291,21 @@
 }
 
 // hold runs the demo's fleet without troubles until the program is stopped.
-func hold(ctx context.Context, w io.Writer, o day.Options) error {
-	s, err := day.Load("demo")
+func hold(ctx context.Context, w io.Writer, o scenario.Options) error {
+	s, err := scenario.Load("demo")
 	if err != nil {
 		return err
 	}
 	s.Trouble, s.Length, s.Traffic.Rate = nil, 600, 1
 	o.Progress = nil
-	o.Begun = func(r *day.Rig) {
+	o.Begun = func(r *scenario.Rig) {
 		fmt.Fprintln(w, "\nrunning on, with a call a second; stop with Ctrl-C (it ends by itself after ten minutes)")
 		for _, a := range r.Addresses() {
 			fmt.Fprintf(w, "  topazfront call --address %s --model quote-0 --stream\n", a)
 		}
 	}
 	began := time.Now()
-	if _, err = day.Play(s, o); err == nil {
+	if _, err = scenario.Play(s, o); err == nil {
 		fmt.Fprintf(w, "stopped after %v\n", time.Since(began).Round(time.Second))
 	}
 	return err
--- a/cmd/topazfront/node.go
+++ b/cmd/topazfront/node.go
@@ -5,7 +5,7 @@
 	"errors"
 	"os"
 
-	"github.com/topazfront/topazfront/internal/platform"
+	"github.com/topazfront/topazfront/internal/httprouter"
 )
 
 type nodeCmd struct {
@@ -17,5 +17,5 @@
 	if c.Config == "" {
 		return errors.New("node: no configuration: set GW_CONFIG or --config")
 	}
-	return platform.Run(ctx, c.Config, p.logger(os.Getenv("GW_LOG"), "text"))
+	return httprouter.Run(ctx, c.Config, p.logger(os.Getenv("GW_LOG"), "text"))
 }
--- a/brain/api.go
+++ b/dispatch/api.go
@@ -1,11 +1,11 @@
-// Package brain decides for one router where each request goes, when copies are loaded, and how a
+// Package dispatch decides for one router where each request goes, when copies are loaded, and how a
 // request ends. This file is its interface; every decision is in brain.go.
 //
 // A [Dispatcher] belongs to one goroutine. The caller hands it the events that have come in, in order
 // of arrival, and carries out the returned actions in the order given, at the time of the call. Time is
 // whatever clock the caller keeps, as a duration since any fixed moment; it must never run backwards.
 // Slices and events passed in are not kept beyond the call; the returned slice is valid until the next.
-package brain
+package dispatch
 
 import "time"
 
--- a/brain/brain.go
+++ b/dispatch/brain.go
@@ -1,7 +1,7 @@
 // The interface of this package is in api.go; this file holds every decision. It follows Algorithm 2.2 of
 // "Consistent Load Balancing Via Spread Minimization" (Kleinberg, Leighton, STOC 2003).
 
-package brain
+package dispatch
 
 import (
 	"cmp"
--- /dev/null
+++ b/dispatch/example_test.go
@@ -0,0 +1,31 @@
+package dispatch_test
+
+import (
+	"fmt"
+	"log"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+)
+
+func Example() {
+	d, err := dispatch.New(dispatch.Settings{
+		Routers:     1,
+		MaxAttempts: 3,
+		Classes:     []dispatch.Class{{Name: "quote", Effect: dispatch.Safe, Deadline: time.Second}},
+	}, 1)
+	if err != nil {
+		log.Fatal(err)
+	}
+	now := time.Second // since any fixed moment
+	actions := d.Step(now, []dispatch.Event{
+		dispatch.Roster{Whole: true, Members: []dispatch.Member{{ID: "w1"}}},
+		dispatch.Request{ID: 1, Function: "f", Class: "quote", MemoryMB: 300, Lanes: 1, Left: time.Second},
+	})
+	for _, a := range actions {
+		fmt.Printf("%T\n", a)
+	}
+	// Output:
+	// dispatch.Send
+	// dispatch.Wake
+}
--- a/brain/peers_test.go
+++ b/dispatch/peers_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"testing"
--- a/internal/control/control.go
+++ b/internal/adminapi/control.go
@@ -1,7 +1,7 @@
-// Package control is the operators' socket of a running program: JSON-RPC 2.0 (jsonrpc.org/specification), one
+// Package adminapi is the operators' socket of a running program: JSON-RPC 2.0 (jsonrpc.org/specification), one
 // object a line, over a Unix stream socket that only its owner may open. Requests of one connection are answered
 // in turn. Batches are not taken.
-package control
+package adminapi
 
 import (
 	"bytes"
--- a/internal/control/control_test.go
+++ b/internal/adminapi/control_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"encoding/json"
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -7,23 +7,23 @@
 	"slices"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 )
 
 // Random sends each request to a worker drawn at random from those that the list has on, and again to
 // another while no earlier attempt can have run. It keeps deadlines and drains and knows nothing else.
 type Random struct {
-	set     brain.Settings
+	set     dispatch.Settings
 	rng     *rand.Rand
-	classes map[string]brain.Class
+	classes map[string]dispatch.Class
 	workers []string
-	states  map[string]brain.State
-	reqs    map[brain.RequestID]*held
-	order   []brain.RequestID // by arrival, to look for what is due
+	states  map[string]dispatch.State
+	reqs    map[dispatch.RequestID]*held
+	order   []dispatch.RequestID // by arrival, to look for what is due
 }
 
 type held struct {
-	class    brain.Class
+	class    dispatch.Class
 	deadline time.Duration
 	tries    int
 	out      int
@@ -32,9 +32,9 @@
 }
 
 // NewRandom returns the policy.
-func NewRandom(s brain.Settings, seed uint64) *Random {
-	p := &Random{set: s, rng: rand.New(rand.NewPCG(seed, 9)), classes: map[string]brain.Class{},
-		states: map[string]brain.State{}, reqs: map[brain.RequestID]*held{}}
+func NewRandom(s dispatch.Settings, seed uint64) *Random {
+	p := &Random{set: s, rng: rand.New(rand.NewPCG(seed, 9)), classes: map[string]dispatch.Class{},
+		states: map[string]dispatch.State{}, reqs: map[dispatch.RequestID]*held{}}
 	for _, c := range s.Classes {
 		p.classes[c.Name] = c
 	}
@@ -42,28 +42,28 @@
 }
 
 // Step implements the router's Decider.
-func (p *Random) Step(now time.Duration, events []brain.Event) (out []brain.Action) {
+func (p *Random) Step(now time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case brain.Roster:
+		case dispatch.Roster:
 			p.follow(e)
-		case brain.Request:
+		case dispatch.Request:
 			r := &held{class: p.classes[e.Class], deadline: now + e.Left}
 			p.reqs[e.ID] = r
 			p.order = append(p.order, e.ID)
 			out = p.send(out, e.ID, r)
-		case brain.Started:
+		case dispatch.Started:
 			if r := p.reqs[e.ID]; r != nil {
 				r.began = true
 			}
-		case brain.Outcome:
+		case dispatch.Outcome:
 			out = p.ended(now, out, e)
-		case brain.Dropped:
+		case dispatch.Dropped:
 			delete(p.reqs, e.ID)
 		}
 	}
 	next := now + time.Second
-	p.order = slices.DeleteFunc(p.order, func(id brain.RequestID) bool {
+	p.order = slices.DeleteFunc(p.order, func(id dispatch.RequestID) bool {
 		r := p.reqs[id]
 		if r == nil {
 			return true
@@ -75,10 +75,10 @@
 		out = p.conclude(out, id, r)
 		return true
 	})
-	return append(out, brain.Wake{After: max(next-now, time.Millisecond)})
+	return append(out, dispatch.Wake{After: max(next-now, time.Millisecond)})
 }
 
-func (p *Random) follow(e brain.Roster) {
+func (p *Random) follow(e dispatch.Roster) {
 	if e.Whole {
 		clear(p.states)
 	}
@@ -87,23 +87,23 @@
 	}
 	p.workers = p.workers[:0]
 	for id, s := range p.states {
-		if s == brain.On {
+		if s == dispatch.On {
 			p.workers = append(p.workers, id)
 		}
 	}
 	slices.Sort(p.workers)
 }
 
-func (p *Random) send(out []brain.Action, id brain.RequestID, r *held) []brain.Action {
+func (p *Random) send(out []dispatch.Action, id dispatch.RequestID, r *held) []dispatch.Action {
 	if len(p.workers) == 0 || r.tries >= p.set.MaxAttempts {
 		return p.conclude(out, id, r)
 	}
 	r.tries++
 	r.out++
-	return append(out, brain.Send{ID: id, Worker: p.workers[p.rng.IntN(len(p.workers))]})
+	return append(out, dispatch.Send{ID: id, Worker: p.workers[p.rng.IntN(len(p.workers))]})
 }
 
-func (p *Random) ended(now time.Duration, out []brain.Action, e brain.Outcome) []brain.Action {
+func (p *Random) ended(now time.Duration, out []dispatch.Action, e dispatch.Outcome) []dispatch.Action {
 	r := p.reqs[e.ID]
 	if r == nil {
 		return out
@@ -113,19 +113,19 @@
 		delete(p.reqs, e.ID)
 		return out
 	}
-	never := e.Result == brain.Refused || e.Result == brain.NoConnection || e.Result == brain.Missed ||
-		e.Result == brain.NotSent
+	never := e.Result == dispatch.Refused || e.Result == dispatch.NoConnection || e.Result == dispatch.Missed ||
+		e.Result == dispatch.NotSent
 	r.mayRun = r.mayRun || !never
-	if now < r.deadline && !r.began && (!r.mayRun || r.class.Effect == brain.Safe) {
+	if now < r.deadline && !r.began && (!r.mayRun || r.class.Effect == dispatch.Safe) {
 		return p.send(out, e.ID, r)
 	}
 	return p.conclude(out, e.ID, r)
 }
 
-func (p *Random) conclude(out []brain.Action, id brain.RequestID, r *held) []brain.Action {
+func (p *Random) conclude(out []dispatch.Action, id dispatch.RequestID, r *held) []dispatch.Action {
 	delete(p.reqs, id)
-	if r.began || r.class.Effect != brain.Safe && (r.mayRun || r.out > 0) {
-		return append(out, brain.Fail{ID: id})
+	if r.began || r.class.Effect != dispatch.Safe && (r.mayRun || r.out > 0) {
+		return append(out, dispatch.Fail{ID: id})
 	}
-	return append(out, brain.Refuse{ID: id, After: 100 * time.Millisecond})
+	return append(out, dispatch.Refuse{ID: id, After: 100 * time.Millisecond})
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,8 +20,8 @@
 	"golang.org/x/text/language"
 	"golang.org/x/text/message"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/front"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/server"
 )
 
 //go:embed schema.json
@@ -319,8 +319,8 @@
 }
 
 // Settings are the module's.
-func (g *Gateway) Settings() brain.Settings {
-	s := brain.Settings{Zone: g.Zone, Routers: g.Routers, LoadsOnMiss: g.Loading.OnMiss == "load",
+func (g *Gateway) Settings() dispatch.Settings {
+	s := dispatch.Settings{Zone: g.Zone, Routers: g.Routers, LoadsOnMiss: g.Loading.OnMiss == "load",
 		MayOrder: g.Loading.MayOrder, TellsWarm: g.Loading.TellsWarm, IdleKeep: g.Loading.IdleKeep.Duration(),
 		LoadSpan: g.Loading.RationSpan.Duration(), LoadFree: g.Loading.RationFree, LoadRatio: g.Loading.RationShare,
 		MayCancel: g.Limits.Cancel, MayProbe: g.Limits.Probe, SecondCopies: g.Limits.SecondCopies,
@@ -328,30 +328,30 @@
 		DrainGrace: g.Safety.DrainGrace.Duration(), ColdShare: g.Safety.ColdShare,
 		ColdFor: g.Safety.ColdFor.Duration(), FallMultiple: g.Safety.FallMultiple,
 		FallSpan: g.Safety.FallSpan.Duration(), TellsDoubts: g.Gossip != nil,
-		Reports: map[string]brain.Source{"none": brain.FromNothing, "answers": brain.FromAnswers,
-			"probes": brain.FromProbes}[g.Reports]}
+		Reports: map[string]dispatch.Source{"none": dispatch.FromNothing, "answers": dispatch.FromAnswers,
+			"probes": dispatch.FromProbes}[g.Reports]}
 	for _, k := range g.Kinds {
-		s.Kinds = append(s.Kinds, brain.Kind{Name: k.Name, MemoryMB: k.MemoryMB})
+		s.Kinds = append(s.Kinds, dispatch.Kind{Name: k.Name, MemoryMB: k.MemoryMB})
 	}
 	for _, c := range g.Classes {
-		s.Classes = append(s.Classes, brain.Class{Name: c.Name, Aim: c.Aim.Duration(), Deadline: c.Deadline.Duration(),
+		s.Classes = append(s.Classes, dispatch.Class{Name: c.Name, Aim: c.Aim.Duration(), Deadline: c.Deadline.Duration(),
 			Worth: c.Worth, LateShare: c.LateShare, Window: c.Window.Duration(),
-			Effect: map[string]brain.Effect{"safe": brain.Safe, "keyed": brain.Keyed, "unsafe": brain.Unsafe}[c.Effect],
-			Scope: map[string]brain.Scope{"all": brain.ScopeAll, "zone": brain.ScopeZone,
-				"cell": brain.ScopeCell}[c.Scope]})
+			Effect: map[string]dispatch.Effect{"safe": dispatch.Safe, "keyed": dispatch.Keyed, "unsafe": dispatch.Unsafe}[c.Effect],
+			Scope: map[string]dispatch.Scope{"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
+				"cell": dispatch.ScopeCell}[c.Scope]})
 	}
 	for _, t := range g.Tenants {
-		s.Tenants = append(s.Tenants, brain.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
 	}
 	return s
 }
 
 // Intake is what the fronts need to know of models and classes.
-func (g *Gateway) Intake() *front.Intake {
-	in := &front.Intake{Models: map[string]front.Model{}, Deadlines: map[string]time.Duration{},
+func (g *Gateway) Intake() *server.Intake {
+	in := &server.Intake{Models: map[string]server.Model{}, Deadlines: map[string]time.Duration{},
 		Margin: g.Limits.AnswerMargin.Duration(), MaxBody: g.Limits.MessageBytes}
-	model := func(m Model) front.Model {
-		return front.Model{Class: m.Class, MemoryMB: m.MemoryMB, Lanes: m.Lanes, LoadTime: m.Load.Duration(),
+	model := func(m Model) server.Model {
+		return server.Model{Class: m.Class, MemoryMB: m.MemoryMB, Lanes: m.Lanes, LoadTime: m.Load.Duration(),
 			Work: m.Work.Duration(), Versions: m.Versions}
 	}
 	for name, m := range g.Models {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/peers"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
 const good = `{"listen": "127.0.0.1:9000", "workers": {"file": "w.json"},
@@ -25,11 +25,11 @@
 		t.Fatal(err)
 	}
 	s := g.Settings()
-	if len(s.Classes) != 2 || s.Classes[1].Effect != brain.Keyed || s.Classes[1].Scope != brain.ScopeCell ||
+	if len(s.Classes) != 2 || s.Classes[1].Effect != dispatch.Keyed || s.Classes[1].Scope != dispatch.ScopeCell ||
 		s.Classes[1].Window != 6*time.Second || s.MaxAttempts != 5 || !s.MayCancel {
 		t.Errorf("%+v", s)
 	}
-	if _, err := brain.New(s, 1); err != nil {
+	if _, err := dispatch.New(s, 1); err != nil {
 		t.Error(err)
 	}
 	if in := g.Intake(); in.Models["q"].Lanes != 2 || in.Deadlines["quote"] != 3*time.Second {
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	got := l.Roster(func(time.Time) time.Duration { return 7 })
-	if len(got) != 2 || got[0].State != brain.Draining || got[0].Started != 7 || got[0].Cell != 2 || got[1].State != brain.On {
+	if len(got) != 2 || got[0].State != dispatch.Draining || got[0].Started != 7 || got[0].Cell != 2 || got[1].State != dispatch.On {
 		t.Errorf("%+v", got)
 	}
 	for _, c := range []struct{ from, to, path string }{
@@ -192,7 +192,7 @@
 	f.Add([]byte(`{"listen":"a:1","workers":{"file":"x"},"classes":[]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if g, err := Parse("g", raw); err == nil {
-			if _, err := brain.New(g.Settings(), 1); err != nil {
+			if _, err := dispatch.New(g.Settings(), 1); err != nil {
 				t.Fatalf("settings that pass the check are refused by the module: %v", err)
 			}
 		}
@@ -234,7 +234,7 @@
 
 func TestKeysAndMembers(t *testing.T) {
 	own := ed25519.NewKeyFromSeed(make([]byte, 32))
-	raw, err := FormatKey(peers.Key{Name: "k1", Private: own})
+	raw, err := FormatKey(agent.Key{Name: "k1", Private: own})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"github.com/topazfront/topazfront/internal/gossip"
-	"github.com/topazfront/topazfront/internal/peers"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
 //go:embed members.schema.json
@@ -56,11 +56,11 @@
 }
 
 // Agent is the agent's settings; what is read from files is not in them yet.
-func (g *Gossip) Agent(name string, seed uint64) peers.Config {
+func (g *Gossip) Agent(name string, seed uint64) agent.Config {
 	if g.ID != "" {
 		name = g.ID
 	}
-	c := peers.Config{ID: name, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.Local,
+	c := agent.Config{ID: name, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.Local,
 		Judge: gossip.LocalJudge, Gate: gossip.LocalGate, Witness: gossip.LocalWitness,
 		LookTimeout: g.LookTimeout.Duration(), Seed: seed}
 	if p, ok := gossip.Presets[g.Preset]; ok {
@@ -96,7 +96,7 @@
 }
 
 // ParseMembers checks a list of admitted routers; name stands in errors.
-func ParseMembers(name string, raw []byte) (peers.Members, error) {
+func ParseMembers(name string, raw []byte) (agent.Members, error) {
 	if err := validate(name, raw, membersSchema); err != nil {
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return nil, &Invalid{name, []Problem{{"", err.Error()}}}
 	}
-	wrong, out := &Invalid{File: name}, peers.Members{}
+	wrong, out := &Invalid{File: name}, agent.Members{}
 	bad := func(path, format string, args ...any) {
 		wrong.Problems = append(wrong.Problems, Problem{path, fmt.Sprintf(format, args...)})
 	}
@@ -139,28 +139,28 @@
 )
 
 // ParseKey reads a router's own key: PEM with PKCS #8 (RFC 5958, RFC 8410), its name in the header Key-Id.
-func ParseKey(name string, raw []byte) (peers.Key, error) {
+func ParseKey(name string, raw []byte) (agent.Key, error) {
 	b, _ := pem.Decode(raw)
 	if b == nil || b.Type != keyBlock {
-		return peers.Key{}, fmt.Errorf("%s: no PEM block %q", name, keyBlock)
+		return agent.Key{}, fmt.Errorf("%s: no PEM block %q", name, keyBlock)
 	}
 	id := b.Headers[keyHeader]
 	if id == "" || len(id) > 31 {
-		return peers.Key{}, fmt.Errorf("%s: the header %s must name the key, in 1 to 31 bytes", name, keyHeader)
+		return agent.Key{}, fmt.Errorf("%s: the header %s must name the key, in 1 to 31 bytes", name, keyHeader)
 	}
 	k, err := x509.ParsePKCS8PrivateKey(b.Bytes)
 	if err != nil {
-		return peers.Key{}, fmt.Errorf("%s: %w", name, err)
+		return agent.Key{}, fmt.Errorf("%s: %w", name, err)
 	}
 	own, ok := k.(ed25519.PrivateKey)
 	if !ok {
-		return peers.Key{}, fmt.Errorf("%s: a key of type %T, Ed25519 is needed", name, k)
+		return agent.Key{}, fmt.Errorf("%s: a key of type %T, Ed25519 is needed", name, k)
 	}
-	return peers.Key{Name: id, Private: own}, nil
+	return agent.Key{Name: id, Private: own}, nil
 }
 
 // FormatKey writes a key as ParseKey reads it.
-func FormatKey(k peers.Key) ([]byte, error) {
+func FormatKey(k agent.Key) ([]byte, error) {
 	raw, err := x509.MarshalPKCS8PrivateKey(k.Private)
 	if err != nil {
 		return nil, err
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
 // Worker is one line of the list of workers.
@@ -56,15 +56,15 @@
 }
 
 // Roster converts the list; at gives the router's time for a moment.
-func (l *WorkerList) Roster(at func(time.Time) time.Duration) []roster.Worker {
-	states := map[string]brain.State{"": brain.On, "on": brain.On, "draining": brain.Draining, "gone": brain.Gone}
-	out := make([]roster.Worker, 0, len(l.Workers))
+func (l *WorkerList) Roster(at func(time.Time) time.Duration) []endpoints.Worker {
+	states := map[string]dispatch.State{"": dispatch.On, "on": dispatch.On, "draining": dispatch.Draining, "gone": dispatch.Gone}
+	out := make([]endpoints.Worker, 0, len(l.Workers))
 	for _, w := range l.Workers {
-		m := brain.Member{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: states[w.State], Weight: w.Weight}
+		m := dispatch.Member{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: states[w.State], Weight: w.Weight}
 		if w.Started != nil {
 			m.Started = at(*w.Started)
 		}
-		out = append(out, roster.Worker{Member: m, Address: w.Address})
+		out = append(out, endpoints.Worker{Member: m, Address: w.Address})
 	}
 	return out
 }
--- a/internal/feed/events.go
+++ b/internal/discovery/events.go
@@ -1,7 +1,7 @@
-// Package feed follows the platform's command channel: numbered events that change the list of workers, asked for
+// Package discovery follows the platform's command channel: numbered events that change the list of workers, asked for
 // by long polls. Events are applied whole, in order and once; whatever breaks, the next question goes on from the
 // last event that was applied.
-package feed
+package discovery
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
 // Batch is what one answer of the channel brings.
@@ -45,7 +45,7 @@
 	Started int64   `json:"up_since_ms"` // Unix milliseconds; 0: long ago
 }
 
-var states = map[string]brain.State{"active": brain.On, "leaving": brain.Draining, "left": brain.Gone}
+var states = map[string]dispatch.State{"active": dispatch.On, "leaving": dispatch.Draining, "left": dispatch.Gone}
 
 // maxWorkers bounds the list.
 const maxWorkers = 1 << 16
@@ -135,17 +135,17 @@
 }
 
 // Workers is the list; at gives the router's time for a moment.
-func (t *Table) Workers(at func(time.Time) time.Duration) []roster.Worker {
-	out := make([]roster.Worker, 0, len(t.members))
+func (t *Table) Workers(at func(time.Time) time.Duration) []endpoints.Worker {
+	out := make([]endpoints.Worker, 0, len(t.members))
 	for _, m := range t.members {
-		w := roster.Worker{Address: m.Address, Member: brain.Member{ID: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
+		w := endpoints.Worker{Address: m.Address, Member: dispatch.Member{ID: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
 			State: states[m.State], Weight: m.Weight}}
 		if m.Started > 0 {
 			w.Started = at(time.UnixMilli(m.Started))
 		}
 		out = append(out, w)
 	}
-	slices.SortFunc(out, func(a, b roster.Worker) int {
+	slices.SortFunc(out, func(a, b endpoints.Worker) int {
 		if a.ID < b.ID {
 			return -1
 		}
--- a/internal/feed/feed.go
+++ b/internal/discovery/feed.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
@@ -24,7 +24,7 @@
 	Pause   time.Duration // most between questions while they fail; the first follows at once
 	MaxBody int           // bytes of an answer
 	At      func(time.Time) time.Duration
-	Use     func([]roster.Worker) // told of each new list, from one goroutine
+	Use     func([]endpoints.Worker) // told of each new list, from one goroutine
 	Log     *slog.Logger
 }
 
--- a/internal/feed/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"errors"
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/roster"
-	"github.com/topazfront/topazfront/internal/standin/platform"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
 // names is a list in short.
-func names(list []roster.Worker) string {
+func names(list []endpoints.Worker) string {
 	var out []string
 	for _, w := range list {
 		s := w.ID + "@" + w.Address
-		if w.State == brain.Draining {
+		if w.State == dispatch.Draining {
 			s += " drains"
 		}
 		out = append(out, s)
@@ -35,9 +35,9 @@
 }
 
 // stage is a channel with a whole list as its first event, and a feed that follows it.
-func stage(t *testing.T, answer func(int, string) (string, bool)) (*platform.Channel, *Feed, chan string) {
+func stage(t *testing.T, answer func(int, string) (string, bool)) (*fakeplatform.Channel, *Feed, chan string) {
 	t.Helper()
-	c, err := platform.StartChannel(platform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
+	c, err := fakeplatform.StartChannel(fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,12 +45,12 @@
 	lists := make(chan string, 64)
 	f, err := Start(Config{Address: c.Addr(), Connect: 5 * time.Second, Block: 200 * time.Millisecond, Grace: 300 * time.Millisecond,
 		Pause: 50 * time.Millisecond, MaxBody: 1 << 16, At: func(time.Time) time.Duration { return 1 },
-		Use: func(l []roster.Worker) { lists <- names(l) }}, batch(t, c.Known()))
+		Use: func(l []endpoints.Worker) { lists <- names(l) }}, batch(t, c.Known()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Close(); c.Stop() })
-	if got := platform.Await(t, lists, "what is known"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
+	if got := fakeplatform.Await(t, lists, "what is known"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
 		t.Fatalf("known: %s", got)
 	}
 	return c, f, lists
@@ -58,17 +58,17 @@
 
 func TestChangesAreFollowed(t *testing.T) {
 	c, _, lists := stage(t, nil)
-	c.Tell(platform.Nodes(false, "a 1.1.1.1:1 leaving"))
-	if got := platform.Await(t, lists, "the drain"); got != "a@1.1.1.1:1 drains, b@1.1.1.2:1" {
+	c.Tell(fakeplatform.Nodes(false, "a 1.1.1.1:1 leaving"))
+	if got := fakeplatform.Await(t, lists, "the drain"); got != "a@1.1.1.1:1 drains, b@1.1.1.2:1" {
 		t.Errorf("after the drain: %s", got)
 	}
-	c.Tell(platform.Nodes(false, "a 1.1.1.1:1 left", "c 1.1.1.1:1 active")) // a new one at the old address
-	if got := platform.Await(t, lists, "the change"); got != "b@1.1.1.2:1, c@1.1.1.1:1" {
+	c.Tell(fakeplatform.Nodes(false, "a 1.1.1.1:1 left", "c 1.1.1.1:1 active")) // a new one at the old address
+	if got := fakeplatform.Await(t, lists, "the change"); got != "b@1.1.1.2:1, c@1.1.1.1:1" {
 		t.Errorf("after the change: %s", got)
 	}
 	c.Tell(`"other":{"x":1}`) // an event of another kind counts and changes nothing
-	c.Tell(platform.Nodes(true, "d 1.1.1.4:1 active"))
-	if got := platform.Await(t, lists, "the whole list"); got != "d@1.1.1.4:1" {
+	c.Tell(fakeplatform.Nodes(true, "d 1.1.1.4:1 active"))
+	if got := fakeplatform.Await(t, lists, "the whole list"); got != "d@1.1.1.4:1" {
 		t.Errorf("after a whole list: %s", got)
 	}
 }
@@ -95,10 +95,10 @@
 		},
 		"without length, then ends": func(b string) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\n" + b[:len(b)-9], false },
 		"events out of order": func(b string) (string, bool) {
-			return whole(`{"cursor":9,"cmds":[{"cursor":3,` + platform.Nodes(false, "x 1.1.1.1:1 active") + `},{"cursor":2}]}`), true
+			return whole(`{"cursor":9,"cmds":[{"cursor":3,` + fakeplatform.Nodes(false, "x 1.1.1.1:1 active") + `},{"cursor":2}]}`), true
 		},
 		"a gap": func(b string) (string, bool) {
-			return whole(`{"cursor":9,"cmds":[{"cursor":9,` + platform.Nodes(false, "x 1.1.1.1:1 active") + `}]}`), true
+			return whole(`{"cursor":9,"cmds":[{"cursor":9,` + fakeplatform.Nodes(false, "x 1.1.1.1:1 active") + `}]}`), true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -118,9 +118,9 @@
 					return bad(body)
 				}
 			})
-			c.Tell(platform.Nodes(false, "c 1.1.1.3:1 active"))
-			platform.Await(t, broke, "the broken answer")
-			if got := platform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+			c.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+			fakeplatform.Await(t, broke, "the broken answer")
+			if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 				t.Errorf("list %s", got)
 			}
 			if s := f.Stats(); s.Cursor != 2 || s.Events != 1 || s.Broken == 0 {
@@ -139,18 +139,18 @@
 // though the old address stays open and silent.
 func TestMoveKeepsTheCursor(t *testing.T) {
 	old, f, lists := stage(t, nil)
-	old.Tell(platform.Nodes(false, "c 1.1.1.3:1 active"))
-	platform.Await(t, lists, "the second event")
-	to, err := platform.StartChannel(`"x":1`, `"x":2`, platform.Nodes(false, "d 1.1.1.4:1 active"))
+	old.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+	fakeplatform.Await(t, lists, "the second event")
+	to, err := fakeplatform.StartChannel(`"x":1`, `"x":2`, fakeplatform.Nodes(false, "d 1.1.1.4:1 active"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer to.Stop()
 	f.Move(to.Addr())
-	if n := platform.Await(t, to.Asked(), "a question at the new address"); n != 2 {
+	if n := fakeplatform.Await(t, to.Asked(), "a question at the new address"); n != 2 {
 		t.Errorf("asked from %d", n)
 	}
-	if got := platform.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
+	if got := fakeplatform.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
 		t.Errorf("list %s", got)
 	}
 	if s := f.Stats(); s.Cursor != 3 || s.Moves != 1 {
@@ -161,15 +161,15 @@
 // TestApplyAllOrNothing: events that were applied are passed over, and a gap applies nothing of an answer.
 func TestApplyAllOrNothing(t *testing.T) {
 	tab := NewTable()
-	first := `{"cursor":1,` + platform.Nodes(true, "a 1.1.1.1:1 active") + `}`
-	second := `{"cursor":2,` + platform.Nodes(false, "b 1.1.1.2:1 active") + `}`
+	first := `{"cursor":1,` + fakeplatform.Nodes(true, "a 1.1.1.1:1 active") + `}`
+	second := `{"cursor":2,` + fakeplatform.Nodes(false, "b 1.1.1.2:1 active") + `}`
 	if changed, err := tab.Apply(batch(t, `{"cursor":1,"cmds":[`+first+`]}`)); !changed || err != nil {
 		t.Fatal(changed, err)
 	}
 	if changed, err := tab.Apply(batch(t, `{"cursor":1,"cmds":[`+first+`]}`)); changed || err != nil {
 		t.Error("applied twice", changed, err)
 	}
-	fourth := `{"cursor":4,` + platform.Nodes(false, "a 1.1.1.1:1 left") + `}`
+	fourth := `{"cursor":4,` + fakeplatform.Nodes(false, "a 1.1.1.1:1 left") + `}`
 	if _, err := tab.Apply(batch(t, `{"cursor":4,"cmds":[`+second+`,`+fourth+`]}`)); !errors.Is(err, ErrGap) {
 		t.Error("a gap:", err)
 	}
@@ -191,8 +191,8 @@
 	at := func(time.Time) time.Duration { return 1 }
 	for name, n := range map[string]int{"the next number": 4, "numbers passed over": 9, "an old number": 3} {
 		tab := NewTable()
-		for i, event := range []string{platform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"),
-			platform.Nodes(false, "a 1.1.1.1:1 leaving"), platform.Nodes(false, "c 1.1.1.3:1 active")} {
+		for i, event := range []string{fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"),
+			fakeplatform.Nodes(false, "a 1.1.1.1:1 leaving"), fakeplatform.Nodes(false, "c 1.1.1.3:1 active")} {
 			if _, err := tab.Apply(batch(t, fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, i+1, i+1, event))); err != nil {
 				t.Fatal(err)
 			}
@@ -200,7 +200,7 @@
 		if got := names(tab.Workers(at)); got != "a@1.1.1.1:1 drains, b@1.1.1.2:1, c@1.1.1.3:1" {
 			t.Fatal(got)
 		}
-		whole := platform.Nodes(true, "a 1.1.1.1:1 active", "c 1.1.1.3:1 leaving")
+		whole := fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "c 1.1.1.3:1 leaving")
 		if _, err := tab.Apply(batch(t, fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, n, n, whole))); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -216,7 +216,7 @@
 
 // FuzzParse: no answer panics, and what is taken can be applied.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":1,` + platform.Nodes(true, "a 1.1.1.1:1 active") + `}]}`))
+	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.Nodes(true, "a 1.1.1.1:1 active") + `}]}`))
 	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":null}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b, err := Parse(raw)
@@ -243,8 +243,8 @@
 	if s := f.Stats(); s.Questions > 100 {
 		t.Errorf("%d questions in 0.3 s", s.Questions)
 	}
-	c.Tell(platform.Nodes(false, "c 1.1.1.3:1 active"))
-	if got := platform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+	c.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+	if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 		t.Errorf("list %s", got)
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/endpoints/roster.go
@@ -1,11 +1,11 @@
-// Package roster is the core that joins what the list of workers says with what workers say of themselves.
+// Package endpoints is the core that joins what the list of workers says with what workers say of themselves.
 // It holds no I/O and reads no clock: the caller hands it events with the time, and Step returns what to do.
 //
 // A list comes late. A worker that has said it drains (GOAWAY, or a refusal that says so) stays draining
 // for this router though the list still has it on, until one of these shows that it is over: the list shows
 // a fresh start, or shows it as leaving and then on again, or the worker itself says that it is ready, asked
 // not before a while. The last is for workers that end connections for other reasons, such as their age.
-package roster
+package endpoints
 
 import (
 	"cmp"
@@ -13,12 +13,12 @@
 	"slices"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 )
 
 // Worker is one line of the list.
 type Worker struct {
-	brain.Member
+	dispatch.Member
 	Address string
 }
 
@@ -53,7 +53,7 @@
 	c.changed = true
 	on := map[string]Worker{}
 	for _, w := range c.list {
-		if w.State == brain.On {
+		if w.State == dispatch.On {
 			on[w.ID] = w
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 	for _, w := range c.list {
 		if w.ID == id {
-			c.draining[id] = &drain{started: w.Started, left: w.State != brain.On, ask: now + c.set.AskAfter}
+			c.draining[id] = &drain{started: w.Started, left: w.State != dispatch.On, ask: now + c.set.AskAfter}
 			c.changed = true
 		}
 	}
@@ -123,8 +123,8 @@
 			a.List = []Worker{}
 		}
 		for i := range a.List {
-			if w := &a.List[i]; c.draining[w.ID] != nil && w.State == brain.On {
-				w.State = brain.Draining
+			if w := &a.List[i]; c.draining[w.ID] != nil && w.State == dispatch.On {
+				w.State = dispatch.Draining
 			}
 		}
 	}
--- a/internal/standin/client/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -1,7 +1,7 @@
-// Package client is a stand-in for the programs that call the gateway: it speaks the Open Inference Protocol
+// Package fakeclient is a stand-in for the programs that call the gateway: it speaks the Open Inference Protocol
 // over real sockets, follows deadlines, and records what it asked and what it was answered for the checker of
 // the rules.
-package client
+package fakeclient
 
 import (
 	"errors"
@@ -12,10 +12,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/worker"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -35,7 +35,7 @@
 
 // Result is how a call ended.
 type Result struct {
-	Answer   rules.Answer
+	Answer   invariants.Answer
 	Answered bool // false: no final answer came, as the connection broke or the time was up
 	Status   grpc.Status
 	Pushback time.Duration // advice to stay away; negative: not to repeat
@@ -48,7 +48,7 @@
 // Client is a program's connection to one router.
 type Client struct {
 	addr, router string
-	log          *rules.Log
+	log          *invariants.Log
 	cfg          http2.Config
 
 	mu   sync.Mutex
@@ -56,7 +56,7 @@
 }
 
 // New returns a client of the router that listens at an address. It connects with its first call.
-func New(addr, router string, log *rules.Log, cfg http2.Config) *Client {
+func New(addr, router string, log *invariants.Log, cfg http2.Config) *Client {
 	return &Client{addr: addr, router: router, log: log, cfg: cfg}
 }
 
@@ -113,8 +113,8 @@
 		return &inference.InferParameter{ParameterChoice: &inference.InferParameter_DoubleParam{DoubleParam: f}}
 	}
 	m := &inference.ModelInferRequest{ModelName: r.Model, Id: call, Parameters: map[string]*inference.InferParameter{
-		worker.ParamRequest: text(r.ID), oip.ParamKey: text(r.ID), worker.ParamWorkMS: number(r.Work.Seconds() * 1000),
-		worker.ParamMessages: number(float64(r.Messages)), worker.ParamBytes: number(float64(r.Bytes))}}
+		fakeworker.ParamRequest: text(r.ID), oip.ParamKey: text(r.ID), fakeworker.ParamWorkMS: number(r.Work.Seconds() * 1000),
+		fakeworker.ParamMessages: number(float64(r.Messages)), fakeworker.ParamBytes: number(float64(r.Bytes))}}
 	if r.Hint > 0 {
 		m.Parameters[oip.ParamWorkMS] = number(r.Hint.Seconds() * 1000)
 	}
@@ -146,7 +146,7 @@
 		path = oip.StreamInfer
 	}
 	now := c.log.Now()
-	c.log.Add(rules.Record{At: now, Kind: rules.Asked, Call: call, Request: r.ID, Class: r.Class, Router: c.router,
+	c.log.Add(invariants.Record{At: now, Kind: invariants.Asked, Call: call, Request: r.ID, Class: r.Class, Router: c.router,
 		Deadline: now + deadline})
 	x.asked = true
 	// The answer is waited for a while beyond the deadline, so that a late one is seen to be late.
@@ -188,7 +188,7 @@
 	over := x.over
 	x.mu.Unlock()
 	if !over && x.asked {
-		x.c.log.Add(rules.Record{Kind: rules.Left, Call: x.call, Class: x.req.Class, Router: x.c.router})
+		x.c.log.Add(invariants.Record{Kind: invariants.Left, Call: x.call, Class: x.req.Class, Router: x.c.router})
 	}
 }
 
@@ -220,19 +220,19 @@
 	}
 	switch {
 	case r.Status.Code == grpc.OK:
-		r.Answer = rules.Served
+		r.Answer = invariants.Served
 	case r.Status.Code == grpc.Unavailable && told && r.Pushback >= 0:
-		r.Answer = rules.Refused
+		r.Answer = invariants.Refused
 	default:
-		r.Answer = rules.Failed
+		r.Answer = invariants.Failed
 	}
 	x.mu.Lock()
 	cut := x.count.Partial()
 	x.mu.Unlock()
-	if r.Answer == rules.Served && cut {
-		r.Answer, r.Status = rules.Failed, grpc.Status{Code: grpc.Internal, Message: "answer ends within a message"}
+	if r.Answer == invariants.Served && cut {
+		r.Answer, r.Status = invariants.Failed, grpc.Status{Code: grpc.Internal, Message: "answer ends within a message"}
 	}
-	x.c.log.Add(rules.Record{Kind: rules.Answered, Call: x.call, Request: x.req.ID, Class: x.req.Class,
+	x.c.log.Add(invariants.Record{Kind: invariants.Answered, Call: x.call, Request: x.req.ID, Class: x.req.Class,
 		Router: x.c.router, Answer: r.Answer})
 	x.end(r)
 }
--- a/internal/standin/peer/forger.go
+++ b/internal/fake/fakepeer/forger.go
@@ -1,4 +1,4 @@
-package peer
+package fakepeer
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 	"net"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/gossip"
-	"github.com/topazfront/topazfront/internal/peers"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
 // Forger sends what no router may take: packets under the names of others, by a key that is not theirs or with
@@ -111,12 +111,12 @@
 
 // Liar is an admitted member that takes part as others do, and lies of workers. It never looks.
 type Liar struct {
-	*peers.Agent
+	*agent.Agent
 }
 
 // NewLiar starts a liar.
-func NewLiar(c peers.Config) (*Liar, error) {
-	a, err := peers.Start(c, blind{})
+func NewLiar(c agent.Config) (*Liar, error) {
+	a, err := agent.Start(c, blind{})
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 func (l *Liar) Accuse(started map[string]uint64) {
 	l.SetWorkers(started)
 	for id := range started {
-		l.Doubted(brain.Doubt{Worker: id})
+		l.Doubted(dispatch.Doubt{Worker: id})
 	}
 }
 
@@ -141,4 +141,4 @@
 func (blind) Look(_ string, _, _ time.Duration, done func(alive, void bool)) { done(false, true) }
 
 // Peers implements peers.Router.
-func (blind) Peers(brain.Peers) {}
+func (blind) Peers(dispatch.Peers) {}
--- a/internal/standin/peer/net.go
+++ b/internal/fake/fakepeer/net.go
@@ -1,6 +1,6 @@
-// Package peer is the scripted other side of gossip: a network with faults between the routers' sockets, and
+// Package fakepeer is the scripted other side of gossip: a network with faults between the routers' sockets, and
 // peers that forge, lie or fall silent.
-package peer
+package fakepeer
 
 import (
 	"math/rand/v2"
--- a/internal/standin/platform/channel.go
+++ b/internal/fake/fakeplatform/channel.go
@@ -1,4 +1,4 @@
-package platform
+package fakeplatform
 
 import (
 	"fmt"
--- a/internal/standin/platform/client.go
+++ b/internal/fake/fakeplatform/client.go
@@ -1,4 +1,4 @@
-package platform
+package fakeplatform
 
 import (
 	"context"
@@ -8,20 +8,20 @@
 	"strings"
 	"time"
 
-	"github.com/topazfront/topazfront/internal/rules"
+	"github.com/topazfront/topazfront/internal/invariants"
 )
 
 // Client is a stand-in client: it makes calls and records what comes of them.
 type Client struct {
 	Base string // "http://host:port"
-	Log  *rules.Log
+	Log  *invariants.Log
 	HTTP *http.Client
 }
 
 // Call makes one call and returns the answer's status, 0 for none, and its body.
 func (c *Client) Call(id, class, function string, deadline time.Duration) (int, string) {
 	began := c.Log.Now()
-	c.Log.Add(rules.Record{Kind: rules.Asked, Call: id, Request: id, Class: class, Router: "r", Deadline: began + deadline})
+	c.Log.Add(invariants.Record{Kind: invariants.Asked, Call: id, Request: id, Class: class, Router: "r", Deadline: began + deadline})
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", c.Base+"/call/"+function+"/call", strings.NewReader(id))
@@ -43,13 +43,13 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	answer := rules.Failed
+	answer := invariants.Failed
 	switch resp.StatusCode {
 	case 200:
-		answer = rules.Served
+		answer = invariants.Served
 	case 429, 503:
-		answer = rules.Refused
+		answer = invariants.Refused
 	}
-	c.Log.Add(rules.Record{Kind: rules.Answered, Call: id, Request: id, Class: class, Router: "r", Answer: answer})
+	c.Log.Add(invariants.Record{Kind: invariants.Answered, Call: id, Request: id, Class: class, Router: "r", Answer: answer})
 	return resp.StatusCode, string(body)
 }
--- a/internal/standin/platform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -1,7 +1,7 @@
-// Package platform stands in for the parties of the users' platform: workers behind arrays of bulk strings, the
+// Package fakeplatform stands in for the parties of the users' platform: workers behind arrays of bulk strings, the
 // command channel, and clients. They are built on the standard library alone, so that they share no parser with what
 // they test, and record what they see at their own ends of the sockets.
-package platform
+package fakeplatform
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"github.com/topazfront/topazfront/internal/rules"
+	"github.com/topazfront/topazfront/internal/invariants"
 )
 
 // Request is one message as a worker got it.
@@ -29,7 +29,7 @@
 // Worker is a stand-in worker. Its fields are set before it is started.
 type Worker struct {
 	ID   string
-	Log  *rules.Log // nil: nothing is recorded
+	Log  *invariants.Log // nil: nothing is recorded
 	Work time.Duration
 	Drop string // a class whose repeats, by their key, are not run again
 	// Act is what the worker does with a message; nil answers as a healthy one. It runs on the connection's
@@ -157,11 +157,11 @@
 		default:
 		}
 		if w.Log != nil && r.Verb == "exec" {
-			w.Log.Add(rules.Record{Kind: rules.Got, Router: "r", Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
+			w.Log.Add(invariants.Record{Kind: invariants.Got, Router: "r", Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
 		}
 		if w.Log != nil && r.Verb == "ensure" {
 			n, _ := strconv.Atoi(r.Fields["slots_up"])
-			w.Log.Add(rules.Record{Kind: rules.Ordered, Worker: w.ID, Copies: n, Router: "r"})
+			w.Log.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.ID, Copies: n, Router: "r"})
 		}
 		if w.Act != nil {
 			w.Act(r)
@@ -204,7 +204,7 @@
 	w.keys[key] = true
 	w.mu.Unlock()
 	if w.Log != nil && !again {
-		w.Log.Add(rules.Record{Kind: rules.Ran, Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
+		w.Log.Add(invariants.Record{Kind: invariants.Ran, Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
 	}
 }
 
--- a/internal/standin/worker/serve.go
+++ b/internal/fake/fakeworker/serve.go
@@ -1,17 +1,17 @@
-package worker
+package fakeworker
 
 import (
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
-	"github.com/topazfront/topazfront/internal/rules"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
-	"github.com/topazfront/topazfront/internal/upstream"
+	"github.com/topazfront/topazfront/internal/upstream/grpcupstream"
 )
 
 // The parameters by which a client tells a stand-in what a call truly is. The gateway passes them through.
@@ -59,7 +59,7 @@
 		return
 	}
 	r.path, _ = grpc.Get(fields, ":path")
-	r.router, _ = grpc.Get(fields, upstream.RouterField)
+	r.router, _ = grpc.Get(fields, grpcupstream.RouterField)
 	r.enc, _ = grpc.Get(fields, "grpc-encoding")
 	r.w.mu.Lock()
 	first := r.w.routers[s.Conn()] == ""
@@ -149,7 +149,7 @@
 			return
 		}
 		if !w.draining {
-			w.record(rules.Record{Kind: rules.Ready, Worker: w.cfg.ID, Router: r.router})
+			w.record(invariants.Record{Kind: invariants.Ready, Worker: w.cfg.ID, Router: r.router})
 		}
 		r.unary(&inference.ServerReadyResponse{Ready: !w.draining}, w.report(nil))
 	case oip.Index:
@@ -207,7 +207,7 @@
 func (r *reply) load(m *inference.RepositoryModelLoadRequest) {
 	w := r.w
 	copies := int(m.Parameters[oip.ParamCopies].GetInt64Param())
-	w.record(rules.Record{Kind: rules.Ordered, Router: r.router, Worker: w.cfg.ID, Request: m.ModelName, Copies: copies})
+	w.record(invariants.Record{Kind: invariants.Ordered, Router: r.router, Worker: w.cfg.ID, Request: m.ModelName, Copies: copies})
 	switch {
 	case w.faults.Hang || w.fallen:
 		return
--- a/internal/standin/worker/store.go
+++ b/internal/fake/fakeworker/store.go
@@ -1,4 +1,4 @@
-package worker
+package fakeworker
 
 import (
 	"errors"
--- a/internal/standin/worker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -1,7 +1,7 @@
-// Package worker is a stand-in for a model server: it speaks the Open Inference Protocol over real sockets
+// Package fakeworker is a stand-in for a model server: it speaks the Open Inference Protocol over real sockets
 // and models cores, memory, copies and queues in real time. It records what reaches it for the checker of the
 // rules. Faults are switched on from outside.
-package worker
+package fakeworker
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/oip"
-	"github.com/topazfront/topazfront/internal/rules"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
@@ -36,7 +36,7 @@
 	Keyed         map[string]bool
 	Store         *Store
 	Cell          *Cell
-	Log           *rules.Log
+	Log           *invariants.Log
 	Seed          uint64
 	Cold          bool // starts cold; one of long ago does not
 	ClassWork     map[string]time.Duration
@@ -168,7 +168,7 @@
 	if !cold {
 		w.started = w.started.Add(-time.Hour)
 	} else if w.cfg.Log != nil {
-		w.cfg.Log.Add(rules.Record{Kind: rules.Started, Worker: w.cfg.ID})
+		w.cfg.Log.Add(invariants.Record{Kind: invariants.Started, Worker: w.cfg.ID})
 	}
 	return nil
 }
@@ -215,7 +215,7 @@
 	if goAway {
 		server.Warn()
 		for _, r := range told {
-			w.record(rules.Record{Kind: rules.Said, Worker: w.cfg.ID, Router: r})
+			w.record(invariants.Record{Kind: invariants.Said, Worker: w.cfg.ID, Router: r})
 		}
 	}
 }
@@ -285,7 +285,7 @@
 	return w.served
 }
 
-func (w *Worker) record(r rules.Record) {
+func (w *Worker) record(r invariants.Record) {
 	if w.cfg.Log != nil {
 		w.cfg.Log.Add(r)
 	}
@@ -326,7 +326,7 @@
 	can := w.cfg.FallMultiple * w.capacity() * float64(w.cfg.Cores) * w.cfg.Speed * w.cfg.FallSpan.Seconds()
 	if now.Sub(w.started) > w.cfg.FallSpan && sum > 1.3*can+0.5 {
 		w.fallen = true
-		w.record(rules.Record{Kind: rules.Fell, Worker: w.cfg.ID})
+		w.record(invariants.Record{Kind: invariants.Fell, Worker: w.cfg.ID})
 	}
 }
 
@@ -346,7 +346,7 @@
 
 // arrive takes a call. w.mu is held.
 func (w *Worker) arrive(j *job) {
-	w.record(rules.Record{Kind: rules.Got, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
+	w.record(invariants.Record{Kind: invariants.Got, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
 		Worker: w.cfg.ID})
 	w.pressed(j.class)
 	w.jobs[j] = struct{}{}
@@ -642,7 +642,7 @@
 		return
 	}
 	j.began = true
-	w.record(rules.Record{Kind: rules.Ran, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
+	w.record(invariants.Record{Kind: invariants.Ran, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
 		Worker: w.cfg.ID})
 	if w.faults.DieStarted[j.class] {
 		go w.Kill()
--- a/internal/peers/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -1,6 +1,6 @@
-// Package peers runs the gossip cores for one router: its sockets, its clock and its loop. It decides nothing;
+// Package agent runs the gossip cores for one router: its sockets, its clock and its loop. It decides nothing;
 // what goes to the router is the outcome of the router's own looks and a count that only rises.
-package peers
+package agent
 
 import (
 	"crypto/ed25519"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
@@ -58,7 +58,7 @@
 	// Look asks a worker for a sign of life, unless it was heard within heard: then void is told.
 	Look(worker string, heard, limit time.Duration, done func(alive, void bool))
 	// Peers hands the module what came of peers' word.
-	Peers(brain.Peers)
+	Peers(dispatch.Peers)
 }
 
 // Dropped counts what was not read, by reason.
@@ -364,7 +364,7 @@
 			a.cfg.Dead(o.ID)
 		}
 	case gossip.Live:
-		a.router.Peers(brain.Peers{Routers: o.Count})
+		a.router.Peers(dispatch.Peers{Routers: o.Count})
 	case gossip.Heard:
 		s := &o.Statement
 		a.log.Debug("word of a worker", "worker", s.Subject, "is", s.About, "class", s.Text, "by", s.Signer, "age", o.Age)
@@ -391,7 +391,7 @@
 		})
 	case gossip.FoundSilent:
 		a.log.Info("peers' word of a silent worker bears out", "worker", o.Worker)
-		a.router.Peers(brain.Peers{Silent: []string{o.Worker}})
+		a.router.Peers(dispatch.Peers{Silent: []string{o.Worker}})
 	}
 }
 
@@ -519,7 +519,7 @@
 }
 
 // Doubted tells of a doubt that the router has by its own evidence.
-func (a *Agent) Doubted(d brain.Doubt) {
+func (a *Agent) Doubted(d dispatch.Doubt) {
 	about := gossip.Silent
 	if d.Slow {
 		about = gossip.Slow
--- a/internal/peers/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -1,4 +1,4 @@
-package peers_test
+package agent_test
 
 import (
 	"bytes"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/fake/fakepeer"
 	"github.com/topazfront/topazfront/internal/gossip"
-	"github.com/topazfront/topazfront/internal/peers"
-	"github.com/topazfront/topazfront/internal/standin/peer"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
 // script is a router by script: workers in dead give no sign of life.
@@ -21,7 +21,7 @@
 	mu     sync.Mutex
 	dead   map[string]bool
 	looks  int
-	told   []brain.Peers
+	told   []dispatch.Peers
 	notify chan struct{}
 }
 
@@ -33,7 +33,7 @@
 	done(!dead, false)
 }
 
-func (s *script) Peers(e brain.Peers) {
+func (s *script) Peers(e dispatch.Peers) {
 	s.mu.Lock()
 	s.told = append(s.told, e)
 	s.mu.Unlock()
@@ -46,7 +46,7 @@
 func (s *script) silent(worker string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.told, func(e brain.Peers) bool { return slices.Contains(e.Silent, worker) })
+	return slices.ContainsFunc(s.told, func(e dispatch.Peers) bool { return slices.Contains(e.Silent, worker) })
 }
 
 func keyOf(id, name string) ed25519.PrivateKey {
@@ -54,8 +54,8 @@
 	return ed25519.NewKeyFromSeed(seed)
 }
 
-func admit(ids []string, names ...string) peers.Members {
-	m := peers.Members{}
+func admit(ids []string, names ...string) agent.Members {
+	m := agent.Members{}
 	for _, id := range ids {
 		m[id] = map[string]ed25519.PublicKey{}
 		for _, n := range names {
@@ -68,11 +68,11 @@
 // group is agents over real sockets, a network with faults between them.
 type group struct {
 	t       *testing.T
-	net     *peer.Net
+	net     *fakepeer.Net
 	ids     []string
-	agents  []*peers.Agent
+	agents  []*agent.Agent
 	routers []*script
-	meters  []*peer.Meter
+	meters  []*fakepeer.Meter
 	addrs   []string
 }
 
@@ -84,14 +84,14 @@
 	return c
 }
 
-func (g *group) config(i int) peers.Config {
-	c := peers.Config{ID: g.ids[i], Listen: "127.0.0.1:0", Gossip: quick(), Judge: gossip.LocalJudge, Gate: gossip.LocalGate,
+func (g *group) config(i int) agent.Config {
+	c := agent.Config{ID: g.ids[i], Listen: "127.0.0.1:0", Gossip: quick(), Judge: gossip.LocalJudge, Gate: gossip.LocalGate,
 		Witness: gossip.LocalWitness, LookTimeout: time.Second, Seed: uint64(i), Members: admit(g.ids, "k1"),
-		Key: peers.Key{Name: "k1", Private: keyOf(g.ids[i], "k1")}}
+		Key: agent.Key{Name: "k1", Private: keyOf(g.ids[i], "k1")}}
 	c.Seeds = g.addrs[:min(2, len(g.addrs))]
 	m := g.meters[i]
 	own := ""
-	c.Hooks = peers.Hooks{Packets: func(pc net.PacketConn) net.PacketConn {
+	c.Hooks = agent.Hooks{Packets: func(pc net.PacketConn) net.PacketConn {
 		own = pc.LocalAddr().String()
 		return g.net.Wrap(pc, m)
 	}, Stream: func(to string, n int) bool { m.Add(n); return g.net.Open(own, to) }} // a partition cuts streams too
@@ -100,15 +100,15 @@
 
 func newGroup(t *testing.T, n int) *group {
 	t.Helper()
-	g := &group{t: t, net: peer.NewNet(1)}
+	g := &group{t: t, net: fakepeer.NewNet(1)}
 	c := quick()
 	for i := range n {
 		g.ids = append(g.ids, fmt.Sprintf("r%d", i))
-		g.meters = append(g.meters, &peer.Meter{Rate: c.BytesPerSecond, Burst: c.BurstBytes, PerSec: c.MessagesPerSec, Count: c.BurstMessages})
+		g.meters = append(g.meters, &fakepeer.Meter{Rate: c.BytesPerSecond, Burst: c.BurstBytes, PerSec: c.MessagesPerSec, Count: c.BurstMessages})
 	}
 	for i := range n {
 		r := &script{dead: map[string]bool{}, notify: make(chan struct{}, 1)}
-		a, err := peers.Start(g.config(i), r)
+		a, err := agent.Start(g.config(i), r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 		g.agents, g.routers, g.addrs = append(g.agents, a), append(g.routers, r), append(g.addrs, a.Addr())
 	}
 	g.until("all to find all", func() bool {
-		return !slices.ContainsFunc(g.agents, func(a *peers.Agent) bool { return a.Status().Live < n })
+		return !slices.ContainsFunc(g.agents, func(a *agent.Agent) bool { return a.Status().Live < n })
 	})
 	return g
 }
@@ -143,9 +143,9 @@
 		r.dead["w1"] = true
 		r.mu.Unlock()
 	}
-	g.agents[0].Doubted(brain.Doubt{Worker: "w1"})
-	g.agents[1].Doubted(brain.Doubt{Worker: "w1"})
-	g.agents[1].Doubted(brain.Doubt{Worker: "w2", Class: "renew"})
+	g.agents[0].Doubted(dispatch.Doubt{Worker: "w1"})
+	g.agents[1].Doubted(dispatch.Doubt{Worker: "w1"})
+	g.agents[1].Doubted(dispatch.Doubt{Worker: "w2", Class: "renew"})
 	g.until("the others to find it silent", func() bool {
 		return g.routers[2].silent("w1") && g.routers[3].silent("w1") && g.routers[4].silent("w1") && g.routers[5].silent("w1")
 	})
@@ -168,10 +168,10 @@
 	for _, i := range []int{3, 4} {
 		g.agents[i].Close()
 	}
-	lie := func(i int) *peer.Liar {
+	lie := func(i int) *fakepeer.Liar {
 		c := g.config(i)
-		c.Listen, c.Hooks = "127.0.0.1:0", peers.Hooks{}
-		l, err := peer.NewLiar(c)
+		c.Listen, c.Hooks = "127.0.0.1:0", agent.Hooks{}
+		l, err := fakepeer.NewLiar(c)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -195,8 +195,8 @@
 	}
 	lie(4)
 	g.until("two liars to be contradicted", func() bool {
-		return !slices.ContainsFunc(g.agents[:3], func(a *peers.Agent) bool {
-			return !slices.ContainsFunc(a.Peers(), func(p peers.Peer) bool { return p.ID == "r4" && p.Weight < 0.6 })
+		return !slices.ContainsFunc(g.agents[:3], func(a *agent.Agent) bool {
+			return !slices.ContainsFunc(a.Peers(), func(p agent.Peer) bool { return p.ID == "r4" && p.Weight < 0.6 })
 		})
 	})
 	for i, r := range g.routers[:3] {
@@ -215,7 +215,7 @@
 // rate the checks stay bounded and the members lose nobody.
 func TestForgeriesAreDropped(t *testing.T) {
 	g := newGroup(t, 4)
-	f, err := peer.NewForger(1, g.ids, []string{"k1", "k1", "k1", "k1"})
+	f, err := fakepeer.NewForger(1, g.ids, []string{"k1", "k1", "k1", "k1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +238,7 @@
 	began := time.Now()
 	g.until("the flood to be left unread", func() bool { // however much of it the sockets hold
 		f.Flood(g.addrs, 500)
-		return !slices.ContainsFunc(g.agents, func(a *peers.Agent) bool { return a.Status().Dropped.Limited < 1000 })
+		return !slices.ContainsFunc(g.agents, func(a *agent.Agent) bool { return a.Status().Dropped.Limited < 1000 })
 	})
 	for i, a := range g.agents {
 		s := a.Status()
@@ -259,7 +259,7 @@
 // same packets are taken.
 func TestStolenKeysAreNoForgeries(t *testing.T) {
 	g := newGroup(t, 3)
-	f, err := peer.NewForger(1, g.ids[:1], []string{"k1"})
+	f, err := fakepeer.NewForger(1, g.ids[:1], []string{"k1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,7 +276,7 @@
 // TestReplayedAndTwice: what comes twice, or is sent again by somebody else, is dropped.
 func TestReplayedAndTwice(t *testing.T) {
 	g := newGroup(t, 2)
-	g.net.Set(peer.Faults{Twice: 1, Most: 5 * time.Millisecond})
+	g.net.Set(fakepeer.Faults{Twice: 1, Most: 5 * time.Millisecond})
 	g.until("doubles to be dropped", func() bool { return g.agents[0].Status().Dropped.Replay > 5 })
 	if n := g.agents[0].Status().Live; n != 2 {
 		t.Errorf("%d live", n)
@@ -287,13 +287,13 @@
 // nothing afterwards.
 func TestKeyExchangedInService(t *testing.T) {
 	g := newGroup(t, 4)
-	g.net.Set(peer.Faults{Loss: 0.1, Most: 3 * time.Millisecond})
+	g.net.Set(fakepeer.Faults{Loss: 0.1, Most: 3 * time.Millisecond})
 	both, next := admit(g.ids, "k1", "k2"), admit(g.ids, "k2")
 	for _, a := range g.agents {
 		a.SetMembers(both)
 	}
 	for i, a := range g.agents {
-		a.SetKey(peers.Key{Name: "k2", Private: keyOf(g.ids[i], "k2")})
+		a.SetKey(agent.Key{Name: "k2", Private: keyOf(g.ids[i], "k2")})
 	}
 	for _, a := range g.agents {
 		a.SetMembers(next)
@@ -311,7 +311,7 @@
 	c := g.config(1)
 	c.Listen, c.Hooks.Packets = "127.0.0.1:0", nil
 	c.Seeds = g.addrs[:1]
-	old, err := peers.Start(c, &script{notify: make(chan struct{}, 1)}) // one that still signs with the old key
+	old, err := agent.Start(c, &script{notify: make(chan struct{}, 1)}) // one that still signs with the old key
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -329,9 +329,9 @@
 	for _, a := range g.addrs[:3] {
 		side[a] = true
 	}
-	g.net.Set(peer.Faults{Cut: func(from, to string) bool { return side[from] != side[to] }})
+	g.net.Set(fakepeer.Faults{Cut: func(from, to string) bool { return side[from] != side[to] }})
 	g.until("the sides to lose each other", func() bool {
-		return !slices.ContainsFunc(g.agents, func(a *peers.Agent) bool { return a.Status().Live > 3 })
+		return !slices.ContainsFunc(g.agents, func(a *agent.Agent) bool { return a.Status().Live > 3 })
 	})
 	for i, r := range g.routers {
 		r.mu.Lock()
@@ -347,9 +347,9 @@
 		}
 		r.mu.Unlock()
 	}
-	g.net.Set(peer.Faults{})
+	g.net.Set(fakepeer.Faults{})
 	g.until("the partition to heal", func() bool {
-		return !slices.ContainsFunc(g.agents, func(a *peers.Agent) bool { return a.Status().Live < 6 })
+		return !slices.ContainsFunc(g.agents, func(a *agent.Agent) bool { return a.Status().Live < 6 })
 	})
 }
 
@@ -368,7 +368,7 @@
 	g.agents[2].Close()
 	c := g.config(2)
 	c.Listen, c.Life = g.addrs[2], 1000
-	a, err := peers.Start(c, g.routers[2])
+	a, err := agent.Start(c, g.routers[2])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -384,18 +384,18 @@
 	g := newGroup(t, 1)
 	c := g.config(0)
 	c.Listen = g.addrs[0]
-	if a, err := peers.Start(c, g.routers[0]); err == nil {
+	if a, err := agent.Start(c, g.routers[0]); err == nil {
 		a.Close()
 		t.Error("two agents on one port")
 	}
 	c.Listen, c.Gossip.PacketBytes = "127.0.0.1:0", 9000
-	if a, err := peers.Start(c, g.routers[0]); err == nil {
+	if a, err := agent.Start(c, g.routers[0]); err == nil {
 		a.Close()
 		t.Error("packets of 9000 bytes")
 	}
 	c = g.config(0)
 	c.Seeds = []string{"nonsense", "127.0.0.1:99999", "[::1", "127.0.0.1:1"}
-	a, err := peers.Start(c, g.routers[0])
+	a, err := agent.Start(c, g.routers[0])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peers/compare_test.go
+++ b/internal/gossip/agent/compare_test.go
@@ -1,6 +1,6 @@
 //go:build compare
 
-package peers_test
+package agent_test
 
 import (
 	"fmt"
@@ -15,9 +15,9 @@
 
 	"github.com/hashicorp/memberlist"
 
+	"github.com/topazfront/topazfront/internal/fake/fakepeer"
 	"github.com/topazfront/topazfront/internal/gossip"
-	"github.com/topazfront/topazfront/internal/peers"
-	"github.com/topazfront/topazfront/internal/standin/peer"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
 const (
@@ -138,23 +138,23 @@
 		}
 
 		f = &found{dead: map[string][]time.Time{}}
-		n := peer.NewNet(uint64(round))
-		var meters []*peer.Meter
-		var agents []*peers.Agent
+		n := fakepeer.NewNet(uint64(round))
+		var meters []*fakepeer.Meter
+		var agents []*agent.Agent
 		var ids, addrs []string
 		for i := range members {
 			ids = append(ids, fmt.Sprintf("r%d", i))
 		}
 		for i := range members {
-			m := &peer.Meter{}
-			c := peers.Config{ID: ids[i], Listen: "127.0.0.1:0", Seeds: addrs[:min(1, len(addrs))], Gossip: gossip.Local,
+			m := &fakepeer.Meter{}
+			c := agent.Config{ID: ids[i], Listen: "127.0.0.1:0", Seeds: addrs[:min(1, len(addrs))], Gossip: gossip.Local,
 				Judge: gossip.LocalJudge, Gate: gossip.LocalGate, Witness: gossip.LocalWitness, Seed: uint64(i),
-				Members: admit(ids, "k1"), Key: peers.Key{Name: "k1", Private: keyOf(ids[i], "k1")},
+				Members: admit(ids, "k1"), Key: agent.Key{Name: "k1", Private: keyOf(ids[i], "k1")},
 				Dead: f.add,
-				Hooks: peers.Hooks{Packets: func(pc net.PacketConn) net.PacketConn {
+				Hooks: agent.Hooks{Packets: func(pc net.PacketConn) net.PacketConn {
 					return n.Wrap(pc, m)
 				}, Stream: func(_ string, n int) bool { m.Add(n); return true }}}
-			a, err := peers.Start(c, &script{notify: make(chan struct{}, 1)})
+			a, err := agent.Start(c, &script{notify: make(chan struct{}, 1)})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/peers/property_test.go
+++ b/internal/gossip/agent/property_test.go
@@ -1,4 +1,4 @@
-package peers_test
+package agent_test
 
 import (
 	"fmt"
@@ -8,15 +8,15 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
-func module(t *rapid.T) *brain.Dispatcher {
-	d, err := brain.New(brain.Settings{Routers: 4, MaxAttempts: 3, MayCancel: true, MayProbe: true, MayOrder: true,
+func module(t *rapid.T) *dispatch.Dispatcher {
+	d, err := dispatch.New(dispatch.Settings{Routers: 4, MaxAttempts: 3, MayCancel: true, MayProbe: true, MayOrder: true,
 		IdleKeep: 10 * time.Second, ColdShare: 0.2, ColdFor: 8 * time.Second, FallMultiple: 3, FallSpan: time.Second,
-		Kinds:   []brain.Kind{{Name: "k", MemoryMB: 1000}},
-		Classes: []brain.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: brain.Safe}}}, 7)
+		Kinds:   []dispatch.Kind{{Name: "k", MemoryMB: 1000}},
+		Classes: []dispatch.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: dispatch.Safe}}}, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,17 +30,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		alone, told := module(t), module(t)
 		judge := gossip.NewJudge(gossip.LocalJudge)
-		now, next := time.Hour, brain.RequestID(0)
-		open := map[brain.RequestID][]brain.Send{}
+		now, next := time.Hour, dispatch.RequestID(0)
+		open := map[dispatch.RequestID][]dispatch.Send{}
 		starts := map[string]uint64{}
-		play := func(events ...brain.Event) {
+		play := func(events ...dispatch.Event) {
 			a := alone.Step(now, events)
 			b := told.Step(now, events)
 			if !reflect.DeepEqual(a, b) {
 				t.Fatalf("at %v: %v became %v", now, a, b)
 			}
 			for _, x := range a {
-				if s, ok := x.(brain.Send); ok {
+				if s, ok := x.(dispatch.Send); ok {
 					open[s.ID] = append(open[s.ID], s)
 				}
 			}
@@ -50,24 +50,24 @@
 			w := fmt.Sprintf("w%d", rapid.IntRange(0, 3).Draw(t, "worker"))
 			switch op := rapid.IntRange(0, 5).Draw(t, "op"); {
 			case op == 0 || i == 0:
-				m := brain.Member{ID: w, Kind: "k", State: brain.State(rapid.IntRange(0, 2).Draw(t, "state"))}
+				m := dispatch.Member{ID: w, Kind: "k", State: dispatch.State(rapid.IntRange(0, 2).Draw(t, "state"))}
 				if rapid.Bool().Draw(t, "fresh") {
 					m.Started = now
 				}
 				starts[w] = uint64(m.Started / time.Millisecond)
-				play(brain.Roster{Members: []brain.Member{m}})
+				play(dispatch.Roster{Members: []dispatch.Member{m}})
 				judge.Step(now, []any{gossip.Workers{Started: starts}})
 			case op == 1 || op == 2:
 				next++
-				play(brain.Request{ID: next, Function: w, Class: "c", MemoryMB: 10, Lanes: 2, Left: 3 * time.Second})
+				play(dispatch.Request{ID: next, Function: w, Class: "c", MemoryMB: 10, Lanes: 2, Left: 3 * time.Second})
 			case op == 3:
-				for id := brain.RequestID(1); id <= next; id++ { // the oldest that is open
+				for id := dispatch.RequestID(1); id <= next; id++ { // the oldest that is open
 					n := len(open[id]) - 1
 					if n < 0 {
 						continue
 					}
-					play(brain.Outcome{ID: id, Attempt: n, Worker: open[id][n].Worker, Result: brain.OK, Final: true, Company: -1,
-						Took: 20 * time.Millisecond, Load: brain.NoLoad})
+					play(dispatch.Outcome{ID: id, Attempt: n, Worker: open[id][n].Worker, Result: dispatch.OK, Final: true, Company: -1,
+						Took: 20 * time.Millisecond, Load: dispatch.NoLoad})
 					delete(open, id)
 					break
 				}
@@ -76,11 +76,11 @@
 					About: gossip.About(rapid.IntRange(int(gossip.Silent), int(gossip.Back)).Draw(t, "about"))}
 				for _, o := range judge.Step(now, []any{c, gossip.Looked{Worker: w}}) {
 					if s, ok := o.(gossip.FoundSilent); ok {
-						told.Step(now, []brain.Event{brain.Peers{Silent: []string{s.Worker}}})
+						told.Step(now, []dispatch.Event{dispatch.Peers{Silent: []string{s.Worker}}})
 					}
 				}
 			}
-			play(brain.Woken{})
+			play(dispatch.Woken{})
 		}
 	})
 }
--- a/internal/peers/stream.go
+++ b/internal/gossip/agent/stream.go
@@ -1,4 +1,4 @@
-package peers
+package agent
 
 import (
 	"context"
--- a/internal/gateway/compare_test.go
+++ b/internal/grpcgateway/compare_test.go
@@ -5,7 +5,7 @@
 //
 //	go test -tags compare -run Compare -v -timeout 20m ./internal/gateway
 
-package gateway
+package grpcgateway
 
 import (
 	"bufio"
--- a/internal/gateway/forward_test.go
+++ b/internal/grpcgateway/forward_test.go
@@ -1,4 +1,4 @@
-package gateway
+package grpcgateway
 
 import (
 	"fmt"
--- a/internal/gateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -1,21 +1,21 @@
-// Package gateway puts one gateway together from its settings: the router's loop, the connections to workers,
+// Package grpcgateway puts one gateway together from its settings: the router's loop, the connections to workers,
 // the fronts, and the list of workers that it follows.
-package gateway
+package grpcgateway
 
 import (
 	"log/slog"
 	"sync"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/adminapi"
 	"github.com/topazfront/topazfront/internal/config"
-	"github.com/topazfront/topazfront/internal/control"
-	"github.com/topazfront/topazfront/internal/front/grpcfront"
-	"github.com/topazfront/topazfront/internal/peers"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server/grpcserver"
 	"github.com/topazfront/topazfront/internal/transport/http2"
-	"github.com/topazfront/topazfront/internal/upstream"
+	"github.com/topazfront/topazfront/internal/upstream/grpcupstream"
 )
 
 // Version is the program's.
@@ -24,21 +24,21 @@
 // Options are what does not stand in a settings file.
 type Options struct {
 	Log     *slog.Logger
-	Decider func(brain.Settings, uint64) (router.Decider, error) // nil: the module
-	Drain   time.Duration                                        // most that Stop waits for calls in hand; 0: a minute
-	Tap     func(now time.Duration, events []brain.Event, actions []brain.Action)
-	Gossip  peers.Hooks
+	Decider func(dispatch.Settings, uint64) (router.Decider, error) // nil: the module
+	Drain   time.Duration                                           // most that Stop waits for calls in hand; 0: a minute
+	Tap     func(now time.Duration, events []dispatch.Event, actions []dispatch.Action)
+	Gossip  agent.Hooks
 }
 
 // Gateway is one running gateway.
 type Gateway struct {
 	cfg    *config.Gateway
 	log    *slog.Logger
-	pool   *upstream.Pool
+	pool   *grpcupstream.Pool
 	router *router.Router
-	front  *grpcfront.Front
-	peers  *peers.Agent    // nil: no gossip
-	ctl    *control.Server // nil: no operators' socket
+	front  *grpcserver.Front
+	peers  *agent.Agent     // nil: no gossip
+	ctl    *adminapi.Server // nil: no operators' socket
 	drain  time.Duration
 	stop   chan struct{}
 	once   sync.Once
@@ -56,12 +56,12 @@
 	if g.drain == 0 {
 		g.drain = time.Minute
 	}
-	g.pool = upstream.New(upstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
+	g.pool = grpcupstream.New(grpcupstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
 		MaxConns: cfg.Workers.Connections, MaxMessage: cfg.Limits.MessageBytes, HTTP2: h2, Log: log})
 	var err error
 	g.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Brain: cfg.Settings(),
 		OrderTimeout: cfg.Loading.OrderTimeout.Duration(), ProbeTimeout: cfg.Workers.ProbeTimeout.Duration(),
-		Roster: roster.Settings{AskAfter: cfg.Workers.AskAfter.Duration()}, Decider: o.Decider, Log: log,
+		Roster: endpoints.Settings{AskAfter: cfg.Workers.AskAfter.Duration()}, Decider: o.Decider, Log: log,
 		Tap: o.Tap}, g.pool)
 	if err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 		})
 	})
 	<-first
-	g.front, err = grpcfront.Listen(grpcfront.Config{Address: cfg.Listen, HTTP2: h2, Intake: cfg.Intake(),
+	g.front, err = grpcserver.Listen(grpcserver.Config{Address: cfg.Listen, HTTP2: h2, Intake: cfg.Intake(),
 		Version: Version, Log: log}, g.router)
 	if err == nil {
 		err = g.control()
--- a/internal/gateway/gateway_test.go
+++ b/internal/grpcgateway/gateway_test.go
@@ -1,4 +1,4 @@
-package gateway
+package grpcgateway
 
 import (
 	"context"
@@ -18,41 +18,41 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/worker"
 )
 
 // rig is a gateway before some workers, for one test.
 type rig struct {
 	t       *testing.T
 	g       *Gateway
-	workers []*worker.Worker
+	workers []*fakeworker.Worker
 	list    config.WorkerList
 	file    string
-	log     *rules.Log
+	log     *invariants.Log
 	conn    *grpc.ClientConn
 }
 
 // newRig starts so many workers and a gateway; change may alter the settings.
-func newRig(t *testing.T, n int, change func(*config.Gateway), alter func(*worker.Config)) *rig {
+func newRig(t *testing.T, n int, change func(*config.Gateway), alter func(*fakeworker.Config)) *rig {
 	t.Helper()
-	r := &rig{t: t, file: filepath.Join(t.TempDir(), "workers.json"), log: rules.NewLog()}
-	cell, store := worker.NewCell(), worker.NewStore(200, 100)
+	r := &rig{t: t, file: filepath.Join(t.TempDir(), "workers.json"), log: invariants.NewLog()}
+	cell, store := fakeworker.NewCell(), fakeworker.NewStore(200, 100)
 	for i := range n {
-		c := worker.Config{ID: fmt.Sprintf("w%d", i), Cores: 8, Speed: 1, MemoryMB: 4000, Queue: 1000, LoadsAtOnce: 8,
+		c := fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 8, Speed: 1, MemoryMB: 4000, Queue: 1000, LoadsAtOnce: 8,
 			IdleKeep: 10 * time.Second, LoadsOnMiss: true, GrowsCopies: true, KeyedFor: 5 * time.Second,
 			Keyed: map[string]bool{"renew": true}, Store: store, Cell: cell, Log: r.log, Seed: uint64(i),
 			DefaultLoad: 20 * time.Millisecond, ServerMetrics: true,
-			Models: map[string]worker.Model{
+			Models: map[string]fakeworker.Model{
 				"quote": {Name: "quote", Class: "quote", MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond},
 				"renew": {Name: "renew", Class: "renew", MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond},
 				"award": {Name: "award", Class: "points", MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond}}}
 		if alter != nil {
 			alter(&c)
 		}
-		w, err := worker.Start(c)
+		w, err := fakeworker.Start(c)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,8 +112,8 @@
 // ask builds a request: so many messages of so many bytes, after so many milliseconds of work.
 func ask(model, id string, work, messages, bytes int64) *inference.ModelInferRequest {
 	return &inference.ModelInferRequest{ModelName: model, Id: id, Parameters: map[string]*inference.InferParameter{
-		worker.ParamWorkMS: number(work), worker.ParamMessages: number(messages), worker.ParamBytes: number(bytes),
-		worker.ParamRequest: text(id), oip.ParamKey: text(id)}}
+		fakeworker.ParamWorkMS: number(work), fakeworker.ParamMessages: number(messages), fakeworker.ParamBytes: number(bytes),
+		fakeworker.ParamRequest: text(id), oip.ParamKey: text(id)}}
 }
 
 func (r *rig) infer(ctx context.Context, m *inference.ModelInferRequest) (*inference.ModelInferResponse, error) {
--- a/internal/gateway/gossip.go
+++ b/internal/grpcgateway/gossip.go
@@ -1,13 +1,13 @@
-package gateway
+package grpcgateway
 
 import (
 	"encoding/json"
 	"fmt"
 	"os"
 
+	"github.com/topazfront/topazfront/internal/adminapi"
 	"github.com/topazfront/topazfront/internal/config"
-	"github.com/topazfront/topazfront/internal/control"
-	"github.com/topazfront/topazfront/internal/peers"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
 // gossip starts the agent where the settings ask for one, and follows the files of keys.
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	if g.peers, err = peers.Start(c, g.router); err != nil {
+	if g.peers, err = agent.Start(c, g.router); err != nil {
 		return err
 	}
 	g.router.SetPeers(g.peers)
@@ -67,7 +67,7 @@
 }
 
 // Peers is the gossip agent; nil without gossip.
-func (g *Gateway) Peers() *peers.Agent { return g.peers }
+func (g *Gateway) Peers() *agent.Agent { return g.peers }
 
 // control opens the operators' socket where the settings ask for one.
 func (g *Gateway) control() (err error) {
@@ -75,14 +75,14 @@
 	if path == "" {
 		return nil
 	}
-	methods := map[string]control.Method{
+	methods := map[string]adminapi.Method{
 		"router.status": func(json.RawMessage) (any, error) { return g.router.Stats(), nil },
 	}
-	for name, f := range map[string]func(*peers.Agent) any{
-		"gossip.status":     func(a *peers.Agent) any { return a.Status() },
-		"gossip.peers":      func(a *peers.Agent) any { return a.Peers() },
-		"gossip.suspicions": func(a *peers.Agent) any { return a.Suspicions() },
-		"gossip.keys":       func(a *peers.Agent) any { return a.Keys() },
+	for name, f := range map[string]func(*agent.Agent) any{
+		"gossip.status":     func(a *agent.Agent) any { return a.Status() },
+		"gossip.peers":      func(a *agent.Agent) any { return a.Peers() },
+		"gossip.suspicions": func(a *agent.Agent) any { return a.Suspicions() },
+		"gossip.keys":       func(a *agent.Agent) any { return a.Keys() },
 	} {
 		methods[name] = func(json.RawMessage) (any, error) {
 			if g.peers == nil {
@@ -91,6 +91,6 @@
 			return f(g.peers), nil
 		}
 	}
-	g.ctl, err = control.Listen(path, methods, g.log)
+	g.ctl, err = adminapi.Listen(path, methods, g.log)
 	return err
 }
--- a/internal/gateway/hard_test.go
+++ b/internal/grpcgateway/hard_test.go
@@ -1,4 +1,4 @@
-package gateway
+package grpcgateway
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 	"google.golang.org/grpc/status"
 
 	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/worker"
 )
 
 // eventually waits for something to become so.
@@ -37,7 +37,7 @@
 }
 
 // seen counts the records of a kind for a call.
-func (r *rig) seen(k rules.Kind, call string) (n int) {
+func (r *rig) seen(k invariants.Kind, call string) (n int) {
 	for _, x := range r.log.Records() {
 		if x.Kind == k && x.Call == call {
 			n++
@@ -47,7 +47,7 @@
 }
 
 // all sets a fault at every worker.
-func (r *rig) all(f func(*worker.Faults)) {
+func (r *rig) all(f func(*fakeworker.Faults)) {
 	for _, w := range r.workers {
 		w.Set(f)
 	}
@@ -62,10 +62,10 @@
 }
 
 func TestAwardOnAWorkerThatDiesRunsOnceAndFailsOnce(t *testing.T) {
-	for name, fault := range map[string]func(*worker.Faults){
-		"mid-stream":          func(f *worker.Faults) { f.DieAfter = map[string]int{"points": 2} },
-		"before the response": func(f *worker.Faults) { f.DieAfter = map[string]int{"points": 0} },
-		"as it begins to run": func(f *worker.Faults) { f.DieStarted = map[string]bool{"points": true} },
+	for name, fault := range map[string]func(*fakeworker.Faults){
+		"mid-stream":          func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 2} },
+		"before the response": func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 0} },
+		"as it begins to run": func(f *fakeworker.Faults) { f.DieStarted = map[string]bool{"points": true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 3, nil, nil)
@@ -74,7 +74,7 @@
 			if c := status.Code(err); c == codes.OK || c == codes.Unavailable {
 				t.Errorf("%d messages, then %v: it may have run, so it may not look harmless to repeat", n, err)
 			}
-			if sent, ran := r.seen(rules.Got, "a1"), r.seen(rules.Ran, "a1"); sent != 1 || ran != 1 {
+			if sent, ran := r.seen(invariants.Got, "a1"), r.seen(invariants.Ran, "a1"); sent != 1 || ran != 1 {
 				t.Errorf("sent %d times, ran %d times", sent, ran)
 			}
 			if name == "mid-stream" && n != 2 {
@@ -89,7 +89,7 @@
 	var once sync.Once
 	first := ""
 	for _, w := range r.workers { // whichever is first kills itself; the others serve
-		w.Set(func(f *worker.Faults) { f.DieStarted = map[string]bool{"quote": true} })
+		w.Set(func(f *fakeworker.Faults) { f.DieStarted = map[string]bool{"quote": true} })
 		go func() {
 			for !w.Down() {
 				time.Sleep(time.Millisecond)
@@ -99,7 +99,7 @@
 			}
 			once.Do(func() {
 				first = w.ID()
-				r.all(func(f *worker.Faults) { f.DieStarted = nil })
+				r.all(func(f *fakeworker.Faults) { f.DieStarted = nil })
 			})
 		}()
 	}
@@ -118,22 +118,22 @@
 			if _, err := r.infer(within(t, 5*time.Second), ask("award", id, 2, 1, 1)); err != nil {
 				t.Fatal(err)
 			}
-			if r.seen(rules.Ran, id) != 1 {
-				t.Errorf("%s ran %d times", id, r.seen(rules.Ran, id))
+			if r.seen(invariants.Ran, id) != 1 {
+				t.Errorf("%s ran %d times", id, r.seen(invariants.Ran, id))
 			}
 		}
 	})
 	t.Run("REFUSED_STREAM", func(t *testing.T) {
 		r := newRig(t, 3, nil, nil)
-		r.workers[0].Set(func(f *worker.Faults) { f.RefuseNew = true })
-		r.workers[1].Set(func(f *worker.Faults) { f.RefuseNew = true })
+		r.workers[0].Set(func(f *fakeworker.Faults) { f.RefuseNew = true })
+		r.workers[1].Set(func(f *fakeworker.Faults) { f.RefuseNew = true })
 		for i := range 6 {
 			id := fmt.Sprint("a", i)
 			if _, err := r.infer(within(t, 5*time.Second), ask("award", id, 2, 1, 1)); err != nil {
 				t.Fatal(err)
 			}
-			if r.seen(rules.Ran, id) != 1 {
-				t.Errorf("%s ran %d times", id, r.seen(rules.Ran, id))
+			if r.seen(invariants.Ran, id) != 1 {
+				t.Errorf("%s ran %d times", id, r.seen(invariants.Ran, id))
 			}
 		}
 	})
@@ -170,7 +170,7 @@
 			case <-time.After(20 * time.Second):
 				t.Fatal("the streams did not begin")
 			}
-			var victim *worker.Worker
+			var victim *fakeworker.Worker
 			for _, w := range r.workers {
 				if victim == nil || w.Held() > victim.Held() {
 					victim = w
@@ -207,7 +207,7 @@
 				}
 			}
 			for _, x := range r.log.Records() {
-				if (x.Kind == rules.Got || x.Kind == rules.Ordered) && x.Worker == victim.ID() && x.At > told+390*time.Millisecond {
+				if (x.Kind == invariants.Got || x.Kind == invariants.Ordered) && x.Worker == victim.ID() && x.At > told+390*time.Millisecond {
 					t.Errorf("%s sent to the draining worker %v after it was told", x.Call, x.At-told)
 				}
 			}
@@ -279,16 +279,16 @@
 	stages := map[string]struct {
 		set  func(*rig)
 		work int64
-		when rules.Kind
+		when invariants.Kind
 	}{
-		"load wait": {func(r *rig) {}, 5, rules.Got},
-		"at work":   {func(r *rig) { r.warm("quote") }, 600, rules.Ran},
-		"silence":   {func(r *rig) { r.all(func(f *worker.Faults) { f.Hang = true }) }, 5, rules.Got},
+		"load wait": {func(r *rig) {}, 5, invariants.Got},
+		"at work":   {func(r *rig) { r.warm("quote") }, 600, invariants.Ran},
+		"silence":   {func(r *rig) { r.all(func(f *fakeworker.Faults) { f.Hang = true }) }, 5, invariants.Got},
 	}
 	for name, st := range stages {
 		for _, how := range []string{"cancel", "deadline", "disconnect"} {
 			t.Run(name+", "+how, func(t *testing.T) {
-				r := newRig(t, 2, nil, func(c *worker.Config) {
+				r := newRig(t, 2, nil, func(c *fakeworker.Config) {
 					c.StopsWork = true
 					if name == "load wait" {
 						m := c.Models["quote"]
@@ -322,7 +322,7 @@
 				if name != "silence" {
 					eventually(t, "the workers dropped it", func() bool { return r.workers[0].Held()+r.workers[1].Held() == 0 })
 				}
-				if r.seen(rules.Ran, "l1") > 1 {
+				if r.seen(invariants.Ran, "l1") > 1 {
 					t.Error("it ran twice")
 				}
 			})
@@ -332,7 +332,7 @@
 
 // TestDeadlineOfAStreamUnderWay: the client's deadline ends a stream that has begun, and the worker's with it.
 func TestDeadlineOfAStreamUnderWay(t *testing.T) {
-	r := newRig(t, 1, nil, func(c *worker.Config) { c.StopsWork = true })
+	r := newRig(t, 1, nil, func(c *fakeworker.Config) { c.StopsWork = true })
 	r.warm("quote")
 	n, _, err := r.stream(within(t, 500*time.Millisecond), ask("quote", "long", 5000, 100, 10), nil)
 	if status.Code(err) != codes.DeadlineExceeded || n == 0 {
@@ -455,7 +455,7 @@
 			for i := range c.Classes {
 				c.Classes[i].Aim, c.Classes[i].Deadline, c.Classes[i].Window = 15000, 20000, 20000
 			}
-		}, func(c *worker.Config) { c.Cores = 32; c.KeyedFor = 20 * time.Second })
+		}, func(c *fakeworker.Config) { c.Cores = 32; c.KeyedFor = 20 * time.Second })
 		for _, m := range []string{"quote", "renew", "award"} {
 			r.warm(m)
 		}
@@ -480,8 +480,8 @@
 		eventually(t, "all are in hand", func() bool { return r.g.Router().Stats().Calls >= 500 })
 		r.workers[0].Kill()
 		r.workers[1].Drain(true)
-		r.workers[2].Set(func(f *worker.Faults) { f.DieAfter = map[string]int{"points": 3} })
-		r.workers[3].Set(func(f *worker.Faults) { f.FailClass = map[string]bool{"renew": true} })
+		r.workers[2].Set(func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 3} })
+		r.workers[3].Set(func(f *fakeworker.Faults) { f.FailClass = map[string]bool{"renew": true} })
 		wg.Wait()
 		if got := served.Load() + refused.Load() + failed.Load(); got != 500 {
 			t.Errorf("%d answers", got)
@@ -489,7 +489,7 @@
 		t.Logf("served %d, refused %d, failed %d", served.Load(), refused.Load(), failed.Load())
 		ran := map[string]int{}
 		for _, x := range r.log.Records() {
-			if x.Kind == rules.Ran && x.Class != "quote" {
+			if x.Kind == invariants.Ran && x.Class != "quote" {
 				if ran[x.Request]++; ran[x.Request] > 1 {
 					t.Errorf("%s %s ran twice", x.Class, x.Request)
 				}
--- a/internal/platform/config.go
+++ b/internal/httprouter/config.go
@@ -1,7 +1,7 @@
-// Package platform runs the gateway on its users' platform: one router on one small machine, told what it is by a
+// Package httprouter runs the gateway on its users' platform: one router on one small machine, told what it is by a
 // configuration file, moved by SIGHUP and ended by SIGTERM. All bounds of memory and descriptors come from that
 // file; what is asked of the system is set before the first socket opens.
-package platform
+package httprouter
 
 import (
 	"encoding/json"
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/feed"
-	"github.com/topazfront/topazfront/internal/wire"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/discovery"
+	"github.com/topazfront/topazfront/internal/simwire"
 )
 
 // Config is what a router is told.
@@ -26,9 +26,9 @@
 	Cores    float64
 	MemoryMB float64
 	Sockets  int
-	Known    feed.Batch
-	Settings brain.Settings
-	Limits   wire.Limits
+	Known    discovery.Batch
+	Settings dispatch.Settings
+	Limits   simwire.Limits
 }
 
 // maxFile bounds the file, in bytes.
@@ -86,13 +86,13 @@
 	if c.Cores <= 0 || math.IsNaN(c.Cores) || c.MemoryMB < 16 || c.Sockets < 64 {
 		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are too few", c.Cores, c.MemoryMB, c.Sockets)
 	}
-	if c.Known, err = feed.Parse(f.Known); err != nil {
+	if c.Known, err = discovery.Parse(f.Known); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("settings: missing")
 	}
-	if c.Settings, c.Limits, err = wire.SettingsOf(f.Settings); err != nil {
+	if c.Settings, c.Limits, err = simwire.SettingsOf(f.Settings); err != nil {
 		return nil, err
 	}
 	if c.Limits.ConnectTimeout <= 0 {
--- a/internal/platform/node.go
+++ b/internal/httprouter/node.go
@@ -1,4 +1,4 @@
-package platform
+package httprouter
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/feed"
-	"github.com/topazfront/topazfront/internal/front/httpfront"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/discovery"
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server/httpserver"
 	"github.com/topazfront/topazfront/internal/transport/http1"
-	"github.com/topazfront/topazfront/internal/upstream/respback"
+	"github.com/topazfront/topazfront/internal/upstream/respupstream"
 )
 
 // Times of this package and the parts it puts together. They are bounds of form: none decides where a call goes.
@@ -40,17 +40,17 @@
 // Options are what does not stand in the configuration.
 type Options struct {
 	Log     *slog.Logger
-	Decider func(brain.Settings, uint64) (router.Decider, error) // nil: the module
+	Decider func(dispatch.Settings, uint64) (router.Decider, error) // nil: the module
 }
 
 // Node is one running router.
 type Node struct {
 	cfg    *Config
 	log    *slog.Logger
-	pool   *respback.Pool
+	pool   *respupstream.Pool
 	router *router.Router
-	feed   *feed.Feed
-	front  *httpfront.Front
+	feed   *discovery.Feed
+	front  *httpserver.Front
 	once   sync.Once
 }
 
@@ -61,27 +61,27 @@
 	}
 	n := &Node{cfg: cfg, log: o.Log.With("router", cfg.Name)}
 	share := cfg.Shares()
-	n.pool = respback.New(respback.Config{ConnectTimeout: cfg.Limits.ConnectTimeout, IdleClose: cfg.Limits.IdleClose / 2,
+	n.pool = respupstream.New(respupstream.Config{ConnectTimeout: cfg.Limits.ConnectTimeout, IdleClose: cfg.Limits.IdleClose / 2,
 		WriteTimeout: writeWithin, StallAfter: stallWithin, MaxConns: share.Workers, MaxOpen: cfg.Limits.StreamsPerConn,
 		MaxAnswer: 64 << 10, Buffer: share.SocketBuffer, Log: n.log})
 	var err error
 	n.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Brain: cfg.Settings,
 		OrderTimeout: cfg.Limits.OrderTimeout, ProbeTimeout: cfg.Limits.ConnectTimeout,
-		Roster: roster.Settings{AskAfter: time.Second}, Decider: o.Decider, Log: n.log}, n.pool)
+		Roster: endpoints.Settings{AskAfter: time.Second}, Decider: o.Decider, Log: n.log}, n.pool)
 	if err != nil {
 		n.pool.Close()
 		return nil, err
 	}
 	n.pool.Attach(n.router)
-	n.feed, err = feed.Start(feed.Config{Address: cfg.Channel, Connect: cfg.Limits.ConnectTimeout, Block: channelBlock,
+	n.feed, err = discovery.Start(discovery.Config{Address: cfg.Channel, Connect: cfg.Limits.ConnectTimeout, Block: channelBlock,
 		Grace: channelGrace, Pause: channelPause, MaxBody: 1 << 20, At: n.router.At, Use: n.router.SetWorkers,
 		Log: n.log}, cfg.Known)
 	if err == nil {
-		classes := map[string]brain.Effect{}
+		classes := map[string]dispatch.Effect{}
 		for _, c := range cfg.Settings.Classes {
 			classes[c.Name] = c.Effect
 		}
-		n.front, err = httpfront.Listen(httpfront.Config{Address: cfg.Listen, Classes: classes, MaxConns: share.Clients,
+		n.front, err = httpserver.Listen(httpserver.Config{Address: cfg.Listen, Classes: classes, MaxConns: share.Clients,
 			Limits: http1.Limits{Head: 8 << 10, Fields: 64, Body: 16 << 10, Pending: 8 << 10}, First: firstWithin,
 			Idle: idleClient, Write: writeWithin, Buffer: share.SocketBuffer, Log: n.log}, n.router)
 	}
--- a/internal/platform/node_test.go
+++ b/internal/httprouter/node_test.go
@@ -1,4 +1,4 @@
-package platform
+package httprouter
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/router"
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/platform"
 )
 
 // settings are those of a small fleet; times are in microseconds, as the simulator tells them.
@@ -43,27 +43,27 @@
 // fleet is three workers, a channel that lists them, and a router before them.
 type fleet struct {
 	t       *testing.T
-	log     *rules.Log
-	workers []*platform.Worker
-	channel *platform.Channel
+	log     *invariants.Log
+	workers []*fakeplatform.Worker
+	channel *fakeplatform.Channel
 	node    *Node
-	client  *platform.Client
+	client  *fakeplatform.Client
 	mu      sync.Mutex
 	next    int
 }
 
-func newFleet(t *testing.T, decider func(brain.Settings, uint64) (router.Decider, error)) *fleet {
+func newFleet(t *testing.T, decider func(dispatch.Settings, uint64) (router.Decider, error)) *fleet {
 	t.Helper()
 	return newFleetOf(t, settings, decider)
 }
 
 // newFleetOf is a fleet whose router has settings of its own.
-func newFleetOf(t *testing.T, settings string, decider func(brain.Settings, uint64) (router.Decider, error)) *fleet {
+func newFleetOf(t *testing.T, settings string, decider func(dispatch.Settings, uint64) (router.Decider, error)) *fleet {
 	t.Helper()
-	f := &fleet{t: t, log: rules.NewLog()}
+	f := &fleet{t: t, log: invariants.NewLog()}
 	var list []string
 	for i, id := range []string{"a", "b", "c"} {
-		w := &platform.Worker{ID: id, Log: f.log, Work: 2 * time.Millisecond, Drop: "keyed"}
+		w := &fakeplatform.Worker{ID: id, Log: f.log, Work: 2 * time.Millisecond, Drop: "keyed"}
 		if err := w.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 		list = append(list, fmt.Sprintf("%s %s active %d", id, w.Addr(), i))
 	}
 	var err error
-	if f.channel, err = platform.StartChannel(platform.Nodes(true, list...)); err != nil {
+	if f.channel, err = fakeplatform.StartChannel(fakeplatform.Nodes(true, list...)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.channel.Stop)
@@ -86,7 +86,7 @@
 	t.Cleanup(f.node.Kill)
 	tr := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(tr.CloseIdleConnections)
-	f.client = &platform.Client{Base: "http://" + f.node.Addr(), Log: f.log, HTTP: &http.Client{Transport: tr}}
+	f.client = &fakeplatform.Client{Base: "http://" + f.node.Addr(), Log: f.log, HTTP: &http.Client{Transport: tr}}
 	return f
 }
 
@@ -127,8 +127,8 @@
 }
 
 // site is what the checker is told; its slack is wide, as a loaded machine may stand between a send and its record.
-func (f *fleet) site() rules.Site {
-	return rules.Site{Classes: map[string]rules.Class{"safe": {Effect: "safe", All: true, Work: 5 * time.Millisecond},
+func (f *fleet) site() invariants.Site {
+	return invariants.Site{Classes: map[string]invariants.Class{"safe": {Effect: "safe", All: true, Work: 5 * time.Millisecond},
 		"keyed": {Effect: "keyed", Work: 5 * time.Millisecond}, "unsafe": {Effect: "unsafe", Work: 5 * time.Millisecond}},
 		AnswerGrace: 2 * time.Second, DrainGrace: 500 * time.Millisecond, LoadSpan: 5 * time.Second, LoadFree: 4, LoadShare: 0.1,
 		Slack: time.Second}
@@ -136,7 +136,7 @@
 
 func (f *fleet) kept() {
 	f.t.Helper()
-	for _, b := range rules.Check(f.site(), f.log.Records()) {
+	for _, b := range invariants.Check(f.site(), f.log.Records()) {
 		f.t.Error(b)
 	}
 }
@@ -145,7 +145,7 @@
 func (f *fleet) tell(workers ...string) {
 	f.t.Helper()
 	before := f.node.feed.Stats().Cursor
-	f.channel.Tell(platform.Nodes(false, workers...))
+	f.channel.Tell(fakeplatform.Nodes(false, workers...))
 	for range 4000 {
 		if f.node.feed.Stats().Cursor > before {
 			f.node.router.Stats() // the loop has followed by the turn after the one that answers first
@@ -172,27 +172,27 @@
 
 	// a drains. Its process goes on, so that what is still sent there shows.
 	f.tell("a " + f.workers[0].Addr() + " leaving")
-	f.log.Add(rules.Record{Kind: rules.Told, Router: "r", Worker: "a", Off: true})
+	f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
 	f.calls(20)
 
 	// a has gone, and d comes at its address.
 	addr := f.workers[0].Addr()
 	f.workers[0].Stop()
-	d := &platform.Worker{ID: "d", Log: f.log, Work: 2 * time.Millisecond, Drop: "keyed"}
+	d := &fakeplatform.Worker{ID: "d", Log: f.log, Work: 2 * time.Millisecond, Drop: "keyed"}
 	if err := d.Start(addr); err != nil {
 		t.Skip("the address was taken by another process:", err)
 	}
 	defer d.Stop()
 	f.tell("a "+addr+" left", fmt.Sprintf("d %s active 0", addr))
 	f.calls(30)
-	if !slices.ContainsFunc(d.Got(), func(r platform.Request) bool { return r.Verb == "exec" }) {
+	if !slices.ContainsFunc(d.Got(), func(r fakeplatform.Request) bool { return r.Verb == "exec" }) {
 		t.Error("the new worker at the old address got nothing")
 	}
 
 	// b spoils one answer in eight, after it has run.
 	var mu sync.Mutex
 	n := 0
-	f.workers[1].Act = func(r platform.Request) {
+	f.workers[1].Act = func(r fakeplatform.Request) {
 		mu.Lock()
 		n++
 		spoil := n%8 == 0 && r.Verb == "exec"
@@ -207,7 +207,7 @@
 	f.calls(30)
 
 	// The channel moves, and c drains by the new one.
-	to, err := platform.StartChannel(`"x":1`, `"x":2`, `"x":3`)
+	to, err := fakeplatform.StartChannel(`"x":1`, `"x":2`, `"x":3`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 	f.node.Move(next)
 	f.channel = to
 	f.tell("c " + f.workers[2].Addr() + " leaving")
-	f.log.Add(rules.Record{Kind: rules.Told, Router: "r", Worker: "c", Off: true})
+	f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "c", Off: true})
 	f.calls(10)
 	f.kept()
 }
@@ -227,40 +227,40 @@
 // breaker is a decider that breaks one rule on purpose.
 type breaker struct {
 	rule    int
-	workers []brain.Member
+	workers []dispatch.Member
 	n       int
-	late    []brain.RequestID // held until their clients' time is over
+	late    []dispatch.RequestID // held until their clients' time is over
 }
 
-func (b *breaker) Step(_ time.Duration, events []brain.Event) (out []brain.Action) {
+func (b *breaker) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case brain.Woken:
+		case dispatch.Woken:
 			for _, id := range b.late {
-				out = append(out, brain.Refuse{ID: id})
+				out = append(out, dispatch.Refuse{ID: id})
 			}
 			b.late = nil
-		case brain.Roster:
+		case dispatch.Roster:
 			b.workers = e.Members
-		case brain.Outcome: // the next worker is tried where nothing ran
-			if b.n++; e.Result == brain.NotSent && !e.Final {
-				out = append(out, brain.Send{ID: e.ID, Worker: b.workers[b.n%len(b.workers)].ID})
+		case dispatch.Outcome: // the next worker is tried where nothing ran
+			if b.n++; e.Result == dispatch.NotSent && !e.Final {
+				out = append(out, dispatch.Send{ID: e.ID, Worker: b.workers[b.n%len(b.workers)].ID})
 			}
-		case brain.Request:
+		case dispatch.Request:
 			b.n++
 			w := b.workers[b.n%len(b.workers)].ID
 			switch b.rule {
 			case 1: // answers once the client's time is over
 				b.late = append(b.late, e.ID)
-				out = append(out, brain.Wake{After: e.Left + 300*time.Millisecond})
+				out = append(out, dispatch.Wake{After: e.Left + 300*time.Millisecond})
 				continue
 			case 2: // runs twice
-				out = append(out, brain.Send{ID: e.ID, Worker: b.workers[0].ID}, brain.Send{ID: e.ID, Worker: b.workers[1].ID})
+				out = append(out, dispatch.Send{ID: e.ID, Worker: b.workers[0].ID}, dispatch.Send{ID: e.ID, Worker: b.workers[1].ID})
 				continue
 			case 5:
-				out = append(out, brain.LoadOrder{Worker: w, Function: e.Function, Copies: 1})
+				out = append(out, dispatch.LoadOrder{Worker: w, Function: e.Function, Copies: 1})
 			}
-			out = append(out, brain.Send{ID: e.ID, Worker: w})
+			out = append(out, dispatch.Send{ID: e.ID, Worker: w})
 		}
 	}
 	return out
@@ -272,25 +272,25 @@
 		4: "a fresh start not heard of", 5: "orders without ration"} {
 		t.Run(about, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, func(brain.Settings, uint64) (router.Decider, error) { return &breaker{rule: rule}, nil })
+			f := newFleet(t, func(dispatch.Settings, uint64) (router.Decider, error) { return &breaker{rule: rule}, nil })
 			site := f.site()
 			switch rule {
 			case 1:
 				site.AnswerGrace = 0
 				f.client.Call(fmt.Sprintf("%016x", 1<<20), "safe", fmt.Sprintf("%016x", 1), 200*time.Millisecond)
 			case 3:
-				f.log.Add(rules.Record{Kind: rules.Told, Router: "r", Worker: "a", Off: true})
+				f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
 				site.DrainGrace, site.Slack = 0, 0
 			case 4:
-				f.log.Add(rules.Record{Kind: rules.Started, Worker: "a"})
+				f.log.Add(invariants.Record{Kind: invariants.Started, Worker: "a"})
 				site.ColdFor, site.ColdShare, site.FallMultiple, site.FallSpan = time.Hour, 0.2, 3, 1500*time.Millisecond
 				site.Capacity = map[string]float64{"a": 0.001}
 			}
 			if rule != 1 {
 				f.calls(20)
 			}
-			found := rules.Check(site, f.log.Records())
-			if !slices.ContainsFunc(found, func(b rules.Breach) bool { return b.Rule == rule }) {
+			found := invariants.Check(site, f.log.Records())
+			if !slices.ContainsFunc(found, func(b invariants.Breach) bool { return b.Rule == rule }) {
 				t.Errorf("rule %d broken on purpose, and found %v", rule, found)
 			}
 		})
@@ -299,7 +299,7 @@
 
 // TestDrainedWorkersGetNothing: with a decider that knows of no drains, the exit's own check keeps the rule.
 func TestDrainedWorkersGetNothing(t *testing.T) {
-	f := newFleet(t, func(brain.Settings, uint64) (router.Decider, error) { return &breaker{}, nil })
+	f := newFleet(t, func(dispatch.Settings, uint64) (router.Decider, error) { return &breaker{}, nil })
 	f.calls(3)
 	f.tell("a " + f.workers[0].Addr() + " leaving")
 	before := len(f.workers[0].Got())
@@ -372,7 +372,7 @@
 	write(`{"name":"r","listen"`)
 	hup()
 	line("refused")
-	to, err := platform.StartChannel(`"x":1`, `"x":2`)
+	to, err := fakeplatform.StartChannel(`"x":1`, `"x":2`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -384,14 +384,14 @@
 	}
 	stop() // as SIGTERM does
 	line("msg=stopping")
-	last, err := platform.StartChannel(`"x":1`, `"x":2`, `"x":3`)
+	last, err := fakeplatform.StartChannel(`"x":1`, `"x":2`, `"x":3`)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer last.Stop()
 	write(file(last.Addr(), f.channel.Known()))
 	hup() // in the same breath: workers drain while the last calls are served
-	if n := platform.Await(t, last.Asked(), "a question at the last address"); n != 2 {
+	if n := fakeplatform.Await(t, last.Asked(), "a question at the last address"); n != 2 {
 		t.Errorf("asked from %d at the last address", n)
 	}
 	f.workers[0].Work = 0
@@ -465,7 +465,7 @@
 func TestAStopAnswersWhatWorkersDoNot(t *testing.T) {
 	f := newFleet(t, nil)
 	for _, w := range f.workers {
-		w.Act = func(platform.Request) {}
+		w.Act = func(fakeplatform.Request) {}
 	}
 	got := make(chan [2]string, 3)
 	for i, class := range []string{"safe", "keyed", "unsafe"} {
@@ -485,14 +485,14 @@
 	}
 	want := map[string]string{"safe": "503", "keyed": "502", "unsafe": "502"}
 	for range 3 {
-		if a := platform.Await(t, got, "an answer"); a[1] != want[a[0]] {
+		if a := fakeplatform.Await(t, got, "an answer"); a[1] != want[a[0]] {
 			t.Errorf("%s: status %s, want %s", a[0], a[1], want[a[0]])
 		}
 	}
 }
 
 func TestConfigurationsThatAreWrongAreNamed(t *testing.T) {
-	good := file("127.0.0.1:1", `{"cursor":1,"cmds":[{"cursor":1,`+platform.Nodes(true, "a 127.0.0.1:1 active")+`}]}`)
+	good := file("127.0.0.1:1", `{"cursor":1,"cmds":[{"cursor":1,`+fakeplatform.Nodes(true, "a 127.0.0.1:1 active")+`}]}`)
 	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -1,4 +1,4 @@
-package platform
+package httprouter
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/platform"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invariants"
 )
 
 // child is a router as a process of its own, with no more descriptors than its configuration says.
@@ -113,13 +113,13 @@
 	p.t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- p.cmd.Wait() }()
-	if err := platform.Await(p.t, done, "the end of the process"); err != nil {
+	if err := fakeplatform.Await(p.t, done, "the end of the process"); err != nil {
 		p.t.Error(err)
 	}
 }
 
-func (p *process) client() *platform.Client {
-	return &platform.Client{Base: "http://" + p.addr, Log: rules.NewLog(), HTTP: &http.Client{Transport: &http.Transport{}}}
+func (p *process) client() *fakeplatform.Client {
+	return &fakeplatform.Client{Base: "http://" + p.addr, Log: invariants.NewLog(), HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
 // closedPort is an address at which nothing listens.
@@ -137,16 +137,16 @@
 // command channel is down. A usual client is served, over a new connection to a worker; and the channel is heard of
 // when it is back, at a new address, with the worker's drain and another that takes its place.
 func TestIdleClientsLeaveDescriptorsToTheRouter(t *testing.T) {
-	var workers []*platform.Worker
+	var workers []*fakeplatform.Worker
 	for _, id := range []string{"a", "b"} {
-		w := &platform.Worker{ID: id}
+		w := &fakeplatform.Worker{ID: id}
 		if err := w.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(w.Stop)
 		workers = append(workers, w)
 	}
-	first := platform.Nodes(true, "a "+workers[0].Addr()+" active")
+	first := fakeplatform.Nodes(true, "a "+workers[0].Addr()+" active")
 	known := `{"cursor":1,"cmds":[{"cursor":1,` + first + `}]}`
 	p := startProcess(t, file(closedPort(t), known))
 	idle := make([]net.Conn, 0, 400)
@@ -170,8 +170,8 @@
 		t.Errorf("status %d", status)
 	}
 	crowd()
-	channel, err := platform.StartChannel(first,
-		platform.Nodes(false, "a "+workers[0].Addr()+" leaving", "b "+workers[1].Addr()+" active"))
+	channel, err := fakeplatform.StartChannel(first,
+		fakeplatform.Nodes(false, "a "+workers[0].Addr()+" leaving", "b "+workers[1].Addr()+" active"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	}
 	p.signal(syscall.SIGHUP)
 	for from := -1; from != 2; { // asked from 2: the second event was applied
-		from = platform.Await(t, channel.Asked(), "a question")
+		from = fakeplatform.Await(t, channel.Asked(), "a question")
 	}
 	c.HTTP.CloseIdleConnections()
 	if status, _ := c.Call(fmt.Sprintf("%016x", 2), "safe", fmt.Sprintf("%016x", 7), 15*time.Second); status != 200 {
@@ -196,7 +196,7 @@
 // TestReadyByWhatIsKnown: with the channel down and a list of 4,000 workers, the router takes clients and routes by what
 // the configuration holds. The time until then is told, not judged.
 func TestReadyByWhatIsKnown(t *testing.T) {
-	w := &platform.Worker{ID: "w0"}
+	w := &fakeplatform.Worker{ID: "w0"}
 	if err := w.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -205,7 +205,7 @@
 	for i := range 3999 {
 		list = append(list, fmt.Sprintf("w%d %s leaving", i+1, w.Addr()))
 	}
-	config := file(closedPort(t), `{"cursor":1,"cmds":[{"cursor":1,`+platform.Nodes(true, list...)+`}]}`)
+	config := file(closedPort(t), `{"cursor":1,"cmds":[{"cursor":1,`+fakeplatform.Nodes(true, list...)+`}]}`)
 	began := time.Now()
 	p := startProcess(t, config)
 	resp, err := http.Get("http://" + p.addr + "/ping")
@@ -223,8 +223,8 @@
 // with every call answered: one in flight, one half sent, and one that comes on an open connection afterwards.
 func TestSignalsToAProcess(t *testing.T) {
 	release := make(chan struct{})
-	w := &platform.Worker{ID: "a"}
-	w.Act = func(r platform.Request) {
+	w := &fakeplatform.Worker{ID: "a"}
+	w.Act = func(r fakeplatform.Request) {
 		go func() {
 			<-release
 			w.Healthy(r)
@@ -234,7 +234,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Stop)
-	known := `{"cursor":1,"cmds":[{"cursor":1,` + platform.Nodes(true, "a "+w.Addr()+" active") + `}]}`
+	known := `{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.Nodes(true, "a "+w.Addr()+" active") + `}]}`
 	t.Run("right after the start", func(t *testing.T) {
 		p := startProcess(t, file(closedPort(t), known))
 		p.signal(syscall.SIGTERM)
@@ -257,7 +257,7 @@
 		conns, answers = append(conns, nc), append(answers, bufio.NewReader(nc))
 	}
 	_, _ = io.WriteString(conns[0], request(1))
-	platform.Await(t, w.Came(), "word of the first call at the worker")
+	fakeplatform.Await(t, w.Came(), "word of the first call at the worker")
 	_, _ = io.WriteString(conns[1], request(2)[:60])
 	p.signal(syscall.SIGTERM)
 	p.line("msg=stopping")
--- a/internal/rules/check.go
+++ b/internal/invariants/check.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"cmp"
--- a/internal/rules/record.go
+++ b/internal/invariants/record.go
@@ -1,6 +1,6 @@
-// Package rules checks the gateway's five rules from outside: on what clients, workers and the list recorded
+// Package invariants checks the gateway's five rules from outside: on what clients, workers and the list recorded
 // at their own ends of the sockets. It never asks a router.
-package rules
+package invariants
 
 import (
 	"sync"
--- a/internal/invoke/invoke.go
+++ b/internal/invocation/invoke.go
@@ -1,6 +1,6 @@
-// Package invoke is what passes from the platform's entrance to its exit unchanged: the parts of a call that the
+// Package invocation is what passes from the platform's entrance to its exit unchanged: the parts of a call that the
 // router doesn't look at, and the forms that they must have to fit both protocols.
-package invoke
+package invocation
 
 import "strings"
 
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/wheel"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/timingwheel"
 )
 
 // Call is one call as a front took it. The router keeps it until the call has ended; nobody changes it meanwhile.
@@ -59,18 +59,18 @@
 
 // Report is what an answer tells of the worker.
 type Report struct {
-	Load    brain.Load
-	Warmth  brain.Warmth
+	Load    dispatch.Load
+	Warmth  dispatch.Warmth
 	Company int // requests of the function that the worker held; -1: untold
 }
 
 // NoReport tells nothing.
-var NoReport = Report{Load: brain.NoLoad, Company: -1}
+var NoReport = Report{Load: dispatch.NoLoad, Company: -1}
 
 // Ended is how an attempt ended, by the evidence on the wire. Head and Tail are of the response, in the words of
 // the protocol, for the front that speaks it.
 type Ended struct {
-	Result brain.Result
+	Result dispatch.Result
 	Answer []byte // what no client has been handed yet; the router's to keep
 	Head   any
 	Tail   any
@@ -101,7 +101,7 @@
 // streaming, which ends by that attempt's end, the module's Fail, or Dropped. What comes for a call that is
 // done changes nothing but the book of its attempts.
 type entry struct {
-	id       brain.RequestID
+	id       dispatch.RequestID
 	call     *Call
 	state    state
 	deadline time.Duration
@@ -118,7 +118,7 @@
 	worker string
 	sent   time.Duration
 	handle Attempt
-	timer  wheel.Timer // its time-out
+	timer  timingwheel.Timer // its time-out
 	ended  bool
 	late   bool // cancelled by its time-out
 }
@@ -146,7 +146,7 @@
 			e.call.Client.Message(how.Answer, nil)
 		}
 		e.finish(Final{Ended: &how})
-	case e.state == waiting && how.Result == brain.OK:
+	case e.state == waiting && how.Result == dispatch.OK:
 		e.answer = t
 		e.call.Client.Start(how.Head)
 		if len(how.Answer) > 0 {
--- a/internal/router/call_test.go
+++ b/internal/router/call_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 )
 
 // sink is a client that notes what it is handed.
@@ -40,9 +40,9 @@
 }
 
 var (
-	served = Ended{Result: brain.OK, Answer: []byte("answer"), Report: NoReport}
-	broken = Ended{Result: brain.Reset, Report: NoReport}
-	errs   = Ended{Result: brain.Errored, Tail: "boom", Report: NoReport}
+	served = Ended{Result: dispatch.OK, Answer: []byte("answer"), Report: NoReport}
+	broken = Ended{Result: dispatch.Reset, Report: NoReport}
+	errs   = Ended{Result: dispatch.Errored, Tail: "boom", Report: NoReport}
 )
 
 // TestOneFinalAnswer runs through orders in which a call's ends may come together: one answer each time.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/roster"
-	"github.com/topazfront/topazfront/internal/wheel"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/timingwheel"
 )
 
 // Upstream carries out what goes to workers. Its methods are called by the loop and don't block; what comes
@@ -28,7 +28,7 @@
 	Ask(worker string, limit time.Duration, done func(Probe))
 	// Workers replaces the list. A worker that is not in it gets no new connections; one that is not on, no new
 	// attempts.
-	Workers(list []roster.Worker)
+	Workers(list []endpoints.Worker)
 }
 
 // Token names an attempt between router and upstream.
@@ -36,13 +36,13 @@
 
 // Order is how a load order ended.
 type Order struct {
-	Result brain.Result
+	Result dispatch.Result
 	Copies int
 }
 
 // Probe is how a probe ended.
 type Probe struct {
-	Result brain.Result
+	Result dispatch.Result
 	Ready  bool
 	Report Report
 }
@@ -51,26 +51,26 @@
 type Config struct {
 	Name         string
 	Seed         uint64
-	Brain        brain.Settings
+	Brain        dispatch.Settings
 	OrderTimeout time.Duration
 	ProbeTimeout time.Duration
-	Roster       roster.Settings
-	Decider      func(brain.Settings, uint64) (Decider, error) // nil: the module; baselines stand in for it
+	Roster       endpoints.Settings
+	Decider      func(dispatch.Settings, uint64) (Decider, error) // nil: the module; baselines stand in for it
 	Log          *slog.Logger
-	Peers        Peers                                                                 // nil: no gossip
-	Tap          func(now time.Duration, events []brain.Event, actions []brain.Action) // nil, or told of each Step
+	Peers        Peers                                                                       // nil: no gossip
+	Tap          func(now time.Duration, events []dispatch.Event, actions []dispatch.Action) // nil, or told of each Step
 }
 
 // Peers is told by the loop what this router comes to hold against workers, and takes it back. Its methods don't
 // block.
 type Peers interface {
-	Doubted(brain.Doubt)
+	Doubted(dispatch.Doubt)
 	HeardOf(worker string)
 }
 
 // Decider is what decides: the module, or a baseline behind the same events.
 type Decider interface {
-	Step(now time.Duration, events []brain.Event) []brain.Action
+	Step(now time.Duration, events []dispatch.Event) []dispatch.Action
 }
 
 // Router is one router. Its exported methods may be called from any goroutine.
@@ -87,12 +87,12 @@
 
 	// Of the loop.
 	core   Decider
-	roster *roster.Core
+	roster *endpoints.Core
 	now    time.Duration
-	events []brain.Event
-	calls  map[brain.RequestID]*entry
-	next   brain.RequestID
-	wheel  *wheel.Wheel
+	events []dispatch.Event
+	calls  map[dispatch.RequestID]*entry
+	next   dispatch.RequestID
+	wheel  *timingwheel.Wheel
 	due    time.Duration // when the module asked to be woken; 0: not
 	quit   bool          // the loop ends once no call is left
 	closes time.Duration // when every call has its answer, as the router ends then; 0: it goes on
@@ -122,7 +122,7 @@
 // New starts a router's loop. Stop ends it.
 func New(cfg Config, up Upstream) (*Router, error) {
 	if cfg.Decider == nil {
-		cfg.Decider = func(s brain.Settings, seed uint64) (Decider, error) { return brain.New(s, seed) }
+		cfg.Decider = func(s dispatch.Settings, seed uint64) (Decider, error) { return dispatch.New(s, seed) }
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -132,8 +132,8 @@
 		return nil, err
 	}
 	r := &Router{cfg: cfg, up: up, begin: time.Now(), wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		core: core, roster: roster.New(cfg.Roster), calls: map[brain.RequestID]*entry{},
-		wheel: wheel.New(time.Millisecond, epoch), fns: map[string]time.Duration{}, heard: map[string]time.Duration{},
+		core: core, roster: endpoints.New(cfg.Roster), calls: map[dispatch.RequestID]*entry{},
+		wheel: timingwheel.New(time.Millisecond, epoch), fns: map[string]time.Duration{}, heard: map[string]time.Duration{},
 		silent: map[string]bool{}, debug: cfg.Log.Enabled(context.Background(), slog.LevelDebug)}
 	go r.loop()
 	return r, nil
@@ -188,14 +188,14 @@
 			r.mu.Unlock()
 			return
 		}
-		r.wheel.Advance(r.now, func(t *wheel.Timer) {
+		r.wheel.Advance(r.now, func(t *timingwheel.Timer) {
 			if f, ok := t.Value.(func()); ok {
 				f()
 			}
 		})
 		if r.due > 0 && r.now >= r.due {
 			r.due = 0
-			r.events = append(r.events, brain.Woken{})
+			r.events = append(r.events, dispatch.Woken{})
 		}
 		r.follow()
 		r.step()
@@ -249,22 +249,22 @@
 	}
 }
 
-func (r *Router) act(a brain.Action) {
+func (r *Router) act(a dispatch.Action) {
 	switch a := a.(type) {
-	case brain.Send:
+	case dispatch.Send:
 		r.send(a)
-	case brain.Cancel:
+	case dispatch.Cancel:
 		if e := r.calls[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.attempts) {
 			if t := e.attempts[a.Attempt]; !t.ended && e.answer != t {
 				t.handle.Cancel()
 			}
 		}
-	case brain.Refuse:
+	case dispatch.Refuse:
 		if e := r.calls[a.ID]; e != nil && e.refuse(a.After) {
 			r.stats.Refused++
 			r.closeCall(e)
 		}
-	case brain.Fail:
+	case dispatch.Fail:
 		if e := r.calls[a.ID]; e != nil {
 			was := e.answer
 			if e.fail(r.now) {
@@ -275,22 +275,22 @@
 				r.closeCall(e)
 			}
 		}
-	case brain.LoadOrder:
+	case dispatch.LoadOrder:
 		r.order(a)
-	case brain.Probe:
+	case dispatch.Probe:
 		r.probe(a.Worker)
-	case brain.Wake:
+	case dispatch.Wake:
 		r.due = r.now + a.After
-	case brain.Doubt:
+	case dispatch.Doubt:
 		if r.peers != nil {
 			if !a.Slow && a.Class == "" {
 				r.silent[a.Worker] = true
 			}
 			r.peers.Doubted(a)
 		}
-	case brain.Note:
+	case dispatch.Note:
 		r.cfg.Log.Info("module", "note", a.Text)
-	case brain.Watch: // the list comes by itself
+	case dispatch.Watch: // the list comes by itself
 	}
 }
 
@@ -308,7 +308,7 @@
 		}
 		r.stats.Calls++
 		r.called(c.Function)
-		r.events = append(r.events, brain.Request{ID: e.id, Function: c.Function, Class: c.Class, Tenant: c.Tenant,
+		r.events = append(r.events, dispatch.Request{ID: e.id, Function: c.Function, Class: c.Class, Tenant: c.Tenant,
 			MemoryMB: c.MemoryMB, Lanes: c.Lanes, LoadTime: c.LoadTime, Work: c.Work,
 			Left: e.deadline - r.now})
 	})
@@ -336,7 +336,7 @@
 	was := e.answer
 	e.state = done
 	r.stats.Dropped++
-	r.events = append(r.events, brain.Dropped{ID: e.id})
+	r.events = append(r.events, dispatch.Dropped{ID: e.id})
 	if was != nil && !was.ended {
 		was.handle.Cancel()
 	}
@@ -350,11 +350,11 @@
 	}
 }
 
-func (r *Router) send(a brain.Send) {
+func (r *Router) send(a dispatch.Send) {
 	e := r.calls[a.ID]
 	if e == nil {
-		r.events = append(r.events, brain.Outcome{ID: a.ID, Worker: a.Worker, Result: brain.NotSent, Final: true,
-			Company: -1, Load: brain.NoLoad})
+		r.events = append(r.events, dispatch.Outcome{ID: a.ID, Worker: a.Worker, Result: dispatch.NotSent, Final: true,
+			Company: -1, Load: dispatch.NoLoad})
 		return
 	}
 	t := &try{e: e, n: len(e.attempts), worker: a.Worker, sent: r.now}
@@ -365,7 +365,7 @@
 		left = min(left, a.Timeout)
 	}
 	if e.state != waiting || left <= 0 || !e.call.Wanted() {
-		r.end(t, Ended{Result: brain.NotSent, Report: NoReport})
+		r.end(t, Ended{Result: dispatch.NotSent, Report: NoReport})
 		return
 	}
 	r.stats.Attempts++
@@ -390,9 +390,9 @@
 func (r *Router) AttemptBegan(token Token, head any) {
 	t := token.t
 	r.post(func() {
-		r.alive(t.worker, brain.OK)
+		r.alive(t.worker, dispatch.OK)
 		if t.e.began(t, head) {
-			r.events = append(r.events, brain.Started{ID: t.e.id, Attempt: t.n, Worker: t.worker,
+			r.events = append(r.events, dispatch.Started{ID: t.e.id, Attempt: t.n, Worker: t.worker,
 				Took: r.now - t.sent})
 		}
 	})
@@ -410,24 +410,24 @@
 	if r.wheel.Remove(&t.timer); t.handle != nil {
 		r.stats.Out--
 	}
-	if how.Result == brain.OK {
+	if how.Result == dispatch.OK {
 		r.stats.Took += r.now - t.sent
 	}
-	if t.late && how.Result == brain.Cancelled {
-		how.Result = brain.TimedOut
+	if t.late && how.Result == dispatch.Cancelled {
+		how.Result = dispatch.TimedOut
 	}
 	e := t.e
 	was := e.state
 	final := e.ended(t, how)
 	if final && was != done {
-		if how.Result == brain.OK {
+		if how.Result == dispatch.OK {
 			r.stats.Served++
 		} else {
 			r.stats.Failed++
 		}
 	}
 	r.alive(t.worker, how.Result)
-	r.events = append(r.events, brain.Outcome{ID: e.id, Attempt: t.n, Worker: t.worker, Result: how.Result,
+	r.events = append(r.events, dispatch.Outcome{ID: e.id, Attempt: t.n, Worker: t.worker, Result: how.Result,
 		Took: r.now - t.sent, Final: final, Warmth: how.Report.Warmth, Company: how.Report.Company,
 		Load: how.Report.Load})
 	if how.Drains {
@@ -438,10 +438,10 @@
 
 // Orders and probes -----------------------------------------------------------------------------------
 
-func (r *Router) order(a brain.LoadOrder) {
+func (r *Router) order(a dispatch.LoadOrder) {
 	begin := r.now
 	if _, ok := r.fns[a.Function]; !ok {
-		r.events = append(r.events, brain.Loaded{Worker: a.Worker, Function: a.Function, Result: brain.NotSent})
+		r.events = append(r.events, dispatch.Loaded{Worker: a.Worker, Function: a.Function, Result: dispatch.NotSent})
 		return
 	}
 	r.stats.Orders++
@@ -451,7 +451,7 @@
 	r.up.Load(a.Worker, a.Function, a.Copies, r.cfg.OrderTimeout, func(o Order) {
 		r.post(func() {
 			r.alive(a.Worker, o.Result)
-			r.events = append(r.events, brain.Loaded{Worker: a.Worker, Function: a.Function, Result: o.Result,
+			r.events = append(r.events, dispatch.Loaded{Worker: a.Worker, Function: a.Function, Result: o.Result,
 				Took: r.now - begin, Copies: o.Copies})
 		})
 	})
@@ -463,7 +463,7 @@
 	r.up.Ask(worker, r.cfg.ProbeTimeout, func(p Probe) {
 		r.post(func() {
 			r.alive(worker, p.Result)
-			r.events = append(r.events, brain.Probed{Worker: worker, Result: p.Result, Took: r.now - begin,
+			r.events = append(r.events, dispatch.Probed{Worker: worker, Result: p.Result, Took: r.now - begin,
 				Load: p.Report.Load})
 		})
 	})
@@ -472,12 +472,12 @@
 // Peers -----------------------------------------------------------------------------------------------
 
 // answered tells whether a result shows that the worker lives.
-func answered(res brain.Result) bool {
-	return res == brain.OK || res == brain.Errored || res == brain.Refused || res == brain.Missed
+func answered(res dispatch.Result) bool {
+	return res == dispatch.OK || res == dispatch.Errored || res == dispatch.Refused || res == dispatch.Missed
 }
 
 // alive notes a sign of life, where peers are of any concern.
-func (r *Router) alive(worker string, res brain.Result) {
+func (r *Router) alive(worker string, res dispatch.Result) {
 	if r.peers == nil || !answered(res) {
 		return
 	}
@@ -510,14 +510,14 @@
 }
 
 // Peers hands the module what came of peers' word.
-func (r *Router) Peers(e brain.Peers) {
+func (r *Router) Peers(e dispatch.Peers) {
 	r.post(func() { r.events = append(r.events, e) })
 }
 
 // List ------------------------------------------------------------------------------------------------
 
 // SetWorkers hands the router a new whole list.
-func (r *Router) SetWorkers(list []roster.Worker) {
+func (r *Router) SetWorkers(list []endpoints.Worker) {
 	r.post(func() { r.roster.List(r.now, list) })
 }
 
@@ -530,7 +530,7 @@
 func (r *Router) follow() {
 	out := r.roster.Step(r.now)
 	if out.List != nil {
-		members := make([]brain.Member, 0, len(out.List))
+		members := make([]dispatch.Member, 0, len(out.List))
 		listed := map[string]bool{}
 		for _, w := range out.List {
 			m := w.Member
@@ -540,11 +540,11 @@
 		r.up.Workers(out.List)
 		maps.DeleteFunc(r.heard, func(id string, _ time.Duration) bool { return !listed[id] })
 		maps.DeleteFunc(r.silent, func(id string, _ bool) bool { return !listed[id] })
-		r.events = append(r.events, brain.Roster{Whole: true, Members: members})
+		r.events = append(r.events, dispatch.Roster{Whole: true, Members: members})
 	}
 	for _, id := range out.Ask {
 		r.up.Ask(id, r.cfg.ProbeTimeout, func(p Probe) {
-			r.post(func() { r.roster.Asked(r.now, id, p.Result == brain.OK && p.Ready) })
+			r.post(func() { r.roster.Asked(r.now, id, p.Result == dispatch.OK && p.Ready) })
 		})
 	}
 }
@@ -565,7 +565,7 @@
 func (r *Router) Closing(within time.Duration) {
 	r.post(func() {
 		r.closes = r.now + within
-		r.events = append(r.events, brain.Closing{Within: within})
+		r.events = append(r.events, dispatch.Closing{Within: within})
 	})
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
 // instant is an upstream whose workers answer at once, unless they are dead.
@@ -29,30 +29,30 @@
 }
 
 func (u *instant) Send(token Token, _ *Call, worker string, _ int, _ time.Duration) Attempt {
-	how := Ended{Result: brain.OK, Report: NoReport}
+	how := Ended{Result: dispatch.OK, Report: NoReport}
 	if u.is(worker) {
-		how = Ended{Result: brain.Reset, Report: NoReport}
+		how = Ended{Result: dispatch.Reset, Report: NoReport}
 	}
 	u.r.AttemptEnded(token, how)
 	return nothing{}
 }
 
 func (u *instant) Load(_, _ string, copies int, _ time.Duration, done func(Order)) {
-	done(Order{Result: brain.OK, Copies: copies})
+	done(Order{Result: dispatch.OK, Copies: copies})
 }
 
 func (u *instant) Ask(worker string, _ time.Duration, done func(Probe)) {
 	u.mu.Lock()
 	u.asks++
 	u.mu.Unlock()
-	res := brain.OK
+	res := dispatch.OK
 	if u.is(worker) {
-		res = brain.TimedOut
+		res = dispatch.TimedOut
 	}
 	done(Probe{Result: res, Ready: true, Report: NoReport})
 }
 
-func (u *instant) Workers([]roster.Worker) {}
+func (u *instant) Workers([]endpoints.Worker) {}
 
 // waiter is a client that waits for its final answer.
 type waiter chan Final
@@ -64,11 +64,11 @@
 // told is a peer side that notes what it is told.
 type told struct {
 	mu     sync.Mutex
-	doubts []brain.Doubt
+	doubts []dispatch.Doubt
 	heard  []string
 }
 
-func (p *told) Doubted(d brain.Doubt) {
+func (p *told) Doubted(d dispatch.Doubt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.doubts = append(p.doubts, d)
@@ -83,9 +83,9 @@
 func start(t testing.TB, gossip bool) (*Router, *instant, *told) {
 	t.Helper()
 	u := &instant{dead: map[string]bool{}}
-	r, err := New(Config{Name: "r", Seed: 1, Brain: brain.Settings{Routers: 2, MaxAttempts: 3, MayCancel: true, MayProbe: true,
+	r, err := New(Config{Name: "r", Seed: 1, Brain: dispatch.Settings{Routers: 2, MaxAttempts: 3, MayCancel: true, MayProbe: true,
 		IdleKeep: time.Minute, LoadsOnMiss: true, TellsDoubts: gossip,
-		Classes: []brain.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: brain.Safe}}}}, u)
+		Classes: []dispatch.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: dispatch.Safe}}}}, u)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,9 +94,9 @@
 	if gossip {
 		r.SetPeers(p)
 	}
-	list := []roster.Worker{}
+	list := []endpoints.Worker{}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		list = append(list, roster.Worker{Member: brain.Member{ID: id, Kind: "k"}, Address: id})
+		list = append(list, endpoints.Worker{Member: dispatch.Member{ID: id, Kind: "k"}, Address: id})
 	}
 	r.SetWorkers(list)
 	t.Cleanup(r.Kill)
--- a/internal/day/day_test.go
+++ b/internal/scenario/day_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/router"
 )
 
@@ -38,7 +38,7 @@
 }
 
 func TestBadScriptsAreNamed(t *testing.T) {
-	good, err := built.ReadFile("days/demo.json")
+	good, err := built.ReadFile("scenarios/demo.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,11 +73,11 @@
 // mutant changes what the module is told and what becomes of its actions.
 type mutant struct {
 	router.Decider
-	event  func(brain.Event) brain.Event
-	action func(brain.Action) bool // false: swallowed
+	event  func(dispatch.Event) dispatch.Event
+	action func(dispatch.Action) bool // false: swallowed
 }
 
-func (m mutant) Step(now time.Duration, events []brain.Event) []brain.Action {
+func (m mutant) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
 	if m.event != nil {
 		for i := range events {
 			events[i] = m.event(events[i])
@@ -102,31 +102,31 @@
 	cases := []struct {
 		rule     int
 		script   func(*Script)
-		settings func(*brain.Settings)
-		event    func(brain.Event) brain.Event
-		action   func(brain.Action) bool
+		settings func(*dispatch.Settings)
+		event    func(dispatch.Event) dispatch.Event
+		action   func(dispatch.Action) bool
 	}{
 		{rule: 1, script: func(s *Script) {
 			s.Trouble = []Trouble{{Kind: "hang", At: 0.5, For: 5, Part: 0.34}}
-		}, action: func(a brain.Action) bool { // no failure reaches its client
-			_, fail := a.(brain.Fail)
-			_, refuse := a.(brain.Refuse)
+		}, action: func(a dispatch.Action) bool { // no failure reaches its client
+			_, fail := a.(dispatch.Fail)
+			_, refuse := a.(dispatch.Refuse)
 			return !fail && !refuse
 		}},
 		{rule: 2, script: func(s *Script) {
 			s.Classes[2].Streamed, s.Classes[2].Share = 1, 1
 			s.Trouble = []Trouble{{Kind: "mid_stream", At: 0.5, For: 1, Part: 0.5, Class: "points"}}
-		}, settings: func(s *brain.Settings) { // what may have run is sent again
+		}, settings: func(s *dispatch.Settings) { // what may have run is sent again
 			for i := range s.Classes {
-				s.Classes[i].Effect = brain.Safe
+				s.Classes[i].Effect = dispatch.Safe
 			}
 		}},
 		{rule: 3, script: func(s *Script) {
 			s.Trouble = []Trouble{{Kind: "preempt", At: 0.3, For: 1, Part: 0.5, Size: 2.5}}
-		}, event: func(e brain.Event) brain.Event { // drains are not heard
-			if l, ok := e.(brain.Roster); ok {
+		}, event: func(e dispatch.Event) dispatch.Event { // drains are not heard
+			if l, ok := e.(dispatch.Roster); ok {
 				for i := range l.Members {
-					l.Members[i].State = brain.On
+					l.Members[i].State = dispatch.On
 				}
 			}
 			return e
@@ -135,9 +135,9 @@
 			s.Fleet.Workers, s.Rules.ColdShare, s.Rules.FallMultiple, s.Rules.ColdFor = 3, 0.05, 1.1, 8
 			s.Traffic.Rate, s.Store.Rate = 150, 100
 			s.Trouble = []Trouble{{Kind: "vanish", At: 0.3, For: 0.5, Part: 0.34}}
-		}, event: func(e brain.Event) brain.Event { // a fresh worker is taken for warm, and for the only one
-			l, ok := e.(brain.Roster)
-			fresh := slices.DeleteFunc(slices.Clone(l.Members), func(m brain.Member) bool { return m.Started == 0 })
+		}, event: func(e dispatch.Event) dispatch.Event { // a fresh worker is taken for warm, and for the only one
+			l, ok := e.(dispatch.Roster)
+			fresh := slices.DeleteFunc(slices.Clone(l.Members), func(m dispatch.Member) bool { return m.Started == 0 })
 			if !ok || len(fresh) == 0 {
 				return e
 			}
@@ -149,7 +149,7 @@
 		}},
 		{rule: 5, script: func(s *Script) {
 			s.Fleet.OnMiss, s.Rules.LoadFree, s.Rules.LoadShare = "refuse", 1, 0.02
-		}, settings: func(s *brain.Settings) { s.LoadSpan = 0 }}, // no ration
+		}, settings: func(s *dispatch.Settings) { s.LoadSpan = 0 }}, // no ration
 	}
 	for _, c := range cases {
 		for _, broken := range []bool{false, true} {
@@ -159,11 +159,11 @@
 				c.script(s)
 				o := Options{Log: slog.New(slog.NewTextHandler(testLog{t}, &slog.HandlerOptions{Level: slog.LevelWarn}))}
 				if broken {
-					o.Decider = func(set brain.Settings, seed uint64) (router.Decider, error) {
+					o.Decider = func(set dispatch.Settings, seed uint64) (router.Decider, error) {
 						if c.settings != nil {
 							c.settings(&set)
 						}
-						d, err := brain.New(set, seed)
+						d, err := dispatch.New(set, seed)
 						return mutant{d, c.event, c.action}, err
 					}
 				}
--- a/internal/day/gossip.go
+++ b/internal/scenario/gossip.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"crypto/ed25519"
@@ -13,10 +13,10 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/config"
-	"github.com/topazfront/topazfront/internal/gateway"
-	"github.com/topazfront/topazfront/internal/peers"
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/peer"
+	"github.com/topazfront/topazfront/internal/fake/fakepeer"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
+	"github.com/topazfront/topazfront/internal/grpcgateway"
+	"github.com/topazfront/topazfront/internal/invariants"
 )
 
 // party is the gossip of a day: keys, the network between the routers, and who spoils it.
@@ -24,18 +24,18 @@
 	set     *Gossip
 	dir     string
 	seed    uint64
-	net     *peer.Net
-	meters  []*peer.Meter
-	forgers []*peer.Forger
-	liars   []*peer.Liar
+	net     *fakepeer.Net
+	meters  []*fakepeer.Meter
+	forgers []*fakepeer.Forger
+	liars   []*fakepeer.Liar
 	stop    chan struct{}
 	wg      sync.WaitGroup
 
 	mu      sync.Mutex
 	keyName string
 	addrs   []string // by slot
-	conns   []*peer.Conn
-	gone    peers.Dropped // of lives that ended
+	conns   []*fakepeer.Conn
+	gone    agent.Dropped // of lives that ended
 }
 
 // keyOf is a member's key of a name, made from the day's seed: stand-ins only.
@@ -47,12 +47,12 @@
 func slotID(i int) string { return fmt.Sprintf("r%d", i) }
 
 func newParty(s *Script, dir string) (*party, error) {
-	p := &party{set: s.Gossip, dir: dir, seed: s.Seed, net: peer.NewNet(s.Seed), keyName: "k1",
-		addrs: make([]string, s.Routers), conns: make([]*peer.Conn, s.Routers), stop: make(chan struct{})}
-	p.net.Set(peer.Faults{Loss: s.Gossip.Loss})
+	p := &party{set: s.Gossip, dir: dir, seed: s.Seed, net: fakepeer.NewNet(s.Seed), keyName: "k1",
+		addrs: make([]string, s.Routers), conns: make([]*fakepeer.Conn, s.Routers), stop: make(chan struct{})}
+	p.net.Set(fakepeer.Faults{Loss: s.Gossip.Loss})
 	c := p.agent(&config.Gossip{Preset: "local", Bytes: s.Gossip.Bytes}, "")
 	for i := range s.Routers {
-		p.meters = append(p.meters, &peer.Meter{Rate: c.Gossip.BytesPerSecond, Burst: c.Gossip.BurstBytes,
+		p.meters = append(p.meters, &fakepeer.Meter{Rate: c.Gossip.BytesPerSecond, Burst: c.Gossip.BurstBytes,
 			PerSec: c.Gossip.MessagesPerSec, Count: c.Gossip.BurstMessages})
 		if err := p.writeKey(i, "k1"); err != nil {
 			return nil, err
@@ -61,7 +61,7 @@
 	return p, p.writeMembers(s.Routers, "k1")
 }
 
-func (p *party) agent(g *config.Gossip, id string) peers.Config { return g.Agent(id, p.seed) }
+func (p *party) agent(g *config.Gossip, id string) agent.Config { return g.Agent(id, p.seed) }
 
 func (p *party) liarID(i int) string { return fmt.Sprintf("liar%d", i) }
 
@@ -88,7 +88,7 @@
 func (p *party) keyFile(i int) string { return filepath.Join(p.dir, fmt.Sprintf("key-%d.pem", i)) }
 
 func (p *party) writeKey(i int, name string) error {
-	raw, err := config.FormatKey(peers.Key{Name: name, Private: p.keyOf(slotID(i), name)})
+	raw, err := config.FormatKey(agent.Key{Name: name, Private: p.keyOf(slotID(i), name)})
 	if err != nil {
 		return err
 	}
@@ -117,9 +117,9 @@
 }
 
 // hooks stand between one router and its sockets.
-func (p *party) hooks(i int) peers.Hooks {
+func (p *party) hooks(i int) agent.Hooks {
 	m := p.meters[i]
-	return peers.Hooks{Packets: func(c net.PacketConn) net.PacketConn {
+	return agent.Hooks{Packets: func(c net.PacketConn) net.PacketConn {
 		w := p.net.Wrap(c, m)
 		p.mu.Lock()
 		p.conns[i] = w
@@ -129,14 +129,14 @@
 }
 
 // joined notes where a router's life listens.
-func (p *party) joined(i int, g *gateway.Gateway) {
+func (p *party) joined(i int, g *grpcgateway.Gateway) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addrs[i] = g.Peers().Addr()
 }
 
 // retire keeps what a life counted that is about to end.
-func (p *party) retire(g *gateway.Gateway) {
+func (p *party) retire(g *grpcgateway.Gateway) {
 	d := g.Peers().Status().Dropped
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +153,7 @@
 	addrs := slices.Clone(p.addrs)
 	p.mu.Unlock()
 	for i := range p.set.Forgers {
-		f, err := peer.NewForger(p.seed+uint64(i), names, keyIDs)
+		f, err := fakepeer.NewForger(p.seed+uint64(i), names, keyIDs)
 		if err != nil {
 			return err
 		}
@@ -176,7 +176,7 @@
 	for i := range p.set.Liars {
 		id := p.liarID(i)
 		c := p.agent(&config.Gossip{Listen: "127.0.0.1:0", Preset: "local", Seeds: addrs[:min(3, len(addrs))]}, id)
-		c.Key = peers.Key{Name: "k1", Private: p.keyOf(id, "k1")}
+		c.Key = agent.Key{Name: "k1", Private: p.keyOf(id, "k1")}
 		raw, err := os.ReadFile(filepath.Join(p.dir, "members.json"))
 		if err != nil {
 			return err
@@ -186,7 +186,7 @@
 			return err
 		}
 		c.Members = m
-		liar, err := peer.NewLiar(c)
+		liar, err := fakepeer.NewLiar(c)
 		if err != nil {
 			return err
 		}
@@ -262,7 +262,7 @@
 	Mean      float64       `json:"mean_bytes_per_s"`
 	Over      int           `json:"times_over_cap"`
 	Forged    int           `json:"forged_sent"`
-	Dropped   peers.Dropped `json:"dropped"`
+	Dropped   agent.Dropped `json:"dropped"`
 	Claims    uint64        `json:"claims"`
 	Looks     uint64        `json:"looks"`
 	Silent    uint64        `json:"found_silent"`
@@ -279,7 +279,7 @@
 	for _, f := range p.forgers {
 		out.Forged += f.Sent
 	}
-	sum := func() (d peers.Dropped) {
+	sum := func() (d agent.Dropped) {
 		d = p.gone
 		for _, sl := range r.routers {
 			d = d.Add(sl.g.Peers().Status().Dropped)
@@ -327,13 +327,13 @@
 	till   time.Duration
 }
 
-func silence(list []silent, records []rules.Record) *Silence {
+func silence(list []silent, records []invariants.Record) *Silence {
 	out := &Silence{Workers: len(list)}
 	var at []float64
 	last := map[[2]string]float64{}
 	for _, x := range records {
 		for _, s := range list {
-			if x.Kind == rules.Got && x.Worker == s.worker && x.At >= s.from && x.At < s.till {
+			if x.Kind == invariants.Got && x.Worker == s.worker && x.At >= s.from && x.At < s.till {
 				d := (x.At - s.from).Seconds()
 				at = append(at, d)
 				last[[2]string{x.Router, x.Worker}] = d
--- a/internal/day/report.go
+++ b/internal/scenario/report.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/client"
+	"github.com/topazfront/topazfront/internal/fake/fakeclient"
+	"github.com/topazfront/topazfront/internal/invariants"
 )
 
 func modelName(class string, i int) string { return fmt.Sprintf("%s-%d", class, i) }
@@ -49,7 +49,7 @@
 	t.open++
 }
 
-func (t *tally) end(c *Class, r client.Result, took time.Duration, tries int) {
+func (t *tally) end(c *Class, r fakeclient.Result, took time.Duration, tries int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.classes[c.Name]
@@ -58,16 +58,16 @@
 	switch {
 	case !r.Answered:
 		k.left++
-	case r.Answer == rules.Served && took <= c.Aim.D():
+	case r.Answer == invariants.Served && took <= c.Aim.D():
 		k.inAim++
-	case r.Answer == rules.Served:
+	case r.Answer == invariants.Served:
 		k.late++
-	case r.Answer == rules.Refused:
+	case r.Answer == invariants.Refused:
 		k.refused++
 	default:
 		k.failed++
 	}
-	if r.Answered && r.Answer == rules.Served {
+	if r.Answered && r.Answer == invariants.Served {
 		_ = k.hist.RecordValue(took.Microseconds())
 	}
 	if t.open--; t.open == 0 {
@@ -145,15 +145,15 @@
 	Gossip   *GossipReport `json:"gossip,omitempty"`
 }
 
-func (r *Rig) site() rules.Site {
+func (r *Rig) site() invariants.Site {
 	s := r.script
-	site := rules.Site{Classes: map[string]rules.Class{}, AnswerGrace: 250 * time.Millisecond,
+	site := invariants.Site{Classes: map[string]invariants.Class{}, AnswerGrace: 250 * time.Millisecond,
 		DrainGrace: s.Rules.DrainGrace.D(), Capacity: map[string]float64{}, ColdShare: s.Rules.ColdShare,
 		ColdFor: s.Rules.ColdFor.D(), FallMultiple: s.Rules.FallMultiple, FallSpan: s.Rules.FallSpan.D(),
 		LoadSpan: s.Rules.LoadSpan.D(), LoadFree: s.Rules.LoadFree, LoadShare: s.Rules.LoadShare,
 		Slack: 250 * time.Millisecond}
 	for _, c := range s.Classes {
-		site.Classes[c.Name] = rules.Class{Effect: c.Effect, All: c.Effect == "safe" || c.Scope == "all",
+		site.Classes[c.Name] = invariants.Class{Effect: c.Effect, All: c.Effect == "safe" || c.Scope == "all",
 			Work: time.Duration(c.WorkMS * float64(time.Millisecond))}
 	}
 	for _, m := range r.members {
@@ -183,9 +183,9 @@
 	}
 	for _, x := range records {
 		switch {
-		case x.Kind == rules.Got:
+		case x.Kind == invariants.Got:
 			out.Attempts++
-		case x.Kind == rules.Ordered && x.Copies > 0:
+		case x.Kind == invariants.Ordered && x.Copies > 0:
 			out.Orders++
 		}
 	}
@@ -196,7 +196,7 @@
 	for _, t := range s.Trouble {
 		out.Troubles = append(out.Troubles, t.Kind)
 	}
-	for _, b := range rules.Check(r.site(), records) {
+	for _, b := range invariants.Check(r.site(), records) {
 		out.Rules[b.Rule-1]++
 		if len(out.Breaches) < 100 {
 			out.Breaches = append(out.Breaches, b.String())
@@ -238,7 +238,7 @@
 		if n > 0 {
 			verdict = fmt.Sprintf("BROKEN %d times", n)
 		}
-		fmt.Fprintf(w, "rule %d  %-30s %s\n", i+1, rules.Names[i+1], verdict)
+		fmt.Fprintf(w, "rule %d  %-30s %s\n", i+1, invariants.Names[i+1], verdict)
 	}
 	for i, b := range r.Breaches {
 		if i == 10 {
--- a/internal/day/rig.go
+++ b/internal/scenario/rig.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -13,13 +13,13 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/config"
-	"github.com/topazfront/topazfront/internal/gateway"
+	"github.com/topazfront/topazfront/internal/fake/fakeclient"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/grpcgateway"
+	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/router"
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/client"
-	"github.com/topazfront/topazfront/internal/standin/worker"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
@@ -27,11 +27,11 @@
 type Options struct {
 	Dir      string // for the lists; empty: a temporary folder
 	Log      *slog.Logger
-	Decider  func(brain.Settings, uint64) (router.Decider, error) // nil: the module
-	Progress func(Progress)                                       // told four times a second
-	Begun    func(*Rig)                                           // told when all is up
-	Stop     <-chan struct{}                                      // ends the day early
-	Alter    func(*config.Gateway)                                // changes the routers' settings, for mutations
+	Decider  func(dispatch.Settings, uint64) (router.Decider, error) // nil: the module
+	Progress func(Progress)                                          // told four times a second
+	Begun    func(*Rig)                                              // told when all is up
+	Stop     <-chan struct{}                                         // ends the day early
+	Alter    func(*config.Gateway)                                   // changes the routers' settings, for mutations
 }
 
 // Progress is how a day stands.
@@ -47,10 +47,10 @@
 	script  *Script
 	opt     Options
 	dir     string
-	log     *rules.Log
-	store   *worker.Store
+	log     *invariants.Log
+	store   *fakeworker.Store
 	routers []*slot
-	models  map[string]worker.Model
+	models  map[string]fakeworker.Model
 	tally   *tally
 	party   *party // nil: no gossip
 
@@ -64,16 +64,16 @@
 	hot      float64       // share of the calls that go to new models
 	tail     map[string]Trouble
 	troubles map[string]int
-	cells    map[int]*worker.Cell
+	cells    map[int]*fakeworker.Cell
 	made     int
-	dead     []*worker.Worker // replaced ones
+	dead     []*fakeworker.Worker // replaced ones
 	done     bool
 	silences []silent
 }
 
 // member is a worker's place in the list.
 type member struct {
-	w        *worker.Worker
+	w        *fakeworker.Worker
 	line     config.Worker
 	capacity float64
 	hidden   bool // its death has been noticed
@@ -86,8 +86,8 @@
 
 	mu     sync.Mutex
 	name   string
-	g      *gateway.Gateway
-	client *client.Client
+	g      *grpcgateway.Gateway
+	client *fakeclient.Client
 	seen   int             // version of the list delivered last
 	told   map[string]bool // by worker: on
 }
@@ -97,9 +97,9 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	r := &Rig{script: s, opt: o, dir: o.Dir, log: rules.NewLog(), rng: rand.New(rand.NewPCG(s.Seed, 1)), rate: 1,
-		store: worker.NewStore(s.Store.Rate, s.Store.Limit), models: map[string]worker.Model{},
-		tail: map[string]Trouble{}, troubles: map[string]int{}, cells: map[int]*worker.Cell{}, tally: newTally(s)}
+	r := &Rig{script: s, opt: o, dir: o.Dir, log: invariants.NewLog(), rng: rand.New(rand.NewPCG(s.Seed, 1)), rate: 1,
+		store: fakeworker.NewStore(s.Store.Rate, s.Store.Limit), models: map[string]fakeworker.Model{},
+		tail: map[string]Trouble{}, troubles: map[string]int{}, cells: map[int]*fakeworker.Cell{}, tally: newTally(s)}
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "topazfront-day-")
 		if err != nil {
@@ -114,7 +114,7 @@
 			if i == c.Models {
 				name = c.Name + "-new"
 			}
-			r.models[name] = worker.Model{Name: name, Class: c.Name, MemoryMB: c.MemoryMB, Lanes: c.Lanes, Load: c.Load.D()}
+			r.models[name] = fakeworker.Model{Name: name, Class: c.Name, MemoryMB: c.MemoryMB, Lanes: c.Lanes, Load: c.Load.D()}
 		}
 	}
 	defer r.close()
@@ -226,9 +226,9 @@
 	r.made++
 	id := fmt.Sprintf("w%03d", r.made)
 	if r.cells[cell] == nil {
-		r.cells[cell] = worker.NewCell()
+		r.cells[cell] = fakeworker.NewCell()
 	}
-	c := worker.Config{ID: id, Cores: kind.Cores, Speed: kind.Speed, MemoryMB: kind.MemoryMB, Queue: f.Queue,
+	c := fakeworker.Config{ID: id, Cores: kind.Cores, Speed: kind.Speed, MemoryMB: kind.MemoryMB, Queue: f.Queue,
 		LoadsAtOnce: f.LoadsAtOnce, IdleKeep: f.IdleKeep.D(), LoadsOnMiss: f.OnMiss == "load", GrowsCopies: f.Grows,
 		StopsWork: f.StopsWork, ColdShare: r.script.Rules.ColdShare, ColdFor: r.script.Rules.ColdFor.D(),
 		FallMultiple: r.script.Rules.FallMultiple, FallSpan: r.script.Rules.FallSpan.D(), Keyed: map[string]bool{},
@@ -241,7 +241,7 @@
 		}
 		c.ClassWork[k.Name] = time.Duration(k.WorkMS * float64(time.Millisecond))
 	}
-	w, err := worker.Start(c)
+	w, err := fakeworker.Start(c)
 	if err != nil {
 		return nil, err
 	}
@@ -305,22 +305,22 @@
 	sl.mu.Lock()
 	sl.name = name
 	for id, on := range sl.told { // a new life is told by the list that it finds
-		r.log.Add(rules.Record{Kind: rules.Told, Router: name, Worker: id, Off: !on})
+		r.log.Add(invariants.Record{Kind: invariants.Told, Router: name, Worker: id, Off: !on})
 	}
 	sl.mu.Unlock()
-	o := gateway.Options{Log: r.opt.Log, Decider: r.opt.Decider,
+	o := grpcgateway.Options{Log: r.opt.Log, Decider: r.opt.Decider,
 		Drain: 2 * time.Second} // nothing is in hand by then, unless a rule is broken
 	if r.party != nil {
 		o.Gossip = r.party.hooks(sl.n)
 	}
-	g, err := gateway.Start(r.settings(sl), o)
+	g, err := grpcgateway.Start(r.settings(sl), o)
 	if err != nil {
 		return err
 	}
 	if r.party != nil {
 		r.party.joined(sl.n, g)
 	}
-	c := client.New(g.Addr(), name, r.log, http2.Config{})
+	c := fakeclient.New(g.Addr(), name, r.log, http2.Config{})
 	sl.mu.Lock()
 	sl.g, sl.client = g, c
 	sl.mu.Unlock()
@@ -380,7 +380,7 @@
 	}
 	for id, on := range sl.told {
 		if was := on; now[id] != was {
-			r.log.Add(rules.Record{Kind: rules.Told, Router: sl.name, Worker: id, Off: !now[id]})
+			r.log.Add(invariants.Record{Kind: invariants.Told, Router: sl.name, Worker: id, Off: !now[id]})
 		}
 		if _, ok := now[id]; !ok {
 			now[id] = false
@@ -479,7 +479,7 @@
 		if picks.Float64() < toOne {
 			to = r.routers[0]
 		}
-		q := client.Request{ID: fmt.Sprintf("q%d", n), Model: model, Class: c.Name,
+		q := fakeclient.Request{ID: fmt.Sprintf("q%d", n), Model: model, Class: c.Name,
 			Work: time.Duration(work * float64(time.Second)), Messages: max(c.Messages, 1), Bytes: c.Bytes,
 			Streamed: picks.Float64() < c.Streamed}
 		if s.Traffic.Hints {
@@ -490,7 +490,7 @@
 }
 
 // try sends one try of a request, and another where the client's habits and the class allow it.
-func (r *Rig) try(c *Class, q client.Request, to *slot, asked time.Time, n int) {
+func (r *Rig) try(c *Class, q fakeclient.Request, to *slot, asked time.Time, n int) {
 	if n == 0 {
 		r.tally.ask(c.Name)
 	}
@@ -504,9 +504,9 @@
 	to.mu.Lock()
 	cl := to.client
 	to.mu.Unlock()
-	cl.Call(q, fmt.Sprintf("%s.%d", q.ID, n), deadline, func(res client.Result) {
-		retry := !res.Answered && (c.Effect == "safe") || res.Answered && res.Answer == rules.Refused ||
-			res.Answered && res.Answer == rules.Failed && res.Pushback >= 0 && c.Effect == "safe"
+	cl.Call(q, fmt.Sprintf("%s.%d", q.ID, n), deadline, func(res fakeclient.Result) {
+		retry := !res.Answered && (c.Effect == "safe") || res.Answered && res.Answer == invariants.Refused ||
+			res.Answered && res.Answer == invariants.Failed && res.Pushback >= 0 && c.Effect == "safe"
 		wait := max(res.Pushback, r.script.Traffic.Backoff.D()<<n)
 		if retry && n < r.script.Traffic.Retries && time.Since(asked)+wait < c.Deadline.D()-10*time.Millisecond {
 			other := to
--- a/internal/day/script.go
+++ b/internal/scenario/script.go
@@ -1,7 +1,7 @@
-// Package day plays scripted days through real loopback sockets: a fleet of stand-in workers, routers,
+// Package scenario plays scripted days through real loopback sockets: a fleet of stand-in workers, routers,
 // clients and a list, with troubles at set times. What clients, workers and list recorded is then held
 // against the five rules.
-package day
+package scenario
 
 import (
 	"bytes"
@@ -229,12 +229,12 @@
 	return names
 }
 
-//go:embed days/*.json
+//go:embed scenarios/*.json
 var built embed.FS
 
 // Names lists the days that come with the program.
 func Names() []string {
-	list, err := fs.Glob(built, "days/*.json")
+	list, err := fs.Glob(built, "scenarios/*.json")
 	if err != nil {
 		return nil
 	}
@@ -246,7 +246,7 @@
 
 // Load reads a day by the name of one that comes with the program, or from a file.
 func Load(name string) (*Script, error) {
-	if raw, err := built.ReadFile("days/" + name + ".json"); err == nil {
+	if raw, err := built.ReadFile("scenarios/" + name + ".json"); err == nil {
 		return Parse(name, raw)
 	}
 	raw, err := os.ReadFile(name)
--- a/internal/day/trouble.go
+++ b/internal/scenario/trouble.go
@@ -1,10 +1,10 @@
-package day
+package scenario
 
 import (
 	"time"
 
-	"github.com/topazfront/topazfront/internal/rules"
-	"github.com/topazfront/topazfront/internal/standin/worker"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/invariants"
 )
 
 // some draws the part of the workers that a trouble concerns, at least one.
@@ -60,11 +60,11 @@
 }
 
 // fault switches a fault of some workers on and returns what switches it off.
-func (r *Rig) fault(part float64, on, off func(*worker.Faults)) func() {
+func (r *Rig) fault(part float64, on, off func(*fakeworker.Faults)) func() {
 	return faulty(r.some(part), on, off)
 }
 
-func faulty(list []*member, on, off func(*worker.Faults)) func() {
+func faulty(list []*member, on, off func(*fakeworker.Faults)) func() {
 	for _, m := range list {
 		m.w.Set(on)
 	}
@@ -105,19 +105,19 @@
 			r.silences = append(r.silences, silent{m.w.ID(), now, now + t.For.D()})
 		}
 		r.mu.Unlock()
-		return faulty(list, func(f *worker.Faults) { f.Hang = true }, func(f *worker.Faults) { f.Hang = false })
+		return faulty(list, func(f *fakeworker.Faults) { f.Hang = true }, func(f *fakeworker.Faults) { f.Hang = false })
 	case "slow", "neighbour":
-		return r.fault(t.Part, func(f *worker.Faults) { f.Slow = t.Size }, func(f *worker.Faults) { f.Slow = 0 })
+		return r.fault(t.Part, func(f *fakeworker.Faults) { f.Slow = t.Size }, func(f *fakeworker.Faults) { f.Slow = 0 })
 	case "class_fail":
-		return r.fault(t.Part, func(f *worker.Faults) { f.FailClass = map[string]bool{class: true} },
-			func(f *worker.Faults) { f.FailClass = nil })
+		return r.fault(t.Part, func(f *fakeworker.Faults) { f.FailClass = map[string]bool{class: true} },
+			func(f *fakeworker.Faults) { f.FailClass = nil })
 	case "throttle":
-		return r.fault(t.Part, func(f *worker.Faults) {
+		return r.fault(t.Part, func(f *fakeworker.Faults) {
 			f.Throttle, f.ThrottleLag = map[string]float64{class: t.Size}, 100*time.Millisecond
-		}, func(f *worker.Faults) { f.Throttle = nil })
+		}, func(f *fakeworker.Faults) { f.Throttle = nil })
 	case "handshake_slow":
 		d := time.Duration(t.Size * float64(time.Second))
-		return r.fault(t.Part, func(f *worker.Faults) { f.Handshake = d }, func(f *worker.Faults) { f.Handshake = 0 })
+		return r.fault(t.Part, func(f *fakeworker.Faults) { f.Handshake = d }, func(f *fakeworker.Faults) { f.Handshake = 0 })
 	case "flush":
 		r.mu.Lock()
 		void := map[string]bool{}
@@ -158,11 +158,11 @@
 	case "mid_stream":
 		list := r.some(t.Part)
 		for _, m := range list {
-			m.w.Set(func(f *worker.Faults) { f.DieAfter = map[string]int{class: int(t.Size)} })
+			m.w.Set(func(f *fakeworker.Faults) { f.DieAfter = map[string]int{class: int(t.Size)} })
 		}
 		return func() {
 			for _, m := range list {
-				m.w.Set(func(f *worker.Faults) { f.DieAfter = nil })
+				m.w.Set(func(f *fakeworker.Faults) { f.DieAfter = nil })
 			}
 			r.restart(list)
 		}
@@ -250,7 +250,7 @@
 			if r.party != nil {
 				r.party.retire(g)
 			}
-			r.log.Add(rules.Record{Kind: rules.RouterDown, Router: name})
+			r.log.Add(invariants.Record{Kind: invariants.RouterDown, Router: name})
 			g.Kill()
 			c.Close()
 			if err := r.launch(sl); err != nil {
--- a/internal/front/grpcfront/front.go
+++ b/internal/server/grpcserver/front.go
@@ -1,8 +1,8 @@
-// Package grpcfront is the front that speaks gRPC: the Open Inference Protocol's service over HTTP/2. It
+// Package grpcserver is the front that speaks gRPC: the Open Inference Protocol's service over HTTP/2. It
 // answers what concerns the gateway itself and hands inference calls to the router. One gRPC stream is one
 // call, or, for ModelStreamInfer, one call for each request message, in order, each begun when the one before
 // has been served. A stream ends at its first call that is not served; the requests behind it were not taken.
-package grpcfront
+package grpcserver
 
 import (
 	"log/slog"
@@ -12,11 +12,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/front"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -26,7 +26,7 @@
 type Config struct {
 	Address string
 	HTTP2   http2.Config
-	Intake  *front.Intake
+	Intake  *server.Intake
 	Version string
 	Log     *slog.Logger
 }
@@ -314,7 +314,7 @@
 	c, err := x.f.cfg.Intake.Call(routed, left)
 	if err != nil {
 		st := grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}
-		if e, ok := err.(*front.Error); ok && e.Missing {
+		if e, ok := err.(*server.Error); ok && e.Missing {
 			st.Code = grpc.NotFound
 		}
 		x.reply(st, nil)
@@ -433,7 +433,7 @@
 	switch {
 	case f.Late:
 		st = grpc.Status{Code: grpc.DeadlineExceeded, Message: "deadline exceeded; the call may have run"}
-	case f.Ended != nil && f.Ended.Result == brain.Errored && tail.Status.Code != grpc.Unavailable &&
+	case f.Ended != nil && f.Ended.Result == dispatch.Errored && tail.Status.Code != grpc.Unavailable &&
 		tail.Status.Code != grpc.OK:
 		st = tail.Status
 	}
--- a/internal/front/grpcfront/front_test.go
+++ b/internal/server/grpcserver/front_test.go
@@ -1,4 +1,4 @@
-package grpcfront
+package grpcserver
 
 import (
 	"bytes"
@@ -7,12 +7,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/front"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
-	"github.com/topazfront/topazfront/internal/roster"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -21,10 +21,10 @@
 // refuser refuses every request, with advice.
 type refuser struct{}
 
-func (refuser) Step(_ time.Duration, events []brain.Event) (out []brain.Action) {
+func (refuser) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
-		if r, ok := e.(brain.Request); ok {
-			out = append(out, brain.Refuse{ID: r.ID, After: 70 * time.Millisecond})
+		if r, ok := e.(dispatch.Request); ok {
+			out = append(out, dispatch.Refuse{ID: r.ID, After: 70 * time.Millisecond})
 		}
 	}
 	return out
@@ -37,16 +37,16 @@
 }
 func (noUpstream) Load(string, string, int, time.Duration, func(router.Order)) {}
 func (noUpstream) Ask(string, time.Duration, func(router.Probe))               {}
-func (noUpstream) Workers([]roster.Worker)                                     {}
+func (noUpstream) Workers([]endpoints.Worker)                                  {}
 
 func listen(t *testing.T) *Front {
 	t.Helper()
-	r, err := router.New(router.Config{Decider: func(brain.Settings, uint64) (router.Decider, error) { return refuser{}, nil }}, noUpstream{})
+	r, err := router.New(router.Config{Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return refuser{}, nil }}, noUpstream{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Listen(Config{Address: "127.0.0.1:0", Version: "test", Intake: &front.Intake{
-		Models:    map[string]front.Model{"m": {Class: "c", MemoryMB: 1, Lanes: 1, Versions: []string{"1"}}},
+	f, err := Listen(Config{Address: "127.0.0.1:0", Version: "test", Intake: &server.Intake{
+		Models:    map[string]server.Model{"m": {Class: "c", MemoryMB: 1, Lanes: 1, Versions: []string{"1"}}},
 		Deadlines: map[string]time.Duration{"c": time.Second}, MaxBody: 1000}}, r)
 	if err != nil {
 		t.Fatal(err)
@@ -211,9 +211,9 @@
 // TestFinalAnswersInItsWords: the router's neutral final answers become a status and advice on retries; a failure
 // never invites one, and what a worker said of the call is passed on only where it says more than that it failed.
 func TestFinalAnswersInItsWords(t *testing.T) {
-	internal := &router.Ended{Result: brain.Errored, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
-	away := &router.Ended{Result: brain.Errored, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable}}}
-	lost := &router.Ended{Result: brain.Reset, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unknown}}}
+	internal := &router.Ended{Result: dispatch.Errored, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
+	away := &router.Ended{Result: dispatch.Errored, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable}}}
+	lost := &router.Ended{Result: dispatch.Reset, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unknown}}}
 	for name, c := range map[string]struct {
 		f    router.Final
 		code grpc.Code
@@ -224,8 +224,8 @@
 		"late":                  {router.Final{Kind: router.Failed, Late: true, Ended: internal}, grpc.DeadlineExceeded, "-1"},
 		"failed by an error":    {router.Final{Kind: router.Failed, Ended: internal}, grpc.Internal, "-1"},
 		"failed, worker away":   {router.Final{Kind: router.Failed, Ended: away}, grpc.Unknown, "-1"},
-		"failed, without words": {router.Final{Kind: router.Failed, Ended: &router.Ended{Result: brain.Errored}}, grpc.Unknown, "-1"},
-		"answered":              {router.Final{Ended: &router.Ended{Result: brain.OK, Tail: oip.Tail{}}}, grpc.OK, ""},
+		"failed, without words": {router.Final{Kind: router.Failed, Ended: &router.Ended{Result: dispatch.Errored}}, grpc.Unknown, "-1"},
+		"answered":              {router.Final{Ended: &router.Ended{Result: dispatch.OK, Tail: oip.Tail{}}}, grpc.OK, ""},
 		"answered, then lost":   {router.Final{Ended: lost}, grpc.Unknown, ""},
 	} {
 		st, tail := Told(c.f)
--- a/internal/front/httpfront/call.go
+++ b/internal/server/httpserver/call.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"math"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/invoke"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
@@ -29,7 +29,7 @@
 )
 
 // call fills a call in from a request. came is when its last byte came.
-func (f *Front) call(m *http1.Message, came time.Time) (*router.Call, *invoke.Request, error) {
+func (f *Front) call(m *http1.Message, came time.Time) (*router.Call, *invocation.Request, error) {
 	part := strings.Split(m.Target, "/")
 	if len(part) != 4 || part[0] != "" || part[1] != "call" || part[3] != "call" {
 		return nil, nil, &turned{404, "no such path"}
@@ -38,7 +38,7 @@
 		return nil, nil, &turned{405, "method is not POST"}
 	}
 	fn := part[2]
-	if !invoke.Hex(fn, 16) {
+	if !invocation.Hex(fn, 16) {
 		return nil, nil, &turned{404, "path: the function is not 16 hex digits"}
 	}
 	for _, name := range []string{"x-class", "x-correlation-id", "x-deadline-ms", "x-operation-key", "x-estimate-ms", "x-attrs"} {
@@ -52,7 +52,7 @@
 		return nil, nil, &turned{400, "x-class: not a class of the settings"}
 	}
 	id, _ := m.Get("x-correlation-id")
-	if !invoke.Hex(id, 16) {
+	if !invocation.Hex(id, 16) {
 		return nil, nil, &turned{400, "x-correlation-id: not 16 hex digits"}
 	}
 	text, _ := m.Get("x-deadline-ms")
@@ -61,7 +61,7 @@
 		return nil, nil, &turned{400, "x-deadline-ms: not a usable figure"}
 	}
 	key, given := m.Get("x-operation-key")
-	if given && !invoke.Key(key) || !given && effect == brain.Keyed {
+	if given && !invocation.Key(key) || !given && effect == dispatch.Keyed {
 		return nil, nil, &turned{400, "x-operation-key: missing or unusable"}
 	}
 	until := came.Add(millis(deadline))
@@ -78,7 +78,7 @@
 			return nil, nil, err
 		}
 	}
-	req := &invoke.Request{ID: id, Class: class, Function: fn, Key: key, Body: m.Body}
+	req := &invocation.Request{ID: id, Class: class, Function: fn, Key: key, Body: m.Body}
 	c.Request = req
 	return c, req, nil
 }
--- a/internal/front/httpfront/front.go
+++ b/internal/server/httpserver/front.go
@@ -1,8 +1,8 @@
-// Package httpfront is the front that speaks the platform's HTTP/1.1: a POST names the function by its path and
+// Package httpserver is the front that speaks the platform's HTTP/1.1: a POST names the function by its path and
 // the rest of a call by header fields. A client has one request at a time on a connection, so the state of this
 // front is bounded by its connections, and those by the settings. Every request that is taken gets one answer;
 // what can't be a call is turned down, and a connection whose framing is in doubt is closed.
-package httpfront
+package httpserver
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 	"github.com/topazfront/topazfront/internal/transport/listen"
@@ -25,7 +25,7 @@
 // Config is the front's share of the settings.
 type Config struct {
 	Address  string
-	Classes  map[string]brain.Effect
+	Classes  map[string]dispatch.Effect
 	MaxConns int           // clients connected at once
 	Limits   http1.Limits  // of a request
 	First    time.Duration // a connection's first request must be whole by then, and any other as long after it began
@@ -491,7 +491,7 @@
 func (c *conn) Finish(f router.Final) {
 	switch f.Kind {
 	case router.Answered:
-		if f.Ended != nil && f.Ended.Result == brain.OK {
+		if f.Ended != nil && f.Ended.Result == dispatch.OK {
 			c.finish(200, nil, f.Ended.Answer)
 			return
 		}
--- a/internal/front/httpfront/front_test.go
+++ b/internal/server/httpserver/front_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/invoke"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
@@ -26,16 +26,16 @@
 // decider does with each request what its function says: a... is served, b... refused, c... failed, d... held.
 type decider struct{}
 
-func (decider) Step(_ time.Duration, events []brain.Event) (out []brain.Action) {
+func (decider) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
-		if e, ok := e.(brain.Request); ok {
+		if e, ok := e.(dispatch.Request); ok {
 			switch e.Function[:1] {
 			case "a":
-				out = append(out, brain.Send{ID: e.ID, Worker: "w"})
+				out = append(out, dispatch.Send{ID: e.ID, Worker: "w"})
 			case "b":
-				out = append(out, brain.Refuse{ID: e.ID, After: 70 * time.Millisecond})
+				out = append(out, dispatch.Refuse{ID: e.ID, After: 70 * time.Millisecond})
 			case "c":
-				out = append(out, brain.Fail{ID: e.ID})
+				out = append(out, dispatch.Fail{ID: e.ID})
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 	r    *router.Router
 	hold func(*router.Call) // nil, or called before each answer
 	mu   sync.Mutex
-	seen []*invoke.Request
+	seen []*invocation.Request
 }
 
 type none struct{}
@@ -56,7 +56,7 @@
 func (none) Cancel()             {}
 
 func (u *echo) Send(token router.Token, c *router.Call, _ string, _ int, _ time.Duration) router.Attempt {
-	req, _ := c.Request.(*invoke.Request)
+	req, _ := c.Request.(*invocation.Request)
 	u.mu.Lock()
 	u.seen = append(u.seen, req)
 	hold := u.hold
@@ -64,22 +64,22 @@
 	if hold != nil {
 		hold(c)
 	}
-	u.r.AttemptEnded(token, router.Ended{Result: brain.OK, Answer: append([]byte("done "), req.Body...), Report: router.NoReport})
+	u.r.AttemptEnded(token, router.Ended{Result: dispatch.OK, Answer: append([]byte("done "), req.Body...), Report: router.NoReport})
 	return none{}
 }
 func (u *echo) Load(string, string, int, time.Duration, func(router.Order)) {}
 func (u *echo) Ask(string, time.Duration, func(router.Probe))               {}
-func (u *echo) Workers([]roster.Worker)                                     {}
+func (u *echo) Workers([]endpoints.Worker)                                  {}
 
 func serve(t *testing.T, change func(*Config)) (*Front, *echo) {
 	t.Helper()
 	u := &echo{}
-	r, err := router.New(router.Config{Decider: func(brain.Settings, uint64) (router.Decider, error) { return decider{}, nil }}, u)
+	r, err := router.New(router.Config{Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return decider{}, nil }}, u)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.r = r
-	cfg := Config{Address: "127.0.0.1:0", Classes: map[string]brain.Effect{"safe": brain.Safe, "keyed": brain.Keyed}, MaxConns: 64,
+	cfg := Config{Address: "127.0.0.1:0", Classes: map[string]dispatch.Effect{"safe": dispatch.Safe, "keyed": dispatch.Keyed}, MaxConns: 64,
 		Limits: http1.Limits{Head: 4 << 10, Fields: 32, Body: 16 << 10, Pending: 4 << 10}, First: 20 * time.Second,
 		Idle: 20 * time.Second, Write: 20 * time.Second, Buffer: 32 << 10}
 	if change != nil {
--- a/internal/front/intake.go
+++ b/internal/server/intake.go
@@ -1,5 +1,5 @@
-// Package front holds what all client protocols share: how a request becomes a call of the router.
-package front
+// Package server holds what all client protocols share: how a request becomes a call of the router.
+package server
 
 import (
 	"fmt"
--- a/internal/wire/json.go
+++ b/internal/simwire/json.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 )
 
 // Limits are what the settings say to adapters rather than to the module.
@@ -26,15 +26,15 @@
 
 // SettingsOf reads the settings of an instance from nested JSON: the object that the line protocol spells as
 // pairs, with the same names and units.
-func SettingsOf(raw []byte) (brain.Settings, Limits, error) {
+func SettingsOf(raw []byte) (dispatch.Settings, Limits, error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
 	var v map[string]any
 	if err := dec.Decode(&v); err != nil {
-		return brain.Settings{}, Limits{}, fmt.Errorf("settings: %w", err)
+		return dispatch.Settings{}, Limits{}, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return brain.Settings{}, Limits{}, errors.New("settings: more than one value")
+		return dispatch.Settings{}, Limits{}, errors.New("settings: more than one value")
 	}
 	f := &fields{pairs: map[string]string{}}
 	f.flatten("", v, 0)
--- a/internal/wire/json_test.go
+++ b/internal/simwire/json_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"reflect"
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,16 +1,16 @@
-package wire
+package simwire
 
 import (
 	"fmt"
 	"strconv"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 )
 
 // settings reads the settings of a new instance. Keys that are not known are skipped.
-func settings(f *fields) brain.Settings {
-	s := brain.Settings{
+func settings(f *fields) dispatch.Settings {
+	s := dispatch.Settings{
 		Zone:           f.text("az", false),
 		Routers:        int(f.integer("balancers", false)),
 		OverShareWorth: f.number("over_share_worth", false),
@@ -44,13 +44,13 @@
 	}
 	switch f.text("feedback.how", false) {
 	case "piggyback":
-		s.Reports = brain.FromAnswers
+		s.Reports = dispatch.FromAnswers
 	case "pull":
-		s.Reports = brain.FromProbes
+		s.Reports = dispatch.FromProbes
 	}
 	memory := list(f.text("family_info.kind_memory_mb", false))
 	for i, name := range list(f.text("host_types", false)) {
-		k := brain.Kind{Name: name}
+		k := dispatch.Kind{Name: name}
 		if i < len(memory) {
 			v, err := strconv.ParseFloat(memory[i], 64)
 			if err != nil {
@@ -62,25 +62,25 @@
 	}
 	for i := range count(f, "classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
-		c := brain.Class{
+		c := dispatch.Class{
 			Name:      f.text(at+"name", true),
 			Aim:       f.span(at + "target"),
 			Deadline:  f.span(at + "deadline"),
 			Worth:     f.number(at+"worth", false),
 			LateShare: f.number(at+"late_share", false),
 			Window:    f.span(at + "window"),
-			Effect: word(f, at+"semantics", map[string]brain.Effect{"read_like": brain.Safe,
-				"idempotency_key": brain.Keyed, "non_idempotent": brain.Unsafe}),
+			Effect: word(f, at+"semantics", map[string]dispatch.Effect{"read_like": dispatch.Safe,
+				"idempotency_key": dispatch.Keyed, "non_idempotent": dispatch.Unsafe}),
 		}
-		if c.Effect == brain.Keyed {
-			c.Scope = word(f, at+"dedup_scope", map[string]brain.Scope{"all": brain.ScopeAll,
-				"zone": brain.ScopeZone, "cell": brain.ScopeCell})
+		if c.Effect == dispatch.Keyed {
+			c.Scope = word(f, at+"dedup_scope", map[string]dispatch.Scope{"all": dispatch.ScopeAll,
+				"zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell})
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range count(f, "projects.count") {
 		at := fmt.Sprintf("projects.%d.", i)
-		s.Tenants = append(s.Tenants, brain.Tenant{Name: f.text(at+"name", true),
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: f.text(at+"name", true),
 			Quota: f.number(at+"quota_per_s", false), Share: f.number(at+"share", false)})
 	}
 	return s
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the line protocol between a simulator or router shell and the
+// Package simwire reads and writes the line protocol between a simulator or router shell and the
 // dispatcher. It translates words and units and decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 )
 
 // Part is a run of one instance's events within a batch. A part with Start set begins a new life, one
@@ -21,13 +21,13 @@
 	Router int64
 	Start  *Start
 	Stop   bool
-	Events []brain.Event
+	Events []dispatch.Event
 }
 
 // Start is what an instance is told when it begins.
 type Start struct {
 	Seed     uint64
-	Settings brain.Settings
+	Settings dispatch.Settings
 }
 
 // Batch is one batch of events, all of one moment.
@@ -41,12 +41,12 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int64][]brain.Member
+	lists map[int64][]dispatch.Member
 }
 
 // NewReader returns a Reader of the events in r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int64][]brain.Member{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int64][]dispatch.Member{}}
 }
 
 // next returns the words of the next line that is not empty.
@@ -113,7 +113,7 @@
 		}
 		p := Part{}
 		f := fieldsOf(words[1:])
-		var ev brain.Event
+		var ev dispatch.Event
 		switch words[0] {
 		case "NEW_INSTANCE":
 			p.Router = f.integer("router", true)
@@ -128,7 +128,7 @@
 				continue
 			}
 			p.Router = f.integer("router", true)
-			if ro, ok := ev.(brain.Roster); ok && !ro.Failed && f.err == nil {
+			if ro, ok := ev.(dispatch.Roster); ok && !ro.Failed && f.err == nil {
 				list, known := r.lists[f.integer("set_id", true)]
 				if !known && f.err == nil {
 					return Batch{}, r.fail("ROSTER_CHANGE: no list of that set_id")
@@ -165,7 +165,7 @@
 	if f.err != nil {
 		return r.fail("CENSUS: %w", f.err)
 	}
-	list := []brain.Member{}
+	list := []dispatch.Member{}
 	for ; n > 0; n-- {
 		words, err := r.next()
 		if err != nil {
@@ -175,13 +175,13 @@
 			return r.fail("expected M, found %q", words[0])
 		}
 		f := fieldsOf(words[1:])
-		m := brain.Member{
+		m := dispatch.Member{
 			ID: f.text("server", true), Zone: f.text("az", false), Kind: f.text("family_type", false),
 			Cell: int(f.integer("bay", false)), Weight: f.number("share", false),
 			Started: f.duration("born", false),
 		}
-		m.State = word(f, "health", map[string]brain.State{
-			"on": brain.On, "fading": brain.Draining, "off": brain.Gone})
+		m.State = word(f, "health", map[string]dispatch.State{
+			"on": dispatch.On, "fading": dispatch.Draining, "off": dispatch.Gone})
 		if f.err != nil {
 			return r.fail("M: %w", f.err)
 		}
@@ -191,18 +191,18 @@
 	return nil
 }
 
-var results = map[string]brain.Result{
-	"Ok": brain.OK, "Failed": brain.Errored, "QueueFull": brain.Refused, "TimedOut": brain.TimedOut,
-	"ConnectError": brain.NoConnection, "ResetByPeer": brain.Reset, "Canceled": brain.Cancelled,
-	"Ignored": brain.NotSent, "Miss": brain.Missed,
+var results = map[string]dispatch.Result{
+	"Ok": dispatch.OK, "Failed": dispatch.Errored, "QueueFull": dispatch.Refused, "TimedOut": dispatch.TimedOut,
+	"ConnectError": dispatch.NoConnection, "ResetByPeer": dispatch.Reset, "Canceled": dispatch.Cancelled,
+	"Ignored": dispatch.NotSent, "Miss": dispatch.Missed,
 }
 
 // event reads one event line; known is false for one that this package has no word for.
-func event(name string, f *fields) (ev brain.Event, known bool) {
-	id := func() brain.RequestID { return brain.RequestID(f.integer("rid", true)) }
+func event(name string, f *fields) (ev dispatch.Event, known bool) {
+	id := func() dispatch.RequestID { return dispatch.RequestID(f.integer("rid", true)) }
 	switch name {
 	case "ACCEPT":
-		q := brain.Request{
+		q := dispatch.Request{
 			ID: id(), Function: f.text("callee", true), Class: f.text("category", true),
 			Tenant: f.text("account", false), MemoryMB: f.number("size_mb", false),
 			Lanes:    int(f.number("at_once", false)),
@@ -214,38 +214,38 @@
 		}
 		return q, true
 	case "CLOSED_ATTEMPT":
-		o := brain.Outcome{
+		o := dispatch.Outcome{
 			ID: id(), Attempt: int(f.integer("shot", false)), Worker: f.text("server", true),
 			Result: word(f, "ending", results), Took: f.duration("time_taken", false),
 			Final: f.integer("terminal", false) != 0, Load: load(f.text("usage", false)),
 		}
 		note := f.integer("note", false)
-		o.Warmth, o.Company = brain.Warmth(note&7), int(note>>3)
+		o.Warmth, o.Company = dispatch.Warmth(note&7), int(note>>3)
 		return o, true
 	case "DROPPED":
-		return brain.Dropped{ID: id()}, true
+		return dispatch.Dropped{ID: id()}, true
 	case "OPENED":
-		return brain.Started{ID: id(), Attempt: int(f.integer("shot", false)),
+		return dispatch.Started{ID: id(), Attempt: int(f.integer("shot", false)),
 			Worker: f.text("server", false), Took: f.duration("time_taken", false)}, true
 	case "LOAD_RESULT":
-		return brain.Loaded{Worker: f.text("server", true), Function: f.text("callee", true),
+		return dispatch.Loaded{Worker: f.text("server", true), Function: f.text("callee", true),
 			Result: word(f, "ending", results), Took: f.duration("time_taken", false),
 			Copies: int(f.integer("count", false))}, true
 	case "SAMPLED":
-		return brain.Probed{Worker: f.text("server", true), Result: word(f, "ending", results),
+		return dispatch.Probed{Worker: f.text("server", true), Result: word(f, "ending", results),
 			Took: f.duration("time_taken", false), Load: load(f.text("usage", false))}, true
 	case "ROSTER_CHANGE":
 		scope := f.text("scope", true)
-		return brain.Roster{Whole: scope == "whole" || scope == "stale_copy", Failed: scope == "broken"}, true
+		return dispatch.Roster{Whole: scope == "whole" || scope == "stale_copy", Failed: scope == "broken"}, true
 	case "DUE":
-		return brain.Woken{}, true
+		return dispatch.Woken{}, true
 	}
 	return nil, false
 }
 
 // load reads a load report, name:value pairs set apart by commas.
-func load(s string) brain.Load {
-	l := brain.NoLoad
+func load(s string) dispatch.Load {
+	l := dispatch.NoLoad
 	for s != "" {
 		var pair string
 		pair, s, _ = strings.Cut(s, ",")
--- a/internal/wire/writer.go
+++ b/internal/simwire/writer.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 )
 
 // Writer writes replies.
@@ -32,43 +32,43 @@
 func (w *Writer) duration(name string, v time.Duration) { w.integer(name, v.Microseconds()) }
 
 // Actions writes what one instance does.
-func (w *Writer) Actions(router int64, actions []brain.Action) {
+func (w *Writer) Actions(router int64, actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case brain.Send:
+		case dispatch.Send:
 			w.line("SUBMIT_TO", router)
 			w.integer("rid", int64(a.ID))
 			w.text("server", a.Worker)
 			if a.Timeout > 0 {
 				w.duration("allow_for", a.Timeout)
 			}
-		case brain.Cancel:
+		case dispatch.Cancel:
 			w.line("STOP_ATTEMPT", router)
 			w.integer("rid", int64(a.ID))
 			w.integer("shot", int64(a.Attempt))
-		case brain.Refuse:
+		case dispatch.Refuse:
 			w.line("PUSH_BACK", router)
 			w.integer("rid", int64(a.ID))
 			w.duration("come_back", a.After)
-		case brain.Fail:
+		case dispatch.Fail:
 			w.line("SURRENDER", router)
 			w.integer("rid", int64(a.ID))
-		case brain.LoadOrder:
+		case dispatch.LoadOrder:
 			w.line("HOLD_THERE", router)
 			w.text("callee", a.Function)
 			w.integer("count", int64(a.Copies))
 			w.text("server", a.Worker)
-		case brain.Probe:
+		case dispatch.Probe:
 			w.line("HEALTH_CHECK", router)
 			w.text("server", a.Worker)
-		case brain.Watch:
+		case dispatch.Watch:
 			w.line("STREAM_CHANGES", router)
 			w.integer("on", 1)
-		case brain.Wake:
+		case dispatch.Wake:
 			w.line("REMIND", router)
 			w.duration("delay", a.After)
 			w.text("key_back", "wake")
-		case brain.Note:
+		case dispatch.Note:
 			w.line("LOG", router)
 			w.text("text", a.Text)
 		}
--- a/internal/wheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,7 +1,7 @@
-// Package wheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels",
+// Package timingwheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels",
 // SOSP 1987): adding and removing a timer take constant time, which suits deadlines that are nearly all
 // removed before they come due. It reads no clock; time is a duration since any fixed moment.
-package wheel
+package timingwheel
 
 import (
 	"math/bits"
--- a/internal/wheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timingwheel
 
 import (
 	"container/heap"
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -1,11 +1,11 @@
-package upstream
+package grpcupstream
 
 import (
 	"strconv"
 	"sync"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
@@ -69,7 +69,7 @@
 
 // fail ends an attempt that was never sent.
 func (a *attempt) fail(reason string) {
-	a.end(router.Ended{Result: brain.NoConnection, Report: router.NoReport,
+	a.end(router.Ended{Result: dispatch.NoConnection, Report: router.NoReport,
 		Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}}})
 }
 
@@ -94,9 +94,9 @@
 	if !a.started {
 		a.started = true
 		if status, _ := grpc.Get(fields, ":status"); status != "200" {
-			a.badHTTP = &verdict{brain.Errored, grpc.StatusOfHTTP(status)}
+			a.badHTTP = &verdict{dispatch.Errored, grpc.StatusOfHTTP(status)}
 		} else if ct, _ := grpc.Get(fields, "content-type"); !grpc.IsContent(ct) {
-			a.badHTTP = &verdict{brain.Errored, grpc.Status{Code: grpc.Unknown,
+			a.badHTTP = &verdict{dispatch.Errored, grpc.Status{Code: grpc.Unknown,
 				Message: "worker's answer has content-type " + strconv.Quote(ct)}}
 		}
 		if !end {
@@ -163,10 +163,10 @@
 		a.end(router.Ended{Result: bad.result, Tail: oip.Tail{Status: bad.status}, Report: router.NoReport})
 	case broken != nil || tooLarge:
 		s.Reset(http2.Cancel)
-		a.end(router.Ended{Result: brain.Errored, Report: router.NoReport, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Internal,
+		a.end(router.Ended{Result: dispatch.Errored, Report: router.NoReport, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Internal,
 			Message: "worker's answer is broken or too large"}}})
 	case end:
-		a.end(router.Ended{Result: brain.Errored, Report: router.NoReport, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unknown,
+		a.end(router.Ended{Result: dispatch.Errored, Report: router.NoReport, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unknown,
 			Message: "worker sent no status"}}})
 	case tell:
 		a.p.router.AttemptBegan(a.token, metadata)
@@ -221,6 +221,6 @@
 	if s != nil {
 		s.Reset(http2.Cancel)
 	}
-	a.end(router.Ended{Result: brain.Cancelled, Report: router.NoReport,
+	a.end(router.Ended{Result: dispatch.Cancelled, Report: router.NoReport,
 		Tail: oip.Tail{Status: grpc.Status{Code: grpc.Canceled, Message: "cancelled by the gateway"}}})
 }
--- a/internal/upstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -1,4 +1,4 @@
-package upstream
+package grpcupstream
 
 import (
 	"sync"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
 	"github.com/topazfront/topazfront/internal/router"
@@ -39,7 +39,7 @@
 	done func(verdict, []byte, oip.Report)) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
-		done(verdict{brain.NotSent, grpc.Status{Code: grpc.Internal, Message: err.Error()}}, nil, oip.NoReport)
+		done(verdict{dispatch.NotSent, grpc.Status{Code: grpc.Internal, Message: err.Error()}}, nil, oip.NoReport)
 		return
 	}
 	x := &control{p: p, path: path, until: time.Now().Add(limit), done: done,
@@ -48,7 +48,7 @@
 		x.mu.Lock()
 		s := x.stream
 		x.mu.Unlock()
-		x.end(verdict{brain.TimedOut, grpc.Status{Code: grpc.DeadlineExceeded}}, oip.NoReport)
+		x.end(verdict{dispatch.TimedOut, grpc.Status{Code: grpc.DeadlineExceeded}}, oip.NoReport)
 		if s != nil {
 			s.Reset(http2.Cancel)
 		}
@@ -70,7 +70,7 @@
 }
 
 func (x *control) fail(reason string) {
-	x.end(verdict{brain.NoConnection, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoReport)
+	x.end(verdict{dispatch.NoConnection, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoReport)
 }
 
 func (x *control) end(got verdict, report oip.Report) {
@@ -111,7 +111,7 @@
 	x.mu.Unlock()
 	if err != nil || len(rest) > 0 || end {
 		s.Reset(http2.Cancel)
-		x.end(verdict{brain.Errored, grpc.Status{Code: grpc.Internal, Message: "broken answer"}}, oip.NoReport)
+		x.end(verdict{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "broken answer"}}, oip.NoReport)
 	}
 }
 
@@ -136,8 +136,8 @@
 	}
 	p.control(worker, oip.Load, m, limit, func(got verdict, _ []byte, report oip.Report) {
 		o := router.Order{Result: got.result, Copies: int(max(report.Copies, 0))}
-		if got.result == brain.OK && got.status.Code != grpc.OK {
-			o.Result = brain.Errored // a status about the order itself brings no copy
+		if got.result == dispatch.OK && got.status.Code != grpc.OK {
+			o.Result = dispatch.Errored // a status about the order itself brings no copy
 		}
 		done(o)
 	})
@@ -148,11 +148,11 @@
 	p.control(worker, oip.ServerReady, &inference.ServerReadyRequest{}, limit,
 		func(got verdict, body []byte, report oip.Report) {
 			a := router.Probe{Result: got.result, Report: told(report)}
-			if got.result == brain.OK && got.status.Code != grpc.OK {
-				a.Result = brain.Errored
+			if got.result == dispatch.OK && got.status.Code != grpc.OK {
+				a.Result = dispatch.Errored
 			}
 			var m inference.ServerReadyResponse
-			if a.Result == brain.OK && proto.Unmarshal(body, &m) == nil {
+			if a.Result == dispatch.OK && proto.Unmarshal(body, &m) == nil {
 				a.Ready = m.Ready
 			}
 			done(a)
@@ -161,6 +161,6 @@
 
 // told puts a worker's report in the router's words.
 func told(r oip.Report) router.Report {
-	return router.Report{Load: brain.Load{InFlight: r.InFlight, Queue: r.Queue, Loading: r.Loading},
-		Warmth: brain.Warmth(r.Warmth), Company: int(max(r.Company, -1))}
+	return router.Report{Load: dispatch.Load{InFlight: r.InFlight, Queue: r.Queue, Loading: r.Loading},
+		Warmth: dispatch.Warmth(r.Warmth), Company: int(max(r.Company, -1))}
 }
