--- a/internal/upstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -1,9 +1,9 @@
-package upstream
+package grpcupstream
 
 import (
 	"errors"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
@@ -34,21 +34,21 @@
 func ofStream(err error) verdict {
 	var se *http2.StreamError
 	if !errors.As(err, &se) {
-		return verdict{brain.Reset, grpc.Status{Code: grpc.Unavailable, Message: "stream ended early"}}
+		return verdict{dispatch.Reset, grpc.Status{Code: grpc.Unavailable, Message: "stream ended early"}}
 	}
 	switch {
 	case se.NeverRan:
-		return verdict{brain.Refused, grpc.Status{Code: grpc.Unavailable, Message: "worker refused the stream"}}
+		return verdict{dispatch.Refused, grpc.Status{Code: grpc.Unavailable, Message: "worker refused the stream"}}
 	case se.Lost:
-		return verdict{brain.Reset, grpc.Status{Code: grpc.Unknown, Message: "connection to the worker lost"}}
+		return verdict{dispatch.Reset, grpc.Status{Code: grpc.Unknown, Message: "connection to the worker lost"}}
 	default:
-		return verdict{brain.Reset, grpc.Status{Code: grpc.Unknown, Message: "worker's stream ended: " + se.Error()}}
+		return verdict{dispatch.Reset, grpc.Status{Code: grpc.Unknown, Message: "worker's stream ended: " + se.Error()}}
 	}
 }
 
 // verdict is a result with the status that a client would be told.
 type verdict struct {
-	result brain.Result
+	result dispatch.Result
 	status grpc.Status
 }
 
@@ -66,23 +66,23 @@
 // tells of a cut one.
 func ofTrailers(trailers []hpack.Field, messages int, broken, streamed bool) (got verdict, drains bool) {
 	if _, ok := grpc.Get(trailers, "grpc-status"); !ok {
-		return verdict{brain.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}}, false
+		return verdict{dispatch.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}}, false
 	}
 	st := grpc.StatusOf(trailers)
 	admission, _ := grpc.Get(trailers, oip.AdmissionField)
 	switch {
 	case st.Code == grpc.OK && (broken || !streamed && messages != 1):
-		return verdict{brain.Errored, grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken"}}, false
+		return verdict{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken"}}, false
 	case st.Code == grpc.OK:
-		return verdict{brain.OK, st}, false
+		return verdict{dispatch.OK, st}, false
 	case messages == 0 && !broken && admission == oip.AdmissionMissing:
-		return verdict{brain.Missed, st}, false
+		return verdict{dispatch.Missed, st}, false
 	case messages == 0 && !broken && admission == oip.AdmissionFull:
-		return verdict{brain.Refused, st}, false
+		return verdict{dispatch.Refused, st}, false
 	case messages == 0 && !broken && admission == oip.AdmissionDraining:
-		return verdict{brain.Refused, st}, true
+		return verdict{dispatch.Refused, st}, true
 	case answerCode(st.Code) && !broken:
-		return verdict{brain.OK, st}, false
+		return verdict{dispatch.OK, st}, false
 	}
-	return verdict{brain.Errored, st}, false
+	return verdict{dispatch.Errored, st}, false
 }
--- a/internal/upstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -1,4 +1,4 @@
-package upstream
+package grpcupstream
 
 import (
 	"bytes"
@@ -17,44 +17,44 @@
 	peer "golang.org/x/net/http2"
 	peerhpack "golang.org/x/net/http2/hpack"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/front/grpcfront"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
-	"github.com/topazfront/topazfront/internal/roster"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server/grpcserver"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 )
 
 // probe is a policy that sends each request once, to worker w, and notes what it is told.
 type probe struct {
 	mu       sync.Mutex
-	outcomes chan brain.Outcome
+	outcomes chan dispatch.Outcome
 	started  int
 	drained  chan string
 	cancel   bool // cancels the attempt at once
 }
 
-func (p *probe) Step(now time.Duration, events []brain.Event) (out []brain.Action) {
+func (p *probe) Step(now time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case brain.Request:
-			out = append(out, brain.Send{ID: e.ID, Worker: "w"})
+		case dispatch.Request:
+			out = append(out, dispatch.Send{ID: e.ID, Worker: "w"})
 			if p.cancel {
-				out = append(out, brain.Cancel{ID: e.ID})
+				out = append(out, dispatch.Cancel{ID: e.ID})
 			}
-		case brain.Started:
+		case dispatch.Started:
 			p.mu.Lock()
 			p.started++
 			p.mu.Unlock()
-		case brain.Outcome:
+		case dispatch.Outcome:
 			p.outcomes <- e
 			if !e.Final {
-				out = append(out, brain.Fail{ID: e.ID})
+				out = append(out, dispatch.Fail{ID: e.ID})
 			}
-		case brain.Roster:
+		case dispatch.Roster:
 			for _, m := range e.Members {
-				if m.State == brain.Draining {
+				if m.State == dispatch.Draining {
 					p.drained <- m.ID
 				}
 			}
@@ -81,23 +81,23 @@
 	return len(p)
 }
 func (a *answer) Finish(f router.Final) {
-	st, _ := grpcfront.Told(f)
+	st, _ := grpcserver.Told(f)
 	a.status <- st
 }
 
 // stage is a router with one worker at an address.
 func stage(t *testing.T, addr string) (*router.Router, *probe) {
 	t.Helper()
-	p := &probe{outcomes: make(chan brain.Outcome, 16), drained: make(chan string, 16)}
+	p := &probe{outcomes: make(chan dispatch.Outcome, 16), drained: make(chan string, 16)}
 	pool := New(Config{Router: "r", ConnectTimeout: 300 * time.Millisecond, MaxConns: 1, MaxMessage: 1 << 20})
 	r, err := router.New(router.Config{Name: "r", OrderTimeout: time.Second, ProbeTimeout: time.Second,
-		Roster:  roster.Settings{AskAfter: time.Hour},
-		Decider: func(brain.Settings, uint64) (router.Decider, error) { return p, nil }}, pool)
+		Roster:  endpoints.Settings{AskAfter: time.Hour},
+		Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return p, nil }}, pool)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool.Attach(r)
-	r.SetWorkers([]roster.Worker{{Member: brain.Member{ID: "w"}, Address: addr}})
+	r.SetWorkers([]endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: addr}})
 	t.Cleanup(func() { r.Kill(); pool.Close() })
 	return r, p
 }
@@ -181,7 +181,7 @@
 		name     string
 		streamed bool
 		act      func(net.Conn, *peer.Framer, hf, uint32)
-		result   brain.Result
+		result   dispatch.Result
 		status   grpc.Code // what the client is told
 		final    bool
 		drains   bool
@@ -190,110 +190,110 @@
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, message)
 			h(id, true, "grpc-status", "0")
-		}, brain.OK, grpc.OK, true, false},
+		}, dispatch.OK, grpc.OK, true, false},
 		{"stream", true, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, append(message, message...))
 			h(id, true, "grpc-status", "0")
-		}, brain.OK, grpc.OK, true, false},
+		}, dispatch.OK, grpc.OK, true, false},
 		{"stream without messages", true, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "0")...)
-		}, brain.OK, grpc.OK, true, false},
+		}, dispatch.OK, grpc.OK, true, false},
 		{"REFUSED_STREAM", false, func(_ net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteRSTStream(id, peer.ErrCodeRefusedStream)
-		}, brain.Refused, grpc.Unknown, false, false},
+		}, dispatch.Refused, grpc.Unknown, false, false},
 		{"above GOAWAY's last stream", false, func(_ net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteGoAway(0, peer.ErrCodeNo, nil)
-		}, brain.Refused, grpc.Unknown, false, true},
+		}, dispatch.Refused, grpc.Unknown, false, true},
 		{"below GOAWAY's last stream, then lost", false, func(nc net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteGoAway(id, peer.ErrCodeNo, nil)
 			_ = nc.Close()
-		}, brain.Reset, grpc.Unknown, false, true},
+		}, dispatch.Reset, grpc.Unknown, false, true},
 		{"RST_STREAM with another code", false, func(_ net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteRSTStream(id, peer.ErrCodeInternal)
-		}, brain.Reset, grpc.Unknown, false, false},
+		}, dispatch.Reset, grpc.Unknown, false, false},
 		{"connection lost", false, func(nc net.Conn, _ *peer.Framer, _ hf, _ uint32) { _ = nc.Close() },
-			brain.Reset, grpc.Unknown, false, false},
+			dispatch.Reset, grpc.Unknown, false, false},
 		{"connection error", false, func(_ net.Conn, fr *peer.Framer, _ hf, _ uint32) {
 			_ = fr.WriteData(0, false, []byte{1})
-		}, brain.Reset, grpc.Unknown, false, false},
+		}, dispatch.Reset, grpc.Unknown, false, false},
 		{"full", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "8", oip.AdmissionField, oip.AdmissionFull)...)
-		}, brain.Refused, grpc.Unknown, false, false},
+		}, dispatch.Refused, grpc.Unknown, false, false},
 		{"draining", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "14", oip.AdmissionField, oip.AdmissionDraining)...)
-		}, brain.Refused, grpc.Unknown, false, true},
+		}, dispatch.Refused, grpc.Unknown, false, true},
 		{"missing", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "5", oip.AdmissionField, oip.AdmissionMissing)...)
-		}, brain.Missed, grpc.Unknown, false, false},
+		}, dispatch.Missed, grpc.Unknown, false, false},
 		{"full, but behind a message", true, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, message)
 			h(id, true, "grpc-status", "8", oip.AdmissionField, oip.AdmissionFull)
-		}, brain.Errored, grpc.ResourceExhausted, true, false},
+		}, dispatch.Errored, grpc.ResourceExhausted, true, false},
 		{"unavailable without a promise", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "14")...)
-		}, brain.Errored, grpc.Unknown, false, false},
+		}, dispatch.Errored, grpc.Unknown, false, false},
 		{"an error of the worker's", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "13", "grpc-message", "boom")...)
-		}, brain.Errored, grpc.Internal, false, false},
+		}, dispatch.Errored, grpc.Internal, false, false},
 		{"an error of the request's", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "3")...)
-		}, brain.OK, grpc.InvalidArgument, true, false},
+		}, dispatch.OK, grpc.InvalidArgument, true, false},
 		{"OK without an answer", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "0")...)
-		}, brain.Errored, grpc.Internal, false, false},
+		}, dispatch.Errored, grpc.Internal, false, false},
 		{"OK with two answers", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, append(message, message...))
 			h(id, true, "grpc-status", "0")
-		}, brain.Errored, grpc.Internal, false, false},
+		}, dispatch.Errored, grpc.Internal, false, false},
 		{"OK with a cut answer", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, message[:6])
 			h(id, true, "grpc-status", "0")
-		}, brain.Errored, grpc.Internal, false, false},
+		}, dispatch.Errored, grpc.Internal, false, false},
 		{"stream cut within its second message", true, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, append(message, message[:6]...))
 			h(id, true, "grpc-status", "0")
-		}, brain.Errored, grpc.Internal, true, false},
+		}, dispatch.Errored, grpc.Internal, true, false},
 		{"stream broken after its first message", true, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, message)
 			_ = fr.WriteRSTStream(id, peer.ErrCodeInternal)
-		}, brain.Reset, grpc.Unknown, true, false},
+		}, dispatch.Reset, grpc.Unknown, true, false},
 		{"no trailers", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, true, message)
-		}, brain.Errored, grpc.Unknown, false, false},
+		}, dispatch.Errored, grpc.Unknown, false, false},
 		{"no status", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, message)
 			h(id, true, "other", "x")
-		}, brain.Errored, grpc.Unknown, false, false},
+		}, dispatch.Errored, grpc.Unknown, false, false},
 		{"HTTP 503", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ":status", "503", "content-type", "text/html")
 			_ = fr.WriteData(id, true, []byte("<html>"))
-		}, brain.Errored, grpc.Unknown, false, false},
+		}, dispatch.Errored, grpc.Unknown, false, false},
 		{"not gRPC", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ":status", "200", "content-type", "text/plain")
 			_ = fr.WriteData(id, true, []byte("hello there"))
-		}, brain.Errored, grpc.Unknown, false, false},
+		}, dispatch.Errored, grpc.Unknown, false, false},
 		{"bad message flag", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, []byte{9, 0, 0, 0, 0})
-		}, brain.Errored, grpc.Internal, false, false},
+		}, dispatch.Errored, grpc.Internal, false, false},
 		{"answer beyond the bound", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, []byte{0, 0x7f, 0, 0, 0})
 			for range 80 {
 				_ = fr.WriteData(id, false, make([]byte, 16000))
 			}
-		}, brain.Errored, grpc.Internal, false, false},
+		}, dispatch.Errored, grpc.Internal, false, false},
 		{"malformed response", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, ":status", "200", "Upper", "x")
-		}, brain.Reset, grpc.Unknown, false, false},
+		}, dispatch.Reset, grpc.Unknown, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -335,7 +335,7 @@
 	_ = ln.Close()
 	r, p := stage(t, addr)
 	submit(t, r, false, 5*time.Second)
-	if o := get(t, p.outcomes, "the outcome"); o.Result != brain.NoConnection {
+	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.NoConnection {
 		t.Errorf("%v", o.Result)
 	}
 }
@@ -344,13 +344,13 @@
 	silent := scripted(t, func(net.Conn, *peer.Framer, func(uint32, bool, ...string), uint32) {})
 	r, p := stage(t, silent)
 	submit(t, r, false, 100*time.Millisecond)
-	if o := get(t, p.outcomes, "the outcome"); o.Result != brain.TimedOut {
+	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.TimedOut {
 		t.Errorf("%v, want TimedOut", o.Result)
 	}
 	r, p = stage(t, silent)
 	p.cancel = true
 	submit(t, r, false, 10*time.Second)
-	if o := get(t, p.outcomes, "the outcome"); o.Result != brain.Cancelled {
+	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.Cancelled {
 		t.Errorf("%v, want Cancelled", o.Result)
 	}
 }
@@ -404,14 +404,14 @@
 	defer srv.Stop()
 	r, p := stage(t, ln.Addr().String())
 	a := submit(t, r, false, 10*time.Second)
-	if o := get(t, p.outcomes, "the outcome"); o.Result != brain.OK || o.Load.InFlight != 4 {
+	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.OK || o.Load.InFlight != 4 {
 		t.Errorf("unary: %+v", o)
 	}
 	if st := get(t, a.status, "the answer"); st.Code != grpc.OK {
 		t.Errorf("unary: %v", st)
 	}
 	a = submit(t, r, true, 10*time.Second)
-	if o := get(t, p.outcomes, "the outcome"); o.Result != brain.OK || p.started != 1 {
+	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.OK || p.started != 1 {
 		t.Errorf("streamed: %+v, started %d", o, p.started)
 	}
 	var c grpc.Counter
@@ -421,14 +421,14 @@
 	pool := New(Config{Router: "r", ConnectTimeout: time.Second, MaxConns: 1, MaxMessage: 1 << 20})
 	defer pool.Close()
 	pool.Attach(r)
-	pool.Workers([]roster.Worker{{Member: brain.Member{ID: "w"}, Address: ln.Addr().String()}})
+	pool.Workers([]endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: ln.Addr().String()}})
 	orders, probes := make(chan router.Order, 1), make(chan router.Probe, 1)
 	pool.Load("w", "m", 1, 10*time.Second, func(o router.Order) { orders <- o })
-	if o := get(t, orders, "the order's end"); o.Result != brain.OK || o.Copies != 2 {
+	if o := get(t, orders, "the order's end"); o.Result != dispatch.OK || o.Copies != 2 {
 		t.Errorf("order: %+v", o)
 	}
 	pool.Ask("w", 10*time.Second, func(a router.Probe) { probes <- a })
-	if a := get(t, probes, "the probe's end"); a.Result != brain.OK || !a.Ready || a.Report.Load.InFlight != 4 {
+	if a := get(t, probes, "the probe's end"); a.Result != dispatch.OK || !a.Ready || a.Report.Load.InFlight != 4 {
 		t.Errorf("probe: %+v", a)
 	}
 }
@@ -463,7 +463,7 @@
 	r, p := stage(t, ln.Addr().String())
 	for range 10 {
 		submit(t, r, false, time.Hour)
-		if o := get(t, p.outcomes, "the outcome"); o.Result != brain.NoConnection && o.Result != brain.Reset {
+		if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.NoConnection && o.Result != dispatch.Reset {
 			t.Errorf("%v", o.Result)
 		}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream holds the connections to workers. It starts attempts, load orders and probes there, and
+// Package grpcupstream holds the connections to workers. It starts attempts, load orders and probes there, and
 // judges by what the wire shows how each ended (the table in evidence.go). It chooses no worker.
-package upstream
+package grpcupstream
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/oip"
-	"github.com/topazfront/topazfront/internal/roster"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
@@ -65,7 +65,7 @@
 func (p *Pool) Attach(r *router.Router) { p.router = r }
 
 // Workers implements router.Upstream.
-func (p *Pool) Workers(list []roster.Worker) {
+func (p *Pool) Workers(list []endpoints.Worker) {
 	var leave []*http2.Conn
 	addresses := make(map[string]string, len(list))
 	p.mu.Lock()
--- a/internal/upstream/respback/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -1,4 +1,4 @@
-package respback
+package respupstream
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/invoke"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/transport/resp"
 )
 
@@ -60,9 +60,9 @@
 	p.dialing--
 	if err != nil {
 		p.stats.Failed++
-		res := brain.NoConnection
+		res := dispatch.NoConnection
 		if ours(err) {
-			res = brain.NotSent
+			res = dispatch.NotSent
 		}
 		waiting := w.waiting
 		w.waiting = nil
@@ -202,7 +202,7 @@
 		}
 		x, now := c.queue[0], time.Now()
 		if x.kind != note && !p.viable(x, now) {
-			f = p.end(x, brain.NotSent, nil)
+			f = p.end(x, dispatch.NotSent, nil)
 			p.mu.Unlock()
 			run([]func(){f})
 			continue
@@ -248,7 +248,7 @@
 		c.retire()
 		x.written, x.c = time.Time{}, nil
 		if x.tries++; x.tries > 3 {
-			f = p.end(x, brain.NotSent, nil)
+			f = p.end(x, dispatch.NotSent, nil)
 		} else {
 			f = p.place(x)
 		}
@@ -349,7 +349,7 @@
 	queue := c.queue
 	c.queue = nil
 	for _, x := range c.open {
-		ends = append(ends, p.end(x, brain.Reset, nil))
+		ends = append(ends, p.end(x, dispatch.Reset, nil))
 	}
 	for _, x := range queue {
 		if x.c = nil; !x.over && x.kind != note {
@@ -369,7 +369,7 @@
 
 // The messages to a worker.
 
-func execOf(r *invoke.Request, left time.Duration) []byte {
+func execOf(r *invocation.Request, left time.Duration) []byte {
 	f := make([]byte, 0, 128)
 	f = append(f, "cls="...)
 	f = append(f, r.Class...)
--- a/internal/upstream/respback/evidence.go
+++ b/internal/upstream/respupstream/evidence.go
@@ -1,4 +1,4 @@
-package respback
+package respupstream
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"math"
 	"strconv"
 
-	"github.com/topazfront/topazfront/brain"
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/router"
 )
 
@@ -49,14 +49,14 @@
 }
 
 // words are the answers, and what they mean to each kind of exchange.
-var words = map[string]map[kind]brain.Result{
-	"ok":      {exec: brain.OK, order: brain.OK},
-	"nothing": {exec: brain.Missed},
-	"refused": {exec: brain.Refused, order: brain.Refused},
-	"error":   {exec: brain.Errored, order: brain.Errored, probe: brain.Errored},
-	"stale":   {exec: brain.NotSent},
-	"yes":     {probe: brain.OK},
-	"no":      {probe: brain.OK},
+var words = map[string]map[kind]dispatch.Result{
+	"ok":      {exec: dispatch.OK, order: dispatch.OK},
+	"nothing": {exec: dispatch.Missed},
+	"refused": {exec: dispatch.Refused, order: dispatch.Refused},
+	"error":   {exec: dispatch.Errored, order: dispatch.Errored, probe: dispatch.Errored},
+	"stale":   {exec: dispatch.NotSent},
+	"yes":     {probe: dispatch.OK},
+	"no":      {probe: dispatch.OK},
 }
 
 // readAnswer reads an answer's items.
@@ -103,7 +103,7 @@
 }
 
 // meter reads a load report.
-func meter(l *brain.Load, p []byte) bool {
+func meter(l *dispatch.Load, p []byte) bool {
 	for len(p) > 0 {
 		var pair []byte
 		pair, p, _ = bytes.Cut(p, []byte{';'})
--- a/internal/upstream/respback/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -1,8 +1,8 @@
-// Package respback is the router's exit to workers that speak the platform's protocol: arrays of bulk strings, many
+// Package respupstream is the router's exit to workers that speak the platform's protocol: arrays of bulk strings, many
 // requests on a connection, answers in any order. It starts attempts, load orders and probes, judges by what the
 // wire shows how each ended (the table in evidence.go), and checks each again at the moment its first byte is
 // written. It chooses no worker.
-package respback
+package respupstream
 
 import (
 	"log/slog"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/invoke"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
 )
 
@@ -57,7 +57,7 @@
 type worker struct {
 	id, addr string
 	started  time.Duration
-	state    brain.State
+	state    dispatch.State
 	left     bool // no longer in the list
 	conns    []*conn
 	dialing  int
@@ -85,7 +85,7 @@
 	began time.Time
 	call  *router.Call // of an attempt
 	form  func(left time.Duration) []byte
-	done  func(brain.Result, *answer)
+	done  func(dispatch.Result, *answer)
 
 	// Under the pool's lock.
 	c       *conn // on which it is queued or open
@@ -121,7 +121,7 @@
 }
 
 // Workers implements router.Upstream.
-func (p *Pool) Workers(list []roster.Worker) {
+func (p *Pool) Workers(list []endpoints.Worker) {
 	var ends []func()
 	named := make(map[string]bool, len(list))
 	p.mu.Lock()
@@ -154,7 +154,7 @@
 	waiting := w.waiting
 	w.waiting = nil
 	for _, x := range waiting {
-		ends = append(ends, p.end(x, brain.NotSent, nil))
+		ends = append(ends, p.end(x, dispatch.NotSent, nil))
 	}
 	for _, c := range append([]*conn(nil), w.conns...) {
 		c.retire()
@@ -181,14 +181,14 @@
 
 // Send implements router.Upstream.
 func (p *Pool) Send(token router.Token, c *router.Call, id string, _ int, left time.Duration) router.Attempt {
-	req, _ := c.Request.(*invoke.Request)
+	req, _ := c.Request.(*invocation.Request)
 	x := &exchange{p: p, kind: exec, call: c, began: time.Now()}
 	x.until = x.began.Add(left)
-	x.done = func(res brain.Result, a *answer) {
+	x.done = func(res dispatch.Result, a *answer) {
 		how := router.Ended{Result: res, Report: router.NoReport}
 		if a != nil {
 			how.Report = a.report
-			if res == brain.OK {
+			if res == dispatch.OK {
 				how.Answer = a.body
 			}
 		}
@@ -196,7 +196,7 @@
 	}
 	if req == nil { // it came by another protocol
 		x.over = true
-		x.done(brain.NotSent, nil)
+		x.done(dispatch.NotSent, nil)
 		return handle{x}
 	}
 	x.id = req.ID
@@ -209,7 +209,7 @@
 // would come in another span of the ration.
 func (p *Pool) Load(id, function string, copies int, limit time.Duration, done func(router.Order)) {
 	x := &exchange{p: p, kind: order, until: time.Now().Add(min(limit, p.cfg.ConnectTimeout))}
-	x.done = func(res brain.Result, a *answer) {
+	x.done = func(res dispatch.Result, a *answer) {
 		o := router.Order{Result: res}
 		if a != nil {
 			o.Copies = a.copies
@@ -223,7 +223,7 @@
 // Ask implements router.Upstream.
 func (p *Pool) Ask(id string, limit time.Duration, done func(router.Probe)) {
 	x := &exchange{p: p, kind: probe, until: time.Now().Add(limit)}
-	x.done = func(res brain.Result, a *answer) {
+	x.done = func(res dispatch.Result, a *answer) {
 		got := router.Probe{Result: res, Report: router.NoReport}
 		if a != nil {
 			got.Report, got.Ready = a.report, a.word == "yes"
@@ -241,7 +241,7 @@
 	x.id = "q" + strconv.FormatUint(p.tags, 10)
 	x.timer = time.AfterFunc(limit, func() {
 		p.mu.Lock()
-		f := p.end(x, brain.TimedOut, nil)
+		f := p.end(x, dispatch.TimedOut, nil)
 		p.mu.Unlock()
 		run([]func(){f})
 	})
@@ -261,14 +261,14 @@
 // viable tells whether an exchange may be written now.
 func (p *Pool) viable(x *exchange, now time.Time) bool {
 	return !x.over && x.w != nil && !x.w.left && !p.closed && now.Before(x.until) &&
-		(x.w.state == brain.On || x.kind == probe) && (x.call == nil || x.call.Wanted())
+		(x.w.state == dispatch.On || x.kind == probe) && (x.call == nil || x.call.Wanted())
 }
 
 // place finds a connection for an exchange: one with nothing open, lately used first, else a new one while the
 // bounds allow it, else the one with the least open. With few requests on each, one that breaks takes few along.
 func (p *Pool) place(x *exchange) (end func()) {
 	if !p.viable(x, time.Now()) {
-		return p.end(x, brain.NotSent, nil)
+		return p.end(x, dispatch.NotSent, nil)
 	}
 	w := x.w
 	var best *conn
@@ -302,7 +302,7 @@
 }
 
 // end ends an exchange, once; the returned function tells so and must be called without the lock.
-func (p *Pool) end(x *exchange, res brain.Result, a *answer) func() {
+func (p *Pool) end(x *exchange, res dispatch.Result, a *answer) func() {
 	if x.over {
 		return nil
 	}
@@ -319,7 +319,7 @@
 		p.stats.Unwritten++
 	} else if a != nil {
 		p.stats.Answered++
-		if x.kind == exec && res == brain.OK {
+		if x.kind == exec && res == dispatch.OK {
 			p.stats.Waited += x.written.Sub(x.began)
 			p.stats.Wire += time.Since(x.written)
 		}
@@ -335,9 +335,9 @@
 // cancel gives an attempt up. What was written is taken back by a drop, which has no answer.
 func (p *Pool) cancel(x *exchange) {
 	p.mu.Lock()
-	res := brain.Cancelled
+	res := dispatch.Cancelled
 	if x.written.IsZero() {
-		res = brain.NotSent
+		res = dispatch.NotSent
 	}
 	c := x.c
 	open := c != nil && !x.over && !x.written.IsZero()
--- a/internal/upstream/respback/respback_test.go
+++ b/internal/upstream/respupstream/respback_test.go
@@ -1,4 +1,4 @@
-package respback
+package respupstream
 
 import (
 	"bufio"
@@ -15,52 +15,52 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"github.com/topazfront/topazfront/brain"
-	"github.com/topazfront/topazfront/internal/invoke"
-	"github.com/topazfront/topazfront/internal/roster"
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
-	"github.com/topazfront/topazfront/internal/standin/platform"
 )
 
 // script is a decider that sends each request to the workers of a list, one after another, and notes what comes.
 type script struct {
 	to       []string
-	outcomes chan brain.Outcome
-	loaded   chan brain.Loaded
-	probed   chan brain.Probed
+	outcomes chan dispatch.Outcome
+	loaded   chan dispatch.Loaded
+	probed   chan dispatch.Probed
 	order    string // a worker that is ordered to load with each request
 	probe    string // and one that is probed
 
 	mu    sync.Mutex
-	tries map[brain.RequestID]int
+	tries map[dispatch.RequestID]int
 }
 
-func (s *script) Step(_ time.Duration, events []brain.Event) (out []brain.Action) {
+func (s *script) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range events {
 		switch e := e.(type) {
-		case brain.Request:
-			out = append(out, brain.Send{ID: e.ID, Worker: s.to[0]})
+		case dispatch.Request:
+			out = append(out, dispatch.Send{ID: e.ID, Worker: s.to[0]})
 			if s.order != "" {
-				out = append(out, brain.LoadOrder{Worker: s.order, Function: e.Function, Copies: 2})
+				out = append(out, dispatch.LoadOrder{Worker: s.order, Function: e.Function, Copies: 2})
 			}
 			if s.probe != "" {
-				out = append(out, brain.Probe{Worker: s.probe})
+				out = append(out, dispatch.Probe{Worker: s.probe})
 			}
-		case brain.Outcome:
+		case dispatch.Outcome:
 			s.outcomes <- e
 			s.tries[e.ID]++
 			if n := s.tries[e.ID]; !e.Final && n < len(s.to) {
-				out = append(out, brain.Send{ID: e.ID, Worker: s.to[n]})
+				out = append(out, dispatch.Send{ID: e.ID, Worker: s.to[n]})
 			} else if !e.Final {
-				out = append(out, brain.Fail{ID: e.ID})
+				out = append(out, dispatch.Fail{ID: e.ID})
 			}
-		case brain.Dropped:
-			out = append(out, brain.Cancel{ID: e.ID})
-		case brain.Loaded:
+		case dispatch.Dropped:
+			out = append(out, dispatch.Cancel{ID: e.ID})
+		case dispatch.Loaded:
 			s.loaded <- e
-		case brain.Probed:
+		case dispatch.Probed:
 			s.probed <- e
 		}
 	}
@@ -80,14 +80,14 @@
 	s    *script
 	p    *Pool
 	r    *router.Router
-	list []roster.Worker
+	list []endpoints.Worker
 	n    int
 }
 
-func newStage(t *testing.T, change func(*Config), s *script, workers ...*platform.Worker) *stage {
+func newStage(t *testing.T, change func(*Config), s *script, workers ...*fakeplatform.Worker) *stage {
 	t.Helper()
-	s.outcomes, s.loaded, s.probed = make(chan brain.Outcome, 64), make(chan brain.Loaded, 64), make(chan brain.Probed, 64)
-	s.tries = map[brain.RequestID]int{}
+	s.outcomes, s.loaded, s.probed = make(chan dispatch.Outcome, 64), make(chan dispatch.Loaded, 64), make(chan dispatch.Probed, 64)
+	s.tries = map[dispatch.RequestID]int{}
 	cfg := Config{ConnectTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, StallAfter: 10 * time.Second, MaxConns: 8,
 		MaxOpen: 32, MaxAnswer: 1 << 12, Buffer: 32 << 10}
 	if change != nil {
@@ -96,7 +96,7 @@
 	st := &stage{t: t, s: s, p: New(cfg)}
 	var err error
 	st.r, err = router.New(router.Config{Name: "r", OrderTimeout: 20 * time.Second, ProbeTimeout: 20 * time.Second,
-		Decider: func(brain.Settings, uint64) (router.Decider, error) { return s, nil }}, st.p)
+		Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return s, nil }}, st.p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 		if err := w.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
-		st.list = append(st.list, roster.Worker{Member: brain.Member{ID: w.ID}, Address: w.Addr()})
+		st.list = append(st.list, endpoints.Worker{Member: dispatch.Member{ID: w.ID}, Address: w.Addr()})
 		t.Cleanup(w.Stop)
 	}
 	st.r.SetWorkers(st.list)
@@ -124,66 +124,66 @@
 	c := make(client, 2)
 	st.n++
 	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: left, Client: c,
-		Request: &invoke.Request{ID: fmt.Sprintf("%016x", st.n), Class: "c", Function: fn, Key: "k1", Body: []byte("body")}})
+		Request: &invocation.Request{ID: fmt.Sprintf("%016x", st.n), Class: "c", Function: fn, Key: "k1", Body: []byte("body")}})
 	return c
 }
 
-func say(items ...string) func(platform.Request) {
-	return func(r platform.Request) {
+func say(items ...string) func(fakeplatform.Request) {
+	return func(r fakeplatform.Request) {
 		if r.Verb == "exec" {
 			r.Conn.Say(append([]string{r.ID}, items...)...)
 		}
 	}
 }
 
-func raw(s string) func(platform.Request) { return func(r platform.Request) { r.Conn.Raw(s) } }
+func raw(s string) func(fakeplatform.Request) { return func(r fakeplatform.Request) { r.Conn.Raw(s) } }
 
 // TestEvidence runs through the table of evidence.go at sockets: what a worker does, and what the router is told.
 func TestEvidence(t *testing.T) {
 	for name, c := range map[string]struct {
-		act    func(platform.Request)
-		result brain.Result
+		act    func(fakeplatform.Request)
+		result dispatch.Result
 	}{
-		"ok":                      {say("ok", "-", "answer"), brain.OK},
-		"ok with a report":        {say("ok", "company=3,meter=inflight:7;util:0.61", "answer"), brain.OK},
-		"nothing":                 {say("nothing", "-", ""), brain.Missed},
-		"refused":                 {say("refused", "-", ""), brain.Refused},
-		"error":                   {say("error", "-", ""), brain.Errored},
-		"stale":                   {say("stale", "-", ""), brain.NotSent},
-		"closed":                  {func(r platform.Request) { _ = r.Conn.Close() }, brain.Reset},
-		"noise":                   {raw("\x00\x01noise\r\n"), brain.Reset},
-		"a line without end":      {raw("*" + strings.Repeat("1", 64)), brain.Reset},
-		"3 GB announced":          {raw("*4\r\n$16\r\n0000000000000001\r\n$2\r\nok\r\n$1\r\n-\r\n$3221225472\r\nx"), brain.Reset},
-		"an unknown word":         {say("fine", "-", "answer"), brain.Reset},
-		"a word of other answers": {say("yes", "-", ""), brain.Reset},
-		"too few items":           {say("ok", "-"), brain.Reset},
-		"fields that are none":    {say("ok", "company", "answer"), brain.Reset},
-		"a figure that is none":   {say("ok", "company=NaN", "answer"), brain.Reset},
-		"a negative figure":       {say("ok", "meter=inflight:-1", "answer"), brain.Reset},
-		"a body too short": {func(r platform.Request) {
+		"ok":                      {say("ok", "-", "answer"), dispatch.OK},
+		"ok with a report":        {say("ok", "company=3,meter=inflight:7;util:0.61", "answer"), dispatch.OK},
+		"nothing":                 {say("nothing", "-", ""), dispatch.Missed},
+		"refused":                 {say("refused", "-", ""), dispatch.Refused},
+		"error":                   {say("error", "-", ""), dispatch.Errored},
+		"stale":                   {say("stale", "-", ""), dispatch.NotSent},
+		"closed":                  {func(r fakeplatform.Request) { _ = r.Conn.Close() }, dispatch.Reset},
+		"noise":                   {raw("\x00\x01noise\r\n"), dispatch.Reset},
+		"a line without end":      {raw("*" + strings.Repeat("1", 64)), dispatch.Reset},
+		"3 GB announced":          {raw("*4\r\n$16\r\n0000000000000001\r\n$2\r\nok\r\n$1\r\n-\r\n$3221225472\r\nx"), dispatch.Reset},
+		"an unknown word":         {say("fine", "-", "answer"), dispatch.Reset},
+		"a word of other answers": {say("yes", "-", ""), dispatch.Reset},
+		"too few items":           {say("ok", "-"), dispatch.Reset},
+		"fields that are none":    {say("ok", "company", "answer"), dispatch.Reset},
+		"a figure that is none":   {say("ok", "company=NaN", "answer"), dispatch.Reset},
+		"a negative figure":       {say("ok", "meter=inflight:-1", "answer"), dispatch.Reset},
+		"a body too short": {func(r fakeplatform.Request) {
 			r.Conn.Raw("*4\r\n$16\r\n" + r.ID + "\r\n$2\r\nok\r\n$1\r\n-\r\n$9\r\nanswer\r\n*4\r\n")
-		}, brain.Reset},
-		"an unknown id ahead": {func(r platform.Request) {
+		}, dispatch.Reset},
+		"an unknown id ahead": {func(r fakeplatform.Request) {
 			r.Conn.Say("ffffffffffffffff", "ok", "-", "another's")
 			r.Conn.Say(r.ID, "ok", "-", "answer")
-		}, brain.OK},
-		"a second copy": {func(r platform.Request) {
-			r.Conn.Raw(strings.Repeat(platform.Message(r.ID, "ok", "-", "answer"), 2))
-		}, brain.OK},
+		}, dispatch.OK},
+		"a second copy": {func(r fakeplatform.Request) {
+			r.Conn.Raw(strings.Repeat(fakeplatform.Message(r.ID, "ok", "-", "answer"), 2))
+		}, dispatch.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			st := newStage(t, nil, &script{to: []string{"w"}}, &platform.Worker{ID: "w", Act: c.act})
+			st := newStage(t, nil, &script{to: []string{"w"}}, &fakeplatform.Worker{ID: "w", Act: c.act})
 			cl := st.call(15 * time.Second)
-			o := platform.Await(t, st.s.outcomes, "the outcome")
-			if o.Result != c.result || o.Final != (c.result == brain.OK) {
+			o := fakeplatform.Await(t, st.s.outcomes, "the outcome")
+			if o.Result != c.result || o.Final != (c.result == dispatch.OK) {
 				t.Errorf("outcome %+v, want result %v", o, c.result)
 			}
 			if name == "ok with a report" && (o.Company != 3 || o.Load.InFlight != 7) {
 				t.Errorf("report %+v", o)
 			}
-			f := platform.Await(t, cl, "the final answer")
-			if c.result == brain.OK && string(f.Ended.Answer) != "answer" {
+			f := fakeplatform.Await(t, cl, "the final answer")
+			if c.result == dispatch.OK && string(f.Ended.Answer) != "answer" {
 				t.Errorf("the client got %q", f.Ended.Answer)
 			}
 		})
@@ -191,20 +191,20 @@
 }
 
 func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
-	w := &platform.Worker{ID: "w"}
+	w := &fakeplatform.Worker{ID: "w"}
 	st := newStage(t, nil, &script{to: []string{"w"}}, w)
 	w.Stop()
 	st.call(15 * time.Second)
-	if o := platform.Await(t, st.s.outcomes, "the outcome"); o.Result != brain.NoConnection {
+	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.NoConnection {
 		t.Errorf("%+v", o)
 	}
 }
 
 // TestWhatPassesOn: id, class, key and body unchanged, and the time that is left.
 func TestWhatPassesOn(t *testing.T) {
-	w := &platform.Worker{ID: "w"}
+	w := &fakeplatform.Worker{ID: "w"}
 	st := newStage(t, nil, &script{to: []string{"w"}}, w)
-	platform.Await(t, st.call(15*time.Second), "the answer")
+	fakeplatform.Await(t, st.call(15*time.Second), "the answer")
 	r := w.Got()[0]
 	if r.Verb != "exec" || r.ID != "0000000000000001" || r.Body != "body" || r.Fields["cls"] != "c" || r.Fields["item"] != fn || r.Fields["nonce"] != "k1" {
 		t.Errorf("%+v", r)
@@ -218,7 +218,7 @@
 func TestOneBrokenAnswerEndsAllOnItsConnection(t *testing.T) {
 	var mu sync.Mutex
 	n := 0
-	w := &platform.Worker{ID: "w", Act: func(r platform.Request) {
+	w := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if n++; n == 3 {
@@ -230,7 +230,7 @@
 		st.call(15 * time.Second)
 	}
 	for range 3 {
-		if o := platform.Await(t, st.s.outcomes, "the outcome"); o.Result != brain.Reset {
+		if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.Reset {
 			t.Errorf("%+v", o)
 		}
 	}
@@ -240,8 +240,8 @@
 // that a late answer to the first, or a second copy of it, is not taken for the second's.
 func TestAnswerIsNeverAnotherAttempts(t *testing.T) {
 	var mu sync.Mutex
-	var conns []*platform.Conn
-	w := &platform.Worker{ID: "w", Act: func(r platform.Request) {
+	var conns []*fakeplatform.Conn
+	w := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
 		if r.Verb != "exec" {
 			return
 		}
@@ -255,7 +255,7 @@
 		conns[1].Say(r.ID, "ok", "-", "its own")
 	}}
 	st := newStage(t, nil, &script{to: []string{"w", "w"}}, w)
-	f := platform.Await(t, st.call(15*time.Second), "the answer")
+	f := fakeplatform.Await(t, st.call(15*time.Second), "the answer")
 	mu.Lock()
 	defer mu.Unlock()
 	if string(f.Ended.Answer) != "its own" || conns[0] == conns[1] {
@@ -265,11 +265,11 @@
 
 // TestGivenUp: what was written is dropped, and its answer, come late, is no other request's.
 func TestGivenUp(t *testing.T) {
-	dropped := make(chan platform.Request, 1)
+	dropped := make(chan fakeplatform.Request, 1)
 	var mu sync.Mutex
-	var first platform.Request
-	w := &platform.Worker{ID: "w"}
-	w.Act = func(r platform.Request) {
+	var first fakeplatform.Request
+	w := &fakeplatform.Worker{ID: "w"}
+	w.Act = func(r fakeplatform.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -285,27 +285,27 @@
 	st := newStage(t, func(c *Config) { c.MaxConns = 1 }, &script{to: []string{"w"}}, w)
 	c := make(client, 1)
 	drop, _ := st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 15 * time.Second, Client: c,
-		Request: &invoke.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn}})
-	platform.Await(t, w.Came(), "the attempt")
+		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn}})
+	fakeplatform.Await(t, w.Came(), "the attempt")
 	drop()
-	if o := platform.Await(t, st.s.outcomes, "the outcome"); o.Result != brain.Cancelled {
+	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.Cancelled {
 		t.Errorf("%+v", o)
 	}
-	if r := platform.Await(t, dropped, "the drop"); r.ID != strings.Repeat("a", 16) {
+	if r := fakeplatform.Await(t, dropped, "the drop"); r.ID != strings.Repeat("a", 16) {
 		t.Errorf("dropped %q", r.ID)
 	}
-	if f := platform.Await(t, st.call(15*time.Second), "the second's answer"); string(f.Ended.Answer) != "second" {
+	if f := fakeplatform.Await(t, st.call(15*time.Second), "the second's answer"); string(f.Ended.Answer) != "second" {
 		t.Errorf("%q", f.Ended.Answer)
 	}
 }
 
 // hold puts an exchange on its way that can't be written yet: its worker's one connection is still being opened.
-func hold(t *testing.T, st *stage, kind kind) (x *exchange, ended chan brain.Result) {
+func hold(t *testing.T, st *stage, kind kind) (x *exchange, ended chan dispatch.Result) {
 	t.Helper()
-	ended = make(chan brain.Result, 1)
+	ended = make(chan dispatch.Result, 1)
 	x = &exchange{p: st.p, kind: kind, id: "held", until: time.Now().Add(15 * time.Second),
 		form: func(time.Duration) []byte { return loadOf("held") },
-		done: func(r brain.Result, _ *answer) { ended <- r }}
+		done: func(r dispatch.Result, _ *answer) { ended <- r }}
 	st.p.mu.Lock()
 	defer st.p.mu.Unlock()
 	w := st.p.workers["w"]
@@ -320,7 +320,7 @@
 // address or under its id, or the time ran out. Nothing is written then, and that is told as proof.
 func TestASendIsCheckedWhenItIsWritten(t *testing.T) {
 	for name, change := range map[string]func(st *stage, x *exchange){
-		"drains":               func(st *stage, _ *exchange) { st.list[0].State = brain.Draining },
+		"drains":               func(st *stage, _ *exchange) { st.list[0].State = dispatch.Draining },
 		"left":                 func(st *stage, _ *exchange) { st.list = nil },
 		"new process":          func(st *stage, _ *exchange) { st.list[0].Started = time.Hour },
 		"new one, old address": func(st *stage, _ *exchange) { st.list[0].ID = "other" },
@@ -338,7 +338,7 @@
 		for _, k := range []kind{exec, order} {
 			t.Run(fmt.Sprint(name, " ", k), func(t *testing.T) {
 				t.Parallel()
-				w := &platform.Worker{ID: "w"}
+				w := &fakeplatform.Worker{ID: "w"}
 				st := newStage(t, nil, &script{to: []string{"w"}}, w)
 				st.settle()
 				x, ended := hold(t, st, k)
@@ -346,7 +346,7 @@
 				st.r.SetWorkers(st.list)
 				st.settle()
 				st.p.dial(x.w) // the connect comes up
-				if res := platform.Await(t, ended, "the end"); res != brain.NotSent {
+				if res := fakeplatform.Await(t, ended, "the end"); res != dispatch.NotSent {
 					t.Errorf("result %v", res)
 				}
 				if got := w.Got(); len(got) > 0 {
@@ -361,21 +361,21 @@
 // hear of it when that one ends. The further attempt that follows is not written.
 func TestNoFurtherAttemptForAClientThatLeft(t *testing.T) {
 	var left atomic.Bool
-	first := &platform.Worker{ID: "w", Act: func(r platform.Request) {
+	first := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
 		left.Store(true)
 		r.Conn.Say(r.ID, "error", "-", "")
 	}}
-	second := &platform.Worker{ID: "x"}
+	second := &fakeplatform.Worker{ID: "x"}
 	st := newStage(t, nil, &script{to: []string{"w", "x"}}, first, second)
 	c := make(client, 1)
 	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 15 * time.Second, Client: c, Gone: left.Load,
-		Request: &invoke.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn}})
-	for _, want := range []brain.Result{brain.Errored, brain.NotSent} {
-		if o := platform.Await(t, st.s.outcomes, "an outcome"); o.Result != want {
+		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn}})
+	for _, want := range []dispatch.Result{dispatch.Errored, dispatch.NotSent} {
+		if o := fakeplatform.Await(t, st.s.outcomes, "an outcome"); o.Result != want {
 			t.Errorf("%+v, want result %v", o, want)
 		}
 	}
-	platform.Await(t, c, "the final answer")
+	fakeplatform.Await(t, c, "the final answer")
 	if got := second.Got(); len(got) > 0 {
 		t.Errorf("the second worker got %v", got)
 	}
@@ -383,12 +383,12 @@
 
 // TestWhatWaitedIsWrittenWhereNothingChanged is the mutation of the test above: it can fail.
 func TestWhatWaitedIsWrittenWhereNothingChanged(t *testing.T) {
-	w := &platform.Worker{ID: "w"}
+	w := &fakeplatform.Worker{ID: "w"}
 	st := newStage(t, nil, &script{to: []string{"w"}}, w)
 	st.settle()
 	x, _ := hold(t, st, probe)
 	st.p.dial(x.w)
-	platform.Await(t, w.Came(), "what waited")
+	fakeplatform.Await(t, w.Came(), "what waited")
 }
 
 // TestASendBehindABlockedWriteIsCheckedAgain: a worker does not read, so that one request fills the socket and another
@@ -414,16 +414,16 @@
 		defer func() { _ = nc.Close() }()
 		<-read
 		for in := bufio.NewReader(nc); ; {
-			m, err := platform.ReadMessage(in)
+			m, err := fakeplatform.ReadMessage(in)
 			if err != nil {
 				return
 			}
 			got <- m[1]
-			_, _ = io.WriteString(nc, platform.Message(m[1], "ok", "-", "answer"))
+			_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "ok", "-", "answer"))
 		}
 	}()
 	st := newStage(t, func(c *Config) { c.MaxConns = 1 }, &script{to: []string{"w"}})
-	st.list = []roster.Worker{{Member: brain.Member{ID: "w"}, Address: ln.Addr().String()}}
+	st.list = []endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: ln.Addr().String()}}
 	st.r.SetWorkers(st.list)
 	until := func(what string, ok func(Stats) bool) {
 		t.Helper()
@@ -437,31 +437,31 @@
 	}
 	big := make(client, 1)
 	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 30 * time.Second, Client: big,
-		Request: &invoke.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn, Body: make([]byte, 32<<20)}})
+		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn, Body: make([]byte, 32<<20)}})
 	until("the first is being written", func(s Stats) bool { return s.Written == 1 })
 	var left atomic.Bool
 	small := make(client, 1)
 	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 30 * time.Second, Client: small, Gone: left.Load,
-		Request: &invoke.Request{ID: strings.Repeat("b", 16), Class: "c", Function: fn}})
+		Request: &invocation.Request{ID: strings.Repeat("b", 16), Class: "c", Function: fn}})
 	until("the second waits", func(s Stats) bool { return s.Waiting == 1 })
 	if leaves {
 		left.Store(true)
 	} else {
-		st.list[0].State = brain.Draining
+		st.list[0].State = dispatch.Draining
 		st.r.SetWorkers(st.list)
 		st.settle()
 	}
 	close(read)
-	if f := platform.Await(t, big, "the first's answer"); string(f.Ended.Answer) != "answer" {
+	if f := fakeplatform.Await(t, big, "the first's answer"); string(f.Ended.Answer) != "answer" {
 		t.Errorf("%+v", f)
 	}
-	platform.Await(t, small, "the second's final answer")
+	fakeplatform.Await(t, small, "the second's final answer")
 	for range 2 {
-		if o := platform.Await(t, st.s.outcomes, "an outcome"); o.Result != brain.OK && o.Result != brain.NotSent {
+		if o := fakeplatform.Await(t, st.s.outcomes, "an outcome"); o.Result != dispatch.OK && o.Result != dispatch.NotSent {
 			t.Errorf("%+v", o)
 		}
 	}
-	if id := platform.Await(t, got, "the first"); id != strings.Repeat("a", 16) || len(got) > 0 {
+	if id := fakeplatform.Await(t, got, "the first"); id != strings.Repeat("a", 16) || len(got) > 0 {
 		t.Errorf("the worker got %s and %d more", id, len(got))
 	}
 }
@@ -513,10 +513,10 @@
 func TestAConnectionThatNeverComesUp(t *testing.T) {
 	addr, _ := full(t)
 	st := newStage(t, func(c *Config) { c.ConnectTimeout = 50 * time.Millisecond }, &script{to: []string{"w"}})
-	st.list = []roster.Worker{{Member: brain.Member{ID: "w"}, Address: addr}}
+	st.list = []endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: addr}}
 	st.r.SetWorkers(st.list)
 	st.call(20 * time.Second)
-	if o := platform.Await(t, st.s.outcomes, "the outcome"); o.Result != brain.NoConnection {
+	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.NoConnection {
 		t.Errorf("%+v", o)
 	}
 	if s := st.p.Stats(); s.Written != 0 || s.Conns != 0 {
@@ -528,7 +528,7 @@
 func TestAConnectionThatComesUpLate(t *testing.T) {
 	addr, room := full(t)
 	st := newStage(t, nil, &script{to: []string{"w"}})
-	st.list = []roster.Worker{{Member: brain.Member{ID: "w"}, Address: addr}}
+	st.list = []endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: addr}}
 	st.r.SetWorkers(st.list)
 	c := st.call(20 * time.Second)
 	for range 4000 {
@@ -546,42 +546,42 @@
 			}
 			go func() {
 				for in := bufio.NewReader(nc); ; {
-					m, err := platform.ReadMessage(in)
+					m, err := fakeplatform.ReadMessage(in)
 					if err != nil {
 						return
 					}
-					_, _ = io.WriteString(nc, platform.Message(m[1], "ok", "-", "late but whole"))
+					_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "ok", "-", "late but whole"))
 				}
 			}()
 		}
 	}()
-	if f := platform.Await(t, c, "the answer"); f.Ended == nil || string(f.Ended.Answer) != "late but whole" {
+	if f := fakeplatform.Await(t, c, "the answer"); f.Ended == nil || string(f.Ended.Answer) != "late but whole" {
 		t.Errorf("%+v", f)
 	}
 }
 
 // TestConnectionThatFellSilentWithinAnAnswer: it is ended, and what is open on it may have run.
 func TestConnectionThatFellSilentWithinAnAnswer(t *testing.T) {
-	w := &platform.Worker{ID: "w", Act: raw("*4\r\n$16\r\n")}
+	w := &fakeplatform.Worker{ID: "w", Act: raw("*4\r\n$16\r\n")}
 	st := newStage(t, func(c *Config) { c.StallAfter = 50 * time.Millisecond }, &script{to: []string{"w"}}, w)
 	st.call(15 * time.Second)
-	if o := platform.Await(t, st.s.outcomes, "the outcome"); o.Result != brain.Reset {
+	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.Reset {
 		t.Errorf("%+v", o)
 	}
 }
 
 // TestResetWhileIdleIsNoHarm: a request that finds its connection reset before a byte was taken goes over another.
 func TestResetWhileIdleIsNoHarm(t *testing.T) {
-	w := &platform.Worker{ID: "w"}
+	w := &fakeplatform.Worker{ID: "w"}
 	st := newStage(t, nil, &script{to: []string{"w"}}, w)
-	platform.Await(t, st.call(15*time.Second), "the first answer")
-	platform.Await(t, st.s.outcomes, "its outcome")
+	fakeplatform.Await(t, st.call(15*time.Second), "the first answer")
+	fakeplatform.Await(t, st.s.outcomes, "its outcome")
 	for _, r := range w.Got() {
 		_ = r.Conn.Close()
 	}
 	for range 20 {
-		f := platform.Await(t, st.call(15*time.Second), "an answer")
-		if o := platform.Await(t, st.s.outcomes, "the outcome"); o.Result == brain.OK && string(f.Ended.Answer) == "done body" {
+		f := fakeplatform.Await(t, st.call(15*time.Second), "an answer")
+		if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result == dispatch.OK && string(f.Ended.Answer) == "done body" {
 			return
 		}
 	}
@@ -589,13 +589,13 @@
 }
 
 func TestOrdersAndProbes(t *testing.T) {
-	w := &platform.Worker{ID: "w"}
+	w := &fakeplatform.Worker{ID: "w"}
 	st := newStage(t, nil, &script{to: []string{"w"}, order: "w", probe: "w"}, w)
-	platform.Await(t, st.call(15*time.Second), "the answer")
-	if o := platform.Await(t, st.s.loaded, "the order's end"); o.Result != brain.OK || o.Copies != 2 || o.Function != fn {
+	fakeplatform.Await(t, st.call(15*time.Second), "the answer")
+	if o := fakeplatform.Await(t, st.s.loaded, "the order's end"); o.Result != dispatch.OK || o.Copies != 2 || o.Function != fn {
 		t.Errorf("%+v", o)
 	}
-	if o := platform.Await(t, st.s.probed, "the probe's end"); o.Result != brain.OK || o.Load.InFlight != 1 {
+	if o := fakeplatform.Await(t, st.s.probed, "the probe's end"); o.Result != dispatch.OK || o.Load.InFlight != 1 {
 		t.Errorf("%+v", o)
 	}
 	for _, r := range w.Got() {
@@ -608,8 +608,8 @@
 // TestBounds: connections to all workers stay within the bound, idle ones end, and the ids remembered are let go.
 func TestBounds(t *testing.T) {
 	release := make(chan struct{})
-	w := &platform.Worker{ID: "w"}
-	w.Act = func(r platform.Request) {
+	w := &fakeplatform.Worker{ID: "w"}
+	w.Act = func(r fakeplatform.Request) {
 		go func() {
 			<-release
 			r.Conn.Say(r.ID, "ok", "-", "")
@@ -620,14 +620,14 @@
 		st.call(15 * time.Second)
 	}
 	for range 40 {
-		platform.Await(t, w.Came(), "an attempt")
+		fakeplatform.Await(t, w.Came(), "an attempt")
 	}
 	if s := st.p.Stats(); s.Conns > 3 || s.Open != 40 {
 		t.Errorf("%+v", s)
 	}
 	close(release)
 	for range 40 {
-		platform.Await(t, st.s.outcomes, "an outcome")
+		fakeplatform.Await(t, st.s.outcomes, "an outcome")
 	}
 	for range 2000 {
 		if st.p.Stats().Conns == 0 && w.Conns() == 0 {
