--- a/cmd/topazfront/main.go
+++ b/cmd/topazfront/main.go
@@ -101,7 +101,7 @@
 	<-ctx.Done()
 	s := g.Stop()
 	fmt.Fprintf(os.Stderr, "calls %d, served %d, refused %d, failed %d, left by clients %d\n", s.Calls, s.Served,
-		s.Refused, s.Failed, s.Dropped)
+		s.Rejected, s.Failed, s.Cancelled)
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	for _, policy := range c.Policy {
 		o := options(ctx, p, c.Quietly)
 		if policy == "random" {
-			o.Decider = func(s dispatch.Settings, seed uint64) (router.Decider, error) {
+			o.Decider = func(s dispatch.Settings, seed uint64) (router.Dispatcher, error) {
 				return baseline.NewRandom(s, seed), nil
 			}
 		}
--- a/dispatch/brain.go
+++ b/dispatch/brain.go
@@ -1,4 +1,4 @@
-// The interface of this package is in api.go; this file holds every decision. It follows Algorithm 2.2 of
+// This file holds every decision. It follows Algorithm 2.2 of
 // "Consistent Load Balancing Via Spread Minimization" (Kleinberg, Leighton, STOC 2003).
 
 package dispatch
@@ -64,7 +64,7 @@
 
 // worker is what this router knows of one worker.
 type worker struct {
-	Member
+	Endpoint
 	memory        float64 // of its kind
 	bars          map[*class]bar
 	cold, doubted bool
@@ -206,7 +206,7 @@
 		return nil, errors.New("brain: settings name no class")
 	case s.MaxAttempts < 1:
 		return nil, fmt.Errorf("brain: %d attempts allowed, at least 1 needed", s.MaxAttempts)
-	case min(s.LoadSpan, s.FallSpan, s.ColdFor, s.IdleKeep) < 0:
+	case min(s.LoadRateWindow, s.OverloadWindow, s.SlowStartDuration, s.IdleResidency) < 0:
 		return nil, errors.New("brain: a span in the settings is negative")
 	}
 	s.Routers = max(s.Routers, 1)
@@ -214,7 +214,7 @@
 		memory: map[string]float64{}, classes: map[string]*class{}, fns: map[string]*function{},
 		reqs: map[RequestID]*request{}, took: runGuess.Seconds(), loadTime: math.Log(loadGuess.Seconds()),
 		window: windowStart, budget: retryBurst}
-	for _, k := range s.Kinds {
+	for _, k := range s.WorkerKinds {
 		d.memory[k.Name] = k.MemoryMB
 	}
 	for _, c := range s.Classes {
@@ -228,36 +228,36 @@
 	d.now, d.out = max(now, d.now), nil
 	if !d.begun {
 		d.begun, d.lastRound = true, d.now
-		if d.set.MustAsk {
-			d.act(Watch{})
+		if d.set.EndpointsBySubscription {
+			d.act(SubscribeEndpoints{})
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Roster:
+		case EndpointUpdate:
 			d.changed(e)
 		case Request:
 			d.accept(e)
-		case Outcome:
+		case AttemptEnded:
 			d.ended(e)
-		case Started:
+		case ResponseStarted:
 			d.started(e)
-		case Dropped:
+		case RequestCancelled:
 			if r := d.reqs[e.ID]; r != nil {
 				d.close(r)
 			}
-		case Loaded:
+		case FunctionLoaded:
 			d.loaded(e)
-		case Probed:
+		case HealthChecked:
 			d.probed(e)
-		case Peers:
+		case GossipUpdate:
 			d.peers(e)
-		case Closing:
+		case ShutdownStarted:
 			for _, id := range slices.Sorted(maps.Keys(d.reqs)) {
-				d.reqs[id].deadline = min(d.reqs[id].deadline, d.now+e.Within)
+				d.reqs[id].deadline = min(d.reqs[id].deadline, d.now+e.AnswerWithin)
 				d.wakeAt(d.reqs[id], d.reqs[id].deadline)
 			}
-		case Woken:
+		case TimerFired:
 			if d.now > d.armed-wakeSlack {
 				d.armed = 0 // callers may round a Wake down
 			}
@@ -288,7 +288,7 @@
 	}
 	if d.armed <= d.now || next < d.armed {
 		d.armed = max(next, d.now+wakeSlack)
-		d.act(Wake{After: d.armed - d.now})
+		d.act(SetTimer{After: d.armed - d.now})
 	}
 	return d.out
 }
@@ -304,36 +304,36 @@
 // Roster ------------------------------------------------------------------------------------------------
 
 // changed follows the list. A worker with a fresh start is empty and cold, and what is out there is lost.
-func (d *Dispatcher) changed(e Roster) {
-	if e.Failed && d.set.MustAsk {
-		d.act(Watch{})
+func (d *Dispatcher) changed(e EndpointUpdate) {
+	if e.SubscriptionLost && d.set.EndpointsBySubscription {
+		d.act(SubscribeEndpoints{})
 	}
 	named := map[string]bool{}
 	meanWork := max(d.workRate/max(d.rate, 1e-9), runGuess.Seconds())
-	for _, m := range e.Members {
+	for _, m := range e.Endpoints {
 		named[m.ID] = true
 		w := d.workers[m.ID]
 		if w == nil {
 			w = &worker{window: windowStart / float64(d.set.Routers), bars: map[*class]bar{}}
 			d.workers[m.ID] = w
-		} else if m.Started > w.Started {
+		} else if m.StartedAt > w.StartedAt {
 			for _, f := range d.order {
 				delete(f.places, m.ID)
 			}
 			*w = worker{open: w.open, busy: w.busy, heard: d.now, bars: map[*class]bar{}}
 			w.window = windowStart / float64(d.set.Routers)
 		}
-		w.Member, w.memory = m, d.memory[m.Kind]
-		if cold := m.Started > 0 && d.now-m.Started < d.set.ColdFor; cold != w.cold {
+		w.Endpoint, w.memory = m, d.memory[m.Kind]
+		if cold := m.StartedAt > 0 && d.now-m.StartedAt < d.set.SlowStartDuration; cold != w.cold {
 			w.cold, w.saved, w.savedAt = cold, -d.rng.Float64()*meanWork, d.now
 		}
 	}
 	d.list = d.list[:0:0]
 	for id, w := range d.workers {
-		if e.Whole && !e.Failed && !named[id] {
-			w.State = Gone
+		if e.Snapshot && !e.SubscriptionLost && !named[id] {
+			w.State = EndpointRemoved
 		}
-		if w.State == On {
+		if w.State == EndpointActive {
 			d.list = append(d.list, w)
 		}
 	}
@@ -351,7 +351,7 @@
 func (d *Dispatcher) bury() {
 	dead := map[string]bool{}
 	for id, w := range d.workers {
-		if w.State == Gone && len(w.open) == 0 {
+		if w.State == EndpointRemoved && len(w.open) == 0 {
 			dead[id] = true
 		}
 	}
@@ -429,11 +429,11 @@
 		return cmp.Or(cmp.Compare(a.demand, b.demand), cmp.Compare(a.key, b.key))
 	})
 	for _, w := range d.list {
-		w.cold = w.cold && d.now-w.Started < d.set.ColdFor
+		w.cold = w.cold && d.now-w.StartedAt < d.set.SlowStartDuration
 		w.slice = d.trust(w) * max(w.memory, 1)
 		room += w.slice
 		if w.slowness > slowFrom {
-			d.tell(Doubt{Worker: w.ID, Slow: true})
+			d.tell(ReportSuspicion{Worker: w.ID, Slow: true})
 		}
 	}
 	for _, w := range d.list {
@@ -467,15 +467,15 @@
 }
 
 // probed takes a worker's report and lets the requests go that waited for it.
-func (d *Dispatcher) probed(e Probed) {
+func (d *Dispatcher) probed(e HealthChecked) {
 	w := d.workers[e.Worker]
 	if w == nil {
 		return
 	}
 	if e.Result == OK {
 		w.heard, w.doubted = d.now, false
-		if e.Load.InFlight >= 0 {
-			d.weigh(w, e.Load.InFlight)
+		if e.LoadReport.InFlight >= 0 {
+			d.weigh(w, e.LoadReport.InFlight)
 		}
 	}
 	d.held, w.asking = append(d.held, w.asking...), nil
@@ -493,11 +493,11 @@
 
 // warmth is the share of its capacity that a worker surely has.
 func (d *Dispatcher) warmth(w *worker) float64 {
-	if !w.cold || d.set.ColdFor == 0 {
+	if !w.cold || d.set.SlowStartDuration == 0 {
 		return 1
 	}
-	age := max(0, float64(d.now-w.Started)/float64(d.set.ColdFor))
-	return min(max(d.set.ColdShare+(1-d.set.ColdShare)*age, 0.01), 1)
+	age := max(0, float64(d.now-w.StartedAt)/float64(d.set.SlowStartDuration))
+	return min(max(d.set.SlowStartShare+(1-d.set.SlowStartShare)*age, 0.01), 1)
 }
 
 // candidates yields the workers for a function in order of choice: in the split by own requests in flight
@@ -510,7 +510,7 @@
 		}
 		slices.SortFunc(f.split, func(a, b part) int { return cmp.Compare(a.turn, b.turn) })
 		for _, s := range f.split {
-			if s.w.State == On && !yield(s.w) {
+			if s.w.State == EndpointActive && !yield(s.w) {
 				return
 			}
 		}
@@ -560,7 +560,7 @@
 			continue
 		}
 		if warm {
-			if choice != nil && d.set.MayOrder {
+			if choice != nil && d.set.LoadCommandsAllowed {
 				d.load(f, choice, 1)
 			}
 			return w
@@ -569,7 +569,7 @@
 			choice = cmp.Or(choice, w)
 		}
 	}
-	if choice != nil && warmFull && d.set.MayOrder {
+	if choice != nil && warmFull && d.set.LoadCommandsAllowed {
 		d.load(f, choice, holdReserve)
 		return nil // wait for the load or for room, whichever comes first
 	} else if choice == nil && !full && !resting {
@@ -614,25 +614,25 @@
 	if p.ordered > 0 {
 		return true
 	}
-	if !d.set.MayOrder || w.State != On || w.orders >= pendingCap || d.now < p.restTill {
+	if !d.set.LoadCommandsAllowed || w.State != EndpointActive || w.orders >= pendingCap || d.now < p.restTill {
 		return false
 	}
-	if d.set.LoadSpan > 0 {
+	if d.set.LoadRateWindow > 0 {
 		d.trim()
-		if float64(len(d.orders)+1) > ration*(d.set.LoadFree+d.set.LoadRatio*float64(len(d.calls))) {
+		if float64(len(d.orders)+1) > ration*(d.set.LoadRateBurst+d.set.LoadRateRatio*float64(len(d.calls))) {
 			return false
 		}
 		d.orders = append(d.orders, d.now)
 	}
 	p.ordered = d.now
 	w.orders++
-	d.act(LoadOrder{Worker: w.ID, Function: f.key, Copies: 1})
+	d.act(LoadFunction{Worker: w.ID, Function: f.key, Copies: 1})
 	return true
 }
 
 // trim drops what lies before the span of the load ration.
 func (d *Dispatcher) trim() {
-	from := d.now - d.set.LoadSpan
+	from := d.now - d.set.LoadRateWindow
 	for len(d.calls) > 0 && d.calls[0] <= from {
 		d.calls = d.calls[1:]
 	}
@@ -642,9 +642,9 @@
 }
 
 // loaded takes the answer to an order and lets the requests go that waited on it.
-func (d *Dispatcher) loaded(e Loaded) {
+func (d *Dispatcher) loaded(e FunctionLoaded) {
 	w, f := d.workers[e.Worker], d.fns[e.Function]
-	if w != nil && (e.Result == OK || e.Result == Refused || e.Result == Errored) {
+	if w != nil && (e.Result == OK || e.Result == Rejected || e.Result == Errored) {
 		w.heard, w.doubted = d.now, false
 	}
 	if w == nil || f == nil || f.place(w).ordered == 0 {
@@ -653,10 +653,10 @@
 	p := f.place(w)
 	w.orders, p.ordered = max(w.orders-1, 0), 0
 	if e.Result == OK || e.Copies > 0 {
-		if e.Took > 20*time.Millisecond {
-			d.loadTime += runGain * (math.Log(e.Took.Seconds()) - d.loadTime)
+		if e.Duration > 20*time.Millisecond {
+			d.loadTime += runGain * (math.Log(e.Duration.Seconds()) - d.loadTime)
 		}
-		p.warmTill, p.failures = d.now+d.set.IdleKeep, 0
+		p.warmTill, p.failures = d.now+d.set.IdleResidency, 0
 	} else {
 		d.loadFailed(p)
 	}
@@ -677,10 +677,10 @@
 		c = &class{Class: Class{Name: e.Class}, work: runGuess.Seconds()}
 		d.classes[e.Class] = c
 	}
-	r := &request{Request: e, class: c, came: d.now, deadline: d.now + max(e.Left, 0), unit: 1}
+	r := &request{Request: e, class: c, came: d.now, deadline: d.now + max(e.RemainingDeadline, 0), unit: 1}
 	run := math.Log(runGuess.Seconds())
-	if e.Work > 0 {
-		r.unit, run = e.Work.Seconds(), 0
+	if e.ExpectedWork > 0 {
+		r.unit, run = e.ExpectedWork.Seconds(), 0
 		c.work += workerGain * (r.unit - c.work)
 	}
 	f := d.fns[e.Function]
@@ -690,13 +690,13 @@
 		d.order = append(d.order, f)
 	}
 	r.fn, f.class, f.calls, f.called = f, c, f.calls+1, d.now
-	f.memory, f.lanes, f.load = max(e.MemoryMB, 1), float64(max(e.Lanes, 1)), e.LoadTime
+	f.memory, f.lanes, f.load = max(e.MemoryMB, 1), float64(max(e.ConcurrencyPerInstance, 1)), e.LoadTime
 	f.unit += runGain * (r.unit - f.unit)
-	if d.set.LoadSpan > 0 {
+	if d.set.LoadRateWindow > 0 {
 		d.calls = append(d.calls, d.now)
 	}
 	d.reqs[e.ID] = r
-	d.wakeAt(r, r.deadline+d.set.AnswerGrace/4)
+	d.wakeAt(r, r.deadline+d.set.ResponseGrace/4)
 	d.route(r)
 }
 
@@ -725,10 +725,10 @@
 		d.wakeAt(r, p.ordered+patience*d.loadsIn(r.fn)+2*patienceMin+time.Millisecond)
 		return
 	}
-	stale := d.set.Reports != FromNothing && d.now-w.toldAt > freshFor
-	if d.set.MayProbe && d.set.ProbePrice < probeWorth && stale && !r.probed && d.rng.Float64()*d.part < 1 {
+	stale := d.set.LoadReports != ReportsNone && d.now-w.toldAt > freshFor
+	if d.set.HealthChecksAllowed && d.set.HealthCheckCost < probeWorth && stale && !r.probed && d.rng.Float64()*d.part < 1 {
 		if len(w.asking) == 0 {
-			d.act(Probe{Worker: w.ID})
+			d.act(CheckHealth{Worker: w.ID})
 		}
 		r.probed, w.asking = true, append(w.asking, r)
 		d.wakeAt(r, d.now+holdFor)
@@ -748,7 +748,7 @@
 		return true
 	}
 	legal := func(w *worker) bool { return d.maySend(r, w) }
-	return r.mayRun() && (r.class.Effect == Unsafe || r.out == 0 && !slices.ContainsFunc(d.list, legal))
+	return r.mayRun() && (r.class.Idempotency == NonIdempotent || r.out == 0 && !slices.ContainsFunc(d.list, legal))
 }
 
 // runs is how long a request should take to run.
@@ -757,7 +757,7 @@
 }
 
 // late tells that a request can't be in time any more.
-func (d *Dispatcher) late(r *request) bool { return d.now-r.came+r.runs() > r.class.Aim }
+func (d *Dispatcher) late(r *request) bool { return d.now-r.came+r.runs() > r.class.LatencyObjective }
 
 // retry tries the held requests again, those first that can be in time, newest first: in an overload the
 // rest are lost already and would take others with them. One that finds no place speaks for its function.
@@ -794,7 +794,7 @@
 // sent for the request, it is not refused, and only its deadline ends it, by Fail. How long the stream lasts
 // is no sign of the worker's health, as its reader may be slow: the worker was heard, and the attempt raises
 // no doubt. In the windows it counts until it would be overdue, or slow readers would keep all others out.
-func (d *Dispatcher) started(e Started) {
+func (d *Dispatcher) started(e ResponseStarted) {
 	r := d.reqs[e.ID]
 	if r == nil || r.done || r.began != nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
 		return
@@ -803,13 +803,13 @@
 	if a.ended {
 		return
 	}
-	r.began, r.wanted, a.first = a, false, max(e.Took, 1)
+	r.began, r.wanted, a.first = a, false, max(e.Duration, 1)
 	a.w.heard, a.w.doubted = d.now, false
 	a.w.open = slices.DeleteFunc(a.w.open, func(o *attempt) bool { return o == a })
 }
 
 // ended takes the end of an attempt.
-func (d *Dispatcher) ended(e Outcome) {
+func (d *Dispatcher) ended(e AttemptEnded) {
 	r := d.reqs[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
@@ -817,30 +817,30 @@
 	a := r.attempts[e.Attempt]
 	w, p := a.w, r.fn.place(a.w)
 	if a.ended = true; a.first > 0 {
-		e.Took = a.first // what the client made of the stream is not the worker's time
+		e.Duration = a.first // what the client made of the stream is not the worker's time
 	}
 	r.out, p.inFlight = r.out-1, max(p.inFlight-1, 0)
 	w.open = slices.DeleteFunc(w.open, func(o *attempt) bool { return o == a })
 	weight := a.weight
 	d.release(a)
-	slow := e.Load.InFlight >= 0 && e.Load.InFlight < d.meanHeld && e.Took > r.class.Aim/20
-	odd := (a.warm || !d.set.LoadsOnMiss) && (e.Result == Errored || e.Result == Refused && slow)
-	a.ran = !slices.Contains([]Result{Refused, NoConnection, NotSent, Missed}, e.Result)
-	a.bad = e.Result != OK && e.Result != Missed && e.Result != NotSent
+	slow := e.LoadReport.InFlight >= 0 && e.LoadReport.InFlight < d.meanHeld && e.Duration > r.class.LatencyObjective/20
+	odd := (a.warm || !d.set.WorkersLoadOnMiss) && (e.Result == Errored || e.Result == Rejected && slow)
+	a.ran = !slices.Contains([]Result{Rejected, ConnectFailed, NotSent, NotResident}, e.Result)
+	a.bad = e.Result != OK && e.Result != NotResident && e.Result != NotSent
 	if e.Result != TimedOut && e.Result != NotSent && e.Result != Cancelled {
 		w.heard, w.doubted = d.now, false
 	}
 	switch {
 	case odd:
 		d.bar(w, r.class)
-	case e.Load.InFlight >= 0:
-		d.weigh(w, e.Load.InFlight)
+	case e.LoadReport.InFlight >= 0:
+		d.weigh(w, e.LoadReport.InFlight)
 	}
 	// Each of many routers has less than one attempt at a worker: one window for all bounds what is out (a
 	// concurrency limit). It shrinks for what, light by its hint, comes never or later than a load explains.
 	// Copies not known count by the chance that one stood. It hurts where few workers make many late.
-	late := e.Took > r.class.Aim && (!d.set.LoadsOnMiss || e.Took > d.loadsIn(r.fn)+r.runs())
-	if late && r.Work < r.class.Aim/4 {
+	late := e.Duration > r.class.LatencyObjective && (!d.set.WorkersLoadOnMiss || e.Duration > d.loadsIn(r.fn)+r.runs())
+	if late && r.ExpectedWork < r.class.LatencyObjective/4 {
 		d.window = max(d.window-lateDown*weight/d.part, 2*windowMin)
 	} else if e.Result == OK && !late && d.busy+1 > d.window*d.part/2 {
 		d.window += windowUp * weight / d.part
@@ -851,19 +851,19 @@
 		d.work += r.class.work
 		d.answers++
 		w.bars[r.class] = bar{till: w.bars[r.class].till, times: max(w.bars[r.class].times-1, 0)}
-		p.warmTill, p.failures = max(p.warmTill, d.now+d.set.IdleKeep), 0
-	case Missed:
+		p.warmTill, p.failures = max(p.warmTill, d.now+d.set.IdleResidency), 0
+	case NotResident:
 		p.warmTill = 0
-	case Refused:
+	case Rejected:
 		if odd || a.warm {
 			w.window = max(w.window*windowCut, windowMin/float64(d.set.Routers))
 		} else {
 			d.loadFailed(p) // no room for a load, more likely than a full queue
 		}
-	case NoConnection, Reset:
+	case ConnectFailed, ConnectionReset:
 		d.suspect(w)
 	}
-	if e.Warmth == LoadFailed {
+	if e.CacheStatus == CacheLoadFailed {
 		d.loadFailed(p)
 	}
 	if e.Final || r.done {
@@ -874,9 +874,9 @@
 	case r.out > 0:
 	case d.spent(r):
 		d.conclude(r)
-	case e.Result == Missed && d.load(r.fn, w, 1):
+	case e.Result == NotResident && d.load(r.fn, w, 1):
 		d.route(r)
-	case e.Result == Missed && w.orders < pendingCap || e.Result == Refused && len(r.attempts) >= 2:
+	case e.Result == NotResident && w.orders < pendingCap || e.Result == Rejected && len(r.attempts) >= 2:
 		r.wanted, r.holds = true, r.holds+1 // wait a little, longer each time
 		d.wakeAt(r, d.now+holdFor<<min(r.holds-1, 5))
 	default:
@@ -901,31 +901,31 @@
 
 // learn takes an answer's time for the function's run time and the worker's slowness. An answer that may
 // have waited on a load tells neither.
-func (d *Dispatcher) learn(r *request, a *attempt, e Outcome) {
+func (d *Dispatcher) learn(r *request, a *attempt, e AttemptEnded) {
 	f := r.fn
 	f.answered = true
-	d.took += reportGain * (e.Took.Seconds() - d.took)
+	d.took += reportGain * (e.Duration.Seconds() - d.took)
 	d.budget = min(d.budget+1, retryBurst)
-	if stood := e.Warmth == FoundWarm || e.Warmth == Untold && e.Took < d.loadsIn(f)/2; !a.warm && stood {
+	if stood := e.CacheStatus == CacheHit || e.CacheStatus == CacheUnknown && e.Duration < d.loadsIn(f)/2; !a.warm && stood {
 		d.stands += reportGain * (1 - d.stands)
 	} else if !a.warm {
 		d.stands -= reportGain * d.stands
 	}
-	if d.set.TellsWarm && e.Warmth != FoundWarm || !d.set.TellsWarm && !a.warm {
+	if d.set.CacheStatusReported && e.CacheStatus != CacheHit || !d.set.CacheStatusReported && !a.warm {
 		return
 	}
-	took := e.Took.Seconds()
-	if late := lateAnswer * math.Exp(f.run) * r.unit; took > max(late, r.class.Aim.Seconds()*lateShare) {
+	took := e.Duration.Seconds()
+	if late := lateAnswer * math.Exp(f.run) * r.unit; took > max(late, r.class.LatencyObjective.Seconds()*lateShare) {
 		a.w.window = max(a.w.window-windowDown, windowMin/float64(d.set.Routers))
 	} else if a.w.busy+1 > a.w.window/2 {
 		a.w.window += windowUp
 	}
-	off := math.Log(max(e.Took.Seconds(), 1e-4)/r.unit) - f.run - a.w.slowness
+	off := math.Log(max(e.Duration.Seconds(), 1e-4)/r.unit) - f.run - a.w.slowness
 	off = min(max(off, -unitStep), unitStep)
 	f.run += runGain * off / float64(1+a.others)
 	a.w.slowness = min(max(a.w.slowness+workerGain*off, -1), 2.5)
-	if r.Work == 0 {
-		r.class.work += workerGain * (e.Took.Seconds() - r.class.work)
+	if r.ExpectedWork == 0 {
+		r.class.work += workerGain * (e.Duration.Seconds() - r.class.work)
 	}
 }
 
@@ -935,8 +935,8 @@
 		delete(d.reqs, r.ID)
 	}
 	for _, a := range r.attempts {
-		if !r.done && d.set.MayCancel && !a.ended {
-			d.act(Cancel{ID: r.ID, Attempt: a.n})
+		if !r.done && d.set.CancelAllowed && !a.ended {
+			d.act(CancelAttempt{ID: r.ID, Attempt: a.n})
 		}
 	}
 	r.done = true
@@ -957,9 +957,9 @@
 			d.suspect(w)
 		}
 	}
-	if w.doubted && d.now-w.asked >= askEvery && d.set.MayProbe {
+	if w.doubted && d.now-w.asked >= askEvery && d.set.HealthChecksAllowed {
 		w.asked = d.now
-		d.act(Probe{Worker: w.ID})
+		d.act(CheckHealth{Worker: w.ID})
 	}
 	return w.doubted
 }
@@ -967,11 +967,11 @@
 // suspect begins a doubt.
 func (d *Dispatcher) suspect(w *worker) {
 	w.doubted, w.asked = true, d.now
-	d.tell(Doubt{Worker: w.ID})
+	d.tell(ReportSuspicion{Worker: w.ID})
 }
 
-func (d *Dispatcher) tell(a Doubt) {
-	if d.set.TellsDoubts {
+func (d *Dispatcher) tell(a ReportSuspicion) {
+	if d.set.SuspicionsReported {
 		d.act(a)
 	}
 }
@@ -979,7 +979,7 @@
 // peers takes what other routers' word led to. It lifts no doubt and raises no share: the routers that share
 // the fleet are those of the settings, or more where more were seen, and stay so when they vanish, as they
 // may only be cut off. A silent worker is doubted, unless this router has heard it since.
-func (d *Dispatcher) peers(e Peers) {
+func (d *Dispatcher) peers(e GossipUpdate) {
 	if e.Routers > d.set.Routers {
 		less := float64(d.set.Routers) / float64(e.Routers)
 		d.part, d.set.Routers = d.part*less, e.Routers
@@ -987,8 +987,8 @@
 			w.window *= less
 		}
 	}
-	for _, id := range e.Silent {
-		if w := d.workers[id]; w != nil && w.State == On && d.now-w.heard > doubtAfter && !w.doubted {
+	for _, id := range e.SuspectedWorkers {
+		if w := d.workers[id]; w != nil && w.State == EndpointActive && d.now-w.heard > doubtAfter && !w.doubted {
 			d.suspect(w)
 		}
 	}
@@ -999,7 +999,7 @@
 // the request's own.
 func (d *Dispatcher) bar(w *worker, c *class) {
 	w.bars[c] = bar{till: d.now + d.spread(barredFor, w.bars[c].times), times: w.bars[c].times + 1}
-	d.tell(Doubt{Worker: w.ID, Class: c.Name})
+	d.tell(ReportSuspicion{Worker: w.ID, Class: c.Name})
 }
 
 // unheard rests a class at a worker that answers others and leaves this class without any, several attempts
@@ -1052,13 +1052,13 @@
 // maySend tells whether the rules let a request go to a worker now.
 func (d *Dispatcher) maySend(r *request, w *worker) bool {
 	if r.done || r.began != nil || d.now >= r.deadline || len(r.attempts) >= d.set.MaxAttempts ||
-		w.State != On || r.out > 0 && !d.set.SecondCopies {
+		w.State != EndpointActive || r.out > 0 && !d.set.HedgingAllowed {
 		return false
 	}
 	for _, a := range r.attempts {
-		same := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && a.w.Zone == w.Zone ||
-			r.class.Scope == ScopeCell && a.w.Cell == w.Cell
-		again := r.class.Effect == Safe || r.class.Effect == Keyed && same && d.now-a.sent < r.class.Window
+		same := r.class.DeduplicationScope == ScopeAll || r.class.DeduplicationScope == ScopeZone && a.w.Zone == w.Zone ||
+			r.class.DeduplicationScope == ScopeCell && a.w.Cell == w.Cell
+		again := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentByKey && same && d.now-a.sent < r.class.DeduplicationWindow
 		if (!a.ended || a.ran) && !again {
 			return false
 		}
@@ -1071,7 +1071,7 @@
 // part of one of many routers is far less than a request, so it is saved up from a seeded phase.
 func (d *Dispatcher) coldRoom(w *worker) bool {
 	rate := d.warmth(w) * d.workRate / float64(max(len(d.list), 1))
-	w.saved = min(w.saved+rate*(d.now-w.savedAt).Seconds(), rate*d.set.FallSpan.Seconds())
+	w.saved = min(w.saved+rate*(d.now-w.savedAt).Seconds(), rate*d.set.OverloadWindow.Seconds())
 	w.savedAt = d.now
 	return !w.cold || w.saved > 0
 }
@@ -1084,7 +1084,7 @@
 	p := r.fn.place(w)
 	a := &attempt{r: r, w: w, n: len(r.attempts), others: len(w.open), sent: d.now, warm: d.now < p.warmTill}
 	a.expected = math.Exp(r.fn.run+w.slowness) * r.unit
-	if !a.warm && d.set.LoadsOnMiss {
+	if !a.warm && d.set.WorkersLoadOnMiss {
 		a.expected += d.loadsIn(r.fn).Seconds()
 	}
 	r.attempts = append(r.attempts, a)
@@ -1103,7 +1103,7 @@
 		d.budget--
 	}
 	w.saved -= r.class.work
-	d.act(Send{ID: r.ID, Worker: w.ID})
+	d.act(StartAttempt{ID: r.ID, Worker: w.ID})
 }
 
 // conclude is the gate of all final answers that are not served: a refusal where trying again is
@@ -1113,11 +1113,11 @@
 	case r.done:
 		return
 	case r.began != nil:
-		d.act(Fail{ID: r.ID})
-	case r.class.Effect == Safe || !r.mayRun() || r.class.Effect == Keyed && r.class.Scope == ScopeAll:
-		d.act(Refuse{ID: r.ID, After: d.comeBack()})
+		d.act(FailRequest{ID: r.ID})
+	case r.class.Idempotency == Idempotent || !r.mayRun() || r.class.Idempotency == IdempotentByKey && r.class.DeduplicationScope == ScopeAll:
+		d.act(RejectRequest{ID: r.ID, RetryAfter: d.comeBack()})
 	default:
-		d.act(Fail{ID: r.ID})
+		d.act(FailRequest{ID: r.ID})
 	}
 	d.close(r)
 }
--- a/dispatch/brain_test.go
+++ b/dispatch/brain_test.go
@@ -8,15 +8,15 @@
 
 // settings are those of a fleet whose workers answer Miss; tests change what they are about.
 func settings() Settings {
-	return Settings{Routers: 1, MaxAttempts: 4, SecondCopies: true, MayCancel: true, MayOrder: true,
-		MayProbe: true, IdleKeep: 10 * time.Second, AnswerGrace: 16 * time.Millisecond,
-		Kinds: []Kind{{"big", 16000}, {"small", 8000}}, ColdShare: 0.2, ColdFor: 16 * time.Second,
-		FallMultiple: 3, FallSpan: 1500 * time.Millisecond,
+	return Settings{Routers: 1, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, LoadCommandsAllowed: true,
+		HealthChecksAllowed: true, IdleResidency: 10 * time.Second, ResponseGrace: 16 * time.Millisecond,
+		WorkerKinds: []WorkerKind{{"big", 16000}, {"small", 8000}}, SlowStartShare: 0.2, SlowStartDuration: 16 * time.Second,
+		OverloadMultiple: 3, OverloadWindow: 1500 * time.Millisecond,
 		Classes: []Class{
-			{Name: "safe", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: Safe},
-			{Name: "once", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: Unsafe},
-			{Name: "keyed", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed,
-				Scope: ScopeCell, Window: 2 * time.Second},
+			{Name: "safe", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: Idempotent},
+			{Name: "once", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: NonIdempotent},
+			{Name: "keyed", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: IdempotentByKey,
+				DeduplicationScope: ScopeCell, DeduplicationWindow: 2 * time.Second},
 		}}
 }
 
@@ -36,11 +36,11 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, check: newChecker(s), now: time.Second}
-	ms := []Member{}
+	ms := []Endpoint{}
 	for i, id := range ids {
-		ms = append(ms, Member{ID: id, Kind: "big", Cell: i / 2})
+		ms = append(ms, Endpoint{ID: id, Kind: "big", Cell: i / 2})
 	}
-	r.step(Roster{Whole: true, Members: ms})
+	r.step(EndpointUpdate{Snapshot: true, Endpoints: ms})
 	return r
 }
 
@@ -58,7 +58,7 @@
 	r.t.Helper()
 	for end := r.now + span; r.now < end; {
 		r.now += 10 * time.Millisecond
-		out = append(out, r.step(Woken{})...)
+		out = append(out, r.step(TimerFired{})...)
 	}
 	return out
 }
@@ -67,8 +67,8 @@
 func (r *rig) call(function, class string) (RequestID, []Action) {
 	r.t.Helper()
 	r.next++
-	return r.next, r.step(Request{ID: r.next, Function: function, Class: class, MemoryMB: 300, Lanes: 1,
-		Left: 3 * time.Second})
+	return r.next, r.step(Request{ID: r.next, Function: function, Class: class, MemoryMB: 300, ConcurrencyPerInstance: 1,
+		RemainingDeadline: 3 * time.Second})
 }
 
 func all[T Action](actions []Action) (found []T) {
@@ -80,9 +80,9 @@
 	return found
 }
 
-func (r *rig) sent(actions []Action) Send {
+func (r *rig) sent(actions []Action) StartAttempt {
 	r.t.Helper()
-	s := all[Send](actions)
+	s := all[StartAttempt](actions)
 	if len(s) != 1 {
 		r.t.Fatalf("%d sends, want 1: %v", len(s), actions)
 	}
@@ -129,7 +129,7 @@
 func TestDemandFades(t *testing.T) {
 	r := newRig(t, settings(), "w1")
 	id, out := r.call("f", "safe")
-	r.step(Outcome{ID: id, Worker: r.sent(out).Worker, Took: 50 * time.Millisecond, Final: true})
+	r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Duration: 50 * time.Millisecond, Final: true})
 	r.after(3 * time.Second)
 	was := r.d.fns["f"].demand
 	r.after(8 * time.Second)
@@ -142,26 +142,26 @@
 	r := newRig(t, settings(), "w1", "w2")
 	id, out := r.call("f", "once")
 	w := r.sent(out).Worker
-	out = r.step(Outcome{ID: id, Worker: w, Result: Missed})
-	if o := all[LoadOrder](out); len(o) != 1 || o[0].Worker != w || o[0].Copies != 1 {
+	out = r.step(AttemptEnded{ID: id, Worker: w, Result: NotResident})
+	if o := all[LoadFunction](out); len(o) != 1 || o[0].Worker != w || o[0].Copies != 1 {
 		t.Fatalf("orders %v", o)
 	}
-	if _, out = r.call("f", "once"); len(all[LoadOrder](out)) != 0 {
+	if _, out = r.call("f", "once"); len(all[LoadFunction](out)) != 0 {
 		t.Error("a load under way was ordered again")
 	}
 	r.now += 300 * time.Millisecond
-	out = r.step(Loaded{Worker: w, Function: "f", Copies: 1, Took: 300 * time.Millisecond})
-	if n := len(all[Send](out)); n != 2 {
+	out = r.step(FunctionLoaded{Worker: w, Function: "f", Copies: 1, Duration: 300 * time.Millisecond})
+	if n := len(all[StartAttempt](out)); n != 2 {
 		t.Errorf("%d sends after the load, want both", n)
 	}
 }
 
 func TestUnsafeIsNotRepeatedAfterATimeOut(t *testing.T) {
-	for _, result := range []Result{TimedOut, Reset, Errored, Cancelled} {
+	for _, result := range []Result{TimedOut, ConnectionReset, Errored, Cancelled} {
 		r := newRig(t, settings(), "w1", "w2")
 		id, out := r.call("f", "once")
-		out = r.step(Outcome{ID: id, Worker: r.sent(out).Worker, Result: result})
-		if len(all[Fail](out)) != 1 || len(all[Send](out)) != 0 {
+		out = r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Result: result})
+		if len(all[FailRequest](out)) != 1 || len(all[StartAttempt](out)) != 0 {
 			t.Errorf("result %d: %v, want a failure", result, out)
 		}
 	}
@@ -171,23 +171,23 @@
 	r := newRig(t, settings(), "w1", "w2")
 	id, out := r.call("f", "once")
 	w := r.sent(out).Worker
-	if r.sent(r.step(Outcome{ID: id, Worker: w, Result: Refused})).Worker == w {
+	if r.sent(r.step(AttemptEnded{ID: id, Worker: w, Result: Rejected})).Worker == w {
 		t.Error("sent to the refusing worker again")
 	}
 }
 
 func TestKeyedStaysInItsCellAndWindow(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	r := newRig(t, s, "w1", "w2", "w3", "w4")
 	id, out := r.call("f", "keyed")
 	first := r.sent(out).Worker
-	again := r.sent(r.step(Outcome{ID: id, Worker: first, Result: Reset}))
+	again := r.sent(r.step(AttemptEnded{ID: id, Worker: first, Result: ConnectionReset}))
 	if r.d.workers[again.Worker].Cell != r.d.workers[first].Cell || again.Worker == first {
 		t.Errorf("sent again to %s, first to %s", again.Worker, first)
 	}
 	r.now += 2 * time.Second
-	out = r.step(Outcome{ID: id, Attempt: 1, Worker: again.Worker, Result: Reset})
+	out = r.step(AttemptEnded{ID: id, Attempt: 1, Worker: again.Worker, Result: ConnectionReset})
 	r.after(2 * time.Second)
 }
 
@@ -195,7 +195,7 @@
 	r := newRig(t, settings(), "w1", "w2")
 	_, out := r.call("f", "safe")
 	w := r.sent(out).Worker
-	r.step(Roster{Members: []Member{{ID: w, State: Draining}}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: w, State: EndpointDraining}}})
 	if _, out = r.call("f", "safe"); r.sent(out).Worker == w {
 		t.Error("sent to a draining worker")
 	}
@@ -204,7 +204,7 @@
 func TestEveryRequestIsAnsweredInTimeWithNoWorkers(t *testing.T) {
 	r := newRig(t, settings())
 	r.call("f", "once")
-	if out := r.after(4 * time.Second); len(all[Refuse](out)) != 1 {
+	if out := r.after(4 * time.Second); len(all[RejectRequest](out)) != 1 {
 		t.Errorf("%v, want one refusal", out)
 	}
 }
@@ -213,15 +213,15 @@
 func TestWakeRoundedDownIsAskedForAgain(t *testing.T) {
 	r := newRig(t, settings())
 	r.next++
-	out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 1, Lanes: 1,
-		Work: time.Microsecond, Left: 1500500})
+	out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 1, ConcurrencyPerInstance: 1,
+		ExpectedWork: time.Microsecond, RemainingDeadline: 1500500})
 	for range 40 {
-		w := all[Wake](out)
+		w := all[SetTimer](out)
 		if len(w) == 0 {
 			break
 		}
 		r.now += w[len(w)-1].After.Truncate(time.Microsecond)
-		if out = r.step(Woken{}); len(all[Refuse](out)) > 0 {
+		if out = r.step(TimerFired{}); len(all[RejectRequest](out)) > 0 {
 			return
 		}
 	}
@@ -230,11 +230,11 @@
 
 func TestSilentWorkerIsPassedOverAndReturns(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	r := newRig(t, s, "w1", "w2", "w3")
 	id, out := r.call("f", "safe")
 	w := r.sent(out).Worker
-	r.step(Outcome{ID: id, Worker: w, Took: 50 * time.Millisecond, Final: true})
+	r.step(AttemptEnded{ID: id, Worker: w, Duration: 50 * time.Millisecond, Final: true})
 	for range 4 {
 		r.call("f", "safe")
 	}
@@ -242,7 +242,7 @@
 	if _, out = r.call("f", "safe"); r.sent(out).Worker == w {
 		t.Fatal("sent to a silent worker")
 	}
-	r.step(Probed{Worker: w})
+	r.step(HealthChecked{Worker: w})
 	if r.d.workers[w].doubted {
 		t.Error("still doubted after an answer")
 	}
@@ -251,14 +251,14 @@
 // crowd is many routers of one fleet, driven in step.
 type crowd struct {
 	rigs    []*rig
-	members []Member
+	members []Endpoint
 }
 
 func newCrowd(t *testing.T, n int, s Settings, workers int) *crowd {
 	t.Helper()
 	c := &crowd{}
 	for i := range workers {
-		c.members = append(c.members, Member{ID: fmt.Sprintf("w%02d", i), Kind: "big", Cell: i / 4})
+		c.members = append(c.members, Endpoint{ID: fmt.Sprintf("w%02d", i), Kind: "big", Cell: i / 4})
 	}
 	s.Routers = n
 	for i := range n {
@@ -275,7 +275,7 @@
 // roster sends the whole list to every router.
 func (c *crowd) roster() {
 	for _, r := range c.rigs {
-		r.step(Roster{Whole: true, Members: c.members})
+		r.step(EndpointUpdate{Snapshot: true, Endpoints: c.members})
 	}
 }
 
@@ -284,14 +284,14 @@
 func (c *crowd) play(span, gap, took time.Duration, key func(router, call int) string) (out []Action) {
 	type due struct {
 		at time.Duration
-		o  Outcome
+		o  AttemptEnded
 	}
 	for i, r := range c.rigs {
 		open, last := []due{}, r.now+gap*time.Duration(i)/time.Duration(len(c.rigs))-gap
 		tries, loads := map[RequestID]int{}, []Event{}
 		for n, end := 0, r.now+span; r.now < end; {
 			r.now += 10 * time.Millisecond
-			events := append([]Event{Woken{}}, loads...)
+			events := append([]Event{TimerFired{}}, loads...)
 			loads = nil
 			for len(open) > 0 && open[0].at <= r.now {
 				events, open = append(events, open[0].o), open[1:]
@@ -300,19 +300,19 @@
 				r.next++
 				last, n = last+gap, n+1
 				events = append(events, Request{ID: r.next, Function: key(i, n), Class: "safe", MemoryMB: 300,
-					Lanes: 1, Left: 3 * time.Second})
+					ConcurrencyPerInstance: 1, RemainingDeadline: 3 * time.Second})
 			}
 			for _, a := range r.step(events...) {
-				if s, ok := a.(Send); ok && took >= 0 {
-					open = append(open, due{r.now + took, Outcome{ID: s.ID, Attempt: tries[s.ID], Worker: s.Worker,
-						Took: took, Final: true, Company: -1, Load: NoLoad}})
+				if s, ok := a.(StartAttempt); ok && took >= 0 {
+					open = append(open, due{r.now + took, AttemptEnded{ID: s.ID, Attempt: tries[s.ID], Worker: s.Worker,
+						Duration: took, Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport}})
 				}
-				if s, ok := a.(Send); ok {
+				if s, ok := a.(StartAttempt); ok {
 					tries[s.ID]++
 				}
-				if l, ok := a.(LoadOrder); ok {
-					loads = append(loads, Loaded{Worker: l.Worker, Function: l.Function, Copies: 1,
-						Took: 10 * time.Millisecond})
+				if l, ok := a.(LoadFunction); ok {
+					loads = append(loads, FunctionLoaded{Worker: l.Worker, Function: l.Function, Copies: 1,
+						Duration: 10 * time.Millisecond})
 				}
 				out = append(out, a)
 			}
@@ -323,33 +323,33 @@
 
 func TestManyRoutersTogetherSpareAColdWorker(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	const routers, workers = 250, 20
 	c := newCrowd(t, routers, s, workers)
 	everywhere := func(_, call int) string { return fmt.Sprintf("f%d", call%40) }
 	c.play(8*time.Second, 200*time.Millisecond, 50*time.Millisecond, everywhere)
-	c.members[7].Started = c.rigs[0].now
+	c.members[7].StartedAt = c.rigs[0].now
 	c.roster()
 	n := 0
-	for _, a := range all[Send](c.play(s.FallSpan, 200*time.Millisecond, 50*time.Millisecond, everywhere)) {
+	for _, a := range all[StartAttempt](c.play(s.OverloadWindow, 200*time.Millisecond, 50*time.Millisecond, everywhere)) {
 		if a.Worker == c.members[7].ID {
 			n++
 		}
 	}
-	even := 5 * s.FallSpan.Seconds() * routers / workers // calls of all routers for one worker
-	if most := 1.2 * even * (s.ColdShare + 0.1); n == 0 || float64(n) > most {
+	even := 5 * s.OverloadWindow.Seconds() * routers / workers // calls of all routers for one worker
+	if most := 1.2 * even * (s.SlowStartShare + 0.1); n == 0 || float64(n) > most {
 		t.Errorf("%d sends to a worker that has just started, want 1 to %.0f", n, most)
 	}
 }
 
 func TestWorkAskedForButNotServedRaisesNoColdBudget(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	c := newCrowd(t, 50, s, 10)
 	c.play(8*time.Second, 50*time.Millisecond, -1, func(_, call int) string { return fmt.Sprintf("f%d", call%20) })
-	c.members[3].Started = c.rigs[0].now
+	c.members[3].StartedAt = c.rigs[0].now
 	c.roster()
-	for _, a := range all[Send](c.play(s.FallSpan, 50*time.Millisecond, -1,
+	for _, a := range all[StartAttempt](c.play(s.OverloadWindow, 50*time.Millisecond, -1,
 		func(_, call int) string { return fmt.Sprintf("f%d", call%20) })) {
 		if a.Worker == c.members[3].ID {
 			t.Fatal("sent to a cold worker by a router that has had nothing served")
@@ -366,17 +366,17 @@
 		"no longer than a load":   {20 * time.Millisecond, 1300 * time.Millisecond, false},
 		"longer than a load, too": {20 * time.Millisecond, 900 * time.Millisecond, true}} {
 		s := settings()
-		s.Routers, s.LoadsOnMiss = 100, c.load > 0
+		s.Routers, s.WorkersLoadOnMiss = 100, c.load > 0
 		r := newRig(t, s, "w1", "w2", "w3")
 		r.warmed("f", "safe")
 		before := r.d.window
 		r.d.took = 0.5 // answers take that long of late: 1.2 s is no outlier
 		for range 5 {
 			r.next++
-			out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 300, Lanes: 1, Work: c.work,
-				LoadTime: c.load, Left: 3 * time.Second})
+			out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 300, ConcurrencyPerInstance: 1, ExpectedWork: c.work,
+				LoadTime: c.load, RemainingDeadline: 3 * time.Second})
 			r.after(1200 * time.Millisecond)
-			r.answer(r.sent(out), 0, Outcome{Took: 1200 * time.Millisecond, Company: -1, Load: NoLoad})
+			r.answer(r.sent(out), 0, AttemptEnded{Duration: 1200 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		}
 		if shrunk := r.d.window < before; shrunk != c.shrinks {
 			t.Errorf("%s: window %.2f, then %.2f", name, before, r.d.window)
@@ -385,7 +385,7 @@
 }
 
 // answer ends an attempt as the test says.
-func (r *rig) answer(s Send, attempt int, o Outcome) []Action {
+func (r *rig) answer(s StartAttempt, attempt int, o AttemptEnded) []Action {
 	r.t.Helper()
 	o.ID, o.Worker, o.Attempt, o.Final = s.ID, s.Worker, attempt, o.Result == OK
 	return r.step(o)
@@ -396,18 +396,18 @@
 	r.t.Helper()
 	_, out := r.call(function, class)
 	s := r.sent(out)
-	r.answer(s, 0, Outcome{Took: 50 * time.Millisecond, Company: -1, Load: NoLoad})
+	r.answer(s, 0, AttemptEnded{Duration: 50 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
 	return s.Worker
 }
 
 func TestClassRestsWhereItFailsAndOthersAreServed(t *testing.T) {
-	busy := Load{InFlight: 9, Queue: -1, Loading: -1}
-	for name, end := range map[string]Outcome{
-		"error":                   {Result: Errored, Took: 40 * time.Millisecond, Load: NoLoad},
-		"slow refusal, room left": {Result: Refused, Took: 200 * time.Millisecond, Load: Load{Queue: -1, Loading: -1}},
+	busy := LoadReport{InFlight: 9, Queued: -1, Loading: -1}
+	for name, end := range map[string]AttemptEnded{
+		"error":                   {Result: Errored, Duration: 40 * time.Millisecond, LoadReport: NoLoadReport},
+		"slow refusal, room left": {Result: Rejected, Duration: 200 * time.Millisecond, LoadReport: LoadReport{Queued: -1, Loading: -1}},
 	} {
 		s := settings()
-		s.LoadsOnMiss, s.MayOrder = true, false
+		s.WorkersLoadOnMiss, s.LoadCommandsAllowed = true, false
 		r := newRig(t, s, "w1", "w2", "w3")
 		home := r.warmed("f", "once")
 		other := ""
@@ -417,14 +417,14 @@
 			}
 		}
 		_, out := r.call(other, "safe")
-		r.answer(r.sent(out), 0, Outcome{Took: 50 * time.Millisecond, Load: busy})
+		r.answer(r.sent(out), 0, AttemptEnded{Duration: 50 * time.Millisecond, LoadReport: busy})
 		_, out = r.call("f", "once")
 		r.answer(r.sent(out), 0, end)
 		_, out = r.call("f", "once")
 		if s := r.sent(out); s.Worker == home {
 			t.Errorf("%s: sent to the same worker again", name)
 		} else {
-			r.answer(s, 0, Outcome{Took: 50 * time.Millisecond, Company: -1, Load: NoLoad})
+			r.answer(s, 0, AttemptEnded{Duration: 50 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		}
 		r.after(freshFor) // by then it is not known to hold 9 any more
 		if _, out = r.call(other, "safe"); r.sent(out).Worker != home {
@@ -439,7 +439,7 @@
 
 func TestManyRoutersAgreeOnHomesAndUseSplitsEvenly(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	const routers, workers = 120, 30
 	c := newCrowd(t, routers, s, workers)
 	key := func(router, call int) string { // half of the calls for one function, the others for a hundred
@@ -457,7 +457,7 @@
 		}
 	}
 	sends := map[string]int{}
-	all := all[Send](c.play(5*time.Second, 200*time.Millisecond, 50*time.Millisecond,
+	all := all[StartAttempt](c.play(5*time.Second, 200*time.Millisecond, 50*time.Millisecond,
 		func(int, int) string { return "hot" }))
 	most := 0
 	for _, a := range all {
@@ -491,13 +491,13 @@
 
 func TestLoadRation(t *testing.T) {
 	s := settings()
-	s.LoadSpan, s.LoadFree, s.LoadRatio = 5*time.Second, 2, 0.1
+	s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 2, 0.1
 	r := newRig(t, s, "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8")
 	n := 0
 	for _, f := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		id, out := r.call(f, "safe")
-		out = r.step(Outcome{ID: id, Worker: r.sent(out).Worker, Result: Missed})
-		n += len(all[LoadOrder](out))
+		out = r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Result: NotResident})
+		n += len(all[LoadFunction](out))
 	}
 	if n != 2 {
 		t.Errorf("%d orders, want 2", n)
@@ -508,7 +508,7 @@
 	for name, change := range map[string]func(*Settings){
 		"no class":      func(s *Settings) { s.Classes = nil },
 		"no attempt":    func(s *Settings) { s.MaxAttempts = 0 },
-		"negative span": func(s *Settings) { s.ColdFor = -1 },
+		"negative span": func(s *Settings) { s.SlowStartDuration = -1 },
 	} {
 		s := settings()
 		change(&s)
@@ -524,36 +524,36 @@
 	r := newRig(t, settings(), "w1")
 	id, out := r.call("f", "safe")
 	w := r.sent(out).Worker
-	r.step(Outcome{ID: id, Worker: w, Result: Missed})
-	out = r.step(Loaded{Worker: w, Function: "f", Result: Refused})
-	if n := len(all[Send](out)) + len(all[Refuse](out)); n != 0 {
+	r.step(AttemptEnded{ID: id, Worker: w, Result: NotResident})
+	out = r.step(FunctionLoaded{Worker: w, Function: "f", Result: Rejected})
+	if n := len(all[StartAttempt](out)) + len(all[RejectRequest](out)); n != 0 {
 		t.Errorf("%v: nothing should be tried while the place rests", out)
 	}
-	if out = r.after(2 * time.Second); len(all[Send](out)) == 0 {
+	if out = r.after(2 * time.Second); len(all[StartAttempt](out)) == 0 {
 		t.Error("not tried again after the rest")
 	}
 }
 
 func TestFullWindowWaitsHereAndNewestGoesFirst(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	r := newRig(t, s, "w1")
 	id, out := r.call("f", "safe")
-	r.step(Outcome{ID: id, Worker: r.sent(out).Worker, Took: 50 * time.Millisecond, Final: true})
+	r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Duration: 50 * time.Millisecond, Final: true})
 	var out1 RequestID
 	sends := 0
 	for range 20 {
 		r.now += time.Millisecond
 		id, out := r.call("f", "safe")
-		if n := len(all[Send](out)); n > 0 {
+		if n := len(all[StartAttempt](out)); n > 0 {
 			out1, sends = id, sends+n
 		}
 	}
 	if sends < int(windowStart) || sends == 20 {
 		t.Fatalf("%d out, want the window of %v", sends, windowStart)
 	}
-	out = r.step(Outcome{ID: out1, Worker: "w1", Took: 60 * time.Millisecond, Final: true})
-	if got := all[Send](out); len(got) == 0 || got[0].ID != r.next {
+	out = r.step(AttemptEnded{ID: out1, Worker: "w1", Duration: 60 * time.Millisecond, Final: true})
+	if got := all[StartAttempt](out); len(got) == 0 || got[0].ID != r.next {
 		t.Errorf("%v, want the newest, %d, first", got, r.next)
 	}
 }
@@ -575,22 +575,22 @@
 // Heavy-tailed days of abuja-boxes: what can't be in time any more took the room of what still could.
 func TestHeldRequestsThatCanBeInTimeGoFirst(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss, s.Routers = true, 12 // a window of one
+	s.WorkersLoadOnMiss, s.Routers = true, 12 // a window of one
 	r := newRig(t, s, "w1")
 	bring := func(id RequestID, work time.Duration) []Action {
 		r.now += time.Millisecond
-		return r.step(Request{ID: id, Function: "f", Class: "safe", MemoryMB: 300, Lanes: 1, Work: work,
-			Left: 3 * time.Second})
+		return r.step(Request{ID: id, Function: "f", Class: "safe", MemoryMB: 300, ConcurrencyPerInstance: 1, ExpectedWork: work,
+			RemainingDeadline: 3 * time.Second})
 	}
 	bring(1, 50*time.Millisecond)
-	r.step(Outcome{ID: 1, Worker: "w1", Took: 50 * time.Millisecond, Final: true})
+	r.step(AttemptEnded{ID: 1, Worker: "w1", Duration: 50 * time.Millisecond, Final: true})
 	r.d.workers["w1"].window = 1
 	bring(2, 50*time.Millisecond)
 	bring(3, 50*time.Millisecond)
 	bring(4, 2*time.Second)
 	r.d.workers["w1"].window = 1
-	out := r.step(Outcome{ID: 2, Worker: "w1", Took: 50 * time.Millisecond, Final: true})
-	if got := all[Send](out); len(got) == 0 || got[0].ID != 3 {
+	out := r.step(AttemptEnded{ID: 2, Worker: "w1", Duration: 50 * time.Millisecond, Final: true})
+	if got := all[StartAttempt](out); len(got) == 0 || got[0].ID != 3 {
 		t.Errorf("%v, want 3 first: 4 can't be in time", got)
 	}
 }
@@ -608,7 +608,7 @@
 
 type held struct {
 	router int
-	o      Outcome
+	o      AttemptEnded
 	starts time.Duration
 }
 
@@ -619,24 +619,24 @@
 	for end := f.rigs[0].now + span; f.rigs[0].now < end; {
 		for i, r := range f.rigs {
 			r.now += tick
-			events := append([]Event{Woken{}}, f.answer[i]...)
+			events := append([]Event{TimerFired{}}, f.answer[i]...)
 			f.answer[i] = nil
 			if phase := gap * time.Duration(i) / time.Duration(len(f.rigs)); (r.now+phase)%gap < tick {
 				r.next++
 				f.came++
 				events = append(events, Request{ID: r.next, Function: fmt.Sprintf("f%d", int(r.next)%40), Class: "safe",
-					MemoryMB: 300, Lanes: 8, Left: 3 * time.Second, LoadTime: time.Second})
+					MemoryMB: 300, ConcurrencyPerInstance: 8, RemainingDeadline: 3 * time.Second, LoadTime: time.Second})
 			}
 			for _, a := range r.step(events...) {
 				switch a := a.(type) {
-				case Send:
+				case StartAttempt:
 					f.take(i, a)
-				case Refuse:
-					f.advice = append(f.advice, a.After)
-				case LoadOrder:
-					f.answer[i] = append(f.answer[i], Loaded{Worker: a.Worker, Function: a.Function, Copies: 1})
-				case Probe:
-					f.answer[i] = append(f.answer[i], Probed{Worker: a.Worker, Load: f.load(a.Worker)})
+				case RejectRequest:
+					f.advice = append(f.advice, a.RetryAfter)
+				case LoadFunction:
+					f.answer[i] = append(f.answer[i], FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: 1})
+				case CheckHealth:
+					f.answer[i] = append(f.answer[i], HealthChecked{Worker: a.Worker, LoadReport: f.load(a.Worker)})
 				}
 			}
 		}
@@ -644,21 +644,21 @@
 	}
 }
 
-func (f *fleet) load(w string) Load {
-	return Load{InFlight: float64(len(f.holds[w])), Queue: -1, Loading: -1}
+func (f *fleet) load(w string) LoadReport {
+	return LoadReport{InFlight: float64(len(f.holds[w])), Queued: -1, Loading: -1}
 }
 
-func (f *fleet) take(router int, s Send) {
+func (f *fleet) take(router int, s StartAttempt) {
 	key := fmt.Sprint(router, "/", s.ID)
-	o := Outcome{ID: s.ID, Worker: s.Worker, Attempt: f.tries[key], Company: -1, Load: f.load(s.Worker)}
+	o := AttemptEnded{ID: s.ID, Worker: s.Worker, Attempt: f.tries[key], FunctionInFlight: -1, LoadReport: f.load(s.Worker)}
 	f.tries[key]++
 	f.sent++
 	if len(f.holds[s.Worker]) >= 24 {
-		o.Result, o.Took = Refused, 2*time.Millisecond
+		o.Result, o.Duration = Rejected, 2*time.Millisecond
 		f.answer[router] = append(f.answer[router], o)
 		return
 	}
-	o.Took = -f.rigs[router].now
+	o.Duration = -f.rigs[router].now
 	f.holds[s.Worker] = append(f.holds[s.Worker], held{router: router, o: o})
 }
 
@@ -671,8 +671,8 @@
 				h.starts = now
 			}
 			if h.starts > 0 && now-h.starts >= 100*time.Millisecond {
-				h.o.Took, h.o.Final = h.o.Took+now, true
-				if h.o.Took < time.Second {
+				h.o.Duration, h.o.Final = h.o.Duration+now, true
+				if h.o.Duration < time.Second {
 					f.ok++
 				}
 				f.answer[h.router] = append(f.answer[h.router], h.o)
@@ -688,8 +688,8 @@
 // counted what went to copies not known warm and each refusal was sent again at once.
 func TestSurgeIsNotMultipliedAndEnds(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss, s.MaxRetryAfter, s.MaxAttempts, s.SecondCopies = true, time.Second, 5, false
-	s.LoadSpan, s.LoadFree, s.LoadRatio = 5*time.Second, 4, 0.1
+	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.MaxAttempts, s.HedgingAllowed = true, time.Second, 5, false
+	s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 4, 0.1
 	f := &fleet{crowd: newCrowd(t, 60, s, 20), holds: map[string][]held{}, tries: map[string]int{},
 		answer: make([][]Event, 60)}
 	f.play(8*time.Second, 60*time.Millisecond)
@@ -726,25 +726,25 @@
 // What gets no further attempt is answered in the step that decides so, with advice when to come back.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss, s.MaxRetryAfter, s.SecondCopies = true, time.Second, false
-	refused := Outcome{Result: Refused, Took: 2 * time.Millisecond, Company: -1, Load: NoLoad}
+	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.HedgingAllowed = true, time.Second, false
+	refused := AttemptEnded{Result: Rejected, Duration: 2 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport}
 	for name, c := range map[string]struct {
 		class string
 		left  time.Duration
-		ends  []Outcome
+		ends  []AttemptEnded
 		fails bool
 		ready func(*rig)
 	}{
-		"attempts used up":       {"safe", 3 * time.Second, []Outcome{refused, refused, refused, refused}, false, nil},
-		"budget used up":         {"safe", 3 * time.Second, []Outcome{refused}, false, func(r *rig) { r.d.budget = 0 }},
+		"attempts used up":       {"safe", 3 * time.Second, []AttemptEnded{refused, refused, refused, refused}, false, nil},
+		"budget used up":         {"safe", 3 * time.Second, []AttemptEnded{refused}, false, func(r *rig) { r.d.budget = 0 }},
 		"can't end in time left": {"safe", 40 * time.Millisecond, nil, false, nil},
-		"may have run":           {"once", 3 * time.Second, []Outcome{{Result: Errored, Company: -1, Load: NoLoad}}, true, nil},
-		"no worker of its cell to come": {"keyed", 3 * time.Second, []Outcome{{Result: Reset, Company: -1, Load: NoLoad}},
+		"may have run":           {"once", 3 * time.Second, []AttemptEnded{{Result: Errored, FunctionInFlight: -1, LoadReport: NoLoadReport}}, true, nil},
+		"no worker of its cell to come": {"keyed", 3 * time.Second, []AttemptEnded{{Result: ConnectionReset, FunctionInFlight: -1, LoadReport: NoLoadReport}},
 			true, func(r *rig) {
 				a := r.d.reqs[r.next].attempts[0].w
 				for _, w := range r.d.workers {
 					if w.Cell == a.Cell {
-						r.step(Roster{Members: []Member{{ID: w.ID, Kind: "big", Cell: w.Cell, State: Draining}}})
+						r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: w.ID, Kind: "big", Cell: w.Cell, State: EndpointDraining}}})
 					}
 				}
 			}},
@@ -752,29 +752,29 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, s, "w1", "w2", "w3", "w4")
 			r.next++
-			out := r.step(Request{ID: r.next, Function: "f", Class: c.class, MemoryMB: 300, Lanes: 1, Left: c.left})
+			out := r.step(Request{ID: r.next, Function: "f", Class: c.class, MemoryMB: 300, ConcurrencyPerInstance: 1, RemainingDeadline: c.left})
 			if c.ready != nil {
 				c.ready(r)
 			}
 			for n, o := range c.ends {
-				sends := all[Send](out)
+				sends := all[StartAttempt](out)
 				for range 40 {
 					if len(sends) > 0 {
 						break
 					}
-					sends = all[Send](r.after(10 * time.Millisecond))
+					sends = all[StartAttempt](r.after(10 * time.Millisecond))
 				}
 				if len(sends) != 1 {
 					t.Fatalf("%d sends for attempt %d", len(sends), n)
 				}
 				out = r.answer(sends[0], n, o)
 			}
-			refuse, fail := all[Refuse](out), all[Fail](out)
+			refuse, fail := all[RejectRequest](out), all[FailRequest](out)
 			switch {
 			case c.fails && (len(fail) != 1 || len(refuse) > 0), !c.fails && (len(refuse) != 1 || len(fail) > 0):
 				t.Errorf("%v in the step that ends it, want a final answer", out)
-			case !c.fails && (refuse[0].After <= 0 || refuse[0].After > s.MaxRetryAfter):
-				t.Errorf("advice to come back after %v", refuse[0].After)
+			case !c.fails && (refuse[0].RetryAfter <= 0 || refuse[0].RetryAfter > s.MaxRetryAfter):
+				t.Errorf("advice to come back after %v", refuse[0].RetryAfter)
 			}
 		})
 	}
@@ -783,21 +783,21 @@
 // A request that waits here for room was answered when its client left; it is shed when it can't be in time.
 func TestHeldRequestIsShedWhenItCannotBeInTime(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss, s.MaxRetryAfter, s.Routers, s.SecondCopies = true, time.Second, 12, false
+	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.Routers, s.HedgingAllowed = true, time.Second, 12, false
 	r := newRig(t, s, "w1")
 	r.warmed("f", "safe")
 	r.d.workers["w1"].window, r.d.took = 1, 10 // the attempt out is not overdue
 	r.call("f", "safe")
 	id, out := r.call("f", "safe")
-	if len(all[Send](out)) > 0 {
+	if len(all[StartAttempt](out)) > 0 {
 		t.Fatal("not held")
 	}
 	from := r.now
-	for len(all[Refuse](out)) == 0 && r.now < from+3*time.Second {
-		r.step(Probed{Worker: "w1", Load: NoLoad}) // it is there, but has no room
+	for len(all[RejectRequest](out)) == 0 && r.now < from+3*time.Second {
+		r.step(HealthChecked{Worker: "w1", LoadReport: NoLoadReport}) // it is there, but has no room
 		out = r.after(10 * time.Millisecond)
 	}
-	refused := all[Refuse](out)
+	refused := all[RejectRequest](out)
 	if waited := r.now - from; len(refused) != 1 || refused[0].ID != id || waited > time.Second {
 		t.Errorf("%v after %v, want it shed before its aim", refused, waited)
 	}
@@ -807,20 +807,20 @@
 // requests while others held three.
 func TestCrowdedWorkerIsPassedOverByManyRouters(t *testing.T) {
 	for name, c := range map[string]struct {
-		probed  Probed
+		probed  HealthChecked
 		routers int
 		leaves  bool
 	}{
-		"holds far more than others": {Probed{Load: Load{InFlight: 30, Queue: -1, Loading: -1}}, 100, true},
-		"holds little":               {Probed{Load: Load{InFlight: 1, Queue: -1, Loading: -1}}, 100, false},
-		"doesn't answer":             {Probed{Result: TimedOut, Load: NoLoad}, 100, false},
+		"holds far more than others": {HealthChecked{LoadReport: LoadReport{InFlight: 30, Queued: -1, Loading: -1}}, 100, true},
+		"holds little":               {HealthChecked{LoadReport: LoadReport{InFlight: 1, Queued: -1, Loading: -1}}, 100, false},
+		"doesn't answer":             {HealthChecked{Result: TimedOut, LoadReport: NoLoadReport}, 100, false},
 	} {
 		s := settings()
-		s.LoadsOnMiss, s.Reports, s.Routers = true, FromAnswers, c.routers
+		s.WorkersLoadOnMiss, s.LoadReports, s.Routers = true, ReportsWithResponses, c.routers
 		r := newRig(t, s, "w1", "w2", "w3", "w4")
 		_, out := r.call("f", "safe")
-		probes := all[Probe](out)
-		if len(probes) != 1 || len(all[Send](out)) > 0 {
+		probes := all[CheckHealth](out)
+		if len(probes) != 1 || len(all[StartAttempt](out)) > 0 {
 			t.Fatalf("%s: %v, want one probe first", name, out)
 		}
 		c.probed.Worker = probes[0].Worker
@@ -829,16 +829,16 @@
 		}
 		r.now += time.Millisecond
 		r.call("f", "safe")
-		if out = r.after(30 * time.Millisecond); c.probed.Result == TimedOut && len(all[Send](out)) != 1 {
+		if out = r.after(30 * time.Millisecond); c.probed.Result == TimedOut && len(all[StartAttempt](out)) != 1 {
 			t.Errorf("%s: %v, want it sent without a report", name, out)
 		}
 	}
 	few := newRig(t, settings(), "w1", "w2", "w3", "w4")
-	few.d.set.Reports = FromAnswers
+	few.d.set.LoadReports = ReportsWithResponses
 	probes := 0
 	for i := range 40 {
 		_, out := few.call(fmt.Sprintf("f%d", i), "safe")
-		probes += len(all[Probe](out))
+		probes += len(all[CheckHealth](out))
 	}
 	if probes > 20 {
 		t.Errorf("one router of four workers probes %d times for 40 calls", probes)
@@ -849,7 +849,7 @@
 // attempts, for the five seconds until their clients left; 60% of the requests were turned away meanwhile.
 func TestUnansweredAttemptsDontFillTheWindow(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss, s.SecondCopies, s.Routers = true, false, 60
+	s.WorkersLoadOnMiss, s.HedgingAllowed, s.Routers = true, false, 60
 	r := newRig(t, s, "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "w9")
 	for i := range 9 {
 		r.warmed(fmt.Sprintf("f%d", i), "safe")
@@ -865,7 +865,7 @@
 	if r.d.busy+1 <= r.d.window*r.d.part {
 		t.Fatalf("%.1f of %.1f attempts out, want the window full", r.d.busy, r.d.window*r.d.part)
 	}
-	if out := r.after(700 * time.Millisecond); len(all[Send](out)) < 2 {
+	if out := r.after(700 * time.Millisecond); len(all[StartAttempt](out)) < 2 {
 		t.Errorf("%v, want what is held sent: what is out is long overdue", out)
 	}
 }
@@ -876,16 +876,16 @@
 	s.MaxRetryAfter = time.Second
 	r := newRig(t, s, "w1")
 	r.next++
-	out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 300, Lanes: 1, LoadTime: 2 * time.Second,
-		Left: time.Second})
-	out = r.answer(r.sent(out), 0, Outcome{Result: Missed, Company: -1, Load: NoLoad})
-	if refused := all[Refuse](out); len(refused) != 1 || refused[0].After <= 0 {
+	out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 300, ConcurrencyPerInstance: 1, LoadTime: 2 * time.Second,
+		RemainingDeadline: time.Second})
+	out = r.answer(r.sent(out), 0, AttemptEnded{Result: NotResident, FunctionInFlight: -1, LoadReport: NoLoadReport})
+	if refused := all[RejectRequest](out); len(refused) != 1 || refused[0].RetryAfter <= 0 {
 		t.Errorf("%v, want a refusal at once: the load takes two seconds and the client has one", out)
 	}
 }
 
 // answered warms a function up at its home and returns a request with an attempt out there.
-func (r *rig) out(function, class string) (RequestID, Send) {
+func (r *rig) out(function, class string) (RequestID, StartAttempt) {
 	r.t.Helper()
 	id, actions := r.call(function, class)
 	return id, r.sent(actions)
@@ -896,16 +896,16 @@
 		r := newRig(t, settings(), "w1", "w2", "w3")
 		id, s := r.out("f", class)
 		r.now += 20 * time.Millisecond
-		if got := r.step(Started{ID: id, Attempt: 0, Worker: s.Worker, Took: 20 * time.Millisecond}); len(all[Send](got)) > 0 {
+		if got := r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s.Worker, Duration: 20 * time.Millisecond}); len(all[StartAttempt](got)) > 0 {
 			t.Fatalf("%s: sent again: %v", class, got)
 		}
 		// Long past the aim and what answers take: no second copy, no cancel, no refusal. The checker watches too.
 		got := r.after(2500 * time.Millisecond)
-		if n := len(all[Send](got)) + len(all[Cancel](got)) + len(all[Refuse](got)) + len(all[Fail](got)); n > 0 {
+		if n := len(all[StartAttempt](got)) + len(all[CancelAttempt](got)) + len(all[RejectRequest](got)) + len(all[FailRequest](got)); n > 0 {
 			t.Fatalf("%s: acted on a stream under way: %v", class, got)
 		}
 		got = r.after(600 * time.Millisecond)
-		if len(all[Fail](got)) != 1 || len(all[Refuse](got)) != 0 {
+		if len(all[FailRequest](got)) != 1 || len(all[RejectRequest](got)) != 0 {
 			t.Fatalf("%s: at the deadline: %v, want one Fail", class, got)
 		}
 	}
@@ -915,10 +915,10 @@
 	for _, class := range []string{"safe", "once", "keyed"} {
 		r := newRig(t, settings(), "w1", "w2", "w3")
 		id, s := r.out("f", class)
-		r.step(Started{ID: id, Attempt: 0, Worker: s.Worker, Took: 20 * time.Millisecond})
+		r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s.Worker, Duration: 20 * time.Millisecond})
 		// A caller owes Final here; without it the module still sends nothing.
-		got := r.step(Outcome{ID: id, Attempt: 0, Worker: s.Worker, Result: Reset, Took: time.Second, Load: NoLoad})
-		if len(all[Send](got)) > 0 || len(all[Refuse](got)) > 0 {
+		got := r.step(AttemptEnded{ID: id, Attempt: 0, Worker: s.Worker, Result: ConnectionReset, Duration: time.Second, LoadReport: NoLoadReport})
+		if len(all[StartAttempt](got)) > 0 || len(all[RejectRequest](got)) > 0 {
 			t.Fatalf("%s: %v", class, got)
 		}
 	}
@@ -929,7 +929,7 @@
 	r := newRig(t, settings(), "w1", "w2", "w3")
 	for range 8 {
 		id, s := r.out("f", "safe")
-		r.step(Started{ID: id, Attempt: 0, Worker: s.Worker, Took: 20 * time.Millisecond})
+		r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s.Worker, Duration: 20 * time.Millisecond})
 	}
 	r.after(2 * time.Second)
 	for _, w := range r.d.list {
@@ -939,7 +939,7 @@
 	}
 	before := r.d.took
 	for id := RequestID(1); id <= 8; id++ {
-		r.step(Outcome{ID: id, Attempt: 0, Result: OK, Final: true, Took: 2 * time.Second, Load: NoLoad})
+		r.step(AttemptEnded{ID: id, Attempt: 0, Result: OK, Final: true, Duration: 2 * time.Second, LoadReport: NoLoadReport})
 	}
 	if r.d.took > before {
 		t.Errorf("answers are held to take %v s, before %v: the streams' length was learned", r.d.took, before)
@@ -952,21 +952,21 @@
 	for range 4 { // the copy is known to stand: what follows counts in full
 		id, s := r.out("f", "safe")
 		r.now += 20 * time.Millisecond
-		r.step(Outcome{ID: id, Worker: s.Worker, Result: OK, Final: true, Took: 20 * time.Millisecond, Load: NoLoad})
+		r.step(AttemptEnded{ID: id, Worker: s.Worker, Result: OK, Final: true, Duration: 20 * time.Millisecond, LoadReport: NoLoadReport})
 	}
 	streams := 0
 	for range 60 {
 		id, got := r.call("f", "safe")
-		if s := all[Send](got); len(s) == 1 {
+		if s := all[StartAttempt](got); len(s) == 1 {
 			streams++
-			r.step(Started{ID: id, Attempt: 0, Worker: s[0].Worker, Took: 20 * time.Millisecond})
+			r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s[0].Worker, Duration: 20 * time.Millisecond})
 		}
 	}
 	if streams == 0 || streams == 60 {
 		t.Fatalf("%d streams of 60 were begun: the window was not met", streams)
 	}
 	r.after(2 * time.Second)
-	if _, got := r.call("f", "safe"); len(all[Send](got)) == 0 {
+	if _, got := r.call("f", "safe"); len(all[StartAttempt](got)) == 0 {
 		t.Errorf("with %d streams read slowly nothing is sent any more: %v", streams, got)
 	}
 }
@@ -975,26 +975,26 @@
 // trying again is harmless, a failure elsewhere; what is in time anyway is left alone.
 func TestClosingAnswersAllInTime(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	r := newRig(t, s, "a", "b", "c")
 	all := map[RequestID]string{1: "safe", 2: "once", 3: "safe"}
 	left := map[RequestID]time.Duration{1: time.Hour, 2: time.Hour, 3: 200 * time.Millisecond}
 	for id := RequestID(1); id <= 3; id++ {
-		r.step(Request{ID: id, Function: "f", Class: all[id], MemoryMB: 300, Lanes: 1, Left: left[id]})
+		r.step(Request{ID: id, Function: "f", Class: all[id], MemoryMB: 300, ConcurrencyPerInstance: 1, RemainingDeadline: left[id]})
 	}
-	r.step(Closing{Within: time.Second})
+	r.step(ShutdownStarted{AnswerWithin: time.Second})
 	ends := map[RequestID]time.Duration{}
 	begin := r.now
 	for range 150 {
 		r.now += 10 * time.Millisecond
-		for _, a := range r.step(Woken{}) {
+		for _, a := range r.step(TimerFired{}) {
 			switch a := a.(type) {
-			case Refuse:
+			case RejectRequest:
 				ends[a.ID] = r.now - begin
 				if all[a.ID] != "safe" {
 					t.Errorf("%d refused", a.ID)
 				}
-			case Fail:
+			case FailRequest:
 				ends[a.ID] = r.now - begin
 				if all[a.ID] != "once" {
 					t.Errorf("%d failed", a.ID)
@@ -1013,12 +1013,12 @@
 func TestProbesBeforeSendsGoByTheirPrice(t *testing.T) {
 	for price, want := range map[float64]bool{0: true, 0.01: true, 0.08: false} {
 		s := settings()
-		s.LoadsOnMiss, s.Reports, s.ProbePrice = true, FromAnswers, price
+		s.WorkersLoadOnMiss, s.LoadReports, s.HealthCheckCost = true, ReportsWithResponses, price
 		r := newRig(t, s, "a", "b", "c", "d")
 		n := 0
 		for i := range 20 {
 			_, out := r.call(fmt.Sprint("f", i), "safe")
-			n += len(all[Probe](out))
+			n += len(all[CheckHealth](out))
 		}
 		if (n > 0) != want {
 			t.Errorf("at a price of %v: %d probes", price, n)
--- a/dispatch/characterization_test.go
+++ b/dispatch/characterization_test.go
@@ -73,27 +73,27 @@
 
 func (h actionHash) add(t *testing.T, a Action) {
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		h.number(1, int64(a.ID), int64(a.Timeout))
 		h.text(a.Worker)
-	case Cancel:
+	case CancelAttempt:
 		h.number(2, int64(a.ID), int64(a.Attempt))
-	case Refuse:
-		h.number(3, int64(a.ID), int64(a.After))
-	case Fail:
+	case RejectRequest:
+		h.number(3, int64(a.ID), int64(a.RetryAfter))
+	case FailRequest:
 		h.number(4, int64(a.ID))
-	case LoadOrder:
+	case LoadFunction:
 		h.number(5, int64(a.Copies))
 		h.text(a.Worker)
 		h.text(a.Function)
-	case Probe:
+	case CheckHealth:
 		h.number(6)
 		h.text(a.Worker)
-	case Watch:
+	case SubscribeEndpoints:
 		h.number(7)
-	case Wake:
+	case SetTimer:
 		h.number(8, int64(a.After))
-	case Doubt:
+	case ReportSuspicion:
 		slow := int64(0)
 		if a.Slow {
 			slow = 1
@@ -110,7 +110,7 @@
 type simulatedWorker struct {
 	id, zone, kind string
 	cell           int
-	state          State
+	state          EndpointState
 	started        time.Duration
 	resident       map[string]time.Duration // function: from when its copy is ready
 	inFlight       int
@@ -198,26 +198,26 @@
 // drawSettings covers all effects, scopes, report sources and ways to load over the seeds.
 func (s *simulation) drawSettings(seed uint64) Settings {
 	bit := func(n uint) bool { return seed>>n&1 == 1 }
-	set := Settings{Zone: "z0", Routers: []int{1, 3, 40, 300}[seed%4], OverShareWorth: 0.5, LoadsOnMiss: bit(0), MayOrder: !bit(0) || bit(2),
-		TellsWarm: bit(1), IdleKeep: 6 * time.Second, Reports: Source(seed % 3), MayCancel: !bit(3), MayProbe: seed%5 != 0,
-		ProbePrice: []float64{0.01, 0.2}[seed/3%2], SecondCopies: bit(2), MaxAttempts: 2 + int(seed%4),
-		MaxRetryAfter: time.Duration(seed%3) * time.Second, AnswerGrace: 16 * time.Millisecond, DrainGrace: 100 * time.Millisecond,
-		ColdShare: 0.1 + 0.1*float64(seed%3), ColdFor: 8 * time.Second, FallMultiple: 3, FallSpan: 1500 * time.Millisecond,
-		TellsDoubts: bit(1), MustAsk: bit(3), Kinds: []Kind{{"big", 16000}, {"small", 6000}},
-		Tenants: []Tenant{{Name: "t", Quota: 10, Share: 0.5}}}
+	set := Settings{Zone: "z0", Routers: []int{1, 3, 40, 300}[seed%4], OverQuotaWeight: 0.5, WorkersLoadOnMiss: bit(0), LoadCommandsAllowed: !bit(0) || bit(2),
+		CacheStatusReported: bit(1), IdleResidency: 6 * time.Second, LoadReports: ReportSource(seed % 3), CancelAllowed: !bit(3), HealthChecksAllowed: seed%5 != 0,
+		HealthCheckCost: []float64{0.01, 0.2}[seed/3%2], HedgingAllowed: bit(2), MaxAttempts: 2 + int(seed%4),
+		MaxRetryAfter: time.Duration(seed%3) * time.Second, ResponseGrace: 16 * time.Millisecond, DrainGrace: 100 * time.Millisecond,
+		SlowStartShare: 0.1 + 0.1*float64(seed%3), SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * time.Millisecond,
+		SuspicionsReported: bit(1), EndpointsBySubscription: bit(3), WorkerKinds: []WorkerKind{{"big", 16000}, {"small", 6000}},
+		Tenants: []Tenant{{Name: "t", QuotaPerSecond: 10, Share: 0.5}}}
 	if !bit(4) {
-		set.LoadSpan, set.LoadFree, set.LoadRatio = 5*time.Second, 3, 0.2
+		set.LoadRateWindow, set.LoadRateBurst, set.LoadRateRatio = 5*time.Second, 3, 0.2
 	}
 	for i, name := range []string{"safe", "once", "cell", "zone", "all"} {
-		c := Class{Name: name, Aim: 300 * time.Millisecond << (i % 3), Deadline: 2 * time.Second, Worth: 1 + float64(i), LateShare: 0.4}
+		c := Class{Name: name, LatencyObjective: 300 * time.Millisecond << (i % 3), Deadline: 2 * time.Second, PriorityWeight: 1 + float64(i), LateValueFraction: 0.4}
 		switch name {
 		case "safe":
-			c.Effect = Safe
+			c.Idempotency = Idempotent
 		case "once":
-			c.Effect = Unsafe
+			c.Idempotency = NonIdempotent
 		default:
-			c.Effect, c.Window = Keyed, 1500*time.Millisecond
-			c.Scope = map[string]Scope{"cell": ScopeCell, "zone": ScopeZone, "all": ScopeAll}[name]
+			c.Idempotency, c.DeduplicationWindow = IdempotentByKey, 1500*time.Millisecond
+			c.DeduplicationScope = map[string]DeduplicationScope{"cell": ScopeCell, "zone": ScopeZone, "all": ScopeAll}[name]
 		}
 		set.Classes = append(set.Classes, c)
 	}
@@ -240,8 +240,8 @@
 	return w
 }
 
-func (s *simulation) member(w *simulatedWorker) Member {
-	return Member{ID: w.id, Zone: w.zone, Kind: w.kind, Cell: w.cell, State: w.state, Weight: 1, Started: w.started}
+func (s *simulation) member(w *simulatedWorker) Endpoint {
+	return Endpoint{ID: w.id, Zone: w.zone, Kind: w.kind, Cell: w.cell, State: w.state, Weight: 1, StartedAt: w.started}
 }
 
 // announce tells every router of the list, each a little later than the other.
@@ -250,14 +250,14 @@
 	if whole {
 		list = s.workers
 	}
-	var members []Member
+	var members []Endpoint
 	for _, w := range list {
-		if !whole || w.state != Gone {
+		if !whole || w.state != EndpointRemoved {
 			members = append(members, s.member(w))
 		}
 	}
 	for i := range s.routers {
-		s.at(s.now+s.uniform(0, 300*time.Millisecond), i, Roster{Whole: whole, Members: members}, nil)
+		s.at(s.now+s.uniform(0, 300*time.Millisecond), i, EndpointUpdate{Snapshot: whole, Endpoints: members}, nil)
 	}
 }
 
@@ -269,11 +269,11 @@
 		s.t.Fatal(err)
 	}
 	*r = simulatedRouter{d: d, next: r.next, requests: map[RequestID]*simulatedRequest{}}
-	var members []Member
+	var members []Endpoint
 	for _, w := range s.workers {
 		members = append(members, s.member(w))
 	}
-	s.step(i, Roster{Whole: true, Members: members})
+	s.step(i, EndpointUpdate{Snapshot: true, Endpoints: members})
 	s.at(s.now, i, nil, func() { s.arrive(i, d) })
 }
 
@@ -288,9 +288,9 @@
 	function := fmt.Sprint("f", int(simulatedFunctions*math.Pow(s.rng.Float64(), 2)))
 	class := []string{"safe", "safe", "once", "cell", "zone", "all", "unheard of"}[s.rng.IntN(7)]
 	q := &simulatedRequest{streamed: s.rng.IntN(8) == 0, event: Request{ID: r.next, Function: function, Class: class, Tenant: "t",
-		MemoryMB: 200 + 100*float64(len(function)), Lanes: 1 + len(function)%3, Left: s.uniform(200*time.Millisecond, 2*time.Second)}}
+		MemoryMB: 200 + 100*float64(len(function)), ConcurrencyPerInstance: 1 + len(function)%3, RemainingDeadline: s.uniform(200*time.Millisecond, 2*time.Second)}}
 	if s.rng.IntN(3) > 0 {
-		q.event.Work = s.uniform(5*time.Millisecond, 120*time.Millisecond)
+		q.event.ExpectedWork = s.uniform(5*time.Millisecond, 120*time.Millisecond)
 	}
 	if s.rng.IntN(2) > 0 {
 		q.event.LoadTime = simulatedLoadTime
@@ -304,7 +304,7 @@
 				return
 			}
 			q.final = true
-			s.step(i, Dropped{ID: id})
+			s.step(i, RequestCancelled{ID: id})
 		})
 	}
 }
@@ -320,10 +320,10 @@
 		},
 		func() { // a worker drains and is replaced
 			w := pick()
-			w.state = Draining
+			w.state = EndpointDraining
 			s.announce(false, w)
 			s.at(s.now+2*time.Second, -1, nil, func() {
-				w.state = Gone
+				w.state = EndpointRemoved
 				s.startWorker(len(s.workers))
 				s.announce(s.rng.IntN(2) == 0, w, s.workers[len(s.workers)-1])
 			})
@@ -345,9 +345,9 @@
 			s.startRouter(s.rng.IntN(len(s.routers)))
 		},
 		func() {
-			s.step(s.rng.IntN(len(s.routers)), Peers{Routers: s.rng.IntN(500), Silent: []string{pick().id, "unknown"}})
+			s.step(s.rng.IntN(len(s.routers)), GossipUpdate{Routers: s.rng.IntN(500), SuspectedWorkers: []string{pick().id, "unknown"}})
 		},
-		func() { s.step(s.rng.IntN(len(s.routers)), Roster{Failed: true}) },
+		func() { s.step(s.rng.IntN(len(s.routers)), EndpointUpdate{SubscriptionLost: true}) },
 		func() { s.announce(true) },
 	}
 	for range 14 {
@@ -356,7 +356,7 @@
 	}
 	s.at(simulationEnd-3*time.Second, -1, nil, func() {
 		for i := range s.routers {
-			s.step(i, Closing{Within: s.uniform(500*time.Millisecond, 2*time.Second)})
+			s.step(i, ShutdownStarted{AnswerWithin: s.uniform(500*time.Millisecond, 2*time.Second)})
 		}
 	})
 }
@@ -389,21 +389,21 @@
 	for _, a := range r.d.Step(s.now, events) {
 		s.hash.add(s.t, a)
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			s.attempt(router, a)
-		case Cancel:
-			s.later(router, 0, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Company: -1, Load: NoLoad})
-		case Refuse:
+		case CancelAttempt:
+			s.later(router, 0, AttemptEnded{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, FunctionInFlight: -1, LoadReport: NoLoadReport})
+		case RejectRequest:
 			r.requests[a.ID].final = true
-		case Fail:
+		case FailRequest:
 			r.requests[a.ID].final = true
-		case LoadOrder:
+		case LoadFunction:
 			s.load(router, a)
-		case Probe:
+		case CheckHealth:
 			s.probe(router, a)
-		case Wake:
-			s.later(router, a.After.Truncate(time.Microsecond), Woken{})
-		case Watch:
+		case SetTimer:
+			s.later(router, a.After.Truncate(time.Microsecond), TimerFired{})
+		case SubscribeEndpoints:
 			s.announce(true)
 		}
 	}
@@ -416,7 +416,7 @@
 		if r.d != d {
 			return
 		}
-		if o, ok := e.(Outcome); ok && o.Result == OK {
+		if o, ok := e.(AttemptEnded); ok && o.Result == OK {
 			r.requests[o.ID].final = true
 			o.Final = true
 			e = o
@@ -434,44 +434,44 @@
 	return nil
 }
 
-func (s *simulation) load(router int, a LoadOrder) {
+func (s *simulation) load(router int, a LoadFunction) {
 	w := s.worker(a.Worker)
 	switch {
 	case s.now < w.silentUntil:
-		s.later(router, 3*time.Second, Loaded{Worker: a.Worker, Function: a.Function, Result: TimedOut})
+		s.later(router, 3*time.Second, FunctionLoaded{Worker: a.Worker, Function: a.Function, Result: TimedOut})
 	case s.rng.IntN(6) == 0:
-		s.later(router, 5*time.Millisecond, Loaded{Worker: a.Worker, Function: a.Function, Result: Refused, Took: 5 * time.Millisecond})
+		s.later(router, 5*time.Millisecond, FunctionLoaded{Worker: a.Worker, Function: a.Function, Result: Rejected, Duration: 5 * time.Millisecond})
 	default:
 		took := s.uniform(simulatedLoadTime/2, 2*simulatedLoadTime)
 		w.resident[a.Function] = s.now + took
-		s.later(router, took, Loaded{Worker: a.Worker, Function: a.Function, Copies: a.Copies, Took: took})
+		s.later(router, took, FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: a.Copies, Duration: took})
 	}
 }
 
-func (s *simulation) probe(router int, a Probe) {
+func (s *simulation) probe(router int, a CheckHealth) {
 	w := s.worker(a.Worker)
 	if s.now < w.silentUntil {
-		s.later(router, 500*time.Millisecond, Probed{Worker: a.Worker, Result: TimedOut, Took: 500 * time.Millisecond, Load: NoLoad})
+		s.later(router, 500*time.Millisecond, HealthChecked{Worker: a.Worker, Result: TimedOut, Duration: 500 * time.Millisecond, LoadReport: NoLoadReport})
 		return
 	}
-	s.later(router, 2*time.Millisecond, Probed{Worker: a.Worker, Took: 2 * time.Millisecond, Load: s.report(w, FromProbes)})
+	s.later(router, 2*time.Millisecond, HealthChecked{Worker: a.Worker, Duration: 2 * time.Millisecond, LoadReport: s.report(w, ReportsFromHealthChecks)})
 }
 
 // report is what a worker tells of its load where the settings have it tell.
-func (s *simulation) report(w *simulatedWorker, by Source) Load {
-	if s.settings.Reports != by {
-		return NoLoad
+func (s *simulation) report(w *simulatedWorker, by ReportSource) LoadReport {
+	if s.settings.LoadReports != by {
+		return NoLoadReport
 	}
-	return Load{InFlight: float64(w.inFlight), Queue: max(float64(w.inFlight-8), 0), Loading: -1}
+	return LoadReport{InFlight: float64(w.inFlight), Queued: max(float64(w.inFlight-8), 0), Loading: -1}
 }
 
 // attempt answers one send as the worker would.
-func (s *simulation) attempt(router int, a Send) {
+func (s *simulation) attempt(router int, a StartAttempt) {
 	r, w := s.routers[router], s.worker(a.Worker)
 	q := r.requests[a.ID]
-	o := Outcome{ID: a.ID, Attempt: q.attempts, Worker: a.Worker, Company: -1, Load: s.report(w, FromAnswers)}
+	o := AttemptEnded{ID: a.ID, Attempt: q.attempts, Worker: a.Worker, FunctionInFlight: -1, LoadReport: s.report(w, ReportsWithResponses)}
 	q.attempts++
-	run := q.event.Work
+	run := q.event.ExpectedWork
 	if run == 0 {
 		run = 40 * time.Millisecond
 	}
@@ -479,42 +479,42 @@
 	ready, resident := w.resident[q.event.Function]
 	switch chance := s.rng.IntN(100); {
 	case s.now < w.silentUntil || w.hangs == q.event.Class:
-		o.Result, o.Took, o.Load = TimedOut, q.event.Left, NoLoad
-	case w.state == Gone || chance < 2:
-		o.Result, o.Took, o.Load = NoConnection, time.Millisecond, NoLoad
+		o.Result, o.Duration, o.LoadReport = TimedOut, q.event.RemainingDeadline, NoLoadReport
+	case w.state == EndpointRemoved || chance < 2:
+		o.Result, o.Duration, o.LoadReport = ConnectFailed, time.Millisecond, NoLoadReport
 	case chance < 4:
-		o.Result, o.Took, o.Load = Reset, run, NoLoad
+		o.Result, o.Duration, o.LoadReport = ConnectionReset, run, NoLoadReport
 	case w.fails == q.event.Class || chance < 5:
-		o.Result, o.Took = Errored, run
+		o.Result, o.Duration = Errored, run
 	case w.inFlight > 16 || chance < 7:
-		o.Result, o.Took = Refused, s.uniform(time.Millisecond, 80*time.Millisecond)
+		o.Result, o.Duration = Rejected, s.uniform(time.Millisecond, 80*time.Millisecond)
 	case chance < 8:
-		o.Result, o.Took, o.Load = NotSent, 0, NoLoad
-	case !resident && !s.settings.LoadsOnMiss:
-		o.Result, o.Took = Missed, time.Millisecond
+		o.Result, o.Duration, o.LoadReport = NotSent, 0, NoLoadReport
+	case !resident && !s.settings.WorkersLoadOnMiss:
+		o.Result, o.Duration = NotResident, time.Millisecond
 	case !resident:
-		o.Took, o.Warmth = run+simulatedLoadTime, BeganLoad
+		o.Duration, o.CacheStatus = run+simulatedLoadTime, CacheLoadStarted
 		w.resident[q.event.Function] = s.now + simulatedLoadTime
 		if s.rng.IntN(12) == 0 {
-			o.Result, o.Warmth = Errored, LoadFailed
+			o.Result, o.CacheStatus = Errored, CacheLoadFailed
 			delete(w.resident, q.event.Function)
 		}
 	case ready > s.now:
-		o.Took, o.Warmth = run+ready-s.now, JoinedLoad
+		o.Duration, o.CacheStatus = run+ready-s.now, CacheLoadJoined
 	default:
-		o.Took, o.Warmth, o.Company = run, FoundWarm, w.inFlight
+		o.Duration, o.CacheStatus, o.FunctionInFlight = run, CacheHit, w.inFlight
 	}
-	if !s.settings.TellsWarm {
-		o.Warmth = Untold
+	if !s.settings.CacheStatusReported {
+		o.CacheStatus = CacheUnknown
 	}
 	w.inFlight++
-	s.at(s.now+o.Took, -1, nil, func() { w.inFlight = max(w.inFlight-1, 0) })
+	s.at(s.now+o.Duration, -1, nil, func() { w.inFlight = max(w.inFlight-1, 0) })
 	if q.streamed && o.Result == OK {
-		s.later(router, o.Took, Started{ID: a.ID, Attempt: o.Attempt, Worker: a.Worker, Took: o.Took})
-		o.Took += s.uniform(10*time.Millisecond, 2*time.Second)
+		s.later(router, o.Duration, ResponseStarted{ID: a.ID, Attempt: o.Attempt, Worker: a.Worker, Duration: o.Duration})
+		o.Duration += s.uniform(10*time.Millisecond, 2*time.Second)
 		if s.rng.IntN(5) == 0 {
-			o.Result = Reset
+			o.Result = ConnectionReset
 		}
 	}
-	s.later(router, o.Took, o)
+	s.later(router, o.Duration, o)
 }
--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -11,7 +11,7 @@
 	s      Settings
 	live   map[RequestID]*checked
 	told   map[string]time.Duration // when a worker was last told to be draining or gone
-	known  map[string]Member
+	known  map[string]Endpoint
 	came   []time.Duration
 	orders []time.Duration
 }
@@ -25,7 +25,7 @@
 }
 
 type try struct {
-	worker Member
+	worker Endpoint
 	at     time.Duration
 	open   bool
 	ran    bool
@@ -33,7 +33,7 @@
 
 func newChecker(s Settings) *checker {
 	return &checker{s: s, live: map[RequestID]*checked{}, told: map[string]time.Duration{},
-		known: map[string]Member{}}
+		known: map[string]Endpoint{}}
 }
 
 func (c *checker) step(now time.Duration, events []Event, actions []Action) error {
@@ -46,7 +46,7 @@
 		}
 	}
 	for id, q := range c.live {
-		if !q.done && now > q.deadline+c.s.AnswerGrace {
+		if !q.done && now > q.deadline+c.s.ResponseGrace {
 			return fmt.Errorf("at %v: request %d has no final answer", now, id)
 		}
 	}
@@ -56,7 +56,7 @@
 func (c *checker) see(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case Request:
-		q := &checked{class: Class{Effect: Unsafe}, deadline: now + max(e.Left, 0)}
+		q := &checked{class: Class{Idempotency: NonIdempotent}, deadline: now + max(e.RemainingDeadline, 0)}
 		for _, cl := range c.s.Classes {
 			if cl.Name == e.Class {
 				q.class = cl
@@ -64,39 +64,39 @@
 		}
 		c.live[e.ID] = q
 		c.came = append(c.came, now)
-	case Outcome:
+	case AttemptEnded:
 		if q := c.live[e.ID]; q != nil && e.Attempt >= 0 && e.Attempt < len(q.tries) {
 			t := &q.tries[e.Attempt]
 			t.open = false
-			t.ran = e.Result == OK || e.Result == Errored || e.Result == TimedOut || e.Result == Reset ||
+			t.ran = e.Result == OK || e.Result == Errored || e.Result == TimedOut || e.Result == ConnectionReset ||
 				e.Result == Cancelled
 			q.done = q.done || e.Final
 		}
-	case Started:
+	case ResponseStarted:
 		if q := c.live[e.ID]; q != nil && !q.done && e.Attempt >= 0 && e.Attempt < len(q.tries) {
 			q.began = q.began || q.tries[e.Attempt].open
 		}
-	case Dropped:
+	case RequestCancelled:
 		if q := c.live[e.ID]; q != nil {
 			q.done = true
 		}
-	case Closing:
+	case ShutdownStarted:
 		for _, q := range c.live {
-			q.deadline = min(q.deadline, now+e.Within)
+			q.deadline = min(q.deadline, now+e.AnswerWithin)
 		}
-	case Roster:
+	case EndpointUpdate:
 		in := map[string]bool{}
-		for _, m := range e.Members {
+		for _, m := range e.Endpoints {
 			in[m.ID] = true
 			c.known[m.ID] = m
-			if m.State == On {
+			if m.State == EndpointActive {
 				delete(c.told, m.ID)
 			} else if _, ok := c.told[m.ID]; !ok {
 				c.told[m.ID] = now
 			}
 		}
 		for id := range c.known {
-			if _, ok := c.told[id]; e.Whole && !in[id] && !ok {
+			if _, ok := c.told[id]; e.Snapshot && !in[id] && !ok {
 				c.told[id] = now
 			}
 		}
@@ -109,7 +109,7 @@
 		return ok && now > at+c.s.DrainGrace
 	}
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		q := c.live[a.ID]
 		switch {
 		case q == nil || q.done:
@@ -123,20 +123,20 @@
 		}
 		w := c.known[a.Worker]
 		for _, t := range q.tries {
-			if t.open && !c.s.SecondCopies {
+			if t.open && !c.s.HedgingAllowed {
 				return fmt.Errorf("request %d has two attempts out", a.ID)
 			}
-			if !t.open && !t.ran || q.class.Effect == Safe {
+			if !t.open && !t.ran || q.class.Idempotency == Idempotent {
 				continue
 			}
-			group := q.class.Scope == ScopeAll || q.class.Scope == ScopeZone && t.worker.Zone == w.Zone ||
-				q.class.Scope == ScopeCell && t.worker.Cell == w.Cell
-			if q.class.Effect == Unsafe || !group || now > t.at+q.class.Window {
+			group := q.class.DeduplicationScope == ScopeAll || q.class.DeduplicationScope == ScopeZone && t.worker.Zone == w.Zone ||
+				q.class.DeduplicationScope == ScopeCell && t.worker.Cell == w.Cell
+			if q.class.Idempotency == NonIdempotent || !group || now > t.at+q.class.DeduplicationWindow {
 				return fmt.Errorf("request %d may run twice", a.ID)
 			}
 		}
 		q.tries = append(q.tries, try{worker: w, at: now, open: true})
-	case Refuse:
+	case RejectRequest:
 		q := c.live[a.ID]
 		if q == nil || q.done {
 			return fmt.Errorf("request %d refused after its end", a.ID)
@@ -145,12 +145,12 @@
 			return fmt.Errorf("request %d refused after its response began", a.ID)
 		}
 		for _, t := range q.tries {
-			if (t.open || t.ran) && (q.class.Effect == Unsafe || q.class.Effect == Keyed && q.class.Scope != ScopeAll) {
+			if (t.open || t.ran) && (q.class.Idempotency == NonIdempotent || q.class.Idempotency == IdempotentByKey && q.class.DeduplicationScope != ScopeAll) {
 				return fmt.Errorf("request %d refused though it may have run", a.ID)
 			}
 		}
 		q.done = true
-	case Fail:
+	case FailRequest:
 		q := c.live[a.ID]
 		if q == nil || q.done {
 			return fmt.Errorf("request %d failed after its end", a.ID)
@@ -159,18 +159,18 @@
 			return fmt.Errorf("request %d failed before its deadline, with its response begun", a.ID)
 		}
 		q.done = true
-	case Cancel:
+	case CancelAttempt:
 		if q := c.live[a.ID]; q != nil && q.began && !q.done {
 			return fmt.Errorf("request %d: attempt cancelled with the response begun", a.ID)
 		}
-	case LoadOrder:
+	case LoadFunction:
 		if a.Copies > 0 && drained(a.Worker) {
 			return fmt.Errorf("load ordered at %s, which drains", a.Worker)
 		}
-		if a.Copies > 0 && c.s.LoadSpan > 0 {
+		if a.Copies > 0 && c.s.LoadRateWindow > 0 {
 			c.orders = append(c.orders, now)
-			limit := c.s.LoadFree + c.s.LoadRatio*float64(since(c.came, now-c.s.LoadSpan))
-			if n := since(c.orders, now-c.s.LoadSpan); float64(n) > limit {
+			limit := c.s.LoadRateBurst + c.s.LoadRateRatio*float64(since(c.came, now-c.s.LoadRateWindow))
+			if n := since(c.orders, now-c.s.LoadRateWindow); float64(n) > limit {
 				return fmt.Errorf("%d load orders, at most %v", n, limit)
 			}
 		}
--- a/dispatch/churn_test.go
+++ b/dispatch/churn_test.go
@@ -10,18 +10,18 @@
 // kept of workers and of functions at them stays that of the fleet.
 func TestWorkersThatHaveGoneAreForgotten(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	r := newRig(t, s, "a0", "b0", "c0")
 	for day := range 200 {
 		for f := range 5 {
 			id, out := r.call(fmt.Sprint("f", f), "safe")
-			for _, a := range all[Send](out) {
-				r.step(Outcome{ID: id, Worker: a.Worker, Result: OK, Took: 50 * time.Millisecond, Final: true, Company: -1, Load: NoLoad})
+			for _, a := range all[StartAttempt](out) {
+				r.step(AttemptEnded{ID: id, Worker: a.Worker, Result: OK, Duration: 50 * time.Millisecond, Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport})
 			}
 		}
 		r.after(50 * time.Millisecond)
 		old, gone := fmt.Sprint("b", day), fmt.Sprint("b", day+1)
-		r.step(Roster{Members: []Member{{ID: old, Kind: "big", State: Gone}, {ID: gone, Kind: "big", Cell: 0}}})
+		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: old, Kind: "big", State: EndpointRemoved}, {ID: gone, Kind: "big", Cell: 0}}})
 	}
 	if n := len(r.d.workers); n > 4 {
 		t.Errorf("%d workers are kept of a fleet of 3", n)
@@ -38,13 +38,13 @@
 	r := newRig(t, settings(), "a", "b")
 	id, out := r.call("f", "safe")
 	first := r.sent(out).Worker
-	out = r.step(Outcome{ID: id, Worker: first, Result: Missed, Took: time.Millisecond, Company: -1, Load: NoLoad})
-	if len(all[LoadOrder](out)) != 1 || len(all[Send](out)) != 0 {
+	out = r.step(AttemptEnded{ID: id, Worker: first, Result: NotResident, Duration: time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
+	if len(all[LoadFunction](out)) != 1 || len(all[StartAttempt](out)) != 0 {
 		t.Fatalf("after the miss: %v", out)
 	}
 	other := map[string]string{"a": "b", "b": "a"}[first]
-	out = r.step(Roster{Members: []Member{{ID: first, Kind: "big", State: Gone}}})
-	if s := all[Send](out); len(s) != 1 || s[0].Worker != other {
+	out = r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: first, Kind: "big", State: EndpointRemoved}}})
+	if s := all[StartAttempt](out); len(s) != 1 || s[0].Worker != other {
 		t.Errorf("after it went: %v", out)
 	}
 }
@@ -54,8 +54,8 @@
 	r := newRig(t, settings(), "a", "b")
 	for i := range 3000 {
 		id, out := r.call(fmt.Sprint("made up ", i), "safe")
-		for _, a := range all[Send](out) {
-			r.step(Outcome{ID: id, Worker: a.Worker, Result: Errored, Took: time.Millisecond, Company: -1, Load: NoLoad})
+		for _, a := range all[StartAttempt](out) {
+			r.step(AttemptEnded{ID: id, Worker: a.Worker, Result: Errored, Duration: time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		}
 		r.now += 10 * time.Millisecond
 	}
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -40,15 +40,15 @@
 	const workers, load = 12, 0.9
 	rng := rand.New(rand.NewPCG(seed, uint64(routers)))
 	s := settings()
-	s.Routers, s.LoadsOnMiss, s.MayProbe, s.ColdShare = routers, true, false, 0.1
+	s.Routers, s.WorkersLoadOnMiss, s.HealthChecksAllowed, s.SlowStartShare = routers, true, false, 0.1
 	rate := 4.0 // calls a second of one router
 	capacity := rate * float64(routers) / load / workers
-	var members []Member
+	var members []Endpoint
 	for w := range workers {
-		members = append(members, Member{ID: fmt.Sprint("w", w), Kind: "big", Cell: w / 3})
+		members = append(members, Endpoint{ID: fmt.Sprint("w", w), Kind: "big", Cell: w / 3})
 	}
 	const begin, end = 8 * time.Second, 18 * time.Second
-	cold := Member{ID: "cold", Kind: "big", Started: begin}
+	cold := Endpoint{ID: "cold", Kind: "big", StartedAt: begin}
 	var sends []time.Duration
 	for range routers {
 		own := rate * (0.3 + 1.4*rng.Float64())
@@ -59,12 +59,12 @@
 	for i, from := range sends {
 		in := 0
 		for _, at := range sends[i:] {
-			if at-from < s.FallSpan {
+			if at-from < s.OverloadWindow {
 				in++
 			}
 		}
-		share := s.ColdShare + (1-s.ColdShare)*float64(from-begin)/float64(s.ColdFor)
-		allowed := s.FallMultiple * share * capacity * s.FallSpan.Seconds()
+		share := s.SlowStartShare + (1-s.SlowStartShare)*float64(from-begin)/float64(s.SlowStartDuration)
+		allowed := s.OverloadMultiple * share * capacity * s.OverloadWindow.Seconds()
 		most = max(most, float64(in)/(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return most, len(sends)
@@ -72,7 +72,7 @@
 
 // coldRouter plays one router until the end and returns when it sent to the cold worker.
 func coldRouter(t *testing.T, s Settings, rng *rand.Rand, rate float64, told time.Duration, killed bool, end time.Duration,
-	members []Member, cold Member) (sends []time.Duration) {
+	members []Endpoint, cold Endpoint) (sends []time.Duration) {
 	t.Helper()
 	type due struct {
 		at time.Duration
@@ -94,7 +94,7 @@
 	call := func() Request {
 		id++
 		return Request{ID: id, Function: fmt.Sprint("f", int(20*math.Pow(rng.Float64(), 3))), Class: "safe", MemoryMB: 300,
-			Lanes: 2, Left: 3 * time.Second}
+			ConcurrencyPerInstance: 2, RemainingDeadline: 3 * time.Second}
 	}
 	now := time.Duration(0)
 	arrive := func() {
@@ -105,29 +105,29 @@
 	step := func(events ...Event) {
 		for _, a := range d.Step(now, events) {
 			switch a := a.(type) {
-			case Send:
+			case StartAttempt:
 				if a.Worker == cold.ID {
 					sends = append(sends, now)
 				}
 				res, took := OK, 50*time.Millisecond
 				switch p := rng.Float64(); {
 				case p < 0.1:
-					res, took = Refused, 3*time.Millisecond
+					res, took = Rejected, 3*time.Millisecond
 				case p < 0.15:
-					res, took = Reset, 20*time.Millisecond
+					res, took = ConnectionReset, 20*time.Millisecond
 				}
-				later(now+took, Outcome{ID: a.ID, Attempt: tries[a.ID], Worker: a.Worker, Result: res, Took: took,
-					Final: res == OK, Company: -1, Load: NoLoad})
+				later(now+took, AttemptEnded{ID: a.ID, Attempt: tries[a.ID], Worker: a.Worker, Result: res, Duration: took,
+					Final: res == OK, FunctionInFlight: -1, LoadReport: NoLoadReport})
 				tries[a.ID]++
-			case LoadOrder:
-				later(now+100*time.Millisecond, Loaded{Worker: a.Worker, Function: a.Function, Copies: 1,
-					Took: 100 * time.Millisecond})
-			case Refuse:
+			case LoadFunction:
+				later(now+100*time.Millisecond, FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: 1,
+					Duration: 100 * time.Millisecond})
+			case RejectRequest:
 				if rng.Float64() < 0.5 {
 					later(now+100*time.Millisecond, call())
 				}
-			case Wake:
-				later(now+a.After, Woken{})
+			case SetTimer:
+				later(now+a.After, TimerFired{})
 			}
 		}
 	}
@@ -141,16 +141,16 @@
 			list = append(slices.Clone(members), cold)
 		}
 		queue = nil
-		step(Roster{Whole: true, Members: list})
+		step(EndpointUpdate{Snapshot: true, Endpoints: list})
 		arrive()
 		if now < told {
-			later(told, Roster{Members: []Member{cold}})
+			later(told, EndpointUpdate{Endpoints: []Endpoint{cold}})
 		}
 	}
 	begin()
 	kill := time.Duration(math.MaxInt64)
 	if killed {
-		kill = cold.Started + 4*time.Second
+		kill = cold.StartedAt + 4*time.Second
 	}
 	for len(queue) > 0 && queue[0].at < end {
 		q := queue[0]
--- /dev/null
+++ b/dispatch/doc.go
@@ -0,0 +1,18 @@
+// Package dispatch decides for one router where each request goes, when workers load functions, and how a request
+// ends. It follows Algorithm 2.2 of "Consistent Load Balancing Via Spread Minimization" (Kleinberg, Leighton, STOC 2003).
+//
+// A [Dispatcher] is a state machine without goroutines, clock, I/O or globals; its randomness comes from a seed. Its
+// caller has these duties:
+//
+//   - All calls of [Dispatcher.Step] come from one goroutine at a time.
+//   - Events are handed over in the order in which they arrived, with the time of the call. Time is a duration since
+//     any fixed moment and never runs backwards.
+//   - The returned actions are carried out in their order, at the time of the call. Each [StartAttempt] is answered by
+//     exactly one [AttemptEnded], each [LoadFunction] by a [FunctionLoaded], each [CheckHealth] by a [HealthChecked].
+//   - After a [SetTimer] has run out, Step is called with a [TimerFired]; the newest SetTimer replaces the ones before.
+//   - Events and their slices belong to the caller again when Step returns. The returned slice is valid until the next
+//     call.
+//
+// The interface stands in settings.go, events.go and actions.go; state.go and timers.go hold what is remembered. Every
+// decision and every tuned value stands in the other files, which deploy/balancer.toml lists under "policy".
+package dispatch
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -12,20 +12,20 @@
 	d, err := dispatch.New(dispatch.Settings{
 		Routers:     1,
 		MaxAttempts: 3,
-		Classes:     []dispatch.Class{{Name: "quote", Effect: dispatch.Safe, Deadline: time.Second}},
+		Classes:     []dispatch.Class{{Name: "quote", Idempotency: dispatch.Idempotent, Deadline: time.Second}},
 	}, 1)
 	if err != nil {
 		log.Fatal(err)
 	}
 	now := time.Second // since any fixed moment
 	actions := d.Step(now, []dispatch.Event{
-		dispatch.Roster{Whole: true, Members: []dispatch.Member{{ID: "w1"}}},
-		dispatch.Request{ID: 1, Function: "f", Class: "quote", MemoryMB: 300, Lanes: 1, Left: time.Second},
+		dispatch.EndpointUpdate{Snapshot: true, Endpoints: []dispatch.Endpoint{{ID: "w1"}}},
+		dispatch.Request{ID: 1, Function: "f", Class: "quote", MemoryMB: 300, ConcurrencyPerInstance: 1, RemainingDeadline: time.Second},
 	})
 	for _, a := range actions {
 		fmt.Printf("%T\n", a)
 	}
 	// Output:
-	// dispatch.Send
-	// dispatch.Wake
+	// dispatch.StartAttempt
+	// dispatch.SetTimer
 }
--- a/dispatch/fuzz_test.go
+++ b/dispatch/fuzz_test.go
@@ -17,9 +17,9 @@
 		s := settings()
 		s.DrainGrace = 100 * time.Millisecond
 		if len(data) > 0 {
-			s.SecondCopies, s.LoadsOnMiss = data[0]&1 == 0, data[0]&2 == 0
+			s.HedgingAllowed, s.WorkersLoadOnMiss = data[0]&1 == 0, data[0]&2 == 0
 			if data[0]&4 == 0 {
-				s.LoadSpan, s.LoadFree, s.LoadRatio = 5*time.Second, 2, 0.1
+				s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 2, 0.1
 			}
 		}
 		r := newRig(t, s, "w0", "w1", "w2", "w3")
@@ -48,28 +48,28 @@
 				open = append(open[:k], open[k+1:]...)
 				res := Result(x / 8 % 9)
 				final[a.id] = final[a.id] || res == OK
-				out = r.step(Outcome{ID: a.id, Attempt: a.n, Worker: a.w, Result: res, Final: final[a.id],
-					Took: 30 * time.Millisecond, Warmth: Warmth(x % 5), Load: NoLoad})
+				out = r.step(AttemptEnded{ID: a.id, Attempt: a.n, Worker: a.w, Result: res, Final: final[a.id],
+					Duration: 30 * time.Millisecond, CacheStatus: CacheStatus(x % 5), LoadReport: NoLoadReport})
 			case 5:
 				if x > 250 {
-					out = r.step(Closing{Within: time.Duration(x-250) * 100 * time.Millisecond})
+					out = r.step(ShutdownStarted{AnswerWithin: time.Duration(x-250) * 100 * time.Millisecond})
 					break
 				}
 				if x > 220 {
-					out = r.step(Peers{Routers: x % 7, Silent: []string{w, "w9"}})
+					out = r.step(GossipUpdate{Routers: x % 7, SuspectedWorkers: []string{w, "w9"}})
 					break
 				}
-				out = r.step(Loaded{Worker: w, Function: fmt.Sprintf("f%d", x%7), Result: Result(x / 8 % 8)})
+				out = r.step(FunctionLoaded{Worker: w, Function: fmt.Sprintf("f%d", x%7), Result: Result(x / 8 % 8)})
 			case 6:
-				m := Member{ID: w, Kind: "small", Cell: x % 5 / 2, State: State(x / 5 % 3)}
+				m := Endpoint{ID: w, Kind: "small", Cell: x % 5 / 2, State: EndpointState(x / 5 % 3)}
 				if x > 200 {
-					m.Started = r.now
+					m.StartedAt = r.now
 				}
-				out = r.step(Roster{Whole: x == 77, Members: []Member{m}})
+				out = r.step(EndpointUpdate{Snapshot: x == 77, Endpoints: []Endpoint{m}})
 			case 7:
 				if x >= 128 && len(open) > 0 {
 					a := open[x%len(open)]
-					out = r.step(Started{ID: a.id, Attempt: a.n, Worker: a.w, Took: 20 * time.Millisecond})
+					out = r.step(ResponseStarted{ID: a.id, Attempt: a.n, Worker: a.w, Duration: 20 * time.Millisecond})
 					if q := r.check.live[a.id]; q != nil && !q.done {
 						final[a.id] = true // whatever ends this attempt ends the request
 					}
@@ -77,16 +77,16 @@
 				}
 				id := RequestID(x) % (r.next + 1)
 				final[id] = true
-				out = r.step(Dropped{ID: id}, Probed{Worker: w, Result: Result(x % 9)})
+				out = r.step(RequestCancelled{ID: id}, HealthChecked{Worker: w, Result: Result(x % 9)})
 			}
 			for out = append(out, r.after(10*time.Millisecond)...); len(out) > 0; out = out[1:] {
 				switch a := out[0].(type) {
-				case Send:
+				case StartAttempt:
 					open = append(open, sent{a.ID, tries[a.ID], a.Worker})
 					tries[a.ID]++
-				case Refuse:
+				case RejectRequest:
 					final[a.ID] = true
-				case Fail:
+				case FailRequest:
 					final[a.ID] = true
 				}
 			}
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -9,22 +9,22 @@
 // and an answer of the worker's own does.
 func TestPeersWordOfSilenceMovesCallsAndNothingElse(t *testing.T) {
 	s := settings()
-	s.TellsDoubts = true
+	s.SuspicionsReported = true
 	r := newRig(t, s, "a", "b", "c")
 	home := r.warmed("f", "safe")
 	r.after(time.Second)
-	out := r.step(Peers{Silent: []string{home, "unknown"}})
-	if d := all[Doubt](out); len(d) != 1 || d[0] != (Doubt{Worker: home}) {
+	out := r.step(GossipUpdate{SuspectedWorkers: []string{home, "unknown"}})
+	if d := all[ReportSuspicion](out); len(d) != 1 || d[0] != (ReportSuspicion{Worker: home}) {
 		t.Fatalf("told %v", d)
 	}
-	if _, out := r.call("f", "safe"); len(all[Send](out)) == 1 && r.sent(out).Worker == home {
+	if _, out := r.call("f", "safe"); len(all[StartAttempt](out)) == 1 && r.sent(out).Worker == home {
 		t.Error("sent to a worker that is held to be silent")
 	}
-	if d := all[Doubt](r.step(Peers{Silent: []string{home}})); len(d) > 0 {
+	if d := all[ReportSuspicion](r.step(GossipUpdate{SuspectedWorkers: []string{home}})); len(d) > 0 {
 		t.Errorf("a doubt that stands was raised again: %v", d)
 	}
-	r.step(Probed{Worker: home, Result: OK, Load: NoLoad})
-	r.step(Peers{Silent: []string{home}}) // it was heard a moment ago
+	r.step(HealthChecked{Worker: home, Result: OK, LoadReport: NoLoadReport})
+	r.step(GossipUpdate{SuspectedWorkers: []string{home}}) // it was heard a moment ago
 	if r.d.workers[home].doubted {
 		t.Error("word of peers went over the worker's own")
 	}
@@ -39,17 +39,17 @@
 	share := func() [2]float64 { return [2]float64{r.d.part, r.d.workers["a"].window} }
 	before := share()
 	for _, n := range []int{0, 1, 3, 4} {
-		if r.step(Peers{Routers: n}); share() != before {
+		if r.step(GossipUpdate{Routers: n}); share() != before {
 			t.Errorf("%d routers seen where 4 are configured: shares %v became %v", n, before, share())
 		}
 	}
-	r.step(Peers{Routers: 8})
+	r.step(GossipUpdate{Routers: 8})
 	half := share()
 	if half[0] != before[0]/2 || half[1] != before[1]/2 {
 		t.Errorf("8 routers where 4 are configured: shares %v became %v", before, half)
 	}
 	for _, n := range []int{4, 1, 0} {
-		if r.step(Peers{Routers: n}); share() != half {
+		if r.step(GossipUpdate{Routers: n}); share() != half {
 			t.Errorf("peers vanished, %d are left: shares %v became %v", n, half, share())
 		}
 	}
@@ -59,17 +59,17 @@
 func TestDoubtsAreToldOnlyWhereAsked(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		s := settings()
-		s.TellsDoubts = told
+		s.SuspicionsReported = told
 		r := newRig(t, s, "a")
 		id, out := r.call("f", "safe")
-		out = r.step(Outcome{ID: id, Worker: r.sent(out).Worker, Result: Errored, Company: -1, Load: NoLoad})
+		out = r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Result: Errored, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		id, more := r.call("f", "once")
 		out = append(out, more...)
-		for _, m := range all[Send](more) {
-			out = append(out, r.step(Outcome{ID: id, Attempt: 0, Worker: m.Worker, Result: NoConnection, Company: -1, Load: NoLoad})...)
+		for _, m := range all[StartAttempt](more) {
+			out = append(out, r.step(AttemptEnded{ID: id, Attempt: 0, Worker: m.Worker, Result: ConnectFailed, FunctionInFlight: -1, LoadReport: NoLoadReport})...)
 		}
-		if got := len(all[Doubt](out)) > 0; got != told {
-			t.Errorf("asked for doubts: %v; told %v", told, all[Doubt](out))
+		if got := len(all[ReportSuspicion](out)) > 0; got != told {
+			t.Errorf("asked for doubts: %v; told %v", told, all[ReportSuspicion](out))
 		}
 	}
 }
--- a/dispatch/release_test.go
+++ b/dispatch/release_test.go
@@ -13,8 +13,8 @@
 	for name, loads := range map[string]bool{"by order": false, "on a miss": true} {
 		t.Run(name, func(t *testing.T) {
 			s := settings()
-			s.LoadsOnMiss = loads
-			s.LoadSpan, s.LoadFree, s.LoadRatio = 5*time.Second, 4, 0.1
+			s.WorkersLoadOnMiss = loads
+			s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 4, 0.1
 			r := newRig(t, s, "a", "b", "c", "d", "e", "f")
 			const functions, gap, load, run = 12, 25 * time.Millisecond, 300 * time.Millisecond, 20 * time.Millisecond
 			type due struct {
@@ -28,31 +28,31 @@
 			handle := func(out []Action) {
 				for _, a := range out {
 					switch a := a.(type) {
-					case Send:
+					case StartAttempt:
 						at := fn[a.ID] + "@" + a.Worker
-						o := Outcome{ID: a.ID, Attempt: tries[a.ID], Worker: a.Worker, Result: OK, Took: run, Final: true,
-							Company: -1, Load: NoLoad}
+						o := AttemptEnded{ID: a.ID, Attempt: tries[a.ID], Worker: a.Worker, Result: OK, Duration: run, Final: true,
+							FunctionInFlight: -1, LoadReport: NoLoadReport}
 						tries[a.ID]++
 						since, ok := stands[at]
 						switch {
 						case ok:
-							o.Took += max(since-r.now, 0)
+							o.Duration += max(since-r.now, 0)
 						case loads:
 							began++
 							stands[at] = r.now + load
-							o.Took += load
+							o.Duration += load
 						default:
-							o.Result, o.Final, o.Took = Missed, false, time.Millisecond
+							o.Result, o.Final, o.Duration = NotResident, false, time.Millisecond
 						}
-						queue = append(queue, due{r.now + o.Took, o})
-					case LoadOrder:
+						queue = append(queue, due{r.now + o.Duration, o})
+					case LoadFunction:
 						orders++
 						stands[a.Function+"@"+a.Worker] = r.now + load
-						queue = append(queue, due{r.now + load, Loaded{Worker: a.Worker, Function: a.Function, Copies: 1, Took: load}})
-					case Refuse:
+						queue = append(queue, due{r.now + load, FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: 1, Duration: load}})
+					case RejectRequest:
 						ended++
 						class[a.ID] = true
-					case Fail:
+					case FailRequest:
 						ended++
 						class[a.ID] = true
 					}
@@ -63,14 +63,14 @@
 				next := r.now
 				for end := r.now + span; r.now < end; {
 					r.now += 5 * time.Millisecond
-					events := []Event{Woken{}}
+					events := []Event{TimerFired{}}
 					rest := queue[:0]
 					for _, q := range queue {
 						if q.at > r.now {
 							rest = append(rest, q)
 							continue
 						}
-						if o, ok := q.e.(Outcome); ok && o.Result == OK && !class[o.ID] {
+						if o, ok := q.e.(AttemptEnded); ok && o.Result == OK && !class[o.ID] {
 							served++
 							class[o.ID] = true
 						}
@@ -82,8 +82,8 @@
 						calls++
 						r.next++
 						fn[r.next] = fmt.Sprint("f", calls%functions)
-						events = append(events, Request{ID: r.next, Function: fn[r.next], Class: "safe", MemoryMB: 300, Lanes: 4,
-							LoadTime: load, Work: run, Left: 3 * time.Second})
+						events = append(events, Request{ID: r.next, Function: fn[r.next], Class: "safe", MemoryMB: 300, ConcurrencyPerInstance: 4,
+							LoadTime: load, ExpectedWork: run, RemainingDeadline: 3 * time.Second})
 					}
 					handle(r.step(events...))
 				}
--- a/dispatch/silence_test.go
+++ b/dispatch/silence_test.go
@@ -9,15 +9,15 @@
 // The worker is heard, so the doubt never sees it. What is overdue there is tried elsewhere where that does no harm.
 func TestAClassThatAWorkerLeavesWithoutAnswersRestsThere(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
-	s.Classes[0].Effect, s.Classes[2].Effect = Safe, Unsafe
+	s.WorkersLoadOnMiss = true
+	s.Classes[0].Idempotency, s.Classes[2].Idempotency = Idempotent, NonIdempotent
 	r := newRig(t, s, "a", "b")
-	open := map[RequestID]Send{}
+	open := map[RequestID]StartAttempt{}
 	var carry func(out []Action)
 	late := map[RequestID]int{} // sends of the class that hangs, by request
 	hung := 0
 	carry = func(out []Action) {
-		for _, a := range all[Send](out) {
+		for _, a := range all[StartAttempt](out) {
 			class := "once"
 			if late[a.ID] > 0 {
 				class = "safe"
@@ -29,8 +29,8 @@
 				continue
 			}
 			r.now += time.Millisecond
-			carry(r.step(Outcome{ID: a.ID, Attempt: max(late[a.ID]-2, 0), Worker: a.Worker, Result: OK, Took: 20 * time.Millisecond,
-				Final: true, Company: -1, Load: NoLoad}))
+			carry(r.step(AttemptEnded{ID: a.ID, Attempt: max(late[a.ID]-2, 0), Worker: a.Worker, Result: OK, Duration: 20 * time.Millisecond,
+				Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport}))
 		}
 	}
 	call := func(class string) {
@@ -38,8 +38,8 @@
 		if class == "safe" {
 			late[r.next] = 1
 		}
-		carry(r.step(Request{ID: r.next, Function: "f" + class, Class: class, MemoryMB: 300, Lanes: 1,
-			Work: 20 * time.Millisecond, Left: 3 * time.Second}))
+		carry(r.step(Request{ID: r.next, Function: "f" + class, Class: class, MemoryMB: 300, ConcurrencyPerInstance: 1,
+			ExpectedWork: 20 * time.Millisecond, RemainingDeadline: 3 * time.Second}))
 	}
 	for range 100 {
 		call("safe")
@@ -68,16 +68,16 @@
 // TestOneAnswerEndsTheRow: lost requests now and then, with answers between, rest nothing.
 func TestOneAnswerEndsTheRow(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	r := newRig(t, s, "a", "b")
 	for i := range 200 {
 		id, out := r.call("f", "safe")
-		for _, a := range all[Send](out) {
+		for _, a := range all[StartAttempt](out) {
 			if i%7 == 0 {
 				continue // never answered
 			}
 			r.now += time.Millisecond
-			r.step(Outcome{ID: id, Worker: a.Worker, Result: OK, Took: 20 * time.Millisecond, Final: true, Company: -1, Load: NoLoad})
+			r.step(AttemptEnded{ID: id, Worker: a.Worker, Result: OK, Duration: 20 * time.Millisecond, Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		}
 		r.after(20 * time.Millisecond)
 	}
@@ -92,7 +92,7 @@
 // a load before). However often it is looked at, it is one attempt without an answer.
 func TestAnAttemptCountsOnceInARow(t *testing.T) {
 	s := settings()
-	s.LoadsOnMiss = true
+	s.WorkersLoadOnMiss = true
 	r := newRig(t, s, "a")
 	id, out := r.call("f", "safe")
 	first := r.sent(out)
@@ -103,7 +103,7 @@
 	other, out := r.call("g", "once") // the worker answers others all the while
 	r.sent(out)
 	r.now += 10 * time.Millisecond
-	r.step(Outcome{ID: other, Worker: first.Worker, Result: OK, Took: 10 * time.Millisecond, Final: true, Company: -1, Load: NoLoad})
+	r.step(AttemptEnded{ID: other, Worker: first.Worker, Result: OK, Duration: 10 * time.Millisecond, Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport})
 	r.after(2 * time.Second)
 	if b := r.d.workers["a"].bars[r.d.classes["safe"]]; b.silent != 1 || b.times != 0 {
 		t.Errorf("one attempt overdue counts as %d, and the class has rested %d times", b.silent, b.times)
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -17,7 +17,7 @@
 	rng     *rand.Rand
 	classes map[string]dispatch.Class
 	workers []string
-	states  map[string]dispatch.State
+	states  map[string]dispatch.EndpointState
 	reqs    map[dispatch.RequestID]*held
 	order   []dispatch.RequestID // by arrival, to look for what is due
 }
@@ -34,7 +34,7 @@
 // NewRandom returns the policy.
 func NewRandom(s dispatch.Settings, seed uint64) *Random {
 	p := &Random{set: s, rng: rand.New(rand.NewPCG(seed, 9)), classes: map[string]dispatch.Class{},
-		states: map[string]dispatch.State{}, reqs: map[dispatch.RequestID]*held{}}
+		states: map[string]dispatch.EndpointState{}, reqs: map[dispatch.RequestID]*held{}}
 	for _, c := range s.Classes {
 		p.classes[c.Name] = c
 	}
@@ -45,20 +45,20 @@
 func (p *Random) Step(now time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case dispatch.Roster:
+		case dispatch.EndpointUpdate:
 			p.follow(e)
 		case dispatch.Request:
-			r := &held{class: p.classes[e.Class], deadline: now + e.Left}
+			r := &held{class: p.classes[e.Class], deadline: now + e.RemainingDeadline}
 			p.reqs[e.ID] = r
 			p.order = append(p.order, e.ID)
 			out = p.send(out, e.ID, r)
-		case dispatch.Started:
+		case dispatch.ResponseStarted:
 			if r := p.reqs[e.ID]; r != nil {
 				r.began = true
 			}
-		case dispatch.Outcome:
+		case dispatch.AttemptEnded:
 			out = p.ended(now, out, e)
-		case dispatch.Dropped:
+		case dispatch.RequestCancelled:
 			delete(p.reqs, e.ID)
 		}
 	}
@@ -75,19 +75,19 @@
 		out = p.conclude(out, id, r)
 		return true
 	})
-	return append(out, dispatch.Wake{After: max(next-now, time.Millisecond)})
+	return append(out, dispatch.SetTimer{After: max(next-now, time.Millisecond)})
 }
 
-func (p *Random) follow(e dispatch.Roster) {
-	if e.Whole {
+func (p *Random) follow(e dispatch.EndpointUpdate) {
+	if e.Snapshot {
 		clear(p.states)
 	}
-	for _, m := range e.Members {
+	for _, m := range e.Endpoints {
 		p.states[m.ID] = m.State
 	}
 	p.workers = p.workers[:0]
 	for id, s := range p.states {
-		if s == dispatch.On {
+		if s == dispatch.EndpointActive {
 			p.workers = append(p.workers, id)
 		}
 	}
@@ -100,10 +100,10 @@
 	}
 	r.tries++
 	r.out++
-	return append(out, dispatch.Send{ID: id, Worker: p.workers[p.rng.IntN(len(p.workers))]})
+	return append(out, dispatch.StartAttempt{ID: id, Worker: p.workers[p.rng.IntN(len(p.workers))]})
 }
 
-func (p *Random) ended(now time.Duration, out []dispatch.Action, e dispatch.Outcome) []dispatch.Action {
+func (p *Random) ended(now time.Duration, out []dispatch.Action, e dispatch.AttemptEnded) []dispatch.Action {
 	r := p.reqs[e.ID]
 	if r == nil {
 		return out
@@ -113,10 +113,10 @@
 		delete(p.reqs, e.ID)
 		return out
 	}
-	never := e.Result == dispatch.Refused || e.Result == dispatch.NoConnection || e.Result == dispatch.Missed ||
+	never := e.Result == dispatch.Rejected || e.Result == dispatch.ConnectFailed || e.Result == dispatch.NotResident ||
 		e.Result == dispatch.NotSent
 	r.mayRun = r.mayRun || !never
-	if now < r.deadline && !r.began && (!r.mayRun || r.class.Effect == dispatch.Safe) {
+	if now < r.deadline && !r.began && (!r.mayRun || r.class.Idempotency == dispatch.Idempotent) {
 		return p.send(out, e.ID, r)
 	}
 	return p.conclude(out, e.ID, r)
@@ -124,8 +124,8 @@
 
 func (p *Random) conclude(out []dispatch.Action, id dispatch.RequestID, r *held) []dispatch.Action {
 	delete(p.reqs, id)
-	if r.began || r.class.Effect != dispatch.Safe && (r.mayRun || r.out > 0) {
-		return append(out, dispatch.Fail{ID: id})
+	if r.began || r.class.Idempotency != dispatch.Idempotent && (r.mayRun || r.out > 0) {
+		return append(out, dispatch.FailRequest{ID: id})
 	}
-	return append(out, dispatch.Refuse{ID: id, After: 100 * time.Millisecond})
+	return append(out, dispatch.RejectRequest{ID: id, RetryAfter: 100 * time.Millisecond})
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -320,28 +320,28 @@
 
 // Settings are the module's.
 func (g *Gateway) Settings() dispatch.Settings {
-	s := dispatch.Settings{Zone: g.Zone, Routers: g.Routers, LoadsOnMiss: g.Loading.OnMiss == "load",
-		MayOrder: g.Loading.MayOrder, TellsWarm: g.Loading.TellsWarm, IdleKeep: g.Loading.IdleKeep.Duration(),
-		LoadSpan: g.Loading.RationSpan.Duration(), LoadFree: g.Loading.RationFree, LoadRatio: g.Loading.RationShare,
-		MayCancel: g.Limits.Cancel, MayProbe: g.Limits.Probe, SecondCopies: g.Limits.SecondCopies,
+	s := dispatch.Settings{Zone: g.Zone, Routers: g.Routers, WorkersLoadOnMiss: g.Loading.OnMiss == "load",
+		LoadCommandsAllowed: g.Loading.MayOrder, CacheStatusReported: g.Loading.TellsWarm, IdleResidency: g.Loading.IdleKeep.Duration(),
+		LoadRateWindow: g.Loading.RationSpan.Duration(), LoadRateBurst: g.Loading.RationFree, LoadRateRatio: g.Loading.RationShare,
+		CancelAllowed: g.Limits.Cancel, HealthChecksAllowed: g.Limits.Probe, HedgingAllowed: g.Limits.SecondCopies,
 		MaxAttempts: g.Limits.Attempts, MaxRetryAfter: g.Limits.RetryAfter.Duration(),
-		DrainGrace: g.Safety.DrainGrace.Duration(), ColdShare: g.Safety.ColdShare,
-		ColdFor: g.Safety.ColdFor.Duration(), FallMultiple: g.Safety.FallMultiple,
-		FallSpan: g.Safety.FallSpan.Duration(), TellsDoubts: g.Gossip != nil,
-		Reports: map[string]dispatch.Source{"none": dispatch.FromNothing, "answers": dispatch.FromAnswers,
-			"probes": dispatch.FromProbes}[g.Reports]}
+		DrainGrace: g.Safety.DrainGrace.Duration(), SlowStartShare: g.Safety.ColdShare,
+		SlowStartDuration: g.Safety.ColdFor.Duration(), OverloadMultiple: g.Safety.FallMultiple,
+		OverloadWindow: g.Safety.FallSpan.Duration(), SuspicionsReported: g.Gossip != nil,
+		LoadReports: map[string]dispatch.ReportSource{"none": dispatch.ReportsNone, "answers": dispatch.ReportsWithResponses,
+			"probes": dispatch.ReportsFromHealthChecks}[g.Reports]}
 	for _, k := range g.Kinds {
-		s.Kinds = append(s.Kinds, dispatch.Kind{Name: k.Name, MemoryMB: k.MemoryMB})
+		s.WorkerKinds = append(s.WorkerKinds, dispatch.WorkerKind{Name: k.Name, MemoryMB: k.MemoryMB})
 	}
 	for _, c := range g.Classes {
-		s.Classes = append(s.Classes, dispatch.Class{Name: c.Name, Aim: c.Aim.Duration(), Deadline: c.Deadline.Duration(),
-			Worth: c.Worth, LateShare: c.LateShare, Window: c.Window.Duration(),
-			Effect: map[string]dispatch.Effect{"safe": dispatch.Safe, "keyed": dispatch.Keyed, "unsafe": dispatch.Unsafe}[c.Effect],
-			Scope: map[string]dispatch.Scope{"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
+		s.Classes = append(s.Classes, dispatch.Class{Name: c.Name, LatencyObjective: c.Aim.Duration(), Deadline: c.Deadline.Duration(),
+			PriorityWeight: c.Worth, LateValueFraction: c.LateShare, DeduplicationWindow: c.Window.Duration(),
+			Idempotency: map[string]dispatch.Idempotency{"safe": dispatch.Idempotent, "keyed": dispatch.IdempotentByKey, "unsafe": dispatch.NonIdempotent}[c.Effect],
+			DeduplicationScope: map[string]dispatch.DeduplicationScope{"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
 				"cell": dispatch.ScopeCell}[c.Scope]})
 	}
 	for _, t := range g.Tenants {
-		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: t.Name, QuotaPerSecond: t.Quota, Share: t.Share})
 	}
 	return s
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,8 +25,8 @@
 		t.Fatal(err)
 	}
 	s := g.Settings()
-	if len(s.Classes) != 2 || s.Classes[1].Effect != dispatch.Keyed || s.Classes[1].Scope != dispatch.ScopeCell ||
-		s.Classes[1].Window != 6*time.Second || s.MaxAttempts != 5 || !s.MayCancel {
+	if len(s.Classes) != 2 || s.Classes[1].Idempotency != dispatch.IdempotentByKey || s.Classes[1].DeduplicationScope != dispatch.ScopeCell ||
+		s.Classes[1].DeduplicationWindow != 6*time.Second || s.MaxAttempts != 5 || !s.CancelAllowed {
 		t.Errorf("%+v", s)
 	}
 	if _, err := dispatch.New(s, 1); err != nil {
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	got := l.Roster(func(time.Time) time.Duration { return 7 })
-	if len(got) != 2 || got[0].State != dispatch.Draining || got[0].Started != 7 || got[0].Cell != 2 || got[1].State != dispatch.On {
+	if len(got) != 2 || got[0].State != dispatch.EndpointDraining || got[0].StartedAt != 7 || got[0].Cell != 2 || got[1].State != dispatch.EndpointActive {
 		t.Errorf("%+v", got)
 	}
 	for _, c := range []struct{ from, to, path string }{
@@ -211,11 +211,11 @@
 		t.Fatal(err)
 	}
 	c := g.Gossip.Agent(g.Name, 1)
-	if !g.Settings().TellsDoubts || c.ID != g.Name || c.Gossip.BytesPerSecond != 4000 || c.Gossip.ProbeEvery != 3*time.Second ||
+	if !g.Settings().SuspicionsReported || c.ID != g.Name || c.Gossip.BytesPerSecond != 4000 || c.Gossip.ProbeEvery != 3*time.Second ||
 		c.Judge.Fresh != c.Gossip.Fresh || c.LookTimeout != 400*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	if plain, err := Parse("g.json", []byte(good)); err != nil || plain.Settings().TellsDoubts || plain.Gossip != nil {
+	if plain, err := Parse("g.json", []byte(good)); err != nil || plain.Settings().SuspicionsReported || plain.Gossip != nil {
 		t.Errorf("without gossip: %v", err)
 	}
 	for bad, path := range map[string]string{
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -57,14 +57,14 @@
 
 // Roster converts the list; at gives the router's time for a moment.
 func (l *WorkerList) Roster(at func(time.Time) time.Duration) []endpoints.Worker {
-	states := map[string]dispatch.State{"": dispatch.On, "on": dispatch.On, "draining": dispatch.Draining, "gone": dispatch.Gone}
+	states := map[string]dispatch.EndpointState{"": dispatch.EndpointActive, "on": dispatch.EndpointActive, "draining": dispatch.EndpointDraining, "gone": dispatch.EndpointRemoved}
 	out := make([]endpoints.Worker, 0, len(l.Workers))
 	for _, w := range l.Workers {
-		m := dispatch.Member{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: states[w.State], Weight: w.Weight}
+		m := dispatch.Endpoint{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: states[w.State], Weight: w.Weight}
 		if w.Started != nil {
-			m.Started = at(*w.Started)
+			m.StartedAt = at(*w.Started)
 		}
-		out = append(out, endpoints.Worker{Member: m, Address: w.Address})
+		out = append(out, endpoints.Worker{Endpoint: m, Address: w.Address})
 	}
 	return out
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -45,7 +45,7 @@
 	Started int64   `json:"up_since_ms"` // Unix milliseconds; 0: long ago
 }
 
-var states = map[string]dispatch.State{"active": dispatch.On, "leaving": dispatch.Draining, "left": dispatch.Gone}
+var states = map[string]dispatch.EndpointState{"active": dispatch.EndpointActive, "leaving": dispatch.EndpointDraining, "left": dispatch.EndpointRemoved}
 
 // maxWorkers bounds the list.
 const maxWorkers = 1 << 16
@@ -138,10 +138,10 @@
 func (t *Table) Workers(at func(time.Time) time.Duration) []endpoints.Worker {
 	out := make([]endpoints.Worker, 0, len(t.members))
 	for _, m := range t.members {
-		w := endpoints.Worker{Address: m.Address, Member: dispatch.Member{ID: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
+		w := endpoints.Worker{Address: m.Address, Endpoint: dispatch.Endpoint{ID: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
 			State: states[m.State], Weight: m.Weight}}
 		if m.Started > 0 {
-			w.Started = at(time.UnixMilli(m.Started))
+			w.StartedAt = at(time.UnixMilli(m.Started))
 		}
 		out = append(out, w)
 	}
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -17,7 +17,7 @@
 	var out []string
 	for _, w := range list {
 		s := w.ID + "@" + w.Address
-		if w.State == dispatch.Draining {
+		if w.State == dispatch.EndpointDraining {
 			s += " drains"
 		}
 		out = append(out, s)
--- a/internal/endpoints/roster.go
+++ b/internal/endpoints/roster.go
@@ -18,17 +18,17 @@
 
 // Worker is one line of the list.
 type Worker struct {
-	dispatch.Member
+	dispatch.Endpoint
 	Address string
 }
 
 // Settings are the core's.
 type Settings struct {
-	AskAfter time.Duration // a worker that said it drains is asked no sooner than this, and so often
+	CheckInterval time.Duration // a worker that said it drains is asked no sooner than this, and so often
 }
 
 // Core is the state for one router.
-type Core struct {
+type Merger struct {
 	set      Settings
 	list     []Worker
 	draining map[string]*drain
@@ -44,16 +44,16 @@
 }
 
 // New returns a Core that knows no worker.
-func New(s Settings) *Core { return &Core{set: s, draining: map[string]*drain{}} }
+func New(s Settings) *Merger { return &Merger{set: s, draining: map[string]*drain{}} }
 
 // List takes a whole list.
-func (c *Core) List(now time.Duration, list []Worker) {
+func (c *Merger) SetList(now time.Duration, list []Worker) {
 	c.list = slices.Clone(list)
 	slices.SortFunc(c.list, func(a, b Worker) int { return cmp.Compare(a.ID, b.ID) })
 	c.changed = true
 	on := map[string]Worker{}
 	for _, w := range c.list {
-		if w.State == dispatch.On {
+		if w.State == dispatch.EndpointActive {
 			on[w.ID] = w
 		}
 	}
@@ -62,28 +62,28 @@
 		switch {
 		case !is: // the list says itself that it leaves, or that it is gone
 			d.left = true
-		case d.left || w.Started > d.started:
+		case d.left || w.StartedAt > d.started:
 			delete(c.draining, id)
 		}
 	}
 }
 
 // Drains takes a worker's own word that it takes nothing new.
-func (c *Core) Drains(now time.Duration, id string) {
+func (c *Merger) WorkerDraining(now time.Duration, id string) {
 	if d := c.draining[id]; d != nil {
-		d.ask = now + c.set.AskAfter
+		d.ask = now + c.set.CheckInterval
 		return
 	}
 	for _, w := range c.list {
 		if w.ID == id {
-			c.draining[id] = &drain{started: w.Started, left: w.State != dispatch.On, ask: now + c.set.AskAfter}
+			c.draining[id] = &drain{started: w.StartedAt, left: w.State != dispatch.EndpointActive, ask: now + c.set.CheckInterval}
 			c.changed = true
 		}
 	}
 }
 
 // Asked takes a worker's answer: ready is false too where there was none.
-func (c *Core) Asked(now time.Duration, id string, ready bool) {
+func (c *Merger) HealthChecked(now time.Duration, id string, ready bool) {
 	d := c.draining[id]
 	if d == nil || !d.asking {
 		return
@@ -94,11 +94,11 @@
 		c.changed = true
 		return
 	}
-	d.ask = now + c.set.AskAfter
+	d.ask = now + c.set.CheckInterval
 }
 
 // Due tells when Step has something to do without a further event.
-func (c *Core) Due() (at time.Duration, ok bool) {
+func (c *Merger) NextCheck() (at time.Duration, ok bool) {
 	for _, d := range c.draining {
 		if !d.asking && !d.left && (!ok || d.ask < at) {
 			at, ok = d.ask, true
@@ -109,12 +109,12 @@
 
 // Actions is what Step decides.
 type Actions struct {
-	List []Worker // the whole list as it now holds; nil: unchanged
-	Ask  []string // workers to be asked whether they are ready
+	List  []Worker // the whole list as it now holds; nil: unchanged
+	Check []string // workers to be asked whether they are ready
 }
 
 // Step tells what follows from the events so far.
-func (c *Core) Step(now time.Duration) Actions {
+func (c *Merger) Step(now time.Duration) Actions {
 	var a Actions
 	if c.changed {
 		c.changed = false
@@ -123,15 +123,15 @@
 			a.List = []Worker{}
 		}
 		for i := range a.List {
-			if w := &a.List[i]; c.draining[w.ID] != nil && w.State == dispatch.On {
-				w.State = dispatch.Draining
+			if w := &a.List[i]; c.draining[w.ID] != nil && w.State == dispatch.EndpointActive {
+				w.State = dispatch.EndpointDraining
 			}
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.draining)) {
 		if d := c.draining[id]; !d.asking && !d.left && now >= d.ask {
 			d.asking = true
-			a.Ask = append(a.Ask, id)
+			a.Check = append(a.Check, id)
 		}
 	}
 	return a
--- a/internal/fake/fakepeer/forger.go
+++ b/internal/fake/fakepeer/forger.go
@@ -127,18 +127,20 @@
 func (l *Liar) Accuse(started map[string]uint64) {
 	l.SetWorkers(started)
 	for id := range started {
-		l.Doubted(dispatch.Doubt{Worker: id})
+		l.ReportSuspicion(dispatch.ReportSuspicion{Worker: id})
 	}
 }
 
 // Praise has it say that a worker is back which it called silent.
-func (l *Liar) Praise(worker string) { l.HeardOf(worker) }
+func (l *Liar) Praise(worker string) { l.ReportAlive(worker) }
 
 // blind is a router that sees nothing.
 type blind struct{}
 
 // Look implements peers.Router.
-func (blind) Look(_ string, _, _ time.Duration, done func(alive, void bool)) { done(false, true) }
+func (blind) VerifyWorker(_ string, _, _ time.Duration, done func(alive, void bool)) {
+	done(false, true)
+}
 
 // Peers implements peers.Router.
-func (blind) Peers(dispatch.Peers) {}
+func (blind) ApplyGossip(dispatch.GossipUpdate) {}
--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -56,9 +56,9 @@
 // Router is what the agent needs of its router. No method blocks.
 type Router interface {
 	// Look asks a worker for a sign of life, unless it was heard within heard: then void is told.
-	Look(worker string, heard, limit time.Duration, done func(alive, void bool))
+	VerifyWorker(worker string, heard, limit time.Duration, done func(alive, void bool))
 	// Peers hands the module what came of peers' word.
-	Peers(dispatch.Peers)
+	ApplyGossip(dispatch.GossipUpdate)
 }
 
 // Dropped counts what was not read, by reason.
@@ -364,7 +364,7 @@
 			a.cfg.Dead(o.ID)
 		}
 	case gossip.Live:
-		a.router.Peers(dispatch.Peers{Routers: o.Count})
+		a.router.ApplyGossip(dispatch.GossipUpdate{Routers: o.Count})
 	case gossip.Heard:
 		s := &o.Statement
 		a.log.Debug("word of a worker", "worker", s.Subject, "is", s.About, "class", s.Text, "by", s.Signer, "age", o.Age)
@@ -384,14 +384,14 @@
 func (a *Agent) actJudge(o any) {
 	switch o := o.(type) {
 	case gossip.Look:
-		a.router.Look(o.Worker, a.cfg.Judge.Heard, a.cfg.LookTimeout, func(alive, void bool) {
+		a.router.VerifyWorker(o.Worker, a.cfg.Judge.Heard, a.cfg.LookTimeout, func(alive, void bool) {
 			a.post(func() {
 				a.toJudge = append(a.toJudge, gossip.Looked{Worker: o.Worker, Alive: alive, Void: void})
 			})
 		})
 	case gossip.FoundSilent:
 		a.log.Info("peers' word of a silent worker bears out", "worker", o.Worker)
-		a.router.Peers(dispatch.Peers{Silent: []string{o.Worker}})
+		a.router.ApplyGossip(dispatch.GossipUpdate{SuspectedWorkers: []string{o.Worker}})
 	}
 }
 
@@ -519,7 +519,7 @@
 }
 
 // Doubted tells of a doubt that the router has by its own evidence.
-func (a *Agent) Doubted(d dispatch.Doubt) {
+func (a *Agent) ReportSuspicion(d dispatch.ReportSuspicion) {
 	about := gossip.Silent
 	if d.Slow {
 		about = gossip.Slow
@@ -532,7 +532,7 @@
 }
 
 // HeardOf tells that a worker that was doubted to be silent gave a sign of life.
-func (a *Agent) HeardOf(worker string) {
+func (a *Agent) ReportAlive(worker string) {
 	a.post(func() {
 		a.toWit = append(a.toWit, gossip.HeardOf{Worker: worker})
 		a.toJudge = append(a.toJudge, gossip.HeardOf{Worker: worker})
--- a/internal/gossip/agent/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -21,11 +21,11 @@
 	mu     sync.Mutex
 	dead   map[string]bool
 	looks  int
-	told   []dispatch.Peers
+	told   []dispatch.GossipUpdate
 	notify chan struct{}
 }
 
-func (s *script) Look(worker string, _, _ time.Duration, done func(alive, void bool)) {
+func (s *script) VerifyWorker(worker string, _, _ time.Duration, done func(alive, void bool)) {
 	s.mu.Lock()
 	s.looks++
 	dead := s.dead[worker]
@@ -33,7 +33,7 @@
 	done(!dead, false)
 }
 
-func (s *script) Peers(e dispatch.Peers) {
+func (s *script) ApplyGossip(e dispatch.GossipUpdate) {
 	s.mu.Lock()
 	s.told = append(s.told, e)
 	s.mu.Unlock()
@@ -46,7 +46,7 @@
 func (s *script) silent(worker string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.told, func(e dispatch.Peers) bool { return slices.Contains(e.Silent, worker) })
+	return slices.ContainsFunc(s.told, func(e dispatch.GossipUpdate) bool { return slices.Contains(e.SuspectedWorkers, worker) })
 }
 
 func keyOf(id, name string) ed25519.PrivateKey {
@@ -143,9 +143,9 @@
 		r.dead["w1"] = true
 		r.mu.Unlock()
 	}
-	g.agents[0].Doubted(dispatch.Doubt{Worker: "w1"})
-	g.agents[1].Doubted(dispatch.Doubt{Worker: "w1"})
-	g.agents[1].Doubted(dispatch.Doubt{Worker: "w2", Class: "renew"})
+	g.agents[0].ReportSuspicion(dispatch.ReportSuspicion{Worker: "w1"})
+	g.agents[1].ReportSuspicion(dispatch.ReportSuspicion{Worker: "w1"})
+	g.agents[1].ReportSuspicion(dispatch.ReportSuspicion{Worker: "w2", Class: "renew"})
 	g.until("the others to find it silent", func() bool {
 		return g.routers[2].silent("w1") && g.routers[3].silent("w1") && g.routers[4].silent("w1") && g.routers[5].silent("w1")
 	})
--- a/internal/gossip/agent/property_test.go
+++ b/internal/gossip/agent/property_test.go
@@ -13,10 +13,10 @@
 )
 
 func module(t *rapid.T) *dispatch.Dispatcher {
-	d, err := dispatch.New(dispatch.Settings{Routers: 4, MaxAttempts: 3, MayCancel: true, MayProbe: true, MayOrder: true,
-		IdleKeep: 10 * time.Second, ColdShare: 0.2, ColdFor: 8 * time.Second, FallMultiple: 3, FallSpan: time.Second,
-		Kinds:   []dispatch.Kind{{Name: "k", MemoryMB: 1000}},
-		Classes: []dispatch.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: dispatch.Safe}}}, 7)
+	d, err := dispatch.New(dispatch.Settings{Routers: 4, MaxAttempts: 3, CancelAllowed: true, HealthChecksAllowed: true, LoadCommandsAllowed: true,
+		IdleResidency: 10 * time.Second, SlowStartShare: 0.2, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
+		WorkerKinds: []dispatch.WorkerKind{{Name: "k", MemoryMB: 1000}},
+		Classes:     []dispatch.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: dispatch.Idempotent}}}, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 		alone, told := module(t), module(t)
 		judge := gossip.NewJudge(gossip.LocalJudge)
 		now, next := time.Hour, dispatch.RequestID(0)
-		open := map[dispatch.RequestID][]dispatch.Send{}
+		open := map[dispatch.RequestID][]dispatch.StartAttempt{}
 		starts := map[string]uint64{}
 		play := func(events ...dispatch.Event) {
 			a := alone.Step(now, events)
@@ -40,7 +40,7 @@
 				t.Fatalf("at %v: %v became %v", now, a, b)
 			}
 			for _, x := range a {
-				if s, ok := x.(dispatch.Send); ok {
+				if s, ok := x.(dispatch.StartAttempt); ok {
 					open[s.ID] = append(open[s.ID], s)
 				}
 			}
@@ -50,24 +50,24 @@
 			w := fmt.Sprintf("w%d", rapid.IntRange(0, 3).Draw(t, "worker"))
 			switch op := rapid.IntRange(0, 5).Draw(t, "op"); {
 			case op == 0 || i == 0:
-				m := dispatch.Member{ID: w, Kind: "k", State: dispatch.State(rapid.IntRange(0, 2).Draw(t, "state"))}
+				m := dispatch.Endpoint{ID: w, Kind: "k", State: dispatch.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))}
 				if rapid.Bool().Draw(t, "fresh") {
-					m.Started = now
+					m.StartedAt = now
 				}
-				starts[w] = uint64(m.Started / time.Millisecond)
-				play(dispatch.Roster{Members: []dispatch.Member{m}})
+				starts[w] = uint64(m.StartedAt / time.Millisecond)
+				play(dispatch.EndpointUpdate{Endpoints: []dispatch.Endpoint{m}})
 				judge.Step(now, []any{gossip.Workers{Started: starts}})
 			case op == 1 || op == 2:
 				next++
-				play(dispatch.Request{ID: next, Function: w, Class: "c", MemoryMB: 10, Lanes: 2, Left: 3 * time.Second})
+				play(dispatch.Request{ID: next, Function: w, Class: "c", MemoryMB: 10, ConcurrencyPerInstance: 2, RemainingDeadline: 3 * time.Second})
 			case op == 3:
 				for id := dispatch.RequestID(1); id <= next; id++ { // the oldest that is open
 					n := len(open[id]) - 1
 					if n < 0 {
 						continue
 					}
-					play(dispatch.Outcome{ID: id, Attempt: n, Worker: open[id][n].Worker, Result: dispatch.OK, Final: true, Company: -1,
-						Took: 20 * time.Millisecond, Load: dispatch.NoLoad})
+					play(dispatch.AttemptEnded{ID: id, Attempt: n, Worker: open[id][n].Worker, Result: dispatch.OK, Final: true, FunctionInFlight: -1,
+						Duration: 20 * time.Millisecond, LoadReport: dispatch.NoLoadReport})
 					delete(open, id)
 					break
 				}
@@ -76,11 +76,11 @@
 					About: gossip.About(rapid.IntRange(int(gossip.Silent), int(gossip.Back)).Draw(t, "about"))}
 				for _, o := range judge.Step(now, []any{c, gossip.Looked{Worker: w}}) {
 					if s, ok := o.(gossip.FoundSilent); ok {
-						told.Step(now, []dispatch.Event{dispatch.Peers{Silent: []string{s.Worker}}})
+						told.Step(now, []dispatch.Event{dispatch.GossipUpdate{SuspectedWorkers: []string{s.Worker}}})
 					}
 				}
 			}
-			play(dispatch.Woken{})
+			play(dispatch.TimerFired{})
 		}
 	})
 }
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -24,8 +24,8 @@
 // Options are what does not stand in a settings file.
 type Options struct {
 	Log     *slog.Logger
-	Decider func(dispatch.Settings, uint64) (router.Decider, error) // nil: the module
-	Drain   time.Duration                                           // most that Stop waits for calls in hand; 0: a minute
+	Decider func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: the module
+	Drain   time.Duration                                              // most that Stop waits for calls in hand; 0: a minute
 	Tap     func(now time.Duration, events []dispatch.Event, actions []dispatch.Action)
 	Gossip  agent.Hooks
 }
@@ -59,10 +59,10 @@
 	g.pool = grpcupstream.New(grpcupstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
 		MaxConns: cfg.Workers.Connections, MaxMessage: cfg.Limits.MessageBytes, HTTP2: h2, Log: log})
 	var err error
-	g.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Brain: cfg.Settings(),
-		OrderTimeout: cfg.Loading.OrderTimeout.Duration(), ProbeTimeout: cfg.Workers.ProbeTimeout.Duration(),
-		Roster: endpoints.Settings{AskAfter: cfg.Workers.AskAfter.Duration()}, Decider: o.Decider, Log: log,
-		Tap: o.Tap}, g.pool)
+	g.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.Settings(),
+		LoadTimeout: cfg.Loading.OrderTimeout.Duration(), HealthCheckTimeout: cfg.Workers.ProbeTimeout.Duration(),
+		Endpoints: endpoints.Settings{CheckInterval: cfg.Workers.AskAfter.Duration()}, NewDispatcher: o.Decider, Logger: log,
+		Observer: o.Tap}, g.pool)
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 	g.wg.Go(func() {
 		config.Follow(cfg.Workers.File, g.stop, func(l *config.WorkerList) {
 			log.Info("list of workers", "workers", len(l.Workers))
-			g.router.SetWorkers(l.Roster(g.router.At))
+			g.router.SetEndpoints(l.Roster(g.router.At))
 			if g.peers != nil {
 				g.peers.SetWorkers(l.Starts())
 			}
--- a/internal/grpcgateway/gossip.go
+++ b/internal/grpcgateway/gossip.go
@@ -34,7 +34,7 @@
 	if g.peers, err = agent.Start(c, g.router); err != nil {
 		return err
 	}
-	g.router.SetPeers(g.peers)
+	g.router.SetGossip(g.peers)
 	refused := func(err error) { g.log.Warn("gossip: file refused; what it said before stands", "error", err) }
 	follow := func(path string, first []byte, use func([]byte) error) {
 		g.wg.Go(func() {
--- a/internal/httprouter/node.go
+++ b/internal/httprouter/node.go
@@ -40,7 +40,7 @@
 // Options are what does not stand in the configuration.
 type Options struct {
 	Log     *slog.Logger
-	Decider func(dispatch.Settings, uint64) (router.Decider, error) // nil: the module
+	Decider func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: the module
 }
 
 // Node is one running router.
@@ -65,21 +65,21 @@
 		WriteTimeout: writeWithin, StallAfter: stallWithin, MaxConns: share.Workers, MaxOpen: cfg.Limits.StreamsPerConn,
 		MaxAnswer: 64 << 10, Buffer: share.SocketBuffer, Log: n.log})
 	var err error
-	n.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Brain: cfg.Settings,
-		OrderTimeout: cfg.Limits.OrderTimeout, ProbeTimeout: cfg.Limits.ConnectTimeout,
-		Roster: endpoints.Settings{AskAfter: time.Second}, Decider: o.Decider, Log: n.log}, n.pool)
+	n.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.Settings,
+		LoadTimeout: cfg.Limits.OrderTimeout, HealthCheckTimeout: cfg.Limits.ConnectTimeout,
+		Endpoints: endpoints.Settings{CheckInterval: time.Second}, NewDispatcher: o.Decider, Logger: n.log}, n.pool)
 	if err != nil {
 		n.pool.Close()
 		return nil, err
 	}
 	n.pool.Attach(n.router)
 	n.feed, err = discovery.Start(discovery.Config{Address: cfg.Channel, Connect: cfg.Limits.ConnectTimeout, Block: channelBlock,
-		Grace: channelGrace, Pause: channelPause, MaxBody: 1 << 20, At: n.router.At, Use: n.router.SetWorkers,
+		Grace: channelGrace, Pause: channelPause, MaxBody: 1 << 20, At: n.router.At, Use: n.router.SetEndpoints,
 		Log: n.log}, cfg.Known)
 	if err == nil {
-		classes := map[string]dispatch.Effect{}
+		classes := map[string]dispatch.Idempotency{}
 		for _, c := range cfg.Settings.Classes {
-			classes[c.Name] = c.Effect
+			classes[c.Name] = c.Idempotency
 		}
 		n.front, err = httpserver.Listen(httpserver.Config{Address: cfg.Listen, Classes: classes, MaxConns: share.Clients,
 			Limits: http1.Limits{Head: 8 << 10, Fields: 64, Body: 16 << 10, Pending: 8 << 10}, First: firstWithin,
@@ -113,7 +113,7 @@
 			limit = max(limit, c.Deadline)
 		}
 		limit = min(limit, killedAfter) + killedSpare
-		n.router.Closing(limit)
+		n.router.StartShutdown(limit)
 		accept := min(acceptFor, limit)
 		time.Sleep(accept)
 		lost = n.router.Stop(limit - accept + settleFor)
@@ -202,12 +202,12 @@
 func (n *Node) report() {
 	r, f, p, c := n.router.Stats(), n.front.Stats(), n.pool.Stats(), n.feed.Stats()
 	each := func(d time.Duration) float64 { return d.Seconds() * 1000 / float64(max(r.Served, 1)) }
-	n.log.Info("state", "calls", r.Calls, "served", r.Served, "refused", r.Refused, "failed", r.Failed, "dropped", r.Dropped,
-		"attempts", r.Attempts, "orders", r.Orders, "probes", r.Probes, "open", r.Open, "clients", f.Conns, "bad", f.Bad,
+	n.log.Info("state", "calls", r.Calls, "served", r.Served, "refused", r.Rejected, "failed", r.Failed, "dropped", r.Cancelled,
+		"attempts", r.Attempts, "orders", r.Loads, "probes", r.HealthChecks, "open", r.Open, "clients", f.Conns, "bad", f.Bad,
 		"evicted", f.Evicted, "worker_conns", p.Conns, "worker_open", p.Open, "waiting", p.Waiting, "dials", p.Dials,
 		"dials_failed", p.Failed, "broken", p.Broken, "unwritten", p.Unwritten, "late", p.Late, "cursor", c.Cursor,
 		"questions", c.Questions, "channel_broken", c.Broken,
-		"out", r.Out, "module_ms", each(r.Took), "waited_ms", each(p.Waited), "wire_ms", each(p.Wire))
+		"out", r.AttemptsInFlight, "module_ms", each(r.ServedDuration), "waited_ms", each(p.Waited), "wire_ms", each(p.Wire))
 }
 
 // quiet takes netpoll's own log lines.
--- a/internal/httprouter/node_test.go
+++ b/internal/httprouter/node_test.go
@@ -52,13 +52,13 @@
 	next    int
 }
 
-func newFleet(t *testing.T, decider func(dispatch.Settings, uint64) (router.Decider, error)) *fleet {
+func newFleet(t *testing.T, decider func(dispatch.Settings, uint64) (router.Dispatcher, error)) *fleet {
 	t.Helper()
 	return newFleetOf(t, settings, decider)
 }
 
 // newFleetOf is a fleet whose router has settings of its own.
-func newFleetOf(t *testing.T, settings string, decider func(dispatch.Settings, uint64) (router.Decider, error)) *fleet {
+func newFleetOf(t *testing.T, settings string, decider func(dispatch.Settings, uint64) (router.Dispatcher, error)) *fleet {
 	t.Helper()
 	f := &fleet{t: t, log: invariants.NewLog()}
 	var list []string
@@ -227,7 +227,7 @@
 // breaker is a decider that breaks one rule on purpose.
 type breaker struct {
 	rule    int
-	workers []dispatch.Member
+	workers []dispatch.Endpoint
 	n       int
 	late    []dispatch.RequestID // held until their clients' time is over
 }
@@ -235,16 +235,16 @@
 func (b *breaker) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case dispatch.Woken:
+		case dispatch.TimerFired:
 			for _, id := range b.late {
-				out = append(out, dispatch.Refuse{ID: id})
+				out = append(out, dispatch.RejectRequest{ID: id})
 			}
 			b.late = nil
-		case dispatch.Roster:
-			b.workers = e.Members
-		case dispatch.Outcome: // the next worker is tried where nothing ran
+		case dispatch.EndpointUpdate:
+			b.workers = e.Endpoints
+		case dispatch.AttemptEnded: // the next worker is tried where nothing ran
 			if b.n++; e.Result == dispatch.NotSent && !e.Final {
-				out = append(out, dispatch.Send{ID: e.ID, Worker: b.workers[b.n%len(b.workers)].ID})
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: b.workers[b.n%len(b.workers)].ID})
 			}
 		case dispatch.Request:
 			b.n++
@@ -252,15 +252,15 @@
 			switch b.rule {
 			case 1: // answers once the client's time is over
 				b.late = append(b.late, e.ID)
-				out = append(out, dispatch.Wake{After: e.Left + 300*time.Millisecond})
+				out = append(out, dispatch.SetTimer{After: e.RemainingDeadline + 300*time.Millisecond})
 				continue
 			case 2: // runs twice
-				out = append(out, dispatch.Send{ID: e.ID, Worker: b.workers[0].ID}, dispatch.Send{ID: e.ID, Worker: b.workers[1].ID})
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: b.workers[0].ID}, dispatch.StartAttempt{ID: e.ID, Worker: b.workers[1].ID})
 				continue
 			case 5:
-				out = append(out, dispatch.LoadOrder{Worker: w, Function: e.Function, Copies: 1})
+				out = append(out, dispatch.LoadFunction{Worker: w, Function: e.Function, Copies: 1})
 			}
-			out = append(out, dispatch.Send{ID: e.ID, Worker: w})
+			out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: w})
 		}
 	}
 	return out
@@ -272,7 +272,7 @@
 		4: "a fresh start not heard of", 5: "orders without ration"} {
 		t.Run(about, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, func(dispatch.Settings, uint64) (router.Decider, error) { return &breaker{rule: rule}, nil })
+			f := newFleet(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &breaker{rule: rule}, nil })
 			site := f.site()
 			switch rule {
 			case 1:
@@ -299,7 +299,7 @@
 
 // TestDrainedWorkersGetNothing: with a decider that knows of no drains, the exit's own check keeps the rule.
 func TestDrainedWorkersGetNothing(t *testing.T) {
-	f := newFleet(t, func(dispatch.Settings, uint64) (router.Decider, error) { return &breaker{}, nil })
+	f := newFleet(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &breaker{}, nil })
 	f.calls(3)
 	f.tell("a " + f.workers[0].Addr() + " leaving")
 	before := len(f.workers[0].Got())
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -9,23 +9,23 @@
 
 // Call is one call as a front took it. The router keeps it until the call has ended; nobody changes it meanwhile.
 type Call struct {
-	Function string // the key by which the module knows what is called
-	Class    string
-	Tenant   string
-	MemoryMB float64
-	Lanes    int
-	LoadTime time.Duration // 0: untold
-	Work     time.Duration // 0: untold
-	Left     time.Duration // until the client gives up
-	Streamed bool
-	Request  any // what the front took, for the upstream of the same protocol
-	Client   Client
-	Gone     func() bool // tells whether the client has left, at any moment and from any goroutine; nil: only drop tells
+	Function               string // the key by which the module knows what is called
+	Class                  string
+	Tenant                 string
+	MemoryMB               float64
+	ConcurrencyPerInstance int
+	LoadTime               time.Duration // 0: untold
+	ExpectedWork           time.Duration // 0: untold
+	RemainingDeadline      time.Duration // until the client gives up
+	Streamed               bool
+	Request                any // what the front took, for the upstream of the same protocol
+	Client                 Client
+	ClientLeft             func() bool // tells whether the client has left, at any moment and from any goroutine; nil: only drop tells
 }
 
 // Wanted tells whether an attempt may still be of use to the client: false once it has left, though the router may
 // not have got to hear of it.
-func (c *Call) Wanted() bool { return c.Gone == nil || !c.Gone() }
+func (c *Call) ClientWaiting() bool { return c.ClientLeft == nil || !c.ClientLeft() }
 
 // Client is the front's end of a call. Its methods come from the router's loop, but for Message, which
 // comes from the one goroutine that reads the answering attempt; none blocks. Finish comes once, last.
@@ -36,53 +36,53 @@
 	// the rest as they leave. The bytes are the caller's again when it returns.
 	Message(p []byte, drain func(n int)) int
 	// Finish gives the final answer.
-	Finish(f Final)
+	Finish(f FinalAnswer)
 }
 
 // Kind is the kind of a final answer.
-type Kind int
+type FinalKind int
 
 // The kinds.
 const (
-	Answered Kind = iota // by the attempt whose response is the client's: Ended tells how that came to its end
-	Refused              // by the module: trying again does no harm
-	Failed               // by the module: the call may have run
+	FinalAnswered FinalKind = iota // by the attempt whose response is the client's: Ended tells how that came to its end
+	FinalRejected                  // by the module: trying again does no harm
+	FinalFailed                    // by the module: the call may have run
 )
 
 // Final is a final answer.
-type Final struct {
-	Kind  Kind
-	After time.Duration // of a refusal: how long the client should stay away
-	Late  bool          // of a failure: the client's time is over
-	Ended *Ended        // Answered: of the answering attempt; Failed: of the last one, or nil
+type FinalAnswer struct {
+	Kind             FinalKind
+	RetryAfter       time.Duration  // of a refusal: how long the client should stay away
+	DeadlineExceeded bool           // of a failure: the client's time is over
+	Attempt          *AttemptResult // Answered: of the answering attempt; Failed: of the last one, or nil
 }
 
 // Report is what an answer tells of the worker.
-type Report struct {
-	Load    dispatch.Load
-	Warmth  dispatch.Warmth
-	Company int // requests of the function that the worker held; -1: untold
+type WorkerReport struct {
+	LoadReport       dispatch.LoadReport
+	CacheStatus      dispatch.CacheStatus
+	FunctionInFlight int // requests of the function that the worker held; -1: untold
 }
 
 // NoReport tells nothing.
-var NoReport = Report{Load: dispatch.NoLoad, Company: -1}
+var NoWorkerReport = WorkerReport{LoadReport: dispatch.NoLoadReport, FunctionInFlight: -1}
 
 // Ended is how an attempt ended, by the evidence on the wire. Head and Tail are of the response, in the words of
 // the protocol, for the front that speaks it.
-type Ended struct {
-	Result dispatch.Result
-	Answer []byte // what no client has been handed yet; the router's to keep
-	Head   any
-	Tail   any
-	Report Report
-	Drains bool // the worker said that it takes nothing new
+type AttemptResult struct {
+	Result         dispatch.Result
+	Body           []byte // what no client has been handed yet; the router's to keep
+	Head           any
+	Trailer        any
+	Report         WorkerReport
+	WorkerDraining bool // the worker said that it takes nothing new
 }
 
 // Attempt is an upstream's handle of one attempt.
-type Attempt interface {
+type UpstreamAttempt interface {
 	// Grant hands the response to a client: what is held first, then all that comes. It follows a Began and
 	// comes once.
-	Grant(c Client)
+	ForwardTo(c Client)
 	// Cancel stops waiting. Ended still comes, once, as for any attempt.
 	Cancel()
 }
@@ -107,8 +107,8 @@
 	deadline time.Duration
 	attempts []*try
 	out      int
-	answer   *try   // whose response is the client's
-	last     *Ended // how the last attempt ended that brought no answer
+	answer   *try           // whose response is the client's
+	last     *AttemptResult // how the last attempt ended that brought no answer
 }
 
 // try is one attempt of a call.
@@ -117,7 +117,7 @@
 	n      int
 	worker string
 	sent   time.Duration
-	handle Attempt
+	handle UpstreamAttempt
 	timer  timingwheel.Timer // its time-out
 	ended  bool
 	late   bool // cancelled by its time-out
@@ -131,35 +131,35 @@
 	}
 	e.state, e.answer = streaming, t
 	e.call.Client.Start(head)
-	t.handle.Grant(e.call.Client)
+	t.handle.ForwardTo(e.call.Client)
 	return true
 }
 
 // ended takes the end of an attempt and answers the client where that end is an answer: the first OK, or any
 // end of the attempt whose response is the client's. It tells whether the call has its final answer.
-func (e *entry) ended(t *try, how Ended) (final bool) {
+func (e *entry) ended(t *try, how AttemptResult) (final bool) {
 	t.ended = true
 	e.out--
 	switch {
 	case e.state == streaming && e.answer == t:
-		if len(how.Answer) > 0 { // it had ended before it was granted to the client
-			e.call.Client.Message(how.Answer, nil)
+		if len(how.Body) > 0 { // it had ended before it was granted to the client
+			e.call.Client.Message(how.Body, nil)
 		}
-		e.finish(Final{Ended: &how})
+		e.finish(FinalAnswer{Attempt: &how})
 	case e.state == waiting && how.Result == dispatch.OK:
 		e.answer = t
 		e.call.Client.Start(how.Head)
-		if len(how.Answer) > 0 {
-			e.call.Client.Message(how.Answer, nil)
+		if len(how.Body) > 0 {
+			e.call.Client.Message(how.Body, nil)
 		}
-		e.finish(Final{Ended: &how})
+		e.finish(FinalAnswer{Attempt: &how})
 	default:
 		e.last = &how
 	}
 	return e.state == done
 }
 
-func (e *entry) finish(f Final) {
+func (e *entry) finish(f FinalAnswer) {
 	e.state = done
 	e.call.Client.Finish(f)
 }
@@ -170,7 +170,7 @@
 	if e.state != waiting {
 		return false
 	}
-	e.finish(Final{Kind: Refused, After: after})
+	e.finish(FinalAnswer{Kind: FinalRejected, RetryAfter: after})
 	return true
 }
 
@@ -179,6 +179,6 @@
 	if e.state == done {
 		return false
 	}
-	e.finish(Final{Kind: Failed, Late: now >= e.deadline, Ended: e.last})
+	e.finish(FinalAnswer{Kind: FinalFailed, DeadlineExceeded: now >= e.deadline, Attempt: e.last})
 	return true
 }
--- a/internal/router/call_test.go
+++ b/internal/router/call_test.go
@@ -12,7 +12,7 @@
 type sink struct {
 	started, finished int
 	bytes             string
-	final             Final
+	final             FinalAnswer
 }
 
 func (s *sink) Start(any) { s.started++ }
@@ -20,7 +20,7 @@
 	s.bytes += string(p)
 	return len(p)
 }
-func (s *sink) Finish(f Final) {
+func (s *sink) Finish(f FinalAnswer) {
 	s.finished++
 	s.final = f
 }
@@ -28,8 +28,8 @@
 // handle is an attempt that notes what it is told.
 type handle struct{ granted, cancelled int }
 
-func (h *handle) Grant(Client) { h.granted++ }
-func (h *handle) Cancel()      { h.cancelled++ }
+func (h *handle) ForwardTo(Client) { h.granted++ }
+func (h *handle) Cancel()          { h.cancelled++ }
 
 func newEntry() (*entry, *sink, *try, *try) {
 	s := &sink{}
@@ -40,34 +40,34 @@
 }
 
 var (
-	served = Ended{Result: dispatch.OK, Answer: []byte("answer"), Report: NoReport}
-	broken = Ended{Result: dispatch.Reset, Report: NoReport}
-	errs   = Ended{Result: dispatch.Errored, Tail: "boom", Report: NoReport}
+	served = AttemptResult{Result: dispatch.OK, Body: []byte("answer"), Report: NoWorkerReport}
+	broken = AttemptResult{Result: dispatch.ConnectionReset, Report: NoWorkerReport}
+	errs   = AttemptResult{Result: dispatch.Errored, Trailer: "boom", Report: NoWorkerReport}
 )
 
 // TestOneFinalAnswer runs through orders in which a call's ends may come together: one answer each time.
 func TestOneFinalAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		run  func(e *entry, a, b *try)
-		want Final
+		want FinalAnswer
 		text string
 	}{
-		"served":                     {func(e *entry, a, b *try) { e.ended(a, served) }, Final{Ended: &served}, "answer"},
-		"served twice":               {func(e *entry, a, b *try) { e.ended(a, served); e.ended(b, served) }, Final{Ended: &served}, "answer"},
-		"served, then refused":       {func(e *entry, a, b *try) { e.ended(a, served); e.refuse(0) }, Final{Ended: &served}, "answer"},
-		"refused, then served":       {func(e *entry, a, b *try) { e.refuse(0); e.ended(a, served) }, Final{Kind: Refused}, ""},
-		"failed, then served":        {func(e *entry, a, b *try) { e.fail(0); e.ended(a, served) }, Final{Kind: Failed}, ""},
-		"failed at the deadline":     {func(e *entry, a, b *try) { e.fail(time.Second); e.refuse(0) }, Final{Kind: Failed, Late: true}, ""},
-		"an error, then failed":      {func(e *entry, a, b *try) { e.ended(a, errs); e.fail(0) }, Final{Kind: Failed, Ended: &errs}, ""},
-		"an error, then served":      {func(e *entry, a, b *try) { e.ended(a, errs); e.ended(b, served) }, Final{Ended: &served}, "answer"},
-		"begun, then ended":          {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, Ended{}) }, Final{Ended: &Ended{}}, ""},
-		"begun, refused, then ended": {func(e *entry, a, b *try) { e.began(a, nil); e.refuse(0); e.ended(a, Ended{}) }, Final{Ended: &Ended{}}, ""},
-		"begun, the other served":    {func(e *entry, a, b *try) { e.began(a, nil); e.ended(b, served); e.ended(a, Ended{}) }, Final{Ended: &Ended{}}, ""},
-		"begun, then broken":         {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, broken) }, Final{Ended: &broken}, ""},
-		"begun twice":                {func(e *entry, a, b *try) { e.began(a, nil); e.began(b, nil); e.ended(a, Ended{}) }, Final{Ended: &Ended{}}, ""},
-		"begun, past the deadline":   {func(e *entry, a, b *try) { e.began(a, nil); e.fail(time.Second); e.ended(a, Ended{}) }, Final{Kind: Failed, Late: true}, ""},
+		"served":                     {func(e *entry, a, b *try) { e.ended(a, served) }, FinalAnswer{Attempt: &served}, "answer"},
+		"served twice":               {func(e *entry, a, b *try) { e.ended(a, served); e.ended(b, served) }, FinalAnswer{Attempt: &served}, "answer"},
+		"served, then refused":       {func(e *entry, a, b *try) { e.ended(a, served); e.refuse(0) }, FinalAnswer{Attempt: &served}, "answer"},
+		"refused, then served":       {func(e *entry, a, b *try) { e.refuse(0); e.ended(a, served) }, FinalAnswer{Kind: FinalRejected}, ""},
+		"failed, then served":        {func(e *entry, a, b *try) { e.fail(0); e.ended(a, served) }, FinalAnswer{Kind: FinalFailed}, ""},
+		"failed at the deadline":     {func(e *entry, a, b *try) { e.fail(time.Second); e.refuse(0) }, FinalAnswer{Kind: FinalFailed, DeadlineExceeded: true}, ""},
+		"an error, then failed":      {func(e *entry, a, b *try) { e.ended(a, errs); e.fail(0) }, FinalAnswer{Kind: FinalFailed, Attempt: &errs}, ""},
+		"an error, then served":      {func(e *entry, a, b *try) { e.ended(a, errs); e.ended(b, served) }, FinalAnswer{Attempt: &served}, "answer"},
+		"begun, then ended":          {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
+		"begun, refused, then ended": {func(e *entry, a, b *try) { e.began(a, nil); e.refuse(0); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
+		"begun, the other served":    {func(e *entry, a, b *try) { e.began(a, nil); e.ended(b, served); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
+		"begun, then broken":         {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, broken) }, FinalAnswer{Attempt: &broken}, ""},
+		"begun twice":                {func(e *entry, a, b *try) { e.began(a, nil); e.began(b, nil); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
+		"begun, past the deadline":   {func(e *entry, a, b *try) { e.began(a, nil); e.fail(time.Second); e.ended(a, AttemptResult{}) }, FinalAnswer{Kind: FinalFailed, DeadlineExceeded: true}, ""},
 		// All of a short stream may have come before the loop heard of its beginning: nothing of it is lost.
-		"ended before it was granted": {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, served) }, Final{Ended: &served}, "answer"},
+		"ended before it was granted": {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, served) }, FinalAnswer{Attempt: &served}, "answer"},
 	} {
 		e, s, a, b := newEntry()
 		c.run(e, a, b)
@@ -80,8 +80,8 @@
 func TestAdviceToClients(t *testing.T) {
 	e, s, _, _ := newEntry()
 	e.refuse(250 * time.Millisecond)
-	if s.final.After != 250*time.Millisecond {
-		t.Errorf("refused with pushback %v", s.final.After)
+	if s.final.RetryAfter != 250*time.Millisecond {
+		t.Errorf("refused with pushback %v", s.final.RetryAfter)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,55 +21,55 @@
 // of them is told by the methods of Router named here.
 type Upstream interface {
 	// Send starts an attempt, which ends by one Router.AttemptEnded with the same token.
-	Send(token Token, c *Call, worker string, n int, left time.Duration) Attempt
+	StartAttempt(token AttemptToken, c *Call, worker string, n int, left time.Duration) UpstreamAttempt
 	// Load orders copies of a function held; it ends by one Router.OrderEnded.
-	Load(worker, function string, copies int, limit time.Duration, done func(Order))
+	LoadFunction(worker, function string, copies int, limit time.Duration, done func(LoadResult))
 	// Ask asks a worker for its readiness and its load.
-	Ask(worker string, limit time.Duration, done func(Probe))
+	CheckHealth(worker string, limit time.Duration, done func(HealthResult))
 	// Workers replaces the list. A worker that is not in it gets no new connections; one that is not on, no new
 	// attempts.
-	Workers(list []endpoints.Worker)
+	SetEndpoints(list []endpoints.Worker)
 }
 
 // Token names an attempt between router and upstream.
-type Token struct{ t *try }
+type AttemptToken struct{ t *try }
 
 // Order is how a load order ended.
-type Order struct {
+type LoadResult struct {
 	Result dispatch.Result
 	Copies int
 }
 
 // Probe is how a probe ended.
-type Probe struct {
+type HealthResult struct {
 	Result dispatch.Result
 	Ready  bool
-	Report Report
+	Report WorkerReport
 }
 
 // Config is a router's share of the settings.
 type Config struct {
-	Name         string
-	Seed         uint64
-	Brain        dispatch.Settings
-	OrderTimeout time.Duration
-	ProbeTimeout time.Duration
-	Roster       endpoints.Settings
-	Decider      func(dispatch.Settings, uint64) (Decider, error) // nil: the module; baselines stand in for it
-	Log          *slog.Logger
-	Peers        Peers                                                                       // nil: no gossip
-	Tap          func(now time.Duration, events []dispatch.Event, actions []dispatch.Action) // nil, or told of each Step
+	Name               string
+	Seed               uint64
+	Settings           dispatch.Settings
+	LoadTimeout        time.Duration
+	HealthCheckTimeout time.Duration
+	Endpoints          endpoints.Settings
+	NewDispatcher      func(dispatch.Settings, uint64) (Dispatcher, error) // nil: the module; baselines stand in for it
+	Logger             *slog.Logger
+	Gossip             Gossip                                                                      // nil: no gossip
+	Observer           func(now time.Duration, events []dispatch.Event, actions []dispatch.Action) // nil, or told of each Step
 }
 
 // Peers is told by the loop what this router comes to hold against workers, and takes it back. Its methods don't
 // block.
-type Peers interface {
-	Doubted(dispatch.Doubt)
-	HeardOf(worker string)
+type Gossip interface {
+	ReportSuspicion(dispatch.ReportSuspicion)
+	ReportAlive(worker string)
 }
 
 // Decider is what decides: the module, or a baseline behind the same events.
-type Decider interface {
+type Dispatcher interface {
 	Step(now time.Duration, events []dispatch.Event) []dispatch.Action
 }
 
@@ -86,8 +86,8 @@
 	ended   chan struct{}
 
 	// Of the loop.
-	core   Decider
-	roster *endpoints.Core
+	core   Dispatcher
+	roster *endpoints.Merger
 	now    time.Duration
 	events []dispatch.Event
 	calls  map[dispatch.RequestID]*entry
@@ -103,17 +103,26 @@
 	debug  bool // the log takes lines of each call
 
 	// With gossip only: when each worker last gave a sign of life, and those that peers were told are silent.
-	peers  Peers
+	peers  Gossip
 	heard  map[string]time.Duration
 	silent map[string]bool
 }
 
-// Stats counts what a router has done.
+// Stats are counters since the router's start and gauges of what is under way. As JSON, "router.status" of the admin API.
 type Stats struct {
-	Calls, Served, Refused, Failed, Dropped uint64
-	Attempts, Orders, Probes, Looks         uint64
-	Open, Out                               int           // calls, and attempts, in hand
-	Took                                    time.Duration // that served attempts took, as the module was told, in all
+	Calls         uint64 `json:"Calls"`
+	Served        uint64 `json:"Served"`
+	Rejected      uint64 `json:"Refused"`
+	Failed        uint64 `json:"Failed"`
+	Cancelled     uint64 `json:"Dropped"` // by their clients
+	Attempts      uint64 `json:"Attempts"`
+	Loads         uint64 `json:"Orders"`
+	HealthChecks  uint64 `json:"Probes"`
+	Verifications uint64 `json:"Looks"` // health checks that gossip asked for
+
+	Open             int           `json:"Open"` // calls under way
+	AttemptsInFlight int           `json:"Out"`
+	ServedDuration   time.Duration `json:"Took"` // sum over the served attempts, as told to the dispatcher
 }
 
 // epoch is what the clock shows at a router's start, so that start times of workers lie in the past.
@@ -121,20 +130,20 @@
 
 // New starts a router's loop. Stop ends it.
 func New(cfg Config, up Upstream) (*Router, error) {
-	if cfg.Decider == nil {
-		cfg.Decider = func(s dispatch.Settings, seed uint64) (Decider, error) { return dispatch.New(s, seed) }
+	if cfg.NewDispatcher == nil {
+		cfg.NewDispatcher = func(s dispatch.Settings, seed uint64) (Dispatcher, error) { return dispatch.New(s, seed) }
 	}
-	if cfg.Log == nil {
-		cfg.Log = slog.New(slog.DiscardHandler)
+	if cfg.Logger == nil {
+		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	core, err := cfg.Decider(cfg.Brain, cfg.Seed)
+	core, err := cfg.NewDispatcher(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	r := &Router{cfg: cfg, up: up, begin: time.Now(), wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		core: core, roster: endpoints.New(cfg.Roster), calls: map[dispatch.RequestID]*entry{},
+		core: core, roster: endpoints.New(cfg.Endpoints), calls: map[dispatch.RequestID]*entry{},
 		wheel: timingwheel.New(time.Millisecond, epoch), fns: map[string]time.Duration{}, heard: map[string]time.Duration{},
-		silent: map[string]bool{}, debug: cfg.Log.Enabled(context.Background(), slog.LevelDebug)}
+		silent: map[string]bool{}, debug: cfg.Logger.Enabled(context.Background(), slog.LevelDebug)}
 	go r.loop()
 	return r, nil
 }
@@ -195,7 +204,7 @@
 		})
 		if r.due > 0 && r.now >= r.due {
 			r.due = 0
-			r.events = append(r.events, dispatch.Woken{})
+			r.events = append(r.events, dispatch.TimerFired{})
 		}
 		r.follow()
 		r.step()
@@ -228,7 +237,7 @@
 	if r.due > 0 {
 		next = min(next, r.due)
 	}
-	if at, ok := r.roster.Due(); ok {
+	if at, ok := r.roster.NextCheck(); ok {
 		next = min(next, at)
 	}
 	return max(next-r.Clock(), 0)
@@ -240,8 +249,8 @@
 		events := r.events
 		r.events = nil
 		actions := r.core.Step(r.now, events)
-		if r.cfg.Tap != nil {
-			r.cfg.Tap(r.now, events, actions)
+		if r.cfg.Observer != nil {
+			r.cfg.Observer(r.now, events, actions)
 		}
 		for _, a := range actions {
 			r.act(a)
@@ -251,20 +260,20 @@
 
 func (r *Router) act(a dispatch.Action) {
 	switch a := a.(type) {
-	case dispatch.Send:
+	case dispatch.StartAttempt:
 		r.send(a)
-	case dispatch.Cancel:
+	case dispatch.CancelAttempt:
 		if e := r.calls[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.attempts) {
 			if t := e.attempts[a.Attempt]; !t.ended && e.answer != t {
 				t.handle.Cancel()
 			}
 		}
-	case dispatch.Refuse:
-		if e := r.calls[a.ID]; e != nil && e.refuse(a.After) {
-			r.stats.Refused++
+	case dispatch.RejectRequest:
+		if e := r.calls[a.ID]; e != nil && e.refuse(a.RetryAfter) {
+			r.stats.Rejected++
 			r.closeCall(e)
 		}
-	case dispatch.Fail:
+	case dispatch.FailRequest:
 		if e := r.calls[a.ID]; e != nil {
 			was := e.answer
 			if e.fail(r.now) {
@@ -275,22 +284,22 @@
 				r.closeCall(e)
 			}
 		}
-	case dispatch.LoadOrder:
+	case dispatch.LoadFunction:
 		r.order(a)
-	case dispatch.Probe:
+	case dispatch.CheckHealth:
 		r.probe(a.Worker)
-	case dispatch.Wake:
+	case dispatch.SetTimer:
 		r.due = r.now + a.After
-	case dispatch.Doubt:
+	case dispatch.ReportSuspicion:
 		if r.peers != nil {
 			if !a.Slow && a.Class == "" {
 				r.silent[a.Worker] = true
 			}
-			r.peers.Doubted(a)
+			r.peers.ReportSuspicion(a)
 		}
-	case dispatch.Note:
-		r.cfg.Log.Info("module", "note", a.Text)
-	case dispatch.Watch: // the list comes by itself
+	case dispatch.LogNote:
+		r.cfg.Logger.Info("module", "note", a.Text)
+	case dispatch.SubscribeEndpoints: // the list comes by itself
 	}
 }
 
@@ -298,7 +307,7 @@
 
 // Submit takes a call. It answers false when the router has stopped: nothing was taken.
 func (r *Router) Submit(c *Call) (drop func(), ok bool) {
-	e := &entry{call: c, deadline: r.Clock() + c.Left}
+	e := &entry{call: c, deadline: r.Clock() + c.RemainingDeadline}
 	ok = r.post(func() {
 		r.next++
 		e.id = r.next
@@ -309,8 +318,8 @@
 		r.stats.Calls++
 		r.called(c.Function)
 		r.events = append(r.events, dispatch.Request{ID: e.id, Function: c.Function, Class: c.Class, Tenant: c.Tenant,
-			MemoryMB: c.MemoryMB, Lanes: c.Lanes, LoadTime: c.LoadTime, Work: c.Work,
-			Left: e.deadline - r.now})
+			MemoryMB: c.MemoryMB, ConcurrencyPerInstance: c.ConcurrencyPerInstance, LoadTime: c.LoadTime, ExpectedWork: c.ExpectedWork,
+			RemainingDeadline: e.deadline - r.now})
 	})
 	return func() { r.post(func() { r.drop(e) }) }, ok
 }
@@ -335,8 +344,8 @@
 	}
 	was := e.answer
 	e.state = done
-	r.stats.Dropped++
-	r.events = append(r.events, dispatch.Dropped{ID: e.id})
+	r.stats.Cancelled++
+	r.events = append(r.events, dispatch.RequestCancelled{ID: e.id})
 	if was != nil && !was.ended {
 		was.handle.Cancel()
 	}
@@ -350,11 +359,11 @@
 	}
 }
 
-func (r *Router) send(a dispatch.Send) {
+func (r *Router) send(a dispatch.StartAttempt) {
 	e := r.calls[a.ID]
 	if e == nil {
-		r.events = append(r.events, dispatch.Outcome{ID: a.ID, Worker: a.Worker, Result: dispatch.NotSent, Final: true,
-			Company: -1, Load: dispatch.NoLoad})
+		r.events = append(r.events, dispatch.AttemptEnded{ID: a.ID, Worker: a.Worker, Result: dispatch.NotSent, Final: true,
+			FunctionInFlight: -1, LoadReport: dispatch.NoLoadReport})
 		return
 	}
 	t := &try{e: e, n: len(e.attempts), worker: a.Worker, sent: r.now}
@@ -364,18 +373,18 @@
 	if a.Timeout > 0 {
 		left = min(left, a.Timeout)
 	}
-	if e.state != waiting || left <= 0 || !e.call.Wanted() {
-		r.end(t, Ended{Result: dispatch.NotSent, Report: NoReport})
+	if e.state != waiting || left <= 0 || !e.call.ClientWaiting() {
+		r.end(t, AttemptResult{Result: dispatch.NotSent, Report: NoWorkerReport})
 		return
 	}
 	r.stats.Attempts++
-	r.stats.Out++
+	r.stats.AttemptsInFlight++
 	if r.debug {
-		r.cfg.Log.Debug("attempt", "call", e.id, "attempt", t.n, "worker", t.worker, "class", e.call.Class)
+		r.cfg.Logger.Debug("attempt", "call", e.id, "attempt", t.n, "worker", t.worker, "class", e.call.Class)
 	}
 	t.timer.Value = func() { r.late(t) }
 	r.wheel.Add(&t.timer, r.now+left)
-	t.handle = r.up.Send(Token{t}, e.call, a.Worker, t.n, left)
+	t.handle = r.up.StartAttempt(AttemptToken{t}, e.call, a.Worker, t.n, left)
 }
 
 // late ends the wait for an attempt. Once a stream has begun only the module ends it.
@@ -387,31 +396,31 @@
 }
 
 // AttemptBegan tells that the first message of a streamed response has come.
-func (r *Router) AttemptBegan(token Token, head any) {
+func (r *Router) ResponseStarted(token AttemptToken, head any) {
 	t := token.t
 	r.post(func() {
 		r.alive(t.worker, dispatch.OK)
 		if t.e.began(t, head) {
-			r.events = append(r.events, dispatch.Started{ID: t.e.id, Attempt: t.n, Worker: t.worker,
-				Took: r.now - t.sent})
+			r.events = append(r.events, dispatch.ResponseStarted{ID: t.e.id, Attempt: t.n, Worker: t.worker,
+				Duration: r.now - t.sent})
 		}
 	})
 }
 
 // AttemptEnded tells how an attempt ended.
-func (r *Router) AttemptEnded(token Token, how Ended) {
+func (r *Router) AttemptEnded(token AttemptToken, how AttemptResult) {
 	r.post(func() { r.end(token.t, how) })
 }
 
-func (r *Router) end(t *try, how Ended) {
+func (r *Router) end(t *try, how AttemptResult) {
 	if t.ended {
 		return
 	}
 	if r.wheel.Remove(&t.timer); t.handle != nil {
-		r.stats.Out--
+		r.stats.AttemptsInFlight--
 	}
 	if how.Result == dispatch.OK {
-		r.stats.Took += r.now - t.sent
+		r.stats.ServedDuration += r.now - t.sent
 	}
 	if t.late && how.Result == dispatch.Cancelled {
 		how.Result = dispatch.TimedOut
@@ -427,44 +436,44 @@
 		}
 	}
 	r.alive(t.worker, how.Result)
-	r.events = append(r.events, dispatch.Outcome{ID: e.id, Attempt: t.n, Worker: t.worker, Result: how.Result,
-		Took: r.now - t.sent, Final: final, Warmth: how.Report.Warmth, Company: how.Report.Company,
-		Load: how.Report.Load})
-	if how.Drains {
-		r.roster.Drains(r.now, t.worker)
+	r.events = append(r.events, dispatch.AttemptEnded{ID: e.id, Attempt: t.n, Worker: t.worker, Result: how.Result,
+		Duration: r.now - t.sent, Final: final, CacheStatus: how.Report.CacheStatus, FunctionInFlight: how.Report.FunctionInFlight,
+		LoadReport: how.Report.LoadReport})
+	if how.WorkerDraining {
+		r.roster.WorkerDraining(r.now, t.worker)
 	}
 	r.closeCall(e)
 }
 
 // Orders and probes -----------------------------------------------------------------------------------
 
-func (r *Router) order(a dispatch.LoadOrder) {
+func (r *Router) order(a dispatch.LoadFunction) {
 	begin := r.now
 	if _, ok := r.fns[a.Function]; !ok {
-		r.events = append(r.events, dispatch.Loaded{Worker: a.Worker, Function: a.Function, Result: dispatch.NotSent})
+		r.events = append(r.events, dispatch.FunctionLoaded{Worker: a.Worker, Function: a.Function, Result: dispatch.NotSent})
 		return
 	}
-	r.stats.Orders++
+	r.stats.Loads++
 	if r.debug {
-		r.cfg.Log.Debug("order", "worker", a.Worker, "function", a.Function, "copies", a.Copies)
+		r.cfg.Logger.Debug("order", "worker", a.Worker, "function", a.Function, "copies", a.Copies)
 	}
-	r.up.Load(a.Worker, a.Function, a.Copies, r.cfg.OrderTimeout, func(o Order) {
+	r.up.LoadFunction(a.Worker, a.Function, a.Copies, r.cfg.LoadTimeout, func(o LoadResult) {
 		r.post(func() {
 			r.alive(a.Worker, o.Result)
-			r.events = append(r.events, dispatch.Loaded{Worker: a.Worker, Function: a.Function, Result: o.Result,
-				Took: r.now - begin, Copies: o.Copies})
+			r.events = append(r.events, dispatch.FunctionLoaded{Worker: a.Worker, Function: a.Function, Result: o.Result,
+				Duration: r.now - begin, Copies: o.Copies})
 		})
 	})
 }
 
 func (r *Router) probe(worker string) {
 	begin := r.now
-	r.stats.Probes++
-	r.up.Ask(worker, r.cfg.ProbeTimeout, func(p Probe) {
+	r.stats.HealthChecks++
+	r.up.CheckHealth(worker, r.cfg.HealthCheckTimeout, func(p HealthResult) {
 		r.post(func() {
 			r.alive(worker, p.Result)
-			r.events = append(r.events, dispatch.Probed{Worker: worker, Result: p.Result, Took: r.now - begin,
-				Load: p.Report.Load})
+			r.events = append(r.events, dispatch.HealthChecked{Worker: worker, Result: p.Result, Duration: r.now - begin,
+				LoadReport: p.Report.LoadReport})
 		})
 	})
 }
@@ -473,7 +482,7 @@
 
 // answered tells whether a result shows that the worker lives.
 func answered(res dispatch.Result) bool {
-	return res == dispatch.OK || res == dispatch.Errored || res == dispatch.Refused || res == dispatch.Missed
+	return res == dispatch.OK || res == dispatch.Errored || res == dispatch.Rejected || res == dispatch.NotResident
 }
 
 // alive notes a sign of life, where peers are of any concern.
@@ -484,23 +493,23 @@
 	r.heard[worker] = r.now
 	if len(r.silent) > 0 && r.silent[worker] {
 		delete(r.silent, worker)
-		r.peers.HeardOf(worker)
+		r.peers.ReportAlive(worker)
 	}
 }
 
 // SetPeers has peers told from now on. The module tells its doubts where its settings ask for it.
-func (r *Router) SetPeers(p Peers) { r.post(func() { r.peers = p }) }
+func (r *Router) SetGossip(p Gossip) { r.post(func() { r.peers = p }) }
 
 // Look asks a worker for a sign of life, unless it gave one within heard: then void is told. The module is not
 // told of an answer, so peers' word can bring it nothing good of a worker.
-func (r *Router) Look(worker string, heard, limit time.Duration, done func(alive, void bool)) {
+func (r *Router) VerifyWorker(worker string, heard, limit time.Duration, done func(alive, void bool)) {
 	r.post(func() {
 		if at, ok := r.heard[worker]; ok && r.now-at < heard {
 			done(false, true)
 			return
 		}
-		r.stats.Looks++
-		r.up.Ask(worker, limit, func(p Probe) {
+		r.stats.Verifications++
+		r.up.CheckHealth(worker, limit, func(p HealthResult) {
 			r.post(func() {
 				r.alive(worker, p.Result)
 				done(answered(p.Result), false)
@@ -510,41 +519,41 @@
 }
 
 // Peers hands the module what came of peers' word.
-func (r *Router) Peers(e dispatch.Peers) {
+func (r *Router) ApplyGossip(e dispatch.GossipUpdate) {
 	r.post(func() { r.events = append(r.events, e) })
 }
 
 // List ------------------------------------------------------------------------------------------------
 
 // SetWorkers hands the router a new whole list.
-func (r *Router) SetWorkers(list []endpoints.Worker) {
-	r.post(func() { r.roster.List(r.now, list) })
+func (r *Router) SetEndpoints(list []endpoints.Worker) {
+	r.post(func() { r.roster.SetList(r.now, list) })
 }
 
 // WorkerDrains tells that a worker itself said that it takes nothing new.
-func (r *Router) WorkerDrains(worker string) {
-	r.post(func() { r.roster.Drains(r.now, worker) })
+func (r *Router) WorkerDraining(worker string) {
+	r.post(func() { r.roster.WorkerDraining(r.now, worker) })
 }
 
 // follow hands what the roster's core decides to the module and the upstream.
 func (r *Router) follow() {
 	out := r.roster.Step(r.now)
 	if out.List != nil {
-		members := make([]dispatch.Member, 0, len(out.List))
+		members := make([]dispatch.Endpoint, 0, len(out.List))
 		listed := map[string]bool{}
 		for _, w := range out.List {
-			m := w.Member
+			m := w.Endpoint
 			members = append(members, m)
 			listed[m.ID] = true
 		}
-		r.up.Workers(out.List)
+		r.up.SetEndpoints(out.List)
 		maps.DeleteFunc(r.heard, func(id string, _ time.Duration) bool { return !listed[id] })
 		maps.DeleteFunc(r.silent, func(id string, _ bool) bool { return !listed[id] })
-		r.events = append(r.events, dispatch.Roster{Whole: true, Members: members})
+		r.events = append(r.events, dispatch.EndpointUpdate{Snapshot: true, Endpoints: members})
 	}
-	for _, id := range out.Ask {
-		r.up.Ask(id, r.cfg.ProbeTimeout, func(p Probe) {
-			r.post(func() { r.roster.Asked(r.now, id, p.Result == dispatch.OK && p.Ready) })
+	for _, id := range out.Check {
+		r.up.CheckHealth(id, r.cfg.HealthCheckTimeout, func(p HealthResult) {
+			r.post(func() { r.roster.HealthChecked(r.now, id, p.Result == dispatch.OK && p.Ready) })
 		})
 	}
 }
@@ -562,10 +571,10 @@
 }
 
 // Closing has every call answered within a while, those that still come too: the process is ended then.
-func (r *Router) Closing(within time.Duration) {
+func (r *Router) StartShutdown(within time.Duration) {
 	r.post(func() {
 		r.closes = r.now + within
-		r.events = append(r.events, dispatch.Closing{Within: within})
+		r.events = append(r.events, dispatch.ShutdownStarted{AnswerWithin: within})
 	})
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -19,8 +19,8 @@
 
 type nothing struct{}
 
-func (nothing) Grant(Client) {}
-func (nothing) Cancel()      {}
+func (nothing) ForwardTo(Client) {}
+func (nothing) Cancel()          {}
 
 func (u *instant) is(worker string) bool {
 	u.mu.Lock()
@@ -28,20 +28,20 @@
 	return u.dead[worker]
 }
 
-func (u *instant) Send(token Token, _ *Call, worker string, _ int, _ time.Duration) Attempt {
-	how := Ended{Result: dispatch.OK, Report: NoReport}
+func (u *instant) StartAttempt(token AttemptToken, _ *Call, worker string, _ int, _ time.Duration) UpstreamAttempt {
+	how := AttemptResult{Result: dispatch.OK, Report: NoWorkerReport}
 	if u.is(worker) {
-		how = Ended{Result: dispatch.Reset, Report: NoReport}
+		how = AttemptResult{Result: dispatch.ConnectionReset, Report: NoWorkerReport}
 	}
 	u.r.AttemptEnded(token, how)
 	return nothing{}
 }
 
-func (u *instant) Load(_, _ string, copies int, _ time.Duration, done func(Order)) {
-	done(Order{Result: dispatch.OK, Copies: copies})
+func (u *instant) LoadFunction(_, _ string, copies int, _ time.Duration, done func(LoadResult)) {
+	done(LoadResult{Result: dispatch.OK, Copies: copies})
 }
 
-func (u *instant) Ask(worker string, _ time.Duration, done func(Probe)) {
+func (u *instant) CheckHealth(worker string, _ time.Duration, done func(HealthResult)) {
 	u.mu.Lock()
 	u.asks++
 	u.mu.Unlock()
@@ -49,32 +49,32 @@
 	if u.is(worker) {
 		res = dispatch.TimedOut
 	}
-	done(Probe{Result: res, Ready: true, Report: NoReport})
+	done(HealthResult{Result: res, Ready: true, Report: NoWorkerReport})
 }
 
-func (u *instant) Workers([]endpoints.Worker) {}
+func (u *instant) SetEndpoints([]endpoints.Worker) {}
 
 // waiter is a client that waits for its final answer.
-type waiter chan Final
+type waiter chan FinalAnswer
 
 func (w waiter) Start(any)                         {}
 func (w waiter) Message(p []byte, _ func(int)) int { return len(p) }
-func (w waiter) Finish(f Final)                    { w <- f }
+func (w waiter) Finish(f FinalAnswer)              { w <- f }
 
 // told is a peer side that notes what it is told.
 type told struct {
 	mu     sync.Mutex
-	doubts []dispatch.Doubt
+	doubts []dispatch.ReportSuspicion
 	heard  []string
 }
 
-func (p *told) Doubted(d dispatch.Doubt) {
+func (p *told) ReportSuspicion(d dispatch.ReportSuspicion) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.doubts = append(p.doubts, d)
 }
 
-func (p *told) HeardOf(w string) {
+func (p *told) ReportAlive(w string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.heard = append(p.heard, w)
@@ -83,28 +83,28 @@
 func start(t testing.TB, gossip bool) (*Router, *instant, *told) {
 	t.Helper()
 	u := &instant{dead: map[string]bool{}}
-	r, err := New(Config{Name: "r", Seed: 1, Brain: dispatch.Settings{Routers: 2, MaxAttempts: 3, MayCancel: true, MayProbe: true,
-		IdleKeep: time.Minute, LoadsOnMiss: true, TellsDoubts: gossip,
-		Classes: []dispatch.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: dispatch.Safe}}}}, u)
+	r, err := New(Config{Name: "r", Seed: 1, Settings: dispatch.Settings{Routers: 2, MaxAttempts: 3, CancelAllowed: true, HealthChecksAllowed: true,
+		IdleResidency: time.Minute, WorkersLoadOnMiss: true, SuspicionsReported: gossip,
+		Classes: []dispatch.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: dispatch.Idempotent}}}}, u)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.r = r
 	p := &told{}
 	if gossip {
-		r.SetPeers(p)
+		r.SetGossip(p)
 	}
 	list := []endpoints.Worker{}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		list = append(list, endpoints.Worker{Member: dispatch.Member{ID: id, Kind: "k"}, Address: id})
+		list = append(list, endpoints.Worker{Endpoint: dispatch.Endpoint{ID: id, Kind: "k"}, Address: id})
 	}
-	r.SetWorkers(list)
+	r.SetEndpoints(list)
 	t.Cleanup(r.Kill)
 	return r, u, p
 }
 
-func (w waiter) call(r *Router, model string) Final {
-	r.Submit(&Call{Function: model, Class: "c", MemoryMB: 1, Lanes: 1, Left: 3 * time.Second, Client: w})
+func (w waiter) call(r *Router, model string) FinalAnswer {
+	r.Submit(&Call{Function: model, Class: "c", MemoryMB: 1, ConcurrencyPerInstance: 1, RemainingDeadline: 3 * time.Second, Client: w})
 	return <-w
 }
 
@@ -133,7 +133,7 @@
 	u.dead = map[string]bool{}
 	u.mu.Unlock()
 	ended := make(chan [2]bool, 1)
-	r.Look(worker, 0, time.Second, func(alive, void bool) { ended <- [2]bool{alive, void} })
+	r.VerifyWorker(worker, 0, time.Second, func(alive, void bool) { ended <- [2]bool{alive, void} })
 	if got := <-ended; !got[0] || got[1] {
 		t.Errorf("the look ended with %v", got)
 	}
@@ -153,7 +153,7 @@
 	type end struct{ alive, void bool }
 	look := func(worker string, heard time.Duration) end {
 		got := make(chan end, 1)
-		r.Look(worker, heard, time.Second, func(a, v bool) { got <- end{a, v} })
+		r.VerifyWorker(worker, heard, time.Second, func(a, v bool) { got <- end{a, v} })
 		return <-got
 	}
 	voids := 0
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -72,7 +72,7 @@
 
 // mutant changes what the module is told and what becomes of its actions.
 type mutant struct {
-	router.Decider
+	router.Dispatcher
 	event  func(dispatch.Event) dispatch.Event
 	action func(dispatch.Action) bool // false: swallowed
 }
@@ -83,7 +83,7 @@
 			events[i] = m.event(events[i])
 		}
 	}
-	out := m.Decider.Step(now, events)
+	out := m.Dispatcher.Step(now, events)
 	if m.action == nil {
 		return out
 	}
@@ -109,8 +109,8 @@
 		{rule: 1, script: func(s *Script) {
 			s.Trouble = []Trouble{{Kind: "hang", At: 0.5, For: 5, Part: 0.34}}
 		}, action: func(a dispatch.Action) bool { // no failure reaches its client
-			_, fail := a.(dispatch.Fail)
-			_, refuse := a.(dispatch.Refuse)
+			_, fail := a.(dispatch.FailRequest)
+			_, refuse := a.(dispatch.RejectRequest)
 			return !fail && !refuse
 		}},
 		{rule: 2, script: func(s *Script) {
@@ -118,15 +118,15 @@
 			s.Trouble = []Trouble{{Kind: "mid_stream", At: 0.5, For: 1, Part: 0.5, Class: "points"}}
 		}, settings: func(s *dispatch.Settings) { // what may have run is sent again
 			for i := range s.Classes {
-				s.Classes[i].Effect = dispatch.Safe
+				s.Classes[i].Idempotency = dispatch.Idempotent
 			}
 		}},
 		{rule: 3, script: func(s *Script) {
 			s.Trouble = []Trouble{{Kind: "preempt", At: 0.3, For: 1, Part: 0.5, Size: 2.5}}
 		}, event: func(e dispatch.Event) dispatch.Event { // drains are not heard
-			if l, ok := e.(dispatch.Roster); ok {
-				for i := range l.Members {
-					l.Members[i].State = dispatch.On
+			if l, ok := e.(dispatch.EndpointUpdate); ok {
+				for i := range l.Endpoints {
+					l.Endpoints[i].State = dispatch.EndpointActive
 				}
 			}
 			return e
@@ -136,20 +136,20 @@
 			s.Traffic.Rate, s.Store.Rate = 150, 100
 			s.Trouble = []Trouble{{Kind: "vanish", At: 0.3, For: 0.5, Part: 0.34}}
 		}, event: func(e dispatch.Event) dispatch.Event { // a fresh worker is taken for warm, and for the only one
-			l, ok := e.(dispatch.Roster)
-			fresh := slices.DeleteFunc(slices.Clone(l.Members), func(m dispatch.Member) bool { return m.Started == 0 })
+			l, ok := e.(dispatch.EndpointUpdate)
+			fresh := slices.DeleteFunc(slices.Clone(l.Endpoints), func(m dispatch.Endpoint) bool { return m.StartedAt == 0 })
 			if !ok || len(fresh) == 0 {
 				return e
 			}
 			for i := range fresh {
-				fresh[i].Started = 0
+				fresh[i].StartedAt = 0
 			}
-			l.Members = fresh
+			l.Endpoints = fresh
 			return l
 		}},
 		{rule: 5, script: func(s *Script) {
 			s.Fleet.OnMiss, s.Rules.LoadFree, s.Rules.LoadShare = "refuse", 1, 0.02
-		}, settings: func(s *dispatch.Settings) { s.LoadSpan = 0 }}, // no ration
+		}, settings: func(s *dispatch.Settings) { s.LoadRateWindow = 0 }}, // no ration
 	}
 	for _, c := range cases {
 		for _, broken := range []bool{false, true} {
@@ -159,7 +159,7 @@
 				c.script(s)
 				o := Options{Log: slog.New(slog.NewTextHandler(testLog{t}, &slog.HandlerOptions{Level: slog.LevelWarn}))}
 				if broken {
-					o.Decider = func(set dispatch.Settings, seed uint64) (router.Decider, error) {
+					o.Decider = func(set dispatch.Settings, seed uint64) (router.Dispatcher, error) {
 						if c.settings != nil {
 							c.settings(&set)
 						}
--- a/internal/scenario/rig.go
+++ b/internal/scenario/rig.go
@@ -27,11 +27,11 @@
 type Options struct {
 	Dir      string // for the lists; empty: a temporary folder
 	Log      *slog.Logger
-	Decider  func(dispatch.Settings, uint64) (router.Decider, error) // nil: the module
-	Progress func(Progress)                                          // told four times a second
-	Begun    func(*Rig)                                              // told when all is up
-	Stop     <-chan struct{}                                         // ends the day early
-	Alter    func(*config.Gateway)                                   // changes the routers' settings, for mutations
+	Decider  func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: the module
+	Progress func(Progress)                                             // told four times a second
+	Begun    func(*Rig)                                                 // told when all is up
+	Stop     <-chan struct{}                                            // ends the day early
+	Alter    func(*config.Gateway)                                      // changes the routers' settings, for mutations
 }
 
 // Progress is how a day stands.
--- a/internal/server/grpcserver/front.go
+++ b/internal/server/grpcserver/front.go
@@ -412,28 +412,28 @@
 }
 
 // Finish implements router.Client.
-func (x *exchange) Finish(f router.Final) { x.reply(Told(f)) }
+func (x *exchange) Finish(f router.FinalAnswer) { x.reply(Told(f)) }
 
 // Told puts a final answer in gRPC's words: a status and trailers, with the advice on retries of gRFC A6.
-func Told(f router.Final) (grpc.Status, []hpack.Field) {
+func Told(f router.FinalAnswer) (grpc.Status, []hpack.Field) {
 	const pushback = "grpc-retry-pushback-ms"
 	tail := oip.Tail{}
-	if f.Ended != nil {
-		tail, _ = f.Ended.Tail.(oip.Tail)
+	if f.Attempt != nil {
+		tail, _ = f.Attempt.Trailer.(oip.Tail)
 	}
 	switch f.Kind {
-	case router.Answered:
+	case router.FinalAnswered:
 		return tail.Status, tail.Trailers
-	case router.Refused:
+	case router.FinalRejected:
 		return grpc.Status{Code: grpc.Unavailable, Message: "refused; trying again does no harm"},
-			[]hpack.Field{{Name: pushback, Value: strconv.FormatInt(max(f.After, 0).Milliseconds(), 10)}}
+			[]hpack.Field{{Name: pushback, Value: strconv.FormatInt(max(f.RetryAfter, 0).Milliseconds(), 10)}}
 	}
 	// The client is told not to repeat it by itself. What a worker last said is passed on where it says more.
 	st := grpc.Status{Code: grpc.Unknown, Message: "no answer; the call may have run"}
 	switch {
-	case f.Late:
+	case f.DeadlineExceeded:
 		st = grpc.Status{Code: grpc.DeadlineExceeded, Message: "deadline exceeded; the call may have run"}
-	case f.Ended != nil && f.Ended.Result == dispatch.Errored && tail.Status.Code != grpc.Unavailable &&
+	case f.Attempt != nil && f.Attempt.Result == dispatch.Errored && tail.Status.Code != grpc.Unavailable &&
 		tail.Status.Code != grpc.OK:
 		st = tail.Status
 	}
--- a/internal/server/grpcserver/front_test.go
+++ b/internal/server/grpcserver/front_test.go
@@ -24,7 +24,7 @@
 func (refuser) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		if r, ok := e.(dispatch.Request); ok {
-			out = append(out, dispatch.Refuse{ID: r.ID, After: 70 * time.Millisecond})
+			out = append(out, dispatch.RejectRequest{ID: r.ID, RetryAfter: 70 * time.Millisecond})
 		}
 	}
 	return out
@@ -32,16 +32,16 @@
 
 type noUpstream struct{}
 
-func (noUpstream) Send(router.Token, *router.Call, string, int, time.Duration) router.Attempt {
+func (noUpstream) StartAttempt(router.AttemptToken, *router.Call, string, int, time.Duration) router.UpstreamAttempt {
 	return nil
 }
-func (noUpstream) Load(string, string, int, time.Duration, func(router.Order)) {}
-func (noUpstream) Ask(string, time.Duration, func(router.Probe))               {}
-func (noUpstream) Workers([]endpoints.Worker)                                  {}
+func (noUpstream) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
+func (noUpstream) CheckHealth(string, time.Duration, func(router.HealthResult))             {}
+func (noUpstream) SetEndpoints([]endpoints.Worker)                                          {}
 
 func listen(t *testing.T) *Front {
 	t.Helper()
-	r, err := router.New(router.Config{Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return refuser{}, nil }}, noUpstream{})
+	r, err := router.New(router.Config{NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return refuser{}, nil }}, noUpstream{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,22 +211,22 @@
 // TestFinalAnswersInItsWords: the router's neutral final answers become a status and advice on retries; a failure
 // never invites one, and what a worker said of the call is passed on only where it says more than that it failed.
 func TestFinalAnswersInItsWords(t *testing.T) {
-	internal := &router.Ended{Result: dispatch.Errored, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
-	away := &router.Ended{Result: dispatch.Errored, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable}}}
-	lost := &router.Ended{Result: dispatch.Reset, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unknown}}}
+	internal := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
+	away := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable}}}
+	lost := &router.AttemptResult{Result: dispatch.ConnectionReset, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unknown}}}
 	for name, c := range map[string]struct {
-		f    router.Final
+		f    router.FinalAnswer
 		code grpc.Code
 		push string
 	}{
-		"refused":               {router.Final{Kind: router.Refused, After: 250 * time.Millisecond}, grpc.Unavailable, "250"},
-		"failed":                {router.Final{Kind: router.Failed}, grpc.Unknown, "-1"},
-		"late":                  {router.Final{Kind: router.Failed, Late: true, Ended: internal}, grpc.DeadlineExceeded, "-1"},
-		"failed by an error":    {router.Final{Kind: router.Failed, Ended: internal}, grpc.Internal, "-1"},
-		"failed, worker away":   {router.Final{Kind: router.Failed, Ended: away}, grpc.Unknown, "-1"},
-		"failed, without words": {router.Final{Kind: router.Failed, Ended: &router.Ended{Result: dispatch.Errored}}, grpc.Unknown, "-1"},
-		"answered":              {router.Final{Ended: &router.Ended{Result: dispatch.OK, Tail: oip.Tail{}}}, grpc.OK, ""},
-		"answered, then lost":   {router.Final{Ended: lost}, grpc.Unknown, ""},
+		"refused":               {router.FinalAnswer{Kind: router.FinalRejected, RetryAfter: 250 * time.Millisecond}, grpc.Unavailable, "250"},
+		"failed":                {router.FinalAnswer{Kind: router.FinalFailed}, grpc.Unknown, "-1"},
+		"late":                  {router.FinalAnswer{Kind: router.FinalFailed, DeadlineExceeded: true, Attempt: internal}, grpc.DeadlineExceeded, "-1"},
+		"failed by an error":    {router.FinalAnswer{Kind: router.FinalFailed, Attempt: internal}, grpc.Internal, "-1"},
+		"failed, worker away":   {router.FinalAnswer{Kind: router.FinalFailed, Attempt: away}, grpc.Unknown, "-1"},
+		"failed, without words": {router.FinalAnswer{Kind: router.FinalFailed, Attempt: &router.AttemptResult{Result: dispatch.Errored}}, grpc.Unknown, "-1"},
+		"answered":              {router.FinalAnswer{Attempt: &router.AttemptResult{Result: dispatch.OK, Trailer: oip.Tail{}}}, grpc.OK, ""},
+		"answered, then lost":   {router.FinalAnswer{Attempt: lost}, grpc.Unknown, ""},
 	} {
 		st, tail := Told(c.f)
 		if push, _ := grpc.Get(tail, "grpc-retry-pushback-ms"); st.Code != c.code || push != c.push {
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -61,17 +61,17 @@
 		return nil, nil, &turned{400, "x-deadline-ms: not a usable figure"}
 	}
 	key, given := m.Get("x-operation-key")
-	if given && !invocation.Key(key) || !given && effect == dispatch.Keyed {
+	if given && !invocation.Key(key) || !given && effect == dispatch.IdempotentByKey {
 		return nil, nil, &turned{400, "x-operation-key: missing or unusable"}
 	}
 	until := came.Add(millis(deadline))
-	c := &router.Call{Function: fn, Class: class, Lanes: 1, Left: time.Until(until)}
+	c := &router.Call{Function: fn, Class: class, ConcurrencyPerInstance: 1, RemainingDeadline: time.Until(until)}
 	if text, ok := m.Get("x-estimate-ms"); ok {
 		work, ok := figure(text, maxMS)
 		if !ok {
 			return nil, nil, &turned{400, "x-estimate-ms: not a usable figure"}
 		}
-		c.Work = millis(work)
+		c.ExpectedWork = millis(work)
 	}
 	if text, ok := m.Get("x-attrs"); ok {
 		if err := attrs(c, text); err != nil {
@@ -108,7 +108,7 @@
 		case "memory_mb":
 			c.MemoryMB = v
 		case "lanes":
-			c.Lanes = int(max(v, 1))
+			c.ConcurrencyPerInstance = int(max(v, 1))
 		case "load_ms":
 			c.LoadTime = millis(v)
 		}
--- a/internal/server/httpserver/front.go
+++ b/internal/server/httpserver/front.go
@@ -25,7 +25,7 @@
 // Config is the front's share of the settings.
 type Config struct {
 	Address  string
-	Classes  map[string]dispatch.Effect
+	Classes  map[string]dispatch.Idempotency
 	MaxConns int           // clients connected at once
 	Limits   http1.Limits  // of a request
 	First    time.Duration // a connection's first request must be whole by then, and any other as long after it began
@@ -425,7 +425,7 @@
 		c.refuse(err)
 		return
 	}
-	call.Client, call.Gone = c, c.gone
+	call.Client, call.ClientLeft = c, c.gone
 	c.f.mu.Lock()
 	if _, open := c.f.ids[req.ID]; open {
 		c.f.mu.Unlock()
@@ -488,23 +488,23 @@
 func (c *conn) Message(p []byte, _ func(int)) int { return len(p) }
 
 // Finish implements router.Client.
-func (c *conn) Finish(f router.Final) {
+func (c *conn) Finish(f router.FinalAnswer) {
 	switch f.Kind {
-	case router.Answered:
-		if f.Ended != nil && f.Ended.Result == dispatch.OK {
-			c.finish(200, nil, f.Ended.Answer)
+	case router.FinalAnswered:
+		if f.Attempt != nil && f.Attempt.Result == dispatch.OK {
+			c.finish(200, nil, f.Attempt.Body)
 			return
 		}
 		c.finish(502, nil, nil)
-	case router.Refused:
+	case router.FinalRejected:
 		var fields []http1.Field
-		if ms := f.After.Milliseconds(); ms > 0 {
+		if ms := f.RetryAfter.Milliseconds(); ms > 0 {
 			fields = []http1.Field{{Name: "X-Pushback-Ms", Value: strconv.FormatInt(ms, 10)}}
 		}
 		c.finish(503, fields, nil)
 	default:
 		status := 502
-		if f.Late {
+		if f.DeadlineExceeded {
 			status = 504
 		}
 		c.finish(status, nil, nil)
--- a/internal/server/httpserver/front_test.go
+++ b/internal/server/httpserver/front_test.go
@@ -31,11 +31,11 @@
 		if e, ok := e.(dispatch.Request); ok {
 			switch e.Function[:1] {
 			case "a":
-				out = append(out, dispatch.Send{ID: e.ID, Worker: "w"})
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: "w"})
 			case "b":
-				out = append(out, dispatch.Refuse{ID: e.ID, After: 70 * time.Millisecond})
+				out = append(out, dispatch.RejectRequest{ID: e.ID, RetryAfter: 70 * time.Millisecond})
 			case "c":
-				out = append(out, dispatch.Fail{ID: e.ID})
+				out = append(out, dispatch.FailRequest{ID: e.ID})
 			}
 		}
 	}
@@ -52,10 +52,10 @@
 
 type none struct{}
 
-func (none) Grant(router.Client) {}
-func (none) Cancel()             {}
+func (none) ForwardTo(router.Client) {}
+func (none) Cancel()                 {}
 
-func (u *echo) Send(token router.Token, c *router.Call, _ string, _ int, _ time.Duration) router.Attempt {
+func (u *echo) StartAttempt(token router.AttemptToken, c *router.Call, _ string, _ int, _ time.Duration) router.UpstreamAttempt {
 	req, _ := c.Request.(*invocation.Request)
 	u.mu.Lock()
 	u.seen = append(u.seen, req)
@@ -64,22 +64,22 @@
 	if hold != nil {
 		hold(c)
 	}
-	u.r.AttemptEnded(token, router.Ended{Result: dispatch.OK, Answer: append([]byte("done "), req.Body...), Report: router.NoReport})
+	u.r.AttemptEnded(token, router.AttemptResult{Result: dispatch.OK, Body: append([]byte("done "), req.Body...), Report: router.NoWorkerReport})
 	return none{}
 }
-func (u *echo) Load(string, string, int, time.Duration, func(router.Order)) {}
-func (u *echo) Ask(string, time.Duration, func(router.Probe))               {}
-func (u *echo) Workers([]endpoints.Worker)                                  {}
+func (u *echo) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
+func (u *echo) CheckHealth(string, time.Duration, func(router.HealthResult))             {}
+func (u *echo) SetEndpoints([]endpoints.Worker)                                          {}
 
 func serve(t *testing.T, change func(*Config)) (*Front, *echo) {
 	t.Helper()
 	u := &echo{}
-	r, err := router.New(router.Config{Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return decider{}, nil }}, u)
+	r, err := router.New(router.Config{NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return decider{}, nil }}, u)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.r = r
-	cfg := Config{Address: "127.0.0.1:0", Classes: map[string]dispatch.Effect{"safe": dispatch.Safe, "keyed": dispatch.Keyed}, MaxConns: 64,
+	cfg := Config{Address: "127.0.0.1:0", Classes: map[string]dispatch.Idempotency{"safe": dispatch.Idempotent, "keyed": dispatch.IdempotentByKey}, MaxConns: 64,
 		Limits: http1.Limits{Head: 4 << 10, Fields: 32, Body: 16 << 10, Pending: 4 << 10}, First: 20 * time.Second,
 		Idle: 20 * time.Second, Write: 20 * time.Second, Buffer: 32 << 10}
 	if change != nil {
@@ -567,11 +567,11 @@
 	u.mu.Unlock()
 	l.write(request(served, ""))
 	call := <-in
-	if call.Gone() {
+	if call.ClientLeft() {
 		t.Error("gone while it waits")
 	}
 	_ = l.nc.Close()
-	until(t, "the end", call.Gone)
+	until(t, "the end", call.ClientLeft)
 	close(hold)
 	open(t, f, 0)
 
@@ -660,7 +660,7 @@
 		t.Fatal(err)
 	}
 	c, _, err := f.call(m, time.Now().Add(-400*time.Millisecond))
-	if err != nil || c.Left > 1100*time.Millisecond || c.Left < 500*time.Millisecond {
-		t.Errorf("left %v, %v", c.Left, err)
+	if err != nil || c.RemainingDeadline > 1100*time.Millisecond || c.RemainingDeadline < 500*time.Millisecond {
+		t.Errorf("left %v, %v", c.RemainingDeadline, err)
 	}
 }
