--- a/internal/server/intake.go
+++ b/internal/server/intake.go
@@ -56,8 +56,8 @@
 	if !ok {
 		return nil, &Error{Field: "model_name", Reason: fmt.Sprintf("%q is not served here", r.Model), Missing: true}
 	}
-	c := &router.Call{Function: r.Function(), Class: m.Class, Tenant: r.Tenant, MemoryMB: m.MemoryMB, Lanes: m.Lanes,
-		LoadTime: m.LoadTime, Work: m.Work}
+	c := &router.Call{Function: r.Function(), Class: m.Class, Tenant: r.Tenant, MemoryMB: m.MemoryMB, ConcurrencyPerInstance: m.Lanes,
+		LoadTime: m.LoadTime, ExpectedWork: m.Work}
 	if r.Class != "" {
 		if _, ok := in.Deadlines[r.Class]; !ok {
 			return nil, &Error{Field: "parameters." + oip.ParamClass, Reason: fmt.Sprintf("%q is no class of the settings", r.Class)}
@@ -68,17 +68,17 @@
 		c.MemoryMB = r.MemoryMB
 	}
 	if !math.IsNaN(r.Lanes) {
-		c.Lanes = int(min(max(r.Lanes, 1), 1024))
+		c.ConcurrencyPerInstance = int(min(max(r.Lanes, 1), 1024))
 	}
 	if !math.IsNaN(r.LoadMS) {
 		c.LoadTime = time.Duration(r.LoadMS * float64(time.Millisecond))
 	}
 	if !math.IsNaN(r.WorkMS) {
-		c.Work = time.Duration(r.WorkMS * float64(time.Millisecond))
+		c.ExpectedWork = time.Duration(r.WorkMS * float64(time.Millisecond))
 	}
 	if left <= 0 {
 		left = in.Deadlines[c.Class]
 	}
-	c.Left = left - min(in.Margin, left/10)
+	c.RemainingDeadline = left - min(in.Margin, left/10)
 	return c, nil
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,28 +11,28 @@
 // settings reads the settings of a new instance. Keys that are not known are skipped.
 func settings(f *fields) dispatch.Settings {
 	s := dispatch.Settings{
-		Zone:           f.text("az", false),
-		Routers:        int(f.integer("balancers", false)),
-		OverShareWorth: f.number("over_share_worth", false),
-		LoadsOnMiss:    f.text("family_info.when_absent", false) == "load",
-		MayOrder:       f.bool("family_info.may_order"),
-		TellsWarm:      f.bool("family_info.tells_warm"),
-		IdleKeep:       f.span("family_info.linger_idle"),
-		LoadSpan:       f.span("family_info.load_span"),
-		LoadFree:       f.number("family_info.free_loads", false),
-		LoadRatio:      f.number("family_info.load_ratio", false),
-		MayCancel:      f.bool("limits.cancel"),
-		MayProbe:       f.bool("limits.may_probe"),
-		ProbePrice:     f.number("deductions.probe", false),
-		SecondCopies:   f.bool("limits.second_copies"),
-		MaxAttempts:    1, // where nothing is said, nothing is tried again
-		AnswerGrace:    f.span("safety.grace_to_answer"),
-		DrainGrace:     f.span("safety.drain_grace"),
-		ColdShare:      f.number("safety.start_capacity", false),
-		ColdFor:        f.span("safety.warm_within"),
-		FallMultiple:   f.number("safety.overload_factor", false),
-		FallSpan:       f.span("safety.fall"),
-		MustAsk:        f.text("registry_mode", false) == "ask",
+		Zone:                    f.text("az", false),
+		Routers:                 int(f.integer("balancers", false)),
+		OverQuotaWeight:         f.number("over_share_worth", false),
+		WorkersLoadOnMiss:       f.text("family_info.when_absent", false) == "load",
+		LoadCommandsAllowed:     f.bool("family_info.may_order"),
+		CacheStatusReported:     f.bool("family_info.tells_warm"),
+		IdleResidency:           f.span("family_info.linger_idle"),
+		LoadRateWindow:          f.span("family_info.load_span"),
+		LoadRateBurst:           f.number("family_info.free_loads", false),
+		LoadRateRatio:           f.number("family_info.load_ratio", false),
+		CancelAllowed:           f.bool("limits.cancel"),
+		HealthChecksAllowed:     f.bool("limits.may_probe"),
+		HealthCheckCost:         f.number("deductions.probe", false),
+		HedgingAllowed:          f.bool("limits.second_copies"),
+		MaxAttempts:             1, // where nothing is said, nothing is tried again
+		ResponseGrace:           f.span("safety.grace_to_answer"),
+		DrainGrace:              f.span("safety.drain_grace"),
+		SlowStartShare:          f.number("safety.start_capacity", false),
+		SlowStartDuration:       f.span("safety.warm_within"),
+		OverloadMultiple:        f.number("safety.overload_factor", false),
+		OverloadWindow:          f.span("safety.fall"),
+		EndpointsBySubscription: f.text("registry_mode", false) == "ask",
 	}
 	if f.pairs["limits.send_cap"] != "" {
 		if s.MaxAttempts = int(f.integer("limits.send_cap", false)); s.MaxAttempts < 1 {
@@ -44,13 +44,13 @@
 	}
 	switch f.text("feedback.how", false) {
 	case "piggyback":
-		s.Reports = dispatch.FromAnswers
+		s.LoadReports = dispatch.ReportsWithResponses
 	case "pull":
-		s.Reports = dispatch.FromProbes
+		s.LoadReports = dispatch.ReportsFromHealthChecks
 	}
 	memory := list(f.text("family_info.kind_memory_mb", false))
 	for i, name := range list(f.text("host_types", false)) {
-		k := dispatch.Kind{Name: name}
+		k := dispatch.WorkerKind{Name: name}
 		if i < len(memory) {
 			v, err := strconv.ParseFloat(memory[i], 64)
 			if err != nil {
@@ -58,22 +58,22 @@
 			}
 			k.MemoryMB = v
 		}
-		s.Kinds = append(s.Kinds, k)
+		s.WorkerKinds = append(s.WorkerKinds, k)
 	}
 	for i := range count(f, "classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := dispatch.Class{
-			Name:      f.text(at+"name", true),
-			Aim:       f.span(at + "target"),
-			Deadline:  f.span(at + "deadline"),
-			Worth:     f.number(at+"worth", false),
-			LateShare: f.number(at+"late_share", false),
-			Window:    f.span(at + "window"),
-			Effect: word(f, at+"semantics", map[string]dispatch.Effect{"read_like": dispatch.Safe,
-				"idempotency_key": dispatch.Keyed, "non_idempotent": dispatch.Unsafe}),
+			Name:                f.text(at+"name", true),
+			LatencyObjective:    f.span(at + "target"),
+			Deadline:            f.span(at + "deadline"),
+			PriorityWeight:      f.number(at+"worth", false),
+			LateValueFraction:   f.number(at+"late_share", false),
+			DeduplicationWindow: f.span(at + "window"),
+			Idempotency: word(f, at+"semantics", map[string]dispatch.Idempotency{"read_like": dispatch.Idempotent,
+				"idempotency_key": dispatch.IdempotentByKey, "non_idempotent": dispatch.NonIdempotent}),
 		}
-		if c.Effect == dispatch.Keyed {
-			c.Scope = word(f, at+"dedup_scope", map[string]dispatch.Scope{"all": dispatch.ScopeAll,
+		if c.Idempotency == dispatch.IdempotentByKey {
+			c.DeduplicationScope = word(f, at+"dedup_scope", map[string]dispatch.DeduplicationScope{"all": dispatch.ScopeAll,
 				"zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell})
 		}
 		s.Classes = append(s.Classes, c)
@@ -81,7 +81,7 @@
 	for i := range count(f, "projects.count") {
 		at := fmt.Sprintf("projects.%d.", i)
 		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: f.text(at+"name", true),
-			Quota: f.number(at+"quota_per_s", false), Share: f.number(at+"share", false)})
+			QuotaPerSecond: f.number(at+"quota_per_s", false), Share: f.number(at+"share", false)})
 	}
 	return s
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -41,12 +41,12 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int64][]dispatch.Member
+	lists map[int64][]dispatch.Endpoint
 }
 
 // NewReader returns a Reader of the events in r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int64][]dispatch.Member{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int64][]dispatch.Endpoint{}}
 }
 
 // next returns the words of the next line that is not empty.
@@ -128,12 +128,12 @@
 				continue
 			}
 			p.Router = f.integer("router", true)
-			if ro, ok := ev.(dispatch.Roster); ok && !ro.Failed && f.err == nil {
+			if ro, ok := ev.(dispatch.EndpointUpdate); ok && !ro.SubscriptionLost && f.err == nil {
 				list, known := r.lists[f.integer("set_id", true)]
 				if !known && f.err == nil {
 					return Batch{}, r.fail("ROSTER_CHANGE: no list of that set_id")
 				}
-				ro.Members = list
+				ro.Endpoints = list
 				ev = ro
 			}
 		}
@@ -165,7 +165,7 @@
 	if f.err != nil {
 		return r.fail("CENSUS: %w", f.err)
 	}
-	list := []dispatch.Member{}
+	list := []dispatch.Endpoint{}
 	for ; n > 0; n-- {
 		words, err := r.next()
 		if err != nil {
@@ -175,13 +175,13 @@
 			return r.fail("expected M, found %q", words[0])
 		}
 		f := fieldsOf(words[1:])
-		m := dispatch.Member{
+		m := dispatch.Endpoint{
 			ID: f.text("server", true), Zone: f.text("az", false), Kind: f.text("family_type", false),
 			Cell: int(f.integer("bay", false)), Weight: f.number("share", false),
-			Started: f.duration("born", false),
+			StartedAt: f.duration("born", false),
 		}
-		m.State = word(f, "health", map[string]dispatch.State{
-			"on": dispatch.On, "fading": dispatch.Draining, "off": dispatch.Gone})
+		m.State = word(f, "health", map[string]dispatch.EndpointState{
+			"on": dispatch.EndpointActive, "fading": dispatch.EndpointDraining, "off": dispatch.EndpointRemoved})
 		if f.err != nil {
 			return r.fail("M: %w", f.err)
 		}
@@ -192,9 +192,9 @@
 }
 
 var results = map[string]dispatch.Result{
-	"Ok": dispatch.OK, "Failed": dispatch.Errored, "QueueFull": dispatch.Refused, "TimedOut": dispatch.TimedOut,
-	"ConnectError": dispatch.NoConnection, "ResetByPeer": dispatch.Reset, "Canceled": dispatch.Cancelled,
-	"Ignored": dispatch.NotSent, "Miss": dispatch.Missed,
+	"Ok": dispatch.OK, "Failed": dispatch.Errored, "QueueFull": dispatch.Rejected, "TimedOut": dispatch.TimedOut,
+	"ConnectError": dispatch.ConnectFailed, "ResetByPeer": dispatch.ConnectionReset, "Canceled": dispatch.Cancelled,
+	"Ignored": dispatch.NotSent, "Miss": dispatch.NotResident,
 }
 
 // event reads one event line; known is false for one that this package has no word for.
@@ -205,47 +205,47 @@
 		q := dispatch.Request{
 			ID: id(), Function: f.text("callee", true), Class: f.text("category", true),
 			Tenant: f.text("account", false), MemoryMB: f.number("size_mb", false),
-			Lanes:    int(f.number("at_once", false)),
-			LoadTime: time.Duration(f.number("bringup_ms", false) * float64(time.Millisecond)),
-			Left:     f.duration("time_left", true),
+			ConcurrencyPerInstance: int(f.number("at_once", false)),
+			LoadTime:               time.Duration(f.number("bringup_ms", false) * float64(time.Millisecond)),
+			RemainingDeadline:      f.duration("time_left", true),
 		}
 		if work := f.duration("expected", false); f.integer("attrs", false)&1 != 0 {
-			q.Work = work
+			q.ExpectedWork = work
 		}
 		return q, true
 	case "CLOSED_ATTEMPT":
-		o := dispatch.Outcome{
+		o := dispatch.AttemptEnded{
 			ID: id(), Attempt: int(f.integer("shot", false)), Worker: f.text("server", true),
-			Result: word(f, "ending", results), Took: f.duration("time_taken", false),
-			Final: f.integer("terminal", false) != 0, Load: load(f.text("usage", false)),
+			Result: word(f, "ending", results), Duration: f.duration("time_taken", false),
+			Final: f.integer("terminal", false) != 0, LoadReport: load(f.text("usage", false)),
 		}
 		note := f.integer("note", false)
-		o.Warmth, o.Company = dispatch.Warmth(note&7), int(note>>3)
+		o.CacheStatus, o.FunctionInFlight = dispatch.CacheStatus(note&7), int(note>>3)
 		return o, true
 	case "DROPPED":
-		return dispatch.Dropped{ID: id()}, true
+		return dispatch.RequestCancelled{ID: id()}, true
 	case "OPENED":
-		return dispatch.Started{ID: id(), Attempt: int(f.integer("shot", false)),
-			Worker: f.text("server", false), Took: f.duration("time_taken", false)}, true
+		return dispatch.ResponseStarted{ID: id(), Attempt: int(f.integer("shot", false)),
+			Worker: f.text("server", false), Duration: f.duration("time_taken", false)}, true
 	case "LOAD_RESULT":
-		return dispatch.Loaded{Worker: f.text("server", true), Function: f.text("callee", true),
-			Result: word(f, "ending", results), Took: f.duration("time_taken", false),
+		return dispatch.FunctionLoaded{Worker: f.text("server", true), Function: f.text("callee", true),
+			Result: word(f, "ending", results), Duration: f.duration("time_taken", false),
 			Copies: int(f.integer("count", false))}, true
 	case "SAMPLED":
-		return dispatch.Probed{Worker: f.text("server", true), Result: word(f, "ending", results),
-			Took: f.duration("time_taken", false), Load: load(f.text("usage", false))}, true
+		return dispatch.HealthChecked{Worker: f.text("server", true), Result: word(f, "ending", results),
+			Duration: f.duration("time_taken", false), LoadReport: load(f.text("usage", false))}, true
 	case "ROSTER_CHANGE":
 		scope := f.text("scope", true)
-		return dispatch.Roster{Whole: scope == "whole" || scope == "stale_copy", Failed: scope == "broken"}, true
+		return dispatch.EndpointUpdate{Snapshot: scope == "whole" || scope == "stale_copy", SubscriptionLost: scope == "broken"}, true
 	case "DUE":
-		return dispatch.Woken{}, true
+		return dispatch.TimerFired{}, true
 	}
 	return nil, false
 }
 
 // load reads a load report, name:value pairs set apart by commas.
-func load(s string) dispatch.Load {
-	l := dispatch.NoLoad
+func load(s string) dispatch.LoadReport {
+	l := dispatch.NoLoadReport
 	for s != "" {
 		var pair string
 		pair, s, _ = strings.Cut(s, ",")
@@ -258,7 +258,7 @@
 		case "active":
 			l.InFlight = v
 		case "waiting":
-			l.Queue = v
+			l.Queued = v
 		case "x1":
 			l.Loading = v
 		}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -28,16 +28,16 @@
 		t.Fatal(err)
 	}
 	p := b.Parts[0]
-	if b.Serial != "12" || p.Start == nil || p.Start.Settings.Kinds[1].MemoryMB != 14016 || !p.Start.Settings.MayCancel {
+	if b.Serial != "12" || p.Start == nil || p.Start.Settings.WorkerKinds[1].MemoryMB != 14016 || !p.Start.Settings.CancelAllowed {
 		t.Errorf("%+v", p.Start)
 	}
-	if ro := p.Events[0].(dispatch.Roster); !ro.Whole || ro.Members[0].Cell != 2 || ro.Members[0].Started != 6100*time.Millisecond {
+	if ro := p.Events[0].(dispatch.EndpointUpdate); !ro.Snapshot || ro.Endpoints[0].Cell != 2 || ro.Endpoints[0].StartedAt != 6100*time.Millisecond {
 		t.Errorf("%+v", ro)
 	}
-	if q := p.Events[1].(dispatch.Request); q.Work != 12*time.Millisecond || q.Lanes != 2 || q.LoadTime != 900*time.Millisecond {
+	if q := p.Events[1].(dispatch.Request); q.ExpectedWork != 12*time.Millisecond || q.ConcurrencyPerInstance != 2 || q.LoadTime != 900*time.Millisecond {
 		t.Errorf("%+v", q)
 	}
-	if o := p.Events[2].(dispatch.Outcome); o.Warmth != dispatch.FoundWarm || o.Company != 2 || o.Load.InFlight != 7 || !o.Final {
+	if o := p.Events[2].(dispatch.AttemptEnded); o.CacheStatus != dispatch.CacheHit || o.FunctionInFlight != 2 || o.LoadReport.InFlight != 7 || !o.Final {
 		t.Errorf("%+v", o)
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
@@ -67,8 +67,8 @@
 func TestWritesActions(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
-	w.Actions(3, []dispatch.Action{dispatch.Send{ID: 7, Worker: "s1"}, dispatch.Refuse{ID: 8, After: time.Millisecond},
-		dispatch.LoadOrder{Worker: "s1", Function: "f", Copies: 1}, dispatch.Wake{After: time.Second}})
+	w.Actions(3, []dispatch.Action{dispatch.StartAttempt{ID: 7, Worker: "s1"}, dispatch.RejectRequest{ID: 8, RetryAfter: time.Millisecond},
+		dispatch.LoadFunction{Worker: "s1", Function: "f", Copies: 1}, dispatch.SetTimer{After: time.Second}})
 	if err := w.End("12"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -35,40 +35,40 @@
 func (w *Writer) Actions(router int64, actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case dispatch.Send:
+		case dispatch.StartAttempt:
 			w.line("SUBMIT_TO", router)
 			w.integer("rid", int64(a.ID))
 			w.text("server", a.Worker)
 			if a.Timeout > 0 {
 				w.duration("allow_for", a.Timeout)
 			}
-		case dispatch.Cancel:
+		case dispatch.CancelAttempt:
 			w.line("STOP_ATTEMPT", router)
 			w.integer("rid", int64(a.ID))
 			w.integer("shot", int64(a.Attempt))
-		case dispatch.Refuse:
+		case dispatch.RejectRequest:
 			w.line("PUSH_BACK", router)
 			w.integer("rid", int64(a.ID))
-			w.duration("come_back", a.After)
-		case dispatch.Fail:
+			w.duration("come_back", a.RetryAfter)
+		case dispatch.FailRequest:
 			w.line("SURRENDER", router)
 			w.integer("rid", int64(a.ID))
-		case dispatch.LoadOrder:
+		case dispatch.LoadFunction:
 			w.line("HOLD_THERE", router)
 			w.text("callee", a.Function)
 			w.integer("count", int64(a.Copies))
 			w.text("server", a.Worker)
-		case dispatch.Probe:
+		case dispatch.CheckHealth:
 			w.line("HEALTH_CHECK", router)
 			w.text("server", a.Worker)
-		case dispatch.Watch:
+		case dispatch.SubscribeEndpoints:
 			w.line("STREAM_CHANGES", router)
 			w.integer("on", 1)
-		case dispatch.Wake:
+		case dispatch.SetTimer:
 			w.line("REMIND", router)
 			w.duration("delay", a.After)
 			w.text("key_back", "wake")
-		case dispatch.Note:
+		case dispatch.LogNote:
 			w.line("LOG", router)
 			w.text("text", a.Text)
 		}
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -18,7 +18,7 @@
 // came, so that a slow reader holds its own worker's stream back and nothing else.
 type attempt struct {
 	p        *Pool
-	token    router.Token
+	token    router.AttemptToken
 	req      *oip.Request
 	streamed bool
 	worker   string
@@ -69,11 +69,11 @@
 
 // fail ends an attempt that was never sent.
 func (a *attempt) fail(reason string) {
-	a.end(router.Ended{Result: dispatch.NoConnection, Report: router.NoReport,
-		Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}}})
+	a.end(router.AttemptResult{Result: dispatch.ConnectFailed, Report: router.NoWorkerReport,
+		Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}}})
 }
 
-func (a *attempt) end(how router.Ended) {
+func (a *attempt) end(how router.AttemptResult) {
 	a.mu.Lock()
 	if a.ended {
 		a.mu.Unlock()
@@ -82,7 +82,7 @@
 	a.ended = true
 	how.Head = a.metadata
 	if a.client == nil {
-		how.Answer, a.held = a.held, nil
+		how.Body, a.held = a.held, nil
 	}
 	a.mu.Unlock()
 	a.p.router.AttemptEnded(a.token, how)
@@ -115,8 +115,8 @@
 	if bad != nil {
 		got = *bad
 	}
-	a.end(router.Ended{Result: got.result, Tail: oip.Tail{Status: got.status, Trailers: passed(fields, false)}, Report: told(report),
-		Drains: drains})
+	a.end(router.AttemptResult{Result: got.result, Trailer: oip.Tail{Status: got.status, Trailers: passed(fields, false)}, Report: told(report),
+		WorkerDraining: drains})
 }
 
 // passed picks the worker's own metadata; of a response's headers, its encoding too.
@@ -160,16 +160,16 @@
 	switch {
 	case bad != nil:
 		s.Reset(http2.Cancel)
-		a.end(router.Ended{Result: bad.result, Tail: oip.Tail{Status: bad.status}, Report: router.NoReport})
+		a.end(router.AttemptResult{Result: bad.result, Trailer: oip.Tail{Status: bad.status}, Report: router.NoWorkerReport})
 	case broken != nil || tooLarge:
 		s.Reset(http2.Cancel)
-		a.end(router.Ended{Result: dispatch.Errored, Report: router.NoReport, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Internal,
+		a.end(router.AttemptResult{Result: dispatch.Errored, Report: router.NoWorkerReport, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Internal,
 			Message: "worker's answer is broken or too large"}}})
 	case end:
-		a.end(router.Ended{Result: dispatch.Errored, Report: router.NoReport, Tail: oip.Tail{Status: grpc.Status{Code: grpc.Unknown,
+		a.end(router.AttemptResult{Result: dispatch.Errored, Report: router.NoWorkerReport, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unknown,
 			Message: "worker sent no status"}}})
 	case tell:
-		a.p.router.AttemptBegan(a.token, metadata)
+		a.p.router.ResponseStarted(a.token, metadata)
 	}
 }
 
@@ -182,11 +182,11 @@
 		return // Headers or Data has told the end
 	}
 	got := ofStream(err)
-	a.end(router.Ended{Result: got.result, Tail: oip.Tail{Status: got.status}, Report: router.NoReport})
+	a.end(router.AttemptResult{Result: got.result, Trailer: oip.Tail{Status: got.status}, Report: router.NoWorkerReport})
 }
 
 // Grant implements router.Attempt.
-func (a *attempt) Grant(c router.Client) {
+func (a *attempt) ForwardTo(c router.Client) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.client = c
@@ -221,6 +221,6 @@
 	if s != nil {
 		s.Reset(http2.Cancel)
 	}
-	a.end(router.Ended{Result: dispatch.Cancelled, Report: router.NoReport,
-		Tail: oip.Tail{Status: grpc.Status{Code: grpc.Canceled, Message: "cancelled by the gateway"}}})
+	a.end(router.AttemptResult{Result: dispatch.Cancelled, Report: router.NoWorkerReport,
+		Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Canceled, Message: "cancelled by the gateway"}}})
 }
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -70,7 +70,7 @@
 }
 
 func (x *control) fail(reason string) {
-	x.end(verdict{dispatch.NoConnection, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoReport)
+	x.end(verdict{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoReport)
 }
 
 func (x *control) end(got verdict, report oip.Report) {
@@ -126,7 +126,7 @@
 }
 
 // Load implements router.Upstream: RepositoryModelLoad, whose parameter "copies" asks for so many.
-func (p *Pool) Load(worker, function string, copies int, limit time.Duration, done func(router.Order)) {
+func (p *Pool) LoadFunction(worker, function string, copies int, limit time.Duration, done func(router.LoadResult)) {
 	model, version := oip.SplitFunction(function)
 	m := &inference.RepositoryModelLoadRequest{ModelName: model, Parameters: map[string]*inference.ModelRepositoryParameter{
 		oip.ParamCopies: {ParameterChoice: &inference.ModelRepositoryParameter_Int64Param{Int64Param: int64(copies)}}}}
@@ -135,7 +135,7 @@
 			ParameterChoice: &inference.ModelRepositoryParameter_StringParam{StringParam: version}}
 	}
 	p.control(worker, oip.Load, m, limit, func(got verdict, _ []byte, report oip.Report) {
-		o := router.Order{Result: got.result, Copies: int(max(report.Copies, 0))}
+		o := router.LoadResult{Result: got.result, Copies: int(max(report.Copies, 0))}
 		if got.result == dispatch.OK && got.status.Code != grpc.OK {
 			o.Result = dispatch.Errored // a status about the order itself brings no copy
 		}
@@ -144,10 +144,10 @@
 }
 
 // Ask implements router.Upstream: ServerReady, whose trailers bring the worker's load.
-func (p *Pool) Ask(worker string, limit time.Duration, done func(router.Probe)) {
+func (p *Pool) CheckHealth(worker string, limit time.Duration, done func(router.HealthResult)) {
 	p.control(worker, oip.ServerReady, &inference.ServerReadyRequest{}, limit,
 		func(got verdict, body []byte, report oip.Report) {
-			a := router.Probe{Result: got.result, Report: told(report)}
+			a := router.HealthResult{Result: got.result, Report: told(report)}
 			if got.result == dispatch.OK && got.status.Code != grpc.OK {
 				a.Result = dispatch.Errored
 			}
@@ -160,7 +160,7 @@
 }
 
 // told puts a worker's report in the router's words.
-func told(r oip.Report) router.Report {
-	return router.Report{Load: dispatch.Load{InFlight: r.InFlight, Queue: r.Queue, Loading: r.Loading},
-		Warmth: dispatch.Warmth(r.Warmth), Company: int(max(r.Company, -1))}
+func told(r oip.Report) router.WorkerReport {
+	return router.WorkerReport{LoadReport: dispatch.LoadReport{InFlight: r.InFlight, Queued: r.Queue, Loading: r.Loading},
+		CacheStatus: dispatch.CacheStatus(r.Warmth), FunctionInFlight: int(max(r.Company, -1))}
 }
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -34,15 +34,15 @@
 func ofStream(err error) verdict {
 	var se *http2.StreamError
 	if !errors.As(err, &se) {
-		return verdict{dispatch.Reset, grpc.Status{Code: grpc.Unavailable, Message: "stream ended early"}}
+		return verdict{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unavailable, Message: "stream ended early"}}
 	}
 	switch {
 	case se.NeverRan:
-		return verdict{dispatch.Refused, grpc.Status{Code: grpc.Unavailable, Message: "worker refused the stream"}}
+		return verdict{dispatch.Rejected, grpc.Status{Code: grpc.Unavailable, Message: "worker refused the stream"}}
 	case se.Lost:
-		return verdict{dispatch.Reset, grpc.Status{Code: grpc.Unknown, Message: "connection to the worker lost"}}
+		return verdict{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unknown, Message: "connection to the worker lost"}}
 	default:
-		return verdict{dispatch.Reset, grpc.Status{Code: grpc.Unknown, Message: "worker's stream ended: " + se.Error()}}
+		return verdict{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unknown, Message: "worker's stream ended: " + se.Error()}}
 	}
 }
 
@@ -76,11 +76,11 @@
 	case st.Code == grpc.OK:
 		return verdict{dispatch.OK, st}, false
 	case messages == 0 && !broken && admission == oip.AdmissionMissing:
-		return verdict{dispatch.Missed, st}, false
+		return verdict{dispatch.NotResident, st}, false
 	case messages == 0 && !broken && admission == oip.AdmissionFull:
-		return verdict{dispatch.Refused, st}, false
+		return verdict{dispatch.Rejected, st}, false
 	case messages == 0 && !broken && admission == oip.AdmissionDraining:
-		return verdict{dispatch.Refused, st}, true
+		return verdict{dispatch.Rejected, st}, true
 	case answerCode(st.Code) && !broken:
 		return verdict{dispatch.OK, st}, false
 	}
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -29,7 +29,7 @@
 // probe is a policy that sends each request once, to worker w, and notes what it is told.
 type probe struct {
 	mu       sync.Mutex
-	outcomes chan dispatch.Outcome
+	outcomes chan dispatch.AttemptEnded
 	started  int
 	drained  chan string
 	cancel   bool // cancels the attempt at once
@@ -39,22 +39,22 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.Request:
-			out = append(out, dispatch.Send{ID: e.ID, Worker: "w"})
+			out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: "w"})
 			if p.cancel {
-				out = append(out, dispatch.Cancel{ID: e.ID})
+				out = append(out, dispatch.CancelAttempt{ID: e.ID})
 			}
-		case dispatch.Started:
+		case dispatch.ResponseStarted:
 			p.mu.Lock()
 			p.started++
 			p.mu.Unlock()
-		case dispatch.Outcome:
+		case dispatch.AttemptEnded:
 			p.outcomes <- e
 			if !e.Final {
-				out = append(out, dispatch.Fail{ID: e.ID})
+				out = append(out, dispatch.FailRequest{ID: e.ID})
 			}
-		case dispatch.Roster:
-			for _, m := range e.Members {
-				if m.State == dispatch.Draining {
+		case dispatch.EndpointUpdate:
+			for _, m := range e.Endpoints {
+				if m.State == dispatch.EndpointDraining {
 					p.drained <- m.ID
 				}
 			}
@@ -80,7 +80,7 @@
 	a.bytes.Write(p)
 	return len(p)
 }
-func (a *answer) Finish(f router.Final) {
+func (a *answer) Finish(f router.FinalAnswer) {
 	st, _ := grpcserver.Told(f)
 	a.status <- st
 }
@@ -88,16 +88,16 @@
 // stage is a router with one worker at an address.
 func stage(t *testing.T, addr string) (*router.Router, *probe) {
 	t.Helper()
-	p := &probe{outcomes: make(chan dispatch.Outcome, 16), drained: make(chan string, 16)}
+	p := &probe{outcomes: make(chan dispatch.AttemptEnded, 16), drained: make(chan string, 16)}
 	pool := New(Config{Router: "r", ConnectTimeout: 300 * time.Millisecond, MaxConns: 1, MaxMessage: 1 << 20})
-	r, err := router.New(router.Config{Name: "r", OrderTimeout: time.Second, ProbeTimeout: time.Second,
-		Roster:  endpoints.Settings{AskAfter: time.Hour},
-		Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return p, nil }}, pool)
+	r, err := router.New(router.Config{Name: "r", LoadTimeout: time.Second, HealthCheckTimeout: time.Second,
+		Endpoints:     endpoints.Settings{CheckInterval: time.Hour},
+		NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return p, nil }}, pool)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool.Attach(r)
-	r.SetWorkers([]endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: addr}})
+	r.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
 	t.Cleanup(func() { r.Kill(); pool.Close() })
 	return r, p
 }
@@ -109,7 +109,7 @@
 func submit(t *testing.T, r *router.Router, streamed bool, left time.Duration) *answer {
 	t.Helper()
 	a := newAnswer()
-	if _, ok := r.Submit(&router.Call{Function: "m", Class: "c", Left: left, Streamed: streamed,
+	if _, ok := r.Submit(&router.Call{Function: "m", Class: "c", RemainingDeadline: left, Streamed: streamed,
 		Request: &oip.Request{Message: body()}, Client: a}); !ok {
 		t.Fatal("not taken")
 	}
@@ -201,31 +201,31 @@
 		}, dispatch.OK, grpc.OK, true, false},
 		{"REFUSED_STREAM", false, func(_ net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteRSTStream(id, peer.ErrCodeRefusedStream)
-		}, dispatch.Refused, grpc.Unknown, false, false},
+		}, dispatch.Rejected, grpc.Unknown, false, false},
 		{"above GOAWAY's last stream", false, func(_ net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteGoAway(0, peer.ErrCodeNo, nil)
-		}, dispatch.Refused, grpc.Unknown, false, true},
+		}, dispatch.Rejected, grpc.Unknown, false, true},
 		{"below GOAWAY's last stream, then lost", false, func(nc net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteGoAway(id, peer.ErrCodeNo, nil)
 			_ = nc.Close()
-		}, dispatch.Reset, grpc.Unknown, false, true},
+		}, dispatch.ConnectionReset, grpc.Unknown, false, true},
 		{"RST_STREAM with another code", false, func(_ net.Conn, fr *peer.Framer, _ hf, id uint32) {
 			_ = fr.WriteRSTStream(id, peer.ErrCodeInternal)
-		}, dispatch.Reset, grpc.Unknown, false, false},
+		}, dispatch.ConnectionReset, grpc.Unknown, false, false},
 		{"connection lost", false, func(nc net.Conn, _ *peer.Framer, _ hf, _ uint32) { _ = nc.Close() },
-			dispatch.Reset, grpc.Unknown, false, false},
+			dispatch.ConnectionReset, grpc.Unknown, false, false},
 		{"connection error", false, func(_ net.Conn, fr *peer.Framer, _ hf, _ uint32) {
 			_ = fr.WriteData(0, false, []byte{1})
-		}, dispatch.Reset, grpc.Unknown, false, false},
+		}, dispatch.ConnectionReset, grpc.Unknown, false, false},
 		{"full", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "8", oip.AdmissionField, oip.AdmissionFull)...)
-		}, dispatch.Refused, grpc.Unknown, false, false},
+		}, dispatch.Rejected, grpc.Unknown, false, false},
 		{"draining", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "14", oip.AdmissionField, oip.AdmissionDraining)...)
-		}, dispatch.Refused, grpc.Unknown, false, true},
+		}, dispatch.Rejected, grpc.Unknown, false, true},
 		{"missing", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, with("grpc-status", "5", oip.AdmissionField, oip.AdmissionMissing)...)
-		}, dispatch.Missed, grpc.Unknown, false, false},
+		}, dispatch.NotResident, grpc.Unknown, false, false},
 		{"full, but behind a message", true, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, message)
@@ -262,7 +262,7 @@
 			h(id, false, ok...)
 			_ = fr.WriteData(id, false, message)
 			_ = fr.WriteRSTStream(id, peer.ErrCodeInternal)
-		}, dispatch.Reset, grpc.Unknown, true, false},
+		}, dispatch.ConnectionReset, grpc.Unknown, true, false},
 		{"no trailers", false, func(_ net.Conn, fr *peer.Framer, h hf, id uint32) {
 			h(id, false, ok...)
 			_ = fr.WriteData(id, true, message)
@@ -293,7 +293,7 @@
 		}, dispatch.Errored, grpc.Internal, false, false},
 		{"malformed response", false, func(_ net.Conn, _ *peer.Framer, h hf, id uint32) {
 			h(id, true, ":status", "200", "Upper", "x")
-		}, dispatch.Reset, grpc.Unknown, false, false},
+		}, dispatch.ConnectionReset, grpc.Unknown, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -335,7 +335,7 @@
 	_ = ln.Close()
 	r, p := stage(t, addr)
 	submit(t, r, false, 5*time.Second)
-	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.NoConnection {
+	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.ConnectFailed {
 		t.Errorf("%v", o.Result)
 	}
 }
@@ -404,7 +404,7 @@
 	defer srv.Stop()
 	r, p := stage(t, ln.Addr().String())
 	a := submit(t, r, false, 10*time.Second)
-	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.OK || o.Load.InFlight != 4 {
+	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.OK || o.LoadReport.InFlight != 4 {
 		t.Errorf("unary: %+v", o)
 	}
 	if st := get(t, a.status, "the answer"); st.Code != grpc.OK {
@@ -421,14 +421,14 @@
 	pool := New(Config{Router: "r", ConnectTimeout: time.Second, MaxConns: 1, MaxMessage: 1 << 20})
 	defer pool.Close()
 	pool.Attach(r)
-	pool.Workers([]endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: ln.Addr().String()}})
-	orders, probes := make(chan router.Order, 1), make(chan router.Probe, 1)
-	pool.Load("w", "m", 1, 10*time.Second, func(o router.Order) { orders <- o })
+	pool.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
+	orders, probes := make(chan router.LoadResult, 1), make(chan router.HealthResult, 1)
+	pool.LoadFunction("w", "m", 1, 10*time.Second, func(o router.LoadResult) { orders <- o })
 	if o := get(t, orders, "the order's end"); o.Result != dispatch.OK || o.Copies != 2 {
 		t.Errorf("order: %+v", o)
 	}
-	pool.Ask("w", 10*time.Second, func(a router.Probe) { probes <- a })
-	if a := get(t, probes, "the probe's end"); a.Result != dispatch.OK || !a.Ready || a.Report.Load.InFlight != 4 {
+	pool.CheckHealth("w", 10*time.Second, func(a router.HealthResult) { probes <- a })
+	if a := get(t, probes, "the probe's end"); a.Result != dispatch.OK || !a.Ready || a.Report.LoadReport.InFlight != 4 {
 		t.Errorf("probe: %+v", a)
 	}
 }
@@ -463,7 +463,7 @@
 	r, p := stage(t, ln.Addr().String())
 	for range 10 {
 		submit(t, r, false, time.Hour)
-		if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.NoConnection && o.Result != dispatch.Reset {
+		if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.ConnectFailed && o.Result != dispatch.ConnectionReset {
 			t.Errorf("%v", o.Result)
 		}
 	}
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -65,7 +65,7 @@
 func (p *Pool) Attach(r *router.Router) { p.router = r }
 
 // Workers implements router.Upstream.
-func (p *Pool) Workers(list []endpoints.Worker) {
+func (p *Pool) SetEndpoints(list []endpoints.Worker) {
 	var leave []*http2.Conn
 	addresses := make(map[string]string, len(list))
 	p.mu.Lock()
@@ -93,7 +93,7 @@
 }
 
 // Send implements router.Upstream.
-func (p *Pool) Send(token router.Token, c *router.Call, worker string, n int, left time.Duration) router.Attempt {
+func (p *Pool) StartAttempt(token router.AttemptToken, c *router.Call, worker string, n int, left time.Duration) router.UpstreamAttempt {
 	req, _ := c.Request.(*oip.Request)
 	a := &attempt{p: p, token: token, req: req, streamed: c.Streamed, worker: worker, n: n, until: time.Now().Add(left)}
 	a.drain = a.drained
@@ -207,7 +207,7 @@
 func (l *link) GoAway(c *http2.Conn, code http2.ErrCode) {
 	l.leave(c)
 	if code == http2.NoError {
-		l.p.router.WorkerDrains(l.w.id)
+		l.p.router.WorkerDraining(l.w.id)
 	} else {
 		l.p.cfg.Log.Warn("worker ended the connection", "worker", l.w.id, "code", code.String())
 	}
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -60,7 +60,7 @@
 	p.dialing--
 	if err != nil {
 		p.stats.Failed++
-		res := dispatch.NoConnection
+		res := dispatch.ConnectFailed
 		if ours(err) {
 			res = dispatch.NotSent
 		}
@@ -349,7 +349,7 @@
 	queue := c.queue
 	c.queue = nil
 	for _, x := range c.open {
-		ends = append(ends, p.end(x, dispatch.Reset, nil))
+		ends = append(ends, p.end(x, dispatch.ConnectionReset, nil))
 	}
 	for _, x := range queue {
 		if x.c = nil; !x.over && x.kind != note {
--- a/internal/upstream/respupstream/evidence.go
+++ b/internal/upstream/respupstream/evidence.go
@@ -43,7 +43,7 @@
 type answer struct {
 	id     string
 	word   string
-	report router.Report
+	report router.WorkerReport
 	copies int
 	body   []byte // valid while the items are
 }
@@ -51,8 +51,8 @@
 // words are the answers, and what they mean to each kind of exchange.
 var words = map[string]map[kind]dispatch.Result{
 	"ok":      {exec: dispatch.OK, order: dispatch.OK},
-	"nothing": {exec: dispatch.Missed},
-	"refused": {exec: dispatch.Refused, order: dispatch.Refused},
+	"nothing": {exec: dispatch.NotResident},
+	"refused": {exec: dispatch.Rejected, order: dispatch.Rejected},
 	"error":   {exec: dispatch.Errored, order: dispatch.Errored, probe: dispatch.Errored},
 	"stale":   {exec: dispatch.NotSent},
 	"yes":     {probe: dispatch.OK},
@@ -68,7 +68,7 @@
 	if words[a.word] == nil {
 		return a, fmt.Errorf("%w: word %.20q", errAnswer, a.word)
 	}
-	a.report = router.NoReport
+	a.report = router.NoWorkerReport
 	rest := items[2]
 	if len(rest) == 1 && rest[0] == '-' {
 		return a, nil
@@ -86,7 +86,7 @@
 			if !ok {
 				return a, fmt.Errorf("%w: company %.20q", errAnswer, value)
 			}
-			a.report.Company = int(v)
+			a.report.FunctionInFlight = int(v)
 		case "slots_up":
 			v, ok := number(value)
 			if !ok {
@@ -94,7 +94,7 @@
 			}
 			a.copies = int(v)
 		case "meter":
-			if !meter(&a.report.Load, value) {
+			if !meter(&a.report.LoadReport, value) {
 				return a, fmt.Errorf("%w: meter %.40q", errAnswer, value)
 			}
 		}
@@ -103,7 +103,7 @@
 }
 
 // meter reads a load report.
-func meter(l *dispatch.Load, p []byte) bool {
+func meter(l *dispatch.LoadReport, p []byte) bool {
 	for len(p) > 0 {
 		var pair []byte
 		pair, p, _ = bytes.Cut(p, []byte{';'})
@@ -116,7 +116,7 @@
 		case "inflight":
 			l.InFlight = v
 		case "queue":
-			l.Queue = v
+			l.Queued = v
 		case "x1": // loads under way or waiting, by the settings
 			l.Loading = v
 		}
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -57,7 +57,7 @@
 type worker struct {
 	id, addr string
 	started  time.Duration
-	state    dispatch.State
+	state    dispatch.EndpointState
 	left     bool // no longer in the list
 	conns    []*conn
 	dialing  int
@@ -121,19 +121,19 @@
 }
 
 // Workers implements router.Upstream.
-func (p *Pool) Workers(list []endpoints.Worker) {
+func (p *Pool) SetEndpoints(list []endpoints.Worker) {
 	var ends []func()
 	named := make(map[string]bool, len(list))
 	p.mu.Lock()
 	for _, l := range list {
 		named[l.ID] = true
 		w := p.workers[l.ID]
-		if w != nil && (w.addr != l.Address || l.Started > w.started) {
+		if w != nil && (w.addr != l.Address || l.StartedAt > w.started) {
 			ends = append(ends, p.leave(w)...)
 			w = nil
 		}
 		if w == nil {
-			w = &worker{id: l.ID, addr: l.Address, started: l.Started}
+			w = &worker{id: l.ID, addr: l.Address, started: l.StartedAt}
 			p.workers[l.ID] = w
 		}
 		w.state = l.State
@@ -174,22 +174,22 @@
 type handle struct{ x *exchange }
 
 // Grant implements router.Attempt. Answers of this protocol come whole, so nothing is ever granted.
-func (h handle) Grant(router.Client) {}
+func (h handle) ForwardTo(router.Client) {}
 
 // Cancel implements router.Attempt.
 func (h handle) Cancel() { h.x.p.cancel(h.x) }
 
 // Send implements router.Upstream.
-func (p *Pool) Send(token router.Token, c *router.Call, id string, _ int, left time.Duration) router.Attempt {
+func (p *Pool) StartAttempt(token router.AttemptToken, c *router.Call, id string, _ int, left time.Duration) router.UpstreamAttempt {
 	req, _ := c.Request.(*invocation.Request)
 	x := &exchange{p: p, kind: exec, call: c, began: time.Now()}
 	x.until = x.began.Add(left)
 	x.done = func(res dispatch.Result, a *answer) {
-		how := router.Ended{Result: res, Report: router.NoReport}
+		how := router.AttemptResult{Result: res, Report: router.NoWorkerReport}
 		if a != nil {
 			how.Report = a.report
 			if res == dispatch.OK {
-				how.Answer = a.body
+				how.Body = a.body
 			}
 		}
 		p.router.AttemptEnded(token, how)
@@ -207,10 +207,10 @@
 
 // Load implements router.Upstream. An order that can't be written soon is not written at all: ordered late it
 // would come in another span of the ration.
-func (p *Pool) Load(id, function string, copies int, limit time.Duration, done func(router.Order)) {
+func (p *Pool) LoadFunction(id, function string, copies int, limit time.Duration, done func(router.LoadResult)) {
 	x := &exchange{p: p, kind: order, until: time.Now().Add(min(limit, p.cfg.ConnectTimeout))}
 	x.done = func(res dispatch.Result, a *answer) {
-		o := router.Order{Result: res}
+		o := router.LoadResult{Result: res}
 		if a != nil {
 			o.Copies = a.copies
 		}
@@ -221,10 +221,10 @@
 }
 
 // Ask implements router.Upstream.
-func (p *Pool) Ask(id string, limit time.Duration, done func(router.Probe)) {
+func (p *Pool) CheckHealth(id string, limit time.Duration, done func(router.HealthResult)) {
 	x := &exchange{p: p, kind: probe, until: time.Now().Add(limit)}
 	x.done = func(res dispatch.Result, a *answer) {
-		got := router.Probe{Result: res, Report: router.NoReport}
+		got := router.HealthResult{Result: res, Report: router.NoWorkerReport}
 		if a != nil {
 			got.Report, got.Ready = a.report, a.word == "yes"
 		}
@@ -261,7 +261,7 @@
 // viable tells whether an exchange may be written now.
 func (p *Pool) viable(x *exchange, now time.Time) bool {
 	return !x.over && x.w != nil && !x.w.left && !p.closed && now.Before(x.until) &&
-		(x.w.state == dispatch.On || x.kind == probe) && (x.call == nil || x.call.Wanted())
+		(x.w.state == dispatch.EndpointActive || x.kind == probe) && (x.call == nil || x.call.ClientWaiting())
 }
 
 // place finds a connection for an exchange: one with nothing open, lately used first, else a new one while the
--- a/internal/upstream/respupstream/respback_test.go
+++ b/internal/upstream/respupstream/respback_test.go
@@ -25,9 +25,9 @@
 // script is a decider that sends each request to the workers of a list, one after another, and notes what comes.
 type script struct {
 	to       []string
-	outcomes chan dispatch.Outcome
-	loaded   chan dispatch.Loaded
-	probed   chan dispatch.Probed
+	outcomes chan dispatch.AttemptEnded
+	loaded   chan dispatch.FunctionLoaded
+	probed   chan dispatch.HealthChecked
 	order    string // a worker that is ordered to load with each request
 	probe    string // and one that is probed
 
@@ -41,37 +41,37 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.Request:
-			out = append(out, dispatch.Send{ID: e.ID, Worker: s.to[0]})
+			out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: s.to[0]})
 			if s.order != "" {
-				out = append(out, dispatch.LoadOrder{Worker: s.order, Function: e.Function, Copies: 2})
+				out = append(out, dispatch.LoadFunction{Worker: s.order, Function: e.Function, Copies: 2})
 			}
 			if s.probe != "" {
-				out = append(out, dispatch.Probe{Worker: s.probe})
+				out = append(out, dispatch.CheckHealth{Worker: s.probe})
 			}
-		case dispatch.Outcome:
+		case dispatch.AttemptEnded:
 			s.outcomes <- e
 			s.tries[e.ID]++
 			if n := s.tries[e.ID]; !e.Final && n < len(s.to) {
-				out = append(out, dispatch.Send{ID: e.ID, Worker: s.to[n]})
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: s.to[n]})
 			} else if !e.Final {
-				out = append(out, dispatch.Fail{ID: e.ID})
+				out = append(out, dispatch.FailRequest{ID: e.ID})
 			}
-		case dispatch.Dropped:
-			out = append(out, dispatch.Cancel{ID: e.ID})
-		case dispatch.Loaded:
+		case dispatch.RequestCancelled:
+			out = append(out, dispatch.CancelAttempt{ID: e.ID})
+		case dispatch.FunctionLoaded:
 			s.loaded <- e
-		case dispatch.Probed:
+		case dispatch.HealthChecked:
 			s.probed <- e
 		}
 	}
 	return out
 }
 
-type client chan router.Final
+type client chan router.FinalAnswer
 
 func (c client) Start(any)                         {}
 func (c client) Message(p []byte, _ func(int)) int { return len(p) }
-func (c client) Finish(f router.Final)             { c <- f }
+func (c client) Finish(f router.FinalAnswer)       { c <- f }
 
 const fn = "7f3a9c21e0b4d655"
 
@@ -86,7 +86,7 @@
 
 func newStage(t *testing.T, change func(*Config), s *script, workers ...*fakeplatform.Worker) *stage {
 	t.Helper()
-	s.outcomes, s.loaded, s.probed = make(chan dispatch.Outcome, 64), make(chan dispatch.Loaded, 64), make(chan dispatch.Probed, 64)
+	s.outcomes, s.loaded, s.probed = make(chan dispatch.AttemptEnded, 64), make(chan dispatch.FunctionLoaded, 64), make(chan dispatch.HealthChecked, 64)
 	s.tries = map[dispatch.RequestID]int{}
 	cfg := Config{ConnectTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, StallAfter: 10 * time.Second, MaxConns: 8,
 		MaxOpen: 32, MaxAnswer: 1 << 12, Buffer: 32 << 10}
@@ -95,8 +95,8 @@
 	}
 	st := &stage{t: t, s: s, p: New(cfg)}
 	var err error
-	st.r, err = router.New(router.Config{Name: "r", OrderTimeout: 20 * time.Second, ProbeTimeout: 20 * time.Second,
-		Decider: func(dispatch.Settings, uint64) (router.Decider, error) { return s, nil }}, st.p)
+	st.r, err = router.New(router.Config{Name: "r", LoadTimeout: 20 * time.Second, HealthCheckTimeout: 20 * time.Second,
+		NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return s, nil }}, st.p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,10 +105,10 @@
 		if err := w.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
-		st.list = append(st.list, endpoints.Worker{Member: dispatch.Member{ID: w.ID}, Address: w.Addr()})
+		st.list = append(st.list, endpoints.Worker{Endpoint: dispatch.Endpoint{ID: w.ID}, Address: w.Addr()})
 		t.Cleanup(w.Stop)
 	}
-	st.r.SetWorkers(st.list)
+	st.r.SetEndpoints(st.list)
 	t.Cleanup(func() { st.r.Kill(); st.p.Close() })
 	return st
 }
@@ -123,7 +123,7 @@
 func (st *stage) call(left time.Duration) client {
 	c := make(client, 2)
 	st.n++
-	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: left, Client: c,
+	st.r.Submit(&router.Call{Function: fn, Class: "c", RemainingDeadline: left, Client: c,
 		Request: &invocation.Request{ID: fmt.Sprintf("%016x", st.n), Class: "c", Function: fn, Key: "k1", Body: []byte("body")}})
 	return c
 }
@@ -146,23 +146,23 @@
 	}{
 		"ok":                      {say("ok", "-", "answer"), dispatch.OK},
 		"ok with a report":        {say("ok", "company=3,meter=inflight:7;util:0.61", "answer"), dispatch.OK},
-		"nothing":                 {say("nothing", "-", ""), dispatch.Missed},
-		"refused":                 {say("refused", "-", ""), dispatch.Refused},
+		"nothing":                 {say("nothing", "-", ""), dispatch.NotResident},
+		"refused":                 {say("refused", "-", ""), dispatch.Rejected},
 		"error":                   {say("error", "-", ""), dispatch.Errored},
 		"stale":                   {say("stale", "-", ""), dispatch.NotSent},
-		"closed":                  {func(r fakeplatform.Request) { _ = r.Conn.Close() }, dispatch.Reset},
-		"noise":                   {raw("\x00\x01noise\r\n"), dispatch.Reset},
-		"a line without end":      {raw("*" + strings.Repeat("1", 64)), dispatch.Reset},
-		"3 GB announced":          {raw("*4\r\n$16\r\n0000000000000001\r\n$2\r\nok\r\n$1\r\n-\r\n$3221225472\r\nx"), dispatch.Reset},
-		"an unknown word":         {say("fine", "-", "answer"), dispatch.Reset},
-		"a word of other answers": {say("yes", "-", ""), dispatch.Reset},
-		"too few items":           {say("ok", "-"), dispatch.Reset},
-		"fields that are none":    {say("ok", "company", "answer"), dispatch.Reset},
-		"a figure that is none":   {say("ok", "company=NaN", "answer"), dispatch.Reset},
-		"a negative figure":       {say("ok", "meter=inflight:-1", "answer"), dispatch.Reset},
+		"closed":                  {func(r fakeplatform.Request) { _ = r.Conn.Close() }, dispatch.ConnectionReset},
+		"noise":                   {raw("\x00\x01noise\r\n"), dispatch.ConnectionReset},
+		"a line without end":      {raw("*" + strings.Repeat("1", 64)), dispatch.ConnectionReset},
+		"3 GB announced":          {raw("*4\r\n$16\r\n0000000000000001\r\n$2\r\nok\r\n$1\r\n-\r\n$3221225472\r\nx"), dispatch.ConnectionReset},
+		"an unknown word":         {say("fine", "-", "answer"), dispatch.ConnectionReset},
+		"a word of other answers": {say("yes", "-", ""), dispatch.ConnectionReset},
+		"too few items":           {say("ok", "-"), dispatch.ConnectionReset},
+		"fields that are none":    {say("ok", "company", "answer"), dispatch.ConnectionReset},
+		"a figure that is none":   {say("ok", "company=NaN", "answer"), dispatch.ConnectionReset},
+		"a negative figure":       {say("ok", "meter=inflight:-1", "answer"), dispatch.ConnectionReset},
 		"a body too short": {func(r fakeplatform.Request) {
 			r.Conn.Raw("*4\r\n$16\r\n" + r.ID + "\r\n$2\r\nok\r\n$1\r\n-\r\n$9\r\nanswer\r\n*4\r\n")
-		}, dispatch.Reset},
+		}, dispatch.ConnectionReset},
 		"an unknown id ahead": {func(r fakeplatform.Request) {
 			r.Conn.Say("ffffffffffffffff", "ok", "-", "another's")
 			r.Conn.Say(r.ID, "ok", "-", "answer")
@@ -179,12 +179,12 @@
 			if o.Result != c.result || o.Final != (c.result == dispatch.OK) {
 				t.Errorf("outcome %+v, want result %v", o, c.result)
 			}
-			if name == "ok with a report" && (o.Company != 3 || o.Load.InFlight != 7) {
+			if name == "ok with a report" && (o.FunctionInFlight != 3 || o.LoadReport.InFlight != 7) {
 				t.Errorf("report %+v", o)
 			}
 			f := fakeplatform.Await(t, cl, "the final answer")
-			if c.result == dispatch.OK && string(f.Ended.Answer) != "answer" {
-				t.Errorf("the client got %q", f.Ended.Answer)
+			if c.result == dispatch.OK && string(f.Attempt.Body) != "answer" {
+				t.Errorf("the client got %q", f.Attempt.Body)
 			}
 		})
 	}
@@ -195,7 +195,7 @@
 	st := newStage(t, nil, &script{to: []string{"w"}}, w)
 	w.Stop()
 	st.call(15 * time.Second)
-	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.NoConnection {
+	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.ConnectFailed {
 		t.Errorf("%+v", o)
 	}
 }
@@ -230,7 +230,7 @@
 		st.call(15 * time.Second)
 	}
 	for range 3 {
-		if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.Reset {
+		if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.ConnectionReset {
 			t.Errorf("%+v", o)
 		}
 	}
@@ -258,8 +258,8 @@
 	f := fakeplatform.Await(t, st.call(15*time.Second), "the answer")
 	mu.Lock()
 	defer mu.Unlock()
-	if string(f.Ended.Answer) != "its own" || conns[0] == conns[1] {
-		t.Errorf("answer %q, same connection %v", f.Ended.Answer, conns[0] == conns[1])
+	if string(f.Attempt.Body) != "its own" || conns[0] == conns[1] {
+		t.Errorf("answer %q, same connection %v", f.Attempt.Body, conns[0] == conns[1])
 	}
 }
 
@@ -284,7 +284,7 @@
 	}
 	st := newStage(t, func(c *Config) { c.MaxConns = 1 }, &script{to: []string{"w"}}, w)
 	c := make(client, 1)
-	drop, _ := st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 15 * time.Second, Client: c,
+	drop, _ := st.r.Submit(&router.Call{Function: fn, Class: "c", RemainingDeadline: 15 * time.Second, Client: c,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn}})
 	fakeplatform.Await(t, w.Came(), "the attempt")
 	drop()
@@ -294,8 +294,8 @@
 	if r := fakeplatform.Await(t, dropped, "the drop"); r.ID != strings.Repeat("a", 16) {
 		t.Errorf("dropped %q", r.ID)
 	}
-	if f := fakeplatform.Await(t, st.call(15*time.Second), "the second's answer"); string(f.Ended.Answer) != "second" {
-		t.Errorf("%q", f.Ended.Answer)
+	if f := fakeplatform.Await(t, st.call(15*time.Second), "the second's answer"); string(f.Attempt.Body) != "second" {
+		t.Errorf("%q", f.Attempt.Body)
 	}
 }
 
@@ -320,9 +320,9 @@
 // address or under its id, or the time ran out. Nothing is written then, and that is told as proof.
 func TestASendIsCheckedWhenItIsWritten(t *testing.T) {
 	for name, change := range map[string]func(st *stage, x *exchange){
-		"drains":               func(st *stage, _ *exchange) { st.list[0].State = dispatch.Draining },
+		"drains":               func(st *stage, _ *exchange) { st.list[0].State = dispatch.EndpointDraining },
 		"left":                 func(st *stage, _ *exchange) { st.list = nil },
-		"new process":          func(st *stage, _ *exchange) { st.list[0].Started = time.Hour },
+		"new process":          func(st *stage, _ *exchange) { st.list[0].StartedAt = time.Hour },
 		"new one, old address": func(st *stage, _ *exchange) { st.list[0].ID = "other" },
 		"time ran out": func(st *stage, x *exchange) {
 			st.p.mu.Lock()
@@ -331,7 +331,7 @@
 		},
 		"the client left": func(st *stage, x *exchange) {
 			st.p.mu.Lock()
-			x.call = &router.Call{Gone: func() bool { return true }}
+			x.call = &router.Call{ClientLeft: func() bool { return true }}
 			st.p.mu.Unlock()
 		},
 	} {
@@ -343,7 +343,7 @@
 				st.settle()
 				x, ended := hold(t, st, k)
 				change(st, x)
-				st.r.SetWorkers(st.list)
+				st.r.SetEndpoints(st.list)
 				st.settle()
 				st.p.dial(x.w) // the connect comes up
 				if res := fakeplatform.Await(t, ended, "the end"); res != dispatch.NotSent {
@@ -368,7 +368,7 @@
 	second := &fakeplatform.Worker{ID: "x"}
 	st := newStage(t, nil, &script{to: []string{"w", "x"}}, first, second)
 	c := make(client, 1)
-	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 15 * time.Second, Client: c, Gone: left.Load,
+	st.r.Submit(&router.Call{Function: fn, Class: "c", RemainingDeadline: 15 * time.Second, Client: c, ClientLeft: left.Load,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn}})
 	for _, want := range []dispatch.Result{dispatch.Errored, dispatch.NotSent} {
 		if o := fakeplatform.Await(t, st.s.outcomes, "an outcome"); o.Result != want {
@@ -423,8 +423,8 @@
 		}
 	}()
 	st := newStage(t, func(c *Config) { c.MaxConns = 1 }, &script{to: []string{"w"}})
-	st.list = []endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: ln.Addr().String()}}
-	st.r.SetWorkers(st.list)
+	st.list = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}}
+	st.r.SetEndpoints(st.list)
 	until := func(what string, ok func(Stats) bool) {
 		t.Helper()
 		for range 4000 {
@@ -436,23 +436,23 @@
 		t.Fatalf("%s: %+v", what, st.p.Stats())
 	}
 	big := make(client, 1)
-	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 30 * time.Second, Client: big,
+	st.r.Submit(&router.Call{Function: fn, Class: "c", RemainingDeadline: 30 * time.Second, Client: big,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: fn, Body: make([]byte, 32<<20)}})
 	until("the first is being written", func(s Stats) bool { return s.Written == 1 })
 	var left atomic.Bool
 	small := make(client, 1)
-	st.r.Submit(&router.Call{Function: fn, Class: "c", Left: 30 * time.Second, Client: small, Gone: left.Load,
+	st.r.Submit(&router.Call{Function: fn, Class: "c", RemainingDeadline: 30 * time.Second, Client: small, ClientLeft: left.Load,
 		Request: &invocation.Request{ID: strings.Repeat("b", 16), Class: "c", Function: fn}})
 	until("the second waits", func(s Stats) bool { return s.Waiting == 1 })
 	if leaves {
 		left.Store(true)
 	} else {
-		st.list[0].State = dispatch.Draining
-		st.r.SetWorkers(st.list)
+		st.list[0].State = dispatch.EndpointDraining
+		st.r.SetEndpoints(st.list)
 		st.settle()
 	}
 	close(read)
-	if f := fakeplatform.Await(t, big, "the first's answer"); string(f.Ended.Answer) != "answer" {
+	if f := fakeplatform.Await(t, big, "the first's answer"); string(f.Attempt.Body) != "answer" {
 		t.Errorf("%+v", f)
 	}
 	fakeplatform.Await(t, small, "the second's final answer")
@@ -513,10 +513,10 @@
 func TestAConnectionThatNeverComesUp(t *testing.T) {
 	addr, _ := full(t)
 	st := newStage(t, func(c *Config) { c.ConnectTimeout = 50 * time.Millisecond }, &script{to: []string{"w"}})
-	st.list = []endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: addr}}
-	st.r.SetWorkers(st.list)
+	st.list = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
+	st.r.SetEndpoints(st.list)
 	st.call(20 * time.Second)
-	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.NoConnection {
+	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.ConnectFailed {
 		t.Errorf("%+v", o)
 	}
 	if s := st.p.Stats(); s.Written != 0 || s.Conns != 0 {
@@ -528,8 +528,8 @@
 func TestAConnectionThatComesUpLate(t *testing.T) {
 	addr, room := full(t)
 	st := newStage(t, nil, &script{to: []string{"w"}})
-	st.list = []endpoints.Worker{{Member: dispatch.Member{ID: "w"}, Address: addr}}
-	st.r.SetWorkers(st.list)
+	st.list = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
+	st.r.SetEndpoints(st.list)
 	c := st.call(20 * time.Second)
 	for range 4000 {
 		if st.p.Stats().Dials == 1 {
@@ -555,7 +555,7 @@
 			}()
 		}
 	}()
-	if f := fakeplatform.Await(t, c, "the answer"); f.Ended == nil || string(f.Ended.Answer) != "late but whole" {
+	if f := fakeplatform.Await(t, c, "the answer"); f.Attempt == nil || string(f.Attempt.Body) != "late but whole" {
 		t.Errorf("%+v", f)
 	}
 }
@@ -565,7 +565,7 @@
 	w := &fakeplatform.Worker{ID: "w", Act: raw("*4\r\n$16\r\n")}
 	st := newStage(t, func(c *Config) { c.StallAfter = 50 * time.Millisecond }, &script{to: []string{"w"}}, w)
 	st.call(15 * time.Second)
-	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.Reset {
+	if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result != dispatch.ConnectionReset {
 		t.Errorf("%+v", o)
 	}
 }
@@ -581,7 +581,7 @@
 	}
 	for range 20 {
 		f := fakeplatform.Await(t, st.call(15*time.Second), "an answer")
-		if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result == dispatch.OK && string(f.Ended.Answer) == "done body" {
+		if o := fakeplatform.Await(t, st.s.outcomes, "the outcome"); o.Result == dispatch.OK && string(f.Attempt.Body) == "done body" {
 			return
 		}
 	}
@@ -595,7 +595,7 @@
 	if o := fakeplatform.Await(t, st.s.loaded, "the order's end"); o.Result != dispatch.OK || o.Copies != 2 || o.Function != fn {
 		t.Errorf("%+v", o)
 	}
-	if o := fakeplatform.Await(t, st.s.probed, "the probe's end"); o.Result != dispatch.OK || o.Load.InFlight != 1 {
+	if o := fakeplatform.Await(t, st.s.probed, "the probe's end"); o.Result != dispatch.OK || o.LoadReport.InFlight != 1 {
 		t.Errorf("%+v", o)
 	}
 	for _, r := range w.Got() {
@@ -658,7 +658,7 @@
 	f.Add("id", "refused", "-", "")
 	f.Fuzz(func(t *testing.T, id, word, fields, body string) {
 		a, err := readAnswer([][]byte{[]byte(id), []byte(word), []byte(fields), []byte(body)})
-		if err == nil && (a.id != id || words[a.word] == nil || a.report.Company < -1) {
+		if err == nil && (a.id != id || words[a.word] == nil || a.report.FunctionInFlight < -1) {
 			t.Fatalf("%+v", a)
 		}
 	})
