--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -138,13 +138,13 @@
 	return p.Path + ": " + p.Text
 }
 
-// Invalid is all that is wrong in a file.
-type Invalid struct {
+// InvalidError lists everything that is wrong in a file.
+type InvalidError struct {
 	File     string
 	Problems []Problem
 }
 
-func (e *Invalid) Error() string {
+func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
 		lines = append(lines, e.File+": "+p.String())
@@ -197,13 +197,13 @@
 	}
 	g := Defaults()
 	if err := json.Unmarshal(raw, &g); err != nil {
-		return nil, &Invalid{name, []Problem{{"", err.Error()}}}
+		return nil, &InvalidError{name, []Problem{{"", err.Error()}}}
 	}
 	if g.Gossip != nil && g.Gossip.LookTimeout == 0 {
 		g.Gossip.LookTimeout = 400
 	}
 	if p := g.check(); len(p) > 0 {
-		return nil, &Invalid{name, p}
+		return nil, &InvalidError{name, p}
 	}
 	return &g, nil
 }
@@ -212,7 +212,7 @@
 func validate(name string, raw, schema []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return &Invalid{name, []Problem{{"", place(raw, err)}}}
+		return &InvalidError{name, []Problem{{"", place(raw, err)}}}
 	}
 	s, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
@@ -229,7 +229,7 @@
 	}
 	var ve *jsonschema.ValidationError
 	if err := compiled.Validate(doc); errors.As(err, &ve) {
-		out := &Invalid{File: name}
+		out := &InvalidError{File: name}
 		leaves(ve, out)
 		return out
 	} else if err != nil {
@@ -239,7 +239,7 @@
 }
 
 // leaves collects the innermost errors, which name the values at fault.
-func leaves(e *jsonschema.ValidationError, out *Invalid) {
+func leaves(e *jsonschema.ValidationError, out *InvalidError) {
 	if len(e.Causes) > 0 {
 		for _, c := range e.Causes {
 			leaves(c, out)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -58,7 +58,7 @@
 		{`"lanes": 2}}}`, `"lanes": 2`, "line 4"},
 	} {
 		_, err := Parse("g.json", []byte(strings.Replace(good, c.from, c.to, 1)))
-		var bad *Invalid
+		var bad *InvalidError
 		if !errors.As(err, &bad) || !strings.Contains(err.Error(), c.path) || !strings.HasPrefix(err.Error(), "g.json: ") {
 			t.Errorf("%s: %v, want it to name %s", c.to, err, c.path)
 		}
@@ -124,7 +124,10 @@
 	refusal := func() {
 		t.Helper()
 		select {
-		case <-refused:
+		case err := <-refused:
+			if err == nil {
+				t.Fatal("refused without an error")
+			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("nothing was refused")
 		}
@@ -162,7 +165,9 @@
 			func(err error) { refused <- err })
 		close(ended)
 	}()
-	<-refused
+	if err := <-refused; err == nil {
+		t.Fatal("refused without an error")
+	}
 	if err := os.Mkdir(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -102,9 +102,9 @@
 	}
 	var l MemberList
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return nil, &Invalid{name, []Problem{{"", err.Error()}}}
+		return nil, &InvalidError{name, []Problem{{"", err.Error()}}}
 	}
-	wrong, out := &Invalid{File: name}, peers.Members{}
+	wrong, out := &InvalidError{File: name}, peers.Members{}
 	bad := func(path, format string, args ...any) {
 		wrong.Problems = append(wrong.Problems, Problem{path, fmt.Sprintf(format, args...)})
 	}
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -36,9 +36,9 @@
 	}
 	var l WorkerList
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return nil, &Invalid{name, []Problem{{"", err.Error()}}}
+		return nil, &InvalidError{name, []Problem{{"", err.Error()}}}
 	}
-	out := &Invalid{File: name}
+	out := &InvalidError{File: name}
 	seen := map[string]bool{}
 	for i, w := range l.Workers {
 		if seen[w.ID] {
--- a/internal/oip/oip.go
+++ b/internal/oip/oip.go
@@ -61,19 +61,19 @@
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return r, fmt.Errorf("%w: %v", ErrMalformed, protowire.ParseError(n))
+			return r, fmt.Errorf("%w: %w", ErrMalformed, protowire.ParseError(n))
 		}
 		b = b[n:]
 		if num > 4 || typ != protowire.BytesType {
 			if n = protowire.ConsumeFieldValue(num, typ, b); n < 0 {
-				return r, fmt.Errorf("%w: field %d: %v", ErrMalformed, num, protowire.ParseError(n))
+				return r, fmt.Errorf("%w: field %d: %w", ErrMalformed, num, protowire.ParseError(n))
 			}
 			b = b[n:]
 			continue
 		}
 		v, n := protowire.ConsumeBytes(b)
 		if n < 0 {
-			return r, fmt.Errorf("%w: field %d: %v", ErrMalformed, num, protowire.ParseError(n))
+			return r, fmt.Errorf("%w: field %d: %w", ErrMalformed, num, protowire.ParseError(n))
 		}
 		b = b[n:]
 		switch num {
@@ -101,13 +101,13 @@
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return fmt.Errorf("%w: parameters: %v", ErrMalformed, protowire.ParseError(n))
+			return fmt.Errorf("%w: parameters: %w", ErrMalformed, protowire.ParseError(n))
 		}
 		b = b[n:]
 		if (num == 1 || num == 2) && typ == protowire.BytesType {
 			v, n := protowire.ConsumeBytes(b)
 			if n < 0 {
-				return fmt.Errorf("%w: parameters: %v", ErrMalformed, protowire.ParseError(n))
+				return fmt.Errorf("%w: parameters: %w", ErrMalformed, protowire.ParseError(n))
 			}
 			if num == 1 {
 				key = v
@@ -118,7 +118,7 @@
 			continue
 		}
 		if n = protowire.ConsumeFieldValue(num, typ, b); n < 0 {
-			return fmt.Errorf("%w: parameters: %v", ErrMalformed, protowire.ParseError(n))
+			return fmt.Errorf("%w: parameters: %w", ErrMalformed, protowire.ParseError(n))
 		}
 		b = b[n:]
 	}
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -11,55 +11,101 @@
 // TestAgainstSorted drives a wheel and a plain list by the same random script.
 func TestAgainstSorted(t *testing.T) {
 	for seed := range uint64(6) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		now := time.Duration(rng.Int64N(int64(time.Hour)))
-		w := New(time.Millisecond, now)
-		type entry struct {
-			timer *Timer
-			at    time.Duration
-		}
-		var want []entry
+		m := newModel(t, seed)
 		for range 3000 {
-			switch rng.IntN(4) {
+			switch m.rng.IntN(4) {
 			case 0, 1:
-				at := now + time.Duration(rng.ExpFloat64()*float64(time.Second)*float64(int64(1)<<rng.IntN(18)))
-				e := entry{&Timer{}, at}
-				w.Add(e.timer, at)
-				want = append(want, e)
+				m.add()
 			case 2:
-				if len(want) > 0 {
-					i := rng.IntN(len(want))
-					w.Remove(want[i].timer)
-					want = slices.Delete(want, i, i+1)
-				}
+				m.remove()
 			case 3:
-				if next, ok := w.Next(); ok != (len(want) > 0) {
-					t.Fatalf("Next tells %v with %d timers", ok, len(want))
-				} else if ok {
-					for _, e := range want {
-						if e.at < next-time.Millisecond && e.at > now {
-							t.Fatalf("a timer at %v comes before Next, %v", e.at, next)
-						}
-					}
-				}
-				now += time.Duration(rng.ExpFloat64() * float64(time.Second) * float64(int64(1)<<rng.IntN(12)))
-				got := map[*Timer]bool{}
-				w.Advance(now, func(x *Timer) { got[x] = true })
-				want = slices.DeleteFunc(want, func(e entry) bool {
-					due := (e.at+time.Millisecond-1)/time.Millisecond <= now/time.Millisecond
-					if due != got[e.timer] {
-						t.Fatalf("seed %d at %v: timer at %v due %v, came %v", seed, now, e.at, due, got[e.timer])
-					}
-					return due
-				})
+				m.checkNext()
+				m.advance()
 			}
-			if w.Len() != len(want) {
-				t.Fatalf("seed %d: %d timers held, want %d", seed, w.Len(), len(want))
+			if m.wheel.Len() != len(m.want) {
+				t.Fatalf("seed %d: %d timers held, want %d", seed, m.wheel.Len(), len(m.want))
 			}
 		}
 	}
 }
 
+// model is a wheel beside the plain list of the timers that it should hold.
+type model struct {
+	t     *testing.T
+	seed  uint64
+	rng   *rand.Rand
+	now   time.Duration
+	wheel *Wheel
+	want  []entry
+}
+
+// entry is a timer and the time that it was added for.
+type entry struct {
+	timer *Timer
+	at    time.Duration
+}
+
+// newModel returns a model that begins at a random time.
+func newModel(t *testing.T, seed uint64) *model {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	now := time.Duration(rng.Int64N(int64(time.Hour)))
+	return &model{t: t, seed: seed, rng: rng, now: now, wheel: New(time.Millisecond, now)}
+}
+
+// span draws a time whose scale is itself drawn, up to 2^(scales-1) seconds.
+func (m *model) span(scales int) time.Duration {
+	return time.Duration(m.rng.ExpFloat64() * float64(time.Second) * float64(int64(1)<<m.rng.IntN(scales)))
+}
+
+// add adds a timer.
+func (m *model) add() {
+	e := entry{&Timer{}, m.now + m.span(18)}
+	m.wheel.Add(e.timer, e.at)
+	m.want = append(m.want, e)
+}
+
+// remove removes one timer, where any is held.
+func (m *model) remove() {
+	if len(m.want) == 0 {
+		return
+	}
+	i := m.rng.IntN(len(m.want))
+	m.wheel.Remove(m.want[i].timer)
+	m.want = slices.Delete(m.want, i, i+1)
+}
+
+// checkNext fails where a timer comes due before the time that Next gives.
+func (m *model) checkNext() {
+	m.t.Helper()
+	next, ok := m.wheel.Next()
+	if ok != (len(m.want) > 0) {
+		m.t.Fatalf("Next tells %v with %d timers", ok, len(m.want))
+	}
+	if !ok {
+		return
+	}
+	for _, e := range m.want {
+		if e.at < next-time.Millisecond && e.at > m.now {
+			m.t.Fatalf("a timer at %v comes before Next, %v", e.at, next)
+		}
+	}
+}
+
+// advance moves the time on and fails where other timers than those due come.
+func (m *model) advance() {
+	m.t.Helper()
+	m.now += m.span(12)
+	got := map[*Timer]bool{}
+	m.wheel.Advance(m.now, func(x *Timer) { got[x] = true })
+	m.want = slices.DeleteFunc(m.want, func(e entry) bool {
+		due := (e.at+time.Millisecond-1)/time.Millisecond <= m.now/time.Millisecond
+		if due != got[e.timer] {
+			m.t.Fatalf("seed %d at %v: timer at %v due %v, came %v", m.seed, m.now, e.at, due, got[e.timer])
+		}
+		return due
+	})
+}
+
 type plain []*Timer
 
 func (h plain) Len() int           { return len(h) }
