--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -27,7 +27,7 @@
 				id := RequestID(n + 1)
 				out := d.Step(now, []Event{Request{ID: id, Function: fmt.Sprintf("f%d", n%300), Class: "safe",
 					MemoryMB: 300, ConcurrencyPerInstance: 1, RemainingDeadline: 3 * time.Second}})
-				for _, a := range all[StartAttempt](out) {
+				for _, a := range actionsOf[StartAttempt](out) {
 					d.Step(now+40*time.Millisecond, []Event{AttemptEnded{ID: id, Worker: a.Worker, Duration: 40 * time.Millisecond,
 						Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport}})
 				}
--- a/dispatch/brain_test.go
+++ b/dispatch/brain_test.go
@@ -21,21 +21,21 @@
 }
 
 // rig drives one Dispatcher and has every step watched by the rule checker.
-type rig struct {
-	t     *testing.T
-	d     *Dispatcher
-	check *checker
-	now   time.Duration
-	next  RequestID
+type harness struct {
+	t          *testing.T
+	dispatcher *Dispatcher
+	checker    *checker
+	now        time.Duration
+	next       RequestID
 }
 
-func newRig(t *testing.T, s Settings, ids ...string) *rig {
+func newHarness(t *testing.T, s Settings, ids ...string) *harness {
 	t.Helper()
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, check: newChecker(s), now: time.Second}
+	r := &harness{t: t, dispatcher: d, checker: newChecker(s), now: time.Second}
 	ms := []Endpoint{}
 	for i, id := range ids {
 		ms = append(ms, Endpoint{ID: id, Kind: "big", Cell: i / 2})
@@ -44,17 +44,17 @@
 	return r
 }
 
-func (r *rig) step(events ...Event) []Action {
+func (r *harness) step(events ...Event) []Action {
 	r.t.Helper()
-	out := r.d.Step(r.now, events)
-	if err := r.check.step(r.now, events, out); err != nil {
+	out := r.dispatcher.Step(r.now, events)
+	if err := r.checker.step(r.now, events, out); err != nil {
 		r.t.Fatal(err)
 	}
 	return out
 }
 
 // after lets time pass, waking the Dispatcher every 10 ms.
-func (r *rig) after(span time.Duration) (out []Action) {
+func (r *harness) advance(span time.Duration) (out []Action) {
 	r.t.Helper()
 	for end := r.now + span; r.now < end; {
 		r.now += 10 * time.Millisecond
@@ -64,14 +64,14 @@
 }
 
 // call brings a new request of a function.
-func (r *rig) call(function, class string) (RequestID, []Action) {
+func (r *harness) call(function, class string) (RequestID, []Action) {
 	r.t.Helper()
 	r.next++
 	return r.next, r.step(Request{ID: r.next, Function: function, Class: class, MemoryMB: 300, ConcurrencyPerInstance: 1,
 		RemainingDeadline: 3 * time.Second})
 }
 
-func all[T Action](actions []Action) (found []T) {
+func actionsOf[T Action](actions []Action) (found []T) {
 	for _, a := range actions {
 		if x, ok := a.(T); ok {
 			found = append(found, x)
@@ -80,9 +80,9 @@
 	return found
 }
 
-func (r *rig) sent(actions []Action) StartAttempt {
+func (r *harness) onlyAttempt(actions []Action) StartAttempt {
 	r.t.Helper()
-	s := all[StartAttempt](actions)
+	s := actionsOf[StartAttempt](actions)
 	if len(s) != 1 {
 		r.t.Fatalf("%d sends, want 1: %v", len(s), actions)
 	}
@@ -90,15 +90,15 @@
 }
 
 func TestRankingIsSharedAndFirstRankedServesBeforeTheFirstRound(t *testing.T) {
-	a, b := newRig(t, settings(), "w1", "w2", "w3", "w4"), newRig(t, settings(), "w4", "w3", "w2", "w1")
+	a, b := newHarness(t, settings(), "w1", "w2", "w3", "w4"), newHarness(t, settings(), "w4", "w3", "w2", "w1")
 	used := map[string]bool{}
 	for _, f := range []string{"f1", "f2", "f3", "f4", "f5", "f6", "f7", "f8"} {
 		_, x := a.call(f, "safe")
 		_, y := b.call(f, "safe")
-		if a.sent(x).Worker != b.sent(y).Worker {
+		if a.onlyAttempt(x).Worker != b.onlyAttempt(y).Worker {
 			t.Errorf("%s: routers disagree", f)
 		}
-		used[a.sent(x).Worker] = true
+		used[a.onlyAttempt(x).Worker] = true
 	}
 	if len(used) < 2 {
 		t.Error("all functions share one home")
@@ -106,19 +106,19 @@
 }
 
 func TestWalkFillsLightestFirstAndSpills(t *testing.T) {
-	r := newRig(t, settings(), "w1", "w2", "w3")
-	light := &function{key: "light", memory: 1, lanes: 1, unit: 1, rate: 1, answered: true, places: map[string]*place{}}
-	heavy := &function{key: "heavy", memory: 9, lanes: 1, unit: 1, rate: 1, answered: true, places: map[string]*place{}}
-	r.d.order = []*function{heavy, light}
-	r.d.walk()
-	if len(light.split) != 1 || light.split[0].w != light.ranked[0] {
-		t.Errorf("light split = %v, want its first-ranked worker alone", light.split)
+	r := newHarness(t, settings(), "w1", "w2", "w3")
+	light := &function{key: "light", memoryMB: 1, concurrency: 1, meanWorkUnit: 1, requestRate: 1, served: true, placements: map[string]*placement{}}
+	heavy := &function{key: "heavy", memoryMB: 9, concurrency: 1, meanWorkUnit: 1, requestRate: 1, served: true, placements: map[string]*placement{}}
+	r.dispatcher.functionsInOrder = []*function{heavy, light}
+	r.dispatcher.assignCapacity()
+	if len(light.assignment) != 1 || light.assignment[0].worker != light.ranked[0] {
+		t.Errorf("light split = %v, want its first-ranked worker alone", light.assignment)
 	}
-	if len(heavy.split) != 3 {
-		t.Errorf("heavy on %d workers, want all 3", len(heavy.split))
+	if len(heavy.assignment) != 3 {
+		t.Errorf("heavy on %d workers, want all 3", len(heavy.assignment))
 	}
 	sum := 0.0
-	for _, p := range heavy.split {
+	for _, p := range heavy.assignment {
 		sum += p.share
 	}
 	if sum < 0.999 || sum > 1.001 {
@@ -127,51 +127,51 @@
 }
 
 func TestDemandFades(t *testing.T) {
-	r := newRig(t, settings(), "w1")
+	r := newHarness(t, settings(), "w1")
 	id, out := r.call("f", "safe")
-	r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Duration: 50 * time.Millisecond, Final: true})
-	r.after(3 * time.Second)
-	was := r.d.fns["f"].demand
-	r.after(8 * time.Second)
-	if now := r.d.fns["f"].demand; was <= 0 || now > was/2 {
+	r.step(AttemptEnded{ID: id, Worker: r.onlyAttempt(out).Worker, Duration: 50 * time.Millisecond, Final: true})
+	r.advance(3 * time.Second)
+	was := r.dispatcher.functions["f"].demand
+	r.advance(8 * time.Second)
+	if now := r.dispatcher.functions["f"].demand; was <= 0 || now > was/2 {
 		t.Errorf("demand %v, then %v", was, now)
 	}
 }
 
 func TestMissOrdersOneLoadAndResends(t *testing.T) {
-	r := newRig(t, settings(), "w1", "w2")
+	r := newHarness(t, settings(), "w1", "w2")
 	id, out := r.call("f", "once")
-	w := r.sent(out).Worker
+	w := r.onlyAttempt(out).Worker
 	out = r.step(AttemptEnded{ID: id, Worker: w, Result: NotResident})
-	if o := all[LoadFunction](out); len(o) != 1 || o[0].Worker != w || o[0].Copies != 1 {
+	if o := actionsOf[LoadFunction](out); len(o) != 1 || o[0].Worker != w || o[0].Copies != 1 {
 		t.Fatalf("orders %v", o)
 	}
-	if _, out = r.call("f", "once"); len(all[LoadFunction](out)) != 0 {
+	if _, out = r.call("f", "once"); len(actionsOf[LoadFunction](out)) != 0 {
 		t.Error("a load under way was ordered again")
 	}
 	r.now += 300 * time.Millisecond
 	out = r.step(FunctionLoaded{Worker: w, Function: "f", Copies: 1, Duration: 300 * time.Millisecond})
-	if n := len(all[StartAttempt](out)); n != 2 {
+	if n := len(actionsOf[StartAttempt](out)); n != 2 {
 		t.Errorf("%d sends after the load, want both", n)
 	}
 }
 
 func TestUnsafeIsNotRepeatedAfterATimeOut(t *testing.T) {
 	for _, result := range []Result{TimedOut, ConnectionReset, Errored, Cancelled} {
-		r := newRig(t, settings(), "w1", "w2")
+		r := newHarness(t, settings(), "w1", "w2")
 		id, out := r.call("f", "once")
-		out = r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Result: result})
-		if len(all[FailRequest](out)) != 1 || len(all[StartAttempt](out)) != 0 {
+		out = r.step(AttemptEnded{ID: id, Worker: r.onlyAttempt(out).Worker, Result: result})
+		if len(actionsOf[FailRequest](out)) != 1 || len(actionsOf[StartAttempt](out)) != 0 {
 			t.Errorf("result %d: %v, want a failure", result, out)
 		}
 	}
 }
 
 func TestUnsafeMovesOnAfterARefusal(t *testing.T) {
-	r := newRig(t, settings(), "w1", "w2")
+	r := newHarness(t, settings(), "w1", "w2")
 	id, out := r.call("f", "once")
-	w := r.sent(out).Worker
-	if r.sent(r.step(AttemptEnded{ID: id, Worker: w, Result: Rejected})).Worker == w {
+	w := r.onlyAttempt(out).Worker
+	if r.onlyAttempt(r.step(AttemptEnded{ID: id, Worker: w, Result: Rejected})).Worker == w {
 		t.Error("sent to the refusing worker again")
 	}
 }
@@ -179,49 +179,49 @@
 func TestKeyedStaysInItsCellAndWindow(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss = true
-	r := newRig(t, s, "w1", "w2", "w3", "w4")
+	r := newHarness(t, s, "w1", "w2", "w3", "w4")
 	id, out := r.call("f", "keyed")
-	first := r.sent(out).Worker
-	again := r.sent(r.step(AttemptEnded{ID: id, Worker: first, Result: ConnectionReset}))
-	if r.d.workers[again.Worker].Cell != r.d.workers[first].Cell || again.Worker == first {
+	first := r.onlyAttempt(out).Worker
+	again := r.onlyAttempt(r.step(AttemptEnded{ID: id, Worker: first, Result: ConnectionReset}))
+	if r.dispatcher.workers[again.Worker].Cell != r.dispatcher.workers[first].Cell || again.Worker == first {
 		t.Errorf("sent again to %s, first to %s", again.Worker, first)
 	}
 	r.now += 2 * time.Second
 	out = r.step(AttemptEnded{ID: id, Attempt: 1, Worker: again.Worker, Result: ConnectionReset})
-	r.after(2 * time.Second)
+	r.advance(2 * time.Second)
 }
 
 func TestDrainStopsAtOnce(t *testing.T) {
-	r := newRig(t, settings(), "w1", "w2")
+	r := newHarness(t, settings(), "w1", "w2")
 	_, out := r.call("f", "safe")
-	w := r.sent(out).Worker
+	w := r.onlyAttempt(out).Worker
 	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: w, State: EndpointDraining}}})
-	if _, out = r.call("f", "safe"); r.sent(out).Worker == w {
+	if _, out = r.call("f", "safe"); r.onlyAttempt(out).Worker == w {
 		t.Error("sent to a draining worker")
 	}
 }
 
 func TestEveryRequestIsAnsweredInTimeWithNoWorkers(t *testing.T) {
-	r := newRig(t, settings())
+	r := newHarness(t, settings())
 	r.call("f", "once")
-	if out := r.after(4 * time.Second); len(all[RejectRequest](out)) != 1 {
+	if out := r.advance(4 * time.Second); len(actionsOf[RejectRequest](out)) != 1 {
 		t.Errorf("%v, want one refusal", out)
 	}
 }
 
 // Incident i8c6ef0: a caller that rounds a Wake down had it come back early, and no other was asked for.
 func TestWakeRoundedDownIsAskedForAgain(t *testing.T) {
-	r := newRig(t, settings())
+	r := newHarness(t, settings())
 	r.next++
 	out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 1, ConcurrencyPerInstance: 1,
 		ExpectedWork: time.Microsecond, RemainingDeadline: 1500500})
 	for range 40 {
-		w := all[SetTimer](out)
+		w := actionsOf[SetTimer](out)
 		if len(w) == 0 {
 			break
 		}
 		r.now += w[len(w)-1].After.Truncate(time.Microsecond)
-		if out = r.step(TimerFired{}); len(all[RejectRequest](out)) > 0 {
+		if out = r.step(TimerFired{}); len(actionsOf[RejectRequest](out)) > 0 {
 			return
 		}
 	}
@@ -231,34 +231,34 @@
 func TestSilentWorkerIsPassedOverAndReturns(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss = true
-	r := newRig(t, s, "w1", "w2", "w3")
+	r := newHarness(t, s, "w1", "w2", "w3")
 	id, out := r.call("f", "safe")
-	w := r.sent(out).Worker
+	w := r.onlyAttempt(out).Worker
 	r.step(AttemptEnded{ID: id, Worker: w, Duration: 50 * time.Millisecond, Final: true})
 	for range 4 {
 		r.call("f", "safe")
 	}
-	r.after(1500 * time.Millisecond)
-	if _, out = r.call("f", "safe"); r.sent(out).Worker == w {
+	r.advance(1500 * time.Millisecond)
+	if _, out = r.call("f", "safe"); r.onlyAttempt(out).Worker == w {
 		t.Fatal("sent to a silent worker")
 	}
 	r.step(HealthChecked{Worker: w})
-	if r.d.workers[w].doubted {
+	if r.dispatcher.workers[w].suspected {
 		t.Error("still doubted after an answer")
 	}
 }
 
 // crowd is many routers of one fleet, driven in step.
-type crowd struct {
-	rigs    []*rig
-	members []Endpoint
+type routerGroup struct {
+	routers   []*harness
+	endpoints []Endpoint
 }
 
-func newCrowd(t *testing.T, n int, s Settings, workers int) *crowd {
+func newRouterGroup(t *testing.T, n int, s Settings, workers int) *routerGroup {
 	t.Helper()
-	c := &crowd{}
+	c := &routerGroup{}
 	for i := range workers {
-		c.members = append(c.members, Endpoint{ID: fmt.Sprintf("w%02d", i), Kind: "big", Cell: i / 4})
+		c.endpoints = append(c.endpoints, Endpoint{ID: fmt.Sprintf("w%02d", i), Kind: "big", Cell: i / 4})
 	}
 	s.Routers = n
 	for i := range n {
@@ -266,28 +266,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.rigs = append(c.rigs, &rig{t: t, d: d, check: newChecker(s), now: time.Second})
+		c.routers = append(c.routers, &harness{t: t, dispatcher: d, checker: newChecker(s), now: time.Second})
 	}
-	c.roster()
+	c.sendSnapshot()
 	return c
 }
 
 // roster sends the whole list to every router.
-func (c *crowd) roster() {
-	for _, r := range c.rigs {
-		r.step(EndpointUpdate{Snapshot: true, Endpoints: c.members})
+func (c *routerGroup) sendSnapshot() {
+	for _, r := range c.routers {
+		r.step(EndpointUpdate{Snapshot: true, Endpoints: c.endpoints})
 	}
 }
 
 // play has each router take a call every gap, each from another moment on, of the function that key names, and
 // answers the sends after took, or never where that is negative. It returns what all of them did.
-func (c *crowd) play(span, gap, took time.Duration, key func(router, call int) string) (out []Action) {
+func (c *routerGroup) play(span, gap, took time.Duration, key func(router, call int) string) (out []Action) {
 	type due struct {
 		at time.Duration
 		o  AttemptEnded
 	}
-	for i, r := range c.rigs {
-		open, last := []due{}, r.now+gap*time.Duration(i)/time.Duration(len(c.rigs))-gap
+	for i, r := range c.routers {
+		open, last := []due{}, r.now+gap*time.Duration(i)/time.Duration(len(c.routers))-gap
 		tries, loads := map[RequestID]int{}, []Event{}
 		for n, end := 0, r.now+span; r.now < end; {
 			r.now += 10 * time.Millisecond
@@ -325,14 +325,14 @@
 	s := settings()
 	s.WorkersLoadOnMiss = true
 	const routers, workers = 250, 20
-	c := newCrowd(t, routers, s, workers)
+	c := newRouterGroup(t, routers, s, workers)
 	everywhere := func(_, call int) string { return fmt.Sprintf("f%d", call%40) }
 	c.play(8*time.Second, 200*time.Millisecond, 50*time.Millisecond, everywhere)
-	c.members[7].StartedAt = c.rigs[0].now
-	c.roster()
+	c.endpoints[7].StartedAt = c.routers[0].now
+	c.sendSnapshot()
 	n := 0
-	for _, a := range all[StartAttempt](c.play(s.OverloadWindow, 200*time.Millisecond, 50*time.Millisecond, everywhere)) {
-		if a.Worker == c.members[7].ID {
+	for _, a := range actionsOf[StartAttempt](c.play(s.OverloadWindow, 200*time.Millisecond, 50*time.Millisecond, everywhere)) {
+		if a.Worker == c.endpoints[7].ID {
 			n++
 		}
 	}
@@ -345,13 +345,13 @@
 func TestWorkAskedForButNotServedRaisesNoColdBudget(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss = true
-	c := newCrowd(t, 50, s, 10)
+	c := newRouterGroup(t, 50, s, 10)
 	c.play(8*time.Second, 50*time.Millisecond, -1, func(_, call int) string { return fmt.Sprintf("f%d", call%20) })
-	c.members[3].StartedAt = c.rigs[0].now
-	c.roster()
-	for _, a := range all[StartAttempt](c.play(s.OverloadWindow, 50*time.Millisecond, -1,
+	c.endpoints[3].StartedAt = c.routers[0].now
+	c.sendSnapshot()
+	for _, a := range actionsOf[StartAttempt](c.play(s.OverloadWindow, 50*time.Millisecond, -1,
 		func(_, call int) string { return fmt.Sprintf("f%d", call%20) })) {
-		if a.Worker == c.members[3].ID {
+		if a.Worker == c.endpoints[3].ID {
 			t.Fatal("sent to a cold worker by a router that has had nothing served")
 		}
 	}
@@ -367,35 +367,35 @@
 		"longer than a load, too": {20 * time.Millisecond, 900 * time.Millisecond, true}} {
 		s := settings()
 		s.Routers, s.WorkersLoadOnMiss = 100, c.load > 0
-		r := newRig(t, s, "w1", "w2", "w3")
-		r.warmed("f", "safe")
-		before := r.d.window
-		r.d.took = 0.5 // answers take that long of late: 1.2 s is no outlier
+		r := newHarness(t, s, "w1", "w2", "w3")
+		r.serveOnce("f", "safe")
+		before := r.dispatcher.fleetLimit
+		r.dispatcher.meanResponseTime = 0.5 // answers take that long of late: 1.2 s is no outlier
 		for range 5 {
 			r.next++
 			out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 300, ConcurrencyPerInstance: 1, ExpectedWork: c.work,
 				LoadTime: c.load, RemainingDeadline: 3 * time.Second})
-			r.after(1200 * time.Millisecond)
-			r.answer(r.sent(out), 0, AttemptEnded{Duration: 1200 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
+			r.advance(1200 * time.Millisecond)
+			r.answer(r.onlyAttempt(out), 0, AttemptEnded{Duration: 1200 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		}
-		if shrunk := r.d.window < before; shrunk != c.shrinks {
-			t.Errorf("%s: window %.2f, then %.2f", name, before, r.d.window)
+		if shrunk := r.dispatcher.fleetLimit < before; shrunk != c.shrinks {
+			t.Errorf("%s: window %.2f, then %.2f", name, before, r.dispatcher.fleetLimit)
 		}
 	}
 }
 
 // answer ends an attempt as the test says.
-func (r *rig) answer(s StartAttempt, attempt int, o AttemptEnded) []Action {
+func (r *harness) answer(s StartAttempt, attempt int, o AttemptEnded) []Action {
 	r.t.Helper()
 	o.ID, o.Worker, o.Attempt, o.Final = s.ID, s.Worker, attempt, o.Result == OK
 	return r.step(o)
 }
 
 // warmed has a function called and served until its first-ranked worker is known to hold it.
-func (r *rig) warmed(function, class string) string {
+func (r *harness) serveOnce(function, class string) string {
 	r.t.Helper()
 	_, out := r.call(function, class)
-	s := r.sent(out)
+	s := r.onlyAttempt(out)
 	r.answer(s, 0, AttemptEnded{Duration: 50 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
 	return s.Worker
 }
@@ -408,30 +408,30 @@
 	} {
 		s := settings()
 		s.WorkersLoadOnMiss, s.LoadCommandsAllowed = true, false
-		r := newRig(t, s, "w1", "w2", "w3")
-		home := r.warmed("f", "once")
+		r := newHarness(t, s, "w1", "w2", "w3")
+		home := r.serveOnce("f", "once")
 		other := ""
 		for i := 0; other == ""; i++ {
-			if key := fmt.Sprintf("g%d", i); r.warmed(key, "safe") == home {
+			if key := fmt.Sprintf("g%d", i); r.serveOnce(key, "safe") == home {
 				other = key
 			}
 		}
 		_, out := r.call(other, "safe")
-		r.answer(r.sent(out), 0, AttemptEnded{Duration: 50 * time.Millisecond, LoadReport: busy})
+		r.answer(r.onlyAttempt(out), 0, AttemptEnded{Duration: 50 * time.Millisecond, LoadReport: busy})
 		_, out = r.call("f", "once")
-		r.answer(r.sent(out), 0, end)
+		r.answer(r.onlyAttempt(out), 0, end)
 		_, out = r.call("f", "once")
-		if s := r.sent(out); s.Worker == home {
+		if s := r.onlyAttempt(out); s.Worker == home {
 			t.Errorf("%s: sent to the same worker again", name)
 		} else {
 			r.answer(s, 0, AttemptEnded{Duration: 50 * time.Millisecond, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		}
-		r.after(freshFor) // by then it is not known to hold 9 any more
-		if _, out = r.call(other, "safe"); r.sent(out).Worker != home {
+		r.advance(loadReportTTL) // by then it is not known to hold 9 any more
+		if _, out = r.call(other, "safe"); r.onlyAttempt(out).Worker != home {
 			t.Errorf("%s: another class left the worker too", name)
 		}
-		r.after(30 * time.Second)
-		if b := r.d.workers[home].bars[r.d.classes["once"]]; r.now < b.till {
+		r.advance(30 * time.Second)
+		if b := r.dispatcher.workers[home].ejections[r.dispatcher.classes["once"]]; r.now < b.until {
 			t.Errorf("%s: the class still rests", name)
 		}
 	}
@@ -441,7 +441,7 @@
 	s := settings()
 	s.WorkersLoadOnMiss = true
 	const routers, workers = 120, 30
-	c := newCrowd(t, routers, s, workers)
+	c := newRouterGroup(t, routers, s, workers)
 	key := func(router, call int) string { // half of the calls for one function, the others for a hundred
 		if (router+call)%2 == 0 {
 			return "hot"
@@ -449,15 +449,15 @@
 		return fmt.Sprintf("f%d", (router*7+call*13)%100)
 	}
 	c.play(30*time.Second, 200*time.Millisecond, 50*time.Millisecond, key)
-	for _, r := range c.rigs[1:] {
-		for k, f := range r.d.fns {
-			if g := c.rigs[0].d.fns[k]; g != nil && r.d.rank(f)[0].ID != c.rigs[0].d.rank(g)[0].ID {
+	for _, r := range c.routers[1:] {
+		for k, f := range r.dispatcher.functions {
+			if g := c.routers[0].dispatcher.functions[k]; g != nil && r.dispatcher.rankWorkers(f)[0].ID != c.routers[0].dispatcher.rankWorkers(g)[0].ID {
 				t.Fatalf("%s: first-ranked worker differs", k)
 			}
 		}
 	}
 	sends := map[string]int{}
-	all := all[StartAttempt](c.play(5*time.Second, 200*time.Millisecond, 50*time.Millisecond,
+	all := actionsOf[StartAttempt](c.play(5*time.Second, 200*time.Millisecond, 50*time.Millisecond,
 		func(int, int) string { return "hot" }))
 	most := 0
 	for _, a := range all {
@@ -470,34 +470,34 @@
 }
 
 func TestReportsCutACrowdedWorkersSlice(t *testing.T) {
-	r := newRig(t, settings(), "w1", "w2", "w3")
+	r := newHarness(t, settings(), "w1", "w2", "w3")
 	for range 40 {
 		r.now += 5 * time.Second
-		for _, w := range r.d.list {
+		for _, w := range r.dispatcher.activeWorkers {
 			held := 3.0
 			if w.ID == "w2" {
 				held = 30
 			}
-			r.d.now = r.now
-			r.d.weigh(w, held)
+			r.dispatcher.now = r.now
+			r.dispatcher.recordLoadReport(w, held)
 		}
 	}
-	crowded, idle := r.d.workers["w2"], r.d.workers["w1"]
-	if 2*r.d.trust(crowded) > r.d.trust(idle) {
-		t.Errorf("trust %.2f in a worker that holds ten times as much, %.2f in the others", r.d.trust(crowded),
-			r.d.trust(idle))
+	crowded, idle := r.dispatcher.workers["w2"], r.dispatcher.workers["w1"]
+	if 2*r.dispatcher.capacityFactor(crowded) > r.dispatcher.capacityFactor(idle) {
+		t.Errorf("trust %.2f in a worker that holds ten times as much, %.2f in the others", r.dispatcher.capacityFactor(crowded),
+			r.dispatcher.capacityFactor(idle))
 	}
 }
 
 func TestLoadRation(t *testing.T) {
 	s := settings()
 	s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 2, 0.1
-	r := newRig(t, s, "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8")
+	r := newHarness(t, s, "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8")
 	n := 0
 	for _, f := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		id, out := r.call(f, "safe")
-		out = r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Result: NotResident})
-		n += len(all[LoadFunction](out))
+		out = r.step(AttemptEnded{ID: id, Worker: r.onlyAttempt(out).Worker, Result: NotResident})
+		n += len(actionsOf[LoadFunction](out))
 	}
 	if n != 2 {
 		t.Errorf("%d orders, want 2", n)
@@ -521,15 +521,15 @@
 // The busy day big-1 of abuja-boxes: with a load refused, requests spent every attempt on misses within
 // milliseconds and were turned away.
 func TestMissesAtARestingPlaceDontSpendTheAttempts(t *testing.T) {
-	r := newRig(t, settings(), "w1")
+	r := newHarness(t, settings(), "w1")
 	id, out := r.call("f", "safe")
-	w := r.sent(out).Worker
+	w := r.onlyAttempt(out).Worker
 	r.step(AttemptEnded{ID: id, Worker: w, Result: NotResident})
 	out = r.step(FunctionLoaded{Worker: w, Function: "f", Result: Rejected})
-	if n := len(all[StartAttempt](out)) + len(all[RejectRequest](out)); n != 0 {
+	if n := len(actionsOf[StartAttempt](out)) + len(actionsOf[RejectRequest](out)); n != 0 {
 		t.Errorf("%v: nothing should be tried while the place rests", out)
 	}
-	if out = r.after(2 * time.Second); len(all[StartAttempt](out)) == 0 {
+	if out = r.advance(2 * time.Second); len(actionsOf[StartAttempt](out)) == 0 {
 		t.Error("not tried again after the rest")
 	}
 }
@@ -537,34 +537,34 @@
 func TestFullWindowWaitsHereAndNewestGoesFirst(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss = true
-	r := newRig(t, s, "w1")
+	r := newHarness(t, s, "w1")
 	id, out := r.call("f", "safe")
-	r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Duration: 50 * time.Millisecond, Final: true})
+	r.step(AttemptEnded{ID: id, Worker: r.onlyAttempt(out).Worker, Duration: 50 * time.Millisecond, Final: true})
 	var out1 RequestID
 	sends := 0
 	for range 20 {
 		r.now += time.Millisecond
 		id, out := r.call("f", "safe")
-		if n := len(all[StartAttempt](out)); n > 0 {
+		if n := len(actionsOf[StartAttempt](out)); n > 0 {
 			out1, sends = id, sends+n
 		}
 	}
-	if sends < int(windowStart) || sends == 20 {
-		t.Fatalf("%d out, want the window of %v", sends, windowStart)
+	if sends < int(initialLimit) || sends == 20 {
+		t.Fatalf("%d out, want the window of %v", sends, initialLimit)
 	}
 	out = r.step(AttemptEnded{ID: out1, Worker: "w1", Duration: 60 * time.Millisecond, Final: true})
-	if got := all[StartAttempt](out); len(got) == 0 || got[0].ID != r.next {
+	if got := actionsOf[StartAttempt](out); len(got) == 0 || got[0].ID != r.next {
 		t.Errorf("%v, want the newest, %d, first", got, r.next)
 	}
 }
 
 func TestFailedLoadsRestLongerEachTime(t *testing.T) {
-	r := newRig(t, settings(), "w1")
-	p := &place{}
+	r := newHarness(t, settings(), "w1")
+	p := &placement{}
 	last := time.Duration(0)
 	for range 3 {
-		r.d.loadFailed(p)
-		if rest := p.restTill - r.d.now; rest <= last {
+		r.dispatcher.backOffLoads(p)
+		if rest := p.loadBackoffUntil - r.dispatcher.now; rest <= last {
 			t.Errorf("rest of %v after one of %v", rest, last)
 		} else {
 			last = rest
@@ -576,7 +576,7 @@
 func TestHeldRequestsThatCanBeInTimeGoFirst(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss, s.Routers = true, 12 // a window of one
-	r := newRig(t, s, "w1")
+	r := newHarness(t, s, "w1")
 	bring := func(id RequestID, work time.Duration) []Action {
 		r.now += time.Millisecond
 		return r.step(Request{ID: id, Function: "f", Class: "safe", MemoryMB: 300, ConcurrencyPerInstance: 1, ExpectedWork: work,
@@ -584,103 +584,103 @@
 	}
 	bring(1, 50*time.Millisecond)
 	r.step(AttemptEnded{ID: 1, Worker: "w1", Duration: 50 * time.Millisecond, Final: true})
-	r.d.workers["w1"].window = 1
+	r.dispatcher.workers["w1"].concurrencyLimit = 1
 	bring(2, 50*time.Millisecond)
 	bring(3, 50*time.Millisecond)
 	bring(4, 2*time.Second)
-	r.d.workers["w1"].window = 1
+	r.dispatcher.workers["w1"].concurrencyLimit = 1
 	out := r.step(AttemptEnded{ID: 2, Worker: "w1", Duration: 50 * time.Millisecond, Final: true})
-	if got := all[StartAttempt](out); len(got) == 0 || got[0].ID != 3 {
+	if got := actionsOf[StartAttempt](out); len(got) == 0 || got[0].ID != 3 {
 		t.Errorf("%v, want 3 first: 4 can't be in time", got)
 	}
 }
 
 // fleet answers a crowd as workers would that each run ten requests at a time, 100 ms long, let fourteen wait,
 // and refuse the rest. Time runs for all routers together.
-type fleet struct {
-	*crowd
-	holds          map[string][]held // by worker, in order of arrival
-	tries          map[string]int    // of each router's request
-	answer         [][]Event
-	came, ok, sent int
-	advice         []time.Duration
+type overloadedFleet struct {
+	*routerGroup
+	queues                        map[string][]queuedRequest // by worker, in order of arrival
+	attempts                      map[string]int             // of each router's request
+	events                        [][]Event
+	offered, inTime, attemptCount int
+	retryAfters                   []time.Duration
 }
 
-type held struct {
-	router int
-	o      AttemptEnded
-	starts time.Duration
+type queuedRequest struct {
+	router  int
+	outcome AttemptEnded
+	starts  time.Duration
 }
 
 // play has each router take a call every gap.
-func (f *fleet) play(span, gap time.Duration) {
-	f.came, f.ok, f.sent, f.advice = 0, 0, 0, nil
+func (f *overloadedFleet) play(span, gap time.Duration) {
+	f.offered, f.inTime, f.attemptCount, f.retryAfters = 0, 0, 0, nil
 	tick := 5 * time.Millisecond
-	for end := f.rigs[0].now + span; f.rigs[0].now < end; {
-		for i, r := range f.rigs {
+	for end := f.routers[0].now + span; f.routers[0].now < end; {
+		for i, r := range f.routers {
 			r.now += tick
-			events := append([]Event{TimerFired{}}, f.answer[i]...)
-			f.answer[i] = nil
-			if phase := gap * time.Duration(i) / time.Duration(len(f.rigs)); (r.now+phase)%gap < tick {
+			events := append([]Event{TimerFired{}}, f.events[i]...)
+			f.events[i] = nil
+			if phase := gap * time.Duration(i) / time.Duration(len(f.routers)); (r.now+phase)%gap < tick {
 				r.next++
-				f.came++
+				f.offered++
 				events = append(events, Request{ID: r.next, Function: fmt.Sprintf("f%d", int(r.next)%40), Class: "safe",
 					MemoryMB: 300, ConcurrencyPerInstance: 8, RemainingDeadline: 3 * time.Second, LoadTime: time.Second})
 			}
 			for _, a := range r.step(events...) {
 				switch a := a.(type) {
 				case StartAttempt:
-					f.take(i, a)
+					f.enqueue(i, a)
 				case RejectRequest:
-					f.advice = append(f.advice, a.RetryAfter)
+					f.retryAfters = append(f.retryAfters, a.RetryAfter)
 				case LoadFunction:
-					f.answer[i] = append(f.answer[i], FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: 1})
+					f.events[i] = append(f.events[i], FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: 1})
 				case CheckHealth:
-					f.answer[i] = append(f.answer[i], HealthChecked{Worker: a.Worker, LoadReport: f.load(a.Worker)})
+					f.events[i] = append(f.events[i], HealthChecked{Worker: a.Worker, LoadReport: f.loadReport(a.Worker)})
 				}
 			}
 		}
-		f.run(f.rigs[0].now)
+		f.serve(f.routers[0].now)
 	}
 }
 
-func (f *fleet) load(w string) LoadReport {
-	return LoadReport{InFlight: float64(len(f.holds[w])), Queued: -1, Loading: -1}
+func (f *overloadedFleet) loadReport(w string) LoadReport {
+	return LoadReport{InFlight: float64(len(f.queues[w])), Queued: -1, Loading: -1}
 }
 
-func (f *fleet) take(router int, s StartAttempt) {
+func (f *overloadedFleet) enqueue(router int, s StartAttempt) {
 	key := fmt.Sprint(router, "/", s.ID)
-	o := AttemptEnded{ID: s.ID, Worker: s.Worker, Attempt: f.tries[key], FunctionInFlight: -1, LoadReport: f.load(s.Worker)}
-	f.tries[key]++
-	f.sent++
-	if len(f.holds[s.Worker]) >= 24 {
+	o := AttemptEnded{ID: s.ID, Worker: s.Worker, Attempt: f.attempts[key], FunctionInFlight: -1, LoadReport: f.loadReport(s.Worker)}
+	f.attempts[key]++
+	f.attemptCount++
+	if len(f.queues[s.Worker]) >= 24 {
 		o.Result, o.Duration = Rejected, 2*time.Millisecond
-		f.answer[router] = append(f.answer[router], o)
+		f.events[router] = append(f.events[router], o)
 		return
 	}
-	o.Duration = -f.rigs[router].now
-	f.holds[s.Worker] = append(f.holds[s.Worker], held{router: router, o: o})
+	o.Duration = -f.routers[router].now
+	f.queues[s.Worker] = append(f.queues[s.Worker], queuedRequest{router: router, outcome: o})
 }
 
 // run ends what has run for its time and starts what then finds room.
-func (f *fleet) run(now time.Duration) {
-	for _, m := range f.members {
-		kept := f.holds[m.ID][:0]
-		for i, h := range f.holds[m.ID] {
+func (f *overloadedFleet) serve(now time.Duration) {
+	for _, m := range f.endpoints {
+		kept := f.queues[m.ID][:0]
+		for i, h := range f.queues[m.ID] {
 			if i < 10 && h.starts == 0 {
 				h.starts = now
 			}
 			if h.starts > 0 && now-h.starts >= 100*time.Millisecond {
-				h.o.Duration, h.o.Final = h.o.Duration+now, true
-				if h.o.Duration < time.Second {
-					f.ok++
+				h.outcome.Duration, h.outcome.Final = h.outcome.Duration+now, true
+				if h.outcome.Duration < time.Second {
+					f.inTime++
 				}
-				f.answer[h.router] = append(f.answer[h.router], h.o)
+				f.events[h.router] = append(f.events[h.router], h.outcome)
 				continue
 			}
 			kept = append(kept, h)
 		}
-		f.holds[m.ID] = kept
+		f.queues[m.ID] = kept
 	}
 }
 
@@ -690,36 +690,36 @@
 	s := settings()
 	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.MaxAttempts, s.HedgingAllowed = true, time.Second, 5, false
 	s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 4, 0.1
-	f := &fleet{crowd: newCrowd(t, 60, s, 20), holds: map[string][]held{}, tries: map[string]int{},
-		answer: make([][]Event, 60)}
+	f := &overloadedFleet{routerGroup: newRouterGroup(t, 60, s, 20), queues: map[string][]queuedRequest{}, attempts: map[string]int{},
+		events: make([][]Event, 60)}
 	f.play(8*time.Second, 60*time.Millisecond)
 	f.play(2*time.Second, 60*time.Millisecond)
-	calm := float64(f.sent) / float64(f.came)
-	if f.ok < f.came*98/100 || len(f.advice) > f.came/100 {
-		t.Errorf("calm: %d of %d in time, %d refused: the defence should be asleep", f.ok, f.came, len(f.advice))
+	calm := float64(f.attemptCount) / float64(f.offered)
+	if f.inTime < f.offered*98/100 || len(f.retryAfters) > f.offered/100 {
+		t.Errorf("calm: %d of %d in time, %d refused: the defence should be asleep", f.inTime, f.offered, len(f.retryAfters))
 	}
 	f.play(3*time.Second, 10*time.Millisecond) // three times what the fleet can do
-	t.Logf("surge: %d came, %d sends, %d in time, %d refused", f.came, f.sent, f.ok, len(f.advice))
-	if most := f.came + f.came/3 + 60*int(retryBurst); f.sent > most {
-		t.Errorf("surge: %d sends for %d requests, at most %d wanted", f.sent, f.came, most)
+	t.Logf("surge: %d came, %d sends, %d in time, %d refused", f.offered, f.attemptCount, f.inTime, len(f.retryAfters))
+	if most := f.offered + f.offered/3 + 60*int(retryBudgetBurst); f.attemptCount > most {
+		t.Errorf("surge: %d sends for %d requests, at most %d wanted", f.attemptCount, f.offered, most)
 	}
-	if f.ok < 3*1000 {
-		t.Errorf("surge: %d answers in time, want half of what the fleet can do", f.ok)
+	if f.inTime < 3*1000 {
+		t.Errorf("surge: %d answers in time, want half of what the fleet can do", f.inTime)
 	}
 	distinct := map[time.Duration]bool{}
-	for _, after := range f.advice {
+	for _, after := range f.retryAfters {
 		distinct[after] = true
 		if after <= 0 || after > s.MaxRetryAfter {
 			t.Fatalf("advice to come back after %v", after)
 		}
 	}
-	if len(distinct) < len(f.advice)/2 {
-		t.Errorf("%d refusals, but %d different times to come back", len(f.advice), len(distinct))
+	if len(distinct) < len(f.retryAfters)/2 {
+		t.Errorf("%d refusals, but %d different times to come back", len(f.retryAfters), len(distinct))
 	}
 	f.play(3*time.Second, 60*time.Millisecond)
 	f.play(2*time.Second, 60*time.Millisecond)
-	if f.ok < f.came*95/100 || float64(f.sent) > 1.1*calm*float64(f.came) {
-		t.Errorf("after the surge: %d of %d in time with %d sends", f.ok, f.came, f.sent)
+	if f.inTime < f.offered*95/100 || float64(f.attemptCount) > 1.1*calm*float64(f.offered) {
+		t.Errorf("after the surge: %d of %d in time with %d sends", f.inTime, f.offered, f.attemptCount)
 	}
 }
 
@@ -733,16 +733,16 @@
 		left  time.Duration
 		ends  []AttemptEnded
 		fails bool
-		ready func(*rig)
+		ready func(*harness)
 	}{
 		"attempts used up":       {"safe", 3 * time.Second, []AttemptEnded{refused, refused, refused, refused}, false, nil},
-		"budget used up":         {"safe", 3 * time.Second, []AttemptEnded{refused}, false, func(r *rig) { r.d.budget = 0 }},
+		"budget used up":         {"safe", 3 * time.Second, []AttemptEnded{refused}, false, func(r *harness) { r.dispatcher.retryBudget = 0 }},
 		"can't end in time left": {"safe", 40 * time.Millisecond, nil, false, nil},
 		"may have run":           {"once", 3 * time.Second, []AttemptEnded{{Result: Errored, FunctionInFlight: -1, LoadReport: NoLoadReport}}, true, nil},
 		"no worker of its cell to come": {"keyed", 3 * time.Second, []AttemptEnded{{Result: ConnectionReset, FunctionInFlight: -1, LoadReport: NoLoadReport}},
-			true, func(r *rig) {
-				a := r.d.reqs[r.next].attempts[0].w
-				for _, w := range r.d.workers {
+			true, func(r *harness) {
+				a := r.dispatcher.requests[r.next].attempts[0].worker
+				for _, w := range r.dispatcher.workers {
 					if w.Cell == a.Cell {
 						r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: w.ID, Kind: "big", Cell: w.Cell, State: EndpointDraining}}})
 					}
@@ -750,26 +750,26 @@
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, s, "w1", "w2", "w3", "w4")
+			r := newHarness(t, s, "w1", "w2", "w3", "w4")
 			r.next++
 			out := r.step(Request{ID: r.next, Function: "f", Class: c.class, MemoryMB: 300, ConcurrencyPerInstance: 1, RemainingDeadline: c.left})
 			if c.ready != nil {
 				c.ready(r)
 			}
 			for n, o := range c.ends {
-				sends := all[StartAttempt](out)
+				sends := actionsOf[StartAttempt](out)
 				for range 40 {
 					if len(sends) > 0 {
 						break
 					}
-					sends = all[StartAttempt](r.after(10 * time.Millisecond))
+					sends = actionsOf[StartAttempt](r.advance(10 * time.Millisecond))
 				}
 				if len(sends) != 1 {
 					t.Fatalf("%d sends for attempt %d", len(sends), n)
 				}
 				out = r.answer(sends[0], n, o)
 			}
-			refuse, fail := all[RejectRequest](out), all[FailRequest](out)
+			refuse, fail := actionsOf[RejectRequest](out), actionsOf[FailRequest](out)
 			switch {
 			case c.fails && (len(fail) != 1 || len(refuse) > 0), !c.fails && (len(refuse) != 1 || len(fail) > 0):
 				t.Errorf("%v in the step that ends it, want a final answer", out)
@@ -784,20 +784,20 @@
 func TestHeldRequestIsShedWhenItCannotBeInTime(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.Routers, s.HedgingAllowed = true, time.Second, 12, false
-	r := newRig(t, s, "w1")
-	r.warmed("f", "safe")
-	r.d.workers["w1"].window, r.d.took = 1, 10 // the attempt out is not overdue
+	r := newHarness(t, s, "w1")
+	r.serveOnce("f", "safe")
+	r.dispatcher.workers["w1"].concurrencyLimit, r.dispatcher.meanResponseTime = 1, 10 // the attempt out is not overdue
 	r.call("f", "safe")
 	id, out := r.call("f", "safe")
-	if len(all[StartAttempt](out)) > 0 {
+	if len(actionsOf[StartAttempt](out)) > 0 {
 		t.Fatal("not held")
 	}
 	from := r.now
-	for len(all[RejectRequest](out)) == 0 && r.now < from+3*time.Second {
+	for len(actionsOf[RejectRequest](out)) == 0 && r.now < from+3*time.Second {
 		r.step(HealthChecked{Worker: "w1", LoadReport: NoLoadReport}) // it is there, but has no room
-		out = r.after(10 * time.Millisecond)
+		out = r.advance(10 * time.Millisecond)
 	}
-	refused := all[RejectRequest](out)
+	refused := actionsOf[RejectRequest](out)
 	if waited := r.now - from; len(refused) != 1 || refused[0].ID != id || waited > time.Second {
 		t.Errorf("%v after %v, want it shed before its aim", refused, waited)
 	}
@@ -817,28 +817,28 @@
 	} {
 		s := settings()
 		s.WorkersLoadOnMiss, s.LoadReports, s.Routers = true, ReportsWithResponses, c.routers
-		r := newRig(t, s, "w1", "w2", "w3", "w4")
+		r := newHarness(t, s, "w1", "w2", "w3", "w4")
 		_, out := r.call("f", "safe")
-		probes := all[CheckHealth](out)
-		if len(probes) != 1 || len(all[StartAttempt](out)) > 0 {
+		probes := actionsOf[CheckHealth](out)
+		if len(probes) != 1 || len(actionsOf[StartAttempt](out)) > 0 {
 			t.Fatalf("%s: %v, want one probe first", name, out)
 		}
 		c.probed.Worker = probes[0].Worker
-		if s := r.sent(r.step(c.probed)); (s.Worker != c.probed.Worker) != c.leaves {
+		if s := r.onlyAttempt(r.step(c.probed)); (s.Worker != c.probed.Worker) != c.leaves {
 			t.Errorf("%s: asked %s, sent to %s", name, c.probed.Worker, s.Worker)
 		}
 		r.now += time.Millisecond
 		r.call("f", "safe")
-		if out = r.after(30 * time.Millisecond); c.probed.Result == TimedOut && len(all[StartAttempt](out)) != 1 {
+		if out = r.advance(30 * time.Millisecond); c.probed.Result == TimedOut && len(actionsOf[StartAttempt](out)) != 1 {
 			t.Errorf("%s: %v, want it sent without a report", name, out)
 		}
 	}
-	few := newRig(t, settings(), "w1", "w2", "w3", "w4")
-	few.d.set.LoadReports = ReportsWithResponses
+	few := newHarness(t, settings(), "w1", "w2", "w3", "w4")
+	few.dispatcher.settings.LoadReports = ReportsWithResponses
 	probes := 0
 	for i := range 40 {
 		_, out := few.call(fmt.Sprintf("f%d", i), "safe")
-		probes += len(all[CheckHealth](out))
+		probes += len(actionsOf[CheckHealth](out))
 	}
 	if probes > 20 {
 		t.Errorf("one router of four workers probes %d times for 40 calls", probes)
@@ -850,22 +850,22 @@
 func TestUnansweredAttemptsDontFillTheWindow(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss, s.HedgingAllowed, s.Routers = true, false, 60
-	r := newRig(t, s, "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "w9")
+	r := newHarness(t, s, "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "w9")
 	for i := range 9 {
-		r.warmed(fmt.Sprintf("f%d", i), "safe")
+		r.serveOnce(fmt.Sprintf("f%d", i), "safe")
 	}
 	for range 20 { // no answer to any of these
 		for i := range 9 {
 			r.call(fmt.Sprintf("f%d", i), "safe")
 		}
-		if r.d.busy+1 > r.d.window*r.d.part {
+		if r.dispatcher.inFlight+1 > r.dispatcher.fleetLimit*r.dispatcher.fleetShare {
 			break
 		}
 	}
-	if r.d.busy+1 <= r.d.window*r.d.part {
-		t.Fatalf("%.1f of %.1f attempts out, want the window full", r.d.busy, r.d.window*r.d.part)
+	if r.dispatcher.inFlight+1 <= r.dispatcher.fleetLimit*r.dispatcher.fleetShare {
+		t.Fatalf("%.1f of %.1f attempts out, want the window full", r.dispatcher.inFlight, r.dispatcher.fleetLimit*r.dispatcher.fleetShare)
 	}
-	if out := r.after(700 * time.Millisecond); len(all[StartAttempt](out)) < 2 {
+	if out := r.advance(700 * time.Millisecond); len(actionsOf[StartAttempt](out)) < 2 {
 		t.Errorf("%v, want what is held sent: what is out is long overdue", out)
 	}
 }
@@ -874,38 +874,38 @@
 func TestLoadThatEndsTooLateIsNotWaitedFor(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = time.Second
-	r := newRig(t, s, "w1")
+	r := newHarness(t, s, "w1")
 	r.next++
 	out := r.step(Request{ID: r.next, Function: "f", Class: "safe", MemoryMB: 300, ConcurrencyPerInstance: 1, LoadTime: 2 * time.Second,
 		RemainingDeadline: time.Second})
-	out = r.answer(r.sent(out), 0, AttemptEnded{Result: NotResident, FunctionInFlight: -1, LoadReport: NoLoadReport})
-	if refused := all[RejectRequest](out); len(refused) != 1 || refused[0].RetryAfter <= 0 {
+	out = r.answer(r.onlyAttempt(out), 0, AttemptEnded{Result: NotResident, FunctionInFlight: -1, LoadReport: NoLoadReport})
+	if refused := actionsOf[RejectRequest](out); len(refused) != 1 || refused[0].RetryAfter <= 0 {
 		t.Errorf("%v, want a refusal at once: the load takes two seconds and the client has one", out)
 	}
 }
 
 // answered warms a function up at its home and returns a request with an attempt out there.
-func (r *rig) out(function, class string) (RequestID, StartAttempt) {
+func (r *harness) out(function, class string) (RequestID, StartAttempt) {
 	r.t.Helper()
 	id, actions := r.call(function, class)
-	return id, r.sent(actions)
+	return id, r.onlyAttempt(actions)
 }
 
 func TestStreamThatHasBegunIsTheClients(t *testing.T) {
 	for _, class := range []string{"safe", "once", "keyed"} {
-		r := newRig(t, settings(), "w1", "w2", "w3")
+		r := newHarness(t, settings(), "w1", "w2", "w3")
 		id, s := r.out("f", class)
 		r.now += 20 * time.Millisecond
-		if got := r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s.Worker, Duration: 20 * time.Millisecond}); len(all[StartAttempt](got)) > 0 {
+		if got := r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s.Worker, Duration: 20 * time.Millisecond}); len(actionsOf[StartAttempt](got)) > 0 {
 			t.Fatalf("%s: sent again: %v", class, got)
 		}
 		// Long past the aim and what answers take: no second copy, no cancel, no refusal. The checker watches too.
-		got := r.after(2500 * time.Millisecond)
-		if n := len(all[StartAttempt](got)) + len(all[CancelAttempt](got)) + len(all[RejectRequest](got)) + len(all[FailRequest](got)); n > 0 {
+		got := r.advance(2500 * time.Millisecond)
+		if n := len(actionsOf[StartAttempt](got)) + len(actionsOf[CancelAttempt](got)) + len(actionsOf[RejectRequest](got)) + len(actionsOf[FailRequest](got)); n > 0 {
 			t.Fatalf("%s: acted on a stream under way: %v", class, got)
 		}
-		got = r.after(600 * time.Millisecond)
-		if len(all[FailRequest](got)) != 1 || len(all[RejectRequest](got)) != 0 {
+		got = r.advance(600 * time.Millisecond)
+		if len(actionsOf[FailRequest](got)) != 1 || len(actionsOf[RejectRequest](got)) != 0 {
 			t.Fatalf("%s: at the deadline: %v, want one Fail", class, got)
 		}
 	}
@@ -913,12 +913,12 @@
 
 func TestStreamThatBreaksIsNotSentAgain(t *testing.T) {
 	for _, class := range []string{"safe", "once", "keyed"} {
-		r := newRig(t, settings(), "w1", "w2", "w3")
+		r := newHarness(t, settings(), "w1", "w2", "w3")
 		id, s := r.out("f", class)
 		r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s.Worker, Duration: 20 * time.Millisecond})
 		// A caller owes Final here; without it the module still sends nothing.
 		got := r.step(AttemptEnded{ID: id, Attempt: 0, Worker: s.Worker, Result: ConnectionReset, Duration: time.Second, LoadReport: NoLoadReport})
-		if len(all[StartAttempt](got)) > 0 || len(all[RejectRequest](got)) > 0 {
+		if len(actionsOf[StartAttempt](got)) > 0 || len(actionsOf[RejectRequest](got)) > 0 {
 			t.Fatalf("%s: %v", class, got)
 		}
 	}
@@ -926,29 +926,29 @@
 
 // TestLongStreamsRaiseNoDoubt guards against a worker that is passed over because its streams' readers are slow.
 func TestLongStreamsRaiseNoDoubt(t *testing.T) {
-	r := newRig(t, settings(), "w1", "w2", "w3")
+	r := newHarness(t, settings(), "w1", "w2", "w3")
 	for range 8 {
 		id, s := r.out("f", "safe")
 		r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s.Worker, Duration: 20 * time.Millisecond})
 	}
-	r.after(2 * time.Second)
-	for _, w := range r.d.list {
-		if r.d.doubt(w) {
+	r.advance(2 * time.Second)
+	for _, w := range r.dispatcher.activeWorkers {
+		if r.dispatcher.detectSilence(w) {
 			t.Errorf("%s is doubted", w.ID)
 		}
 	}
-	before := r.d.took
+	before := r.dispatcher.meanResponseTime
 	for id := RequestID(1); id <= 8; id++ {
 		r.step(AttemptEnded{ID: id, Attempt: 0, Result: OK, Final: true, Duration: 2 * time.Second, LoadReport: NoLoadReport})
 	}
-	if r.d.took > before {
-		t.Errorf("answers are held to take %v s, before %v: the streams' length was learned", r.d.took, before)
+	if r.dispatcher.meanResponseTime > before {
+		t.Errorf("answers are held to take %v s, before %v: the streams' length was learned", r.dispatcher.meanResponseTime, before)
 	}
 }
 
 // TestSlowReadersKeepNobodyOut guards against streams that are read slowly and fill the windows for good.
 func TestSlowReadersKeepNobodyOut(t *testing.T) {
-	r := newRig(t, settings(), "w1")
+	r := newHarness(t, settings(), "w1")
 	for range 4 { // the copy is known to stand: what follows counts in full
 		id, s := r.out("f", "safe")
 		r.now += 20 * time.Millisecond
@@ -957,7 +957,7 @@
 	streams := 0
 	for range 60 {
 		id, got := r.call("f", "safe")
-		if s := all[StartAttempt](got); len(s) == 1 {
+		if s := actionsOf[StartAttempt](got); len(s) == 1 {
 			streams++
 			r.step(ResponseStarted{ID: id, Attempt: 0, Worker: s[0].Worker, Duration: 20 * time.Millisecond})
 		}
@@ -965,8 +965,8 @@
 	if streams == 0 || streams == 60 {
 		t.Fatalf("%d streams of 60 were begun: the window was not met", streams)
 	}
-	r.after(2 * time.Second)
-	if _, got := r.call("f", "safe"); len(all[StartAttempt](got)) == 0 {
+	r.advance(2 * time.Second)
+	if _, got := r.call("f", "safe"); len(actionsOf[StartAttempt](got)) == 0 {
 		t.Errorf("with %d streams read slowly nothing is sent any more: %v", streams, got)
 	}
 }
@@ -976,7 +976,7 @@
 func TestClosingAnswersAllInTime(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss = true
-	r := newRig(t, s, "a", "b", "c")
+	r := newHarness(t, s, "a", "b", "c")
 	all := map[RequestID]string{1: "safe", 2: "once", 3: "safe"}
 	left := map[RequestID]time.Duration{1: time.Hour, 2: time.Hour, 3: 200 * time.Millisecond}
 	for id := RequestID(1); id <= 3; id++ {
@@ -1014,11 +1014,11 @@
 	for price, want := range map[float64]bool{0: true, 0.01: true, 0.08: false} {
 		s := settings()
 		s.WorkersLoadOnMiss, s.LoadReports, s.HealthCheckCost = true, ReportsWithResponses, price
-		r := newRig(t, s, "a", "b", "c", "d")
+		r := newHarness(t, s, "a", "b", "c", "d")
 		n := 0
 		for i := range 20 {
 			_, out := r.call(fmt.Sprint("f", i), "safe")
-			n += len(all[CheckHealth](out))
+			n += len(actionsOf[CheckHealth](out))
 		}
 		if (n > 0) != want {
 			t.Errorf("at a price of %v: %d probes", price, n)
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-var coldSeeds = flag.Float64("cold.seeds", 1, "how many times as many seeds TestAColdWorkerUnderTheSumOfAllRouters plays")
+var slowStartSeeds = flag.Float64("cold.seeds", 1, "how many times as many seeds TestAColdWorkerUnderTheSumOfAllRouters plays")
 
 // TestAColdWorkerUnderTheSumOfAllRouters: a worker starts while 3, 30 or 300 routers serve. They hear of it at different
 // times, attempts fail and are repeated by router and client, and seven in ten routers are killed and start anew in the
@@ -21,8 +21,8 @@
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			t.Parallel()
 			worst, all := 0.0, 0
-			for seed := range int(seeds * *coldSeeds) {
-				most, n := coldStart(t, routers, uint64(seed))
+			for seed := range int(seeds * *slowStartSeeds) {
+				most, n := playSlowStart(t, routers, uint64(seed))
 				worst, all = max(worst, most), all+n
 			}
 			t.Logf("%d routers: %d sends to the cold worker, at worst %.2f of the bound", routers, all, worst)
@@ -35,7 +35,7 @@
 
 // coldStart plays one start under one seed. It returns the most that a span held, as a share of the bound, and how many
 // requests the worker got.
-func coldStart(t *testing.T, routers int, seed uint64) (most float64, n int) {
+func playSlowStart(t *testing.T, routers int, seed uint64) (most float64, n int) {
 	t.Helper()
 	const workers, load = 12, 0.9
 	rng := rand.New(rand.NewPCG(seed, uint64(routers)))
@@ -53,7 +53,7 @@
 	for range routers {
 		own := rate * (0.3 + 1.4*rng.Float64())
 		told := begin + time.Duration(rng.Float64()*float64(3*time.Second))
-		sends = append(sends, coldRouter(t, s, rng, own, told, rng.Float64() < 0.7, end, members, cold)...)
+		sends = append(sends, playRouter(t, s, rng, own, told, rng.Float64() < 0.7, end, members, cold)...)
 	}
 	slices.Sort(sends)
 	for i, from := range sends {
@@ -71,7 +71,7 @@
 }
 
 // coldRouter plays one router until the end and returns when it sent to the cold worker.
-func coldRouter(t *testing.T, s Settings, rng *rand.Rand, rate float64, told time.Duration, killed bool, end time.Duration,
+func playRouter(t *testing.T, s Settings, rng *rand.Rand, rate float64, told time.Duration, killed bool, end time.Duration,
 	members []Endpoint, cold Endpoint) (sends []time.Duration) {
 	t.Helper()
 	type due struct {
--- a/dispatch/fuzz_test.go
+++ b/dispatch/fuzz_test.go
@@ -22,7 +22,7 @@
 				s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 2, 0.1
 			}
 		}
-		r := newRig(t, s, "w0", "w1", "w2", "w3")
+		r := newHarness(t, s, "w0", "w1", "w2", "w3")
 		type sent struct {
 			id RequestID
 			n  int
@@ -70,7 +70,7 @@
 				if x >= 128 && len(open) > 0 {
 					a := open[x%len(open)]
 					out = r.step(ResponseStarted{ID: a.id, Attempt: a.n, Worker: a.w, Duration: 20 * time.Millisecond})
-					if q := r.check.live[a.id]; q != nil && !q.done {
+					if q := r.checker.requests[a.id]; q != nil && !q.done {
 						final[a.id] = true // whatever ends this attempt ends the request
 					}
 					break
@@ -79,7 +79,7 @@
 				final[id] = true
 				out = r.step(RequestCancelled{ID: id}, HealthChecked{Worker: w, Result: Result(x % 9)})
 			}
-			for out = append(out, r.after(10*time.Millisecond)...); len(out) > 0; out = out[1:] {
+			for out = append(out, r.advance(10*time.Millisecond)...); len(out) > 0; out = out[1:] {
 				switch a := out[0].(type) {
 				case StartAttempt:
 					open = append(open, sent{a.ID, tries[a.ID], a.Worker})
@@ -91,6 +91,6 @@
 				}
 			}
 		}
-		r.after(4 * time.Second) // whatever is left is answered
+		r.advance(4 * time.Second) // whatever is left is answered
 	})
 }
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -10,22 +10,22 @@
 func TestPeersWordOfSilenceMovesCallsAndNothingElse(t *testing.T) {
 	s := settings()
 	s.SuspicionsReported = true
-	r := newRig(t, s, "a", "b", "c")
-	home := r.warmed("f", "safe")
-	r.after(time.Second)
+	r := newHarness(t, s, "a", "b", "c")
+	home := r.serveOnce("f", "safe")
+	r.advance(time.Second)
 	out := r.step(GossipUpdate{SuspectedWorkers: []string{home, "unknown"}})
-	if d := all[ReportSuspicion](out); len(d) != 1 || d[0] != (ReportSuspicion{Worker: home}) {
+	if d := actionsOf[ReportSuspicion](out); len(d) != 1 || d[0] != (ReportSuspicion{Worker: home}) {
 		t.Fatalf("told %v", d)
 	}
-	if _, out := r.call("f", "safe"); len(all[StartAttempt](out)) == 1 && r.sent(out).Worker == home {
+	if _, out := r.call("f", "safe"); len(actionsOf[StartAttempt](out)) == 1 && r.onlyAttempt(out).Worker == home {
 		t.Error("sent to a worker that is held to be silent")
 	}
-	if d := all[ReportSuspicion](r.step(GossipUpdate{SuspectedWorkers: []string{home}})); len(d) > 0 {
+	if d := actionsOf[ReportSuspicion](r.step(GossipUpdate{SuspectedWorkers: []string{home}})); len(d) > 0 {
 		t.Errorf("a doubt that stands was raised again: %v", d)
 	}
 	r.step(HealthChecked{Worker: home, Result: OK, LoadReport: NoLoadReport})
 	r.step(GossipUpdate{SuspectedWorkers: []string{home}}) // it was heard a moment ago
-	if r.d.workers[home].doubted {
+	if r.dispatcher.workers[home].suspected {
 		t.Error("word of peers went over the worker's own")
 	}
 }
@@ -35,8 +35,10 @@
 func TestPeersNeverRaiseAShare(t *testing.T) {
 	s := settings()
 	s.Routers = 4
-	r := newRig(t, s, "a", "b")
-	share := func() [2]float64 { return [2]float64{r.d.part, r.d.workers["a"].window} }
+	r := newHarness(t, s, "a", "b")
+	share := func() [2]float64 {
+		return [2]float64{r.dispatcher.fleetShare, r.dispatcher.workers["a"].concurrencyLimit}
+	}
 	before := share()
 	for _, n := range []int{0, 1, 3, 4} {
 		if r.step(GossipUpdate{Routers: n}); share() != before {
@@ -60,16 +62,16 @@
 	for _, told := range []bool{false, true} {
 		s := settings()
 		s.SuspicionsReported = told
-		r := newRig(t, s, "a")
+		r := newHarness(t, s, "a")
 		id, out := r.call("f", "safe")
-		out = r.step(AttemptEnded{ID: id, Worker: r.sent(out).Worker, Result: Errored, FunctionInFlight: -1, LoadReport: NoLoadReport})
+		out = r.step(AttemptEnded{ID: id, Worker: r.onlyAttempt(out).Worker, Result: Errored, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		id, more := r.call("f", "once")
 		out = append(out, more...)
-		for _, m := range all[StartAttempt](more) {
+		for _, m := range actionsOf[StartAttempt](more) {
 			out = append(out, r.step(AttemptEnded{ID: id, Attempt: 0, Worker: m.Worker, Result: ConnectFailed, FunctionInFlight: -1, LoadReport: NoLoadReport})...)
 		}
-		if got := len(all[ReportSuspicion](out)) > 0; got != told {
-			t.Errorf("asked for doubts: %v; told %v", told, all[ReportSuspicion](out))
+		if got := len(actionsOf[ReportSuspicion](out)) > 0; got != told {
+			t.Errorf("asked for doubts: %v; told %v", told, actionsOf[ReportSuspicion](out))
 		}
 	}
 }
--- a/dispatch/release_test.go
+++ b/dispatch/release_test.go
@@ -15,7 +15,7 @@
 			s := settings()
 			s.WorkersLoadOnMiss = loads
 			s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 4, 0.1
-			r := newRig(t, s, "a", "b", "c", "d", "e", "f")
+			r := newHarness(t, s, "a", "b", "c", "d", "e", "f")
 			const functions, gap, load, run = 12, 25 * time.Millisecond, 300 * time.Millisecond, 20 * time.Millisecond
 			type due struct {
 				at time.Duration
--- a/dispatch/silence_test.go
+++ b/dispatch/silence_test.go
@@ -11,13 +11,13 @@
 	s := settings()
 	s.WorkersLoadOnMiss = true
 	s.Classes[0].Idempotency, s.Classes[2].Idempotency = Idempotent, NonIdempotent
-	r := newRig(t, s, "a", "b")
+	r := newHarness(t, s, "a", "b")
 	open := map[RequestID]StartAttempt{}
 	var carry func(out []Action)
 	late := map[RequestID]int{} // sends of the class that hangs, by request
 	hung := 0
 	carry = func(out []Action) {
-		for _, a := range all[StartAttempt](out) {
+		for _, a := range actionsOf[StartAttempt](out) {
 			class := "once"
 			if late[a.ID] > 0 {
 				class = "safe"
@@ -44,13 +44,13 @@
 	for range 100 {
 		call("safe")
 		call("once")
-		carry(r.after(20 * time.Millisecond))
+		carry(r.advance(20 * time.Millisecond))
 	}
-	a := r.d.workers["a"]
-	if b := a.bars[r.d.classes["safe"]]; hung > 0 && b.times == 0 {
+	a := r.dispatcher.workers["a"]
+	if b := a.ejections[r.dispatcher.classes["safe"]]; hung > 0 && b.count == 0 {
 		t.Fatalf("%d requests hung at a, and the class goes on there", hung)
 	}
-	if a.doubted || a.bars[r.d.classes["once"]].times > 0 {
+	if a.suspected || a.ejections[r.dispatcher.classes["once"]].count > 0 {
 		t.Error("a's other class suffers")
 	}
 	again := 0
@@ -69,20 +69,20 @@
 func TestOneAnswerEndsTheRow(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss = true
-	r := newRig(t, s, "a", "b")
+	r := newHarness(t, s, "a", "b")
 	for i := range 200 {
 		id, out := r.call("f", "safe")
-		for _, a := range all[StartAttempt](out) {
+		for _, a := range actionsOf[StartAttempt](out) {
 			if i%7 == 0 {
 				continue // never answered
 			}
 			r.now += time.Millisecond
 			r.step(AttemptEnded{ID: id, Worker: a.Worker, Result: OK, Duration: 20 * time.Millisecond, Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport})
 		}
-		r.after(20 * time.Millisecond)
+		r.advance(20 * time.Millisecond)
 	}
-	for _, w := range r.d.list {
-		if b := w.bars[r.d.classes["safe"]]; b.times > 0 {
+	for _, w := range r.dispatcher.activeWorkers {
+		if b := w.ejections[r.dispatcher.classes["safe"]]; b.count > 0 {
 			t.Errorf("%s rests the class, %+v", w.ID, b)
 		}
 	}
@@ -93,19 +93,19 @@
 func TestAnAttemptCountsOnceInARow(t *testing.T) {
 	s := settings()
 	s.WorkersLoadOnMiss = true
-	r := newRig(t, s, "a")
+	r := newHarness(t, s, "a")
 	id, out := r.call("f", "safe")
-	first := r.sent(out)
-	q := r.d.reqs[id]
-	for range 2 * silentRow { // wakes asked for before the attempt was sent
-		r.d.wakeAt(q, r.now)
+	first := r.onlyAttempt(out)
+	q := r.dispatcher.requests[id]
+	for range 2 * timeoutsToEject { // wakes asked for before the attempt was sent
+		r.dispatcher.setRequestTimer(q, r.now)
 	}
 	other, out := r.call("g", "once") // the worker answers others all the while
-	r.sent(out)
+	r.onlyAttempt(out)
 	r.now += 10 * time.Millisecond
 	r.step(AttemptEnded{ID: other, Worker: first.Worker, Result: OK, Duration: 10 * time.Millisecond, Final: true, FunctionInFlight: -1, LoadReport: NoLoadReport})
-	r.after(2 * time.Second)
-	if b := r.d.workers["a"].bars[r.d.classes["safe"]]; b.silent != 1 || b.times != 0 {
-		t.Errorf("one attempt overdue counts as %d, and the class has rested %d times", b.silent, b.times)
+	r.advance(2 * time.Second)
+	if b := r.dispatcher.workers["a"].ejections[r.dispatcher.classes["safe"]]; b.consecutiveTimeouts != 1 || b.count != 0 {
+		t.Errorf("one attempt overdue counts as %d, and the class has rested %d times", b.consecutiveTimeouts, b.count)
 	}
 }
