--- /dev/null
+++ b/dispatch/assignment.go
@@ -0,0 +1,138 @@
+package dispatch
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// This file assigns the functions' demand to workers: function.ranked, demand and assignment, worker.remainingCapacity
+// and the rates of the Dispatcher, measured anew every rebalanceInterval.
+
+const (
+	capacityHeadroom    = 0.2              // epsilon of the paper: capacity beyond the demand
+	unansweredInstances = 0.1              // copies that a function is assigned until it has been served
+	rateSmoothing       = 0.3              // weight of the newest interval in a rate: some 6 s of memory
+	requestsPerWorker   = 3.0              // a rate covers at least this many requests for each worker
+	idleFunctionTTL     = 2 * time.Minute  // a function without requests for so long is forgotten,
+	unservedFunctionTTL = 10 * time.Second // and one that was never served sooner: anyone may make up names
+	slowThreshold       = 1.0              // slowness from which a worker is reported as slow to other routers
+	suspectedCapacity   = 0.01             // capacity factor of a suspected worker
+	maxSpeedFactor      = 1.5              // most that a fast worker's capacity is raised by
+	negligible          = 1e-9             // demand or capacity that counts as none
+)
+
+// rankWorkers orders the active workers for a function by rendezvous hashing, the same way at every router.
+func (d *Dispatcher) rankWorkers(f *function) []*worker {
+	if f.rankedVersion == d.endpointsVersion && f.ranked != nil {
+		return f.ranked
+	}
+	for _, w := range d.activeWorkers {
+		w.hashScore = xxhash.Sum64String(f.key + "\x00" + w.ID)
+	}
+	f.ranked, f.rankedVersion = slices.Clone(d.activeWorkers), d.endpointsVersion
+	slices.SortStableFunc(f.ranked, func(a, b *worker) int { return cmp.Compare(b.hashScore, a.hashScore) })
+	return f.ranked
+}
+
+// rebalance measures the rates of the interval that ends, forgets idle functions and assigns capacity anew.
+func (d *Dispatcher) rebalance() {
+	interval := (d.now - d.lastRebalance).Seconds()
+	d.lastRebalance = d.now
+	d.rebalanceCount++
+	// A rate from one or two requests would place every function by chance, and at each router differently, so few
+	// requests are remembered for longer. With enough of them for each worker a burst shows within some intervals.
+	remembered := requestsPerWorker * float64(max(len(d.activeWorkers), 1))
+	gain := max(min(d.requestRate*interval/remembered, rateSmoothing), 1/d.rebalanceCount)
+	fleetGain := max(rateSmoothing, 1/d.rebalanceCount)
+	d.workRate += fleetGain * (d.workServed/interval - d.workRate)
+	d.servedRate += fleetGain * (d.servedCount/interval - d.servedRate)
+	d.workServed, d.requestRate, d.servedCount = 0, 0, 0
+	d.functionsInOrder = slices.DeleteFunc(d.functionsInOrder, func(f *function) bool {
+		f.requestRate += gain * (float64(f.requestCount)/interval - f.requestRate)
+		f.requestCount = 0
+		d.requestRate += f.requestRate
+		idle := d.now - f.lastRequestAt
+		if idle <= unservedFunctionTTL || f.served && idle <= idleFunctionTTL {
+			return false
+		}
+		delete(d.functions, f.key)
+		return true
+	})
+	d.expireRateWindow()
+	d.assignCapacity()
+}
+
+// assignCapacity fills the workers with the functions, lightest first. The workers' capacities add up to the demand
+// and the headroom, so all of it is assigned while there is a worker that may take it.
+func (d *Dispatcher) assignCapacity() {
+	totalDemand := d.measureDemand()
+	d.divideCapacity(totalDemand * (1 + capacityHeadroom))
+	lightestFirst := slices.Clone(d.functionsInOrder)
+	slices.SortStableFunc(lightestFirst, func(a, b *function) int {
+		return cmp.Or(cmp.Compare(a.demand, b.demand), cmp.Compare(a.key, b.key))
+	})
+	for _, f := range lightestFirst {
+		d.assignWorkers(f)
+	}
+}
+
+// measureDemand sets every function's demand and returns the sum.
+func (d *Dispatcher) measureDemand() (total float64) {
+	for _, f := range d.functionsInOrder {
+		copies := unansweredInstances
+		if f.served {
+			copies = f.requestRate * math.Exp(f.logRunTime) * f.meanWorkUnit / f.concurrency
+		}
+		f.demand = copies * f.memoryMB
+		total += f.demand
+	}
+	return total
+}
+
+// divideCapacity gives each active worker its part of the capacity.
+func (d *Dispatcher) divideCapacity(capacity float64) {
+	sum := 0.0
+	for _, w := range d.activeWorkers {
+		w.warmingUp = w.warmingUp && d.now-w.StartedAt < d.settings.SlowStartDuration
+		w.remainingCapacity = d.capacityFactor(w) * max(w.memoryMB, 1)
+		sum += w.remainingCapacity
+		if w.slowness > slowThreshold {
+			d.reportSuspicion(ReportSuspicion{Worker: w.ID, Slow: true})
+		}
+	}
+	for _, w := range d.activeWorkers {
+		w.remainingCapacity *= capacity / max(sum, negligible)
+	}
+}
+
+// assignWorkers assigns a function's demand to the first workers of its ranking that have capacity left.
+func (d *Dispatcher) assignWorkers(f *function) {
+	unassigned := f.demand
+	f.assignment = f.assignment[:0]
+	for _, w := range d.rankWorkers(f) {
+		if unassigned <= negligible {
+			return
+		}
+		taken := min(unassigned, w.remainingCapacity)
+		if taken <= negligible || d.now < w.ejections[f.lastClass].until {
+			continue
+		}
+		w.remainingCapacity -= taken
+		unassigned -= taken
+		f.assignment = append(f.assignment, workerShare{worker: w, share: taken / f.demand})
+	}
+}
+
+// capacityFactor is the fraction of its memory that counts as a worker's capacity. It guards against workers that are
+// slow, overloaded by other routers, warming up or unresponsive, whatever the cause: their functions move down the
+// ranking, and return as responses do. It hurts where responses are slow because of the functions.
+func (d *Dispatcher) capacityFactor(w *worker) float64 {
+	if w.suspected && !d.majoritySuspected() {
+		return suspectedCapacity
+	}
+	return math.Exp(-w.loadExcess) * min(math.Exp(-w.slowness), maxSpeedFactor) * d.slowStartFraction(w)
+}
--- /dev/null
+++ b/dispatch/endpoints.go
@@ -0,0 +1,91 @@
+package dispatch
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// This file follows the endpoint list: Dispatcher.workers and activeWorkers.
+
+// updateEndpoints takes a snapshot or a change of the endpoint list.
+func (d *Dispatcher) updateEndpoints(update EndpointUpdate) {
+	if update.SubscriptionLost && d.settings.EndpointsBySubscription {
+		d.emit(SubscribeEndpoints{})
+	}
+	listed := map[string]bool{}
+	for _, e := range update.Endpoints {
+		listed[e.ID] = true
+		d.updateEndpoint(e)
+	}
+	d.activeWorkers = d.activeWorkers[:0:0]
+	for id, w := range d.workers {
+		if update.Snapshot && !update.SubscriptionLost && !listed[id] {
+			w.State = EndpointRemoved
+		}
+		if w.State == EndpointActive {
+			d.activeWorkers = append(d.activeWorkers, w)
+		}
+	}
+	slices.SortFunc(d.activeWorkers, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
+	d.removeEndpoints()
+	d.endpointsVersion++
+	d.fleetShare = float64(max(len(d.activeWorkers), 1)) / float64(d.settings.Routers)
+	if d.started && d.lastRebalance < d.now {
+		d.assignCapacity()
+	}
+}
+
+// updateEndpoint takes one line of the list. A worker with a new start holds no function and is warming up.
+func (d *Dispatcher) updateEndpoint(e Endpoint) {
+	w := d.workers[e.ID]
+	if w == nil {
+		w = d.newWorker()
+		d.workers[e.ID] = w
+	} else if e.StartedAt > w.StartedAt {
+		for _, f := range d.functionsInOrder {
+			delete(f.placements, e.ID)
+		}
+		restarted := d.newWorker()
+		restarted.attempts, restarted.inFlight, restarted.lastHeard = w.attempts, w.inFlight, d.now
+		*w = *restarted
+	}
+	w.Endpoint, w.memoryMB = e, d.memoryByKind[e.Kind]
+	warmingUp := e.StartedAt > 0 && d.now-e.StartedAt < d.settings.SlowStartDuration
+	if warmingUp != w.warmingUp {
+		w.warmingUp = warmingUp
+		d.resetSlowStartTokens(w)
+	}
+}
+
+func (d *Dispatcher) newWorker() *worker {
+	limit := initialLimit / float64(d.settings.Routers)
+	return &worker{concurrencyLimit: limit, ejections: map[*class]ejection{}}
+}
+
+// removeEndpoints forgets the removed workers without attempts in flight, and lets go the requests that waited for
+// one. State so stays bounded in a fleet whose workers are replaced all day by others under new ids.
+func (d *Dispatcher) removeEndpoints() {
+	removed := map[string]bool{}
+	for id, w := range d.workers {
+		if w.State == EndpointRemoved && len(w.attempts) == 0 {
+			removed[id] = true
+		}
+	}
+	if len(removed) == 0 {
+		return
+	}
+	for _, id := range slices.Sorted(maps.Keys(removed)) {
+		d.pending = append(d.pending, d.workers[id].awaitingReport...)
+		for _, f := range d.functionsInOrder {
+			if p := f.placements[id]; p != nil {
+				d.pending = append(d.pending, p.awaitingLoad...)
+				delete(f.placements, id)
+			}
+		}
+		delete(d.workers, id)
+	}
+	for _, f := range d.functionsInOrder {
+		f.assignment = slices.DeleteFunc(f.assignment, func(s workerShare) bool { return removed[s.worker.ID] })
+	}
+}
--- /dev/null
+++ b/dispatch/loading.go
@@ -0,0 +1,109 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+)
+
+// This file sends load commands under their rate limit. Its data are the placements and the windows requestTimes and
+// loadCommandTimes.
+
+const (
+	maxPendingLoads = 4                      // own load commands in flight at a worker before the next one is tried
+	loadBackoff     = 500 * time.Millisecond // first backoff after a failed load
+	prefetchRatio   = 0.5                    // of the rate limit that loads nobody waits for leave to the others
+	minMeasuredLoad = 20 * time.Millisecond  // a quicker result came from a copy that was loaded already
+)
+
+// expectedLoadTime is how long a load of f should take.
+func (d *Dispatcher) expectedLoadTime(f *function) time.Duration {
+	if f.loadTime > 0 {
+		return f.loadTime
+	}
+	return seconds(math.Exp(d.logLoadTime))
+}
+
+// loadOverdueAfter is how long a load command may take, also from an overloaded store.
+func (d *Dispatcher) loadOverdueAfter(f *function) time.Duration {
+	return overdueMultiple*d.expectedLoadTime(f) + 2*overdueMargin
+}
+
+// loadOverdue reports whether a load command should long have had its result.
+func (d *Dispatcher) loadOverdue(f *function, p *placement) bool {
+	return p.loadCommandedAt > 0 && d.now-p.loadCommandedAt > d.loadOverdueAfter(f)
+}
+
+// commandLoad sends a load command, if none is in flight. Every load command passes here. It keeps to the backoff after
+// a failed load, to the bound of commands in flight, and to the fraction of the rate limit given; and it sends none to a
+// worker that attempts may not go to. It reports whether a load is in progress.
+func (d *Dispatcher) commandLoad(f *function, w *worker, limitFraction float64) bool {
+	p := f.placementOn(w)
+	if p.loadCommandedAt > 0 {
+		return true
+	}
+	if !d.settings.LoadCommandsAllowed || w.State != EndpointActive {
+		return false
+	}
+	if w.pendingLoads >= maxPendingLoads || d.now < p.loadBackoffUntil || !d.takeLoadPermit(limitFraction) {
+		return false
+	}
+	p.loadCommandedAt = d.now
+	w.pendingLoads++
+	d.emit(LoadFunction{Worker: w.ID, Function: f.key, Copies: 1})
+	return true
+}
+
+// takeLoadPermit counts a load command against the rate limit and reports whether it is within the fraction given.
+func (d *Dispatcher) takeLoadPermit(limitFraction float64) bool {
+	if d.settings.LoadRateWindow == 0 {
+		return true
+	}
+	d.expireRateWindow()
+	limit := d.settings.LoadRateBurst + d.settings.LoadRateRatio*float64(len(d.requestTimes))
+	if float64(len(d.loadCommandTimes)+1) > limitFraction*limit {
+		return false
+	}
+	d.loadCommandTimes = append(d.loadCommandTimes, d.now)
+	return true
+}
+
+// expireRateWindow drops what lies before the sliding window of the rate limit.
+func (d *Dispatcher) expireRateWindow() {
+	from := d.now - d.settings.LoadRateWindow
+	for len(d.requestTimes) > 0 && d.requestTimes[0] <= from {
+		d.requestTimes = d.requestTimes[1:]
+	}
+	for len(d.loadCommandTimes) > 0 && d.loadCommandTimes[0] < from {
+		d.loadCommandTimes = d.loadCommandTimes[1:]
+	}
+}
+
+// functionLoaded takes the result of a load command and lets go the requests that waited for it.
+func (d *Dispatcher) functionLoaded(e FunctionLoaded) {
+	w, f := d.workers[e.Worker], d.functions[e.Function]
+	if w != nil && (e.Result == OK || e.Result == Rejected || e.Result == Errored) {
+		d.heard(w)
+	}
+	if w == nil || f == nil || f.placementOn(w).loadCommandedAt == 0 {
+		return // forgotten, or commanded before the worker was restarted
+	}
+	p := f.placementOn(w)
+	w.pendingLoads, p.loadCommandedAt = max(w.pendingLoads-1, 0), 0
+	if e.Result == OK || e.Copies > 0 {
+		if e.Duration > minMeasuredLoad {
+			d.logLoadTime += runTimeSmoothing * (math.Log(e.Duration.Seconds()) - d.logLoadTime)
+		}
+		p.residentUntil, p.loadFailures = d.now+d.settings.IdleResidency, 0
+	} else {
+		d.backOffLoads(p)
+	}
+	d.pending, p.awaitingLoad = append(d.pending, p.awaitingLoad...), nil
+}
+
+// backOffLoads keeps load commands from a placement after a failed load, so that a store or worker in difficulties is
+// not flooded.
+func (d *Dispatcher) backOffLoads(p *placement) {
+	p.residentUntil = 0
+	p.loadBackoffUntil = d.now + d.backoffWithJitter(loadBackoff, p.loadFailures)
+	p.loadFailures++
+}
