--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -6,11 +6,13 @@
 	"time"
 )
 
-// checker watches a transcript for the five rules. It keeps its own account from events and actions alone.
+// checker watches a Dispatcher's events and actions for violations of its invariants: one final answer in time, no
+// second run that may do harm, no attempt and no load command at a draining worker, no more attempts and load
+// commands than the settings allow. It keeps its own account, from events and actions alone.
 type checker struct {
 	settings      Settings
 	requests      map[RequestID]*checkedRequest
-	drainingSince map[string]time.Duration // when a worker was last told to be draining or gone
+	drainingSince map[string]time.Duration // when a worker was first reported as draining or removed
 	endpoints     map[string]Endpoint
 	requestTimes  []time.Duration
 	loadTimes     []time.Duration
@@ -27,8 +29,8 @@
 type checkedAttempt struct {
 	worker     Endpoint
 	startedAt  time.Duration
-	open       bool
-	mayHaveRun bool
+	inFlight   bool
+	mayHaveRun bool // of an ended one
 }
 
 func newChecker(s Settings) *checker {
@@ -36,6 +38,7 @@
 		endpoints: map[string]Endpoint{}}
 }
 
+// step takes the events and actions of one Step and returns the first violation.
 func (c *checker) step(now time.Duration, events []Event, actions []Action) error {
 	for _, e := range events {
 		c.recordEvent(now, e)
@@ -45,8 +48,8 @@
 			return fmt.Errorf("at %v: %w", now, err)
 		}
 	}
-	for id, q := range c.requests {
-		if !q.done && now > q.deadline+c.settings.ResponseGrace {
+	for id, r := range c.requests {
+		if !r.done && now > r.deadline+c.settings.ResponseGrace {
 			return fmt.Errorf("at %v: request %d has no final answer", now, id)
 		}
 	}
@@ -56,128 +59,179 @@
 func (c *checker) recordEvent(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case Request:
-		q := &checkedRequest{class: Class{Idempotency: NonIdempotent}, deadline: now + max(e.RemainingDeadline, 0)}
-		for _, cl := range c.settings.Classes {
-			if cl.Name == e.Class {
-				q.class = cl
-			}
-		}
-		c.requests[e.ID] = q
-		c.requestTimes = append(c.requestTimes, now)
+		c.recordRequest(now, e)
 	case AttemptEnded:
-		if q := c.requests[e.ID]; q != nil && e.Attempt >= 0 && e.Attempt < len(q.attempts) {
-			t := &q.attempts[e.Attempt]
-			t.open = false
-			t.mayHaveRun = e.Result == OK || e.Result == Errored || e.Result == TimedOut || e.Result == ConnectionReset ||
-				e.Result == Cancelled
-			q.done = q.done || e.Final
-		}
+		c.recordAttemptEnd(e)
 	case ResponseStarted:
-		if q := c.requests[e.ID]; q != nil && !q.done && e.Attempt >= 0 && e.Attempt < len(q.attempts) {
-			q.streaming = q.streaming || q.attempts[e.Attempt].open
+		if r := c.requests[e.ID]; r != nil && !r.done && r.hasAttempt(e.Attempt) {
+			r.streaming = r.streaming || r.attempts[e.Attempt].inFlight
 		}
 	case RequestCancelled:
-		if q := c.requests[e.ID]; q != nil {
-			q.done = true
+		if r := c.requests[e.ID]; r != nil {
+			r.done = true
 		}
 	case ShutdownStarted:
-		for _, q := range c.requests {
-			q.deadline = min(q.deadline, now+e.AnswerWithin)
+		for _, r := range c.requests {
+			r.deadline = min(r.deadline, now+e.AnswerWithin)
 		}
 	case EndpointUpdate:
-		in := map[string]bool{}
-		for _, m := range e.Endpoints {
-			in[m.ID] = true
-			c.endpoints[m.ID] = m
-			if m.State == EndpointActive {
-				delete(c.drainingSince, m.ID)
-			} else if _, ok := c.drainingSince[m.ID]; !ok {
-				c.drainingSince[m.ID] = now
-			}
+		c.recordEndpoints(now, e)
+	}
+}
+
+func (c *checker) recordRequest(now time.Duration, e Request) {
+	r := &checkedRequest{class: Class{Idempotency: NonIdempotent}, deadline: now + max(e.RemainingDeadline, 0)}
+	for _, class := range c.settings.Classes {
+		if class.Name == e.Class {
+			r.class = class
 		}
-		for id := range c.endpoints {
-			if _, ok := c.drainingSince[id]; e.Snapshot && !in[id] && !ok {
-				c.drainingSince[id] = now
-			}
+	}
+	c.requests[e.ID] = r
+	c.requestTimes = append(c.requestTimes, now)
+}
+
+func (c *checker) recordAttemptEnd(e AttemptEnded) {
+	r := c.requests[e.ID]
+	if r == nil || !r.hasAttempt(e.Attempt) {
+		return
+	}
+	a := &r.attempts[e.Attempt]
+	a.inFlight = false
+	a.mayHaveRun = e.Result == OK || e.Result == Errored || e.Result == TimedOut || e.Result == ConnectionReset ||
+		e.Result == Cancelled
+	r.done = r.done || e.Final
+}
+
+func (c *checker) recordEndpoints(now time.Duration, e EndpointUpdate) {
+	listed := map[string]bool{}
+	for _, endpoint := range e.Endpoints {
+		listed[endpoint.ID] = true
+		c.endpoints[endpoint.ID] = endpoint
+		if endpoint.State == EndpointActive {
+			delete(c.drainingSince, endpoint.ID)
+		} else if _, ok := c.drainingSince[endpoint.ID]; !ok {
+			c.drainingSince[endpoint.ID] = now
+		}
+	}
+	for id := range c.endpoints {
+		if _, ok := c.drainingSince[id]; e.Snapshot && !listed[id] && !ok {
+			c.drainingSince[id] = now
 		}
 	}
 }
 
 func (c *checker) checkAction(now time.Duration, a Action) error {
-	drained := func(id string) bool {
-		at, ok := c.drainingSince[id]
-		return ok && now > at+c.settings.DrainGrace
-	}
 	switch a := a.(type) {
 	case StartAttempt:
-		q := c.requests[a.ID]
-		switch {
-		case q == nil || q.done:
-			return fmt.Errorf("request %d sent after its end", a.ID)
-		case q.streaming:
-			return fmt.Errorf("request %d sent after its response began", a.ID)
-		case drained(a.Worker):
-			return fmt.Errorf("sent to %s, which drains", a.Worker)
-		case len(q.attempts) >= c.settings.MaxAttempts:
-			return fmt.Errorf("request %d: too many attempts", a.ID)
-		}
-		w := c.endpoints[a.Worker]
-		for _, t := range q.attempts {
-			if t.open && !c.settings.HedgingAllowed {
-				return fmt.Errorf("request %d has two attempts out", a.ID)
-			}
-			if !t.open && !t.mayHaveRun || q.class.Idempotency == Idempotent {
-				continue
-			}
-			group := q.class.DeduplicationScope == ScopeAll || q.class.DeduplicationScope == ScopeZone && t.worker.Zone == w.Zone ||
-				q.class.DeduplicationScope == ScopeCell && t.worker.Cell == w.Cell
-			if q.class.Idempotency == NonIdempotent || !group || now > t.startedAt+q.class.DeduplicationWindow {
-				return fmt.Errorf("request %d may run twice", a.ID)
-			}
-		}
-		q.attempts = append(q.attempts, checkedAttempt{worker: w, startedAt: now, open: true})
+		return c.checkStartAttempt(now, a)
 	case RejectRequest:
-		q := c.requests[a.ID]
-		if q == nil || q.done {
-			return fmt.Errorf("request %d refused after its end", a.ID)
-		}
-		if q.streaming {
-			return fmt.Errorf("request %d refused after its response began", a.ID)
-		}
-		for _, t := range q.attempts {
-			if (t.open || t.mayHaveRun) && (q.class.Idempotency == NonIdempotent || q.class.Idempotency == IdempotentByKey && q.class.DeduplicationScope != ScopeAll) {
-				return fmt.Errorf("request %d refused though it may have run", a.ID)
-			}
-		}
-		q.done = true
+		return c.checkReject(a)
 	case FailRequest:
-		q := c.requests[a.ID]
-		if q == nil || q.done {
-			return fmt.Errorf("request %d failed after its end", a.ID)
-		}
-		if open := slices.ContainsFunc(q.attempts, func(t checkedAttempt) bool { return t.open }); open && q.streaming && now < q.deadline {
-			return fmt.Errorf("request %d failed before its deadline, with its response begun", a.ID)
-		}
-		q.done = true
+		return c.checkFail(now, a)
 	case CancelAttempt:
-		if q := c.requests[a.ID]; q != nil && q.streaming && !q.done {
-			return fmt.Errorf("request %d: attempt cancelled with the response begun", a.ID)
+		if r := c.requests[a.ID]; r != nil && r.streaming && !r.done {
+			return fmt.Errorf("request %d: attempt cancelled after its response began", a.ID)
 		}
 	case LoadFunction:
-		if a.Copies > 0 && drained(a.Worker) {
-			return fmt.Errorf("load ordered at %s, which drains", a.Worker)
+		if a.Copies > 0 {
+			return c.checkLoadCommand(now, a)
 		}
-		if a.Copies > 0 && c.settings.LoadRateWindow > 0 {
-			c.loadTimes = append(c.loadTimes, now)
-			limit := c.settings.LoadRateBurst + c.settings.LoadRateRatio*float64(countSince(c.requestTimes, now-c.settings.LoadRateWindow))
-			if n := countSince(c.loadTimes, now-c.settings.LoadRateWindow); float64(n) > limit {
-				return fmt.Errorf("%d load orders, at most %v", n, limit)
-			}
+	}
+	return nil
+}
+
+func (c *checker) checkStartAttempt(now time.Duration, a StartAttempt) error {
+	r := c.requests[a.ID]
+	switch {
+	case r == nil || r.done:
+		return fmt.Errorf("request %d: attempt started after the final answer", a.ID)
+	case r.streaming:
+		return fmt.Errorf("request %d: attempt started after the response began", a.ID)
+	case c.drained(now, a.Worker):
+		return fmt.Errorf("request %d: attempt started at %s, which is draining", a.ID, a.Worker)
+	case len(r.attempts) >= c.settings.MaxAttempts:
+		return fmt.Errorf("request %d: too many attempts", a.ID)
+	}
+	worker := c.endpoints[a.Worker]
+	for _, earlier := range r.attempts {
+		if earlier.inFlight && !c.settings.HedgingAllowed {
+			return fmt.Errorf("request %d: two attempts in flight", a.ID)
+		}
+		if (earlier.inFlight || earlier.mayHaveRun) && !r.class.mayRunAgain(earlier, worker, now) {
+			return fmt.Errorf("request %d may run twice", a.ID)
 		}
 	}
+	r.attempts = append(r.attempts, checkedAttempt{worker: worker, startedAt: now, inFlight: true})
 	return nil
 }
 
+// mayRunAgain reports whether a request that may have run in an earlier attempt may run on a worker now.
+func (c Class) mayRunAgain(earlier checkedAttempt, worker Endpoint, now time.Duration) bool {
+	if c.Idempotency == Idempotent {
+		return true
+	}
+	sameScope := c.DeduplicationScope == ScopeAll ||
+		c.DeduplicationScope == ScopeZone && earlier.worker.Zone == worker.Zone ||
+		c.DeduplicationScope == ScopeCell && earlier.worker.Cell == worker.Cell
+	return c.Idempotency != NonIdempotent && sameScope && now <= earlier.startedAt+c.DeduplicationWindow
+}
+
+func (c *checker) checkReject(a RejectRequest) error {
+	r := c.requests[a.ID]
+	if r == nil || r.done {
+		return fmt.Errorf("request %d rejected after its final answer", a.ID)
+	}
+	if r.streaming {
+		return fmt.Errorf("request %d rejected after its response began", a.ID)
+	}
+	clientMayRetry := r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == IdempotentByKey && r.class.DeduplicationScope == ScopeAll
+	for _, attempt := range r.attempts {
+		if (attempt.inFlight || attempt.mayHaveRun) && !clientMayRetry {
+			return fmt.Errorf("request %d rejected though it may have run", a.ID)
+		}
+	}
+	r.done = true
+	return nil
+}
+
+func (c *checker) checkFail(now time.Duration, a FailRequest) error {
+	r := c.requests[a.ID]
+	if r == nil || r.done {
+		return fmt.Errorf("request %d failed after its final answer", a.ID)
+	}
+	inFlight := slices.ContainsFunc(r.attempts, func(a checkedAttempt) bool { return a.inFlight })
+	if inFlight && r.streaming && now < r.deadline {
+		return fmt.Errorf("request %d failed before its deadline, after its response began", a.ID)
+	}
+	r.done = true
+	return nil
+}
+
+func (c *checker) checkLoadCommand(now time.Duration, a LoadFunction) error {
+	if c.drained(now, a.Worker) {
+		return fmt.Errorf("load command to %s, which is draining", a.Worker)
+	}
+	if c.settings.LoadRateWindow <= 0 {
+		return nil
+	}
+	c.loadTimes = append(c.loadTimes, now)
+	windowStart := now - c.settings.LoadRateWindow
+	limit := c.settings.LoadRateBurst + c.settings.LoadRateRatio*float64(countSince(c.requestTimes, windowStart))
+	if n := countSince(c.loadTimes, windowStart); float64(n) > limit {
+		return fmt.Errorf("%d load commands, at most %v allowed", n, limit)
+	}
+	return nil
+}
+
+// drained reports whether a worker has been draining for longer than the grace time.
+func (c *checker) drained(now time.Duration, worker string) bool {
+	since, ok := c.drainingSince[worker]
+	return ok && now > since+c.settings.DrainGrace
+}
+
+func (r *checkedRequest) hasAttempt(number int) bool { return number >= 0 && number < len(r.attempts) }
+
 func countSince(times []time.Duration, from time.Duration) (n int) {
 	for _, t := range times {
 		if t >= from {
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -20,7 +20,8 @@
 	now := time.Second // since any fixed moment
 	actions := d.Step(now, []dispatch.Event{
 		dispatch.EndpointUpdate{Snapshot: true, Endpoints: []dispatch.Endpoint{{ID: "w1"}}},
-		dispatch.Request{ID: 1, Function: "f", Class: "quote", MemoryMB: 300, ConcurrencyPerInstance: 1, RemainingDeadline: time.Second},
+		dispatch.Request{ID: 1, Function: "f", Class: "quote", MemoryMB: 300, ConcurrencyPerInstance: 1,
+			RemainingDeadline: time.Second},
 	})
 	for _, a := range actions {
 		fmt.Printf("%T\n", a)
--- /dev/null
+++ b/dispatch/functionrelease_test.go
@@ -0,0 +1,154 @@
+package dispatch
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const (
+	releasedFunctions  = 12
+	releaseInterval    = 25 * time.Millisecond // between two requests
+	releaseLoadTime    = 300 * time.Millisecond
+	releaseRunTime     = 20 * time.Millisecond
+	releaseTick        = 5 * time.Millisecond
+	releaseRequestTime = 3 * time.Second // deadline of a request
+)
+
+// A function release under moderate load makes every loaded copy invalid at once. There must be no storm of loads: the
+// checker watches the load rate limit, and no function is loaded at more than a few workers. Every request still gets
+// its answer, and service is back within seconds.
+func TestFunctionReleaseCausesNoLoadStorm(t *testing.T) {
+	for name, loadOnMiss := range map[string]bool{"loads by command": false, "workers load on a miss": true} {
+		t.Run(name, func(t *testing.T) {
+			f := newReleaseFleet(t, loadOnMiss)
+			f.play(20 * time.Second) // every function is loaded
+			if requests := f.play(4 * time.Second); f.served < requests-5 {
+				t.Fatalf("before the release %d of %d requests served", f.served, requests)
+			}
+			clear(f.loadedAt)
+			f.loadCommands, f.workerLoads = 0, 0
+			f.play(3 * time.Second)
+			t.Logf("%d load commands and %d loads by the workers for %d functions in the 3 s after the release",
+				f.loadCommands, f.workerLoads, releasedFunctions)
+			if f.loadCommands > 3*releasedFunctions || f.workerLoads > 3*releasedFunctions {
+				t.Errorf("%d load commands and %d loads by the workers for %d functions, want at most 3 each",
+					f.loadCommands, f.workerLoads, releasedFunctions)
+			}
+			if requests := f.play(4 * time.Second); f.served < requests-10 {
+				t.Errorf("three seconds after the release %d of %d requests served, %d rejected or failed", f.served,
+					requests, f.unserved)
+			}
+		})
+	}
+}
+
+// releaseFleet is one router and workers that load functions by command or on a miss.
+type releaseFleet struct {
+	*harness
+	loadOnMiss bool
+	loadedAt   map[string]time.Duration // by function and worker: when the copy has been loaded
+	functions  map[RequestID]string
+	attempts   map[RequestID]int
+	answered   map[RequestID]bool
+	queue      []dueEvent
+
+	served, unserved          int // requests since the last play began
+	loadCommands, workerLoads int
+}
+
+func newReleaseFleet(t *testing.T, loadOnMiss bool) *releaseFleet {
+	t.Helper()
+	s := testSettings()
+	s.WorkersLoadOnMiss = loadOnMiss
+	s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 4, 0.1
+	return &releaseFleet{harness: newHarness(t, s, "a", "b", "c", "d", "e", "f"), loadOnMiss: loadOnMiss,
+		loadedAt: map[string]time.Duration{}, functions: map[RequestID]string{}, attempts: map[RequestID]int{},
+		answered: map[RequestID]bool{}}
+}
+
+// play hands over a request every releaseInterval, the functions in turn, and returns the number of requests.
+func (f *releaseFleet) play(span time.Duration) (requests int) {
+	f.t.Helper()
+	f.served, f.unserved = 0, 0
+	next := f.now
+	for end := f.now + span; f.now < end; {
+		f.now += releaseTick
+		events := append([]Event{TimerFired{}}, f.dueEvents()...)
+		if f.now >= next {
+			next += releaseInterval
+			requests++
+			events = append(events, f.functionRequest(fmt.Sprint("f", requests%releasedFunctions)))
+		}
+		f.carryOut(f.step(events...))
+	}
+	return requests
+}
+
+func (f *releaseFleet) functionRequest(function string) Request {
+	r := f.newRequest(function, classIdempotent)
+	r.ConcurrencyPerInstance, r.LoadTime, r.ExpectedWork = 4, releaseLoadTime, releaseRunTime
+	r.RemainingDeadline = releaseRequestTime
+	f.functions[r.ID] = function
+	return r
+}
+
+// dueEvents takes the events that are due and counts the requests that they answer.
+func (f *releaseFleet) dueEvents() (due []Event) {
+	remaining := f.queue[:0]
+	for _, queued := range f.queue {
+		if queued.at > f.now {
+			remaining = append(remaining, queued)
+			continue
+		}
+		if ended, ok := queued.event.(AttemptEnded); ok && ended.Result == OK && !f.answered[ended.ID] {
+			f.served++
+			f.answered[ended.ID] = true
+		}
+		due = append(due, queued.event)
+	}
+	f.queue = remaining
+	return due
+}
+
+// carryOut takes what the router decided.
+func (f *releaseFleet) carryOut(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case StartAttempt:
+			outcome := f.attemptOutcome(a)
+			f.queue = append(f.queue, dueEvent{f.now + outcome.Duration, outcome})
+		case LoadFunction:
+			f.loadCommands++
+			f.loadedAt[a.Function+"@"+a.Worker] = f.now + releaseLoadTime
+			f.queue = append(f.queue, dueEvent{f.now + releaseLoadTime,
+				FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: 1, Duration: releaseLoadTime}})
+		case RejectRequest:
+			f.unserved++
+			f.answered[a.ID] = true
+		case FailRequest:
+			f.unserved++
+			f.answered[a.ID] = true
+		}
+	}
+}
+
+// attemptOutcome is how an attempt will end: after the load under way, after a load of its own, or as NotResident.
+func (f *releaseFleet) attemptOutcome(a StartAttempt) AttemptEnded {
+	outcome := outcomeOf(OK, releaseRunTime)
+	outcome.ID, outcome.Attempt, outcome.Worker, outcome.Final = a.ID, f.attempts[a.ID], a.Worker, true
+	f.attempts[a.ID]++
+	placement := f.functions[a.ID] + "@" + a.Worker
+	loadedAt, known := f.loadedAt[placement]
+	switch {
+	case known:
+		outcome.Duration += max(loadedAt-f.now, 0)
+	case f.loadOnMiss:
+		f.workerLoads++
+		f.loadedAt[placement] = f.now + releaseLoadTime
+		outcome.Duration += releaseLoadTime
+	default:
+		outcome.Result, outcome.Final, outcome.Duration = NotResident, false, time.Millisecond
+	}
+	return outcome
+}
--- a/dispatch/fuzz_test.go
+++ b/dispatch/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// FuzzStep plays odd but legal sequences, read off the bytes, under the rule checker.
+// FuzzStep plays unusual but legal sequences of events, decoded from the bytes, under the checker.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte("\x00\x10\x20\x31\x05\x42\x07\x53\x11\x64\x99\x02\x31\x44\x17\x2a"))
 	f.Add([]byte("0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"))
@@ -14,83 +14,122 @@
 		if len(data) > 2000 {
 			return
 		}
-		s := settings()
-		s.DrainGrace = 100 * time.Millisecond
-		if len(data) > 0 {
-			s.HedgingAllowed, s.WorkersLoadOnMiss = data[0]&1 == 0, data[0]&2 == 0
-			if data[0]&4 == 0 {
-				s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 2, 0.1
-			}
-		}
-		r := newHarness(t, s, "w0", "w1", "w2", "w3")
-		type sent struct {
-			id RequestID
-			n  int
-			w  string
-		}
-		var open []sent
-		tries := map[RequestID]int{}
-		final := map[RequestID]bool{}
+		d := newFuzzDriver(t, data)
 		for i := 0; i+1 < len(data); i += 2 {
-			op, x := data[i]%8, int(data[i+1])
-			r.now += time.Duration(data[i]/8) * 5 * time.Millisecond
-			var out []Action
-			switch w := fmt.Sprintf("w%d", x%5); op {
-			case 0, 1:
-				class := []string{"safe", "once", "keyed", "unheard of"}[x%4]
-				_, out = r.call(fmt.Sprintf("f%d", x/4%6), class)
-			case 2, 3, 4:
-				if len(open) == 0 {
-					continue
-				}
-				k := x % len(open)
-				a := open[k]
-				open = append(open[:k], open[k+1:]...)
-				res := Result(x / 8 % 9)
-				final[a.id] = final[a.id] || res == OK
-				out = r.step(AttemptEnded{ID: a.id, Attempt: a.n, Worker: a.w, Result: res, Final: final[a.id],
-					Duration: 30 * time.Millisecond, CacheStatus: CacheStatus(x % 5), LoadReport: NoLoadReport})
-			case 5:
-				if x > 250 {
-					out = r.step(ShutdownStarted{AnswerWithin: time.Duration(x-250) * 100 * time.Millisecond})
-					break
-				}
-				if x > 220 {
-					out = r.step(GossipUpdate{Routers: x % 7, SuspectedWorkers: []string{w, "w9"}})
-					break
-				}
-				out = r.step(FunctionLoaded{Worker: w, Function: fmt.Sprintf("f%d", x%7), Result: Result(x / 8 % 8)})
-			case 6:
-				m := Endpoint{ID: w, Kind: "small", Cell: x % 5 / 2, State: EndpointState(x / 5 % 3)}
-				if x > 200 {
-					m.StartedAt = r.now
-				}
-				out = r.step(EndpointUpdate{Snapshot: x == 77, Endpoints: []Endpoint{m}})
-			case 7:
-				if x >= 128 && len(open) > 0 {
-					a := open[x%len(open)]
-					out = r.step(ResponseStarted{ID: a.id, Attempt: a.n, Worker: a.w, Duration: 20 * time.Millisecond})
-					if q := r.checker.requests[a.id]; q != nil && !q.done {
-						final[a.id] = true // whatever ends this attempt ends the request
-					}
-					break
-				}
-				id := RequestID(x) % (r.next + 1)
-				final[id] = true
-				out = r.step(RequestCancelled{ID: id}, HealthChecked{Worker: w, Result: Result(x % 9)})
-			}
-			for out = append(out, r.advance(10*time.Millisecond)...); len(out) > 0; out = out[1:] {
-				switch a := out[0].(type) {
-				case StartAttempt:
-					open = append(open, sent{a.ID, tries[a.ID], a.Worker})
-					tries[a.ID]++
-				case RejectRequest:
-					final[a.ID] = true
-				case FailRequest:
-					final[a.ID] = true
-				}
-			}
+			d.play(data[i], int(data[i+1]))
 		}
-		r.advance(4 * time.Second) // whatever is left is answered
+		d.advance(4 * time.Second) // what is left must be answered
 	})
 }
+
+// fuzzDriver decodes events from bytes: an operation and its argument, the time in between, the fleet and ids.
+type fuzzDriver struct {
+	*harness
+	inFlight []fuzzAttempt
+	attempts map[RequestID]int
+	final    map[RequestID]bool // whatever ends an attempt of the request ends the request
+}
+
+type fuzzAttempt struct {
+	id     RequestID
+	number int
+	worker string
+}
+
+func newFuzzDriver(t *testing.T, data []byte) *fuzzDriver {
+	t.Helper()
+	s := testSettings()
+	s.DrainGrace = 100 * time.Millisecond
+	if len(data) > 0 {
+		s.HedgingAllowed, s.WorkersLoadOnMiss = data[0]&1 == 0, data[0]&2 == 0
+		if data[0]&4 == 0 {
+			s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 2, 0.1
+		}
+	}
+	return &fuzzDriver{harness: newHarness(t, s, "w0", "w1", "w2", "w3"), attempts: map[RequestID]int{},
+		final: map[RequestID]bool{}}
+}
+
+// play lets time pass, plays one operation and takes the actions that follow.
+func (d *fuzzDriver) play(code byte, argument int) {
+	d.now += time.Duration(code/8) * 5 * time.Millisecond
+	worker := fmt.Sprintf("w%d", argument%5)
+	var actions []Action
+	switch code % 8 {
+	case 0, 1:
+		class := []string{classIdempotent, classNonIdempotent, classKeyed, "unknown"}[argument%4]
+		_, actions = d.request(fmt.Sprintf("f%d", argument/4%6), class)
+	case 2, 3, 4:
+		if len(d.inFlight) == 0 {
+			return
+		}
+		actions = d.playAttemptEnd(argument)
+	case 5:
+		actions = d.playRouterEvent(worker, argument)
+	case 6:
+		actions = d.playEndpointUpdate(worker, argument)
+	case 7:
+		if argument >= 128 && len(d.inFlight) > 0 {
+			actions = d.playResponseStart(argument)
+		} else {
+			id := RequestID(argument) % (d.lastID + 1)
+			d.final[id] = true
+			actions = d.step(RequestCancelled{ID: id}, HealthChecked{Worker: worker, Result: Result(argument % 9)})
+		}
+	}
+	d.record(append(actions, d.advance(10*time.Millisecond)...))
+}
+
+func (d *fuzzDriver) playAttemptEnd(argument int) []Action {
+	i := argument % len(d.inFlight)
+	a := d.inFlight[i]
+	d.inFlight = append(d.inFlight[:i], d.inFlight[i+1:]...)
+	result := Result(argument / 8 % 9)
+	d.final[a.id] = d.final[a.id] || result == OK
+	return d.step(AttemptEnded{ID: a.id, Attempt: a.number, Worker: a.worker, Result: result, Final: d.final[a.id],
+		Duration: 30 * time.Millisecond, CacheStatus: CacheStatus(argument % 5), LoadReport: NoLoadReport})
+}
+
+// playRouterEvent plays a shutdown, gossip or the result of a load.
+func (d *fuzzDriver) playRouterEvent(worker string, argument int) []Action {
+	switch {
+	case argument > 250:
+		return d.step(ShutdownStarted{AnswerWithin: time.Duration(argument-250) * 100 * time.Millisecond})
+	case argument > 220:
+		return d.step(GossipUpdate{Routers: argument % 7, SuspectedWorkers: []string{worker, "w9"}})
+	}
+	function := fmt.Sprintf("f%d", argument%7)
+	return d.step(FunctionLoaded{Worker: worker, Function: function, Result: Result(argument / 8 % 8)})
+}
+
+func (d *fuzzDriver) playEndpointUpdate(worker string, argument int) []Action {
+	endpoint := Endpoint{ID: worker, Kind: "small", Cell: argument % 5 / 2, State: EndpointState(argument / 5 % 3)}
+	if argument > 200 {
+		endpoint.StartedAt = d.now
+	}
+	return d.step(EndpointUpdate{Snapshot: argument == 77, Endpoints: []Endpoint{endpoint}})
+}
+
+func (d *fuzzDriver) playResponseStart(argument int) []Action {
+	a := d.inFlight[argument%len(d.inFlight)]
+	actions := d.step(ResponseStarted{ID: a.id, Attempt: a.number, Worker: a.worker, Duration: 20 * time.Millisecond})
+	if r := d.checker.requests[a.id]; r != nil && !r.done {
+		d.final[a.id] = true
+	}
+	return actions
+}
+
+// record notes the attempts that were started and the requests that were answered.
+func (d *fuzzDriver) record(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case StartAttempt:
+			d.inFlight = append(d.inFlight, fuzzAttempt{a.ID, d.attempts[a.ID], a.Worker})
+			d.attempts[a.ID]++
+		case RejectRequest:
+			d.final[a.ID] = true
+		case FailRequest:
+			d.final[a.ID] = true
+		}
+	}
+}
--- /dev/null
+++ b/dispatch/limits_test.go
@@ -0,0 +1,144 @@
+package dispatch
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Late responses shrink the fleet's limit only where they show that requests queue: not where the request is heavy
+// itself, nor where it may have waited for a load.
+func TestFleetLimitShrinksForQueueingNotForHeavyRequests(t *testing.T) {
+	for name, c := range map[string]struct {
+		expectedWork time.Duration
+		loadTime     time.Duration // if not 0, workers load on a miss
+		shrinks      bool
+	}{
+		"light":                          {20 * time.Millisecond, 0, true},
+		"heavy by its expected work":     {800 * time.Millisecond, 0, false},
+		"no longer than a load explains": {20 * time.Millisecond, 1300 * time.Millisecond, false},
+		"longer than a load explains":    {20 * time.Millisecond, 900 * time.Millisecond, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := testSettings()
+			s.Routers, s.WorkersLoadOnMiss = 100, c.loadTime > 0
+			h := newHarness(t, s, "w1", "w2", "w3")
+			h.serveOnce("f", classIdempotent)
+			before := h.dispatcher.fleetLimit
+			h.dispatcher.meanResponseTime = 0.5 // in seconds; a response after 1.2 s is then no outlier
+			for range 5 {
+				r := h.newRequest("f", classIdempotent)
+				r.ExpectedWork, r.LoadTime = c.expectedWork, c.loadTime
+				actions := h.step(r)
+				h.advance(1200 * time.Millisecond)
+				h.endAttempt(h.onlyAttempt(actions), 0, outcomeOf(OK, 1200*time.Millisecond))
+			}
+			if shrunk := h.dispatcher.fleetLimit < before; shrunk != c.shrinks {
+				t.Errorf("fleet limit %.2f, then %.2f; want it to shrink: %v", before, h.dispatcher.fleetLimit, c.shrinks)
+			}
+		})
+	}
+}
+
+func TestRequestsBeyondConcurrencyLimitArePendingNewestFirst(t *testing.T) {
+	s := testSettings()
+	s.WorkersLoadOnMiss = true
+	h := newHarness(t, s, "w1")
+	first := h.startAttempt("f", classIdempotent)
+	h.step(AttemptEnded{ID: first.ID, Worker: first.Worker, Duration: 50 * time.Millisecond, Final: true})
+	var lastStarted RequestID
+	attempts := 0
+	for range 20 {
+		h.now += time.Millisecond
+		id, actions := h.request("f", classIdempotent)
+		if n := len(actionsOf[StartAttempt](actions)); n > 0 {
+			lastStarted, attempts = id, attempts+n
+		}
+	}
+	if attempts < int(initialLimit) || attempts == 20 {
+		t.Fatalf("%d of 20 attempts started, want the concurrency limit of %v", attempts, initialLimit)
+	}
+	actions := h.step(AttemptEnded{ID: lastStarted, Worker: "w1", Duration: 60 * time.Millisecond, Final: true})
+	if started := actionsOf[StartAttempt](actions); len(started) == 0 || started[0].ID != h.lastID {
+		t.Errorf("%v, want the newest request, %d, first", started, h.lastID)
+	}
+}
+
+// Heavy-tailed scenarios of abuja-boxes: requests that could not meet their latency objective any more took the
+// concurrency of those that still could.
+func TestPendingRequestsThatCanMeetTheirObjectiveGoFirst(t *testing.T) {
+	s := testSettings()
+	s.WorkersLoadOnMiss, s.Routers = true, 12 // a concurrency limit of one
+	h := newHarness(t, s, "w1")
+	request := func(expectedWork time.Duration) {
+		h.now += time.Millisecond
+		r := h.newRequest("f", classIdempotent)
+		r.ExpectedWork = expectedWork
+		h.step(r)
+	}
+	request(50 * time.Millisecond)
+	h.step(AttemptEnded{ID: 1, Worker: "w1", Duration: 50 * time.Millisecond, Final: true})
+	h.dispatcher.workers["w1"].concurrencyLimit = 1
+	request(50 * time.Millisecond)
+	request(50 * time.Millisecond)
+	request(2 * time.Second)
+	h.dispatcher.workers["w1"].concurrencyLimit = 1
+	actions := h.step(AttemptEnded{ID: 2, Worker: "w1", Duration: 50 * time.Millisecond, Final: true})
+	if started := actionsOf[StartAttempt](actions); len(started) == 0 || started[0].ID != 3 {
+		t.Errorf("%v, want request 3 first: request 4 cannot meet its objective", started)
+	}
+}
+
+// A request pending for want of concurrency was once answered when its client left; it must be shed as soon as it
+// cannot meet its latency objective.
+func TestPendingRequestIsShedWhenItMissesItsObjective(t *testing.T) {
+	s := testSettings()
+	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.Routers, s.HedgingAllowed = true, time.Second, 12, false
+	h := newHarness(t, s, "w1")
+	h.serveOnce("f", classIdempotent)
+	h.dispatcher.workers["w1"].concurrencyLimit = 1
+	h.dispatcher.meanResponseTime = 10 // in seconds; the attempt in flight is then not overdue
+	h.request("f", classIdempotent)
+	id, actions := h.request("f", classIdempotent)
+	if len(actionsOf[StartAttempt](actions)) > 0 {
+		t.Fatal("attempt started beyond the concurrency limit")
+	}
+	start := h.now
+	for len(actionsOf[RejectRequest](actions)) == 0 && h.now < start+3*time.Second {
+		h.step(HealthChecked{Worker: "w1", LoadReport: NoLoadReport}) // it responds, but stays at its limit
+		actions = h.advance(10 * time.Millisecond)
+	}
+	rejected := actionsOf[RejectRequest](actions)
+	if waited := h.now - start; len(rejected) != 1 || rejected[0].ID != id || waited > time.Second {
+		t.Errorf("%v after %v, want request %d rejected before its latency objective", rejected, waited, id)
+	}
+}
+
+// Incident i654813: a fifth of the attempts never got a response and used up a router's share of the fleet limit, 1.8
+// attempts, for the five seconds until their clients left; 60% of the requests were rejected meanwhile.
+func TestUnansweredAttemptsDoNotUseUpFleetLimit(t *testing.T) {
+	s := testSettings()
+	s.WorkersLoadOnMiss, s.HedgingAllowed, s.Routers = true, false, 60
+	h := newHarness(t, s, "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "w9")
+	for i := range 9 {
+		h.serveOnce(fmt.Sprintf("f%d", i), classIdempotent)
+	}
+	limitReached := func() bool {
+		return h.dispatcher.inFlight+1 > h.dispatcher.fleetLimit*h.dispatcher.fleetShare
+	}
+	for range 20 { // no response to any of these
+		for i := range 9 {
+			h.request(fmt.Sprintf("f%d", i), classIdempotent)
+		}
+		if limitReached() {
+			break
+		}
+	}
+	if !limitReached() {
+		t.Fatalf("%.1f attempts in flight, want the limit of %.1f reached", h.dispatcher.inFlight,
+			h.dispatcher.fleetLimit*h.dispatcher.fleetShare)
+	}
+	if actions := h.advance(700 * time.Millisecond); len(actionsOf[StartAttempt](actions)) < 2 {
+		t.Errorf("%v, want attempts of the pending requests: those in flight are long overdue", actions)
+	}
+}
--- /dev/null
+++ b/dispatch/selection_test.go
@@ -0,0 +1,78 @@
+package dispatch
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// The grown deployments: a router heard from a worker once in ten seconds and started attempts at workers with forty
+// requests while others had three.
+func TestOverloadedWorkerIsPassedOverByManyRouters(t *testing.T) {
+	for name, c := range map[string]struct {
+		checked    HealthChecked
+		passedOver bool
+	}{
+		"holds far more than others": {HealthChecked{LoadReport: inFlightReport(30)}, true},
+		"holds little":               {HealthChecked{LoadReport: inFlightReport(1)}, false},
+		"does not answer":            {HealthChecked{Result: TimedOut, LoadReport: NoLoadReport}, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := testSettings()
+			s.WorkersLoadOnMiss, s.LoadReports, s.Routers = true, ReportsWithResponses, 100
+			h := newHarness(t, s, "w1", "w2", "w3", "w4")
+			_, actions := h.request("f", classIdempotent)
+			checks := actionsOf[CheckHealth](actions)
+			if len(checks) != 1 || len(actionsOf[StartAttempt](actions)) > 0 {
+				t.Fatalf("%v, want one health check first", actions)
+			}
+			c.checked.Worker = checks[0].Worker
+			started := h.onlyAttempt(h.step(c.checked))
+			if (started.Worker != c.checked.Worker) != c.passedOver {
+				t.Errorf("health check of %s, attempt at %s", c.checked.Worker, started.Worker)
+			}
+			h.now += time.Millisecond
+			h.request("f", classIdempotent)
+			actions = h.advance(30 * time.Millisecond)
+			if c.checked.Result == TimedOut && len(actionsOf[StartAttempt](actions)) != 1 {
+				t.Errorf("%v, want an attempt without a load report", actions)
+			}
+		})
+	}
+}
+
+// inFlightReport is the load report of a worker that holds so many requests.
+func inFlightReport(n float64) LoadReport { return LoadReport{InFlight: n, Queued: -1, Loading: -1} }
+
+// The only router of a fleet hears its workers often: it needs few load reports by health checks.
+func TestSingleRouterSeldomChecksBeforeAttempts(t *testing.T) {
+	h := newHarness(t, testSettings(), "w1", "w2", "w3", "w4")
+	h.dispatcher.settings.LoadReports = ReportsWithResponses
+	if n := h.healthChecksBeforeAttempts(40); n > 20 {
+		t.Errorf("%d health checks for 40 requests, at most 20 wanted", n)
+	}
+}
+
+// Health checks before attempts are worth their cost in most deployments, and not where they are expensive.
+func TestHealthChecksBeforeAttemptsDependOnTheirCost(t *testing.T) {
+	for cost, wanted := range map[float64]bool{0: true, 0.01: true, 0.08: false} {
+		t.Run(fmt.Sprint("cost ", cost), func(t *testing.T) {
+			s := testSettings()
+			s.WorkersLoadOnMiss, s.LoadReports, s.HealthCheckCost = true, ReportsWithResponses, cost
+			h := newHarness(t, s, "a", "b", "c", "d")
+			if n := h.healthChecksBeforeAttempts(20); (n > 0) != wanted {
+				t.Errorf("%d health checks, want some: %v", n, wanted)
+			}
+		})
+	}
+}
+
+// healthChecksBeforeAttempts hands over requests, each of another function, and counts the health checks at once.
+func (h *harness) healthChecksBeforeAttempts(requests int) (n int) {
+	h.t.Helper()
+	for i := range requests {
+		_, actions := h.request(fmt.Sprint("f", i), classIdempotent)
+		n += len(actionsOf[CheckHealth](actions))
+	}
+	return n
+}
--- /dev/null
+++ b/dispatch/slowstart_test.go
@@ -0,0 +1,250 @@
+package dispatch
+
+import (
+	"flag"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+var slowStartSeeds = flag.Float64("slowstart.seeds", 1,
+	"multiple of the usual number of seeds that TestSlowStartBoundsAttemptsOfAllRouters plays")
+
+// The fleet of TestSlowStartBoundsAttemptsOfAllRouters.
+const (
+	slowStartWorkers     = 12  // without the one that starts
+	slowStartUtilization = 0.9 // of their capacity
+	slowStartRate        = 4.0 // requests a second of an average router
+	slowStartBegin       = 8 * time.Second
+	slowStartEnd         = 18 * time.Second
+	routerKillDelay      = 4 * time.Second // of the killed routers, since slowStartBegin
+
+	// The rendezvous ranking depends on the id, and the recorded results on the ranking.
+	warmingWorkerID = "cold"
+)
+
+// A worker starts while 3, 30 or 300 routers serve. They learn of it at different times, attempts fail and are retried
+// by router and client, and seven in ten routers are killed and start anew in the middle. In no span of the overload
+// window may the worker get more than N + 2 root N + 2 attempts from all of them, N being what the settings allow it at
+// the beginning of the span.
+func TestSlowStartBoundsAttemptsOfAllRouters(t *testing.T) {
+	for routers, seeds := range map[int]float64{3: 900, 30: 90, 300: 10} {
+		t.Run(fmt.Sprint(routers, " routers"), func(t *testing.T) {
+			t.Parallel()
+			worst, attempts := 0.0, 0
+			for seed := range int(seeds * *slowStartSeeds) {
+				most, n := playSlowStart(t, routers, uint64(seed))
+				worst, attempts = max(worst, most), attempts+n
+			}
+			t.Logf("%d routers: %d attempts at the warming worker, at worst %.2f of the bound", routers, attempts, worst)
+			if worst > 1 || attempts == 0 {
+				t.Errorf("%d routers: %.2f of the bound for a warming worker, %d attempts", routers, worst, attempts)
+			}
+		})
+	}
+}
+
+// playSlowStart plays one start of a worker under one seed. It returns the most attempts in any span, as a fraction of
+// the bound, and the number of attempts at the worker.
+func playSlowStart(t *testing.T, routers int, seed uint64) (most float64, attempts int) {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, uint64(routers)))
+	s := testSettings()
+	s.Routers, s.WorkersLoadOnMiss, s.HealthChecksAllowed, s.SlowStartShare = routers, true, false, 0.1
+	var endpoints []Endpoint
+	for w := range slowStartWorkers {
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprint("w", w), Kind: "big", Cell: w / 3})
+	}
+	var attemptTimes []time.Duration
+	for range routers {
+		rate := slowStartRate * (0.3 + 1.4*rng.Float64())
+		announcedAt := slowStartBegin + time.Duration(rng.Float64()*float64(3*time.Second))
+		killed := rng.Float64() < 0.7
+		r := slowStartRouter{t: t, settings: s, rng: rng, rate: rate, endpoints: endpoints, announcedAt: announcedAt,
+			attempts: map[RequestID]int{}}
+		r.play(killed)
+		attemptTimes = append(attemptTimes, r.warmingAttempts...)
+	}
+	slices.Sort(attemptTimes)
+	capacity := slowStartRate * float64(routers) / slowStartUtilization / slowStartWorkers
+	for i, from := range attemptTimes {
+		inSpan := 0
+		for _, at := range attemptTimes[i:] {
+			if at-from < s.OverloadWindow {
+				inSpan++
+			}
+		}
+		progress := float64(from-slowStartBegin) / float64(s.SlowStartDuration)
+		share := s.SlowStartShare + (1-s.SlowStartShare)*progress
+		allowed := s.OverloadMultiple * share * capacity * s.OverloadWindow.Seconds()
+		most = max(most, float64(inSpan)/(allowed+2*math.Sqrt(allowed)+2))
+	}
+	return most, len(attemptTimes)
+}
+
+// slowStartRouter is one router of a fleet in which a worker starts.
+type slowStartRouter struct {
+	t           *testing.T
+	settings    Settings
+	rng         *rand.Rand
+	rate        float64 // requests a second
+	endpoints   []Endpoint
+	announcedAt time.Duration // when the router learns of the worker that starts
+
+	dispatcher      *Dispatcher
+	now             time.Duration
+	queue           []dueEvent // in the order of their times
+	attempts        map[RequestID]int
+	lastID          RequestID
+	lastArrival     RequestID       // the request after which the next arrives; others are retries by clients
+	warmingAttempts []time.Duration // when attempts at the worker that starts were started
+}
+
+// play runs the router until slowStartEnd. A killed one is started anew in the middle.
+func (r *slowStartRouter) play(killed bool) {
+	r.t.Helper()
+	r.start()
+	killAt := time.Duration(math.MaxInt64)
+	if killed {
+		killAt = slowStartBegin + routerKillDelay
+	}
+	for len(r.queue) > 0 && r.queue[0].at < slowStartEnd {
+		next := r.queue[0]
+		r.queue = r.queue[1:]
+		r.now = max(r.now, next.at)
+		if r.now >= killAt {
+			r.now, killAt = killAt, math.MaxInt64
+			r.start()
+			continue
+		}
+		if request, ok := next.event.(Request); ok && request.ID == r.lastArrival {
+			r.scheduleArrival()
+		}
+		r.step(next.event)
+	}
+}
+
+// start starts the router without any memory.
+func (r *slowStartRouter) start() {
+	r.t.Helper()
+	var err error
+	if r.dispatcher, err = New(r.settings, r.rng.Uint64()); err != nil {
+		r.t.Fatal(err)
+	}
+	warming := Endpoint{ID: warmingWorkerID, Kind: "big", StartedAt: slowStartBegin}
+	endpoints := r.endpoints
+	if r.now >= r.announcedAt {
+		endpoints = append(slices.Clone(endpoints), warming)
+	}
+	r.queue = nil
+	r.step(EndpointUpdate{Snapshot: true, Endpoints: endpoints})
+	r.scheduleArrival()
+	if r.now < r.announcedAt {
+		r.schedule(r.announcedAt, EndpointUpdate{Endpoints: []Endpoint{warming}})
+	}
+}
+
+// schedule queues an event behind those that are due no later.
+func (r *slowStartRouter) schedule(at time.Duration, e Event) {
+	i, _ := slices.BinarySearchFunc(r.queue, at, func(queued dueEvent, at time.Duration) int {
+		if queued.at <= at {
+			return -1
+		}
+		return 1
+	})
+	r.queue = slices.Insert(r.queue, i, dueEvent{at, e})
+}
+
+func (r *slowStartRouter) newRequest() Request {
+	r.lastID++
+	function := fmt.Sprint("f", int(20*math.Pow(r.rng.Float64(), 3)))
+	return Request{ID: r.lastID, Function: function, Class: classIdempotent, MemoryMB: 300, ConcurrencyPerInstance: 2,
+		RemainingDeadline: 3 * time.Second}
+}
+
+func (r *slowStartRouter) scheduleArrival() {
+	request := r.newRequest()
+	r.lastArrival = request.ID
+	r.schedule(r.now+time.Duration(r.rng.ExpFloat64()/r.rate*float64(time.Second)), request)
+}
+
+// step hands events to the router and carries out what it decides. Half of the rejected clients retry.
+func (r *slowStartRouter) step(events ...Event) {
+	for _, a := range r.dispatcher.Step(r.now, events) {
+		switch a := a.(type) {
+		case StartAttempt:
+			r.answerAttempt(a)
+		case LoadFunction:
+			r.schedule(r.now+100*time.Millisecond, FunctionLoaded{Worker: a.Worker, Function: a.Function, Copies: 1,
+				Duration: 100 * time.Millisecond})
+		case RejectRequest:
+			if r.rng.Float64() < 0.5 {
+				r.schedule(r.now+100*time.Millisecond, r.newRequest())
+			}
+		case SetTimer:
+			r.schedule(r.now+a.After, TimerFired{})
+		}
+	}
+}
+
+// answerAttempt schedules the end of an attempt: a response, a rejection or a reset connection.
+func (r *slowStartRouter) answerAttempt(a StartAttempt) {
+	if a.Worker == warmingWorkerID {
+		r.warmingAttempts = append(r.warmingAttempts, r.now)
+	}
+	outcome := outcomeOf(OK, 50*time.Millisecond)
+	switch p := r.rng.Float64(); {
+	case p < 0.1:
+		outcome = outcomeOf(Rejected, 3*time.Millisecond)
+	case p < 0.15:
+		outcome = outcomeOf(ConnectionReset, 20*time.Millisecond)
+	}
+	outcome.ID, outcome.Attempt, outcome.Worker, outcome.Final = a.ID, r.attempts[a.ID], a.Worker, outcome.Result == OK
+	r.attempts[a.ID]++
+	r.schedule(r.now+outcome.Duration, outcome)
+}
+
+// Each of many routers may start far less than one request at a worker that warms up: together they must keep to its
+// slow start, and still start some there.
+func TestManyRoutersTogetherKeepToSlowStart(t *testing.T) {
+	s := testSettings()
+	s.WorkersLoadOnMiss = true
+	const routers, workers, requestsPerSecond = 250, 20, 5
+	g := newRouterGroup(t, routers, s, workers)
+	functionOf := func(_, request int) string { return fmt.Sprintf("f%d", request%40) }
+	g.play(8*time.Second, time.Second/requestsPerSecond, 50*time.Millisecond, functionOf)
+	g.restartWorker(7)
+	actions := g.play(s.OverloadWindow, time.Second/requestsPerSecond, 50*time.Millisecond, functionOf)
+	attempts := countAttemptsAt(g.endpoints[7].ID, actions)
+	evenShare := requestsPerSecond * s.OverloadWindow.Seconds() * routers / workers // attempts of all routers at a worker
+	if most := 1.2 * evenShare * (s.SlowStartShare + 0.1); attempts == 0 || float64(attempts) > most {
+		t.Errorf("%d attempts at a worker that has just started, want 1 to %.0f", attempts, most)
+	}
+}
+
+// Slow start tokens follow the work that was served; requests without responses, as in an overload, must not raise
+// them.
+func TestUnservedWorkRaisesNoSlowStartTokens(t *testing.T) {
+	s := testSettings()
+	s.WorkersLoadOnMiss = true
+	g := newRouterGroup(t, 50, s, 10)
+	functionOf := func(_, request int) string { return fmt.Sprintf("f%d", request%20) }
+	g.play(8*time.Second, 50*time.Millisecond, noResponse, functionOf)
+	g.restartWorker(3)
+	actions := g.play(s.OverloadWindow, 50*time.Millisecond, noResponse, functionOf)
+	if n := countAttemptsAt(g.endpoints[3].ID, actions); n > 0 {
+		t.Fatalf("%d attempts at a warming worker by routers without any response", n)
+	}
+}
+
+func countAttemptsAt(worker string, actions []Action) (n int) {
+	for _, a := range actionsOf[StartAttempt](actions) {
+		if a.Worker == worker {
+			n++
+		}
+	}
+	return n
+}
