--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -16,7 +16,7 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // compareGolden compares bytes with a file under testdata/golden.
 func compareGolden(t *testing.T, name string, got []byte) {
@@ -79,60 +79,61 @@
 	return "unsupported " + v.Kind().String()
 }
 
-// TestGoldenQuestion holds the bytes of a long poll. The channel has no acknowledgement of its own: the number in the
-// next question is it.
-func TestGoldenQuestion(t *testing.T) {
+// TestGoldenPollRequest holds the bytes of a long poll. The protocol has no acknowledgement of its own: the revision in
+// the next request serves as one.
+func TestGoldenPollRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	question := make(chan []byte, 1)
+	request := make(chan []byte, 1)
 	go func() {
-		connection, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		defer func() { _ = connection.Close() }()
+		defer func() { _ = conn.Close() }()
 		var got []byte
 		for part := make([]byte, 1024); !bytes.HasSuffix(got, []byte("\r\n\r\n")); {
-			n, err := connection.Read(part)
+			n, err := conn.Read(part)
 			if err != nil {
 				break
 			}
 			got = append(got, part[:n]...)
 		}
-		question <- got
+		request <- got
 	}()
-	feed, err := Start(Config{Address: listener.Addr().String(), Connect: 5 * time.Second, Block: 1500 * time.Millisecond,
-		Grace: time.Second, Pause: time.Second, MaxBody: 1 << 16, At: func(time.Time) time.Duration { return 0 },
-		Use: func([]endpoints.Worker) {}}, batch(t, `{"cursor":41,"cmds":[]}`))
+	watcher, err := Start(Config{Address: listener.Addr().String(), ConnectTimeout: 5 * time.Second,
+		PollWait: 1500 * time.Millisecond, ResponseGrace: time.Second, MaxRetryDelay: time.Second, MaxResponseBytes: 1 << 16,
+		RouterTime: func(time.Time) time.Duration { return 0 }, OnUpdate: func([]endpoints.Worker) {},
+	}, parseResponse(t, `{"cursor":41,"cmds":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer feed.Close()
+	defer watcher.Close()
 	select {
-	case got := <-question:
+	case got := <-request:
 		got = bytes.ReplaceAll(got, []byte(listener.Addr().String()), []byte("ADDRESS"))
-		compareGolden(t, "question.http", got)
+		compareGolden(t, "poll_request.http", got)
 	case <-time.After(20 * time.Second):
-		t.Fatal("no question")
+		t.Fatal("no poll")
 	}
 }
 
-// TestGoldenEvents holds the list of workers that one event of each kind leads to.
+// TestGoldenEvents holds the endpoint list that one event of each kind leads to.
 func TestGoldenEvents(t *testing.T) {
 	input, err := os.ReadFile("testdata/golden/events.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := NewTable()
-	if _, err := table.Apply(batch(t, string(input))); err != nil {
+	list := newEndpointList()
+	if _, err := list.Apply(parseResponse(t, string(input))); err != nil {
 		t.Fatal(err)
 	}
-	at := func(moment time.Time) time.Duration { return time.Duration(moment.UnixMilli()) }
-	text := strconv.FormatInt(table.Cursor(), 10) + "\n"
-	for _, worker := range table.Workers(at) {
+	routerTime := func(moment time.Time) time.Duration { return time.Duration(moment.UnixMilli()) }
+	text := strconv.FormatInt(list.revision, 10) + "\n"
+	for _, worker := range list.Workers(routerTime) {
 		text += plainValue(reflect.ValueOf(worker)) + "\n"
 	}
 	compareGolden(t, "events.txt", []byte(text))
--- /dev/null
+++ b/internal/discovery/harness_test.go
@@ -0,0 +1,60 @@
+package discovery
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+// formatList formats an endpoint list as "id@address, id@address drains".
+func formatList(workers []endpoints.Worker) string {
+	var parts []string
+	for _, worker := range workers {
+		part := worker.ID + "@" + worker.Address
+		if worker.State == dispatch.EndpointDraining {
+			part += " drains"
+		}
+		parts = append(parts, part)
+	}
+	return strings.Join(parts, ", ")
+}
+
+func parseResponse(t *testing.T, raw string) PollResponse {
+	t.Helper()
+	response, err := ParsePollResponse([]byte(raw))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return response
+}
+
+// constantRouterTime is a RouterTime for tests that don't look at start times.
+func constantRouterTime(time.Time) time.Duration { return 1 }
+
+// startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
+// respond is the server's Answer. The channel returned has each further list, formatted.
+func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.Channel, *Watcher, chan string) {
+	t.Helper()
+	server, err := fakeplatform.StartChannel(fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	server.Answer = respond
+	lists := make(chan string, 64)
+	watcher, err := Start(Config{Address: server.Addr(), ConnectTimeout: 5 * time.Second, PollWait: 200 * time.Millisecond,
+		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
+		RouterTime: constantRouterTime, OnUpdate: func(workers []endpoints.Worker) { lists <- formatList(workers) },
+	}, parseResponse(t, server.Known()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { watcher.Close(); server.Stop() })
+	if got := fakeplatform.Await(t, lists, "the initial list"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
+		t.Fatalf("initial list: %s", got)
+	}
+	return server, watcher, lists
+}
--- /dev/null
+++ b/internal/discovery/list_test.go
@@ -0,0 +1,75 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+// TestApplyIsAtomic checks that events that were applied are skipped, and that a gap applies no event of a response.
+func TestApplyIsAtomic(t *testing.T) {
+	list := newEndpointList()
+	first := `{"cursor":1,` + fakeplatform.Nodes(true, "a 1.1.1.1:1 active") + `}`
+	second := `{"cursor":2,` + fakeplatform.Nodes(false, "b 1.1.1.2:1 active") + `}`
+	if changed, err := list.Apply(parseResponse(t, `{"cursor":1,"cmds":[`+first+`]}`)); !changed || err != nil {
+		t.Fatal(changed, err)
+	}
+	if changed, err := list.Apply(parseResponse(t, `{"cursor":1,"cmds":[`+first+`]}`)); changed || err != nil {
+		t.Error("applied twice", changed, err)
+	}
+	fourth := `{"cursor":4,` + fakeplatform.Nodes(false, "a 1.1.1.1:1 left") + `}`
+	if _, err := list.Apply(parseResponse(t, `{"cursor":4,"cmds":[`+second+`,`+fourth+`]}`)); !errors.Is(err, ErrEventGap) {
+		t.Error("a gap:", err)
+	}
+	if got := formatList(list.Workers(constantRouterTime)); got != "a@1.1.1.1:1" || list.revision != 1 {
+		t.Errorf("after a gap: %s, revision %d", got, list.revision)
+	}
+	if changed, err := list.Apply(parseResponse(t, `{"cursor":2,"cmds":[`+first+`,`+second+`]}`)); !changed || err != nil {
+		t.Error(changed, err)
+	}
+	if got := formatList(list.Workers(constantRouterTime)); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
+		t.Error(got)
+	}
+}
+
+// TestSnapshotReplacesList checks that a snapshot is applied with the next revision and across a gap, that endpoints
+// missing from it are removed, and that one with a revision that was applied changes nothing. An endpoint that was
+// draining may be listed as active again.
+func TestSnapshotReplacesList(t *testing.T) {
+	const (
+		before = "a@1.1.1.1:1 drains, b@1.1.1.2:1, c@1.1.1.3:1"
+		after  = "a@1.1.1.1:1, c@1.1.1.3:1 drains"
+	)
+	for name, c := range map[string]struct {
+		revision int
+		want     string
+	}{
+		"the next revision": {4, after},
+		"across a gap":      {9, after},
+		"an old revision":   {3, before},
+	} {
+		t.Run(name, func(t *testing.T) {
+			list := newEndpointList()
+			for i, event := range []string{fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"),
+				fakeplatform.Nodes(false, "a 1.1.1.1:1 leaving"), fakeplatform.Nodes(false, "c 1.1.1.3:1 active")} {
+				response := fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, i+1, i+1, event)
+				if _, err := list.Apply(parseResponse(t, response)); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if got := formatList(list.Workers(constantRouterTime)); got != before {
+				t.Fatal(got)
+			}
+			snapshot := fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "c 1.1.1.3:1 leaving")
+			response := fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, c.revision, c.revision, snapshot)
+			if _, err := list.Apply(parseResponse(t, response)); err != nil {
+				t.Error(err)
+			}
+			if got := formatList(list.Workers(constantRouterTime)); got != c.want || list.revision != int64(c.revision) {
+				t.Errorf("%s, revision %d; want %s", got, list.revision, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/discovery/response_test.go
@@ -0,0 +1,27 @@
+package discovery
+
+import (
+	"testing"
+
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+// FuzzParsePollResponse checks that no response panics, and that the endpoints of one that is accepted can be used.
+func FuzzParsePollResponse(f *testing.F) {
+	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.Nodes(true, "a 1.1.1.1:1 active") + `}]}`))
+	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":null}]}`))
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		response, err := ParsePollResponse(raw)
+		if err != nil {
+			return
+		}
+		list := newEndpointList()
+		if _, err := list.Apply(response); err == nil {
+			for _, worker := range list.Workers(constantRouterTime) {
+				if worker.ID == "" || worker.Address == "" {
+					t.Fatalf("unusable worker %+v", worker)
+				}
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/discovery/watcher_test.go
@@ -0,0 +1,139 @@
+package discovery
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+func TestWatchAppliesUpdates(t *testing.T) {
+	server, _, lists := startWatcher(t, nil)
+	server.Tell(fakeplatform.Nodes(false, "a 1.1.1.1:1 leaving"))
+	if got := fakeplatform.Await(t, lists, "the drain"); got != "a@1.1.1.1:1 drains, b@1.1.1.2:1" {
+		t.Errorf("after the drain: %s", got)
+	}
+	server.Tell(fakeplatform.Nodes(false, "a 1.1.1.1:1 left", "c 1.1.1.1:1 active")) // a new endpoint at the old address
+	if got := fakeplatform.Await(t, lists, "the change"); got != "b@1.1.1.2:1, c@1.1.1.1:1" {
+		t.Errorf("after the change: %s", got)
+	}
+	server.Tell(`"other":{"x":1}`) // an event of another kind advances the revision and changes nothing
+	server.Tell(fakeplatform.Nodes(true, "d 1.1.1.4:1 active"))
+	if got := fakeplatform.Await(t, lists, "the snapshot"); got != "d@1.1.1.4:1" {
+		t.Errorf("after a snapshot: %s", got)
+	}
+}
+
+// brokenResponses are responses that must not be applied, made of the body that they replace. hold keeps the connection
+// open after them.
+var brokenResponses = map[string]func(body string) (raw string, hold bool){
+	"cut off within an event":   func(body string) (string, bool) { return truncated(body), false },
+	"cut off and held open":     func(body string) (string, bool) { return truncated(body), true },
+	"closed without a response": func(string) (string, bool) { return "\r\n", false },
+	"silent":                    func(string) (string, bool) { return "", true },
+	"noise":                     func(string) (string, bool) { return "\x00\xff\x17noise\r\n\r\n", true },
+	"an error status":           func(string) (string, bool) { return "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", true },
+	"no JSON":                   func(body string) (string, bool) { return httpResponse(body[1:]), true },
+	"no cursor":                 func(string) (string, bool) { return httpResponse(`{"cmds":[]}`), true },
+	"a length of 3 GB":          func(string) (string, bool) { return "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n{", true },
+	"an endpoint without address": func(body string) (string, bool) {
+		return httpResponse(strings.Replace(body, "1.1.1.3:1", "", 1)), true
+	},
+	"an unknown state": func(body string) (string, bool) {
+		return httpResponse(strings.Replace(body, `"phase":"active"`, `"phase":"odd"`, 1)), true
+	},
+	"without length, cut off": func(body string) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\n" + body[:len(body)-9], false },
+	"events out of order": func(string) (string, bool) {
+		return httpResponse(`{"cursor":9,"cmds":[{"cursor":3,` + fakeplatform.Nodes(false, "x 1.1.1.1:1 active") + `},{"cursor":2}]}`), true
+	},
+	"a gap": func(string) (string, bool) {
+		return httpResponse(`{"cursor":9,"cmds":[{"cursor":9,` + fakeplatform.Nodes(false, "x 1.1.1.1:1 active") + `}]}`), true
+	},
+}
+
+func httpResponse(body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+func truncated(body string) string {
+	response := httpResponse(body)
+	return response[:len(response)-20]
+}
+
+// TestBrokenResponseIsPolledAgain checks that a response that is cut off, malformed, endless or missing leaves the list
+// as it was and is followed by the same request, after which the event is applied once.
+func TestBrokenResponseIsPolledAgain(t *testing.T) {
+	for name, broken := range brokenResponses {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			first := make(chan struct{})
+			brokenSent := make(chan struct{})
+			server, watcher, lists := startWatcher(t, func(_ int, body string) (string, bool) {
+				if !strings.Contains(body, "1.1.1.3") {
+					return "", false
+				}
+				select {
+				case <-first:
+					return "", false
+				default:
+					close(first)
+					defer close(brokenSent)
+					return broken(body)
+				}
+			})
+			server.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+			fakeplatform.Await(t, brokenSent, "the broken response")
+			if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+				t.Errorf("list %s", got)
+			}
+			if stats := watcher.Stats(); stats.Revision != 2 || stats.Events != 1 || stats.FailedPolls == 0 {
+				t.Errorf("%+v", stats)
+			}
+			for len(server.Asked()) > 0 {
+				if revision := <-server.Asked(); revision > 2 {
+					t.Errorf("polled from revision %d, beyond the events sent", revision)
+				}
+			}
+		})
+	}
+}
+
+// TestSetAddressKeepsRevision checks that the poll pending at the old address, which stays open and silent, is abandoned
+// and resumes from the same revision at the new one.
+func TestSetAddressKeepsRevision(t *testing.T) {
+	oldServer, watcher, lists := startWatcher(t, nil)
+	oldServer.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+	fakeplatform.Await(t, lists, "the second event")
+	newServer, err := fakeplatform.StartChannel(`"x":1`, `"x":2`, fakeplatform.Nodes(false, "d 1.1.1.4:1 active"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer newServer.Stop()
+	watcher.SetAddress(newServer.Addr())
+	if revision := fakeplatform.Await(t, newServer.Asked(), "a poll at the new address"); revision != 2 {
+		t.Errorf("polled from revision %d", revision)
+	}
+	if got := fakeplatform.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
+		t.Errorf("list %s", got)
+	}
+	if stats := watcher.Stats(); stats.Revision != 3 || stats.AddressChanges != 1 {
+		t.Errorf("%+v", stats)
+	}
+}
+
+// TestPrematureResponsesAreThrottled checks that a server that holds no poll back, and sends no event, is polled no
+// faster than one that fails, and that a later event is applied all the same.
+func TestPrematureResponsesAreThrottled(t *testing.T) {
+	server, watcher, lists := startWatcher(t, nil)
+	server.Hasty()
+	time.Sleep(300 * time.Millisecond)
+	if stats := watcher.Stats(); stats.Polls > 100 {
+		t.Errorf("%d polls in 0.3 s", stats.Polls)
+	}
+	server.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+	if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+		t.Errorf("list %s", got)
+	}
+}
--- a/internal/httprouter/config.go
+++ b/internal/httprouter/config.go
@@ -19,35 +19,35 @@
 
 // Config is what a router is told.
 type Config struct {
-	Name     string
-	Listen   string
-	Channel  string
-	Seed     uint64
-	Cores    float64
-	MemoryMB float64
-	Sockets  int
-	Known    discovery.Batch
-	Settings dispatch.Settings
-	Limits   simwire.Limits
+	Name             string
+	ListenAddress    string
+	DiscoveryAddress string
+	Seed             uint64
+	Cores            float64
+	MemoryMB         float64
+	MaxDescriptors   int
+	InitialEndpoints discovery.PollResponse
+	Settings         dispatch.Settings
+	Limits           simwire.Limits
 }
 
 // maxFile bounds the file, in bytes.
-const maxFile = 16 << 20
+const maxConfigBytes = 16 << 20
 
 // Load reads and checks the file.
-func Load(path string) (*Config, error) {
+func LoadConfig(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("platform: configuration: %w", err)
 	}
-	if info.Size() > maxFile {
-		return nil, fmt.Errorf("platform: %s: %d bytes, at most %d", path, info.Size(), maxFile)
+	if info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("platform: %s: %d bytes, at most %d", path, info.Size(), maxConfigBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("platform: configuration: %w", err)
 	}
-	c, err := Parse(raw)
+	c, err := ParseConfig(raw)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %s: %w", path, err)
 	}
@@ -55,7 +55,7 @@
 }
 
 // Parse reads a configuration.
-func Parse(raw []byte) (*Config, error) {
+func ParseConfig(raw []byte) (*Config, error) {
 	var f struct {
 		Name    string `json:"name"`
 		Listen  string `json:"listen"`
@@ -72,21 +72,21 @@
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Channel: f.Channel, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
+	c := &Config{Name: f.Name, ListenAddress: f.Listen, DiscoveryAddress: f.Channel, Cores: f.Limits.Cores,
+		MemoryMB: f.Limits.MemoryMB, MaxDescriptors: f.Limits.Sockets}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	for name, addr := range map[string]string{"listen": c.Listen, "channel": c.Channel} {
+	for name, addr := range map[string]string{"listen": c.ListenAddress, "channel": c.DiscoveryAddress} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	if c.Cores <= 0 || math.IsNaN(c.Cores) || c.MemoryMB < 16 || c.Sockets < 64 {
-		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are too few", c.Cores, c.MemoryMB, c.Sockets)
+	if c.Cores <= 0 || math.IsNaN(c.Cores) || c.MemoryMB < 16 || c.MaxDescriptors < 64 {
+		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are too few", c.Cores, c.MemoryMB, c.MaxDescriptors)
 	}
-	if c.Known, err = discovery.Parse(f.Known); err != nil {
+	if c.InitialEndpoints, err = discovery.ParsePollResponse(f.Known); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	if len(f.Settings) == 0 {
@@ -108,24 +108,24 @@
 }
 
 // Shares is how the limits are divided.
-type Shares struct {
-	Procs        int
-	Memory       int64 // bytes that the collector keeps the heap below
-	Clients      int   // connections
-	Workers      int   // connections
-	SocketBuffer int   // bytes that the system holds of what a peer sends ahead
+type Budget struct {
+	MaxProcs          int
+	HeapLimit         int64 // bytes that the collector keeps the heap below
+	ClientConns       int   // connections
+	WorkerConns       int   // connections
+	SocketBufferBytes int   // bytes that the system holds of what a peer sends ahead
 }
 
 // Shares divides the limits. Clients hold at most a third of the descriptors in use, so a little under half leaves
 // room for others; as much is reserved for workers, and the rest for the listener, the channel, event loops,
 // standard streams and what is being closed. The event loop's wait holds one processor, so there is one more of
 // them than cores.
-func (c *Config) Shares() Shares {
-	return Shares{
-		Procs:        max(int(math.Ceil(c.Cores)), 1) + 1,
-		Memory:       int64(c.MemoryMB * 0.6 * (1 << 20)),
-		Clients:      c.Sockets * 45 / 100,
-		Workers:      c.Sockets * 42 / 100,
-		SocketBuffer: 32 << 10,
+func (c *Config) Budget() Budget {
+	return Budget{
+		MaxProcs:          max(int(math.Ceil(c.Cores)), 1) + 1,
+		HeapLimit:         int64(c.MemoryMB * 0.6 * (1 << 20)),
+		ClientConns:       c.MaxDescriptors * 45 / 100,
+		WorkerConns:       c.MaxDescriptors * 42 / 100,
+		SocketBufferBytes: 32 << 10,
 	}
 }
--- a/internal/httprouter/golden_test.go
+++ b/internal/httprouter/golden_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // compareGolden compares bytes with a file under testdata/golden.
 func compareGolden(t *testing.T, name string, got []byte) {
@@ -77,7 +77,7 @@
 
 // TestGoldenConfig holds what is read of a configuration file with every key.
 func TestGoldenConfig(t *testing.T) {
-	config, err := Load("testdata/golden/config.json")
+	config, err := LoadConfig("testdata/golden/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httprouter/node_test.go
+++ b/internal/httprouter/node_test.go
@@ -22,7 +22,7 @@
 )
 
 // settings are those of a small fleet; times are in microseconds, as the simulator tells them.
-const settings = `{"az":"z","balancers":1,"host_types":["k"],
+const defaultSettings = `{"az":"z","balancers":1,"host_types":["k"],
  "classes":[{"name":"safe","semantics":"read_like","target":2000000,"deadline":8000000,"worth":1.0},
   {"name":"keyed","semantics":"idempotency_key","dedup_scope":"cell","window":6000000,"target":2000000,"deadline":8000000,"worth":1.0},
   {"name":"unsafe","semantics":"non_idempotent","target":2000000,"deadline":8000000,"worth":1.0}],
@@ -33,37 +33,37 @@
   "connect_timeout":2000000,"idle_close":15000000,"streams_per_conn":32},
  "safety":{"drain_grace":500000,"start_capacity":0.2,"warm_within":16000000,"overload_factor":3,"fall":1500000,"grace_to_answer":5000}}`
 
-func file(channel, known string) string { return fileOf(settings, channel, known) }
+func configJSON(channel, known string) string { return configJSONWith(defaultSettings, channel, known) }
 
-func fileOf(settings, channel, known string) string {
+func configJSONWith(settings, channel, known string) string {
 	return fmt.Sprintf(`{"name":"r","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"channel":%q,"known":%s,"settings":%s}`, channel, known, settings)
 }
 
 // fleet is three workers, a channel that lists them, and a router before them.
-type fleet struct {
-	t       *testing.T
-	log     *invariants.Log
-	workers []*fakeplatform.Worker
-	channel *fakeplatform.Channel
-	node    *Node
-	client  *fakeplatform.Client
-	mu      sync.Mutex
-	next    int
+type harness struct {
+	t         *testing.T
+	records   *invariants.Log
+	workers   []*fakeplatform.Worker
+	discovery *fakeplatform.Channel
+	server    *Server
+	client    *fakeplatform.Client
+	mu        sync.Mutex
+	nextCall  int
 }
 
-func newFleet(t *testing.T, decider func(dispatch.Settings, uint64) (router.Dispatcher, error)) *fleet {
+func newHarness(t *testing.T, decider func(dispatch.Settings, uint64) (router.Dispatcher, error)) *harness {
 	t.Helper()
-	return newFleetOf(t, settings, decider)
+	return newHarnessWith(t, defaultSettings, decider)
 }
 
 // newFleetOf is a fleet whose router has settings of its own.
-func newFleetOf(t *testing.T, settings string, decider func(dispatch.Settings, uint64) (router.Dispatcher, error)) *fleet {
+func newHarnessWith(t *testing.T, settings string, decider func(dispatch.Settings, uint64) (router.Dispatcher, error)) *harness {
 	t.Helper()
-	f := &fleet{t: t, log: invariants.NewLog()}
+	f := &harness{t: t, records: invariants.NewLog()}
 	var list []string
 	for i, id := range []string{"a", "b", "c"} {
-		w := &fakeplatform.Worker{ID: id, Log: f.log, Work: 2 * time.Millisecond, Drop: "keyed"}
+		w := &fakeplatform.Worker{ID: id, Log: f.records, Work: 2 * time.Millisecond, Drop: "keyed"}
 		if err := w.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
@@ -72,30 +72,30 @@
 		list = append(list, fmt.Sprintf("%s %s active %d", id, w.Addr(), i))
 	}
 	var err error
-	if f.channel, err = fakeplatform.StartChannel(fakeplatform.Nodes(true, list...)); err != nil {
+	if f.discovery, err = fakeplatform.StartChannel(fakeplatform.Nodes(true, list...)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.channel.Stop)
-	cfg, err := Parse([]byte(fileOf(settings, f.channel.Addr(), f.channel.Known())))
+	t.Cleanup(f.discovery.Stop)
+	cfg, err := ParseConfig([]byte(configJSONWith(settings, f.discovery.Addr(), f.discovery.Known())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.node, err = Start(cfg, Options{Decider: decider}); err != nil {
+	if f.server, err = Start(cfg, Options{NewDispatcher: decider}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.node.Kill)
+	t.Cleanup(f.server.Close)
 	tr := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(tr.CloseIdleConnections)
-	f.client = &fakeplatform.Client{Base: "http://" + f.node.Addr(), Log: f.log, HTTP: &http.Client{Transport: tr}}
+	f.client = &fakeplatform.Client{Base: "http://" + f.server.Addr(), Log: f.records, HTTP: &http.Client{Transport: tr}}
 	return f
 }
 
 // call makes one call of a class; the functions are few, so that copies are shared.
-func (f *fleet) call(class string) int {
+func (f *harness) call(class string) int {
 	f.mu.Lock()
-	f.next++
-	id := fmt.Sprintf("%016x", f.next)
-	fn := fmt.Sprintf("%016x", f.next%5+1)
+	f.nextCall++
+	id := fmt.Sprintf("%016x", f.nextCall)
+	fn := fmt.Sprintf("%016x", f.nextCall%5+1)
 	f.mu.Unlock()
 	status, body := f.client.Call(id, class, fn, 8*time.Second)
 	if status == 200 && body != "done "+id {
@@ -105,7 +105,7 @@
 }
 
 // calls makes n calls of each class, some at once, and returns how many were served.
-func (f *fleet) calls(n int) (served int) {
+func (f *harness) calls(n int) (served int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	room := make(chan struct{}, 12)
@@ -127,29 +127,29 @@
 }
 
 // site is what the checker is told; its slack is wide, as a loaded machine may stand between a send and its record.
-func (f *fleet) site() invariants.Site {
+func (f *harness) invariantSettings() invariants.Site {
 	return invariants.Site{Classes: map[string]invariants.Class{"safe": {Effect: "safe", All: true, Work: 5 * time.Millisecond},
 		"keyed": {Effect: "keyed", Work: 5 * time.Millisecond}, "unsafe": {Effect: "unsafe", Work: 5 * time.Millisecond}},
 		AnswerGrace: 2 * time.Second, DrainGrace: 500 * time.Millisecond, LoadSpan: 5 * time.Second, LoadFree: 4, LoadShare: 0.1,
 		Slack: time.Second}
 }
 
-func (f *fleet) kept() {
+func (f *harness) requireInvariants() {
 	f.t.Helper()
-	for _, b := range invariants.Check(f.site(), f.log.Records()) {
+	for _, b := range invariants.Check(f.invariantSettings(), f.records.Records()) {
 		f.t.Error(b)
 	}
 }
 
 // tell has the channel tell of a worker, and waits until the router has heard.
-func (f *fleet) tell(workers ...string) {
+func (f *harness) updateEndpoints(workers ...string) {
 	f.t.Helper()
-	before := f.node.feed.Stats().Cursor
-	f.channel.Tell(fakeplatform.Nodes(false, workers...))
+	before := f.server.watcher.Stats().Revision
+	f.discovery.Tell(fakeplatform.Nodes(false, workers...))
 	for range 4000 {
-		if f.node.feed.Stats().Cursor > before {
-			f.node.router.Stats() // the loop has followed by the turn after the one that answers first
-			f.node.router.Stats()
+		if f.server.watcher.Stats().Revision > before {
+			f.server.router.Stats() // the loop has followed by the turn after the one that answers first
+			f.server.router.Stats()
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -159,8 +159,8 @@
 
 // TestADayOnThePlatform: workers drain, die, are replaced at their address, and spoil answers; the channel moves. The
 // rules hold by what workers and clients saw, and nearly all calls are served.
-func TestADayOnThePlatform(t *testing.T) {
-	f := newFleet(t, nil)
+func TestInvariantsThroughDrainReplacementAndAddressChange(t *testing.T) {
+	f := newHarness(t, nil)
 	resp, err := f.client.HTTP.Get(f.client.Base + "/ping")
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
@@ -171,19 +171,19 @@
 	}
 
 	// a drains. Its process goes on, so that what is still sent there shows.
-	f.tell("a " + f.workers[0].Addr() + " leaving")
-	f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
+	f.updateEndpoints("a " + f.workers[0].Addr() + " leaving")
+	f.records.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
 	f.calls(20)
 
 	// a has gone, and d comes at its address.
 	addr := f.workers[0].Addr()
 	f.workers[0].Stop()
-	d := &fakeplatform.Worker{ID: "d", Log: f.log, Work: 2 * time.Millisecond, Drop: "keyed"}
+	d := &fakeplatform.Worker{ID: "d", Log: f.records, Work: 2 * time.Millisecond, Drop: "keyed"}
 	if err := d.Start(addr); err != nil {
 		t.Skip("the address was taken by another process:", err)
 	}
 	defer d.Stop()
-	f.tell("a "+addr+" left", fmt.Sprintf("d %s active 0", addr))
+	f.updateEndpoints("a "+addr+" left", fmt.Sprintf("d %s active 0", addr))
 	f.calls(30)
 	if !slices.ContainsFunc(d.Got(), func(r fakeplatform.Request) bool { return r.Verb == "exec" }) {
 		t.Error("the new worker at the old address got nothing")
@@ -212,46 +212,46 @@
 		t.Fatal(err)
 	}
 	defer to.Stop()
-	next, err := Parse([]byte(file(to.Addr(), f.channel.Known())))
+	next, err := ParseConfig([]byte(configJSON(to.Addr(), f.discovery.Known())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.node.Move(next)
-	f.channel = to
-	f.tell("c " + f.workers[2].Addr() + " leaving")
-	f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "c", Off: true})
+	f.server.UpdateConfig(next)
+	f.discovery = to
+	f.updateEndpoints("c " + f.workers[2].Addr() + " leaving")
+	f.records.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "c", Off: true})
 	f.calls(10)
-	f.kept()
+	f.requireInvariants()
 }
 
 // breaker is a decider that breaks one rule on purpose.
-type breaker struct {
+type violatingDispatcher struct {
 	rule    int
 	workers []dispatch.Endpoint
-	n       int
-	late    []dispatch.RequestID // held until their clients' time is over
+	counter int
+	overdue []dispatch.RequestID // held until their clients' time is over
 }
 
-func (b *breaker) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
+func (b *violatingDispatcher) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.TimerFired:
-			for _, id := range b.late {
+			for _, id := range b.overdue {
 				out = append(out, dispatch.RejectRequest{ID: id})
 			}
-			b.late = nil
+			b.overdue = nil
 		case dispatch.EndpointUpdate:
 			b.workers = e.Endpoints
 		case dispatch.AttemptEnded: // the next worker is tried where nothing ran
-			if b.n++; e.Result == dispatch.NotSent && !e.Final {
-				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: b.workers[b.n%len(b.workers)].ID})
+			if b.counter++; e.Result == dispatch.NotSent && !e.Final {
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: b.workers[b.counter%len(b.workers)].ID})
 			}
 		case dispatch.Request:
-			b.n++
-			w := b.workers[b.n%len(b.workers)].ID
+			b.counter++
+			w := b.workers[b.counter%len(b.workers)].ID
 			switch b.rule {
 			case 1: // answers once the client's time is over
-				b.late = append(b.late, e.ID)
+				b.overdue = append(b.overdue, e.ID)
 				out = append(out, dispatch.SetTimer{After: e.RemainingDeadline + 300*time.Millisecond})
 				continue
 			case 2: // runs twice
@@ -267,29 +267,31 @@
 }
 
 // TestTheCheckCanFail breaks each rule on purpose, in what decides or in what the router is told, and sees it found.
-func TestTheCheckCanFail(t *testing.T) {
+func TestInvariantViolationsAreDetected(t *testing.T) {
 	for rule, about := range map[int]string{1: "an answer after the deadline", 2: "an effect twice", 3: "a drain not heard of",
 		4: "a fresh start not heard of", 5: "orders without ration"} {
 		t.Run(about, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &breaker{rule: rule}, nil })
-			site := f.site()
+			f := newHarness(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) {
+				return &violatingDispatcher{rule: rule}, nil
+			})
+			site := f.invariantSettings()
 			switch rule {
 			case 1:
 				site.AnswerGrace = 0
 				f.client.Call(fmt.Sprintf("%016x", 1<<20), "safe", fmt.Sprintf("%016x", 1), 200*time.Millisecond)
 			case 3:
-				f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
+				f.records.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
 				site.DrainGrace, site.Slack = 0, 0
 			case 4:
-				f.log.Add(invariants.Record{Kind: invariants.Started, Worker: "a"})
+				f.records.Add(invariants.Record{Kind: invariants.Started, Worker: "a"})
 				site.ColdFor, site.ColdShare, site.FallMultiple, site.FallSpan = time.Hour, 0.2, 3, 1500*time.Millisecond
 				site.Capacity = map[string]float64{"a": 0.001}
 			}
 			if rule != 1 {
 				f.calls(20)
 			}
-			found := invariants.Check(site, f.log.Records())
+			found := invariants.Check(site, f.records.Records())
 			if !slices.ContainsFunc(found, func(b invariants.Breach) bool { return b.Rule == rule }) {
 				t.Errorf("rule %d broken on purpose, and found %v", rule, found)
 			}
@@ -298,16 +300,16 @@
 }
 
 // TestDrainedWorkersGetNothing: with a decider that knows of no drains, the exit's own check keeps the rule.
-func TestDrainedWorkersGetNothing(t *testing.T) {
-	f := newFleet(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &breaker{}, nil })
+func TestDrainingWorkerReceivesNothing(t *testing.T) {
+	f := newHarness(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &violatingDispatcher{}, nil })
 	f.calls(3)
-	f.tell("a " + f.workers[0].Addr() + " leaving")
+	f.updateEndpoints("a " + f.workers[0].Addr() + " leaving")
 	before := len(f.workers[0].Got())
 	f.calls(10)
 	if got := len(f.workers[0].Got()); got != before {
 		t.Errorf("%d messages to a worker that drains", got-before)
 	}
-	f.tell("a " + f.workers[0].Addr() + " active") // it stays after all
+	f.updateEndpoints("a " + f.workers[0].Addr() + " active") // it stays after all
 	f.calls(10)
 	if len(f.workers[0].Got()) == before {
 		t.Error("nothing to a worker that is listed as active again")
@@ -317,8 +319,8 @@
 // TestSignals: clients that come, and requests on open connections, are served for a while after it; then all that
 // was taken has its answer, and the process ends well. SIGHUP before it moves the channel, and a bad file does not.
 func TestSignals(t *testing.T) {
-	f := newFleet(t, nil)
-	f.node.Kill()
+	f := newHarness(t, nil)
+	f.server.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(s string) {
 		t.Helper()
@@ -326,7 +328,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(file(f.channel.Addr(), f.channel.Known()))
+	write(configJSON(f.discovery.Addr(), f.discovery.Known()))
 	read, out := io.Pipe()
 	lines := make(chan string, 1<<12)
 	go func() {
@@ -377,7 +379,7 @@
 		t.Fatal(err)
 	}
 	defer to.Stop()
-	write(file(to.Addr(), f.channel.Known()))
+	write(configJSON(to.Addr(), f.discovery.Known()))
 	hup()
 	if n := <-to.Asked(); n != 1 {
 		t.Errorf("asked from %d at the new address", n)
@@ -389,7 +391,7 @@
 		t.Fatal(err)
 	}
 	defer last.Stop()
-	write(file(last.Addr(), f.channel.Known()))
+	write(configJSON(last.Addr(), f.discovery.Known()))
 	hup() // in the same breath: workers drain while the last calls are served
 	if n := fakeplatform.Await(t, last.Asked(), "a question at the last address"); n != 2 {
 		t.Errorf("asked from %d at the last address", n)
@@ -397,7 +399,7 @@
 	f.workers[0].Work = 0
 	began := time.Now()
 	served := 0
-	for time.Since(began) < acceptFor/2 {
+	for time.Since(began) < acceptAfterSIGTERM/2 {
 		if f.call("safe") == 200 {
 			served++
 		}
@@ -414,12 +416,12 @@
 	case <-time.After(30 * time.Second):
 		t.Fatal("the process does not end")
 	}
-	f.kept()
+	f.requireInvariants()
 }
 
 // TestSettingsOfOtherDeployments: whatever optional part is missing or odd, the router starts, serves a call of its first
 // class at a worker that it has to load, and stops with nothing lost.
-func TestSettingsOfOtherDeployments(t *testing.T) {
+func TestOptionalSettings(t *testing.T) {
 	class := func(i int) string {
 		kinds := []string{`"read_like"`, `"non_idempotent"`, `"idempotency_key","dedup_scope":"all","window":5000000`}
 		return fmt.Sprintf(`{"name":"c%d","semantics":%s,"target":1000000,"deadline":20000000}`, i, kinds[i%3])
@@ -446,14 +448,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleetOf(t, settings, nil)
+			f := newHarnessWith(t, settings, nil)
 			for i := range 3 {
 				status, body := f.client.Call(fmt.Sprintf("%016x", i+1), "c0", fmt.Sprintf("%016x", 7), 20*time.Second)
 				if status != 200 || body != fmt.Sprintf("done %016x", i+1) {
 					t.Errorf("call %d: %d %q", i, status, body)
 				}
 			}
-			if lost := f.node.Stop(); lost != 0 {
+			if lost := f.server.Shutdown(); lost != 0 {
 				t.Errorf("%d lost", lost)
 			}
 		})
@@ -462,8 +464,8 @@
 
 // TestAStopAnswersWhatWorkersDoNot: clients wait for longer than the process lives on after SIGTERM, and workers say
 // nothing. Each class gets the final answer that its effect allows, before the end.
-func TestAStopAnswersWhatWorkersDoNot(t *testing.T) {
-	f := newFleet(t, nil)
+func TestShutdownAnswersPendingCalls(t *testing.T) {
+	f := newHarness(t, nil)
 	for _, w := range f.workers {
 		w.Act = func(fakeplatform.Request) {}
 	}
@@ -475,12 +477,12 @@
 		}()
 	}
 	for range 4000 {
-		if f.node.front.Stats().Open == 3 {
+		if f.server.server.Stats().Open == 3 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if lost := f.node.Stop(); lost != 0 {
+	if lost := f.server.Shutdown(); lost != 0 {
 		t.Errorf("%d calls without an answer", lost)
 	}
 	want := map[string]string{"safe": "503", "keyed": "502", "unsafe": "502"}
@@ -491,9 +493,9 @@
 	}
 }
 
-func TestConfigurationsThatAreWrongAreNamed(t *testing.T) {
-	good := file("127.0.0.1:1", `{"cursor":1,"cmds":[{"cursor":1,`+fakeplatform.Nodes(true, "a 127.0.0.1:1 active")+`}]}`)
-	if _, err := Parse([]byte(good)); err != nil {
+func TestParseConfigRejectsInvalid(t *testing.T) {
+	good := configJSON("127.0.0.1:1", `{"cursor":1,"cmds":[{"cursor":1,`+fakeplatform.Nodes(true, "a 127.0.0.1:1 active")+`}]}`)
+	if _, err := ParseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for old, new := range map[string]string{
@@ -502,17 +504,17 @@
 		`"known":`: `"unknown":`, `"settings":`: `"other":`, `"read_like"`: `"odd"`, `"id":"a"`: `"id":""`,
 	} {
 		name, _, _ := strings.Cut(strings.Trim(old, `"`), `"`)
-		if _, err := Parse([]byte(strings.Replace(good, old, new, 1))); err == nil {
+		if _, err := ParseConfig([]byte(strings.Replace(good, old, new, 1))); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
 }
 
 // TestShares: what is divided never exceeds the limits, at the least and the most that the platform gives.
-func TestShares(t *testing.T) {
-	for _, c := range []Config{{Cores: 1, MemoryMB: 32, Sockets: 256}, {Cores: 0.5, MemoryMB: 192, Sockets: 1024}} {
-		s := c.Shares()
-		if s.Clients < c.Sockets/3 || s.Clients+s.Workers+24 > c.Sockets || s.Memory >= int64(c.MemoryMB)<<20 || s.Procs < 1 {
+func TestBudgetWithinLimits(t *testing.T) {
+	for _, c := range []Config{{Cores: 1, MemoryMB: 32, MaxDescriptors: 256}, {Cores: 0.5, MemoryMB: 192, MaxDescriptors: 1024}} {
+		s := c.Budget()
+		if s.ClientConns < c.MaxDescriptors/3 || s.ClientConns+s.WorkerConns+24 > c.MaxDescriptors || s.HeapLimit >= int64(c.MemoryMB)<<20 || s.MaxProcs < 1 {
 			t.Errorf("%+v of %+v", s, c)
 		}
 	}
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -22,12 +22,12 @@
 )
 
 // child is a router as a process of its own, with no more descriptors than its configuration says.
-func child(path string) {
+func runAsProcess(path string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	cfg, err := Load(path)
+	cfg, err := LoadConfig(path)
 	if err == nil {
-		limit := uint64(cfg.Sockets)
+		limit := uint64(cfg.MaxDescriptors)
 		err = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit})
 	}
 	if err == nil {
@@ -42,17 +42,17 @@
 
 func TestMain(m *testing.M) {
 	if path := os.Getenv("PLATFORM_TEST_CONFIG"); path != "" {
-		child(path)
+		runAsProcess(path)
 	}
 	os.Exit(m.Run())
 }
 
 // process is a router in a process, and what it writes to its log.
 type process struct {
-	t     *testing.T
-	cmd   *exec.Cmd
-	addr  string
-	lines chan string
+	t       *testing.T
+	cmd     *exec.Cmd
+	address string
+	lines   chan string
 }
 
 func startProcess(t *testing.T, config string) *process {
@@ -77,13 +77,13 @@
 		}
 		close(p.lines)
 	}()
-	_, addr, _ := strings.Cut(p.line("msg=serving"), "address=")
-	p.addr, _, _ = strings.Cut(addr, " ")
+	_, addr, _ := strings.Cut(p.waitForLine("msg=serving"), "address=")
+	p.address, _, _ = strings.Cut(addr, " ")
 	return p
 }
 
 // line waits for a line of the log.
-func (p *process) line(of string) string {
+func (p *process) waitForLine(of string) string {
 	p.t.Helper()
 	limit := time.After(30 * time.Second)
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (p *process) signal(s syscall.Signal) {
+func (p *process) sendSignal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		p.t.Fatal(err)
@@ -109,7 +109,7 @@
 }
 
 // ended waits for the process to end well.
-func (p *process) ended() {
+func (p *process) requireExit() {
 	p.t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- p.cmd.Wait() }()
@@ -119,11 +119,11 @@
 }
 
 func (p *process) client() *fakeplatform.Client {
-	return &fakeplatform.Client{Base: "http://" + p.addr, Log: invariants.NewLog(), HTTP: &http.Client{Transport: &http.Transport{}}}
+	return &fakeplatform.Client{Base: "http://" + p.address, Log: invariants.NewLog(), HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
 // closedPort is an address at which nothing listens.
-func closedPort(t *testing.T) string {
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,7 +136,7 @@
 // TestIdleClientsLeaveDescriptorsToTheRouter: clients that say nothing come in numbers beyond all descriptors while the
 // command channel is down. A usual client is served, over a new connection to a worker; and the channel is heard of
 // when it is back, at a new address, with the worker's drain and another that takes its place.
-func TestIdleClientsLeaveDescriptorsToTheRouter(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery(t *testing.T) {
 	var workers []*fakeplatform.Worker
 	for _, id := range []string{"a", "b"} {
 		w := &fakeplatform.Worker{ID: id}
@@ -148,7 +148,7 @@
 	}
 	first := fakeplatform.Nodes(true, "a "+workers[0].Addr()+" active")
 	known := `{"cursor":1,"cmds":[{"cursor":1,` + first + `}]}`
-	p := startProcess(t, file(closedPort(t), known))
+	p := startProcess(t, configJSON(unusedAddress(t), known))
 	idle := make([]net.Conn, 0, 400)
 	defer func() {
 		for _, nc := range idle {
@@ -157,7 +157,7 @@
 	}()
 	crowd := func() {
 		for range cap(idle) / 2 {
-			nc, err := net.DialTimeout("tcp", p.addr, 20*time.Second)
+			nc, err := net.DialTimeout("tcp", p.address, 20*time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -177,10 +177,10 @@
 	}
 	defer channel.Stop()
 	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "PLATFORM_TEST_CONFIG=")
-	if err := os.WriteFile(path, []byte(file(channel.Addr(), known)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(configJSON(channel.Addr(), known)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.signal(syscall.SIGHUP)
+	p.sendSignal(syscall.SIGHUP)
 	for from := -1; from != 2; { // asked from 2: the second event was applied
 		from = fakeplatform.Await(t, channel.Asked(), "a question")
 	}
@@ -195,7 +195,7 @@
 
 // TestReadyByWhatIsKnown: with the channel down and a list of 4,000 workers, the router takes clients and routes by what
 // the configuration holds. The time until then is told, not judged.
-func TestReadyByWhatIsKnown(t *testing.T) {
+func TestServesFromInitialEndpoints(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w0"}
 	if err := w.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -205,10 +205,10 @@
 	for i := range 3999 {
 		list = append(list, fmt.Sprintf("w%d %s leaving", i+1, w.Addr()))
 	}
-	config := file(closedPort(t), `{"cursor":1,"cmds":[{"cursor":1,`+fakeplatform.Nodes(true, list...)+`}]}`)
+	config := configJSON(unusedAddress(t), `{"cursor":1,"cmds":[{"cursor":1,`+fakeplatform.Nodes(true, list...)+`}]}`)
 	began := time.Now()
 	p := startProcess(t, config)
-	resp, err := http.Get("http://" + p.addr + "/ping")
+	resp, err := http.Get("http://" + p.address + "/ping")
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
@@ -221,7 +221,7 @@
 
 // TestSignalsToAProcess: SIGTERM right after the start, and again and with SIGHUP during a stop, ends the process well and
 // with every call answered: one in flight, one half sent, and one that comes on an open connection afterwards.
-func TestSignalsToAProcess(t *testing.T) {
+func TestProcessSignals(t *testing.T) {
 	release := make(chan struct{})
 	w := &fakeplatform.Worker{ID: "a"}
 	w.Act = func(r fakeplatform.Request) {
@@ -236,12 +236,12 @@
 	t.Cleanup(w.Stop)
 	known := `{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.Nodes(true, "a "+w.Addr()+" active") + `}]}`
 	t.Run("right after the start", func(t *testing.T) {
-		p := startProcess(t, file(closedPort(t), known))
-		p.signal(syscall.SIGTERM)
-		p.line("msg=stopped")
-		p.ended()
+		p := startProcess(t, configJSON(unusedAddress(t), known))
+		p.sendSignal(syscall.SIGTERM)
+		p.waitForLine("msg=stopped")
+		p.requireExit()
 	})
-	p := startProcess(t, file(closedPort(t), known))
+	p := startProcess(t, configJSON(unusedAddress(t), known))
 	request := func(n int) string {
 		return fmt.Sprintf("POST /call/%016x/call HTTP/1.1\r\nHost: a\r\nX-Class: safe\r\nX-Correlation-Id: %016x\r\n"+
 			"X-Deadline-Ms: 15000\r\nX-Attrs: memory_mb:512\r\nContent-Length: 4\r\n\r\nbody", 7, n)
@@ -249,7 +249,7 @@
 	var conns []net.Conn
 	var answers []*bufio.Reader
 	for range 3 {
-		nc, err := net.Dial("tcp", p.addr)
+		nc, err := net.Dial("tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -259,11 +259,11 @@
 	_, _ = io.WriteString(conns[0], request(1))
 	fakeplatform.Await(t, w.Came(), "word of the first call at the worker")
 	_, _ = io.WriteString(conns[1], request(2)[:60])
-	p.signal(syscall.SIGTERM)
-	p.line("msg=stopping")
-	p.signal(syscall.SIGHUP)
-	p.line("new configuration")
-	p.signal(syscall.SIGTERM)
+	p.sendSignal(syscall.SIGTERM)
+	p.waitForLine("msg=stopping")
+	p.sendSignal(syscall.SIGHUP)
+	p.waitForLine("new configuration")
+	p.sendSignal(syscall.SIGTERM)
 	_, _ = io.WriteString(conns[1], request(2)[60:])
 	_, _ = io.WriteString(conns[2], request(3))
 	close(release)
@@ -278,8 +278,8 @@
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
-	if l := p.line("msg=stopped"); !strings.Contains(l, "lost=0") {
+	if l := p.waitForLine("msg=stopped"); !strings.Contains(l, "lost=0") {
 		t.Error(l)
 	}
-	p.ended()
+	p.requireExit()
 }
--- a/internal/invocation/request_test.go
+++ b/internal/invocation/request_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestHex(t *testing.T) {
+func TestIsLowerHex(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
 		length int
@@ -20,14 +20,14 @@
 		"empty":                         {"", 16, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := Hex(c.text, c.length); got != c.want {
+			if got := IsLowerHex(c.text, c.length); got != c.want {
 				t.Errorf("%q of length %d: %v, want %v", c.text, c.length, got, c.want)
 			}
 		})
 	}
 }
 
-func TestKey(t *testing.T) {
+func TestIsIdempotencyKey(t *testing.T) {
 	for name, c := range map[string]struct {
 		key  string
 		want bool
@@ -49,7 +49,7 @@
 		"character after z, a brace": {"{", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := Key(c.key); got != c.want {
+			if got := IsIdempotencyKey(c.key); got != c.want {
 				t.Errorf("%q: %v, want %v", c.key, got, c.want)
 			}
 		})
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -38,7 +38,7 @@
 		return nil, nil, &turned{405, "method is not POST"}
 	}
 	fn := part[2]
-	if !invocation.Hex(fn, 16) {
+	if !invocation.IsLowerHex(fn, 16) {
 		return nil, nil, &turned{404, "path: the function is not 16 hex digits"}
 	}
 	for _, name := range []string{"x-class", "x-correlation-id", "x-deadline-ms", "x-operation-key", "x-estimate-ms", "x-attrs"} {
@@ -52,7 +52,7 @@
 		return nil, nil, &turned{400, "x-class: not a class of the settings"}
 	}
 	id, _ := m.Get("x-correlation-id")
-	if !invocation.Hex(id, 16) {
+	if !invocation.IsLowerHex(id, 16) {
 		return nil, nil, &turned{400, "x-correlation-id: not 16 hex digits"}
 	}
 	text, _ := m.Get("x-deadline-ms")
@@ -61,7 +61,7 @@
 		return nil, nil, &turned{400, "x-deadline-ms: not a usable figure"}
 	}
 	key, given := m.Get("x-operation-key")
-	if given && !invocation.Key(key) || !given && effect == dispatch.IdempotentByKey {
+	if given && !invocation.IsIdempotencyKey(key) || !given && effect == dispatch.IdempotentByKey {
 		return nil, nil, &turned{400, "x-operation-key: missing or unusable"}
 	}
 	until := came.Add(millis(deadline))
@@ -78,7 +78,7 @@
 			return nil, nil, err
 		}
 	}
-	req := &invocation.Request{ID: id, Class: class, Function: fn, Key: key, Body: m.Body}
+	req := &invocation.Request{ID: id, Class: class, Function: fn, IdempotencyKey: key, Body: m.Body}
 	c.Request = req
 	return c, req, nil
 }
--- a/internal/server/httpserver/front_test.go
+++ b/internal/server/httpserver/front_test.go
@@ -209,7 +209,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if last := u.seen[len(u.seen)-1]; last.Key != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" || last.Class != "keyed" || string(last.Body) != "z" {
+	if last := u.seen[len(u.seen)-1]; last.IdempotencyKey != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" || last.Class != "keyed" || string(last.Body) != "z" {
 		t.Errorf("passed on: %+v", last)
 	}
 }
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -377,9 +377,9 @@
 	f = append(f, r.Function...)
 	f = append(f, ",limit="...)
 	f = strconv.AppendInt(f, max(left.Milliseconds(), 1), 10)
-	if r.Key != "" {
+	if r.IdempotencyKey != "" {
 		f = append(f, ",nonce="...)
-		f = append(f, r.Key...)
+		f = append(f, r.IdempotencyKey...)
 	}
 	return resp.Append(make([]byte, 0, 256+len(r.Body)), []byte("exec"), []byte(r.ID), f, r.Body)
 }
--- a/internal/upstream/respupstream/respback_test.go
+++ b/internal/upstream/respupstream/respback_test.go
@@ -124,7 +124,7 @@
 	c := make(client, 2)
 	st.n++
 	st.r.Submit(&router.Call{Function: fn, Class: "c", RemainingDeadline: left, Client: c,
-		Request: &invocation.Request{ID: fmt.Sprintf("%016x", st.n), Class: "c", Function: fn, Key: "k1", Body: []byte("body")}})
+		Request: &invocation.Request{ID: fmt.Sprintf("%016x", st.n), Class: "c", Function: fn, IdempotencyKey: "k1", Body: []byte("body")}})
 	return c
 }
 
