--- /dev/null
+++ b/internal/httprouter/budget_test.go
@@ -0,0 +1,19 @@
+package httprouter
+
+import "testing"
+
+// TestBudgetWithinLimits checks that the parts never exceed the limits, at the least and the most that the platform gives.
+func TestBudgetWithinLimits(t *testing.T) {
+	for name, cfg := range map[string]Config{
+		"least": {Cores: 1, MemoryMB: 32, MaxDescriptors: 256},
+		"most":  {Cores: 0.5, MemoryMB: 192, MaxDescriptors: 1024},
+	} {
+		t.Run(name, func(t *testing.T) {
+			budget := cfg.Budget()
+			if budget.ClientConns < cfg.MaxDescriptors/3 || budget.ClientConns+budget.WorkerConns+24 > cfg.MaxDescriptors ||
+				budget.HeapLimit >= int64(cfg.MemoryMB)<<20 || budget.MaxProcs < 1 {
+				t.Errorf("%+v of %+v", budget, cfg)
+			}
+		})
+	}
+}
--- a/internal/httprouter/config.go
+++ b/internal/httprouter/config.go
@@ -1,10 +1,8 @@
-// Package httprouter runs the gateway on its users' platform: one router on one small machine, told what it is by a
-// configuration file, moved by SIGHUP and ended by SIGTERM. All bounds of memory and descriptors come from that
-// file; what is asked of the system is set before the first socket opens.
 package httprouter
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"net"
@@ -17,115 +15,112 @@
 	"github.com/topazfront/topazfront/internal/simwire"
 )
 
-// Config is what a router is told.
+// Config is the configuration of one router.
 type Config struct {
 	Name             string
-	ListenAddress    string
-	DiscoveryAddress string
+	ListenAddress    string // for clients, host:port
+	DiscoveryAddress string // of the discovery server, host:port
 	Seed             uint64
 	Cores            float64
 	MemoryMB         float64
-	MaxDescriptors   int
-	InitialEndpoints discovery.PollResponse
+	MaxDescriptors   int                    // file descriptors of the process
+	InitialEndpoints discovery.PollResponse // used until the first poll is answered
 	Settings         dispatch.Settings
 	Limits           simwire.Limits
 }
 
-// maxFile bounds the file, in bytes.
-const maxConfigBytes = 16 << 20
+const (
+	maxConfigBytes = 16 << 20 // of the configuration file
 
-// Load reads and checks the file.
+	// The least that a router is run with.
+	minMemoryMB    = 16
+	minDescriptors = 64
+
+	// What applies where the settings leave a limit out.
+	defaultConnectTimeout = time.Second
+	defaultLoadTimeout    = 10 * time.Second
+	defaultStreamsPerConn = 32
+)
+
+// configFile is the file's form.
+type configFile struct {
+	Name             string          `json:"name"`
+	ListenAddress    string          `json:"listen"`
+	DiscoveryAddress string          `json:"channel"`
+	Seed             string          `json:"seed"` // 64 bits in hexadecimal digits
+	Limits           processLimits   `json:"limits"`
+	InitialEndpoints json.RawMessage `json:"known"`
+	Settings         json.RawMessage `json:"settings"`
+}
+
+// processLimits is what the process may use of its machine.
+type processLimits struct {
+	Cores          float64 `json:"cores"`
+	MemoryMB       float64 `json:"memory_mb"`
+	MaxDescriptors int     `json:"sockets"`
+}
+
+// LoadConfig reads and validates the configuration file at path. Its errors name the path.
 func LoadConfig(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, fmt.Errorf("platform: configuration: %w", err)
+		return nil, fmt.Errorf("httprouter: configuration: %w", err)
 	}
 	if info.Size() > maxConfigBytes {
-		return nil, fmt.Errorf("platform: %s: %d bytes, at most %d", path, info.Size(), maxConfigBytes)
+		return nil, fmt.Errorf("httprouter: %s: %d bytes, at most %d", path, info.Size(), maxConfigBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("platform: configuration: %w", err)
+		return nil, fmt.Errorf("httprouter: configuration: %w", err)
 	}
-	c, err := ParseConfig(raw)
+	cfg, err := ParseConfig(raw)
 	if err != nil {
-		return nil, fmt.Errorf("platform: %s: %w", path, err)
+		return nil, fmt.Errorf("httprouter: %s: %w", path, err)
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// Parse reads a configuration.
+// ParseConfig decodes and validates a configuration. Its errors name the key that is wrong.
 func ParseConfig(raw []byte) (*Config, error) {
-	var f struct {
-		Name    string `json:"name"`
-		Listen  string `json:"listen"`
-		Channel string `json:"channel"`
-		Seed    string `json:"seed"`
-		Limits  struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, ListenAddress: f.Listen, DiscoveryAddress: f.Channel, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, MaxDescriptors: f.Limits.Sockets}
+	cfg := &Config{Name: file.Name, ListenAddress: file.ListenAddress, DiscoveryAddress: file.DiscoveryAddress,
+		Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, MaxDescriptors: file.Limits.MaxDescriptors}
 	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	for name, addr := range map[string]string{"listen": c.ListenAddress, "channel": c.DiscoveryAddress} {
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
+	for key, address := range map[string]string{"listen": cfg.ListenAddress, "channel": cfg.DiscoveryAddress} {
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	if c.Cores <= 0 || math.IsNaN(c.Cores) || c.MemoryMB < 16 || c.MaxDescriptors < 64 {
-		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are too few", c.Cores, c.MemoryMB, c.MaxDescriptors)
+	if cfg.Cores <= 0 || math.IsNaN(cfg.Cores) || cfg.MemoryMB < minMemoryMB || cfg.MaxDescriptors < minDescriptors {
+		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are too few", cfg.Cores, cfg.MemoryMB, cfg.MaxDescriptors)
 	}
-	if c.InitialEndpoints, err = discovery.ParsePollResponse(f.Known); err != nil {
+	if cfg.InitialEndpoints, err = discovery.ParsePollResponse(file.InitialEndpoints); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if len(f.Settings) == 0 {
-		return nil, fmt.Errorf("settings: missing")
+	if len(file.Settings) == 0 {
+		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, c.Limits, err = simwire.SettingsOf(f.Settings); err != nil {
+	if cfg.Settings, cfg.Limits, err = simwire.SettingsOf(file.Settings); err != nil {
 		return nil, err
 	}
+	cfg.setDefaultLimits()
+	return cfg, nil
+}
+
+func (c *Config) setDefaultLimits() {
 	if c.Limits.ConnectTimeout <= 0 {
-		c.Limits.ConnectTimeout = time.Second
+		c.Limits.ConnectTimeout = defaultConnectTimeout
 	}
 	if c.Limits.OrderTimeout <= 0 {
-		c.Limits.OrderTimeout = 10 * time.Second
+		c.Limits.OrderTimeout = defaultLoadTimeout
 	}
 	if c.Limits.StreamsPerConn <= 0 {
-		c.Limits.StreamsPerConn = 32
-	}
-	return c, nil
-}
-
-// Shares is how the limits are divided.
-type Budget struct {
-	MaxProcs          int
-	HeapLimit         int64 // bytes that the collector keeps the heap below
-	ClientConns       int   // connections
-	WorkerConns       int   // connections
-	SocketBufferBytes int   // bytes that the system holds of what a peer sends ahead
-}
-
-// Shares divides the limits. Clients hold at most a third of the descriptors in use, so a little under half leaves
-// room for others; as much is reserved for workers, and the rest for the listener, the channel, event loops,
-// standard streams and what is being closed. The event loop's wait holds one processor, so there is one more of
-// them than cores.
-func (c *Config) Budget() Budget {
-	return Budget{
-		MaxProcs:          max(int(math.Ceil(c.Cores)), 1) + 1,
-		HeapLimit:         int64(c.MemoryMB * 0.6 * (1 << 20)),
-		ClientConns:       c.MaxDescriptors * 45 / 100,
-		WorkerConns:       c.MaxDescriptors * 42 / 100,
-		SocketBufferBytes: 32 << 10,
+		c.Limits.StreamsPerConn = defaultStreamsPerConn
 	}
 }
--- /dev/null
+++ b/internal/httprouter/harness_test.go
@@ -0,0 +1,192 @@
+package httprouter
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// defaultSettings are those of a small fleet. Times are in microseconds, as the simulator sends them.
+const defaultSettings = `{"az":"z","balancers":1,"host_types":["k"],
+ "classes":[{"name":"safe","semantics":"read_like","target":2000000,"deadline":8000000,"worth":1.0},
+  {"name":"keyed","semantics":"idempotency_key","dedup_scope":"cell","window":6000000,"target":2000000,"deadline":8000000,"worth":1.0},
+  {"name":"unsafe","semantics":"non_idempotent","target":2000000,"deadline":8000000,"worth":1.0}],
+ "family_info":{"when_absent":"load","may_order":true,"free_loads":4,"load_ratio":0.1,"load_span":5000000,"linger_idle":4000000,
+  "kind_memory_mb":[8000],"order_timeout":4000000},
+ "feedback":{"how":"piggyback","fields":["active"]},
+ "limits":{"send_cap":5,"may_probe":true,"cancel":true,"second_copies":true,"retry_after":true,"max_retry_after":1000000,
+  "connect_timeout":2000000,"idle_close":15000000,"streams_per_conn":32},
+ "safety":{"drain_grace":500000,"start_capacity":0.2,"warm_within":16000000,"overload_factor":3,"fall":1500000,"grace_to_answer":5000}}`
+
+// configJSON is a configuration file with defaultSettings; initial is the JSON of the initial endpoints.
+func configJSON(discoveryAddress, initial string) string {
+	return configJSONWith(defaultSettings, discoveryAddress, initial)
+}
+
+func configJSONWith(settings, discoveryAddress, initial string) string {
+	return fmt.Sprintf(`{"name":"r","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+ "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"channel":%q,"known":%s,"settings":%s}`, discoveryAddress, initial, settings)
+}
+
+// initialSnapshot is the JSON of initial endpoints made of one event.
+func initialSnapshot(event string) string { return `{"cursor":1,"cmds":[{"cursor":1,` + event + `}]}` }
+
+// hexID is an ID in the form of the protocols: 16 hexadecimal digits.
+func hexID(n int) string { return fmt.Sprintf("%016x", n) }
+
+// unusedAddress is an address at which nothing listens.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = listener.Close()
+	return listener.Addr().String()
+}
+
+func startDiscovery(t *testing.T, events ...string) *fakeplatform.Channel {
+	t.Helper()
+	server, err := fakeplatform.StartChannel(events...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(server.Stop)
+	return server
+}
+
+func startWorker(t *testing.T, worker *fakeplatform.Worker) *fakeplatform.Worker {
+	t.Helper()
+	if err := worker.Start("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(worker.Stop)
+	return worker
+}
+
+// newDispatcher is Options.NewDispatcher.
+type newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)
+
+// harness is three workers, a discovery server that lists them, a router and a client of it. What workers and clients
+// observe is recorded.
+type harness struct {
+	t         *testing.T
+	records   *invariants.Log
+	workers   []*fakeplatform.Worker
+	discovery *fakeplatform.Channel
+	server    *Server
+	client    *fakeplatform.Client
+	mu        sync.Mutex
+	nextCall  int
+}
+
+// newHarness starts a harness with defaultSettings. A nil dispatcher is the real one.
+func newHarness(t *testing.T, dispatcher newDispatcher) *harness {
+	t.Helper()
+	return newHarnessWith(t, defaultSettings, dispatcher)
+}
+
+func newHarnessWith(t *testing.T, settings string, dispatcher newDispatcher) *harness {
+	t.Helper()
+	h := &harness{t: t, records: invariants.NewLog()}
+	var list []string
+	for cell, id := range []string{"a", "b", "c"} {
+		w := startWorker(t, &fakeplatform.Worker{ID: id, Log: h.records, Work: 2 * time.Millisecond, Drop: "keyed"})
+		h.workers = append(h.workers, w)
+		list = append(list, fmt.Sprintf("%s %s active %d", id, w.Addr(), cell))
+	}
+	h.discovery = startDiscovery(t, fakeplatform.Nodes(true, list...))
+	cfg, err := ParseConfig([]byte(configJSONWith(settings, h.discovery.Addr(), h.discovery.Known())))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if h.server, err = Start(cfg, Options{NewDispatcher: dispatcher}); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(h.server.Close)
+	transport := &http.Transport{MaxIdleConnsPerHost: 64}
+	t.Cleanup(transport.CloseIdleConnections)
+	h.client = &fakeplatform.Client{Base: "http://" + h.server.httpServer.Addr(), Log: h.records, HTTP: &http.Client{Transport: transport}}
+	return h
+}
+
+// call makes one call of a class and returns its status. There are few functions, so that instances are shared.
+func (h *harness) call(class string) int {
+	h.mu.Lock()
+	h.nextCall++
+	id := hexID(h.nextCall)
+	function := hexID(h.nextCall%5 + 1)
+	h.mu.Unlock()
+	status, body := h.client.Call(id, class, function, 8*time.Second)
+	if status == 200 && body != "done "+id {
+		h.t.Errorf("call %s was served with %q", id, body)
+	}
+	return status
+}
+
+// calls makes n calls of each class, at most 12 at once, and returns how many were served.
+func (h *harness) calls(n int) (served int) {
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	inFlight := make(chan struct{}, 12)
+	for range n {
+		for _, class := range []string{"safe", "keyed", "unsafe"} {
+			inFlight <- struct{}{}
+			wg.Go(func() {
+				if h.call(class) == 200 {
+					mu.Lock()
+					served++
+					mu.Unlock()
+				}
+				<-inFlight
+			})
+		}
+	}
+	wg.Wait()
+	return served
+}
+
+// updateEndpoints sends an endpoint update and waits until the router has applied it.
+func (h *harness) updateEndpoints(workers ...string) {
+	h.t.Helper()
+	before := h.server.watcher.Stats().Revision
+	h.discovery.Tell(fakeplatform.Nodes(false, workers...))
+	for range 4000 {
+		if h.server.watcher.Stats().Revision > before {
+			h.server.router.Stats() // the loop has applied it by the iteration after the one that answers the first call
+			h.server.router.Stats()
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	h.t.Fatal("the router does not apply the update")
+}
+
+// invariantSettings are the checker's. Its slack is wide, as a loaded machine may delay a record after its send.
+func (h *harness) invariantSettings() invariants.Site {
+	return invariants.Site{Classes: map[string]invariants.Class{"safe": {Effect: "safe", All: true, Work: 5 * time.Millisecond},
+		"keyed": {Effect: "keyed", Work: 5 * time.Millisecond}, "unsafe": {Effect: "unsafe", Work: 5 * time.Millisecond}},
+		AnswerGrace: 2 * time.Second, DrainGrace: 500 * time.Millisecond, LoadSpan: 5 * time.Second, LoadFree: 4, LoadShare: 0.1,
+		Slack: time.Second}
+}
+
+// recordDrain records that the router knows that a worker drains.
+func (h *harness) recordDrain(worker string) {
+	h.records.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: worker, Off: true})
+}
+
+// requireInvariants fails the test for each violation in the records so far.
+func (h *harness) requireInvariants() {
+	h.t.Helper()
+	for _, violation := range invariants.Check(h.invariantSettings(), h.records.Records()) {
+		h.t.Error(violation)
+	}
+}
--- /dev/null
+++ b/internal/httprouter/process.go
@@ -0,0 +1,98 @@
+package httprouter
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+)
+
+const (
+	statsInterval     = 5 * time.Second // between two lines of statistics in the log
+	reloadAttempts    = 10
+	reloadRetryDelay  = 50 * time.Millisecond
+	netpollPollers    = 1
+	netpollBufferSize = 4 << 10 // bytes of a connection's first buffer
+)
+
+// Run is the main function of the process. It serves by the configuration file at path until ctx is done, which SIGTERM
+// should cause, and then shuts down gracefully. It reloads the file on each SIGHUP, during the shutdown as well.
+func Run(ctx context.Context, path string, logger *slog.Logger) error {
+	sighup := make(chan os.Signal, 4)
+	signal.Notify(sighup, syscall.SIGHUP)
+	defer signal.Stop(sighup)
+	cfg, err := LoadConfig(path)
+	if err != nil {
+		return err
+	}
+	if err := applyProcessLimits(cfg.Budget(), logger); err != nil {
+		return err
+	}
+	server, err := Start(cfg, Options{Logger: logger})
+	if err != nil {
+		return err
+	}
+	server.serve(ctx, path, sighup, logger)
+	return nil
+}
+
+// applyProcessLimits sets what applies to the whole process, before the first socket is opened.
+func applyProcessLimits(budget Budget, logger *slog.Logger) error {
+	runtime.GOMAXPROCS(budget.MaxProcs)
+	debug.SetMemoryLimit(budget.HeapLimit)
+	return netpoll.Configure(netpoll.Config{PollerNum: netpollPollers, BufferSize: netpollBufferSize,
+		LoggerOutput: netpollLog{logger}})
+}
+
+// serve handles signals and logs statistics until a shutdown, started when ctx is done, has ended.
+func (s *Server) serve(ctx context.Context, path string, sighup <-chan os.Signal, logger *slog.Logger) {
+	ticker := time.NewTicker(statsInterval)
+	defer ticker.Stop()
+	terminated, stopped := ctx.Done(), make(chan struct{})
+	for {
+		select {
+		case <-terminated: // the file and the endpoint list are followed until the end: workers still drain
+			terminated = nil
+			go func() {
+				s.Shutdown()
+				close(stopped)
+			}()
+		case <-stopped:
+			return
+		case <-sighup:
+			cfg, err := reloadConfig(path)
+			if err != nil {
+				logger.Warn("configuration reload failed, keeping the previous one", "error", err)
+				continue
+			}
+			s.UpdateConfig(cfg)
+		case <-ticker.C:
+			s.logStats()
+		}
+	}
+}
+
+// reloadConfig reads the file again. It retries a few times, as the file may just be being written.
+func reloadConfig(path string) (cfg *Config, err error) {
+	for range reloadAttempts {
+		if cfg, err = LoadConfig(path); err == nil {
+			return cfg, nil
+		}
+		time.Sleep(reloadRetryDelay)
+	}
+	return nil, err
+}
+
+// netpollLog passes netpoll's log lines on at debug level.
+type netpollLog struct{ logger *slog.Logger }
+
+func (l netpollLog) Write(line []byte) (int, error) {
+	l.logger.Debug("netpoll", "line", string(line))
+	return len(line), nil
+}
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -21,7 +21,18 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// child is a router as a process of its own, with no more descriptors than its configuration says.
+// childConfigVariable is the environment variable that has the test binary run a router, by the configuration file that
+// it names, in place of the tests.
+const childConfigVariable = "HTTPROUTER_TEST_CONFIG"
+
+func TestMain(m *testing.M) {
+	if path := os.Getenv(childConfigVariable); path != "" {
+		runAsProcess(path)
+	}
+	os.Exit(m.Run())
+}
+
+// runAsProcess is the main function of a router's process, which gets no more descriptors than its configuration says.
 func runAsProcess(path string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -40,30 +51,22 @@
 	os.Exit(0)
 }
 
-func TestMain(m *testing.M) {
-	if path := os.Getenv("PLATFORM_TEST_CONFIG"); path != "" {
-		runAsProcess(path)
-	}
-	os.Exit(m.Run())
-}
-
-// process is a router in a process, and what it writes to its log.
+// process is a router in a process of its own.
 type process struct {
-	t       *testing.T
-	cmd     *exec.Cmd
-	address string
-	lines   chan string
+	t          *testing.T
+	cmd        *exec.Cmd
+	configPath string
+	address    string
+	logLines   chan string
 }
 
 func startProcess(t *testing.T, config string) *process {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	p := &process{t: t, cmd: exec.Command(os.Args[0]), lines: make(chan string, 1<<12)}
-	p.cmd.Env = append(os.Environ(), "PLATFORM_TEST_CONFIG="+path)
-	out, err := p.cmd.StderrPipe()
+	p := &process{t: t, cmd: exec.Command(os.Args[0]), configPath: filepath.Join(t.TempDir(), "config.json"),
+		logLines: make(chan string, 1<<12)}
+	p.writeConfig(config)
+	p.cmd.Env = append(os.Environ(), childConfigVariable+"="+p.configPath)
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,31 +75,37 @@
 	}
 	t.Cleanup(func() { _ = p.cmd.Process.Kill(); _ = p.cmd.Wait() })
 	go func() {
-		for in := bufio.NewScanner(out); in.Scan(); {
-			p.lines <- in.Text()
+		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
+			p.logLines <- scanner.Text()
 		}
-		close(p.lines)
+		close(p.logLines)
 	}()
-	_, addr, _ := strings.Cut(p.waitForLine("msg=serving"), "address=")
-	p.address, _, _ = strings.Cut(addr, " ")
+	p.address = addressInLine(p.waitForLine("msg=serving"))
 	return p
 }
 
-// line waits for a line of the log.
-func (p *process) waitForLine(of string) string {
+func (p *process) writeConfig(config string) {
 	p.t.Helper()
-	limit := time.After(30 * time.Second)
+	if err := os.WriteFile(p.configPath, []byte(config), 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// waitForLine returns the first log line from now on that contains text.
+func (p *process) waitForLine(text string) string {
+	p.t.Helper()
+	timeout := time.After(30 * time.Second)
 	for {
 		select {
-		case l, ok := <-p.lines:
+		case line, ok := <-p.logLines:
 			if !ok {
-				p.t.Fatalf("the process ended without a line with %q", of)
+				p.t.Fatalf("the process ended without a line with %q", text)
 			}
-			if strings.Contains(l, of) {
-				return l
+			if strings.Contains(line, text) {
+				return line
 			}
-		case <-limit:
-			p.t.Fatalf("no line with %q", of)
+		case <-timeout:
+			p.t.Fatalf("no line with %q", text)
 		}
 	}
 }
@@ -108,12 +117,12 @@
 	}
 }
 
-// ended waits for the process to end well.
+// requireExit waits until the process exits, with status 0.
 func (p *process) requireExit() {
 	p.t.Helper()
-	done := make(chan error, 1)
-	go func() { done <- p.cmd.Wait() }()
-	if err := fakeplatform.Await(p.t, done, "the end of the process"); err != nil {
+	exited := make(chan error, 1)
+	go func() { exited <- p.cmd.Wait() }()
+	if err := fakeplatform.Await(p.t, exited, "the end of the process"); err != nil {
 		p.t.Error(err)
 	}
 }
@@ -122,105 +131,90 @@
 	return &fakeplatform.Client{Base: "http://" + p.address, Log: invariants.NewLog(), HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
-// closedPort is an address at which nothing listens.
-func unusedAddress(t *testing.T) string {
+// requireServed makes one call.
+func requireServed(t *testing.T, client *fakeplatform.Client, id int) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	if status, _ := client.Call(hexID(id), "safe", hexID(7), 15*time.Second); status != 200 {
+		t.Errorf("status %d", status)
 	}
-	_ = ln.Close()
-	return ln.Addr().String()
 }
 
-// TestIdleClientsLeaveDescriptorsToTheRouter: clients that say nothing come in numbers beyond all descriptors while the
-// command channel is down. A usual client is served, over a new connection to a worker; and the channel is heard of
-// when it is back, at a new address, with the worker's drain and another that takes its place.
-func TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery(t *testing.T) {
-	var workers []*fakeplatform.Worker
-	for _, id := range []string{"a", "b"} {
-		w := &fakeplatform.Worker{ID: id}
-		if err := w.Start("127.0.0.1:0"); err != nil {
+// idleConns are connections that send nothing.
+type idleConns []net.Conn
+
+func (c *idleConns) open(t *testing.T, address string, count int) {
+	t.Helper()
+	for range count {
+		conn, err := net.DialTimeout("tcp", address, 20*time.Second)
+		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(w.Stop)
-		workers = append(workers, w)
+		*c = append(*c, conn)
 	}
-	first := fakeplatform.Nodes(true, "a "+workers[0].Addr()+" active")
-	known := `{"cursor":1,"cmds":[{"cursor":1,` + first + `}]}`
-	p := startProcess(t, configJSON(unusedAddress(t), known))
-	idle := make([]net.Conn, 0, 400)
-	defer func() {
-		for _, nc := range idle {
-			_ = nc.Close()
-		}
-	}()
-	crowd := func() {
-		for range cap(idle) / 2 {
-			nc, err := net.DialTimeout("tcp", p.address, 20*time.Second)
-			if err != nil {
-				t.Fatal(err)
-			}
-			idle = append(idle, nc)
-		}
-	}
-	crowd()
-	c := p.client()
-	if status, _ := c.Call(fmt.Sprintf("%016x", 1), "safe", fmt.Sprintf("%016x", 7), 15*time.Second); status != 200 {
-		t.Errorf("status %d", status)
-	}
-	crowd()
-	channel, err := fakeplatform.StartChannel(first,
-		fakeplatform.Nodes(false, "a "+workers[0].Addr()+" leaving", "b "+workers[1].Addr()+" active"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer channel.Stop()
-	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "PLATFORM_TEST_CONFIG=")
-	if err := os.WriteFile(path, []byte(configJSON(channel.Addr(), known)), 0o600); err != nil {
-		t.Fatal(err)
+}
+
+func (c *idleConns) close() {
+	for _, conn := range *c {
+		_ = conn.Close()
 	}
+}
+
+// TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery opens more idle client connections than there are descriptors
+// while the discovery server is down. A usual client is served, over a new connection to a worker; and the discovery
+// server is polled once it is back, at a new address, with the worker's drain and another worker in its place.
+func TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery(t *testing.T) {
+	a := startWorker(t, &fakeplatform.Worker{ID: "a"})
+	b := startWorker(t, &fakeplatform.Worker{ID: "b"})
+	first := fakeplatform.Nodes(true, "a "+a.Addr()+" active")
+	p := startProcess(t, configJSON(unusedAddress(t), initialSnapshot(first)))
+	var idle idleConns
+	defer idle.close()
+	idle.open(t, p.address, 200)
+	client := p.client()
+	requireServed(t, client, 1)
+	idle.open(t, p.address, 200)
+	discovery := startDiscovery(t, first, fakeplatform.Nodes(false, "a "+a.Addr()+" leaving", "b "+b.Addr()+" active"))
+	p.writeConfig(configJSON(discovery.Addr(), initialSnapshot(first)))
 	p.sendSignal(syscall.SIGHUP)
-	for from := -1; from != 2; { // asked from 2: the second event was applied
-		from = fakeplatform.Await(t, channel.Asked(), "a question")
-	}
-	c.HTTP.CloseIdleConnections()
-	if status, _ := c.Call(fmt.Sprintf("%016x", 2), "safe", fmt.Sprintf("%016x", 7), 15*time.Second); status != 200 {
-		t.Errorf("status %d", status)
+	for revision := -1; revision != 2; { // polled from revision 2: the second event was applied
+		revision = fakeplatform.Await(t, discovery.Asked(), "a poll")
 	}
-	if len(workers[1].Got()) == 0 {
-		t.Error("the worker that the channel told of got nothing")
+	client.HTTP.CloseIdleConnections()
+	requireServed(t, client, 2)
+	if len(b.Got()) == 0 {
+		t.Error("the worker that the discovery server added got nothing")
 	}
 }
 
-// TestReadyByWhatIsKnown: with the channel down and a list of 4,000 workers, the router takes clients and routes by what
-// the configuration holds. The time until then is told, not judged.
+// TestServesFromInitialEndpoints checks that, with the discovery server down and 4,000 workers in the configuration, the
+// router accepts clients and forwards by the configured list. The time until then is logged and not asserted.
 func TestServesFromInitialEndpoints(t *testing.T) {
-	w := &fakeplatform.Worker{ID: "w0"}
-	if err := w.Start("127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(w.Stop)
+	w := startWorker(t, &fakeplatform.Worker{ID: "w0"})
 	list := []string{"w0 " + w.Addr() + " active"}
 	for i := range 3999 {
 		list = append(list, fmt.Sprintf("w%d %s leaving", i+1, w.Addr()))
 	}
-	config := configJSON(unusedAddress(t), `{"cursor":1,"cmds":[{"cursor":1,`+fakeplatform.Nodes(true, list...)+`}]}`)
-	began := time.Now()
+	config := configJSON(unusedAddress(t), initialSnapshot(fakeplatform.Nodes(true, list...)))
+	startedAt := time.Now()
 	p := startProcess(t, config)
 	resp, err := http.Get("http://" + p.address + "/ping")
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 	_ = resp.Body.Close()
-	t.Logf("ready after %v, %d bytes of configuration", time.Since(began), len(config))
-	if status, _ := p.client().Call(fmt.Sprintf("%016x", 1), "safe", fmt.Sprintf("%016x", 7), 15*time.Second); status != 200 {
-		t.Errorf("status %d", status)
-	}
+	t.Logf("ready after %v, %d bytes of configuration", time.Since(startedAt), len(config))
+	requireServed(t, p.client(), 1)
+}
+
+// rawRequest is an HTTP request for a call.
+func rawRequest(id int) string {
+	return fmt.Sprintf("POST /call/%s/call HTTP/1.1\r\nHost: a\r\nX-Class: safe\r\nX-Correlation-Id: %s\r\n"+
+		"X-Deadline-Ms: 15000\r\nX-Attrs: memory_mb:512\r\nContent-Length: 4\r\n\r\nbody", hexID(7), hexID(id))
 }
 
-// TestSignalsToAProcess: SIGTERM right after the start, and again and with SIGHUP during a stop, ends the process well and
-// with every call answered: one in flight, one half sent, and one that comes on an open connection afterwards.
+// TestProcessSignals sends SIGTERM right after the start, and SIGTERM again with SIGHUP during a shutdown. The process
+// exits with status 0 and with every call answered: one in flight, one half received, and one that arrives on an open
+// connection afterwards.
 func TestProcessSignals(t *testing.T) {
 	release := make(chan struct{})
 	w := &fakeplatform.Worker{ID: "a"}
@@ -230,46 +224,38 @@
 			w.Healthy(r)
 		}()
 	}
-	if err := w.Start("127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(w.Stop)
-	known := `{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.Nodes(true, "a "+w.Addr()+" active") + `}]}`
+	startWorker(t, w)
+	initial := initialSnapshot(fakeplatform.Nodes(true, "a "+w.Addr()+" active"))
 	t.Run("right after the start", func(t *testing.T) {
-		p := startProcess(t, configJSON(unusedAddress(t), known))
+		p := startProcess(t, configJSON(unusedAddress(t), initial))
 		p.sendSignal(syscall.SIGTERM)
 		p.waitForLine("msg=stopped")
 		p.requireExit()
 	})
-	p := startProcess(t, configJSON(unusedAddress(t), known))
-	request := func(n int) string {
-		return fmt.Sprintf("POST /call/%016x/call HTTP/1.1\r\nHost: a\r\nX-Class: safe\r\nX-Correlation-Id: %016x\r\n"+
-			"X-Deadline-Ms: 15000\r\nX-Attrs: memory_mb:512\r\nContent-Length: 4\r\n\r\nbody", 7, n)
-	}
+	p := startProcess(t, configJSON(unusedAddress(t), initial))
 	var conns []net.Conn
-	var answers []*bufio.Reader
 	for range 3 {
-		nc, err := net.Dial("tcp", p.address)
+		conn, err := net.Dial("tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = nc.Close() }()
-		conns, answers = append(conns, nc), append(answers, bufio.NewReader(nc))
+		defer func() { _ = conn.Close() }()
+		conns = append(conns, conn)
 	}
-	_, _ = io.WriteString(conns[0], request(1))
-	fakeplatform.Await(t, w.Came(), "word of the first call at the worker")
-	_, _ = io.WriteString(conns[1], request(2)[:60])
+	_, _ = io.WriteString(conns[0], rawRequest(1))
+	fakeplatform.Await(t, w.Came(), "the first call at the worker")
+	_, _ = io.WriteString(conns[1], rawRequest(2)[:60])
 	p.sendSignal(syscall.SIGTERM)
 	p.waitForLine("msg=stopping")
 	p.sendSignal(syscall.SIGHUP)
-	p.waitForLine("new configuration")
+	p.waitForLine("configuration reloaded")
 	p.sendSignal(syscall.SIGTERM)
-	_, _ = io.WriteString(conns[1], request(2)[60:])
-	_, _ = io.WriteString(conns[2], request(3))
+	_, _ = io.WriteString(conns[1], rawRequest(2)[60:])
+	_, _ = io.WriteString(conns[2], rawRequest(3))
 	close(release)
-	for i, in := range answers {
-		_ = conns[i].SetReadDeadline(time.Now().Add(20 * time.Second))
-		resp, err := http.ReadResponse(in, nil)
+	for i, conn := range conns {
+		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatalf("call %d: %v", i+1, err)
 		}
@@ -278,8 +264,8 @@
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
-	if l := p.waitForLine("msg=stopped"); !strings.Contains(l, "lost=0") {
-		t.Error(l)
+	if line := p.waitForLine("msg=stopped"); !strings.Contains(line, "unanswered=0") {
+		t.Error(line)
 	}
 	p.requireExit()
 }
--- /dev/null
+++ b/internal/httprouter/server.go
@@ -0,0 +1,156 @@
+// Package httprouter runs one router on one small machine: HTTP/1.1 from clients, RESP to workers. A configuration file
+// describes it, SIGHUP reloads that file and SIGTERM shuts it down. All bounds of memory and descriptors come from the
+// file; those that the runtime and the system enforce are set before the first socket is opened.
+package httprouter
+
+import (
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/discovery"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server/httpserver"
+	"github.com/topazfront/topazfront/internal/transport/http1"
+	"github.com/topazfront/topazfront/internal/upstream/respupstream"
+)
+
+// Timeouts of the parts. They guard resources: none decides where a call is sent.
+const (
+	firstRequestTimeout  = 1500 * time.Millisecond // to receive a client's first request completely
+	clientIdleTimeout    = 4500 * time.Millisecond // longer than the 4 s after which clients close idle connections themselves
+	writeTimeout         = time.Second             // for a peer to accept what is written to it
+	responseStallTimeout = 250 * time.Millisecond  // to receive a worker's response completely once it has begun
+	pollWait             = time.Second             // how long the discovery server may hold a poll
+	pollResponseGrace    = 400 * time.Millisecond  // how much longer a poll's response may take
+	maxPollRetryDelay    = 500 * time.Millisecond  // between polls that fail
+	workerCheckInterval  = time.Second             // between checks of a worker that reported that it drains
+)
+
+// Sizes of messages, in bytes unless noted.
+const (
+	maxRequestHeadBytes    = 8 << 10
+	maxRequestFields       = 64 // header fields, a count
+	maxRequestBodyBytes    = 16 << 10
+	maxPendingRequestBytes = 8 << 10 // received beyond the request that is being read
+	maxWorkerResponseBytes = 64 << 10
+	maxPollResponseBytes   = 1 << 20
+)
+
+// Options are the parts of a Server that are not configured by the file.
+type Options struct {
+	Logger        *slog.Logger                                               // nil discards
+	NewDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: dispatch.New; the number is the seed
+}
+
+// Server is one running router: the HTTP server, the dispatcher's loop, the RESP upstream and the endpoint watcher.
+type Server struct {
+	cfg        *Config
+	logger     *slog.Logger
+	upstream   *respupstream.Pool
+	router     *router.Router
+	watcher    *discovery.Watcher
+	httpServer *httpserver.Front
+	stopOnce   sync.Once // for Shutdown or Close, whichever comes first
+}
+
+// Start starts a router that serves until Shutdown or Close. The HTTP server is opened last, once the router knows the
+// configured endpoints.
+func Start(cfg *Config, options Options) (*Server, error) {
+	if options.Logger == nil {
+		options.Logger = slog.New(slog.DiscardHandler)
+	}
+	s := &Server{cfg: cfg, logger: options.Logger.With("router", cfg.Name)}
+	budget := cfg.Budget()
+	if err := s.startRouter(budget, options.NewDispatcher); err != nil {
+		return nil, err
+	}
+	err := s.startWatcher()
+	if err == nil {
+		err = s.startHTTPServer(budget)
+	}
+	if err != nil {
+		s.Close()
+		return nil, err
+	}
+	s.logger.Info("serving", "address", s.httpServer.Addr(), "classes", len(cfg.Settings.Classes), "clients", budget.ClientConns,
+		"worker_connections", budget.WorkerConns, "memory", budget.HeapLimit)
+	return s, nil
+}
+
+// startRouter starts the upstream and the router. Neither is left running on an error.
+func (s *Server) startRouter(budget Budget, newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)) error {
+	limits := s.cfg.Limits
+	s.upstream = respupstream.New(respupstream.Config{
+		ConnectTimeout: limits.ConnectTimeout,
+		IdleClose:      limits.IdleClose / 2,
+		WriteTimeout:   writeTimeout,
+		StallAfter:     responseStallTimeout,
+		MaxConns:       budget.WorkerConns,
+		MaxOpen:        limits.StreamsPerConn,
+		MaxAnswer:      maxWorkerResponseBytes,
+		Buffer:         budget.SocketBufferBytes,
+		Log:            s.logger,
+	})
+	var err error
+	s.router, err = router.New(router.Config{
+		Name:               s.cfg.Name,
+		Seed:               s.cfg.Seed,
+		Settings:           s.cfg.Settings,
+		LoadTimeout:        limits.OrderTimeout,
+		HealthCheckTimeout: limits.ConnectTimeout,
+		Endpoints:          endpoints.Settings{CheckInterval: workerCheckInterval},
+		NewDispatcher:      newDispatcher,
+		Logger:             s.logger,
+	}, s.upstream)
+	if err != nil {
+		s.upstream.Close()
+		return err
+	}
+	s.upstream.Attach(s.router)
+	return nil
+}
+
+func (s *Server) startWatcher() (err error) {
+	s.watcher, err = discovery.Start(discovery.Config{
+		Address:          s.cfg.DiscoveryAddress,
+		ConnectTimeout:   s.cfg.Limits.ConnectTimeout,
+		PollWait:         pollWait,
+		ResponseGrace:    pollResponseGrace,
+		MaxRetryDelay:    maxPollRetryDelay,
+		MaxResponseBytes: maxPollResponseBytes,
+		RouterTime:       s.router.At,
+		OnUpdate:         s.router.SetEndpoints,
+		Logger:           s.logger,
+	}, s.cfg.InitialEndpoints)
+	return err
+}
+
+func (s *Server) startHTTPServer(budget Budget) (err error) {
+	classes := map[string]dispatch.Idempotency{}
+	for _, class := range s.cfg.Settings.Classes {
+		classes[class.Name] = class.Idempotency
+	}
+	s.httpServer, err = httpserver.Listen(httpserver.Config{
+		Address:  s.cfg.ListenAddress,
+		Classes:  classes,
+		MaxConns: budget.ClientConns,
+		Limits: http1.Limits{Head: maxRequestHeadBytes, Fields: maxRequestFields, Body: maxRequestBodyBytes,
+			Pending: maxPendingRequestBytes},
+		First:  firstRequestTimeout,
+		Idle:   clientIdleTimeout,
+		Write:  writeTimeout,
+		Buffer: budget.SocketBufferBytes,
+		Log:    s.logger,
+	}, s.router)
+	return err
+}
+
+// UpdateConfig applies a new configuration. Only the discovery server's address may change while the router serves; all
+// else in it is ignored.
+func (s *Server) UpdateConfig(cfg *Config) {
+	s.logger.Info("configuration reloaded", "discovery_address", cfg.DiscoveryAddress)
+	s.watcher.SetAddress(cfg.DiscoveryAddress)
+}
--- /dev/null
+++ b/internal/httprouter/shutdown_test.go
@@ -0,0 +1,43 @@
+package httprouter
+
+import (
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+// TestShutdownAnswersPendingCalls has clients wait for longer than the process lives on after SIGTERM, and workers
+// answer nothing. Each class gets the final answer that its idempotency allows before the end.
+func TestShutdownAnswersPendingCalls(t *testing.T) {
+	h := newHarness(t, nil)
+	for _, worker := range h.workers {
+		worker.Act = func(fakeplatform.Request) {}
+	}
+	type answer struct {
+		class  string
+		status int
+	}
+	answers := make(chan answer, 3)
+	for i, class := range []string{"safe", "keyed", "unsafe"} {
+		go func() {
+			status, _ := h.client.Call(hexID(100+i), class, hexID(7), time.Minute)
+			answers <- answer{class, status}
+		}()
+	}
+	for range 4000 {
+		if h.server.httpServer.Stats().Open == 3 {
+			break
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	if unanswered := h.server.Shutdown(); unanswered != 0 {
+		t.Errorf("%d calls without an answer", unanswered)
+	}
+	want := map[string]int{"safe": 503, "keyed": 502, "unsafe": 502}
+	for range 3 {
+		if a := fakeplatform.Await(t, answers, "an answer"); a.status != want[a.class] {
+			t.Errorf("%s: status %d, want %d", a.class, a.status, want[a.class])
+		}
+	}
+}
--- /dev/null
+++ b/internal/httprouter/stats.go
@@ -0,0 +1,20 @@
+package httprouter
+
+import "time"
+
+// logStats logs the router's counters and gauges. The keys are the figures that docs/operators/platform.md documents,
+// so they stay as they are when a Go name changes.
+func (s *Server) logStats() {
+	router, server, upstream, watcher := s.router.Stats(), s.httpServer.Stats(), s.upstream.Stats(), s.watcher.Stats()
+	perServedMS := func(sum time.Duration) float64 { return sum.Seconds() * 1000 / float64(max(router.Served, 1)) }
+	s.logger.Info("state",
+		"calls", router.Calls, "served", router.Served, "refused", router.Rejected, "failed", router.Failed,
+		"dropped", router.Cancelled, "attempts", router.Attempts, "orders", router.Loads, "probes", router.HealthChecks,
+		"open", router.Open,
+		"clients", server.Conns, "bad", server.Bad, "evicted", server.Evicted,
+		"worker_conns", upstream.Conns, "worker_open", upstream.Open, "waiting", upstream.Waiting, "dials", upstream.Dials,
+		"dials_failed", upstream.Failed, "broken", upstream.Broken, "unwritten", upstream.Unwritten, "late", upstream.Late,
+		"cursor", watcher.Revision, "questions", watcher.Polls, "channel_broken", watcher.FailedPolls,
+		"out", router.AttemptsInFlight, "module_ms", perServedMS(router.ServedDuration),
+		"waited_ms", perServedMS(upstream.Waited), "wire_ms", perServedMS(upstream.Wire))
+}
