--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -123,6 +123,30 @@
 	}
 }
 
+// TestPendingPollIsInterrupted checks that a change of the address and Close don't wait until the server answers the poll
+// that it holds.
+func TestPendingPollIsInterrupted(t *testing.T) {
+	const pollWait = 5 * time.Second
+	oldServer, watcher, _ := startWatcherWithWait(t, pollWait, nil)
+	fakeplatform.Await(t, oldServer.Asked(), "a poll at the old address")
+	newServer, err := fakeplatform.StartChannel(`"x":1`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer newServer.Stop()
+	startedAt := time.Now()
+	watcher.SetAddress(newServer.Addr())
+	fakeplatform.Await(t, newServer.Asked(), "a poll at the new address")
+	if elapsed := time.Since(startedAt); elapsed > pollWait/2 {
+		t.Errorf("polled at the new address after %v", elapsed)
+	}
+	startedAt = time.Now()
+	watcher.Close()
+	if elapsed := time.Since(startedAt); elapsed > pollWait/2 {
+		t.Errorf("closed after %v", elapsed)
+	}
+}
+
 // TestPrematureResponsesAreThrottled checks that a server that holds no poll back, and sends no event, is polled no
 // faster than one that fails, and that a later event is applied all the same.
 func TestPrematureResponsesAreThrottled(t *testing.T) {
