--- /dev/null
+++ b/internal/registry/golden_test.go
@@ -0,0 +1,304 @@
+package registry
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	bolt "go.etcd.io/bbolt"
+)
+
+// goldenDir holds a store that the program wrote before any of its names were changed. It is never written anew:
+// a store of that form must be readable by every later program that knows the format.
+const goldenDir = "testdata/store"
+
+// goldenKeep is less than the number of golden revisions, so that the oldest has been removed from the log.
+const goldenKeep = 4
+
+// goldenBatches returns the revisions of the golden store, in their order, with changes of all four kinds.
+func goldenBatches(contents []Content) [][]Change {
+	quote := func(version string) Ref { return Ref{"quote", version} }
+	price := Ref{"price-table_2", "v1.0"}
+	expect := quote("1")
+	return [][]Change{
+		{Push{quote("1"), contents[0]}, Move{Place: Place{"retail", "current"}, To: quote("1")}},
+		{Push{quote("2"), contents[1]}, Push{price, contents[2]}, Move{Place: Place{"retail", "next"}, To: quote("2")}},
+		{Move{Place: Place{"retail", "current"}, To: quote("2"), Expect: &expect}},
+		{Drop{Place{"retail", "next"}}, Delete{quote("1")}},
+		{Move{Place: Place{"whole.sale", "current"}, To: price}, Push{quote("3"), contents[0]}},
+	}
+}
+
+// goldenBodies are the contents of the golden store: short, empty, and one that compression shortens.
+func goldenBodies() []string {
+	return []string{"first plug-in", "", strings.Repeat("price table ", 200)}
+}
+
+// fillGoldenStore puts the golden contents and commits the golden batches.
+func fillGoldenStore(t *testing.T, s *Store) {
+	t.Helper()
+	var contents []Content
+	for _, body := range goldenBodies() {
+		c, err := s.Put(strings.NewReader(body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		contents = append(contents, c)
+	}
+	for i, batch := range goldenBatches(contents) {
+		if rev, err := s.Commit(batch); err != nil || rev != uint64(i+1) {
+			t.Fatalf("batch %d: revision %d, %v", i, rev, err)
+		}
+	}
+}
+
+// dumpStore returns every bucket, key and value of a store's database and the names of its other files.
+func dumpStore(t *testing.T, dir string) []string {
+	t.Helper()
+	var lines []string
+	db, err := bolt.Open(filepath.Join(dir, "state.db"), 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = db.Close() }()
+	err = db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
+			lines = append(lines, fmt.Sprintf("bucket %q", name))
+			return b.ForEach(func(k, v []byte) error {
+				lines = append(lines, fmt.Sprintf("%s %q = %q", name, k, v))
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = filepath.WalkDir(dir, func(path string, e os.DirEntry, err error) error {
+		if err == nil && !e.IsDir() {
+			rel, _ := filepath.Rel(dir, path)
+			lines = append(lines, "file "+filepath.ToSlash(rel))
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return lines
+}
+
+// copyGoldenStore returns a temporary copy of the golden store, since opening a store writes to it.
+func copyGoldenStore(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(goldenDir)); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// goldenContents returns the digests and sizes of the golden contents, as the golden store was written.
+func goldenContents(t *testing.T) []Content {
+	t.Helper()
+	digests := []string{
+		"76eaefeea33dfa597868b6306b9d151f99010fbca4e573ca9d5e8a52b7b8fb16",
+		"e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855",
+		"ded028f3b1c29224d86df0a4758e9bdd02c35c609192e618477d59ee0ddb3ea2",
+	}
+	var contents []Content
+	for i, body := range goldenBodies() {
+		d, err := ParseDigest(digests[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		contents = append(contents, Content{d, int64(len(body))})
+	}
+	return contents
+}
+
+// checkGoldenState compares the state of a golden store with all that its revisions made.
+func checkGoldenState(t *testing.T, s *Store, contents []Content) {
+	t.Helper()
+	wantVersions := map[Ref]Content{
+		{"price-table_2", "v1.0"}: contents[2], {"quote", "2"}: contents[1], {"quote", "3"}: contents[0],
+	}
+	wantAliases := map[Place]Ref{
+		{"retail", "current"}: {"quote", "2"}, {"whole.sale", "current"}: {"price-table_2", "v1.0"},
+	}
+	wantRevisions := []Revision{}
+	for i, batch := range goldenBatches(contents)[5-goldenKeep:] {
+		for j, c := range batch {
+			if m, ok := c.(Move); ok {
+				m.Expect = nil // is not stored
+				batch[j] = m
+			}
+		}
+		wantRevisions = append(wantRevisions, Revision{uint64(i + 6 - goldenKeep), batch})
+	}
+	s.View(func(st *State) {
+		versions, aliases := map[Ref]Content{}, map[Place]Ref{}
+		for _, r := range st.Versions() {
+			versions[r], _ = st.Version(r)
+		}
+		for _, p := range st.Aliases() {
+			aliases[p], _ = st.Alias(p)
+		}
+		revisions, err := st.Since(5 - goldenKeep)
+		if err != nil || st.Rev() != 5 {
+			t.Errorf("revision %d, %v", st.Rev(), err)
+		}
+		if !reflect.DeepEqual(versions, wantVersions) {
+			t.Errorf("versions %v, want %v", versions, wantVersions)
+		}
+		if !reflect.DeepEqual(aliases, wantAliases) {
+			t.Errorf("aliases %v, want %v", aliases, wantAliases)
+		}
+		if !reflect.DeepEqual(revisions, wantRevisions) {
+			t.Errorf("revisions %v, want %v", revisions, wantRevisions)
+		}
+	})
+}
+
+// TestGoldenStoreIsRead opens a store that an earlier program wrote and reads all of it: the versions, aliases,
+// kept revisions and contents.
+func TestGoldenStoreIsRead(t *testing.T) {
+	s, err := OpenStore(copyGoldenStore(t), Options{Keep: goldenKeep})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = s.Close() }()
+	contents := goldenContents(t)
+	checkGoldenState(t, s, contents)
+	for i, body := range goldenBodies() {
+		b, err := s.Open(contents[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := io.ReadAll(b)
+		_ = b.Close()
+		if err != nil || string(got) != body {
+			t.Errorf("content %d: %q, %v", i, got, err)
+		}
+	}
+	if bad := s.Verify(nil); len(bad) > 0 {
+		t.Error(bad)
+	}
+}
+
+// TestGoldenStoreIsWritten does the golden changes in a fresh store and expects the same files and the same bytes
+// in each bucket.
+func TestGoldenStoreIsWritten(t *testing.T) {
+	dir := t.TempDir()
+	s, err := OpenStore(dir, Options{Keep: goldenKeep})
+	if err != nil {
+		t.Fatal(err)
+	}
+	fillGoldenStore(t, s)
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	got, want := dumpStore(t, dir), dumpStore(t, copyGoldenStore(t))
+	if !slices.Equal(got, want) {
+		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	}
+}
+
+// TestGoldenStepOrder holds the order of the steps at which a store asks Options.Fail, which is that of its writes.
+func TestGoldenStepOrder(t *testing.T) {
+	var steps []string
+	s, err := OpenStore(t.TempDir(), Options{Fail: func(step string) error {
+		steps = append(steps, step)
+		return nil
+	}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = s.Close() }()
+	c, err := s.Put(strings.NewReader("named"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := s.Put(strings.NewReader("loose")); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := s.Commit([]Change{Push{Ref{"q", "1"}, c}, Move{Place: Place{"p", "current"}, To: Ref{"q", "1"}}}); err != nil {
+		t.Fatal(err)
+	}
+	for _, dry := range []bool{true, false} {
+		if gone, err := s.GC(0, dry); err != nil || len(gone) != 1 {
+			t.Fatalf("%v, %v", gone, err)
+		}
+	}
+	put := []string{"blob: create", "blob: write", "blob: sync", "blob: rename", "blob: sync folder"}
+	commit := []string{"state: begin", "state: put", "state: put", "state: commit", "state: acknowledge"}
+	want := slices.Concat(put, put, commit, []string{"gc: remove"})
+	if !slices.Equal(steps, want) {
+		t.Errorf("steps %q, want %q", steps, want)
+	}
+}
+
+// TestGoldenPlans holds the outcome of seeded random batches: whether each is accepted, which error rejects it and
+// how many of its changes remain.
+func TestGoldenPlans(t *testing.T) {
+	const want = "2b8777ec499a11095eab8fd2d588a482742de00ef129d6630547e632acd0f62e"
+	sentinels := []error{ErrName, ErrNotFound, ErrExists, ErrHeld, ErrConflict}
+	sum := sha256.New()
+	for seed := range uint64(40) {
+		rng := rand.New(rand.NewPCG(seed, 7))
+		s := NewState(4)
+		for range 200 {
+			rev, err := s.Plan(goldenRandomBatch(rng))
+			outcome := 0
+			for i, sentinel := range sentinels {
+				if errors.Is(err, sentinel) {
+					outcome = i + 1
+				}
+			}
+			changes := -1
+			if rev != nil {
+				changes = len(rev.Changes)
+				if err := s.Apply(*rev); err != nil {
+					t.Fatal(err)
+				}
+			}
+			sum.Write(fmt.Appendln(nil, outcome, changes, s.Rev(), s.Versions(), s.Aliases()))
+		}
+	}
+	if got := hex.EncodeToString(sum.Sum(nil)); got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+}
+
+// goldenRandomBatch draws one to three changes over few names, some of which are invalid.
+func goldenRandomBatch(rng *rand.Rand) []Change {
+	var batch []Change
+	for range 1 + rng.IntN(3) {
+		ref := Ref{[]string{"q", "r", "Q"}[min(rng.IntN(20)/9, 2)], fmt.Sprint(rng.IntN(4))}
+		place := Place{[]string{"p", "o", "p..o"}[min(rng.IntN(20)/9, 2)], []string{"current", "next"}[rng.IntN(2)]}
+		switch rng.IntN(8) {
+		case 0, 1:
+			batch = append(batch, Push{ref, Content{Digest{byte(rng.IntN(3) / 2)}, int64(rng.IntN(20) - 1)}})
+		case 2, 3:
+			batch = append(batch, Push{ref, Content{Digest{ref.Version[0]}, 5}})
+		case 4, 5:
+			batch = append(batch, Move{Place: place, To: ref})
+		case 6:
+			batch = append(batch, Move{Place: place, To: ref, Expect: &Ref{"q", fmt.Sprint(rng.IntN(4))}})
+		default:
+			if rng.IntN(2) == 0 {
+				batch = append(batch, Delete{ref})
+			} else {
+				batch = append(batch, Drop{place})
+			}
+		}
+	}
+	return batch
+}
