--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -20,8 +20,8 @@
 	sum := sha256.New()
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 11))
-		cfg := Defaults
-		cfg.KeyedMost = 5
+		cfg := DefaultConfig
+		cfg.MaxFirstAttempts = 5
 		c := New(cfg)
 		now, rev := time.Duration(0), uint64(5)
 		for range 300 {
@@ -31,7 +31,7 @@
 				events = append(events, goldenEvent(rng, &rev))
 			}
 			goldenActions(sum, c.Step(now, events))
-			due, ok := c.Due()
+			due, ok := c.NextDeadline()
 			sum.Write(fmt.Appendln(nil, int64(due), ok))
 			goldenResolve(sum, rng, c, now)
 		}
@@ -46,27 +46,27 @@
 	to := []string{"1", "2"}[rng.IntN(2)]
 	switch rng.IntN(10) {
 	case 0:
-		return Snapshot{listing(*rev, to)}
+		return SnapshotLoaded{listingAt(*rev, to)}
 	case 1:
-		return Listed{listing(*rev-uint64(rng.IntN(2)), to)}
+		return ListReceived{listingAt(*rev-uint64(rng.IntN(2)), to)}
 	case 2:
-		l := listing(*rev, to)
-		delete(l.Versions, ref("1"))
-		return Listed{l}
+		l := listingAt(*rev, to)
+		delete(l.Versions, versionRef("1"))
+		return ListReceived{l}
 	case 3:
-		return Broke{errors.New("cut")}
+		return RequestFailed{errors.New("cut")}
 	case 4:
-		return Broke{registry.ErrCompacted}
+		return RequestFailed{registry.ErrCompacted}
 	case 5:
 		if rng.IntN(4) == 0 {
-			l := listing(*rev, to)
-			l.Versions[ref("2")] = content(byte(3 + rng.IntN(2)))
-			return Listed{l}
+			l := listingAt(*rev, to)
+			l.Versions[versionRef("2")] = content(byte(3 + rng.IntN(2)))
+			return ListReceived{l}
 		}
-		return Revised{}
+		return RevisionsReceived{}
 	default:
 		*rev += uint64(1 + rng.IntN(10)/9)
-		return Revised{[]registry.Revision{move(*rev-1, "1"), move(*rev, to)}}
+		return RevisionsReceived{[]registry.Revision{moveRevision(*rev-1, "1"), moveRevision(*rev, to)}}
 	}
 }
 
@@ -77,9 +77,9 @@
 			sum.Write(fmt.Appendln(nil, "L"))
 		case Watch:
 			sum.Write(fmt.Appendln(nil, "W", a.After))
-		case Save:
-			sum.Write(fmt.Appendln(nil, "S", a.Revision, len(a.Versions), a.Aliases[place].String()))
-		case Warn:
+		case SaveSnapshot:
+			sum.Write(fmt.Appendln(nil, "S", a.Revision, len(a.Versions), a.Aliases[currentAlias].String()))
+		case LogWarning:
 			sum.Write(fmt.Appendln(nil, "!"))
 		}
 	}
@@ -88,22 +88,22 @@
 func goldenResolve(sum hash.Hash, rng *rand.Rand, c *Core, now time.Duration) {
 	show := func(p Pin, err error) {
 		outcome := 0
-		for i, sentinel := range []error{ErrMissing, ErrNotFound, ErrGone} {
+		for i, sentinel := range []error{ErrNotSynced, ErrNotFound, ErrVersionRemoved} {
 			if errors.Is(err, sentinel) {
 				outcome = i + 1
 			}
 		}
-		sum.Write(fmt.Appendln(nil, outcome, p.Ref.String(), p.Digest.String(), p.Size, p.Revision, p.Stale))
+		sum.Write(fmt.Appendln(nil, outcome, p.VersionRef.String(), p.Digest.String(), p.Size, p.Revision, p.Stale))
 	}
-	show(c.Resolve(now, place))
-	show(c.Named(now, ref(fmt.Sprint(rng.IntN(4)))))
+	show(c.ResolveAlias(now, currentAlias))
+	show(c.ResolveVersion(now, versionRef(fmt.Sprint(rng.IntN(4)))))
 	key := fmt.Sprint("k", rng.IntN(8))
 	window := time.Duration(rng.IntN(40)) * time.Second
-	if told := ref(fmt.Sprint(rng.IntN(4))); rng.IntN(4) == 0 {
-		show(c.Keyed(now, key, window, place, &told))
+	if told := versionRef(fmt.Sprint(rng.IntN(4))); rng.IntN(4) == 0 {
+		show(c.ResolveIdempotent(now, key, window, currentAlias, &told))
 	} else {
-		show(c.Keyed(now, key, window, place, nil))
+		show(c.ResolveIdempotent(now, key, window, currentAlias, nil))
 	}
 	s := c.Status(now)
-	sum.Write(fmt.Appendln(nil, s.Known, s.Revision, s.Versions, s.Aliases, s.Stale, s.Keyed, len(c.Digests())))
+	sum.Write(fmt.Appendln(nil, s.Synced, s.Revision, s.Versions, s.Aliases, s.Stale, s.FirstAttempts, len(c.Digests())))
 }
--- /dev/null
+++ b/internal/registry/changes.go
@@ -0,0 +1,55 @@
+package registry
+
+// VersionRef names a version of a plug-in.
+type VersionRef struct{ Plugin, Version string }
+
+// String returns "plugin:version".
+func (r VersionRef) String() string { return r.Plugin + ":" + r.Version }
+
+// Content identifies what a version consists of.
+type Content struct {
+	Digest Digest
+	Size   int64 // bytes, before compression
+}
+
+// AliasRef names an alias of a plan, such as "current".
+type AliasRef struct{ Plan, Alias string }
+
+// String returns "plan/alias".
+func (a AliasRef) String() string { return a.Plan + "/" + a.Alias }
+
+// Change is one of PushVersion, DeleteVersion, MoveAlias and DeleteAlias.
+type Change interface{ isChange() }
+
+// PushVersion adds a version. The same content again changes nothing; other content under the name of an existing
+// version is rejected with ErrAlreadyExists.
+type PushVersion struct {
+	VersionRef
+	Content
+}
+
+// DeleteVersion removes a version. It is rejected with ErrInUse while an alias points at the version.
+type DeleteVersion struct{ VersionRef }
+
+// MoveAlias points an alias at a version; the alias is created where it does not exist.
+type MoveAlias struct {
+	AliasRef
+	Target VersionRef
+	// ExpectedTarget is nil or the version that the alias must point at before the change, which is otherwise
+	// rejected with ErrConflict.
+	ExpectedTarget *VersionRef
+}
+
+// DeleteAlias removes an alias.
+type DeleteAlias struct{ AliasRef }
+
+func (PushVersion) isChange()   {}
+func (DeleteVersion) isChange() {}
+func (MoveAlias) isChange()     {}
+func (DeleteAlias) isChange()   {}
+
+// Revision is one batch of changes, which is applied as a whole or not at all. Numbers begin at 1 and have no gaps.
+type Revision struct {
+	Number  uint64
+	Changes []Change
+}
--- /dev/null
+++ b/internal/registry/database.go
@@ -0,0 +1,177 @@
+package registry
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	bolt "go.etcd.io/bbolt"
+)
+
+// The database's buckets:
+//
+//	versions   plug-in NUL version  ->  digest, size in 8 bytes big-endian
+//	aliases    plan NUL alias       ->  plug-in NUL version
+//	revisions  number               ->  storedRevision as JSON, for the latest Options.MaxRevisions
+//	meta       "revision"           ->  number of the latest revision
+//	           "format"             ->  storeFormat
+//
+// Numbers are 8 bytes big-endian, so that keys sort by them.
+var (
+	bucketVersions  = []byte("versions")
+	bucketAliases   = []byte("aliases")
+	bucketRevisions = []byte("revisions")
+	bucketMeta      = []byte("meta")
+	keyRevision     = []byte("revision")
+	keyFormat       = []byte("format")
+)
+
+const (
+	// storeFormat is kept in the database. A store with any other format is not opened.
+	storeFormat = "topazfront-registry-1"
+
+	// nameSeparator stands between two names of a key or value. ValidateName allows no NUL in a name.
+	nameSeparator = "\x00"
+
+	numberSize         = 8 // bytes of a number
+	versionRecordBytes = sha256.Size + numberSize
+)
+
+// load reads the state from the database, which is initialized where it is empty.
+func (s *Store) load() error {
+	if err := s.db.Update(initializeDatabase); err != nil {
+		return fmt.Errorf("registry: %s: %w", s.dir, err)
+	}
+	return s.db.View(func(tx *bolt.Tx) error {
+		versions, err := readVersions(tx)
+		if err != nil {
+			return err
+		}
+		aliases, err := readAliases(tx)
+		if err != nil {
+			return err
+		}
+		number := uint64(0)
+		if record := tx.Bucket(bucketMeta).Get(keyRevision); len(record) == numberSize {
+			number = binary.BigEndian.Uint64(record)
+		}
+		if s.state, err = RestoreState(number, versions, aliases, s.options.MaxRevisions); err != nil {
+			return err
+		}
+		s.state.recent, err = readRevisions(tx)
+		return err
+	})
+}
+
+// initializeDatabase creates missing buckets, and writes the format or checks it.
+func initializeDatabase(tx *bolt.Tx) error {
+	for _, name := range [][]byte{bucketVersions, bucketAliases, bucketRevisions, bucketMeta} {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+			return err
+		}
+	}
+	meta := tx.Bucket(bucketMeta)
+	found := meta.Get(keyFormat)
+	if found == nil {
+		return meta.Put(keyFormat, []byte(storeFormat))
+	}
+	if string(found) != storeFormat {
+		return fmt.Errorf("format %q, this program knows %q", found, storeFormat)
+	}
+	return nil
+}
+
+func readVersions(tx *bolt.Tx) (map[VersionRef]Content, error) {
+	versions := map[VersionRef]Content{}
+	err := tx.Bucket(bucketVersions).ForEach(func(key, record []byte) error {
+		plugin, version, ok := strings.Cut(string(key), nameSeparator)
+		if !ok || len(record) != versionRecordBytes {
+			return fmt.Errorf("%w: version %q", ErrCorrupt, key)
+		}
+		content := Content{Size: int64(binary.BigEndian.Uint64(record[sha256.Size:]))}
+		copy(content.Digest[:], record)
+		versions[VersionRef{plugin, version}] = content
+		return nil
+	})
+	return versions, err
+}
+
+func readAliases(tx *bolt.Tx) (map[AliasRef]VersionRef, error) {
+	aliases := map[AliasRef]VersionRef{}
+	err := tx.Bucket(bucketAliases).ForEach(func(key, record []byte) error {
+		plan, alias, keyOK := strings.Cut(string(key), nameSeparator)
+		plugin, version, recordOK := strings.Cut(string(record), nameSeparator)
+		if !keyOK || !recordOK {
+			return fmt.Errorf("%w: alias %q", ErrCorrupt, key)
+		}
+		aliases[AliasRef{plan, alias}] = VersionRef{plugin, version}
+		return nil
+	})
+	return aliases, err
+}
+
+// readRevisions reads the revisions that are kept, oldest first.
+func readRevisions(tx *bolt.Tx) ([]Revision, error) {
+	var revisions []Revision
+	err := tx.Bucket(bucketRevisions).ForEach(func(_, record []byte) error {
+		var stored storedRevision
+		if err := json.Unmarshal(record, &stored); err != nil {
+			return fmt.Errorf("%w: revision: %w", ErrCorrupt, err)
+		}
+		revisions = append(revisions, stored.decode())
+		return nil
+	})
+	return revisions, err
+}
+
+// writeRevision writes a revision in a transaction: the effect of its changes, then the revision itself, then its
+// number as the latest. The revision that is one too many for Options.MaxRevisions is removed.
+func (s *Store) writeRevision(tx *bolt.Tx, revision *Revision) error {
+	for _, change := range revision.Changes {
+		if err := writeChange(tx, change); err != nil {
+			return err
+		}
+		if err := s.failpoint(StepWriteChange); err != nil {
+			return err
+		}
+	}
+	record, err := json.Marshal(encodeRevision(*revision))
+	if err != nil {
+		return err
+	}
+	revisions := tx.Bucket(bucketRevisions)
+	if err := revisions.Put(encodeNumber(revision.Number), record); err != nil {
+		return err
+	}
+	if maxRevisions := uint64(s.options.MaxRevisions); revision.Number > maxRevisions {
+		if err := revisions.Delete(encodeNumber(revision.Number - maxRevisions)); err != nil {
+			return err
+		}
+	}
+	return tx.Bucket(bucketMeta).Put(keyRevision, encodeNumber(revision.Number))
+}
+
+// writeChange writes the effect of one change.
+func writeChange(tx *bolt.Tx, change Change) error {
+	versions, aliases := tx.Bucket(bucketVersions), tx.Bucket(bucketAliases)
+	switch change := change.(type) {
+	case PushVersion:
+		record := append([]byte(nil), change.Digest[:]...)
+		record = binary.BigEndian.AppendUint64(record, uint64(change.Size))
+		return versions.Put(encodeNames(change.Plugin, change.Version), record)
+	case DeleteVersion:
+		return versions.Delete(encodeNames(change.Plugin, change.Version))
+	case MoveAlias:
+		record := encodeNames(change.Target.Plugin, change.Target.Version)
+		return aliases.Put(encodeNames(change.Plan, change.Alias), record)
+	case DeleteAlias:
+		return aliases.Delete(encodeNames(change.Plan, change.Alias))
+	}
+	return nil
+}
+
+func encodeNames(first, second string) []byte { return []byte(first + nameSeparator + second) }
+
+func encodeNumber(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -26,15 +26,15 @@
 
 // goldenBatches returns the revisions of the golden store, in their order, with changes of all four kinds.
 func goldenBatches(contents []Content) [][]Change {
-	quote := func(version string) Ref { return Ref{"quote", version} }
-	price := Ref{"price-table_2", "v1.0"}
+	quote := func(version string) VersionRef { return VersionRef{"quote", version} }
+	price := VersionRef{"price-table_2", "v1.0"}
 	expect := quote("1")
 	return [][]Change{
-		{Push{quote("1"), contents[0]}, Move{Place: Place{"retail", "current"}, To: quote("1")}},
-		{Push{quote("2"), contents[1]}, Push{price, contents[2]}, Move{Place: Place{"retail", "next"}, To: quote("2")}},
-		{Move{Place: Place{"retail", "current"}, To: quote("2"), Expect: &expect}},
-		{Drop{Place{"retail", "next"}}, Delete{quote("1")}},
-		{Move{Place: Place{"whole.sale", "current"}, To: price}, Push{quote("3"), contents[0]}},
+		{PushVersion{quote("1"), contents[0]}, MoveAlias{AliasRef: AliasRef{"retail", "current"}, Target: quote("1")}},
+		{PushVersion{quote("2"), contents[1]}, PushVersion{price, contents[2]}, MoveAlias{AliasRef: AliasRef{"retail", "next"}, Target: quote("2")}},
+		{MoveAlias{AliasRef: AliasRef{"retail", "current"}, Target: quote("2"), ExpectedTarget: &expect}},
+		{DeleteAlias{AliasRef{"retail", "next"}}, DeleteVersion{quote("1")}},
+		{MoveAlias{AliasRef: AliasRef{"whole.sale", "current"}, Target: price}, PushVersion{quote("3"), contents[0]}},
 	}
 }
 
@@ -48,7 +48,7 @@
 	t.Helper()
 	var contents []Content
 	for _, body := range goldenBodies() {
-		c, err := s.Put(strings.NewReader(body))
+		c, err := s.PutContent(strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,33 +127,33 @@
 // checkGoldenState compares the state of a golden store with all that its revisions made.
 func checkGoldenState(t *testing.T, s *Store, contents []Content) {
 	t.Helper()
-	wantVersions := map[Ref]Content{
+	wantVersions := map[VersionRef]Content{
 		{"price-table_2", "v1.0"}: contents[2], {"quote", "2"}: contents[1], {"quote", "3"}: contents[0],
 	}
-	wantAliases := map[Place]Ref{
+	wantAliases := map[AliasRef]VersionRef{
 		{"retail", "current"}: {"quote", "2"}, {"whole.sale", "current"}: {"price-table_2", "v1.0"},
 	}
 	wantRevisions := []Revision{}
 	for i, batch := range goldenBatches(contents)[5-goldenKeep:] {
 		for j, c := range batch {
-			if m, ok := c.(Move); ok {
-				m.Expect = nil // is not stored
+			if m, ok := c.(MoveAlias); ok {
+				m.ExpectedTarget = nil // is not stored
 				batch[j] = m
 			}
 		}
 		wantRevisions = append(wantRevisions, Revision{uint64(i + 6 - goldenKeep), batch})
 	}
 	s.View(func(st *State) {
-		versions, aliases := map[Ref]Content{}, map[Place]Ref{}
+		versions, aliases := map[VersionRef]Content{}, map[AliasRef]VersionRef{}
 		for _, r := range st.Versions() {
 			versions[r], _ = st.Version(r)
 		}
 		for _, p := range st.Aliases() {
 			aliases[p], _ = st.Alias(p)
 		}
-		revisions, err := st.Since(5 - goldenKeep)
-		if err != nil || st.Rev() != 5 {
-			t.Errorf("revision %d, %v", st.Rev(), err)
+		revisions, err := st.RevisionsAfter(5 - goldenKeep)
+		if err != nil || st.Revision() != 5 {
+			t.Errorf("revision %d, %v", st.Revision(), err)
 		}
 		if !reflect.DeepEqual(versions, wantVersions) {
 			t.Errorf("versions %v, want %v", versions, wantVersions)
@@ -170,7 +170,7 @@
 // TestGoldenStoreIsRead opens a store that an earlier program wrote and reads all of it: the versions, aliases,
 // kept revisions and contents.
 func TestGoldenStoreIsRead(t *testing.T) {
-	s, err := OpenStore(copyGoldenStore(t), Options{Keep: goldenKeep})
+	s, err := OpenStore(copyGoldenStore(t), Options{MaxRevisions: goldenKeep})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 	contents := goldenContents(t)
 	checkGoldenState(t, s, contents)
 	for i, body := range goldenBodies() {
-		b, err := s.Open(contents[i])
+		b, err := s.OpenContent(contents[i])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -197,7 +197,7 @@
 // in each bucket.
 func TestGoldenStoreIsWritten(t *testing.T) {
 	dir := t.TempDir()
-	s, err := OpenStore(dir, Options{Keep: goldenKeep})
+	s, err := OpenStore(dir, Options{MaxRevisions: goldenKeep})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,8 +213,8 @@
 
 // TestGoldenStepOrder holds the order of the steps at which a store asks Options.Fail, which is that of its writes.
 func TestGoldenStepOrder(t *testing.T) {
-	var steps []string
-	s, err := OpenStore(t.TempDir(), Options{Fail: func(step string) error {
+	var steps []Step
+	s, err := OpenStore(t.TempDir(), Options{Failpoint: func(step Step) error {
 		steps = append(steps, step)
 		return nil
 	}})
@@ -222,24 +222,24 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	c, err := s.Put(strings.NewReader("named"))
+	c, err := s.PutContent(strings.NewReader("named"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Put(strings.NewReader("loose")); err != nil {
+	if _, err := s.PutContent(strings.NewReader("loose")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Commit([]Change{Push{Ref{"q", "1"}, c}, Move{Place: Place{"p", "current"}, To: Ref{"q", "1"}}}); err != nil {
+	if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "1"}, c}, MoveAlias{AliasRef: AliasRef{"p", "current"}, Target: VersionRef{"q", "1"}}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, dry := range []bool{true, false} {
-		if gone, err := s.GC(0, dry); err != nil || len(gone) != 1 {
+		if gone, err := s.CollectGarbage(0, dry); err != nil || len(gone) != 1 {
 			t.Fatalf("%v, %v", gone, err)
 		}
 	}
-	put := []string{"blob: create", "blob: write", "blob: sync", "blob: rename", "blob: sync folder"}
-	commit := []string{"state: begin", "state: put", "state: put", "state: commit", "state: acknowledge"}
-	want := slices.Concat(put, put, commit, []string{"gc: remove"})
+	put := []Step{"blob: create", "blob: write", "blob: sync", "blob: rename", "blob: sync folder"}
+	commit := []Step{"state: begin", "state: put", "state: put", "state: commit", "state: acknowledge"}
+	want := slices.Concat(put, put, commit, []Step{"gc: remove"})
 	if !slices.Equal(steps, want) {
 		t.Errorf("steps %q, want %q", steps, want)
 	}
@@ -249,13 +249,13 @@
 // how many of its changes remain.
 func TestGoldenPlans(t *testing.T) {
 	const want = "2b8777ec499a11095eab8fd2d588a482742de00ef129d6630547e632acd0f62e"
-	sentinels := []error{ErrName, ErrNotFound, ErrExists, ErrHeld, ErrConflict}
+	sentinels := []error{ErrInvalidArgument, ErrNotFound, ErrAlreadyExists, ErrInUse, ErrConflict}
 	sum := sha256.New()
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		s := NewState(4)
 		for range 200 {
-			rev, err := s.Plan(goldenRandomBatch(rng))
+			rev, err := s.Prepare(goldenRandomBatch(rng))
 			outcome := 0
 			for i, sentinel := range sentinels {
 				if errors.Is(err, sentinel) {
@@ -269,7 +269,7 @@
 					t.Fatal(err)
 				}
 			}
-			sum.Write(fmt.Appendln(nil, outcome, changes, s.Rev(), s.Versions(), s.Aliases()))
+			sum.Write(fmt.Appendln(nil, outcome, changes, s.Revision(), s.Versions(), s.Aliases()))
 		}
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != want {
@@ -281,22 +281,22 @@
 func goldenRandomBatch(rng *rand.Rand) []Change {
 	var batch []Change
 	for range 1 + rng.IntN(3) {
-		ref := Ref{[]string{"q", "r", "Q"}[min(rng.IntN(20)/9, 2)], fmt.Sprint(rng.IntN(4))}
-		place := Place{[]string{"p", "o", "p..o"}[min(rng.IntN(20)/9, 2)], []string{"current", "next"}[rng.IntN(2)]}
+		ref := VersionRef{[]string{"q", "r", "Q"}[min(rng.IntN(20)/9, 2)], fmt.Sprint(rng.IntN(4))}
+		place := AliasRef{[]string{"p", "o", "p..o"}[min(rng.IntN(20)/9, 2)], []string{"current", "next"}[rng.IntN(2)]}
 		switch rng.IntN(8) {
 		case 0, 1:
-			batch = append(batch, Push{ref, Content{Digest{byte(rng.IntN(3) / 2)}, int64(rng.IntN(20) - 1)}})
+			batch = append(batch, PushVersion{ref, Content{Digest{byte(rng.IntN(3) / 2)}, int64(rng.IntN(20) - 1)}})
 		case 2, 3:
-			batch = append(batch, Push{ref, Content{Digest{ref.Version[0]}, 5}})
+			batch = append(batch, PushVersion{ref, Content{Digest{ref.Version[0]}, 5}})
 		case 4, 5:
-			batch = append(batch, Move{Place: place, To: ref})
+			batch = append(batch, MoveAlias{AliasRef: place, Target: ref})
 		case 6:
-			batch = append(batch, Move{Place: place, To: ref, Expect: &Ref{"q", fmt.Sprint(rng.IntN(4))}})
+			batch = append(batch, MoveAlias{AliasRef: place, Target: ref, ExpectedTarget: &VersionRef{"q", fmt.Sprint(rng.IntN(4))}})
 		default:
 			if rng.IntN(2) == 0 {
-				batch = append(batch, Delete{ref})
+				batch = append(batch, DeleteVersion{ref})
 			} else {
-				batch = append(batch, Drop{place})
+				batch = append(batch, DeleteAlias{place})
 			}
 		}
 	}
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -106,26 +106,26 @@
 	})
 }
 
-type plain []*Timer
+type timerHeap []*Timer
 
-func (h plain) Len() int           { return len(h) }
-func (h plain) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h plain) Swap(i, j int) {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].dueTick < h[j].dueTick }
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].Value, h[j].Value = i, j
 }
-func (h *plain) Push(x any) { t, _ := x.(*Timer); t.Value = len(*h); *h = append(*h, t) }
-func (h *plain) Pop() any   { old := *h; t := old[len(old)-1]; *h = old[:len(old)-1]; return t }
+func (h *timerHeap) Push(x any) { t, _ := x.(*Timer); t.Value = len(*h); *h = append(*h, t) }
+func (h *timerHeap) Pop() any   { old := *h; t := old[len(old)-1]; *h = old[:len(old)-1]; return t }
 
 // The benchmarks hold 5,000 deadlines; each operation adds one and removes the oldest, as calls do that end
 // long before their deadline.
-const held = 5000
+const benchmarkTimers = 5000
 
 func BenchmarkWheel(b *testing.B) {
 	w := New(time.Millisecond, 0)
-	ring := make([]Timer, held)
+	ring := make([]Timer, benchmarkTimers)
 	for i := range b.N {
-		t := &ring[i%held]
+		t := &ring[i%benchmarkTimers]
 		now := time.Duration(i) * 20 * time.Microsecond
 		if i%50 == 0 {
 			w.Advance(now, func(*Timer) {})
@@ -136,26 +136,26 @@
 }
 
 func BenchmarkHeap(b *testing.B) {
-	var h plain
-	ring := make([]Timer, held)
+	var h timerHeap
+	ring := make([]Timer, benchmarkTimers)
 	for i := range b.N {
-		t := &ring[i%held]
+		t := &ring[i%benchmarkTimers]
 		now := time.Duration(i) * 20 * time.Microsecond
-		if i >= held {
+		if i >= benchmarkTimers {
 			at, _ := t.Value.(int)
 			heap.Remove(&h, at)
 		}
-		t.at = int64(now + time.Second)
+		t.dueTick = int64(now + time.Second)
 		heap.Push(&h, t)
 	}
 }
 
 func BenchmarkRuntimeTimers(b *testing.B) {
-	ring := make([]*time.Timer, held)
+	ring := make([]*time.Timer, benchmarkTimers)
 	for i := range b.N {
-		if t := ring[i%held]; t != nil {
+		if t := ring[i%benchmarkTimers]; t != nil {
 			t.Stop()
 		}
-		ring[i%held] = time.AfterFunc(time.Second, func() {})
+		ring[i%benchmarkTimers] = time.AfterFunc(time.Second, func() {})
 	}
 }
