--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -21,8 +21,8 @@
 // a store of that form must be readable by every later program that knows the format.
 const goldenDir = "testdata/store"
 
-// goldenKeep is less than the number of golden revisions, so that the oldest has been removed from the log.
-const goldenKeep = 4
+// goldenMaxRevisions is less than the number of golden revisions, so that the oldest has been removed from the log.
+const goldenMaxRevisions = 4
 
 // goldenBatches returns the revisions of the golden store, in their order, with changes of all four kinds.
 func goldenBatches(contents []Content) [][]Change {
@@ -134,14 +134,14 @@
 		{"retail", "current"}: {"quote", "2"}, {"whole.sale", "current"}: {"price-table_2", "v1.0"},
 	}
 	wantRevisions := []Revision{}
-	for i, batch := range goldenBatches(contents)[5-goldenKeep:] {
+	for i, batch := range goldenBatches(contents)[5-goldenMaxRevisions:] {
 		for j, c := range batch {
 			if m, ok := c.(MoveAlias); ok {
 				m.ExpectedTarget = nil // is not stored
 				batch[j] = m
 			}
 		}
-		wantRevisions = append(wantRevisions, Revision{uint64(i + 6 - goldenKeep), batch})
+		wantRevisions = append(wantRevisions, Revision{uint64(i + 6 - goldenMaxRevisions), batch})
 	}
 	s.View(func(st *State) {
 		versions, aliases := map[VersionRef]Content{}, map[AliasRef]VersionRef{}
@@ -151,7 +151,7 @@
 		for _, p := range st.Aliases() {
 			aliases[p], _ = st.Alias(p)
 		}
-		revisions, err := st.RevisionsAfter(5 - goldenKeep)
+		revisions, err := st.RevisionsAfter(5 - goldenMaxRevisions)
 		if err != nil || st.Revision() != 5 {
 			t.Errorf("revision %d, %v", st.Revision(), err)
 		}
@@ -170,7 +170,7 @@
 // TestGoldenStoreIsRead opens a store that an earlier program wrote and reads all of it: the versions, aliases,
 // kept revisions and contents.
 func TestGoldenStoreIsRead(t *testing.T) {
-	s, err := OpenStore(copyGoldenStore(t), Options{MaxRevisions: goldenKeep})
+	s, err := OpenStore(copyGoldenStore(t), Options{MaxRevisions: goldenMaxRevisions})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,8 +188,8 @@
 			t.Errorf("content %d: %q, %v", i, got, err)
 		}
 	}
-	if bad := s.Verify(nil); len(bad) > 0 {
-		t.Error(bad)
+	if failures := s.Verify(nil); len(failures) > 0 {
+		t.Error(failures)
 	}
 }
 
@@ -197,7 +197,7 @@
 // in each bucket.
 func TestGoldenStoreIsWritten(t *testing.T) {
 	dir := t.TempDir()
-	s, err := OpenStore(dir, Options{MaxRevisions: goldenKeep})
+	s, err := OpenStore(dir, Options{MaxRevisions: goldenMaxRevisions})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 	}
 }
 
-// TestGoldenStepOrder holds the order of the steps at which a store asks Options.Fail, which is that of its writes.
+// TestGoldenStepOrder holds the order of the steps at which a store calls Options.Failpoint, which is that of its writes.
 func TestGoldenStepOrder(t *testing.T) {
 	var steps []Step
 	s, err := OpenStore(t.TempDir(), Options{Failpoint: func(step Step) error {
@@ -222,19 +222,19 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	c, err := s.PutContent(strings.NewReader("named"))
+	c, err := s.PutContent(strings.NewReader("referenced"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.PutContent(strings.NewReader("loose")); err != nil {
+	if _, err := s.PutContent(strings.NewReader("unreferenced")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "1"}, c}, MoveAlias{AliasRef: AliasRef{"p", "current"}, Target: VersionRef{"q", "1"}}}); err != nil {
 		t.Fatal(err)
 	}
-	for _, dry := range []bool{true, false} {
-		if gone, err := s.CollectGarbage(0, dry); err != nil || len(gone) != 1 {
-			t.Fatalf("%v, %v", gone, err)
+	for _, dryRun := range []bool{true, false} {
+		if removed, err := s.CollectGarbage(0, dryRun); err != nil || len(removed) != 1 {
+			t.Fatalf("%v, %v", removed, err)
 		}
 	}
 	put := []Step{"blob: create", "blob: write", "blob: sync", "blob: rename", "blob: sync folder"}
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -10,156 +10,191 @@
 	"pgregory.net/rapid"
 )
 
-func pushVersion(plugin, version string, b byte) PushVersion {
-	return PushVersion{VersionRef{plugin, version}, Content{Digest{b}, 10}}
+// pushVersion pushes content of 10 bytes whose digest begins with the given byte.
+func pushVersion(plugin, version string, digestByte byte) PushVersion {
+	return PushVersion{VersionRef{plugin, version}, Content{Digest{digestByte}, 10}}
 }
 
+// moveAlias moves the alias "current" of a plan.
 func moveAlias(plan, plugin, version string) MoveAlias {
 	return MoveAlias{AliasRef: AliasRef{plan, "current"}, Target: VersionRef{plugin, version}}
 }
 
-// must makes a batch a revision.
+// mustCommit prepares and applies a batch.
 func mustCommit(t interface {
 	Helper()
 	Fatal(...any)
 }, s *State, batch ...Change) {
 	t.Helper()
-	rev, err := s.Prepare(batch)
+	revision, err := s.Prepare(batch)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rev == nil {
+	if revision == nil {
 		return
 	}
-	if err := s.Apply(*rev); err != nil {
+	if err := s.Apply(*revision); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestNames(t *testing.T) {
-	for _, good := range []string{"a", "quote-7", "v1.2.3", "x_y", strings.Repeat("a", 64)} {
-		if err := ValidateName("plug-in", good); err != nil {
-			t.Error(err)
-		}
-	}
-	for _, bad := range []string{"", "..", "../a", "a/b", "a\\b", "a..b", ".a", "a.", "-a", "A", "a b", "a\x00", "а" /* Cyrillic */, "a\u200b",
-		strings.Repeat("a", 65), strings.Repeat("a", 1<<20), "a\n", "%2e"} {
-		if err := ValidateName("plug-in", bad); !errors.Is(err, ErrInvalidArgument) || len(err.Error()) > 600 {
-			t.Errorf("%.20q: %.200v", bad, err)
-		}
-	}
-	d := Digest{1, 0xab}
-	if got, err := ParseDigest(d.String()); err != nil || got != d {
-		t.Errorf("%v, %v", got, err)
-	}
-	for _, bad := range []string{"", d.String()[1:], strings.ToUpper(d.String()), strings.Replace(d.String(), "0", "g", 1)} {
-		if _, err := ParseDigest(bad); !errors.Is(err, ErrInvalidArgument) {
-			t.Errorf("%q: %v", bad, err)
-		}
-	}
-}
-
-func TestChangesThatAreRefused(t *testing.T) {
-	for name, c := range map[string]struct {
-		batch []Change
-		want  error
-		at    string
+func TestPrepareRejects(t *testing.T) {
+	for name, test := range map[string]struct {
+		batch    []Change
+		wantErr  error
+		wantText string
 	}{
-		"other content":       {[]Change{pushVersion("q", "1", 9)}, ErrAlreadyExists, "change 0"},
-		"delete a held one":   {[]Change{DeleteVersion{VersionRef{"q", "1"}}}, ErrInUse, "change 0"},
-		"alias of none":       {[]Change{pushVersion("q", "3", 1), moveAlias("p", "q", "9")}, ErrNotFound, "change 1"},
-		"a conflict":          {[]Change{MoveAlias{AliasRef: AliasRef{"p", "current"}, Target: VersionRef{"q", "2"}, ExpectedTarget: &VersionRef{"q", "2"}}}, ErrConflict, "q:1"},
-		"deleted in a batch":  {[]Change{DeleteVersion{VersionRef{"q", "2"}}, moveAlias("p", "q", "2")}, ErrNotFound, "change 1"},
-		"moved to, then gone": {[]Change{moveAlias("p", "q", "2"), DeleteVersion{VersionRef{"q", "2"}}}, ErrInUse, "change 1"},
-		"a bad name":          {[]Change{PushVersion{VersionRef{"../q", "1"}, Content{}}}, ErrInvalidArgument, "change 0"},
-		"no change":           {[]Change{nil}, ErrInvalidArgument, "change 0"},
-		"dropping none":       {[]Change{DeleteAlias{AliasRef{"p", "next"}}}, ErrNotFound, "p/next"},
+		"other content": {
+			[]Change{pushVersion("q", "1", 9)}, ErrAlreadyExists, "change 0"},
+		"deletion of a version in use": {
+			[]Change{DeleteVersion{VersionRef{"q", "1"}}}, ErrInUse, "change 0"},
+		"alias of an unknown version": {
+			[]Change{pushVersion("q", "3", 1), moveAlias("p", "q", "9")}, ErrNotFound, "change 1"},
+		"unexpected target": {
+			[]Change{MoveAlias{AliasRef: AliasRef{"p", "current"}, Target: VersionRef{"q", "2"},
+				ExpectedTarget: &VersionRef{"q", "2"}}}, ErrConflict, "q:1"},
+		"alias of a version deleted in the batch": {
+			[]Change{DeleteVersion{VersionRef{"q", "2"}}, moveAlias("p", "q", "2")}, ErrNotFound, "change 1"},
+		"deletion of a version put in use in the batch": {
+			[]Change{moveAlias("p", "q", "2"), DeleteVersion{VersionRef{"q", "2"}}}, ErrInUse, "change 1"},
+		"invalid name": {
+			[]Change{PushVersion{VersionRef{"../q", "1"}, Content{}}}, ErrInvalidArgument, "change 0"},
+		"nil change": {
+			[]Change{nil}, ErrInvalidArgument, "change 0"},
+		"deletion of an unknown alias": {
+			[]Change{DeleteAlias{AliasRef{"p", "next"}}}, ErrNotFound, "p/next"},
 	} {
-		s := NewState(10)
-		mustCommit(t, s, pushVersion("q", "1", 1), pushVersion("q", "2", 2), moveAlias("p", "q", "1"))
-		if _, err := s.Prepare(c.batch); !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.at) {
-			t.Errorf("%s: %v, want %v at %s", name, err, c.want, c.at)
-		}
-		if r, _ := s.Alias(AliasRef{"p", "current"}); s.Revision() != 1 || r != (VersionRef{"q", "1"}) || len(s.Versions()) != 2 {
-			t.Errorf("%s: the state changed", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			s := NewState(10)
+			mustCommit(t, s, pushVersion("q", "1", 1), pushVersion("q", "2", 2), moveAlias("p", "q", "1"))
+			_, err := s.Prepare(test.batch)
+			if !errors.Is(err, test.wantErr) || !strings.Contains(err.Error(), test.wantText) {
+				t.Errorf("%v, want %v with %q", err, test.wantErr, test.wantText)
+			}
+			target, _ := s.Alias(AliasRef{"p", "current"})
+			if s.Revision() != 1 || target != (VersionRef{"q", "1"}) || len(s.Versions()) != 2 {
+				t.Error("the state changed")
+			}
+		})
 	}
 }
 
-// TestABatchIsOneRevision, and changes that change nothing are none.
-func TestABatchIsOneRevision(t *testing.T) {
+// TestBatchIsOneRevision applies batches of several changes, and one without effect, which makes no revision.
+func TestBatchIsOneRevision(t *testing.T) {
 	s := NewState(10)
 	mustCommit(t, s, pushVersion("q", "1", 1), pushVersion("q", "2", 2), moveAlias("a", "q", "1"), moveAlias("b", "q", "1"))
-	mustCommit(t, s, pushVersion("q", "1", 1), moveAlias("a", "q", "1")) // as it is
+	mustCommit(t, s, pushVersion("q", "1", 1), moveAlias("a", "q", "1")) // without effect
 	mustCommit(t, s, moveAlias("a", "q", "2"), moveAlias("b", "q", "2"), DeleteVersion{VersionRef{"q", "1"}})
 	if s.Revision() != 2 || len(s.Versions()) != 1 {
 		t.Errorf("revision %d, %v", s.Revision(), s.Versions())
 	}
 }
 
-func TestWatch(t *testing.T) {
+func TestRevisionsAfter(t *testing.T) {
 	s := NewState(3)
 	for i := range 6 {
 		mustCommit(t, s, pushVersion("q", fmt.Sprint(i), byte(i)))
 	}
-	for _, c := range []struct {
-		after uint64
-		n     int
-		err   error
-	}{{6, 0, nil}, {5, 1, nil}, {3, 3, nil}, {2, 0, ErrCompacted}, {0, 0, ErrCompacted}, {7, 0, ErrFutureRevision}} {
-		got, err := s.RevisionsAfter(c.after)
-		if !errors.Is(err, c.err) || len(got) != c.n || c.n > 0 && got[0].Number != c.after+1 {
-			t.Errorf("after %d: %v, %v", c.after, got, err)
-		}
+	for name, test := range map[string]struct {
+		after     uint64
+		wantCount int
+		wantErr   error
+	}{
+		"latest":             {6, 0, nil},
+		"one before":         {5, 1, nil},
+		"oldest kept":        {3, 3, nil},
+		"one too old":        {2, 0, ErrCompacted},
+		"beginning":          {0, 0, ErrCompacted},
+		"not reached so far": {7, 0, ErrFutureRevision},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, err := s.RevisionsAfter(test.after)
+			if !errors.Is(err, test.wantErr) || len(got) != test.wantCount {
+				t.Fatalf("after %d: %v, %v", test.after, got, err)
+			}
+			if test.wantCount > 0 && got[0].Number != test.after+1 {
+				t.Errorf("after %d: first is %d", test.after, got[0].Number)
+			}
+		})
 	}
 }
 
-// TestFollowersAgree is a property: whoever applies the revisions in order, from any revision that is kept or
-// from a listing, holds the same versions and aliases; revisions that don't follow are refused; nothing that an
-// alias points at is ever missing.
+// TestFollowersAgree is a property: whoever applies the revisions in order, from any revision that is kept or from
+// a listing, has the same versions and aliases. Revisions that do not follow are rejected, and every alias points at
+// a version that exists.
 func TestFollowersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, f := NewState(8), NewState(8)
+		leader, follower := NewState(8), NewState(8)
 		for range rapid.IntRange(1, 40).Draw(t, "batches") {
-			var batch []Change
-			for range rapid.IntRange(1, 4).Draw(t, "changes") {
-				plugin, v := fmt.Sprint("q", rapid.IntRange(0, 1).Draw(t, "plug-in")), fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "version"))
-				plan := fmt.Sprint("p", rapid.IntRange(0, 2).Draw(t, "plan"))
-				batch = append(batch, rapid.SampledFrom([]Change{pushVersion(plugin, v, v[0]), moveAlias(plan, plugin, v), moveAlias(plan, plugin, v),
-					DeleteVersion{VersionRef{plugin, v}}, DeleteAlias{AliasRef{plan, "current"}}}).Draw(t, "change"))
-			}
-			rev, err := s.Prepare(batch)
-			if err != nil || rev == nil {
+			revision, err := leader.Prepare(drawBatch(t))
+			if err != nil || revision == nil {
 				continue
 			}
-			if err := s.Apply(*rev); err != nil {
+			if err := leader.Apply(*revision); err != nil {
 				t.Fatal(err)
 			}
-			if err := s.Apply(*rev); !errors.Is(err, ErrConflict) {
+			if err := leader.Apply(*revision); !errors.Is(err, ErrConflict) {
 				t.Fatalf("applied twice: %v", err)
 			}
-			for _, p := range s.Aliases() {
-				if r, _ := s.Alias(p); s.versions[r] == (Content{}) {
-					t.Fatalf("%s points at %s, which is not there", p, r)
-				}
-			}
+			checkAliasTargets(t, leader)
 			if rapid.IntRange(0, 5).Draw(t, "follow") > 0 {
 				continue
 			}
-			revs, err := s.RevisionsAfter(f.Revision())
-			if errors.Is(err, ErrCompacted) {
-				if f, err = RestoreState(s.revision, s.versions, s.aliases, 8); err != nil {
-					t.Fatal(err)
-				}
-			}
-			for _, r := range revs {
-				if err := f.Apply(r); err != nil {
-					t.Fatal(err)
-				}
-			}
-			if !maps.Equal(f.versions, s.versions) || !maps.Equal(f.aliases, s.aliases) || !maps.Equal(f.aliasCounts, s.aliasCounts) || f.revision != s.revision {
-				t.Fatalf("a follower differs at revision %d", s.revision)
-			}
+			follower = catchUp(t, leader, follower)
+			checkSameState(t, leader, follower)
 		}
 	})
 }
+
+// drawBatch draws one to four changes over few names.
+func drawBatch(t *rapid.T) []Change {
+	var batch []Change
+	for range rapid.IntRange(1, 4).Draw(t, "changes") {
+		plugin := fmt.Sprint("q", rapid.IntRange(0, 1).Draw(t, "plug-in"))
+		version := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "version"))
+		plan := fmt.Sprint("p", rapid.IntRange(0, 2).Draw(t, "plan"))
+		batch = append(batch, rapid.SampledFrom([]Change{
+			pushVersion(plugin, version, version[0]),
+			moveAlias(plan, plugin, version),
+			moveAlias(plan, plugin, version), // twice, so that it is drawn more often
+			DeleteVersion{VersionRef{plugin, version}},
+			DeleteAlias{AliasRef{plan, "current"}},
+		}).Draw(t, "change"))
+	}
+	return batch
+}
+
+func checkAliasTargets(t *rapid.T, s *State) {
+	t.Helper()
+	for _, alias := range s.Aliases() {
+		if target, _ := s.Alias(alias); s.versions[target] == (Content{}) {
+			t.Fatalf("%s points at %s, which does not exist", alias, target)
+		}
+	}
+}
+
+// catchUp applies the revisions that a follower lacks, to a copy of the leader where they are compacted, and
+// returns the follower.
+func catchUp(t *rapid.T, leader, follower *State) *State {
+	t.Helper()
+	revisions, err := leader.RevisionsAfter(follower.Revision())
+	if errors.Is(err, ErrCompacted) {
+		if follower, err = RestoreState(leader.revision, leader.versions, leader.aliases, 8); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, revision := range revisions {
+		if err := follower.Apply(revision); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return follower
+}
+
+func checkSameState(t *rapid.T, leader, follower *State) {
+	t.Helper()
+	if !maps.Equal(follower.versions, leader.versions) || !maps.Equal(follower.aliases, leader.aliases) ||
+		!maps.Equal(follower.aliasCounts, leader.aliasCounts) || follower.revision != leader.revision {
+		t.Fatalf("a follower differs at revision %d", leader.revision)
+	}
+}
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strings"
@@ -15,245 +14,182 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-func mustOpenStore(t *testing.T, dir string, o Options) *Store {
+func mustOpenStore(t *testing.T, dir string, options Options) *Store {
 	t.Helper()
-	s, err := OpenStore(dir, o)
+	s, err := OpenStore(dir, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func readContent(s *Store, c Content) ([]byte, error) {
-	b, err := s.OpenContent(c)
+func readContent(s *Store, content Content) ([]byte, error) {
+	r, err := s.OpenContent(content)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = b.Close() }()
-	return io.ReadAll(b)
+	defer func() { _ = r.Close() }()
+	return io.ReadAll(r)
 }
 
 func TestPushReadReopen(t *testing.T) {
 	dir := t.TempDir()
 	s := mustOpenStore(t, dir, Options{MaxRevisions: 2})
 	body := bytes.Repeat([]byte("plug-in "), 10000)
-	c, err := s.PutContent(bytes.NewReader(body))
-	if err != nil || c.Size != int64(len(body)) {
-		t.Fatalf("%+v, %v", c, err)
+	content, err := s.PutContent(bytes.NewReader(body))
+	if err != nil || content.Size != int64(len(body)) {
+		t.Fatalf("%+v, %v", content, err)
 	}
-	if again, err := s.PutContent(bytes.NewReader(body)); err != nil || again != c {
+	if again, err := s.PutContent(bytes.NewReader(body)); err != nil || again != content {
 		t.Errorf("the same content again: %+v, %v", again, err)
 	}
 	for i := range 4 {
-		if rev, err := s.Commit([]Change{PushVersion{VersionRef{"q", fmt.Sprint(i)}, c}, moveAlias("p", "q", fmt.Sprint(i))}); err != nil || rev != uint64(i+1) {
-			t.Fatalf("revision %d, %v", rev, err)
+		version := fmt.Sprint(i)
+		batch := []Change{PushVersion{VersionRef{"q", version}, content}, moveAlias("p", "q", version)}
+		if revision, err := s.Commit(batch); err != nil || revision != uint64(i+1) {
+			t.Fatalf("revision %d, %v", revision, err)
 		}
 	}
-	if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "x"}, Content{Digest{1}, 3}}}); !errors.Is(err, ErrNotFound) {
-		t.Errorf("content that is not there: %v", err)
+	unknown := PushVersion{VersionRef{"q", "x"}, Content{Digest{1}, 3}}
+	if _, err := s.Commit([]Change{unknown}); !errors.Is(err, ErrNotFound) {
+		t.Errorf("content that is not stored: %v", err)
 	}
 	if _, err := OpenStore(dir, Options{}); err == nil {
-		t.Error("two processes on one folder")
+		t.Error("a directory was opened twice")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	s = mustOpenStore(t, dir, Options{MaxRevisions: 2})
 	defer func() { _ = s.Close() }()
-	s.View(func(st *State) {
-		if r, _ := st.Alias(AliasRef{"p", "current"}); st.Revision() != 4 || r != (VersionRef{"q", "3"}) || len(st.Versions()) != 4 {
-			t.Errorf("revision %d, %v, %v", st.Revision(), r, st.Versions())
+	s.View(checkReopenedState(t))
+	if got, err := readContent(s, content); err != nil || !bytes.Equal(got, body) {
+		t.Errorf("%d bytes, %v", len(got), err)
+	}
+}
+
+// checkReopenedState returns a check of the state after four revisions, of which two are kept.
+func checkReopenedState(t *testing.T) func(*State) {
+	return func(state *State) {
+		target, _ := state.Alias(AliasRef{"p", "current"})
+		if state.Revision() != 4 || target != (VersionRef{"q", "3"}) || len(state.Versions()) != 4 {
+			t.Errorf("revision %d, %v, %v", state.Revision(), target, state.Versions())
 		}
-		if revs, err := st.RevisionsAfter(2); err != nil || len(revs) != 2 || len(revs[1].Changes) != 2 {
-			t.Errorf("%v, %v", revs, err)
+		if revisions, err := state.RevisionsAfter(2); err != nil || len(revisions) != 2 || len(revisions[1].Changes) != 2 {
+			t.Errorf("%v, %v", revisions, err)
 		}
-		if _, err := st.RevisionsAfter(1); !errors.Is(err, ErrCompacted) {
+		if _, err := state.RevisionsAfter(1); !errors.Is(err, ErrCompacted) {
 			t.Errorf("compacted: %v", err)
 		}
-	})
-	if got, err := readContent(s, c); err != nil || !bytes.Equal(got, body) {
-		t.Errorf("%d bytes, %v", len(got), err)
 	}
 }
 
-// TestContentThatIsNotWhatItsNameSays: each is found when it is read, and by Verify, and nothing more than the
-// told size is ever unpacked.
-func TestContentThatIsNotWhatItsNameSays(t *testing.T) {
-	pack := func(b []byte) []byte {
-		var out bytes.Buffer
-		z, err := zstd.NewWriter(&out)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = z.Write(b)
-		_ = z.Close()
-		return out.Bytes()
+// compress returns b as a content's file holds it.
+func compress(t *testing.T, b []byte) []byte {
+	t.Helper()
+	var out bytes.Buffer
+	encoder, err := zstd.NewWriter(&out)
+	if err != nil {
+		t.Fatal(err)
 	}
+	_, _ = encoder.Write(b)
+	_ = encoder.Close()
+	return out.Bytes()
+}
+
+// TestCorruptContentIsDetected damages a content's file in several ways. Each is detected by reading and by Verify,
+// and no more than the expected size is ever returned.
+func TestCorruptContentIsDetected(t *testing.T) {
 	body := []byte(strings.Repeat("abc", 1000))
-	for name, on := range map[string]func(path string, was []byte) error{
-		"bytes changed": func(p string, was []byte) error { was[len(was)/2] ^= 1; return os.WriteFile(p, was, 0o644) },
-		"cut":           func(p string, was []byte) error { return os.WriteFile(p, was[:len(was)/2], 0o644) },
-		"empty":         func(p string, was []byte) error { return os.WriteFile(p, nil, 0o644) },
-		"other content": func(p string, was []byte) error {
-			return os.WriteFile(p, pack([]byte(strings.Repeat("abd", 1000))), 0o644)
+	overwrite := func(replacement []byte) func(string, []byte) error {
+		return func(path string, _ []byte) error { return os.WriteFile(path, replacement, 0o644) }
+	}
+	for name, damage := range map[string]func(path string, file []byte) error{
+		"changed byte": func(path string, file []byte) error {
+			file[len(file)/2] ^= 1
+			return os.WriteFile(path, file, 0o644)
 		},
-		"shorter content": func(p string, was []byte) error { return os.WriteFile(p, pack(body[:999]), 0o644) },
-		"a bomb":          func(p string, was []byte) error { return os.WriteFile(p, pack(make([]byte, 64<<20)), 0o644) },
-		"gone":            func(p string, was []byte) error { return os.Remove(p) },
+		"truncated file": func(path string, file []byte) error {
+			return os.WriteFile(path, file[:len(file)/2], 0o644)
+		},
+		"empty file":         overwrite(nil),
+		"other content":      overwrite(compress(t, []byte(strings.Repeat("abd", 1000)))),
+		"shorter content":    overwrite(compress(t, body[:999])),
+		"decompression bomb": overwrite(compress(t, make([]byte, 64<<20))),
+		"missing file":       func(path string, _ []byte) error { return os.Remove(path) },
 	} {
-		s := mustOpenStore(t, t.TempDir(), Options{})
-		c, err := s.PutContent(bytes.NewReader(body))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "1"}, c}}); err != nil {
-			t.Fatal(err)
-		}
-		was, err := os.ReadFile(s.blobPath(c.Digest))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := on(s.blobPath(c.Digest), was); err != nil {
-			t.Fatal(err)
-		}
-		got, err := readContent(s, c)
-		if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNotFound) || int64(len(got)) > c.Size {
-			t.Errorf("%s: read %d bytes of %d, %v", name, len(got), c.Size, err)
-		}
-		if bad := s.Verify(nil); bad[VersionRef{"q", "1"}] == nil {
-			t.Errorf("%s: Verify saw nothing", name)
-		}
-		_ = s.Close()
+		t.Run(name, func(t *testing.T) {
+			s := mustOpenStore(t, t.TempDir(), Options{})
+			defer func() { _ = s.Close() }()
+			content, err := s.PutContent(bytes.NewReader(body))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "1"}, content}}); err != nil {
+				t.Fatal(err)
+			}
+			file, err := os.ReadFile(s.blobPath(content.Digest))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := damage(s.blobPath(content.Digest), file); err != nil {
+				t.Fatal(err)
+			}
+			got, err := readContent(s, content)
+			if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNotFound) || int64(len(got)) > content.Size {
+				t.Errorf("read %d bytes of %d, %v", len(got), content.Size, err)
+			}
+			if failures := s.Verify(nil); failures[VersionRef{"q", "1"}] == nil {
+				t.Error("Verify found nothing")
+			}
+		})
 	}
 }
 
-func TestTooLarge(t *testing.T) {
+func TestContentTooLarge(t *testing.T) {
 	s := mustOpenStore(t, t.TempDir(), Options{MaxContentSize: 100})
 	defer func() { _ = s.Close() }()
 	if _, err := s.PutContent(bytes.NewReader(make([]byte, 101))); !errors.Is(err, ErrContentTooLarge) {
 		t.Error(err)
 	}
-	if left, _ := os.ReadDir(filepath.Join(s.dir, "tmp")); len(left) > 0 {
+	if left, _ := os.ReadDir(filepath.Join(s.dir, temporaryDirectory)); len(left) > 0 {
 		t.Errorf("left behind: %v", left)
 	}
 }
 
-// TestGC leaves alone what a version names, a reader holds, or a Push may be about to name.
-func TestGC(t *testing.T) {
+// TestCollectGarbage expects content to be kept that a version refers to, that is being read, or that a PushVersion
+// may be about to refer to.
+func TestCollectGarbage(t *testing.T) {
 	s := mustOpenStore(t, t.TempDir(), Options{})
 	defer func() { _ = s.Close() }()
 	put := func(text string) Content {
-		c, err := s.PutContent(strings.NewReader(text))
+		content, err := s.PutContent(strings.NewReader(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c
+		return content
 	}
-	named, held, loose := put("named"), put("held"), put("loose")
-	if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "1"}, named}}); err != nil {
+	referenced, beingRead, unused := put("referenced"), put("being read"), put("unused")
+	if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "1"}, referenced}}); err != nil {
 		t.Fatal(err)
 	}
-	b, err := s.OpenContent(held)
+	reader, err := s.OpenContent(beingRead)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if gone, err := s.CollectGarbage(time.Hour, false); err != nil || len(gone) > 0 {
-		t.Errorf("young content removed: %v, %v", gone, err)
+	if removed, err := s.CollectGarbage(time.Hour, false); err != nil || len(removed) > 0 {
+		t.Errorf("young content removed: %v, %v", removed, err)
 	}
-	for _, dry := range []bool{true, false} {
-		if gone, err := s.CollectGarbage(0, dry); err != nil || len(gone) != 1 || gone[0] != loose.Digest {
-			t.Errorf("dry %v: %v, %v", dry, gone, err)
+	for _, dryRun := range []bool{true, false} {
+		if removed, err := s.CollectGarbage(0, dryRun); err != nil || len(removed) != 1 || removed[0] != unused.Digest {
+			t.Errorf("dry run %v: %v, %v", dryRun, removed, err)
 		}
 	}
-	_ = b.Close()
-	if gone, err := s.CollectGarbage(0, false); err != nil || len(gone) != 1 || gone[0] != held.Digest {
-		t.Errorf("after the reader: %v, %v", gone, err)
+	_ = reader.Close()
+	if removed, err := s.CollectGarbage(0, false); err != nil || len(removed) != 1 || removed[0] != beingRead.Digest {
+		t.Errorf("after the reader was closed: %v, %v", removed, err)
 	}
-	if _, err := readContent(s, named); err != nil {
+	if _, err := readContent(s, referenced); err != nil {
 		t.Error(err)
 	}
 }
-
-var errKilled = errors.New("killed")
-
-// TestKilledAtAnyStep pushes and moves with a death at a drawn step, reopens, and holds the state against what
-// was acknowledged: every acknowledged change is there, the one under way is there whole or not at all, and
-// all content is sound.
-func TestKilledAtAnyStep(t *testing.T) {
-	kills := 500
-	if testing.Short() {
-		kills = 10
-	}
-	killAtRandomSteps(t, 1, kills)
-}
-
-func killAtRandomSteps(t *testing.T, seed uint64, kills int) {
-	t.Helper()
-	rng, dir := rand.New(rand.NewPCG(seed, 15)), t.TempDir()
-	acked := uint64(0)
-	alias := map[AliasRef]VersionRef{}
-	hit := map[Step]int{}
-	for n := range kills {
-		left := rng.IntN(24) // steps until the death
-		s := mustOpenStore(t, dir, Options{MaxRevisions: 5, Failpoint: func(step Step) error {
-			if left--; left < 0 {
-				hit[step]++
-				return errKilled
-			}
-			return nil
-		}})
-		var doubt map[AliasRef]VersionRef // what the batch under way would make
-		s.View(func(st *State) {
-			if rev := st.Revision(); rev < acked || rev > acked+1 {
-				t.Fatalf("kill %d: revision %d, acknowledged %d", n, rev, acked)
-			}
-			acked = st.Revision()
-			for _, p := range st.Aliases() {
-				alias[p], _ = st.Alias(p)
-			}
-		})
-		if bad := s.Verify(nil); len(bad) > 0 {
-			t.Fatalf("kill %d: %v", n, bad)
-		}
-		for i := 0; ; i++ {
-			c, err := s.PutContent(strings.NewReader(fmt.Sprint("content ", n, " ", i)))
-			if err != nil {
-				break
-			}
-			v := fmt.Sprintf("%d-%d", n, i)
-			batch := []Change{PushVersion{VersionRef{"q", v}, c}, moveAlias("a", "q", v), moveAlias("b", "q", v)}
-			doubt = map[AliasRef]VersionRef{{"a", "current"}: {"q", v}, {"b", "current"}: {"q", v}}
-			rev, err := s.Commit(batch)
-			if err != nil {
-				break
-			}
-			if rev != acked+1 {
-				t.Fatalf("revision %d after %d", rev, acked)
-			}
-			acked, alias, doubt = rev, doubt, nil
-		}
-		if err := s.Close(); err != nil {
-			t.Fatal(err)
-		}
-		s = mustOpenStore(t, dir, Options{MaxRevisions: 5})
-		s.View(func(st *State) {
-			for p, want := range alias {
-				got, _ := st.Alias(p)
-				if st.Revision() == acked && got != want || st.Revision() == acked+1 && got != doubt[p] || st.Revision() > acked+1 {
-					t.Fatalf("kill %d: at revision %d (acknowledged %d) %s points at %s", n, st.Revision(), acked, p, got)
-				}
-			}
-			acked = st.Revision()
-			for _, p := range st.Aliases() {
-				alias[p], _ = st.Alias(p)
-			}
-		})
-		_ = s.Close()
-	}
-	t.Logf("%d kills: %v", kills, hit)
-	for _, step := range []Step{StepCreateTempFile, StepWriteBlob, StepSyncBlob, StepRenameBlob, StepSyncDirectories, StepBeginTransaction, StepWriteChange, StepCommitTransaction, StepAcknowledge} {
-		if hit[step] == 0 && kills >= 60 {
-			t.Errorf("no kill at %q", step)
-		}
-	}
-}
