--- /dev/null
+++ b/internal/catalog/resolve_test.go
@@ -0,0 +1,84 @@
+package catalog
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/registry"
+)
+
+func TestPinnedCallKeepsItsVersion(t *testing.T) {
+	c := watchingCore(t)
+	first, err := c.ResolveAlias(time.Second, currentAlias)
+	if err != nil || first.VersionRef != versionRef("1") || first.Content != content(1) || first.Stale {
+		t.Fatalf("%+v, %v", first, err)
+	}
+	c.Step(2*time.Second, []Event{RevisionsReceived{[]registry.Revision{
+		moveRevision(6, "2"), moveRevision(7, "1"), moveRevision(8, "2"),
+	}}})
+	next, err := c.ResolveAlias(2*time.Second, currentAlias)
+	if err != nil || next.VersionRef != versionRef("2") || next.Revision != 8 {
+		t.Errorf("%+v, %v", next, err)
+	}
+	if first.Digest != content(1).Digest {
+		t.Error("a pin has changed")
+	}
+}
+
+// TestIdempotentRepeats expects repeats to get the version of the first attempt, or to be rejected.
+func TestIdempotentRepeats(t *testing.T) {
+	const window = 6 * time.Second
+	c := watchingCore(t)
+	first, err := c.ResolveIdempotent(0, "k", window, currentAlias, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Step(time.Second, []Event{RevisionsReceived{[]registry.Revision{moveRevision(6, "2")}}})
+	repeat, err := c.ResolveIdempotent(2*time.Second, "k", window, currentAlias, nil)
+	if err != nil || repeat.VersionRef != first.VersionRef || repeat.Content != first.Content {
+		t.Errorf("a repeat: %+v, %v", repeat, err)
+	}
+	other, err := c.ResolveIdempotent(2*time.Second, "other", window, currentAlias, nil)
+	if err != nil || other.VersionRef != versionRef("2") {
+		t.Errorf("another key: %+v, %v", other, err)
+	}
+	clientVersion := versionRef("1") // as at a router that never had the first attempt
+	elsewhere, err := c.ResolveIdempotent(2*time.Second, "elsewhere", window, currentAlias, &clientVersion)
+	if err != nil || elsewhere.VersionRef != clientVersion {
+		t.Errorf("reported by the client: %+v, %v", elsewhere, err)
+	}
+	deletion := registry.DeleteVersion{VersionRef: versionRef("1")}
+	c.Step(3*time.Second, []Event{RevisionsReceived{[]registry.Revision{
+		{Number: 7, Changes: []registry.Change{deletion}},
+	}}})
+	for _, reported := range []*registry.VersionRef{nil, &clientVersion} {
+		_, err := c.ResolveIdempotent(4*time.Second, "k", window, currentAlias, reported)
+		if !errors.Is(err, ErrVersionRemoved) {
+			t.Errorf("a repeat whose version is removed: %v", err)
+		}
+	}
+	late, err := c.ResolveIdempotent(7*time.Second, "k", window, currentAlias, nil)
+	if err != nil || late.VersionRef != versionRef("2") {
+		t.Errorf("after the window: %+v, %v", late, err)
+	}
+}
+
+// TestFirstAttemptsAreBounded expects the memory of first attempts to be bounded in number and in time.
+func TestFirstAttemptsAreBounded(t *testing.T) {
+	config := DefaultConfig
+	config.MaxFirstAttempts = 10
+	c := New(config)
+	c.Step(0, []Event{SnapshotLoaded{listingAt(5, "1")}})
+	for i := range 1000 {
+		_, _ = c.ResolveIdempotent(time.Duration(i), fmt.Sprint(i), time.Hour, currentAlias, nil)
+	}
+	if n := c.Status(0).FirstAttempts; n != 10 {
+		t.Errorf("%d first attempts remembered", n)
+	}
+	c.Step(3*time.Hour, nil)
+	if c.Status(3*time.Hour).FirstAttempts != 0 {
+		t.Error("first attempts are never forgotten")
+	}
+}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -31,7 +31,11 @@
 	expect := quote("1")
 	return [][]Change{
 		{PushVersion{quote("1"), contents[0]}, MoveAlias{AliasRef: AliasRef{"retail", "current"}, Target: quote("1")}},
-		{PushVersion{quote("2"), contents[1]}, PushVersion{price, contents[2]}, MoveAlias{AliasRef: AliasRef{"retail", "next"}, Target: quote("2")}},
+		{
+			PushVersion{quote("2"), contents[1]},
+			PushVersion{price, contents[2]},
+			MoveAlias{AliasRef: AliasRef{"retail", "next"}, Target: quote("2")},
+		},
 		{MoveAlias{AliasRef: AliasRef{"retail", "current"}, Target: quote("2"), ExpectedTarget: &expect}},
 		{DeleteAlias{AliasRef{"retail", "next"}}, DeleteVersion{quote("1")}},
 		{MoveAlias{AliasRef: AliasRef{"whole.sale", "current"}, Target: price}, PushVersion{quote("3"), contents[0]}},
@@ -55,8 +59,8 @@
 		contents = append(contents, c)
 	}
 	for i, batch := range goldenBatches(contents) {
-		if rev, err := s.Commit(batch); err != nil || rev != uint64(i+1) {
-			t.Fatalf("batch %d: revision %d, %v", i, rev, err)
+		if revision, err := s.Commit(batch); err != nil || revision != uint64(i+1) {
+			t.Fatalf("batch %d: revision %d, %v", i, revision, err)
 		}
 	}
 }
@@ -143,17 +147,17 @@
 		}
 		wantRevisions = append(wantRevisions, Revision{uint64(i + 6 - goldenMaxRevisions), batch})
 	}
-	s.View(func(st *State) {
+	s.View(func(state *State) {
 		versions, aliases := map[VersionRef]Content{}, map[AliasRef]VersionRef{}
-		for _, r := range st.Versions() {
-			versions[r], _ = st.Version(r)
+		for _, version := range state.Versions() {
+			versions[version], _ = state.Version(version)
 		}
-		for _, p := range st.Aliases() {
-			aliases[p], _ = st.Alias(p)
+		for _, alias := range state.Aliases() {
+			aliases[alias], _ = state.Alias(alias)
 		}
-		revisions, err := st.RevisionsAfter(5 - goldenMaxRevisions)
-		if err != nil || st.Revision() != 5 {
-			t.Errorf("revision %d, %v", st.Revision(), err)
+		revisions, err := state.RevisionsAfter(5 - goldenMaxRevisions)
+		if err != nil || state.Revision() != 5 {
+			t.Errorf("revision %d, %v", state.Revision(), err)
 		}
 		if !reflect.DeepEqual(versions, wantVersions) {
 			t.Errorf("versions %v, want %v", versions, wantVersions)
@@ -222,14 +226,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	c, err := s.PutContent(strings.NewReader("referenced"))
+	content, err := s.PutContent(strings.NewReader("referenced"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.PutContent(strings.NewReader("unreferenced")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Commit([]Change{PushVersion{VersionRef{"q", "1"}, c}, MoveAlias{AliasRef: AliasRef{"p", "current"}, Target: VersionRef{"q", "1"}}}); err != nil {
+	batch := []Change{PushVersion{VersionRef{"q", "1"}, content}, moveAlias("p", "q", "1")}
+	if _, err := s.Commit(batch); err != nil {
 		t.Fatal(err)
 	}
 	for _, dryRun := range []bool{true, false} {
@@ -245,9 +250,9 @@
 	}
 }
 
-// TestGoldenPlans holds the outcome of seeded random batches: whether each is accepted, which error rejects it and
+// TestGoldenPrepare holds the outcome of seeded random batches: whether each is accepted, which error rejects it and
 // how many of its changes remain.
-func TestGoldenPlans(t *testing.T) {
+func TestGoldenPrepare(t *testing.T) {
 	const want = "2b8777ec499a11095eab8fd2d588a482742de00ef129d6630547e632acd0f62e"
 	sentinels := []error{ErrInvalidArgument, ErrNotFound, ErrAlreadyExists, ErrInUse, ErrConflict}
 	sum := sha256.New()
@@ -255,7 +260,7 @@
 		rng := rand.New(rand.NewPCG(seed, 7))
 		s := NewState(4)
 		for range 200 {
-			rev, err := s.Prepare(goldenRandomBatch(rng))
+			revision, err := s.Prepare(goldenRandomBatch(rng))
 			outcome := 0
 			for i, sentinel := range sentinels {
 				if errors.Is(err, sentinel) {
@@ -263,9 +268,9 @@
 				}
 			}
 			changes := -1
-			if rev != nil {
-				changes = len(rev.Changes)
-				if err := s.Apply(*rev); err != nil {
+			if revision != nil {
+				changes = len(revision.Changes)
+				if err := s.Apply(*revision); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -281,22 +286,23 @@
 func goldenRandomBatch(rng *rand.Rand) []Change {
 	var batch []Change
 	for range 1 + rng.IntN(3) {
-		ref := VersionRef{[]string{"q", "r", "Q"}[min(rng.IntN(20)/9, 2)], fmt.Sprint(rng.IntN(4))}
-		place := AliasRef{[]string{"p", "o", "p..o"}[min(rng.IntN(20)/9, 2)], []string{"current", "next"}[rng.IntN(2)]}
+		version := VersionRef{[]string{"q", "r", "Q"}[min(rng.IntN(20)/9, 2)], fmt.Sprint(rng.IntN(4))}
+		alias := AliasRef{[]string{"p", "o", "p..o"}[min(rng.IntN(20)/9, 2)], []string{"current", "next"}[rng.IntN(2)]}
 		switch rng.IntN(8) {
 		case 0, 1:
-			batch = append(batch, PushVersion{ref, Content{Digest{byte(rng.IntN(3) / 2)}, int64(rng.IntN(20) - 1)}})
+			batch = append(batch, PushVersion{version, Content{Digest{byte(rng.IntN(3) / 2)}, int64(rng.IntN(20) - 1)}})
 		case 2, 3:
-			batch = append(batch, PushVersion{ref, Content{Digest{ref.Version[0]}, 5}})
+			batch = append(batch, PushVersion{version, Content{Digest{version.Version[0]}, 5}})
 		case 4, 5:
-			batch = append(batch, MoveAlias{AliasRef: place, Target: ref})
+			batch = append(batch, MoveAlias{AliasRef: alias, Target: version})
 		case 6:
-			batch = append(batch, MoveAlias{AliasRef: place, Target: ref, ExpectedTarget: &VersionRef{"q", fmt.Sprint(rng.IntN(4))}})
+			expected := VersionRef{"q", fmt.Sprint(rng.IntN(4))}
+			batch = append(batch, MoveAlias{AliasRef: alias, Target: version, ExpectedTarget: &expected})
 		default:
 			if rng.IntN(2) == 0 {
-				batch = append(batch, DeleteVersion{ref})
+				batch = append(batch, DeleteVersion{version})
 			} else {
-				batch = append(batch, DeleteAlias{place})
+				batch = append(batch, DeleteAlias{alias})
 			}
 		}
 	}
