--- a/internal/timingwheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,6 +1,9 @@
 // Package timingwheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels",
-// SOSP 1987): adding and removing a timer take constant time, which suits deadlines that are nearly all
-// removed before they come due. It reads no clock; time is a duration since any fixed moment.
+// SOSP 1987): adding and removing a timer take constant time, which suits deadlines that are nearly all removed
+// before they come due. It reads no clock; time is a duration since any fixed moment.
+//
+// A slot of level 0 covers one tick, and a slot of each further level as much as all slots of the level below. When
+// the current tick reaches a slot above level 0, that slot's timers are distributed over the levels below.
 package timingwheel
 
 import (
@@ -10,38 +13,43 @@
 
 const (
 	levels   = 4
-	slotBits = 6
+	slotBits = 6 // of a tick's number, for each level
 	slots    = 1 << slotBits
+	slotMask = slots - 1
+
+	// span is the number of ticks that all levels cover together.
+	span = 1 << (levels * slotBits)
 )
 
-// Timer is one entry. Its owner holds it and may hand it to one Wheel at a time; the zero value is ready.
+// Timer is one entry. Its owner keeps it, and may have it in one Wheel at a time; the zero value is ready for use.
 type Timer struct {
-	Value      any // the owner's
+	Value any // for the owner's use
+
 	dueTick    int64
-	next, prev *Timer
+	next, prev *Timer // neighbours in the slot's list
 	level      int8
 	slot       int8
-	scheduled  bool
+	scheduled  bool // the timer is in a wheel
 }
 
-// Wheel holds timers. It belongs to one goroutine. A timer comes due at the first Advance at or after its
-// time, rounded up to the tick.
+// Wheel holds timers. It belongs to one goroutine. A timer comes due at the first Advance at or after its time,
+// rounded up to the tick.
 type Wheel struct {
-	tick        time.Duration
-	currentTick int64 // ticks passed
+	tick        time.Duration // duration of a tick
+	currentTick int64
 	count       int
-	heads       [levels][slots]*Timer
-	occupied    [levels]uint64
+	heads       [levels][slots]*Timer // each slot's list of timers
+	occupied    [levels]uint64        // a bit for each slot that has timers
 }
 
-// New returns a Wheel that begins at now.
+// New returns an empty Wheel whose time begins at now.
 func New(tick, now time.Duration) *Wheel { return &Wheel{tick: tick, currentTick: int64(now / tick)} }
 
-// Len is the number of timers held.
+// Len returns the number of timers in the wheel.
 func (w *Wheel) Len() int { return w.count }
 
-// Add has t come due at a time; one in the past comes due at the next Advance. A timer that is in the wheel
-// is moved.
+// Add schedules t for a time; one in the past comes due at the next tick. A timer that is in the wheel is
+// rescheduled.
 func (w *Wheel) Add(t *Timer, at time.Duration) {
 	if t.scheduled {
 		w.Remove(t)
@@ -51,16 +59,15 @@
 	w.count++
 }
 
+// link puts t into the slot of its due tick, on the lowest level that reaches so far.
 func (w *Wheel) link(t *Timer) {
-	at := t.dueTick
-	if far := w.currentTick + 1<<(levels*slotBits) - 1; at > far {
-		at = far // it is placed again when that slot is reached
-	}
+	// A timer beyond the span goes into the last slot, and is put further on when that slot is reached.
+	slotTick := min(t.dueTick, w.currentTick+span-1)
 	level := 0
-	for at-w.currentTick >= 1<<((level+1)*slotBits) {
+	for slotTick-w.currentTick >= 1<<((level+1)*slotBits) {
 		level++
 	}
-	slot := int(at>>(level*slotBits)) & (slots - 1)
+	slot := slotOf(slotTick, level)
 	t.level, t.slot, t.scheduled, t.prev = int8(level), int8(slot), true, nil
 	if t.next = w.heads[level][slot]; t.next != nil {
 		t.next.prev = t
@@ -69,7 +76,10 @@
 	w.occupied[level] |= 1 << slot
 }
 
-// Remove takes a timer out; one that is not in the wheel is left alone.
+// slotOf returns the index of the slot that covers a tick.
+func slotOf(tick int64, level int) int { return int(tick>>(level*slotBits)) & slotMask }
+
+// Remove takes a timer out of the wheel; one that is not in the wheel is left alone.
 func (w *Wheel) Remove(t *Timer) {
 	if !t.scheduled {
 		return
@@ -86,61 +96,79 @@
 	w.count--
 }
 
-// take empties a slot and returns its list.
-func (w *Wheel) detachSlot(level, slot int) *Timer {
-	list := w.heads[level][slot]
-	w.heads[level][slot] = nil
-	w.occupied[level] &^= 1 << slot
-	return list
-}
-
-// Advance moves to now and hands over the timers that came due, earlier ticks first, after taking them out;
-// within a tick, the order is that of their being added, reversed. due may add and remove timers.
+// Advance moves the time to now. It removes the timers that came due and calls due for each, earlier ticks first; the
+// order within a tick is not specified. due may add and remove timers.
 func (w *Wheel) Advance(now time.Duration, due func(*Timer)) {
 	for target := int64(now / w.tick); w.currentTick < target; {
 		if w.count == 0 {
 			w.currentTick = target
 			return
 		}
-		if w.occupied[0] == 0 { // nothing before the next slot of the level above
-			if next := w.currentTick | (slots - 1); next > w.currentTick {
-				w.currentTick = min(next, target)
-				continue
-			}
+		if w.skipEmptyTicks(target) {
+			continue
 		}
 		w.currentTick++
-		for level := 1; level < levels && w.currentTick&(1<<(level*slotBits)-1) == 0; level++ {
-			for t := w.detachSlot(level, int(w.currentTick>>(level*slotBits))&(slots-1)); t != nil; {
-				next := t.next
-				w.link(t)
-				t = next
-			}
+		w.cascade()
+		w.expire(due)
+	}
+}
+
+// skipEmptyTicks moves on to the tick before the next slot of level 1, or to target, where level 0 is empty. It
+// reports whether it moved.
+func (w *Wheel) skipEmptyTicks(target int64) bool {
+	if w.occupied[0] != 0 {
+		return false
+	}
+	last := w.currentTick | slotMask
+	if last == w.currentTick {
+		return false
+	}
+	w.currentTick = min(last, target)
+	return true
+}
+
+// cascade distributes the timers of each slot above level 0 that begins at the current tick.
+func (w *Wheel) cascade() {
+	for level := 1; level < levels && w.currentTick&(1<<(level*slotBits)-1) == 0; level++ {
+		for t := w.detachSlot(level, slotOf(w.currentTick, level)); t != nil; {
+			next := t.next
+			w.link(t)
+			t = next
 		}
-		for t := w.heads[0][w.currentTick&(slots-1)]; t != nil; t = w.heads[0][w.currentTick&(slots-1)] {
-			w.Remove(t)
-			if t.dueTick > w.currentTick {
-				w.Add(t, time.Duration(t.dueTick)*w.tick)
-				continue
-			}
-			due(t)
+	}
+}
+
+// detachSlot empties a slot and returns its list.
+func (w *Wheel) detachSlot(level, slot int) *Timer {
+	list := w.heads[level][slot]
+	w.heads[level][slot] = nil
+	w.occupied[level] &^= 1 << slot
+	return list
+}
+
+// expire removes the timers of the current tick and calls due for each.
+func (w *Wheel) expire(due func(*Timer)) {
+	slot := slotOf(w.currentTick, 0)
+	for t := w.heads[0][slot]; t != nil; t = w.heads[0][slot] {
+		w.Remove(t)
+		if t.dueTick > w.currentTick { // a guard: link puts a timer on level 0 for its own tick alone
+			w.Add(t, time.Duration(t.dueTick)*w.tick)
+			continue
 		}
+		due(t)
 	}
 }
 
-// Next returns a time before which nothing comes due; ok is false where nothing is held.
+// Next returns a time before which no timer comes due; ok is false where the wheel is empty.
 func (w *Wheel) Next() (at time.Duration, ok bool) {
 	first := int64(-1)
 	for level := range levels {
 		if w.occupied[level] == 0 {
 			continue
 		}
-		shift := level * slotBits
-		here := w.currentTick >> shift
-		// The slot that is entered next comes first; a whole turn ahead, the present one comes last.
-		turn := bits.RotateLeft64(w.occupied[level], -int((here+1)&(slots-1)))
-		at := (here + 1 + int64(bits.TrailingZeros64(turn))) << shift
-		if first < 0 || at < first {
-			first = at
+		tick := w.nextOccupied(level)
+		if first < 0 || tick < first {
+			first = tick
 		}
 	}
 	if first < 0 {
@@ -148,3 +176,13 @@
 	}
 	return time.Duration(first) * w.tick, true
 }
+
+// nextOccupied returns the tick at which the next slot of a level that has timers begins.
+func (w *Wheel) nextOccupied(level int) int64 {
+	shift := level * slotBits
+	current := w.currentTick >> shift
+	// Rotated so that the slot that is entered next is bit 0. The present slot is the last bit: timers in it are one
+	// full revolution ahead.
+	rotated := bits.RotateLeft64(w.occupied[level], -int((current+1)&slotMask))
+	return (current + 1 + int64(bits.TrailingZeros64(rotated))) << shift
+}
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestAgainstSorted drives a wheel and a plain list by the same random script.
-func TestAgainstSorted(t *testing.T) {
+// TestAgainstPlainList applies the same random operations to a wheel and to a plain list of timers.
+func TestAgainstPlainList(t *testing.T) {
 	for seed := range uint64(6) {
 		m := newModel(t, seed)
 		for range 3000 {
@@ -23,7 +23,7 @@
 				m.advance()
 			}
 			if m.wheel.Len() != len(m.want) {
-				t.Fatalf("seed %d: %d timers held, want %d", seed, m.wheel.Len(), len(m.want))
+				t.Fatalf("seed %d: %d timers, want %d", seed, m.wheel.Len(), len(m.want))
 			}
 		}
 	}
@@ -52,19 +52,19 @@
 	return &model{t: t, seed: seed, rng: rng, now: now, wheel: New(time.Millisecond, now)}
 }
 
-// span draws a time whose scale is itself drawn, up to 2^(scales-1) seconds.
-func (m *model) span(scales int) time.Duration {
+// drawSpan draws a duration whose scale is itself drawn, up to 2^(scales-1) seconds.
+func (m *model) drawSpan(scales int) time.Duration {
 	return time.Duration(m.rng.ExpFloat64() * float64(time.Second) * float64(int64(1)<<m.rng.IntN(scales)))
 }
 
 // add adds a timer.
 func (m *model) add() {
-	e := entry{&Timer{}, m.now + m.span(18)}
+	e := entry{&Timer{}, m.now + m.drawSpan(18)}
 	m.wheel.Add(e.timer, e.at)
 	m.want = append(m.want, e)
 }
 
-// remove removes one timer, where any is held.
+// remove removes one timer, where there is any.
 func (m *model) remove() {
 	if len(m.want) == 0 {
 		return
@@ -79,7 +79,7 @@
 	m.t.Helper()
 	next, ok := m.wheel.Next()
 	if ok != (len(m.want) > 0) {
-		m.t.Fatalf("Next tells %v with %d timers", ok, len(m.want))
+		m.t.Fatalf("Next returns %v with %d timers", ok, len(m.want))
 	}
 	if !ok {
 		return
@@ -91,21 +91,22 @@
 	}
 }
 
-// advance moves the time on and fails where other timers than those due come.
+// advance moves the time on and fails where the timers that come due are not the expected ones.
 func (m *model) advance() {
 	m.t.Helper()
-	m.now += m.span(12)
+	m.now += m.drawSpan(12)
 	got := map[*Timer]bool{}
-	m.wheel.Advance(m.now, func(x *Timer) { got[x] = true })
+	m.wheel.Advance(m.now, func(timer *Timer) { got[timer] = true })
 	m.want = slices.DeleteFunc(m.want, func(e entry) bool {
 		due := (e.at+time.Millisecond-1)/time.Millisecond <= m.now/time.Millisecond
 		if due != got[e.timer] {
-			m.t.Fatalf("seed %d at %v: timer at %v due %v, came %v", m.seed, m.now, e.at, due, got[e.timer])
+			m.t.Fatalf("seed %d at %v: timer at %v due %v, came due %v", m.seed, m.now, e.at, due, got[e.timer])
 		}
 		return due
 	})
 }
 
+// timerHeap is a binary heap of timers, for comparison; a timer's Value is its index.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -117,8 +118,8 @@
 func (h *timerHeap) Push(x any) { t, _ := x.(*Timer); t.Value = len(*h); *h = append(*h, t) }
 func (h *timerHeap) Pop() any   { old := *h; t := old[len(old)-1]; *h = old[:len(old)-1]; return t }
 
-// The benchmarks hold 5,000 deadlines; each operation adds one and removes the oldest, as calls do that end
-// long before their deadline.
+// benchmarkTimers is the number of deadlines that the benchmarks hold. Each operation adds one and removes the oldest,
+// as calls do that end long before their deadline.
 const benchmarkTimers = 5000
 
 func BenchmarkWheel(b *testing.B) {
