--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter runs dispatchers behind the line protocol, from standard input to standard output.
+// Command simadapter runs dispatchers behind a simulator's line protocol, from standard input to standard output.
 package main
 
 import (
@@ -20,42 +20,50 @@
 
 // run answers every batch of in until it ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	live := map[int64]*dispatch.Dispatcher{}
+	reader, writer := simwire.NewReader(in), simwire.NewWriter(out)
+	dispatchers := map[int64]*dispatch.Dispatcher{}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		ended := map[int64]int{} // the last part of an instance that a kill makes void
-		for i, p := range b.Parts {
-			if p.Stop {
-				ended[p.Router] = i
-			}
+		if err := answer(batch, dispatchers, writer); err != nil {
+			return err
 		}
-		for i, p := range b.Parts {
-			if last, ok := ended[p.Router]; ok && i <= last {
-				delete(live, p.Router)
-				continue
-			}
-			if p.Start != nil {
-				d, err := dispatch.New(p.Start.Settings, p.Start.Seed)
-				if err != nil {
-					return fmt.Errorf("batch %s: instance %d: %w", b.Serial, p.Router, err)
-				}
-				live[p.Router] = d
-			}
-			d := live[p.Router]
-			if d == nil {
-				return fmt.Errorf("batch %s: event for instance %d, which has not begun", b.Serial, p.Router)
+		if err := writer.End(batch.Serial); err != nil {
+			return fmt.Errorf("write: %w", err)
+		}
+	}
+}
+
+// answer hands the parts of a batch to their dispatchers, by instance, and writes what they decide.
+func answer(batch simwire.Batch, dispatchers map[int64]*dispatch.Dispatcher, writer *simwire.Writer) error {
+	lastStop := map[int64]int{} // by instance: the part that voids those before it
+	for i, part := range batch.Parts {
+		if part.Stop {
+			lastStop[part.Instance] = i
+		}
+	}
+	for i, part := range batch.Parts {
+		if stop, ok := lastStop[part.Instance]; ok && i <= stop {
+			delete(dispatchers, part.Instance)
+			continue
+		}
+		if part.Start != nil {
+			d, err := dispatch.New(part.Start.Settings, part.Start.Seed)
+			if err != nil {
+				return fmt.Errorf("batch %s: instance %d: %w", batch.Serial, part.Instance, err)
 			}
-			w.Actions(p.Router, d.Step(b.Clock, p.Events))
+			dispatchers[part.Instance] = d
 		}
-		if err := w.End(b.Serial); err != nil {
-			return fmt.Errorf("write: %w", err)
+		d := dispatchers[part.Instance]
+		if d == nil {
+			return fmt.Errorf("batch %s: event for instance %d, which has not begun", batch.Serial, part.Instance)
 		}
+		writer.Actions(part.Instance, d.Step(batch.Clock, part.Events))
 	}
+	return nil
 }
--- a/internal/httprouter/config.go
+++ b/internal/httprouter/config.go
@@ -28,7 +28,7 @@
 	Sockets  int
 	Known    discovery.Batch
 	Settings dispatch.Settings
-	Limits   simwire.Limits
+	Limits   simwire.ConnectionLimits
 }
 
 // maxFile bounds the file, in bytes.
@@ -92,17 +92,17 @@
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("settings: missing")
 	}
-	if c.Settings, c.Limits, err = simwire.SettingsOf(f.Settings); err != nil {
+	if c.Settings, c.Limits, err = simwire.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	if c.Limits.ConnectTimeout <= 0 {
 		c.Limits.ConnectTimeout = time.Second
 	}
-	if c.Limits.OrderTimeout <= 0 {
-		c.Limits.OrderTimeout = 10 * time.Second
+	if c.Limits.LoadTimeout <= 0 {
+		c.Limits.LoadTimeout = 10 * time.Second
 	}
-	if c.Limits.StreamsPerConn <= 0 {
-		c.Limits.StreamsPerConn = 32
+	if c.Limits.RequestsPerConn <= 0 {
+		c.Limits.RequestsPerConn = 32
 	}
 	return c, nil
 }
--- a/internal/httprouter/node.go
+++ b/internal/httprouter/node.go
@@ -62,11 +62,11 @@
 	n := &Node{cfg: cfg, log: o.Log.With("router", cfg.Name)}
 	share := cfg.Shares()
 	n.pool = respupstream.New(respupstream.Config{ConnectTimeout: cfg.Limits.ConnectTimeout, IdleClose: cfg.Limits.IdleClose / 2,
-		WriteTimeout: writeWithin, StallAfter: stallWithin, MaxConns: share.Workers, MaxOpen: cfg.Limits.StreamsPerConn,
+		WriteTimeout: writeWithin, StallAfter: stallWithin, MaxConns: share.Workers, MaxOpen: cfg.Limits.RequestsPerConn,
 		MaxAnswer: 64 << 10, Buffer: share.SocketBuffer, Log: n.log})
 	var err error
 	n.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.Settings,
-		LoadTimeout: cfg.Limits.OrderTimeout, HealthCheckTimeout: cfg.Limits.ConnectTimeout,
+		LoadTimeout: cfg.Limits.LoadTimeout, HealthCheckTimeout: cfg.Limits.ConnectTimeout,
 		Endpoints: endpoints.Settings{CheckInterval: time.Second}, NewDispatcher: o.Decider, Logger: n.log}, n.pool)
 	if err != nil {
 		n.pool.Close()
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -114,7 +114,7 @@
 	var out strings.Builder
 	out.WriteString(plainValue(reflect.ValueOf(batch.Clock)) + " " + plainValue(reflect.ValueOf(batch.Serial)) + "\n")
 	for _, part := range batch.Parts {
-		out.WriteString(plainValue(reflect.ValueOf([]any{part.Router, part.Start, part.Stop})) + "\n")
+		out.WriteString(plainValue(reflect.ValueOf([]any{part.Instance, part.Start, part.Stop})) + "\n")
 		for _, event := range part.Events {
 			out.WriteString(plainValue(reflect.ValueOf(event)) + "\n")
 		}
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, limits, err := SettingsOf(input)
+	settings, limits, err := ParseSettings(input)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/json.go
+++ b/internal/simwire/json.go
@@ -13,38 +13,40 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// Limits are what the settings say to adapters rather than to the module.
-type Limits struct {
-	ConnectTimeout time.Duration
-	IdleClose      time.Duration // workers close connections idle for so long
-	OrderTimeout   time.Duration
-	StreamsPerConn int // requests open on one connection to a worker
+// ConnectionLimits are the settings that concern a router's connections rather than its decisions.
+type ConnectionLimits struct {
+	ConnectTimeout  time.Duration
+	IdleClose       time.Duration // a worker closes a connection that was idle for so long
+	LoadTimeout     time.Duration
+	RequestsPerConn int // open at once on one connection to a worker
 }
 
-// maxDepth bounds how deep settings may nest.
+// maxDepth bounds the nesting of settings.
 const maxDepth = 16
 
-// SettingsOf reads the settings of an instance from nested JSON: the object that the line protocol spells as
-// pairs, with the same names and units.
-func SettingsOf(raw []byte) (dispatch.Settings, Limits, error) {
+// ParseSettings reads the settings of an instance from nested JSON: the object that the line protocol writes as pairs,
+// with the same names and units. The error names the setting that can't be used.
+func ParseSettings(raw []byte) (dispatch.Settings, ConnectionLimits, error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
 	var v map[string]any
 	if err := dec.Decode(&v); err != nil {
-		return dispatch.Settings{}, Limits{}, fmt.Errorf("settings: %w", err)
+		return dispatch.Settings{}, ConnectionLimits{}, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return dispatch.Settings{}, Limits{}, errors.New("settings: more than one value")
+		return dispatch.Settings{}, ConnectionLimits{}, errors.New("settings: more than one value")
 	}
 	f := &fields{pairs: map[string]string{}}
 	f.flatten("", v, 0)
-	s := settings(f)
-	l := Limits{ConnectTimeout: f.span("limits.connect_timeout"),
-		IdleClose:      f.span("limits.idle_close"),
-		OrderTimeout:   f.span("family_info.order_timeout"),
-		StreamsPerConn: int(f.integer("limits.streams_per_conn", false))}
+	s := readSettings(f)
+	l := ConnectionLimits{
+		ConnectTimeout:  f.nonNegative("limits.connect_timeout"),
+		IdleClose:       f.nonNegative("limits.idle_close"),
+		LoadTimeout:     f.nonNegative("family_info.order_timeout"),
+		RequestsPerConn: int(f.integer("limits.streams_per_conn", false)),
+	}
 	if len(s.Classes) == 0 {
-		f.set(errors.New("classes: none is named"))
+		f.fail(errors.New("classes: none is named"))
 	}
 	if f.err != nil {
 		return s, l, fmt.Errorf("settings: %w", f.err)
@@ -52,14 +54,14 @@
 	return s, l, nil
 }
 
-// flatten puts a value into the form of the line protocol: lists of objects by count and place, lists of plain
-// values joined by commas.
+// flatten adds a value in the form of the line protocol: lists of objects by length and index, lists of plain values
+// joined by commas.
 func (f *fields) flatten(name string, v any, depth int) {
 	if depth > maxDepth {
-		f.set(fmt.Errorf("%s nests too deep", name))
+		f.fail(fmt.Errorf("%s nests too deep", name))
 		return
 	}
-	under := func(key string) string {
+	qualified := func(key string) string {
 		if name == "" {
 			return key
 		}
@@ -67,27 +69,27 @@
 	}
 	switch v := v.(type) {
 	case map[string]any:
-		for k, e := range v {
-			f.flatten(under(k), e, depth+1)
+		for key, element := range v {
+			f.flatten(qualified(key), element, depth+1)
 		}
 	case []any:
 		plain := make([]string, 0, len(v))
-		for i, e := range v {
-			switch e.(type) {
+		for i, element := range v {
+			switch element.(type) {
 			case map[string]any, []any:
-				f.flatten(under(strconv.Itoa(i)), e, depth+1)
+				f.flatten(qualified(strconv.Itoa(i)), element, depth+1)
 			default:
-				plain = append(plain, scalar(e))
+				plain = append(plain, formatScalar(element))
 			}
 		}
-		f.pairs[under("count")] = strconv.Itoa(len(v))
+		f.pairs[qualified("count")] = strconv.Itoa(len(v))
 		f.pairs[name] = strings.Join(plain, ",")
 	default:
-		f.pairs[name] = scalar(v)
+		f.pairs[name] = formatScalar(v)
 	}
 }
 
-func scalar(v any) string {
+func formatScalar(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
--- a/internal/simwire/json_test.go
+++ b/internal/simwire/json_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestOneReaderOfSettings: nested JSON and the line protocol's pairs give the same settings.
-func TestOneReaderOfSettings(t *testing.T) {
+// TestParseSettingsMatchesLineProtocol: nested JSON and the pairs of the line protocol give the same settings.
+func TestParseSettingsMatchesLineProtocol(t *testing.T) {
 	line := "NEW_INSTANCE router=3 init_seed=9 profile_data.az=hall-a profile_data.balancers=3 " +
 		"profile_data.family_info.when_absent=load profile_data.family_info.may_order=true " +
 		"profile_data.family_info.kind_memory_mb=14016.5,676 profile_data.host_types=big,small " +
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, limits, err := SettingsOf([]byte(`{"az":"hall-a","azs":["hall-a","hall-b"],"balancers":3,
+	got, limits, err := ParseSettings([]byte(`{"az":"hall-a","azs":["hall-a","hall-b"],"balancers":3,
 		"family_info":{"when_absent":"load","may_order":true,"kind_memory_mb":[14016.5,676],"linger_idle":4200000,
 			"load_ratio":0.1,"order_timeout":4000000,"report_x1":"loads under way or waiting"},
 		"host_types":["big","small"],
@@ -37,12 +37,12 @@
 	if want := b.Parts[0].Start.Settings; !reflect.DeepEqual(got, want) {
 		t.Errorf("JSON %+v\nline %+v", got, want)
 	}
-	if want := (Limits{250 * time.Millisecond, 15 * time.Second, 4 * time.Second, 32}); limits != want {
+	if want := (ConnectionLimits{250 * time.Millisecond, 15 * time.Second, 4 * time.Second, 32}); limits != want {
 		t.Errorf("limits %+v", limits)
 	}
 }
 
-func TestSettingsThatAreWrongAreNamed(t *testing.T) {
+func TestParseSettingsNamesInvalidSetting(t *testing.T) {
 	for in, want := range map[string]string{
 		`{`:                                    "settings",
 		`[]`:                                   "settings",
@@ -60,8 +60,8 @@
 		`{"classes":[{"name":"a","semantics":"read_like","deadline":-1}]}`:    "classes.0.deadline",
 		`{"a":` + strings.Repeat(`{"a":`, 40) + "1" + strings.Repeat("}", 41): "too deep",
 	} {
-		if _, _, err := SettingsOf([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.40s: %v, want word of %s", in, err, want)
+		if _, _, err := ParseSettings([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%.40s: %v, want it to name %s", in, err, want)
 		}
 	}
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/reader_test.go
@@ -14,7 +14,7 @@
 	"classes.0.semantics=read_like classes.0.deadline=3000000 host_types=big,small " +
 	"family_info.kind_memory_mb=16128.0,14016.0 limits.send_cap=5 limits.cancel=true new_key=x\n"
 
-func TestReadsABatch(t *testing.T) {
+func TestReadBatch(t *testing.T) {
 	in := "MARK clock=8412250 serial=12\n" + start +
 		"CENSUS set_id=0 elements=1\nM server=s1 az=a family_type=big bay=2 health=on born=6100000\n" +
 		"ROSTER_CHANGE router=3 seq_no=1 scope=stale_copy set_id=0\n" +
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestMalformedInputNamesTheLine(t *testing.T) {
+func TestReadErrorsNameTheLine(t *testing.T) {
 	for name, in := range map[string]string{
 		"no MARK":           "ACCEPT router=1\n",
 		"cut short":         "MARK clock=1 serial=1\n",
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestWritesActions(t *testing.T) {
+func TestWriteActions(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
 	w.Actions(3, []dispatch.Action{dispatch.StartAttempt{ID: 7, Worker: "s1"}, dispatch.RejectRequest{ID: 8, RetryAfter: time.Millisecond},
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -1,7 +1,7 @@
 package simwire
 
 import (
-	"bufio"
+	"bytes"
 	"io"
 	"strconv"
 	"time"
@@ -9,77 +9,81 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// Writer writes replies.
-type Writer struct{ out *bufio.Writer }
+// Writer writes replies, one line for each action. A reply leaves as a whole, at its End.
+type Writer struct {
+	out    io.Writer
+	buffer bytes.Buffer
+}
 
 // NewWriter returns a Writer of replies to w.
-func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, 1<<20)} }
+func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
-func (w *Writer) line(name string, router int64) {
-	w.out.WriteString(name)
-	w.integer("router", router)
+func (w *Writer) begin(name string, instance int64) {
+	w.buffer.WriteString(name)
+	w.integer("router", instance)
 }
 
 func (w *Writer) text(name, value string) {
-	w.out.WriteByte(' ')
-	w.out.WriteString(name)
-	w.out.WriteByte('=')
-	w.out.WriteString(value)
+	w.buffer.WriteByte(' ')
+	w.buffer.WriteString(name)
+	w.buffer.WriteByte('=')
+	w.buffer.WriteString(value)
 }
 
 func (w *Writer) integer(name string, v int64) { w.text(name, strconv.FormatInt(v, 10)) }
 
 func (w *Writer) duration(name string, v time.Duration) { w.integer(name, v.Microseconds()) }
 
-// Actions writes what one instance does.
-func (w *Writer) Actions(router int64, actions []dispatch.Action) {
+// Actions writes the actions of one instance. A ReportSuspicion has no line of the protocol and is left empty.
+func (w *Writer) Actions(instance int64, actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.StartAttempt:
-			w.line("SUBMIT_TO", router)
+			w.begin("SUBMIT_TO", instance)
 			w.integer("rid", int64(a.ID))
 			w.text("server", a.Worker)
 			if a.Timeout > 0 {
 				w.duration("allow_for", a.Timeout)
 			}
 		case dispatch.CancelAttempt:
-			w.line("STOP_ATTEMPT", router)
+			w.begin("STOP_ATTEMPT", instance)
 			w.integer("rid", int64(a.ID))
 			w.integer("shot", int64(a.Attempt))
 		case dispatch.RejectRequest:
-			w.line("PUSH_BACK", router)
+			w.begin("PUSH_BACK", instance)
 			w.integer("rid", int64(a.ID))
 			w.duration("come_back", a.RetryAfter)
 		case dispatch.FailRequest:
-			w.line("SURRENDER", router)
+			w.begin("SURRENDER", instance)
 			w.integer("rid", int64(a.ID))
 		case dispatch.LoadFunction:
-			w.line("HOLD_THERE", router)
+			w.begin("HOLD_THERE", instance)
 			w.text("callee", a.Function)
 			w.integer("count", int64(a.Copies))
 			w.text("server", a.Worker)
 		case dispatch.CheckHealth:
-			w.line("HEALTH_CHECK", router)
+			w.begin("HEALTH_CHECK", instance)
 			w.text("server", a.Worker)
 		case dispatch.SubscribeEndpoints:
-			w.line("STREAM_CHANGES", router)
+			w.begin("STREAM_CHANGES", instance)
 			w.integer("on", 1)
 		case dispatch.SetTimer:
-			w.line("REMIND", router)
+			w.begin("REMIND", instance)
 			w.duration("delay", a.After)
 			w.text("key_back", "wake")
 		case dispatch.LogNote:
-			w.line("LOG", router)
+			w.begin("LOG", instance)
 			w.text("text", a.Text)
 		}
-		w.out.WriteByte('\n')
+		w.buffer.WriteByte('\n')
 	}
 }
 
-// End closes the reply to a batch and flushes it.
+// End closes the reply to a batch and writes it.
 func (w *Writer) End(serial string) error {
-	w.out.WriteString("END")
+	w.buffer.WriteString("END")
 	w.text("serial", serial)
-	w.out.WriteByte('\n')
-	return w.out.Flush()
+	w.buffer.WriteByte('\n')
+	_, err := w.buffer.WriteTo(w.out)
+	return err
 }
