--- /dev/null
+++ b/internal/endpoints/merger_test.go
@@ -0,0 +1,110 @@
+package endpoints
+
+import (
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+)
+
+const checkInterval = 5 * time.Second
+
+// listWith returns a list of worker b with the given state and start time and an active worker a, not sorted.
+func listWith(state dispatch.EndpointState, startedAt time.Duration) []Worker {
+	return []Worker{
+		{Endpoint: dispatch.Endpoint{ID: "b", State: state, StartedAt: startedAt}},
+		{Endpoint: dispatch.Endpoint{ID: "a"}},
+	}
+}
+
+// stepState takes a step and returns the state of b in the list that the step returned; ok is false if it returned
+// none with b.
+func stepState(t *testing.T, m *Merger, now time.Duration) (state dispatch.EndpointState, ok bool) {
+	t.Helper()
+	for _, worker := range m.Step(now).List {
+		if worker.ID == "b" {
+			return worker.State, true
+		}
+	}
+	return 0, false
+}
+
+func TestReportedDrainOutlastsStaleList(t *testing.T) {
+	m := New(Settings{CheckInterval: checkInterval})
+	m.SetList(listWith(dispatch.EndpointActive, 0))
+	if state, ok := stepState(t, m, 0); !ok || state != dispatch.EndpointActive {
+		t.Fatalf("after the first list: state %v, listed %t; want active", state, ok)
+	}
+	m.WorkerDraining(1, "b")
+	if state, ok := stepState(t, m, 1); !ok || state != dispatch.EndpointDraining {
+		t.Fatalf("after the worker's report: state %v, listed %t; want draining", state, ok)
+	}
+	m.SetList(listWith(dispatch.EndpointActive, 0)) // stale: as it was before the drain
+	if state, _ := stepState(t, m, 2); state != dispatch.EndpointDraining {
+		t.Fatalf("after a stale list: state %v, want draining", state)
+	}
+	m.WorkerDraining(3, "unlisted")
+	if actions := m.Step(3); actions.List != nil || actions.Check != nil {
+		t.Fatalf("after the report of an unlisted worker: %+v, want nothing", actions)
+	}
+}
+
+func TestReportedDrainEnds(t *testing.T) {
+	for name, endDrain := range map[string]func(t *testing.T, m *Merger){
+		"later start time": func(_ *testing.T, m *Merger) { m.SetList(listWith(dispatch.EndpointActive, 8)) },
+		"draining, then active again": func(_ *testing.T, m *Merger) {
+			m.SetList(listWith(dispatch.EndpointDraining, 0))
+			m.SetList(listWith(dispatch.EndpointActive, 0))
+		},
+		"removed, then active again": func(_ *testing.T, m *Merger) {
+			m.SetList(nil)
+			m.SetList(listWith(dispatch.EndpointActive, 0))
+		},
+		"health check finds it ready": func(t *testing.T, m *Merger) {
+			if actions := m.Step(7 * time.Second); len(actions.Check) != 1 || actions.Check[0] != "b" {
+				t.Fatalf("health checks of %v, want b", actions.Check)
+			}
+			m.HealthChecked(8*time.Second, "b", true)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			m := New(Settings{CheckInterval: checkInterval})
+			m.SetList(listWith(dispatch.EndpointActive, 0))
+			m.WorkerDraining(1, "b")
+			m.Step(1)
+			endDrain(t, m)
+			if state, ok := stepState(t, m, 9*time.Second); !ok || state != dispatch.EndpointActive {
+				t.Errorf("state %v, listed %t; want active", state, ok)
+			}
+			if at, ok := m.NextCheck(); ok {
+				t.Errorf("a health check is still due at %v", at)
+			}
+		})
+	}
+}
+
+func TestHealthCheckRepeatsWhileDraining(t *testing.T) {
+	m := New(Settings{CheckInterval: checkInterval})
+	m.SetList(listWith(dispatch.EndpointActive, 0))
+	m.WorkerDraining(0, "b")
+	if at, ok := m.NextCheck(); !ok || at != 5*time.Second {
+		t.Fatalf("first check due at %v (%t), want 5s", at, ok)
+	}
+	if actions := m.Step(4 * time.Second); actions.Check != nil {
+		t.Errorf("checked %v before the interval had passed", actions.Check)
+	}
+	if actions := m.Step(5 * time.Second); len(actions.Check) != 1 {
+		t.Errorf("checked %v, want one worker", actions.Check)
+	}
+	if at, ok := m.NextCheck(); ok {
+		t.Errorf("another check due at %v while one is in flight", at)
+	}
+	m.HealthChecked(6*time.Second, "b", false)
+	if at, _ := m.NextCheck(); at != 11*time.Second {
+		t.Errorf("next check due at %v, want 11s", at)
+	}
+	m.SetList(listWith(dispatch.EndpointDraining, 0))
+	if at, ok := m.NextCheck(); ok {
+		t.Errorf("a check is due at %v although the list itself shows the drain", at)
+	}
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -527,7 +527,7 @@
 
 // SetWorkers hands the router a new whole list.
 func (r *Router) SetEndpoints(list []endpoints.Worker) {
-	r.post(func() { r.roster.SetList(r.now, list) })
+	r.post(func() { r.roster.SetList(list) })
 }
 
 // WorkerDrains tells that a worker itself said that it takes nothing new.
