--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -1,5 +1,5 @@
-// Package baseline holds plain policies behind the module's events, to be measured against. They are no
-// candidates for service.
+// Package baseline holds plain policies behind the dispatcher's events, to measure the dispatcher against. They
+// are not meant for service.
 package baseline
 
 import (
@@ -10,61 +10,82 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// Random sends each request to a worker drawn at random from those that the list has on, and again to
-// another while no earlier attempt can have run. It keeps deadlines and drains and knows nothing else.
+const (
+	randomStream     = 9 // the second word of the PCG seed
+	rejectRetryAfter = 100 * time.Millisecond
+
+	// The time from one Step to the next timer is kept within these bounds.
+	minTimer = time.Millisecond
+	maxTimer = time.Second
+)
+
+// Random starts each attempt on a worker drawn at random from the active ones of the endpoint list. It retries a
+// request as long as no earlier attempt can have run, or its class is idempotent. It keeps deadlines and drains
+// and does nothing else.
 type Random struct {
-	set     dispatch.Settings
-	rng     *rand.Rand
-	classes map[string]dispatch.Class
-	workers []string
-	states  map[string]dispatch.EndpointState
-	reqs    map[dispatch.RequestID]*held
-	order   []dispatch.RequestID // by arrival, to look for what is due
+	settings dispatch.Settings
+	rng      *rand.Rand
+	classes  map[string]dispatch.Class
+	active   []string // IDs of the active workers, sorted
+	states   map[string]dispatch.EndpointState
+	requests map[dispatch.RequestID]*request
+	arrivals []dispatch.RequestID // by arrival, to find those past their deadline; may hold ended requests
 }
 
-type held struct {
-	class    dispatch.Class
-	deadline time.Duration
-	tries    int
-	out      int
-	mayRun   bool
-	began    bool
+// request is a request without a final answer.
+type request struct {
+	class            dispatch.Class
+	deadline         time.Duration
+	attempts         int
+	attemptsInFlight int
+	mayHaveRun       bool // an attempt ended without proof that it never ran
+	responseStarted  bool
 }
 
-// NewRandom returns the policy.
-func NewRandom(s dispatch.Settings, seed uint64) *Random {
-	p := &Random{set: s, rng: rand.New(rand.NewPCG(seed, 9)), classes: map[string]dispatch.Class{},
-		states: map[string]dispatch.EndpointState{}, reqs: map[dispatch.RequestID]*held{}}
-	for _, c := range s.Classes {
-		p.classes[c.Name] = c
+// NewRandom returns a Random that knows no worker.
+func NewRandom(settings dispatch.Settings, seed uint64) *Random {
+	p := &Random{
+		settings: settings,
+		rng:      rand.New(rand.NewPCG(seed, randomStream)),
+		classes:  map[string]dispatch.Class{},
+		states:   map[string]dispatch.EndpointState{},
+		requests: map[dispatch.RequestID]*request{},
+	}
+	for _, class := range settings.Classes {
+		p.classes[class.Name] = class
 	}
 	return p
 }
 
-// Step implements the router's Decider.
-func (p *Random) Step(now time.Duration, events []dispatch.Event) (out []dispatch.Action) {
-	for _, e := range events {
-		switch e := e.(type) {
+// Step implements router.Dispatcher.
+func (p *Random) Step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case dispatch.EndpointUpdate:
-			p.follow(e)
+			p.updateEndpoints(event)
 		case dispatch.Request:
-			r := &held{class: p.classes[e.Class], deadline: now + e.RemainingDeadline}
-			p.reqs[e.ID] = r
-			p.order = append(p.order, e.ID)
-			out = p.send(out, e.ID, r)
+			r := &request{class: p.classes[event.Class], deadline: now + event.RemainingDeadline}
+			p.requests[event.ID] = r
+			p.arrivals = append(p.arrivals, event.ID)
+			actions = p.startAttempt(actions, event.ID, r)
 		case dispatch.ResponseStarted:
-			if r := p.reqs[e.ID]; r != nil {
-				r.began = true
+			if r := p.requests[event.ID]; r != nil {
+				r.responseStarted = true
 			}
 		case dispatch.AttemptEnded:
-			out = p.ended(now, out, e)
+			actions = p.attemptEnded(now, actions, event)
 		case dispatch.RequestCancelled:
-			delete(p.reqs, e.ID)
+			delete(p.requests, event.ID)
 		}
 	}
-	next := now + time.Second
-	p.order = slices.DeleteFunc(p.order, func(id dispatch.RequestID) bool {
-		r := p.reqs[id]
+	return p.expireRequests(now, actions)
+}
+
+// expireRequests answers the requests that are past their deadline and sets the timer for the next one.
+func (p *Random) expireRequests(now time.Duration, actions []dispatch.Action) []dispatch.Action {
+	next := now + maxTimer
+	p.arrivals = slices.DeleteFunc(p.arrivals, func(id dispatch.RequestID) bool {
+		r := p.requests[id]
 		if r == nil {
 			return true
 		}
@@ -72,60 +93,71 @@
 			next = min(next, r.deadline)
 			return false
 		}
-		out = p.conclude(out, id, r)
+		actions = p.answerWithoutResponse(actions, id, r)
 		return true
 	})
-	return append(out, dispatch.SetTimer{After: max(next-now, time.Millisecond)})
+	return append(actions, dispatch.SetTimer{After: max(next-now, minTimer)})
 }
 
-func (p *Random) follow(e dispatch.EndpointUpdate) {
-	if e.Snapshot {
+func (p *Random) updateEndpoints(update dispatch.EndpointUpdate) {
+	if update.Snapshot {
 		clear(p.states)
 	}
-	for _, m := range e.Endpoints {
-		p.states[m.ID] = m.State
+	for _, endpoint := range update.Endpoints {
+		p.states[endpoint.ID] = endpoint.State
 	}
-	p.workers = p.workers[:0]
-	for id, s := range p.states {
-		if s == dispatch.EndpointActive {
-			p.workers = append(p.workers, id)
+	p.active = p.active[:0]
+	for id, state := range p.states {
+		if state == dispatch.EndpointActive {
+			p.active = append(p.active, id)
 		}
 	}
-	slices.Sort(p.workers)
+	slices.Sort(p.active)
 }
 
-func (p *Random) send(out []dispatch.Action, id dispatch.RequestID, r *held) []dispatch.Action {
-	if len(p.workers) == 0 || r.tries >= p.set.MaxAttempts {
-		return p.conclude(out, id, r)
+// startAttempt starts an attempt on a random worker, or answers the request where no worker is active or no attempt
+// is left.
+func (p *Random) startAttempt(actions []dispatch.Action, id dispatch.RequestID, r *request) []dispatch.Action {
+	if len(p.active) == 0 || r.attempts >= p.settings.MaxAttempts {
+		return p.answerWithoutResponse(actions, id, r)
 	}
-	r.tries++
-	r.out++
-	return append(out, dispatch.StartAttempt{ID: id, Worker: p.workers[p.rng.IntN(len(p.workers))]})
+	r.attempts++
+	r.attemptsInFlight++
+	return append(actions, dispatch.StartAttempt{ID: id, Worker: p.active[p.rng.IntN(len(p.active))]})
 }
 
-func (p *Random) ended(now time.Duration, out []dispatch.Action, e dispatch.AttemptEnded) []dispatch.Action {
-	r := p.reqs[e.ID]
+func (p *Random) attemptEnded(now time.Duration, actions []dispatch.Action, event dispatch.AttemptEnded) []dispatch.Action {
+	r := p.requests[event.ID]
 	if r == nil {
-		return out
+		return actions
+	}
+	r.attemptsInFlight--
+	if event.Final {
+		delete(p.requests, event.ID)
+		return actions
 	}
-	r.out--
-	if e.Final {
-		delete(p.reqs, e.ID)
-		return out
+	r.mayHaveRun = r.mayHaveRun || !provesNotRun(event.Result)
+	if now < r.deadline && !r.responseStarted && (!r.mayHaveRun || r.class.Idempotency == dispatch.Idempotent) {
+		return p.startAttempt(actions, event.ID, r)
 	}
-	never := e.Result == dispatch.Rejected || e.Result == dispatch.ConnectFailed || e.Result == dispatch.NotResident ||
-		e.Result == dispatch.NotSent
-	r.mayRun = r.mayRun || !never
-	if now < r.deadline && !r.began && (!r.mayRun || r.class.Idempotency == dispatch.Idempotent) {
-		return p.send(out, e.ID, r)
+	return p.answerWithoutResponse(actions, event.ID, r)
+}
+
+// provesNotRun reports whether a result proves that the attempt never ran.
+func provesNotRun(result dispatch.Result) bool {
+	switch result {
+	case dispatch.Rejected, dispatch.ConnectFailed, dispatch.NotResident, dispatch.NotSent:
+		return true
 	}
-	return p.conclude(out, e.ID, r)
+	return false
 }
 
-func (p *Random) conclude(out []dispatch.Action, id dispatch.RequestID, r *held) []dispatch.Action {
-	delete(p.reqs, id)
-	if r.began || r.class.Idempotency != dispatch.Idempotent && (r.mayRun || r.out > 0) {
-		return append(out, dispatch.FailRequest{ID: id})
+// answerWithoutResponse gives the final answer to a request that no attempt has served: a failure where it may have
+// run and must not run twice, or where its response has started; otherwise a rejection.
+func (p *Random) answerWithoutResponse(actions []dispatch.Action, id dispatch.RequestID, r *request) []dispatch.Action {
+	delete(p.requests, id)
+	if r.responseStarted || r.class.Idempotency != dispatch.Idempotent && (r.mayHaveRun || r.attemptsInFlight > 0) {
+		return append(actions, dispatch.FailRequest{ID: id})
 	}
-	return append(out, dispatch.RejectRequest{ID: id, RetryAfter: 100 * time.Millisecond})
+	return append(actions, dispatch.RejectRequest{ID: id, RetryAfter: rejectRetryAfter})
 }
