--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	randomStream     = 9 // the second word of the PCG seed
+	randomStream     = 9 // the second half of the PCG seed
 	rejectRetryAfter = 100 * time.Millisecond
 
 	// The time from one Step to the next timer is kept within these bounds.
--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -124,7 +124,7 @@
 // itself shows the drain, only the list ends it.
 func (d *reportedDrain) needsCheck() bool { return !d.checkInFlight && !d.leftActive }
 
-// Actions is what Step asks of its caller.
+// Actions is what the caller of Step is to do.
 type Actions struct {
 	List  []Worker // the complete merged list, sorted by ID; nil: unchanged
 	Check []string // the IDs of workers to health-check; each check ends by one HealthChecked
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -7,178 +7,163 @@
 	"github.com/topazfront/topazfront/internal/timingwheel"
 )
 
-// Call is one call as a front took it. The router keeps it until the call has ended; nobody changes it meanwhile.
+// Call is one call as a server accepted it. The router keeps it until the call and its attempts have ended; nobody
+// changes it meanwhile.
 type Call struct {
-	Function               string // the key by which the module knows what is called
+	Function               string // the key by which the dispatcher knows the function
 	Class                  string
 	Tenant                 string
 	MemoryMB               float64
 	ConcurrencyPerInstance int
-	LoadTime               time.Duration // 0: untold
-	ExpectedWork           time.Duration // 0: untold
+	LoadTime               time.Duration // 0: unknown
+	ExpectedWork           time.Duration // 0: unknown
 	RemainingDeadline      time.Duration // until the client gives up
 	Streamed               bool
-	Request                any // what the front took, for the upstream of the same protocol
+	Request                any // the request as the server received it, for the upstream of the same protocol
 	Client                 Client
-	ClientLeft             func() bool // tells whether the client has left, at any moment and from any goroutine; nil: only drop tells
+	// ClientLeft reports whether the client has left. It may be called at any time from any goroutine. nil: only
+	// the cancel function that Submit returned reports it.
+	ClientLeft func() bool
 }
 
-// Wanted tells whether an attempt may still be of use to the client: false once it has left, though the router may
-// not have got to hear of it.
+// ClientWaiting reports whether an attempt may still be of use to the client. It is false once the client has left,
+// also while the cancellation is still on its way to the router's loop.
 func (c *Call) ClientWaiting() bool { return c.ClientLeft == nil || !c.ClientLeft() }
 
-// Client is the front's end of a call. Its methods come from the router's loop, but for Message, which
-// comes from the one goroutine that reads the answering attempt; none blocks. Finish comes once, last.
+// Client is the server's side of a call. The router's loop calls its methods, except that the goroutine which reads
+// the answering attempt's response calls Message. None of them blocks. Finish is called exactly once, last, unless
+// the client has left.
 type Client interface {
 	// Start begins the response with the worker's head.
 	Start(head any)
-	// Message passes bytes of the worker's answer on. It returns how many are on their way; drain is told of
-	// the rest as they leave. The bytes are the caller's again when it returns.
+	// Message forwards bytes of the worker's response. It returns how many of them are on their way; the rest is
+	// queued, and as it leaves, drain is called with the number of bytes. The caller may reuse p when Message returns.
 	Message(p []byte, drain func(n int)) int
 	// Finish gives the final answer.
-	Finish(f FinalAnswer)
+	Finish(answer FinalAnswer)
 }
 
-// Kind is the kind of a final answer.
+// FinalKind is the kind of a final answer.
 type FinalKind int
 
-// The kinds.
+// The kinds of final answers.
 const (
-	FinalAnswered FinalKind = iota // by the attempt whose response is the client's: Ended tells how that came to its end
-	FinalRejected                  // by the module: trying again does no harm
-	FinalFailed                    // by the module: the call may have run
+	FinalAnswered FinalKind = iota // by the attempt whose response is the client's: see Attempt for how it ended
+	FinalRejected                  // by the dispatcher: a retry does no harm
+	FinalFailed                    // by the dispatcher: the call may have run
 )
 
-// Final is a final answer.
+// FinalAnswer is the final answer to a call.
 type FinalAnswer struct {
 	Kind             FinalKind
-	RetryAfter       time.Duration  // of a refusal: how long the client should stay away
-	DeadlineExceeded bool           // of a failure: the client's time is over
-	Attempt          *AttemptResult // Answered: of the answering attempt; Failed: of the last one, or nil
+	RetryAfter       time.Duration  // of a rejection: how long the client should wait before it retries
+	DeadlineExceeded bool           // of a failure: the client's deadline has passed
+	Attempt          *AttemptResult // FinalAnswered: of the answering attempt; FinalFailed: of the last one, or nil
 }
 
-// Report is what an answer tells of the worker.
-type WorkerReport struct {
-	LoadReport       dispatch.LoadReport
-	CacheStatus      dispatch.CacheStatus
-	FunctionInFlight int // requests of the function that the worker held; -1: untold
-}
-
-// NoReport tells nothing.
-var NoWorkerReport = WorkerReport{LoadReport: dispatch.NoLoadReport, FunctionInFlight: -1}
-
-// Ended is how an attempt ended, by the evidence on the wire. Head and Tail are of the response, in the words of
-// the protocol, for the front that speaks it.
-type AttemptResult struct {
-	Result         dispatch.Result
-	Body           []byte // what no client has been handed yet; the router's to keep
-	Head           any
-	Trailer        any
-	Report         WorkerReport
-	WorkerDraining bool // the worker said that it takes nothing new
-}
-
-// Attempt is an upstream's handle of one attempt.
-type UpstreamAttempt interface {
-	// Grant hands the response to a client: what is held first, then all that comes. It follows a Began and
-	// comes once.
-	ForwardTo(c Client)
-	// Cancel stops waiting. Ended still comes, once, as for any attempt.
-	Cancel()
-}
-
-// state is where a call stands.
-type state int
+// callState is the state of a call.
+type callState int
 
 const (
-	waiting   state = iota // no answer has begun
-	streaming              // an attempt's response is the client's
-	done                   // the final answer was given
+	callWaiting   callState = iota // no response has started
+	callStreaming                  // an attempt's response is being forwarded to the client
+	callDone                       // the final answer was given, or the client has left
 )
 
-// entry is a call in the book: a small state machine. waiting ends by an OK (unary, or a stream without
-// messages), by a Refuse or a Fail of the module, or by Dropped; the first Began of a streamed call makes it
-// streaming, which ends by that attempt's end, the module's Fail, or Dropped. What comes for a call that is
-// done changes nothing but the book of its attempts.
-type entry struct {
-	id       dispatch.RequestID
-	call     *Call
-	state    state
-	deadline time.Duration
-	attempts []*try
-	out      int
-	answer   *try           // whose response is the client's
-	last     *AttemptResult // how the last attempt ended that brought no answer
+// activeCall is the state machine of a call that the router keeps.
+//
+// callWaiting ends by a response that ended with OK (of a unary call, or of a stream without messages), by the
+// dispatcher's rejection or failure, or by the client's cancellation. The first ResponseStarted of a streamed call
+// makes it callStreaming, which ends with that attempt, by the dispatcher's failure, or by the client's
+// cancellation. Events of a call that is done only change the accounting of its attempts.
+type activeCall struct {
+	id               dispatch.RequestID
+	submitted        *Call
+	state            callState
+	deadline         time.Duration // on the router's clock
+	attempts         []*attempt    // by number
+	attemptsInFlight int
+	answering        *attempt       // the one whose response is the client's
+	lastUnanswered   *AttemptResult // how the last attempt ended that did not answer the client
 }
 
-// try is one attempt of a call.
-type try struct {
-	e      *entry
-	n      int
-	worker string
-	sent   time.Duration
-	handle UpstreamAttempt
-	timer  timingwheel.Timer // its time-out
-	ended  bool
-	late   bool // cancelled by its time-out
+// attempt is one attempt of a call.
+type attempt struct {
+	call      *activeCall
+	number    int
+	worker    string
+	startedAt time.Duration
+	handle    UpstreamAttempt // nil: the attempt was never passed to the upstream
+	timeout   timingwheel.Timer
+	ended     bool
+	timedOut  bool // it was cancelled by its time-out
 }
 
-// began takes the start of a streamed response: from now on it is the client's, unless the call has ended or
-// another attempt was first.
-func (e *entry) began(t *try, head any) bool {
-	if e.state != waiting || t.ended {
+// responseStarted records that the streamed response of an attempt has started. From now on it is the client's,
+// unless the call is done or another attempt was first. It reports whether it is.
+func (c *activeCall) responseStarted(a *attempt, head any) bool {
+	if c.state != callWaiting || a.ended {
 		return false
 	}
-	e.state, e.answer = streaming, t
-	e.call.Client.Start(head)
-	t.handle.ForwardTo(e.call.Client)
+	c.state, c.answering = callStreaming, a
+	c.submitted.Client.Start(head)
+	a.handle.ForwardTo(c.submitted.Client)
 	return true
 }
 
-// ended takes the end of an attempt and answers the client where that end is an answer: the first OK, or any
-// end of the attempt whose response is the client's. It tells whether the call has its final answer.
-func (e *entry) ended(t *try, how AttemptResult) (final bool) {
-	t.ended = true
-	e.out--
+// attemptEnded records the end of an attempt, and answers the client where that end is an answer: the first OK, or
+// any end of the attempt whose response is the client's. It reports whether the call is done.
+func (c *activeCall) attemptEnded(a *attempt, result AttemptResult) (done bool) {
+	a.ended = true
+	c.attemptsInFlight--
+	client := c.submitted.Client
 	switch {
-	case e.state == streaming && e.answer == t:
-		if len(how.Body) > 0 { // it had ended before it was granted to the client
-			e.call.Client.Message(how.Body, nil)
+	case c.state == callStreaming && c.answering == a:
+		if len(result.Body) > 0 { // the response had ended before ForwardTo was called
+			client.Message(result.Body, nil)
 		}
-		e.finish(FinalAnswer{Attempt: &how})
-	case e.state == waiting && how.Result == dispatch.OK:
-		e.answer = t
-		e.call.Client.Start(how.Head)
-		if len(how.Body) > 0 {
-			e.call.Client.Message(how.Body, nil)
+		c.finish(FinalAnswer{Attempt: &result})
+	case c.state == callWaiting && result.Result == dispatch.OK:
+		c.answering = a
+		client.Start(result.Head)
+		if len(result.Body) > 0 {
+			client.Message(result.Body, nil)
 		}
-		e.finish(FinalAnswer{Attempt: &how})
+		c.finish(FinalAnswer{Attempt: &result})
 	default:
-		e.last = &how
+		c.lastUnanswered = &result
 	}
-	return e.state == done
+	return c.state == callDone
 }
 
-func (e *entry) finish(f FinalAnswer) {
-	e.state = done
-	e.call.Client.Finish(f)
-}
-
-// refuse gives the module's refusal: nothing ran, or a repeat does no harm, so the client may come again,
-// not before after.
-func (e *entry) refuse(after time.Duration) bool {
-	if e.state != waiting {
+// reject answers with the dispatcher's rejection: nothing ran, or a repeat does no harm, so the client may retry, but
+// not before retryAfter has passed. It reports whether this is the final answer.
+func (c *activeCall) reject(retryAfter time.Duration) bool {
+	if c.state != callWaiting {
 		return false
 	}
-	e.finish(FinalAnswer{Kind: FinalRejected, RetryAfter: after})
+	c.finish(FinalAnswer{Kind: FinalRejected, RetryAfter: retryAfter})
 	return true
 }
 
-// fail gives the module's failure: the call may have run.
-func (e *entry) fail(now time.Duration) bool {
-	if e.state == done {
+// fail answers with the dispatcher's failure: the call may have run. It reports whether this is the final answer.
+func (c *activeCall) fail(now time.Duration) bool {
+	if c.state == callDone {
 		return false
 	}
-	e.finish(FinalAnswer{Kind: FinalFailed, DeadlineExceeded: now >= e.deadline, Attempt: e.last})
+	c.finish(FinalAnswer{Kind: FinalFailed, DeadlineExceeded: now >= c.deadline, Attempt: c.lastUnanswered})
 	return true
 }
+
+func (c *activeCall) finish(answer FinalAnswer) {
+	c.state = callDone
+	c.submitted.Client.Finish(answer)
+}
+
+// cancelAnswering stops the attempt whose response is the client's, if it is still in flight: nobody is left to take
+// the rest of the response.
+func (c *activeCall) cancelAnswering() {
+	if c.answering != nil && !c.answering.ended {
+		c.answering.handle.Cancel()
+	}
+}
--- a/internal/router/call_test.go
+++ b/internal/router/call_test.go
@@ -8,91 +8,195 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// sink is a client that notes what it is handed.
-type sink struct {
-	started, finished int
-	bytes             string
-	final             FinalAnswer
+// recordingClient is a Client that records what it is passed.
+type recordingClient struct {
+	starts, finishes int
+	body             string
+	final            FinalAnswer
 }
 
-func (s *sink) Start(any) { s.started++ }
-func (s *sink) Message(p []byte, _ func(int)) int {
-	s.bytes += string(p)
+func (c *recordingClient) Start(any) { c.starts++ }
+func (c *recordingClient) Message(p []byte, _ func(int)) int {
+	c.body += string(p)
 	return len(p)
 }
-func (s *sink) Finish(f FinalAnswer) {
-	s.finished++
-	s.final = f
+func (c *recordingClient) Finish(answer FinalAnswer) {
+	c.finishes++
+	c.final = answer
 }
 
-// handle is an attempt that notes what it is told.
-type handle struct{ granted, cancelled int }
+// recordingAttempt is an UpstreamAttempt that counts the calls of its methods.
+type recordingAttempt struct{ forwards, cancels int }
 
-func (h *handle) ForwardTo(Client) { h.granted++ }
-func (h *handle) Cancel()          { h.cancelled++ }
+func (a *recordingAttempt) ForwardTo(Client) { a.forwards++ }
+func (a *recordingAttempt) Cancel()          { a.cancels++ }
 
-func newEntry() (*entry, *sink, *try, *try) {
-	s := &sink{}
-	e := &entry{id: 1, call: &Call{Client: s}, deadline: time.Second}
-	a, b := &try{e: e, handle: &handle{}}, &try{e: e, n: 1, handle: &handle{}}
-	e.attempts, e.out = []*try{a, b}, 2
-	return e, s, a, b
+// newTestCall returns a call with two attempts in flight and a deadline of one second.
+func newTestCall() (call *activeCall, client *recordingClient, first, second *attempt) {
+	client = &recordingClient{}
+	call = &activeCall{id: 1, submitted: &Call{Client: client}, deadline: time.Second}
+	first = &attempt{call: call, handle: &recordingAttempt{}}
+	second = &attempt{call: call, number: 1, handle: &recordingAttempt{}}
+	call.attempts, call.attemptsInFlight = []*attempt{first, second}, 2
+	return call, client, first, second
 }
 
+const testBody = "answer"
+
 var (
-	served = AttemptResult{Result: dispatch.OK, Body: []byte("answer"), Report: NoWorkerReport}
-	broken = AttemptResult{Result: dispatch.ConnectionReset, Report: NoWorkerReport}
-	errs   = AttemptResult{Result: dispatch.Errored, Trailer: "boom", Report: NoWorkerReport}
+	endedResult   AttemptResult
+	servedResult  = AttemptResult{Result: dispatch.OK, Body: []byte(testBody), Report: NoWorkerReport}
+	resetResult   = AttemptResult{Result: dispatch.ConnectionReset, Report: NoWorkerReport}
+	erroredResult = AttemptResult{Result: dispatch.Errored, Trailer: "boom", Report: NoWorkerReport}
 )
 
-// TestOneFinalAnswer runs through orders in which a call's ends may come together: one answer each time.
-func TestOneFinalAnswer(t *testing.T) {
-	for name, c := range map[string]struct {
-		run  func(e *entry, a, b *try)
-		want FinalAnswer
-		text string
-	}{
-		"served":                     {func(e *entry, a, b *try) { e.ended(a, served) }, FinalAnswer{Attempt: &served}, "answer"},
-		"served twice":               {func(e *entry, a, b *try) { e.ended(a, served); e.ended(b, served) }, FinalAnswer{Attempt: &served}, "answer"},
-		"served, then refused":       {func(e *entry, a, b *try) { e.ended(a, served); e.refuse(0) }, FinalAnswer{Attempt: &served}, "answer"},
-		"refused, then served":       {func(e *entry, a, b *try) { e.refuse(0); e.ended(a, served) }, FinalAnswer{Kind: FinalRejected}, ""},
-		"failed, then served":        {func(e *entry, a, b *try) { e.fail(0); e.ended(a, served) }, FinalAnswer{Kind: FinalFailed}, ""},
-		"failed at the deadline":     {func(e *entry, a, b *try) { e.fail(time.Second); e.refuse(0) }, FinalAnswer{Kind: FinalFailed, DeadlineExceeded: true}, ""},
-		"an error, then failed":      {func(e *entry, a, b *try) { e.ended(a, errs); e.fail(0) }, FinalAnswer{Kind: FinalFailed, Attempt: &errs}, ""},
-		"an error, then served":      {func(e *entry, a, b *try) { e.ended(a, errs); e.ended(b, served) }, FinalAnswer{Attempt: &served}, "answer"},
-		"begun, then ended":          {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
-		"begun, refused, then ended": {func(e *entry, a, b *try) { e.began(a, nil); e.refuse(0); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
-		"begun, the other served":    {func(e *entry, a, b *try) { e.began(a, nil); e.ended(b, served); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
-		"begun, then broken":         {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, broken) }, FinalAnswer{Attempt: &broken}, ""},
-		"begun twice":                {func(e *entry, a, b *try) { e.began(a, nil); e.began(b, nil); e.ended(a, AttemptResult{}) }, FinalAnswer{Attempt: &AttemptResult{}}, ""},
-		"begun, past the deadline":   {func(e *entry, a, b *try) { e.began(a, nil); e.fail(time.Second); e.ended(a, AttemptResult{}) }, FinalAnswer{Kind: FinalFailed, DeadlineExceeded: true}, ""},
-		// All of a short stream may have come before the loop heard of its beginning: nothing of it is lost.
-		"ended before it was granted": {func(e *entry, a, b *try) { e.began(a, nil); e.ended(a, served) }, FinalAnswer{Attempt: &served}, "answer"},
-	} {
-		e, s, a, b := newEntry()
-		c.run(e, a, b)
-		if s.finished != 1 || !reflect.DeepEqual(s.final, c.want) || s.bytes != c.text || s.started > 1 {
-			t.Errorf("%s: %d final answers, %+v, %q, begun %d times", name, s.finished, s.final, s.bytes, s.started)
-		}
+// finalAnswerTests are the orders in which the ends of a call may come together.
+var finalAnswerTests = map[string]struct {
+	run       func(c *activeCall, first, second *attempt)
+	wantFinal FinalAnswer
+	wantBody  string
+}{
+	"served": {
+		func(c *activeCall, first, _ *attempt) { c.attemptEnded(first, servedResult) },
+		FinalAnswer{Attempt: &servedResult}, testBody,
+	},
+	"served twice": {
+		func(c *activeCall, first, second *attempt) {
+			c.attemptEnded(first, servedResult)
+			c.attemptEnded(second, servedResult)
+		},
+		FinalAnswer{Attempt: &servedResult}, testBody,
+	},
+	"served, then rejected": {
+		func(c *activeCall, first, _ *attempt) {
+			c.attemptEnded(first, servedResult)
+			c.reject(0)
+		},
+		FinalAnswer{Attempt: &servedResult}, testBody,
+	},
+	"rejected, then served": {
+		func(c *activeCall, first, _ *attempt) {
+			c.reject(0)
+			c.attemptEnded(first, servedResult)
+		},
+		FinalAnswer{Kind: FinalRejected}, "",
+	},
+	"failed, then served": {
+		func(c *activeCall, first, _ *attempt) {
+			c.fail(0)
+			c.attemptEnded(first, servedResult)
+		},
+		FinalAnswer{Kind: FinalFailed}, "",
+	},
+	"failed at the deadline, then rejected": {
+		func(c *activeCall, _, _ *attempt) {
+			c.fail(time.Second)
+			c.reject(0)
+		},
+		FinalAnswer{Kind: FinalFailed, DeadlineExceeded: true}, "",
+	},
+	"errored, then failed": {
+		func(c *activeCall, first, _ *attempt) {
+			c.attemptEnded(first, erroredResult)
+			c.fail(0)
+		},
+		FinalAnswer{Kind: FinalFailed, Attempt: &erroredResult}, "",
+	},
+	"errored, then served": {
+		func(c *activeCall, first, second *attempt) {
+			c.attemptEnded(first, erroredResult)
+			c.attemptEnded(second, servedResult)
+		},
+		FinalAnswer{Attempt: &servedResult}, testBody,
+	},
+	"response started, then ended": {
+		func(c *activeCall, first, _ *attempt) {
+			c.responseStarted(first, nil)
+			c.attemptEnded(first, endedResult)
+		},
+		FinalAnswer{Attempt: &endedResult}, "",
+	},
+	"response started, rejected, then ended": {
+		func(c *activeCall, first, _ *attempt) {
+			c.responseStarted(first, nil)
+			c.reject(0)
+			c.attemptEnded(first, endedResult)
+		},
+		FinalAnswer{Attempt: &endedResult}, "",
+	},
+	"response started, the other attempt served": {
+		func(c *activeCall, first, second *attempt) {
+			c.responseStarted(first, nil)
+			c.attemptEnded(second, servedResult)
+			c.attemptEnded(first, endedResult)
+		},
+		FinalAnswer{Attempt: &endedResult}, "",
+	},
+	"response started, then connection reset": {
+		func(c *activeCall, first, _ *attempt) {
+			c.responseStarted(first, nil)
+			c.attemptEnded(first, resetResult)
+		},
+		FinalAnswer{Attempt: &resetResult}, "",
+	},
+	"both responses started": {
+		func(c *activeCall, first, second *attempt) {
+			c.responseStarted(first, nil)
+			c.responseStarted(second, nil)
+			c.attemptEnded(first, endedResult)
+		},
+		FinalAnswer{Attempt: &endedResult}, "",
+	},
+	"response started, failed at the deadline": {
+		func(c *activeCall, first, _ *attempt) {
+			c.responseStarted(first, nil)
+			c.fail(time.Second)
+			c.attemptEnded(first, endedResult)
+		},
+		FinalAnswer{Kind: FinalFailed, DeadlineExceeded: true}, "",
+	},
+	// All of a short stream may have come before the loop was notified of its start: nothing of it is lost.
+	"response ended before it was forwarded": {
+		func(c *activeCall, first, _ *attempt) {
+			c.responseStarted(first, nil)
+			c.attemptEnded(first, servedResult)
+		},
+		FinalAnswer{Attempt: &servedResult}, testBody,
+	},
+}
+
+// TestExactlyOneFinalAnswer: each of the orders of finalAnswerTests brings the client one final answer.
+func TestExactlyOneFinalAnswer(t *testing.T) {
+	for name, test := range finalAnswerTests {
+		t.Run(name, func(t *testing.T) {
+			call, client, first, second := newTestCall()
+			test.run(call, first, second)
+			if client.finishes != 1 || !reflect.DeepEqual(client.final, test.wantFinal) {
+				t.Errorf("%d final answers, the last %+v; want one, %+v", client.finishes, client.final, test.wantFinal)
+			}
+			if client.body != test.wantBody || client.starts > 1 {
+				t.Errorf("%d responses started, body %q; want at most one, %q", client.starts, client.body, test.wantBody)
+			}
+		})
 	}
 }
 
-func TestAdviceToClients(t *testing.T) {
-	e, s, _, _ := newEntry()
-	e.refuse(250 * time.Millisecond)
-	if s.final.RetryAfter != 250*time.Millisecond {
-		t.Errorf("refused with pushback %v", s.final.RetryAfter)
+func TestRejectionCarriesRetryAfter(t *testing.T) {
+	call, client, _, _ := newTestCall()
+	call.reject(250 * time.Millisecond)
+	if client.final.RetryAfter != 250*time.Millisecond {
+		t.Errorf("rejected with retry-after %v, want 250ms", client.final.RetryAfter)
 	}
 }
 
-// TestASecondBeginningIsNotGranted: a client never gets two responses mixed.
-func TestASecondBeginningIsNotGranted(t *testing.T) {
-	e, _, a, b := newEntry()
-	e.began(a, nil)
-	if e.began(b, nil) {
-		t.Error("granted")
+// TestSecondResponseIsNotForwarded: a client never gets two responses mixed.
+func TestSecondResponseIsNotForwarded(t *testing.T) {
+	call, _, first, second := newTestCall()
+	call.responseStarted(first, nil)
+	if call.responseStarted(second, nil) {
+		t.Error("the second response became the client's")
 	}
-	if h, ok := b.handle.(*handle); !ok || h.granted > 0 {
-		t.Error("the second attempt got the client")
+	if handle, ok := second.handle.(*recordingAttempt); !ok || handle.forwards > 0 {
+		t.Error("the second attempt was forwarded to the client")
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -9,179 +9,198 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
-// instant is an upstream whose workers answer at once, unless they are dead.
-type instant struct {
-	r    *Router
-	mu   sync.Mutex
-	dead map[string]bool
-	asks int
-}
+const (
+	testFunction = "m"
+	testClass    = "c"
+	testDeadline = 3 * time.Second
+)
 
-type nothing struct{}
+var testWorkers = []string{"a", "b", "c", "d"}
 
-func (nothing) ForwardTo(Client) {}
-func (nothing) Cancel()          {}
+// fakeUpstream is an upstream whose workers answer at once, unless they are dead.
+type fakeUpstream struct {
+	router *Router
+	mu     sync.Mutex
+	dead   map[string]bool
+}
+
+func (u *fakeUpstream) setDead(workers ...string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.dead = map[string]bool{}
+	for _, worker := range workers {
+		u.dead[worker] = true
+	}
+}
 
-func (u *instant) is(worker string) bool {
+func (u *fakeUpstream) isDead(worker string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.dead[worker]
 }
 
-func (u *instant) StartAttempt(token AttemptToken, _ *Call, worker string, _ int, _ time.Duration) UpstreamAttempt {
-	how := AttemptResult{Result: dispatch.OK, Report: NoWorkerReport}
-	if u.is(worker) {
-		how = AttemptResult{Result: dispatch.ConnectionReset, Report: NoWorkerReport}
+func (u *fakeUpstream) StartAttempt(token AttemptToken, _ *Call, worker string, _ int, _ time.Duration) UpstreamAttempt {
+	result := AttemptResult{Result: dispatch.OK, Report: NoWorkerReport}
+	if u.isDead(worker) {
+		result.Result = dispatch.ConnectionReset
 	}
-	u.r.AttemptEnded(token, how)
-	return nothing{}
+	u.router.AttemptEnded(token, result)
+	return endedAttempt{}
 }
 
-func (u *instant) LoadFunction(_, _ string, copies int, _ time.Duration, done func(LoadResult)) {
+func (u *fakeUpstream) LoadFunction(_, _ string, copies int, _ time.Duration, done func(LoadResult)) {
 	done(LoadResult{Result: dispatch.OK, Copies: copies})
 }
 
-func (u *instant) CheckHealth(worker string, _ time.Duration, done func(HealthResult)) {
-	u.mu.Lock()
-	u.asks++
-	u.mu.Unlock()
-	res := dispatch.OK
-	if u.is(worker) {
-		res = dispatch.TimedOut
+func (u *fakeUpstream) CheckHealth(worker string, _ time.Duration, done func(HealthResult)) {
+	result := dispatch.OK
+	if u.isDead(worker) {
+		result = dispatch.TimedOut
 	}
-	done(HealthResult{Result: res, Ready: true, Report: NoWorkerReport})
+	done(HealthResult{Result: result, Ready: true, Report: NoWorkerReport})
 }
 
-func (u *instant) SetEndpoints([]endpoints.Worker) {}
+func (u *fakeUpstream) SetEndpoints([]endpoints.Worker) {}
 
-// waiter is a client that waits for its final answer.
-type waiter chan FinalAnswer
+// endedAttempt is the handle of an attempt that has ended already.
+type endedAttempt struct{}
 
-func (w waiter) Start(any)                         {}
-func (w waiter) Message(p []byte, _ func(int)) int { return len(p) }
-func (w waiter) Finish(f FinalAnswer)              { w <- f }
+func (endedAttempt) ForwardTo(Client) {}
+func (endedAttempt) Cancel()          {}
 
-// told is a peer side that notes what it is told.
-type told struct {
-	mu     sync.Mutex
-	doubts []dispatch.ReportSuspicion
-	heard  []string
+// answerChannel is a client that passes on its final answer.
+type answerChannel chan FinalAnswer
+
+func (c answerChannel) Start(any)                         {}
+func (c answerChannel) Message(p []byte, _ func(int)) int { return len(p) }
+func (c answerChannel) Finish(answer FinalAnswer)         { c <- answer }
+
+// call submits a call of testFunction and waits for its final answer.
+func (c answerChannel) call(r *Router) {
+	r.Submit(&Call{Function: testFunction, Class: testClass, MemoryMB: 1, ConcurrencyPerInstance: 1,
+		RemainingDeadline: testDeadline, Client: c})
+	<-c
 }
 
-func (p *told) ReportSuspicion(d dispatch.ReportSuspicion) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.doubts = append(p.doubts, d)
+// recordingGossip is a Gossip that records what is reported to it.
+type recordingGossip struct {
+	mu         sync.Mutex
+	suspicions []dispatch.ReportSuspicion
+	alive      []string
 }
 
-func (p *told) ReportAlive(w string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.heard = append(p.heard, w)
+func (g *recordingGossip) ReportSuspicion(suspicion dispatch.ReportSuspicion) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.suspicions = append(g.suspicions, suspicion)
 }
 
-func start(t testing.TB, gossip bool) (*Router, *instant, *told) {
+func (g *recordingGossip) ReportAlive(worker string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.alive = append(g.alive, worker)
+}
+
+// startRouter starts a router with testWorkers, and stops it at the end of the test.
+func startRouter(t testing.TB, withGossip bool) (*Router, *fakeUpstream, *recordingGossip) {
 	t.Helper()
-	u := &instant{dead: map[string]bool{}}
-	r, err := New(Config{Name: "r", Seed: 1, Settings: dispatch.Settings{Routers: 2, MaxAttempts: 3, CancelAllowed: true, HealthChecksAllowed: true,
-		IdleResidency: time.Minute, WorkersLoadOnMiss: true, SuspicionsReported: gossip,
-		Classes: []dispatch.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: dispatch.Idempotent}}}}, u)
+	upstream := &fakeUpstream{}
+	settings := dispatch.Settings{
+		Routers:             2,
+		MaxAttempts:         3,
+		CancelAllowed:       true,
+		HealthChecksAllowed: true,
+		IdleResidency:       time.Minute,
+		WorkersLoadOnMiss:   true,
+		SuspicionsReported:  withGossip,
+		Classes: []dispatch.Class{{Name: testClass, LatencyObjective: time.Second, Deadline: testDeadline,
+			PriorityWeight: 1, Idempotency: dispatch.Idempotent}},
+	}
+	r, err := New(Config{Name: "r", Seed: 1, Settings: settings}, upstream)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.r = r
-	p := &told{}
-	if gossip {
-		r.SetGossip(p)
+	t.Cleanup(r.Kill)
+	upstream.router = r
+	gossip := &recordingGossip{}
+	if withGossip {
+		r.SetGossip(gossip)
 	}
 	list := []endpoints.Worker{}
-	for _, id := range []string{"a", "b", "c", "d"} {
+	for _, id := range testWorkers {
 		list = append(list, endpoints.Worker{Endpoint: dispatch.Endpoint{ID: id, Kind: "k"}, Address: id})
 	}
 	r.SetEndpoints(list)
-	t.Cleanup(r.Kill)
-	return r, u, p
+	return r, upstream, gossip
 }
 
-func (w waiter) call(r *Router, model string) FinalAnswer {
-	r.Submit(&Call{Function: model, Class: "c", MemoryMB: 1, ConcurrencyPerInstance: 1, RemainingDeadline: 3 * time.Second, Client: w})
-	return <-w
+// verification is the result of VerifyWorker.
+type verification struct{ alive, void bool }
+
+func verify(r *Router, worker string, maxAge time.Duration) verification {
+	result := make(chan verification, 1)
+	r.VerifyWorker(worker, maxAge, time.Second, func(alive, void bool) { result <- verification{alive, void} })
+	return <-result
 }
 
-// TestDoubtsAreToldAndTakenBack: what the module holds against a worker reaches the peers, and a sign of life
-// takes it back.
-func TestDoubtsAreToldAndTakenBack(t *testing.T) {
-	r, u, p := start(t, true)
-	w := make(waiter, 1)
-	w.call(r, "m")
-	u.mu.Lock()
-	for _, id := range []string{"a", "b", "c", "d"} {
-		u.dead[id] = true
-	}
-	u.mu.Unlock()
+// TestSuspicionsAreReportedAndTakenBack: what the dispatcher suspects of a worker is reported to gossip, and a sign of
+// life takes it back.
+func TestSuspicionsAreReportedAndTakenBack(t *testing.T) {
+	r, upstream, gossip := startRouter(t, true)
+	client := make(answerChannel, 1)
+	client.call(r)
+	upstream.setDead(testWorkers...)
 	for range 3 {
-		w.call(r, "m")
+		client.call(r)
 	}
-	r.Stats() // the loop has told by then
-	p.mu.Lock()
-	if len(p.doubts) == 0 || len(p.heard) > 0 {
-		t.Fatalf("doubts %v, heard %v", p.doubts, p.heard)
+	r.Stats() // by its return the loop has reported the suspicions
+	gossip.mu.Lock()
+	if len(gossip.suspicions) == 0 || len(gossip.alive) > 0 {
+		t.Fatalf("suspicions %v, reported alive %v; want a suspicion and nothing alive", gossip.suspicions, gossip.alive)
 	}
-	worker := p.doubts[0].Worker
-	p.mu.Unlock()
-	u.mu.Lock()
-	u.dead = map[string]bool{}
-	u.mu.Unlock()
-	ended := make(chan [2]bool, 1)
-	r.VerifyWorker(worker, 0, time.Second, func(alive, void bool) { ended <- [2]bool{alive, void} })
-	if got := <-ended; !got[0] || got[1] {
-		t.Errorf("the look ended with %v", got)
+	worker := gossip.suspicions[0].Worker
+	gossip.mu.Unlock()
+
+	upstream.setDead()
+	if got, want := verify(r, worker, 0), (verification{alive: true}); got != want {
+		t.Errorf("verification %+v, want %+v", got, want)
 	}
 	r.Stats()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.heard) != 1 || p.heard[0] != worker {
-		t.Errorf("heard %v, want %s", p.heard, worker)
+	gossip.mu.Lock()
+	defer gossip.mu.Unlock()
+	if len(gossip.alive) != 1 || gossip.alive[0] != worker {
+		t.Errorf("reported alive %v, want %s", gossip.alive, worker)
 	}
 }
 
-// TestLookIsNotTakenWhereTheWorkerWasHeard, and without an answer it tells so.
-func TestLookIsNotTakenWhereTheWorkerWasHeard(t *testing.T) {
-	r, u, _ := start(t, true)
-	w := make(waiter, 1)
-	w.call(r, "m")
-	type end struct{ alive, void bool }
-	look := func(worker string, heard time.Duration) end {
-		got := make(chan end, 1)
-		r.VerifyWorker(worker, heard, time.Second, func(a, v bool) { got <- end{a, v} })
-		return <-got
-	}
-	voids := 0
-	for _, id := range []string{"a", "b", "c", "d"} {
-		if look(id, time.Hour).void {
-			voids++
+// TestVerifyWorker: a worker that gave a sign of life lately isn't checked, and one that doesn't answer isn't alive.
+func TestVerifyWorker(t *testing.T) {
+	r, upstream, _ := startRouter(t, true)
+	make(answerChannel, 1).call(r)
+	void := 0
+	for _, id := range testWorkers {
+		if verify(r, id, time.Hour).void {
+			void++
 		}
 	}
-	if voids != 1 {
-		t.Errorf("%d of 4 workers were heard of by one call", voids)
+	if void != 1 {
+		t.Errorf("one call was a sign of life of %d of 4 workers, want 1", void)
 	}
-	u.mu.Lock()
-	u.dead["a"] = true
-	u.mu.Unlock()
-	if got := look("a", 0); got.alive || got.void {
-		t.Errorf("a dead worker: %+v", got)
+	upstream.setDead("a")
+	if got, want := verify(r, "a", 0), (verification{}); got != want {
+		t.Errorf("verification of a dead worker %+v, want %+v", got, want)
 	}
 }
 
-// BenchmarkCall is a call's way through the loop with an upstream that answers at once.
+// BenchmarkCall measures a call's way through the loop, with an upstream that answers at once.
 func BenchmarkCall(b *testing.B) {
-	for name, gossip := range map[string]bool{"alone": false, "gossip": true} {
+	for name, withGossip := range map[string]bool{"alone": false, "gossip": true} {
 		b.Run(name, func(b *testing.B) {
-			r, _, _ := start(b, gossip)
-			w := make(waiter, 1)
+			r, _, _ := startRouter(b, withGossip)
+			client := make(answerChannel, 1)
 			b.ReportAllocs()
 			for b.Loop() {
-				w.call(r, "m")
+				client.call(r)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/router/shutdown.go
@@ -0,0 +1,66 @@
+package router
+
+import (
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+)
+
+// StartShutdown makes sure that every call, also one that is still to come, has its final answer within the given
+// time, after which the process is killed. The router goes on to accept calls.
+func (r *Router) StartShutdown(within time.Duration) {
+	r.post(func() {
+		r.shutdownDeadline = r.now + within
+		r.events = append(r.events, dispatch.ShutdownStarted{AnswerWithin: within})
+	})
+}
+
+// Stop ends the loop once every call has its final answer and no attempt is in flight, and returns when the loop has
+// ended. The servers must have stopped submitting calls. After limit the loop is ended all the same; unanswered is
+// the number of calls that had no final answer then.
+func (r *Router) Stop(limit time.Duration) (unanswered int) {
+	r.post(func() { r.stopWhenIdle = true })
+	select {
+	case <-r.loopEnded:
+		return 0
+	case <-time.After(limit):
+	}
+	r.Kill()
+	for _, call := range r.calls {
+		if call.state != callDone {
+			unanswered++
+		}
+	}
+	return unanswered
+}
+
+// Kill ends the loop at once, as a crash of the process would: the calls under way get no answer. It is the last
+// resort of Stop and ends a router whose process fails to start; tests end theirs by it.
+func (r *Router) Kill() {
+	r.post(func() { r.killed = true })
+	<-r.loopEnded
+}
+
+// stopIfIdle closes the queue and runs what was queued until then. If that brought a new call, the queue is opened
+// again. It reports whether the loop is to end.
+func (r *Router) stopIfIdle() bool {
+	for _, f := range r.closeQueue() {
+		f()
+	}
+	if len(r.calls) == 0 {
+		return true
+	}
+	r.mu.Lock()
+	r.stopped = false
+	r.mu.Unlock()
+	return false
+}
+
+// closeQueue makes post refuse further work, and returns the work that was queued until then.
+func (r *Router) closeQueue() []func() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rest := r.queue
+	r.stopped, r.queue = true, nil
+	return rest
+}
--- /dev/null
+++ b/internal/router/stats.go
@@ -0,0 +1,37 @@
+package router
+
+import "time"
+
+// Stats are counters since the router's start and gauges of what is under way. As JSON they are "router.status" of
+// the admin API, whose keys the struct tags keep.
+type Stats struct {
+	Calls         uint64 `json:"Calls"`
+	Served        uint64 `json:"Served"`
+	Rejected      uint64 `json:"Refused"`
+	Failed        uint64 `json:"Failed"`
+	Cancelled     uint64 `json:"Dropped"` // by their clients
+	Attempts      uint64 `json:"Attempts"`
+	Loads         uint64 `json:"Orders"`
+	HealthChecks  uint64 `json:"Probes"`
+	Verifications uint64 `json:"Looks"` // health checks that gossip requested
+
+	Open             int           `json:"Open"` // calls under way
+	AttemptsInFlight int           `json:"Out"`
+	ServedDuration   time.Duration `json:"Took"` // sum over the served attempts, as reported to the dispatcher
+}
+
+// Stats returns the router's statistics. Once the router has ended, Open is 0, also
+// after Kill.
+func (r *Router) Stats() Stats {
+	reply := make(chan Stats, 1)
+	posted := r.post(func() {
+		stats := r.stats
+		stats.Open = len(r.calls)
+		reply <- stats
+	})
+	if !posted {
+		<-r.loopEnded
+		return r.stats
+	}
+	return <-reply
+}
--- /dev/null
+++ b/internal/router/upstream.go
@@ -0,0 +1,70 @@
+package router
+
+import (
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+)
+
+// Upstream talks to the workers. Only the loop calls its methods, and they don't block. The outcomes may be
+// reported from any goroutine.
+type Upstream interface {
+	// StartAttempt starts an attempt of a call on a worker. number counts the call's attempts from 0; the attempt
+	// has remaining left until it times out. Its end is reported by exactly one Router.AttemptEnded with the token.
+	StartAttempt(token AttemptToken, call *Call, worker string, number int, remaining time.Duration) UpstreamAttempt
+	// LoadFunction commands a worker to hold copies of a function, and calls done once, with the result. limit is how
+	// long the result is waited for.
+	LoadFunction(worker, function string, copies int, limit time.Duration, done func(LoadResult))
+	// CheckHealth requests a worker's readiness and load, and calls done once, with the result. limit is how long the
+	// result is waited for.
+	CheckHealth(worker string, limit time.Duration, done func(HealthResult))
+	// SetEndpoints replaces the endpoint list. A worker that isn't in it gets no new connections; one that isn't
+	// active gets no new attempts.
+	SetEndpoints(list []endpoints.Worker)
+}
+
+// UpstreamAttempt is the router's handle of an attempt. Only the loop calls its methods, and they don't block.
+type UpstreamAttempt interface {
+	// ForwardTo forwards the response to a client: first what is buffered, then everything that comes. It is called
+	// at most once, after Router.ResponseStarted.
+	ForwardTo(client Client)
+	// Cancel stops waiting for the response. The attempt's end is still reported, once.
+	Cancel()
+}
+
+// AttemptToken identifies an attempt between the router and its upstream.
+type AttemptToken struct{ attempt *attempt }
+
+// AttemptResult is how an attempt ended, by the evidence on the wire.
+type AttemptResult struct {
+	Result         dispatch.Result
+	Body           []byte // the part of the response that no client has been passed; the router owns it from now on
+	Head           any    // the response's head and trailer, in a form that the servers of the protocol understand
+	Trailer        any
+	Report         WorkerReport
+	WorkerDraining bool // the worker reported that it takes nothing new
+}
+
+// WorkerReport is what a response reports of its worker.
+type WorkerReport struct {
+	LoadReport       dispatch.LoadReport
+	CacheStatus      dispatch.CacheStatus
+	FunctionInFlight int // requests of the function that the worker held; -1: unknown
+}
+
+// NoWorkerReport reports nothing.
+var NoWorkerReport = WorkerReport{LoadReport: dispatch.NoLoadReport, FunctionInFlight: -1}
+
+// LoadResult is how a load command ended.
+type LoadResult struct {
+	Result dispatch.Result
+	Copies int // that the worker holds now
+}
+
+// HealthResult is how a health check ended.
+type HealthResult struct {
+	Result dispatch.Result
+	Ready  bool
+	Report WorkerReport
+}
