--- a/internal/httprouter/config.go
+++ b/internal/httprouter/config.go
@@ -26,7 +26,7 @@
 	MaxDescriptors   int                    // file descriptors of the process
 	InitialEndpoints discovery.PollResponse // used until the first poll is answered
 	Settings         dispatch.Settings
-	Limits           simwire.Limits
+	Limits           simwire.ConnectionLimits
 }
 
 const (
@@ -37,9 +37,9 @@
 	minDescriptors = 64
 
 	// What applies where the settings leave a limit out.
-	defaultConnectTimeout = time.Second
-	defaultLoadTimeout    = 10 * time.Second
-	defaultStreamsPerConn = 32
+	defaultConnectTimeout  = time.Second
+	defaultLoadTimeout     = 10 * time.Second
+	defaultRequestsPerConn = 32
 )
 
 // configFile is the file's form.
@@ -106,7 +106,7 @@
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if cfg.Settings, cfg.Limits, err = simwire.SettingsOf(file.Settings); err != nil {
+	if cfg.Settings, cfg.Limits, err = simwire.ParseSettings(file.Settings); err != nil {
 		return nil, err
 	}
 	cfg.setDefaultLimits()
@@ -117,10 +117,10 @@
 	if c.Limits.ConnectTimeout <= 0 {
 		c.Limits.ConnectTimeout = defaultConnectTimeout
 	}
-	if c.Limits.OrderTimeout <= 0 {
-		c.Limits.OrderTimeout = defaultLoadTimeout
+	if c.Limits.LoadTimeout <= 0 {
+		c.Limits.LoadTimeout = defaultLoadTimeout
 	}
-	if c.Limits.StreamsPerConn <= 0 {
-		c.Limits.StreamsPerConn = defaultStreamsPerConn
+	if c.Limits.RequestsPerConn <= 0 {
+		c.Limits.RequestsPerConn = defaultRequestsPerConn
 	}
 }
