--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -10,19 +10,31 @@
 
 // read feeds the pieces and returns the messages, and the status of the error that ended it.
 func read(response bool, pieces ...string) (out []string, status int) {
+	out, err := readAll(response, pieces...)
+	if e, ok := err.(*Error); ok {
+		return out, e.Status
+	}
+	if err != nil {
+		return out, -1
+	}
+	return out, 0
+}
+
+// readAll feeds the pieces and returns the messages, and the error that ended it.
+func readAll(response bool, pieces ...string) (out []string, err error) {
 	r := NewReader(limits)
 	r.response = response
 	for _, p := range pieces {
 		for len(p) > 0 {
 			k := min(max(r.Room(), 1), len(p))
-			if r.Add([]byte(p[:k])) != nil {
-				return out, -1
+			if err := r.Add([]byte(p[:k])); err != nil {
+				return out, err
 			}
 			p = p[k:]
 			for {
 				m, err := r.Next()
-				if e, ok := err.(*Error); ok {
-					return out, e.Status
+				if err != nil {
+					return out, err
 				}
 				if m == nil {
 					break
@@ -31,7 +43,7 @@
 			}
 		}
 	}
-	return out, 0
+	return out, nil
 }
 
 const post = "POST /call/x/call HTTP/1.1\r\nHost: a\r\nX-Class: c\r\nContent-Length: 4\r\n\r\nbody"
@@ -59,47 +71,51 @@
 	for name, c := range map[string]struct {
 		in     string
 		status int
+		reason string
 	}{
-		"length and encoding":       {head(p, "Host: a", "Content-Length: 4", "Transfer-Encoding: chunked") + "0\r\n\r\n", 400},
-		"encoding and length":       {head(p, "Host: a", "Transfer-Encoding: chunked", "Content-Length: 4") + "0\r\n\r\n", 400},
-		"two lengths":               {head(p, "Host: a", "Content-Length: 4", "Content-Length: 5"), 400},
-		"a list of lengths":         {head(p, "Host: a", "Content-Length: 4, 4"), 400},
-		"negative length":           {head(p, "Host: a", "Content-Length: -4"), 400},
-		"signed length":             {head(p, "Host: a", "Content-Length: +4"), 400},
-		"hex length":                {head(p, "Host: a", "Content-Length: 0x4"), 400},
-		"empty length":              {head(p, "Host: a", "Content-Length:"), 400},
-		"length past any integer":   {head(p, "Host: a", "Content-Length: 99999999999999999999"), 400},
-		"60 MB":                     {head(p, "Host: a", "Content-Length: 62914560"), 413},
-		"one byte over":             {head(p, "Host: a", "Content-Length: 65"), 413},
-		"unknown encoding":          {head(p, "Host: a", "Transfer-Encoding: gzip, chunked"), 400},
-		"encoding twice":            {head(p, "Host: a", "Transfer-Encoding: chunked", "Transfer-Encoding: chunked"), 400},
-		"encoding in HTTP/1.0":      {head("POST /c HTTP/1.0", "Transfer-Encoding: chunked"), 400},
-		"space before the colon":    {head(p, "Host: a", "Content-Length : 4"), 400},
-		"folded field":              {head(p, "Host: a", "X: a", " b"), 400},
-		"field without a colon":     {head(p, "Host: a", "X"), 400},
-		"field with a bare return":  {head(p, "Host: a", "X: a\rb"), 400},
-		"field with a NUL":          {head(p, "Host: a", "X: a\x00b"), 400},
-		"bare newlines":             {"POST /c HTTP/1.1\nHost: a\n\n", 400},
-		"no host":                   {head(p, "X: a"), 400},
-		"two hosts":                 {head(p, "Host: a", "Host: b"), 400},
-		"no version":                {head("POST /c", "Host: a"), 400},
-		"two spaces":                {head("POST  /c HTTP/1.1", "Host: a"), 400},
-		"HTTP/2":                    {"PRI * HTTP/2.0\r\n\r\n", 505},
-		"noise":                     {"\x16\x03\x01\x02\x00", 400},
-		"noise behind a letter":     {"G\x00\xff", 400},
-		"a line without end":        {"POST /" + strings.Repeat("x", 600), 431},
-		"a header without end":      {p + "\r\n" + strings.Repeat("X: y\r\n", 100), 431},
-		"too many fields":           {head(p, append([]string{"Host: a"}, strings.Split(strings.Repeat("X: y,", 20), ",")[:20]...)...), 431},
-		"chunk size that is no hex": {head(p, "Host: a", "Transfer-Encoding: chunked") + "zz\r\n", 400},
-		"chunk past the bound":      {head(p, "Host: a", "Transfer-Encoding: chunked") + "ffffff\r\n", 413},
-		"chunks past the bound":     {head(p, "Host: a", "Transfer-Encoding: chunked") + strings.Repeat("8\r\nabcdefgh\r\n", 9), 413},
-		"chunk longer than told":    {head(p, "Host: a", "Transfer-Encoding: chunked") + "1\r\nabc\r\n", 400},
-		"trailers without end":      {head(p, "Host: a", "Transfer-Encoding: chunked") + "0\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyy\r\n", 40), 431},
+		"length and encoding":       {head(p, "Host: a", "Content-Length: 4", "Transfer-Encoding: chunked") + "0\r\n\r\n", 400, "http1: transfer-encoding with content-length, or in HTTP/1.0"},
+		"encoding and length":       {head(p, "Host: a", "Transfer-Encoding: chunked", "Content-Length: 4") + "0\r\n\r\n", 400, "http1: transfer-encoding with content-length, or in HTTP/1.0"},
+		"two lengths":               {head(p, "Host: a", "Content-Length: 4", "Content-Length: 5"), 400, `http1: content-length "5"`},
+		"a list of lengths":         {head(p, "Host: a", "Content-Length: 4, 4"), 400, `http1: content-length "4, 4"`},
+		"negative length":           {head(p, "Host: a", "Content-Length: -4"), 400, `http1: content-length "-4"`},
+		"signed length":             {head(p, "Host: a", "Content-Length: +4"), 400, `http1: content-length "+4"`},
+		"hex length":                {head(p, "Host: a", "Content-Length: 0x4"), 400, `http1: content-length "0x4"`},
+		"empty length":              {head(p, "Host: a", "Content-Length:"), 400, `http1: content-length ""`},
+		"length past any integer":   {head(p, "Host: a", "Content-Length: 99999999999999999999"), 400, `http1: content-length "99999999999999999999"`},
+		"60 MB":                     {head(p, "Host: a", "Content-Length: 62914560"), 413, "http1: body exceeds its limit"},
+		"one byte over":             {head(p, "Host: a", "Content-Length: 65"), 413, "http1: body exceeds its limit"},
+		"unknown encoding":          {head(p, "Host: a", "Transfer-Encoding: gzip, chunked"), 400, `http1: transfer-encoding "gzip, chunked"`},
+		"encoding twice":            {head(p, "Host: a", "Transfer-Encoding: chunked", "Transfer-Encoding: chunked"), 400, `http1: transfer-encoding "chunked"`},
+		"encoding in HTTP/1.0":      {head("POST /c HTTP/1.0", "Transfer-Encoding: chunked"), 400, "http1: transfer-encoding with content-length, or in HTTP/1.0"},
+		"space before the colon":    {head(p, "Host: a", "Content-Length : 4"), 400, `http1: header field "Content-Length : 4"`},
+		"folded field":              {head(p, "Host: a", "X: a", " b"), 400, `http1: header field " b"`},
+		"field without a colon":     {head(p, "Host: a", "X"), 400, `http1: header field "X"`},
+		"field with a bare return":  {head(p, "Host: a", "X: a\rb"), 400, "http1: byte 0xd in header field X"},
+		"field with a NUL":          {head(p, "Host: a", "X: a\x00b"), 400, "http1: byte 0x0 in the header"},
+		"bare newlines":             {"POST /c HTTP/1.1\nHost: a\n\n", 400, "http1: byte 0xa in the header"},
+		"no host":                   {head(p, "X: a"), 400, "http1: host missing, repeated or unusable"},
+		"two hosts":                 {head(p, "Host: a", "Host: b"), 400, "http1: host missing, repeated or unusable"},
+		"no version":                {head("POST /c", "Host: a"), 400, `http1: request line "POST /c"`},
+		"two spaces":                {head("POST  /c HTTP/1.1", "Host: a"), 400, `http1: request line "POST  /c HTTP/1.1"`},
+		"HTTP/2":                    {"PRI * HTTP/2.0\r\n\r\n", 505, `http1: version "HTTP/2.0"`},
+		"noise":                     {"\x16\x03\x01\x02\x00", 400, "http1: no method"},
+		"noise behind a letter":     {"G\x00\xff", 400, "http1: byte 0x0 in the header"},
+		"a line without end":        {"POST /" + strings.Repeat("x", 600), 431, "http1: header exceeds its limit"},
+		"a header without end":      {p + "\r\n" + strings.Repeat("X: y\r\n", 100), 431, "http1: header exceeds its limit"},
+		"too many fields":           {head(p, append([]string{"Host: a"}, strings.Split(strings.Repeat("X: y,", 20), ",")[:20]...)...), 431, "http1: too many header fields"},
+		"chunk size that is no hex": {head(p, "Host: a", "Transfer-Encoding: chunked") + "zz\r\n", 400, `http1: chunk size "zz"`},
+		"chunk past the bound":      {head(p, "Host: a", "Transfer-Encoding: chunked") + "ffffff\r\n", 413, "http1: body exceeds its limit"},
+		"chunks past the bound":     {head(p, "Host: a", "Transfer-Encoding: chunked") + strings.Repeat("8\r\nabcdefgh\r\n", 9), 413, "http1: body exceeds its limit"},
+		"chunk longer than told":    {head(p, "Host: a", "Transfer-Encoding: chunked") + "1\r\nabc\r\n", 400, "http1: chunk longer than its size"},
+		"trailers without end":      {head(p, "Host: a", "Transfer-Encoding: chunked") + "0\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyy\r\n", 40), 431, "http1: trailer exceeds its limit"},
 	} {
 		got, status := read(false, c.in)
 		if status != c.status || len(got) > 0 {
 			t.Errorf("%s: status %d, want %d; passed on %q", name, status, c.status, got)
 		}
+		if _, err := readAll(false, c.in); err == nil || err.Error() != c.reason {
+			t.Errorf("%s: error %v, want %s", name, err, c.reason)
+		}
 	}
 }
 
