--- a/internal/adminapi/control.go
+++ b/internal/adminapi/control.go
@@ -82,7 +82,7 @@
 			return nil, fmt.Errorf("control: %w", err)
 		}
 	}
-	ln, err := listen.On("unix", path)
+	ln, err := listen.Open("unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -346,22 +346,22 @@
 	return s
 }
 
-// Intake is what the fronts need to know of models and classes.
-func (g *Gateway) Intake() *server.Intake {
-	in := &server.Intake{Models: map[string]server.Model{}, Deadlines: map[string]time.Duration{},
-		Margin: g.Limits.AnswerMargin.Duration(), MaxBody: g.Limits.MessageBytes}
-	model := func(m Model) server.Model {
-		return server.Model{Class: m.Class, MemoryMB: m.MemoryMB, Lanes: m.Lanes, LoadTime: m.Load.Duration(),
-			Work: m.Work.Duration(), Versions: m.Versions}
+// CallBuilder returns what the servers need to know of models and classes.
+func (g *Gateway) CallBuilder() *server.CallBuilder {
+	builder := &server.CallBuilder{Models: map[string]server.ModelSettings{}, Deadlines: map[string]time.Duration{},
+		ResponseMargin: g.Limits.AnswerMargin.Duration(), MaxMessageBytes: g.Limits.MessageBytes}
+	model := func(m Model) server.ModelSettings {
+		return server.ModelSettings{Class: m.Class, MemoryMB: m.MemoryMB, ConcurrencyPerInstance: m.Lanes, LoadTime: m.Load.Duration(),
+			ExpectedWork: m.Work.Duration(), Versions: m.Versions}
 	}
 	for name, m := range g.Models {
-		in.Models[name] = model(m)
+		builder.Models[name] = model(m)
 	}
 	if g.DefaultModel != nil {
-		in.Default = model(*g.DefaultModel)
+		builder.DefaultModel = model(*g.DefaultModel)
 	}
 	for _, c := range g.Classes {
-		in.Deadlines[c.Name] = c.Deadline.Duration()
+		builder.Deadlines[c.Name] = c.Deadline.Duration()
 	}
-	return in
+	return builder
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 	if _, err := dispatch.New(s, 1); err != nil {
 		t.Error(err)
 	}
-	if in := g.Intake(); in.Models["q"].Lanes != 2 || in.Deadlines["quote"] != 3*time.Second {
+	if in := g.CallBuilder(); in.Models["q"].ConcurrencyPerInstance != 2 || in.Deadlines["quote"] != 3*time.Second {
 		t.Errorf("%+v", in)
 	}
 }
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -256,7 +256,7 @@
 	}()
 	r := l.nc.Reader()
 	for n := r.Len(); n > 0; n = r.Len() {
-		p, err := r.Next(min(n, max(l.in.Room(), 1)))
+		p, err := r.Next(min(n, max(l.in.Available(), 1)))
 		if err == nil {
 			err = l.in.Add(p)
 		}
--- a/internal/gossip/agent/stream.go
+++ b/internal/gossip/agent/stream.go
@@ -34,7 +34,7 @@
 }
 
 func listenStreams(addr string, take func(src string, p []byte)) (*streams, error) {
-	ln, err := listen.On("tcp", addr)
+	ln, err := listen.Open("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -87,7 +87,7 @@
 		})
 	})
 	<-first
-	g.front, err = grpcserver.Listen(grpcserver.Config{Address: cfg.Listen, HTTP2: h2, Intake: cfg.Intake(),
+	g.front, err = grpcserver.Listen(grpcserver.Config{Address: cfg.Listen, HTTP2: h2, Intake: cfg.CallBuilder(),
 		Version: Version, Log: log}, g.router)
 	if err == nil {
 		err = g.control()
--- a/internal/httprouter/node.go
+++ b/internal/httprouter/node.go
@@ -50,7 +50,7 @@
 	pool   *respupstream.Pool
 	router *router.Router
 	feed   *discovery.Feed
-	front  *httpserver.Front
+	front  *httpserver.Server
 	once   sync.Once
 }
 
@@ -81,9 +81,9 @@
 		for _, c := range cfg.Settings.Classes {
 			classes[c.Name] = c.Idempotency
 		}
-		n.front, err = httpserver.Listen(httpserver.Config{Address: cfg.Listen, Classes: classes, MaxConns: share.Clients,
-			Limits: http1.Limits{Head: 8 << 10, Fields: 64, Body: 16 << 10, Pending: 8 << 10}, First: firstWithin,
-			Idle: idleClient, Write: writeWithin, Buffer: share.SocketBuffer, Log: n.log}, n.router)
+		n.front, err = httpserver.Listen(httpserver.Config{Address: cfg.Listen, Classes: classes, MaxConnections: share.Clients,
+			Limits: http1.Limits{Head: 8 << 10, Fields: 64, Body: 16 << 10, Pending: 8 << 10}, RequestTimeout: firstWithin,
+			IdleTimeout: idleClient, WriteTimeout: writeWithin, ReceiveBufferBytes: share.SocketBuffer, Logger: n.log}, n.router)
 	}
 	if err != nil {
 		n.Kill()
@@ -107,7 +107,7 @@
 // was taken gets its answer before the process is killed. It returns how many had none.
 func (n *Node) Stop() (lost int) {
 	n.once.Do(func() {
-		n.log.Info("stopping", "calls", n.front.Stats().Open)
+		n.log.Info("stopping", "calls", n.front.Stats().OpenRequests)
 		limit := time.Duration(0)
 		for _, c := range n.cfg.Settings.Classes {
 			limit = max(limit, c.Deadline)
@@ -117,7 +117,7 @@
 		accept := min(acceptFor, limit)
 		time.Sleep(accept)
 		lost = n.router.Stop(limit - accept + settleFor)
-		if !n.front.Settle(writeWithin) {
+		if !n.front.WaitForDrain(writeWithin) {
 			n.log.Warn("stopped while a client had not taken its answer")
 		}
 		n.front.Close()
@@ -203,7 +203,7 @@
 	r, f, p, c := n.router.Stats(), n.front.Stats(), n.pool.Stats(), n.feed.Stats()
 	each := func(d time.Duration) float64 { return d.Seconds() * 1000 / float64(max(r.Served, 1)) }
 	n.log.Info("state", "calls", r.Calls, "served", r.Served, "refused", r.Rejected, "failed", r.Failed, "dropped", r.Cancelled,
-		"attempts", r.Attempts, "orders", r.Loads, "probes", r.HealthChecks, "open", r.Open, "clients", f.Conns, "bad", f.Bad,
+		"attempts", r.Attempts, "orders", r.Loads, "probes", r.HealthChecks, "open", r.Open, "clients", f.Connections, "bad", f.BadRequests,
 		"evicted", f.Evicted, "worker_conns", p.Conns, "worker_open", p.Open, "waiting", p.Waiting, "dials", p.Dials,
 		"dials_failed", p.Failed, "broken", p.Broken, "unwritten", p.Unwritten, "late", p.Late, "cursor", c.Cursor,
 		"questions", c.Questions, "channel_broken", c.Broken,
--- a/internal/httprouter/node_test.go
+++ b/internal/httprouter/node_test.go
@@ -475,7 +475,7 @@
 		}()
 	}
 	for range 4000 {
-		if f.node.front.Stats().Open == 3 {
+		if f.node.front.Stats().OpenRequests == 3 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
--- a/internal/server/grpcserver/front.go
+++ b/internal/server/grpcserver/front.go
@@ -26,7 +26,7 @@
 type Config struct {
 	Address string
 	HTTP2   http2.Config
-	Intake  *server.Intake
+	Intake  *server.CallBuilder
 	Version string
 	Log     *slog.Logger
 }
@@ -91,7 +91,7 @@
 
 // Open implements http2.Handler.
 func (l link) Open(s *http2.Stream) http2.Receiver {
-	x := &exchange{f: l.f, s: s, reader: grpc.Reader{Max: l.f.cfg.Intake.MaxBody}}
+	x := &exchange{f: l.f, s: s, reader: grpc.Reader{Max: l.f.cfg.Intake.MaxMessageBytes}}
 	l.f.mu.Lock()
 	l.f.open[x] = struct{}{}
 	l.f.mu.Unlock()
@@ -293,7 +293,7 @@
 
 // request acts on one whole request message.
 func (x *exchange) request(message []byte) {
-	body, err := grpc.Body(message, x.encoding, x.f.cfg.Intake.MaxBody)
+	body, err := grpc.Body(message, x.encoding, x.f.cfg.Intake.MaxMessageBytes)
 	if err != nil {
 		x.reply(grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}, nil)
 		return
@@ -311,10 +311,10 @@
 	if x.timeout > 0 {
 		left = max(x.timeout-time.Since(x.came), 1)
 	}
-	c, err := x.f.cfg.Intake.Call(routed, left)
+	c, err := x.f.cfg.Intake.NewCall(routed, left)
 	if err != nil {
 		st := grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}
-		if e, ok := err.(*server.Error); ok && e.Missing {
+		if e, ok := err.(*server.RequestError); ok && e.ModelNotFound {
 			st.Code = grpc.NotFound
 		}
 		x.reply(st, nil)
@@ -354,7 +354,7 @@
 			x.reply(grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}, nil)
 			return
 		}
-		model, ok := in.Model(m.Name)
+		model, ok := in.ModelSettings(m.Name)
 		if x.path == oip.ModelReady {
 			out = &inference.ModelReadyResponse{Ready: ok}
 			break
--- a/internal/server/grpcserver/front_test.go
+++ b/internal/server/grpcserver/front_test.go
@@ -45,9 +45,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Listen(Config{Address: "127.0.0.1:0", Version: "test", Intake: &server.Intake{
-		Models:    map[string]server.Model{"m": {Class: "c", MemoryMB: 1, Lanes: 1, Versions: []string{"1"}}},
-		Deadlines: map[string]time.Duration{"c": time.Second}, MaxBody: 1000}}, r)
+	f, err := Listen(Config{Address: "127.0.0.1:0", Version: "test", Intake: &server.CallBuilder{
+		Models:    map[string]server.ModelSettings{"m": {Class: "c", MemoryMB: 1, ConcurrencyPerInstance: 1, Versions: []string{"1"}}},
+		Deadlines: map[string]time.Duration{"c": time.Second}, MaxMessageBytes: 1000}}, r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -13,68 +13,68 @@
 )
 
 // turned is why a request can't be taken: nothing of it was sent anywhere.
-type turned struct {
+type requestError struct {
 	status int
 	reason string
 }
 
-func (t *turned) Error() string { return t.reason }
+func (t *requestError) Error() string { return t.reason }
 
 // The bounds of what a request may say of itself. Beyond them a figure is no figure: the module is not asked
 // what to make of it.
 const (
-	maxMS     = 10 * 60 * 1000 // of a deadline, an estimate, a load
-	maxMemory = 1 << 24        // MB
-	maxLanes  = 1024
+	maxMilliseconds     = 10 * 60 * 1000 // of a deadline, an estimate, a load
+	maxMemoryMB = 1 << 24        // MB
+	maxConcurrencyPerInstance  = 1024
 )
 
 // call fills a call in from a request. came is when its last byte came.
-func (f *Front) call(m *http1.Message, came time.Time) (*router.Call, *invocation.Request, error) {
+func (f *Server) parseCall(m *http1.Message, came time.Time) (*router.Call, *invocation.Request, error) {
 	part := strings.Split(m.Target, "/")
 	if len(part) != 4 || part[0] != "" || part[1] != "call" || part[3] != "call" {
-		return nil, nil, &turned{404, "no such path"}
+		return nil, nil, &requestError{404, "no such path"}
 	}
 	if m.Method != "POST" {
-		return nil, nil, &turned{405, "method is not POST"}
+		return nil, nil, &requestError{405, "method is not POST"}
 	}
 	fn := part[2]
 	if !invocation.Hex(fn, 16) {
-		return nil, nil, &turned{404, "path: the function is not 16 hex digits"}
+		return nil, nil, &requestError{404, "path: the function is not 16 hex digits"}
 	}
 	for _, name := range []string{"x-class", "x-correlation-id", "x-deadline-ms", "x-operation-key", "x-estimate-ms", "x-attrs"} {
 		if _, once := m.Get(name); !once && m.Has(name) {
-			return nil, nil, &turned{400, name + ": given twice"}
+			return nil, nil, &requestError{400, name + ": given twice"}
 		}
 	}
 	class, _ := m.Get("x-class")
 	effect, ok := f.cfg.Classes[class]
 	if !ok {
-		return nil, nil, &turned{400, "x-class: not a class of the settings"}
+		return nil, nil, &requestError{400, "x-class: not a class of the settings"}
 	}
 	id, _ := m.Get("x-correlation-id")
 	if !invocation.Hex(id, 16) {
-		return nil, nil, &turned{400, "x-correlation-id: not 16 hex digits"}
+		return nil, nil, &requestError{400, "x-correlation-id: not 16 hex digits"}
 	}
 	text, _ := m.Get("x-deadline-ms")
-	deadline, ok := figure(text, maxMS)
+	deadline, ok := parseNumber(text, maxMilliseconds)
 	if !ok || deadline <= 0 {
-		return nil, nil, &turned{400, "x-deadline-ms: not a usable figure"}
+		return nil, nil, &requestError{400, "x-deadline-ms: not a usable figure"}
 	}
 	key, given := m.Get("x-operation-key")
 	if given && !invocation.Key(key) || !given && effect == dispatch.IdempotentByKey {
-		return nil, nil, &turned{400, "x-operation-key: missing or unusable"}
+		return nil, nil, &requestError{400, "x-operation-key: missing or unusable"}
 	}
-	until := came.Add(millis(deadline))
+	until := came.Add(milliseconds(deadline))
 	c := &router.Call{Function: fn, Class: class, ConcurrencyPerInstance: 1, RemainingDeadline: time.Until(until)}
 	if text, ok := m.Get("x-estimate-ms"); ok {
-		work, ok := figure(text, maxMS)
+		work, ok := parseNumber(text, maxMilliseconds)
 		if !ok {
-			return nil, nil, &turned{400, "x-estimate-ms: not a usable figure"}
+			return nil, nil, &requestError{400, "x-estimate-ms: not a usable figure"}
 		}
-		c.ExpectedWork = millis(work)
+		c.ExpectedWork = milliseconds(work)
 	}
 	if text, ok := m.Get("x-attrs"); ok {
-		if err := attrs(c, text); err != nil {
+		if err := parseAttributes(c, text); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -84,25 +84,25 @@
 }
 
 // attrs reads the further figures of a request.
-func attrs(c *router.Call, text string) error {
+func parseAttributes(c *router.Call, text string) error {
 	seen := 0
 	for text != "" {
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
 		name, value, ok := strings.Cut(pair, ":")
 		if seen++; !ok || seen > 16 {
-			return &turned{400, "x-attrs: not name:value;name:value"}
+			return &requestError{400, "x-attrs: not name:value;name:value"}
 		}
-		most := float64(maxMS)
+		most := float64(maxMilliseconds)
 		switch name {
 		case "memory_mb":
-			most = maxMemory
+			most = maxMemoryMB
 		case "lanes":
-			most = maxLanes
+			most = maxConcurrencyPerInstance
 		}
-		v, ok := figure(value, most)
+		v, ok := parseNumber(value, most)
 		if !ok {
-			return &turned{400, "x-attrs: a figure that is not usable"}
+			return &requestError{400, "x-attrs: a figure that is not usable"}
 		}
 		switch name {
 		case "memory_mb":
@@ -110,14 +110,14 @@
 		case "lanes":
 			c.ConcurrencyPerInstance = int(max(v, 1))
 		case "load_ms":
-			c.LoadTime = millis(v)
+			c.LoadTime = milliseconds(v)
 		}
 	}
 	return nil
 }
 
 // figure reads a decimal number from 0 to most: digits, and a fraction where there is one.
-func figure(s string, most float64) (float64, bool) {
+func parseNumber(s string, most float64) (float64, bool) {
 	if len(s) > 20 || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
 	}
@@ -125,4 +125,4 @@
 	return v, err == nil && v >= 0 && v <= most && !math.IsNaN(v)
 }
 
-func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/server/httpserver/front.go
+++ b/internal/server/httpserver/front.go
@@ -26,28 +26,28 @@
 type Config struct {
 	Address  string
 	Classes  map[string]dispatch.Idempotency
-	MaxConns int           // clients connected at once
+	MaxConnections int           // clients connected at once
 	Limits   http1.Limits  // of a request
-	First    time.Duration // a connection's first request must be whole by then, and any other as long after it began
-	Idle     time.Duration // a connection without a request is closed after this
-	Write    time.Duration // a client must take its answer within this
-	Buffer   int           // bytes that the system holds of what a client sends ahead
-	Log      *slog.Logger
+	RequestTimeout    time.Duration // a connection's first request must be whole by then, and any other as long after it began
+	IdleTimeout     time.Duration // a connection without a request is closed after this
+	WriteTimeout    time.Duration // a client must take its answer within this
+	ReceiveBufferBytes   int           // bytes that the system holds of what a client sends ahead
+	Logger      *slog.Logger
 }
 
 // Front serves one listener.
-type Front struct {
+type Server struct {
 	cfg    Config
 	router *router.Router
-	ln     *listen.Listener
-	loop   netpoll.EventLoop
+	listener     *listen.Listener
+	eventLoop   netpoll.EventLoop
 	stop   chan struct{}
 	wg     sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	ids   map[string]struct{} // of the calls in hand
-	done  bool
+	openIDs   map[string]struct{} // of the calls in hand
+	closed  bool
 	stats Stats
 
 	sweeps atomic.Uint64 // so far
@@ -55,71 +55,71 @@
 
 // Stats counts what the front has turned down.
 type Stats struct {
-	Conns, Open            int
-	Accepted, Bad, Evicted uint64
+	Connections, OpenRequests            int
+	Accepted, BadRequests, Evicted uint64
 }
 
-type connKey struct{}
+type connContextKey struct{}
 
 // Listen opens the listener and serves it until Close.
-func Listen(cfg Config, r *router.Router) (*Front, error) {
-	if cfg.Log == nil {
-		cfg.Log = slog.New(slog.DiscardHandler)
+func Listen(cfg Config, r *router.Router) (*Server, error) {
+	if cfg.Logger == nil {
+		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	f := &Front{cfg: cfg, router: r, conns: map[*conn]struct{}{}, ids: map[string]struct{}{}, stop: make(chan struct{})}
+	f := &Server{cfg: cfg, router: r, conns: map[*conn]struct{}{}, openIDs: map[string]struct{}{}, stop: make(chan struct{})}
 	var err error
-	if f.ln, err = listen.On("tcp", cfg.Address); err != nil {
+	if f.listener, err = listen.Open("tcp", cfg.Address); err != nil {
 		return nil, err
 	}
-	if cfg.Buffer > 0 { // what is accepted inherits it
-		_ = syscall.SetsockoptInt(f.ln.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, cfg.Buffer)
+	if cfg.ReceiveBufferBytes > 0 { // what is accepted inherits it
+		_ = syscall.SetsockoptInt(f.listener.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, cfg.ReceiveBufferBytes)
 	}
-	f.loop, err = netpoll.NewEventLoop(
+	f.eventLoop, err = netpoll.NewEventLoop(
 		func(ctx context.Context, _ netpoll.Connection) error {
-			c, _ := ctx.Value(connKey{}).(*conn)
-			c.read()
+			c, _ := ctx.Value(connContextKey{}).(*conn)
+			c.onReadable()
 			return nil
 		},
 		netpoll.WithOnPrepare(func(nc netpoll.Connection) context.Context {
-			return context.WithValue(context.Background(), connKey{}, f.accept(nc))
+			return context.WithValue(context.Background(), connContextKey{}, f.accept(nc))
 		}),
 		netpoll.WithOnConnect(func(ctx context.Context, nc netpoll.Connection) context.Context {
-			c, _ := ctx.Value(connKey{}).(*conn)
-			_ = nc.AddCloseCallback(func(netpoll.Connection) error { c.closed(); return nil })
+			c, _ := ctx.Value(connContextKey{}).(*conn)
+			_ = nc.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
 			if !nc.IsActive() { // it was closed before the callback stood
-				c.closed()
+				c.onClosed()
 			}
 			return ctx
 		}))
 	if err != nil {
-		_ = f.ln.Close()
+		_ = f.listener.Close()
 		return nil, err
 	}
-	f.ln.Serve(f.loop)
+	f.listener.Serve(f.eventLoop)
 	f.wg.Go(f.sweep)
 	return f, nil
 }
 
 // Addr is the address that the front listens on.
-func (f *Front) Addr() string { return f.ln.Addr().String() }
+func (f *Server) Addr() string { return f.listener.Addr().String() }
 
 // Stats tells what the front has done.
-func (f *Front) Stats() Stats {
+func (f *Server) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.stats
-	s.Conns, s.Open = len(f.conns), len(f.ids)
+	s.Connections, s.OpenRequests = len(f.conns), len(f.openIDs)
 	return s
 }
 
 // Close ends the listener and all connections.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock()
-	if f.done {
+	if f.closed {
 		f.mu.Unlock()
 		return
 	}
-	f.done = true
+	f.closed = true
 	list := make([]*conn, 0, len(f.conns))
 	for c := range f.conns {
 		list = append(list, c)
@@ -128,23 +128,23 @@
 	close(f.stop)
 	f.wg.Wait()
 	for _, c := range list {
-		_ = c.nc.Close()
+		_ = c.netConn.Close()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = f.loop.Shutdown(ctx)
-	_ = f.ln.Close()
+	_ = f.eventLoop.Shutdown(ctx)
+	_ = f.listener.Close()
 }
 
 // Settle waits until nothing is owed to any client: no request in hand, come and not read, or waiting behind a
 // connection that was not accepted yet, and the last answer's bytes taken by the system. It reports whether that came
 // within limit. The router must have stopped: what still comes is turned away.
-func (f *Front) Settle(limit time.Duration) bool {
+func (f *Server) WaitForDrain(limit time.Duration) bool {
 	for end := time.Now().Add(limit); ; time.Sleep(5 * time.Millisecond) {
 		f.mu.Lock()
-		owed := readable(f.ln.Fd())
+		owed := readable(f.listener.Fd())
 		for c := range f.conns {
-			owed = owed || c.owed()
+			owed = owed || c.hasPendingWork()
 		}
 		f.mu.Unlock()
 		if !owed || time.Now().After(end) {
@@ -156,16 +156,16 @@
 // accept takes a connection. Above the bound the least useful one yields: one that has never sent anything, the
 // oldest first, then the one idle longest. Where all have a request in hand, or one that has come in part or is not
 // read yet, the new one is closed.
-func (f *Front) accept(nc netpoll.Connection) *conn {
-	_ = nc.SetWriteTimeout(f.cfg.Write)
-	c := &conn{f: f, nc: nc, since: time.Now(), in: http1.NewReader(f.cfg.Limits)}
+func (f *Server) accept(nc netpoll.Connection) *conn {
+	_ = nc.SetWriteTimeout(f.cfg.WriteTimeout)
+	c := &conn{server: f, netConn: nc, lastActivity: time.Now(), reader: http1.NewReader(f.cfg.Limits)}
 	f.mu.Lock()
 	f.stats.Accepted++
 	var yields *conn
-	if len(f.conns) >= f.cfg.MaxConns {
+	if len(f.conns) >= f.cfg.MaxConnections {
 		yields = c
 		for o := range f.conns {
-			if (yields == c || o.yields(yields)) && !o.over && !o.begun && !o.owed() {
+			if (yields == c || o.evictedBefore(yields)) && !o.closed && !o.requestStarted && !o.hasPendingWork() {
 				yields = o
 			}
 		}
@@ -175,18 +175,18 @@
 		f.conns[c] = struct{}{}
 	}
 	if yields != nil {
-		yields.over = true
+		yields.closed = true
 		delete(f.conns, yields)
 	}
 	f.mu.Unlock()
 	if yields != nil {
-		_ = yields.nc.Close()
+		_ = yields.netConn.Close()
 	}
 	return c
 }
 
 // sweep ends connections that are late with a request or have been idle for long.
-func (f *Front) sweep() {
+func (f *Server) sweep() {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -199,22 +199,22 @@
 		var late, idle []*conn
 		f.mu.Lock()
 		for c := range f.conns {
-			switch wait := now.Sub(c.since); {
-			case c.over:
-			case (!c.served || c.begun) && wait > f.cfg.First:
-				if !c.owed() {
+			switch wait := now.Sub(c.lastActivity); {
+			case c.closed:
+			case (!c.responded || c.requestStarted) && wait > f.cfg.RequestTimeout:
+				if !c.hasPendingWork() {
 					late = append(late, c)
 				}
-			case wait > f.cfg.Idle:
+			case wait > f.cfg.IdleTimeout:
 				idle = append(idle, c)
 			}
 		}
 		f.mu.Unlock()
 		for _, c := range late {
-			c.turnDown(408, "no whole request in time")
+			c.rejectConnection(408, "no whole request in time")
 		}
 		for _, c := range idle {
-			c.end()
+			c.closeIfIdle()
 		}
 		f.sweeps.Add(1)
 	}
@@ -223,47 +223,47 @@
 // conn is one client's connection: the reader of its requests and the client of its call. What it holds is
 // guarded by the front's lock, but for the reader, which has one of its own.
 type conn struct {
-	f  *Front
-	nc netpoll.Connection
-
-	mu sync.Mutex // held over a look at what has come, before the front's lock
-	in *http1.Reader
-
-	since  time.Time // when it was accepted, its request began, or its last answer was given
-	served bool      // it has had an answer
-	begun  bool      // a request has begun and is not whole
-	reads  bool      // what has come is being read
-	busy   bool      // a request is in hand
-	last   bool      // the connection ends after the answer
-	over   bool
-	id     string
-	drop   func()
-	taken  uint64 // requests so far
+	server  *Server
+	netConn netpoll.Connection
+
+	parseMu sync.Mutex // held over a look at what has come, before the front's lock
+	reader *http1.Reader
+
+	lastActivity  time.Time // when it was accepted, its request began, or its last answer was given
+	responded bool      // it has had an answer
+	requestStarted  bool      // a request has begun and is not whole
+	reading  bool      // what has come is being read
+	requestInFlight   bool      // a request is in hand
+	closeAfterResponse   bool      // the connection ends after the answer
+	closed   bool
+	requestID     string
+	cancel   func()
+	requests  uint64 // requests so far
 }
 
 // yields tells whether c is to be closed rather than o.
-func (c *conn) yields(o *conn) bool {
-	if c.served != o.served {
-		return !c.served
+func (c *conn) evictedBefore(o *conn) bool {
+	if c.responded != o.responded {
+		return !c.responded
 	}
-	return c.since.Before(o.since)
+	return c.lastActivity.Before(o.lastActivity)
 }
 
 // owed tells whether a request is in hand, or may have come and was not looked at: then the connection is not closed.
 // The front's lock is held, without which nothing that has come is read.
-func (c *conn) owed() bool {
-	return c.busy || c.reads || readable(fdOf(c.nc)) || c.nc.Reader().Len() > 0
+func (c *conn) hasPendingWork() bool {
+	return c.requestInFlight || c.reading || readable(descriptor(c.netConn)) || c.netConn.Reader().Len() > 0
 }
 
 // gone tells whether the client has left, by the socket too: what it tells may not have been read yet.
-func (c *conn) gone() bool {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	return c.over || !c.nc.IsActive() || polled(fdOf(c.nc), unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+func (c *conn) disconnected() bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return c.closed || !c.netConn.IsActive() || poll(descriptor(c.netConn), unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // fdOf is a connection's descriptor, or -1.
-func fdOf(nc netpoll.Connection) int {
+func descriptor(nc netpoll.Connection) int {
 	if fd, ok := nc.(netpoll.Conn); ok && nc.IsActive() {
 		return fd.Fd()
 	}
@@ -271,10 +271,10 @@
 }
 
 // readable tells whether something waits to be read on a descriptor, the end included.
-func readable(fd int) bool { return polled(fd, unix.POLLIN)&unix.POLLIN != 0 }
+func readable(fd int) bool { return poll(fd, unix.POLLIN)&unix.POLLIN != 0 }
 
 // polled looks at a descriptor without waiting. The system passes over one below 0.
-func polled(fd int, events int16) int16 {
+func poll(fd int, events int16) int16 {
 	set := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	if n, err := unix.Poll(set, 0); err != nil || n == 0 {
 		return 0
@@ -283,84 +283,84 @@
 }
 
 // closed takes the end of the connection: the client of a call in hand has left.
-func (c *conn) closed() {
-	c.f.mu.Lock()
-	c.over = true
-	delete(c.f.conns, c)
-	drop, id := c.drop, c.id
-	c.drop = nil
-	c.f.mu.Unlock()
+func (c *conn) onClosed() {
+	c.server.mu.Lock()
+	c.closed = true
+	delete(c.server.conns, c)
+	drop, id := c.cancel, c.requestID
+	c.cancel = nil
+	c.server.mu.Unlock()
 	if drop != nil {
 		drop()
-		c.forget(id)
+		c.releaseID(id)
 	}
 }
 
 // forget lets a call's id be used again.
-func (c *conn) forget(id string) {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	if c.id == id {
-		delete(c.f.ids, id)
-		c.id = ""
+func (c *conn) releaseID(id string) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.requestID == id {
+		delete(c.server.openIDs, id)
+		c.requestID = ""
 	}
 }
 
 // end closes the connection, unless a request has come meanwhile.
-func (c *conn) end() {
-	c.f.mu.Lock()
-	if c.over || c.begun || c.owed() {
-		c.f.mu.Unlock()
+func (c *conn) closeIfIdle() {
+	c.server.mu.Lock()
+	if c.closed || c.requestStarted || c.hasPendingWork() {
+		c.server.mu.Unlock()
 		return
 	}
-	c.over = true
-	c.f.mu.Unlock()
-	_ = c.nc.Close()
+	c.closed = true
+	c.server.mu.Unlock()
+	_ = c.netConn.Close()
 }
 
 // read takes what has come. netpoll runs it on one goroutine at a time.
-func (c *conn) read() {
+func (c *conn) onReadable() {
 	defer func() {
 		if p := recover(); p != nil {
-			c.f.cfg.Log.Error("client connection: panic", "panic", p)
-			_ = c.nc.Close()
+			c.server.cfg.Logger.Error("client connection: panic", "panic", p)
+			_ = c.netConn.Close()
 		}
 	}()
 	defer func() {
-		c.f.mu.Lock()
-		c.reads = false
-		c.f.mu.Unlock()
+		c.server.mu.Lock()
+		c.reading = false
+		c.server.mu.Unlock()
 	}()
-	r := c.nc.Reader()
-	came := arrival(c.nc)
+	r := c.netConn.Reader()
+	came := arrivalTime(c.netConn)
 	for n := r.Len(); n > 0; n = r.Len() {
-		c.f.mu.Lock()
-		over := c.over
-		c.reads = true
-		c.f.mu.Unlock()
+		c.server.mu.Lock()
+		over := c.closed
+		c.reading = true
+		c.server.mu.Unlock()
 		if over {
 			_ = r.Skip(n)
 			_ = r.Release()
-			_ = c.nc.Close()
+			_ = c.netConn.Close()
 			return
 		}
-		c.mu.Lock()
-		p, err := r.Next(min(n, max(c.in.Room(), 1)))
+		c.parseMu.Lock()
+		p, err := r.Next(min(n, max(c.reader.Available(), 1)))
 		if err == nil {
-			err = c.in.Add(p)
+			err = c.reader.Add(p)
 		}
-		c.mu.Unlock()
+		c.parseMu.Unlock()
 		_ = r.Release()
 		if err != nil { // too much behind a request in hand: there is no place for another answer
-			_ = c.nc.Close()
+			_ = c.netConn.Close()
 			return
 		}
-		c.next(came)
+		c.serveNext(came)
 	}
 }
 
 // arrival is when the last bytes came: they may have waited for this process, in the backlog too.
-func arrival(nc netpoll.Connection) time.Time {
+func arrivalTime(nc netpoll.Connection) time.Time {
 	now := time.Now()
 	if fd, ok := nc.(netpoll.Conn); ok {
 		if info, err := unix.GetsockoptTCPInfo(fd.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -373,112 +373,112 @@
 }
 
 // next takes the next request where none is in hand.
-func (c *conn) next(came time.Time) {
-	m, err := c.look(came)
+func (c *conn) serveNext(came time.Time) {
+	m, err := c.nextRequest(came)
 	switch {
 	case err != nil:
 		status := 400
 		if e, ok := err.(*http1.Error); ok {
 			status = e.Status
 		}
-		c.turnDown(status, err.Error())
+		c.rejectConnection(status, err.Error())
 	case m != nil:
-		c.request(m, came)
+		c.serveRequest(m, came)
 	}
 }
 
 // look returns the next request if one is whole and none is in hand; it is in hand then. What comes while another
 // goroutine looks is seen by one of the two.
-func (c *conn) look(came time.Time) (*http1.Message, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.f.mu.Lock()
-	idle := !c.busy && !c.over
-	c.f.mu.Unlock()
+func (c *conn) nextRequest(came time.Time) (*http1.Message, error) {
+	c.parseMu.Lock()
+	defer c.parseMu.Unlock()
+	c.server.mu.Lock()
+	idle := !c.requestInFlight && !c.closed
+	c.server.mu.Unlock()
 	if !idle {
 		return nil, nil
 	}
-	m, err := c.in.Next()
-	part := c.in.Partial()
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
+	m, err := c.reader.Next()
+	part := c.reader.Partial()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	if m != nil {
-		c.begun, c.busy, c.last = false, true, m.Close
-		c.taken++
+		c.requestStarted, c.requestInFlight, c.closeAfterResponse = false, true, m.Close
+		c.requests++
 		return m, nil
 	}
-	if part && !c.begun && c.served {
-		c.since = came
+	if part && !c.requestStarted && c.responded {
+		c.lastActivity = came
 	}
-	c.begun = part
+	c.requestStarted = part
 	return nil, err
 }
 
 // request acts on one whole request.
-func (c *conn) request(m *http1.Message, came time.Time) {
+func (c *conn) serveRequest(m *http1.Message, came time.Time) {
 	if m.Method == "GET" && m.Target == "/ping" {
-		c.answer(200, nil, nil)
+		c.respond(200, nil, nil)
 		return
 	}
-	call, req, err := c.f.call(m, came)
+	call, req, err := c.server.parseCall(m, came)
 	if err != nil {
-		c.refuse(err)
+		c.rejectRequest(err)
 		return
 	}
-	call.Client, call.ClientLeft = c, c.gone
-	c.f.mu.Lock()
-	if _, open := c.f.ids[req.ID]; open {
-		c.f.mu.Unlock()
-		c.refuse(&turned{409, "a request of this id is open"})
+	call.Client, call.ClientLeft = c, c.disconnected
+	c.server.mu.Lock()
+	if _, open := c.server.openIDs[req.ID]; open {
+		c.server.mu.Unlock()
+		c.rejectRequest(&requestError{409, "a request of this id is open"})
 		return
 	}
-	c.f.ids[req.ID] = struct{}{}
-	c.id = req.ID
-	turn := c.taken
-	c.f.mu.Unlock()
-	drop, ok := c.f.router.Submit(call)
+	c.server.openIDs[req.ID] = struct{}{}
+	c.requestID = req.ID
+	turn := c.requests
+	c.server.mu.Unlock()
+	drop, ok := c.server.router.Submit(call)
 	if !ok {
-		c.finish(503, nil, nil)
+		c.completeRequest(503, nil, nil)
 		return
 	}
-	c.f.mu.Lock()
-	gone := c.over
-	if !gone && c.taken == turn && c.id == req.ID {
-		c.drop = drop
+	c.server.mu.Lock()
+	gone := c.closed
+	if !gone && c.requests == turn && c.requestID == req.ID {
+		c.cancel = drop
 	}
-	c.f.mu.Unlock()
+	c.server.mu.Unlock()
 	if gone { // the client left meanwhile; a call that has ended is not dropped by it
 		drop()
-		c.forget(req.ID)
+		c.releaseID(req.ID)
 	}
 }
 
 // refuse answers what can't be a call, and ends the connection: no usual client sends such.
-func (c *conn) refuse(err error) {
+func (c *conn) rejectRequest(err error) {
 	status := 400
-	if t, ok := err.(*turned); ok {
+	if t, ok := err.(*requestError); ok {
 		status = t.status
 	}
-	c.f.mu.Lock()
-	c.f.stats.Bad++
-	c.last = true
-	c.f.mu.Unlock()
-	c.f.cfg.Log.Debug("request turned down", "client", c.nc.RemoteAddr(), "reason", err)
-	c.answer(status, nil, []byte(err.Error()+"\n"))
+	c.server.mu.Lock()
+	c.server.stats.BadRequests++
+	c.closeAfterResponse = true
+	c.server.mu.Unlock()
+	c.server.cfg.Logger.Debug("request turned down", "client", c.netConn.RemoteAddr(), "reason", err)
+	c.respond(status, nil, []byte(err.Error()+"\n"))
 }
 
 // turnDown answers where no request could be read, and closes.
-func (c *conn) turnDown(status int, reason string) {
-	c.f.mu.Lock()
-	if c.over || c.busy {
-		c.f.mu.Unlock()
+func (c *conn) rejectConnection(status int, reason string) {
+	c.server.mu.Lock()
+	if c.closed || c.requestInFlight {
+		c.server.mu.Unlock()
 		return
 	}
-	c.busy, c.last = true, true
-	c.f.stats.Bad++
-	c.f.mu.Unlock()
-	c.f.cfg.Log.Debug("client connection turned down", "client", c.nc.RemoteAddr(), "reason", reason)
-	c.answer(status, nil, []byte(reason+"\n"))
+	c.requestInFlight, c.closeAfterResponse = true, true
+	c.server.stats.BadRequests++
+	c.server.mu.Unlock()
+	c.server.cfg.Logger.Debug("client connection turned down", "client", c.netConn.RemoteAddr(), "reason", reason)
+	c.respond(status, nil, []byte(reason+"\n"))
 }
 
 // Start implements router.Client.
@@ -492,57 +492,57 @@
 	switch f.Kind {
 	case router.FinalAnswered:
 		if f.Attempt != nil && f.Attempt.Result == dispatch.OK {
-			c.finish(200, nil, f.Attempt.Body)
+			c.completeRequest(200, nil, f.Attempt.Body)
 			return
 		}
-		c.finish(502, nil, nil)
+		c.completeRequest(502, nil, nil)
 	case router.FinalRejected:
 		var fields []http1.Field
 		if ms := f.RetryAfter.Milliseconds(); ms > 0 {
 			fields = []http1.Field{{Name: "X-Pushback-Ms", Value: strconv.FormatInt(ms, 10)}}
 		}
-		c.finish(503, fields, nil)
+		c.completeRequest(503, fields, nil)
 	default:
 		status := 502
 		if f.DeadlineExceeded {
 			status = 504
 		}
-		c.finish(status, nil, nil)
+		c.completeRequest(status, nil, nil)
 	}
 }
 
 // finish answers the call in hand.
-func (c *conn) finish(status int, fields []http1.Field, body []byte) {
-	c.f.mu.Lock()
-	id := c.id
-	c.drop = nil
-	c.f.mu.Unlock()
-	c.forget(id)
-	c.answer(status, fields, body)
+func (c *conn) completeRequest(status int, fields []http1.Field, body []byte) {
+	c.server.mu.Lock()
+	id := c.requestID
+	c.cancel = nil
+	c.server.mu.Unlock()
+	c.releaseID(id)
+	c.respond(status, fields, body)
 }
 
 // answer writes a response; the next request is looked at when the client has taken it. It does not block: a
 // client that doesn't read holds up nothing but its own connection, and that not for long.
-func (c *conn) answer(status int, fields []http1.Field, body []byte) {
-	c.f.mu.Lock()
-	last, over := c.last, c.over
-	c.f.mu.Unlock()
+func (c *conn) respond(status int, fields []http1.Field, body []byte) {
+	c.server.mu.Lock()
+	last, over := c.closeAfterResponse, c.closed
+	c.server.mu.Unlock()
 	if over {
 		return
 	}
 	go func() {
-		_, err := c.nc.Write(http1.AppendResponse(make([]byte, 0, 256+len(body)), status, fields, body, last))
-		c.f.mu.Lock()
-		c.busy, c.served, c.since = false, true, time.Now()
+		_, err := c.netConn.Write(http1.AppendResponse(make([]byte, 0, 256+len(body)), status, fields, body, last))
+		c.server.mu.Lock()
+		c.requestInFlight, c.responded, c.lastActivity = false, true, time.Now()
 		if err != nil || last {
-			c.over = true
+			c.closed = true
 		}
-		over := c.over
-		c.f.mu.Unlock()
+		over := c.closed
+		c.server.mu.Unlock()
 		if over {
-			_ = c.nc.Close()
+			_ = c.netConn.Close()
 			return
 		}
-		c.next(time.Now()) // what came behind the request, if anything
+		c.serveNext(time.Now()) // what came behind the request, if anything
 	}()
 }
--- a/internal/server/httpserver/front_test.go
+++ b/internal/server/httpserver/front_test.go
@@ -24,9 +24,9 @@
 )
 
 // decider does with each request what its function says: a... is served, b... refused, c... failed, d... held.
-type decider struct{}
+type scriptedDispatcher struct{}
 
-func (decider) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
+func (scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
 	for _, e := range events {
 		if e, ok := e.(dispatch.Request); ok {
 			switch e.Function[:1] {
@@ -43,45 +43,45 @@
 }
 
 // echo is an upstream that answers each attempt with its body.
-type echo struct {
-	r    *router.Router
-	hold func(*router.Call) // nil, or called before each answer
+type echoUpstream struct {
+	router    *router.Router
+	beforeAnswer func(*router.Call) // nil, or called before each answer
 	mu   sync.Mutex
-	seen []*invocation.Request
+	requests []*invocation.Request
 }
 
-type none struct{}
+type endedAttempt struct{}
 
-func (none) ForwardTo(router.Client) {}
-func (none) Cancel()                 {}
+func (endedAttempt) ForwardTo(router.Client) {}
+func (endedAttempt) Cancel()                 {}
 
-func (u *echo) StartAttempt(token router.AttemptToken, c *router.Call, _ string, _ int, _ time.Duration) router.UpstreamAttempt {
+func (u *echoUpstream) StartAttempt(token router.AttemptToken, c *router.Call, _ string, _ int, _ time.Duration) router.UpstreamAttempt {
 	req, _ := c.Request.(*invocation.Request)
 	u.mu.Lock()
-	u.seen = append(u.seen, req)
-	hold := u.hold
+	u.requests = append(u.requests, req)
+	hold := u.beforeAnswer
 	u.mu.Unlock()
 	if hold != nil {
 		hold(c)
 	}
-	u.r.AttemptEnded(token, router.AttemptResult{Result: dispatch.OK, Body: append([]byte("done "), req.Body...), Report: router.NoWorkerReport})
-	return none{}
+	u.router.AttemptEnded(token, router.AttemptResult{Result: dispatch.OK, Body: append([]byte("done "), req.Body...), Report: router.NoWorkerReport})
+	return endedAttempt{}
 }
-func (u *echo) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
-func (u *echo) CheckHealth(string, time.Duration, func(router.HealthResult))             {}
-func (u *echo) SetEndpoints([]endpoints.Worker)                                          {}
+func (u *echoUpstream) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
+func (u *echoUpstream) CheckHealth(string, time.Duration, func(router.HealthResult))             {}
+func (u *echoUpstream) SetEndpoints([]endpoints.Worker)                                          {}
 
-func serve(t *testing.T, change func(*Config)) (*Front, *echo) {
+func startServer(t *testing.T, change func(*Config)) (*Server, *echoUpstream) {
 	t.Helper()
-	u := &echo{}
-	r, err := router.New(router.Config{NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return decider{}, nil }}, u)
+	u := &echoUpstream{}
+	r, err := router.New(router.Config{NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return scriptedDispatcher{}, nil }}, u)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.r = r
-	cfg := Config{Address: "127.0.0.1:0", Classes: map[string]dispatch.Idempotency{"safe": dispatch.Idempotent, "keyed": dispatch.IdempotentByKey}, MaxConns: 64,
-		Limits: http1.Limits{Head: 4 << 10, Fields: 32, Body: 16 << 10, Pending: 4 << 10}, First: 20 * time.Second,
-		Idle: 20 * time.Second, Write: 20 * time.Second, Buffer: 32 << 10}
+	u.router = r
+	cfg := Config{Address: "127.0.0.1:0", Classes: map[string]dispatch.Idempotency{"safe": dispatch.Idempotent, "keyed": dispatch.IdempotentByKey}, MaxConnections: 64,
+		Limits: http1.Limits{Head: 4 << 10, Fields: 32, Body: 16 << 10, Pending: 4 << 10}, RequestTimeout: 20 * time.Second,
+		IdleTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second, ReceiveBufferBytes: 32 << 10}
 	if change != nil {
 		change(&cfg)
 	}
@@ -94,24 +94,24 @@
 }
 
 const (
-	served  = "aaaaaaaaaaaaaaaa"
-	refused = "bbbbbbbbbbbbbbbb"
-	failed  = "cccccccccccccccc"
-	held    = "dddddddddddddddd"
+	servedFunction  = "aaaaaaaaaaaaaaaa"
+	rejectedFunction = "bbbbbbbbbbbbbbbb"
+	failedFunction  = "cccccccccccccccc"
+	pendingFunction    = "dddddddddddddddd"
 )
 
-var idMu sync.Mutex
+var lastIDMu sync.Mutex
 var lastID int
 
 func newID() string {
-	idMu.Lock()
-	defer idMu.Unlock()
+	lastIDMu.Lock()
+	defer lastIDMu.Unlock()
 	lastID++
 	return fmt.Sprintf("%016x", lastID)
 }
 
 // request is a usual one, with fields set or, by "-name", left out.
-func request(fn, body string, fields ...string) string {
+func newRequest(fn, body string, fields ...string) string {
 	h := map[string]string{"Host": "a", "X-Class": "safe", "X-Correlation-Id": newID(), "X-Deadline-Ms": "15000",
 		"Content-Length": fmt.Sprint(len(body))}
 	extra := ""
@@ -136,13 +136,13 @@
 }
 
 // link is one client connection, read by the standard library.
-type link struct {
+type client struct {
 	t  *testing.T
-	nc net.Conn
-	in *bufio.Reader
+	netConn net.Conn
+	reader *bufio.Reader
 }
 
-func dial(t *testing.T, f *Front) *link {
+func dial(t *testing.T, f *Server) *client {
 	t.Helper()
 	nc, err := net.Dial("tcp", f.Addr())
 	if err != nil {
@@ -150,15 +150,15 @@
 	}
 	t.Cleanup(func() { _ = nc.Close() })
 	_ = nc.SetDeadline(time.Now().Add(20 * time.Second))
-	return &link{t, nc, bufio.NewReader(nc)}
+	return &client{t, nc, bufio.NewReader(nc)}
 }
 
-func (l *link) write(s string) { _, _ = io.WriteString(l.nc, s) }
+func (l *client) send(s string) { _, _ = io.WriteString(l.netConn, s) }
 
 // answer reads one answer; status 0 tells of a close without one.
-func (l *link) answer() (status int, body string, header http.Header, last bool) {
+func (l *client) readResponse() (status int, body string, header http.Header, last bool) {
 	l.t.Helper()
-	resp, err := http.ReadResponse(l.in, nil)
+	resp, err := http.ReadResponse(l.reader, nil)
 	if err != nil {
 		var ne net.Error
 		if errors.As(err, &ne) && ne.Timeout() {
@@ -174,9 +174,9 @@
 }
 
 // ended waits for the end of the connection.
-func (l *link) ended() {
+func (l *client) waitUntilClosed() {
 	l.t.Helper()
-	if _, err := io.Copy(io.Discard, l.in); err != nil {
+	if _, err := io.Copy(io.Discard, l.reader); err != nil {
 		var ne net.Error
 		if errors.As(err, &ne) && ne.Timeout() {
 			l.t.Error("the connection stays open")
@@ -184,248 +184,248 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
-	f, u := serve(t, nil)
+func TestResponses(t *testing.T) {
+	f, u := startServer(t, nil)
 	l := dial(t, f)
-	l.write("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n")
-	if status, _, _, _ := l.answer(); status != 200 {
+	l.send("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n")
+	if status, _, _, _ := l.readResponse(); status != 200 {
 		t.Errorf("ping: %d", status)
 	}
-	l.write(request(served, "x\x00\r\ny", "X-Attrs: memory_mb:512;lanes:2;load_ms:640", "X-Estimate-Ms: 8.2"))
-	if status, body, _, last := l.answer(); status != 200 || body != "done x\x00\r\ny" || last {
+	l.send(newRequest(servedFunction, "x\x00\r\ny", "X-Attrs: memory_mb:512;lanes:2;load_ms:640", "X-Estimate-Ms: 8.2"))
+	if status, body, _, last := l.readResponse(); status != 200 || body != "done x\x00\r\ny" || last {
 		t.Errorf("served: %d %q, closes %v", status, body, last)
 	}
-	l.write(request(refused, ""))
-	if status, _, h, last := l.answer(); status != 503 || h.Get("X-Pushback-Ms") != "70" || last {
+	l.send(newRequest(rejectedFunction, ""))
+	if status, _, h, last := l.readResponse(); status != 503 || h.Get("X-Pushback-Ms") != "70" || last {
 		t.Errorf("refused: %d, pushback %q, closes %v", status, h.Get("X-Pushback-Ms"), last)
 	}
-	l.write(request(failed, ""))
-	if status, _, h, _ := l.answer(); status != 502 || h.Get("X-Pushback-Ms") != "" {
+	l.send(newRequest(failedFunction, ""))
+	if status, _, h, _ := l.readResponse(); status != 502 || h.Get("X-Pushback-Ms") != "" {
 		t.Errorf("failed: %d, %v", status, h)
 	}
-	l.write(request(served, "z", "X-Class: keyed", "X-Operation-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211"))
-	if status, _, _, _ := l.answer(); status != 200 {
+	l.send(newRequest(servedFunction, "z", "X-Class: keyed", "X-Operation-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211"))
+	if status, _, _, _ := l.readResponse(); status != 200 {
 		t.Errorf("keyed: %d", status)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if last := u.seen[len(u.seen)-1]; last.Key != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" || last.Class != "keyed" || string(last.Body) != "z" {
+	if last := u.requests[len(u.requests)-1]; last.Key != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" || last.Class != "keyed" || string(last.Body) != "z" {
 		t.Errorf("passed on: %+v", last)
 	}
 }
 
 // TestNothingUnusablePasses: what can't be a call gets an error and a close, and no worker hears of it.
-func TestNothingUnusablePasses(t *testing.T) {
-	f, u := serve(t, nil)
+func TestInvalidRequestIsNotForwarded(t *testing.T) {
+	f, u := startServer(t, nil)
 	for name, c := range map[string]struct {
 		in     string
 		status int
 	}{
-		"unknown class":       {request(served, "", "X-Class: odd"), 400},
-		"no class":            {request(served, "", "-X-Class"), 400},
-		"no id":               {request(served, "", "-X-Correlation-Id"), 400},
-		"short id":            {request(served, "", "X-Correlation-Id: 12"), 400},
-		"id that is no hex":   {request(served, "", "X-Correlation-Id: zzzzzzzzzzzzzzzz"), 400},
-		"two ids":             {request(served, "", "+X-Correlation-Id: 0000000000000000"), 400},
-		"no deadline":         {request(served, "", "-X-Deadline-Ms"), 400},
-		"deadline 0":          {request(served, "", "X-Deadline-Ms: 0"), 400},
-		"negative deadline":   {request(served, "", "X-Deadline-Ms: -5"), 400},
-		"deadline NaN":        {request(served, "", "X-Deadline-Ms: NaN"), 400},
-		"deadline Inf":        {request(served, "", "X-Deadline-Ms: Inf"), 400},
-		"deadline 1e9":        {request(served, "", "X-Deadline-Ms: 1e9"), 400},
-		"deadline in years":   {request(served, "", "X-Deadline-Ms: 99999999999"), 400},
-		"two points":          {request(served, "", "X-Deadline-Ms: 1.2.3"), 400},
-		"odd estimate":        {request(served, "", "X-Estimate-Ms: lots"), 400},
-		"huge estimate":       {request(served, "", "X-Estimate-Ms: 99999999999"), 400},
-		"odd attrs":           {request(served, "", "X-Attrs: memory_mb=5"), 400},
-		"negative memory":     {request(served, "", "X-Attrs: memory_mb:-5"), 400},
-		"lanes beyond all":    {request(served, "", "X-Attrs: lanes:99999"), 400},
-		"attrs without end":   {request(served, "", "X-Attrs: "+strings.Repeat("a:1;", 40)), 400},
-		"keyed without key":   {request(served, "", "X-Class: keyed"), 400},
-		"key of two fields":   {request(served, "", "X-Class: keyed", "X-Operation-Key: a,item=b"), 400},
-		"short function":      {request("abc", ""), 404},
-		"function not hex":    {request("ABCDEFABCDEFABCD", ""), 404},
-		"another path":        {strings.Replace(request(served, ""), "/call HTTP", "/x HTTP", 1), 404},
-		"another method":      {strings.Replace(request(served, ""), "POST", "PUT", 1), 405},
-		"length and encoding": {request(served, "0\r\n\r\n", "Transfer-Encoding: chunked"), 400},
-		"60 MB":               {request(served, "", "Content-Length: 62914560"), 413},
-		"negative length":     {request(served, "", "Content-Length: -1"), 400},
+		"unknown class":       {newRequest(servedFunction, "", "X-Class: odd"), 400},
+		"no class":            {newRequest(servedFunction, "", "-X-Class"), 400},
+		"no id":               {newRequest(servedFunction, "", "-X-Correlation-Id"), 400},
+		"short id":            {newRequest(servedFunction, "", "X-Correlation-Id: 12"), 400},
+		"id that is no hex":   {newRequest(servedFunction, "", "X-Correlation-Id: zzzzzzzzzzzzzzzz"), 400},
+		"two ids":             {newRequest(servedFunction, "", "+X-Correlation-Id: 0000000000000000"), 400},
+		"no deadline":         {newRequest(servedFunction, "", "-X-Deadline-Ms"), 400},
+		"deadline 0":          {newRequest(servedFunction, "", "X-Deadline-Ms: 0"), 400},
+		"negative deadline":   {newRequest(servedFunction, "", "X-Deadline-Ms: -5"), 400},
+		"deadline NaN":        {newRequest(servedFunction, "", "X-Deadline-Ms: NaN"), 400},
+		"deadline Inf":        {newRequest(servedFunction, "", "X-Deadline-Ms: Inf"), 400},
+		"deadline 1e9":        {newRequest(servedFunction, "", "X-Deadline-Ms: 1e9"), 400},
+		"deadline in years":   {newRequest(servedFunction, "", "X-Deadline-Ms: 99999999999"), 400},
+		"two points":          {newRequest(servedFunction, "", "X-Deadline-Ms: 1.2.3"), 400},
+		"odd estimate":        {newRequest(servedFunction, "", "X-Estimate-Ms: lots"), 400},
+		"huge estimate":       {newRequest(servedFunction, "", "X-Estimate-Ms: 99999999999"), 400},
+		"odd attrs":           {newRequest(servedFunction, "", "X-Attrs: memory_mb=5"), 400},
+		"negative memory":     {newRequest(servedFunction, "", "X-Attrs: memory_mb:-5"), 400},
+		"lanes beyond all":    {newRequest(servedFunction, "", "X-Attrs: lanes:99999"), 400},
+		"attrs without end":   {newRequest(servedFunction, "", "X-Attrs: "+strings.Repeat("a:1;", 40)), 400},
+		"keyed without key":   {newRequest(servedFunction, "", "X-Class: keyed"), 400},
+		"key of two fields":   {newRequest(servedFunction, "", "X-Class: keyed", "X-Operation-Key: a,item=b"), 400},
+		"short function":      {newRequest("abc", ""), 404},
+		"function not hex":    {newRequest("ABCDEFABCDEFABCD", ""), 404},
+		"another path":        {strings.Replace(newRequest(servedFunction, ""), "/call HTTP", "/x HTTP", 1), 404},
+		"another method":      {strings.Replace(newRequest(servedFunction, ""), "POST", "PUT", 1), 405},
+		"length and encoding": {newRequest(servedFunction, "0\r\n\r\n", "Transfer-Encoding: chunked"), 400},
+		"60 MB":               {newRequest(servedFunction, "", "Content-Length: 62914560"), 413},
+		"negative length":     {newRequest(servedFunction, "", "Content-Length: -1"), 400},
 		"noise":               {"\x16\x03\x01\x00\xff\r\n\r\n", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := dial(t, f)
-			l.write(c.in)
-			if status, _, _, last := l.answer(); status != c.status || !last {
+			l.send(c.in)
+			if status, _, _, last := l.readResponse(); status != c.status || !last {
 				t.Errorf("status %d, want %d; closes %v", status, c.status, last)
 			}
-			l.ended()
+			l.waitUntilClosed()
 		})
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.seen) > 0 {
-		t.Errorf("passed on: %+v", u.seen[0])
+	if len(u.requests) > 0 {
+		t.Errorf("passed on: %+v", u.requests[0])
 	}
 }
 
 // TestAnIdThatIsOpen is refused to others, whatever their body, and free again once it was answered or left.
-func TestAnIdThatIsOpen(t *testing.T) {
-	f, _ := serve(t, nil)
+func TestDuplicateIDIsRejectedWhileOpen(t *testing.T) {
+	f, _ := startServer(t, nil)
 	one, two := dial(t, f), dial(t, f)
 	id := "X-Correlation-Id: " + newID()
-	one.write(request(held, "one", id))
-	open(t, f, 1)
-	two.write(request(served, "two", id))
-	if status, _, _, _ := two.answer(); status != 409 {
+	one.send(newRequest(pendingFunction, "one", id))
+	waitForOpenRequests(t, f, 1)
+	two.send(newRequest(servedFunction, "two", id))
+	if status, _, _, _ := two.readResponse(); status != 409 {
 		t.Errorf("status %d", status)
 	}
-	_ = one.nc.Close()
-	open(t, f, 0)
+	_ = one.netConn.Close()
+	waitForOpenRequests(t, f, 0)
 	three := dial(t, f)
-	three.write(request(served, "three", id))
-	if status, body, _, _ := three.answer(); status != 200 || body != "done three" {
+	three.send(newRequest(servedFunction, "three", id))
+	if status, body, _, _ := three.readResponse(); status != 200 || body != "done three" {
 		t.Errorf("once it was left: %d %q", status, body)
 	}
 }
 
 // open waits until so many calls are in hand.
-func open(t *testing.T, f *Front, n int) {
+func waitForOpenRequests(t *testing.T, f *Server, n int) {
 	t.Helper()
 	for range 4000 {
-		if f.Stats().Open == n {
+		if f.Stats().OpenRequests == n {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%d calls in hand, want %d", f.Stats().Open, n)
+	t.Fatalf("%d calls in hand, want %d", f.Stats().OpenRequests, n)
 }
 
 // TestSilentAndSlowClientsAreClosed: a connection that says nothing, one that sends half a request, and one that
 // keeps its connection for good.
-func TestSilentAndSlowClientsAreClosed(t *testing.T) {
-	f, _ := serve(t, func(c *Config) { c.First, c.Idle = 50*time.Millisecond, 200*time.Millisecond })
+func TestSilentAndSlowClientsAreDisconnected(t *testing.T) {
+	f, _ := startServer(t, func(c *Config) { c.RequestTimeout, c.IdleTimeout = 50*time.Millisecond, 200*time.Millisecond })
 	silent, half, keeper, again := dial(t, f), dial(t, f), dial(t, f), dial(t, f)
-	half.write(request(served, "body")[:40])
-	keeper.write("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n")
-	again.write("GET /ping HTTP/1.1\r\nHost: a\r\n\r\nPOST /call")
-	for name, l := range map[string]*link{"silent": silent, "half": half} {
-		if status, _, _, _ := l.answer(); status != 408 && status != 0 {
+	half.send(newRequest(servedFunction, "body")[:40])
+	keeper.send("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n")
+	again.send("GET /ping HTTP/1.1\r\nHost: a\r\n\r\nPOST /call")
+	for name, l := range map[string]*client{"silent": silent, "half": half} {
+		if status, _, _, _ := l.readResponse(); status != 408 && status != 0 {
 			t.Errorf("%s: %d", name, status)
 		}
-		l.ended()
+		l.waitUntilClosed()
 	}
-	if status, _, _, _ := keeper.answer(); status != 200 {
+	if status, _, _, _ := keeper.readResponse(); status != 200 {
 		t.Errorf("keeper: %d", status)
 	}
-	keeper.ended()
-	if status, _, _, _ := again.answer(); status != 200 {
+	keeper.waitUntilClosed()
+	if status, _, _, _ := again.readResponse(); status != 200 {
 		t.Errorf("half behind a ping: %d", status)
 	}
-	again.ended()
+	again.waitUntilClosed()
 	for range 4000 {
-		if f.Stats().Conns == 0 {
+		if f.Stats().Connections == 0 {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Errorf("%d connections stay", f.Stats().Conns)
+	t.Errorf("%d connections stay", f.Stats().Connections)
 }
 
 // TestPipelined: requests sent at once are answered one after another, each once.
-func TestPipelined(t *testing.T) {
-	f, u := serve(t, nil)
+func TestPipelinedRequests(t *testing.T) {
+	f, u := startServer(t, nil)
 	l := dial(t, f)
 	var in strings.Builder
 	for i := range 10 {
-		in.WriteString(request(served, fmt.Sprint(i)))
+		in.WriteString(newRequest(servedFunction, fmt.Sprint(i)))
 	}
-	l.write(in.String())
+	l.send(in.String())
 	for i := range 10 {
-		if status, body, _, _ := l.answer(); status != 200 || body != fmt.Sprint("done ", i) {
+		if status, body, _, _ := l.readResponse(); status != 200 || body != fmt.Sprint("done ", i) {
 			t.Fatalf("answer %d: %d %q", i, status, body)
 		}
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.seen) != 10 {
-		t.Errorf("%d passed on", len(u.seen))
+	if len(u.requests) != 10 {
+		t.Errorf("%d passed on", len(u.requests))
 	}
 }
 
 // TestRequestsInPieces: one that comes byte by byte is served, as is one whose body follows its head; one that is cut off in
 // its body, by a close or a reset, goes nowhere.
-func TestRequestsInPieces(t *testing.T) {
-	f, u := serve(t, nil)
+func TestRequestInSeveralReads(t *testing.T) {
+	f, u := startServer(t, nil)
 	l := dial(t, f)
-	for _, b := range []byte(request(served, "piece")) {
-		l.write(string(b))
+	for _, b := range []byte(newRequest(servedFunction, "piece")) {
+		l.send(string(b))
 	}
-	if status, body, _, _ := l.answer(); status != 200 || body != "done piece" {
+	if status, body, _, _ := l.readResponse(); status != 200 || body != "done piece" {
 		t.Errorf("byte by byte: %d %q", status, body)
 	}
-	in := request(served, "follows")
-	l.write(in[:len(in)-7])
-	until(t, "the head", func() bool {
+	in := newRequest(servedFunction, "follows")
+	l.send(in[:len(in)-7])
+	waitFor(t, "the head", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if c.begun {
+			if c.requestStarted {
 				return true
 			}
 		}
 		return false
 	})
-	l.write(in[len(in)-7:])
-	if status, body, _, _ := l.answer(); status != 200 || body != "done follows" {
+	l.send(in[len(in)-7:])
+	if status, body, _, _ := l.readResponse(); status != 200 || body != "done follows" {
 		t.Errorf("in two: %d %q", status, body)
 	}
 	for n, reset := range []bool{false, true} {
 		cut := dial(t, f)
-		in := request(served, "cut off")
-		cut.write(in[:len(in)-3])
-		if tc, ok := cut.nc.(*net.TCPConn); ok && reset {
+		in := newRequest(servedFunction, "cut off")
+		cut.send(in[:len(in)-3])
+		if tc, ok := cut.netConn.(*net.TCPConn); ok && reset {
 			_ = tc.SetLinger(0)
 		}
-		_ = cut.nc.Close()
-		until(t, "the end", func() bool { s := f.Stats(); return s.Accepted == uint64(n+2) && s.Conns == 1 })
+		_ = cut.netConn.Close()
+		waitFor(t, "the end", func() bool { s := f.Stats(); return s.Accepted == uint64(n+2) && s.Connections == 1 })
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.seen) != 2 {
-		t.Errorf("%d requests passed on", len(u.seen))
+	if len(u.requests) != 2 {
+		t.Errorf("%d requests passed on", len(u.requests))
 	}
 }
 
 // TestFloodBehindARequestIsCutOff: what a client sends on and on behind a request in hand is not kept.
-func TestFloodBehindARequestIsCutOff(t *testing.T) {
-	f, _ := serve(t, nil)
+func TestFloodBehindRequestIsDisconnected(t *testing.T) {
+	f, _ := startServer(t, nil)
 	l := dial(t, f)
-	l.write(request(held, ""))
-	open(t, f, 1)
+	l.send(newRequest(pendingFunction, ""))
+	waitForOpenRequests(t, f, 1)
 	go func() {
 		for range 1 << 14 {
-			if _, err := io.WriteString(l.nc, strings.Repeat("x", 4096)); err != nil {
+			if _, err := io.WriteString(l.netConn, strings.Repeat("x", 4096)); err != nil {
 				return
 			}
 		}
 	}()
-	open(t, f, 0)
-	l.ended()
+	waitForOpenRequests(t, f, 0)
+	l.waitUntilClosed()
 }
 
 // TestIdleConnectionsYield: at the bound a usual client gets in, at the cost of one that never said a word; a request
 // in hand is never cut off for it.
-func TestIdleConnectionsYield(t *testing.T) {
-	f, _ := serve(t, func(c *Config) { c.MaxConns = 4 })
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	f, _ := startServer(t, func(c *Config) { c.MaxConnections = 4 })
 	busy := dial(t, f)
-	busy.write(request(held, ""))
-	open(t, f, 1)
+	busy.send(newRequest(pendingFunction, ""))
+	waitForOpenRequests(t, f, 1)
 	used := dial(t, f)
-	used.write(request(served, ""))
-	if status, _, _, _ := used.answer(); status != 200 {
+	used.send(newRequest(servedFunction, ""))
+	if status, _, _, _ := used.readResponse(); status != 200 {
 		t.Fatal(status)
 	}
-	var silent []*link
+	var silent []*client
 	for range 20 {
 		silent = append(silent, dial(t, f))
 	}
@@ -436,28 +436,28 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	usual := dial(t, f)
-	usual.write(request(served, "x"))
-	if status, body, _, _ := usual.answer(); status != 200 || body != "done x" {
+	usual.send(newRequest(servedFunction, "x"))
+	if status, body, _, _ := usual.readResponse(); status != 200 || body != "done x" {
 		t.Errorf("usual client: %d %q", status, body)
 	}
-	used.write(request(served, "y"))
-	if status, _, _, _ := used.answer(); status != 200 {
+	used.send(newRequest(servedFunction, "y"))
+	if status, _, _, _ := used.readResponse(); status != 200 {
 		t.Errorf("the used connection yielded before silent ones: %d", status)
 	}
 	for _, l := range silent[:18] {
-		l.ended()
+		l.waitUntilClosed()
 	}
-	if s := f.Stats(); s.Conns > 4 || s.Open != 1 {
+	if s := f.Stats(); s.Connections > 4 || s.OpenRequests != 1 {
 		t.Errorf("%+v", s)
 	}
 }
 
 // stopReading has a connection's reader wait: what its client sends is taken by the system and not looked at.
-func stopReading(t *testing.T, f *Front, l *link) (c *conn, resume func()) {
+func pauseReading(t *testing.T, f *Server, l *client) (c *conn, resume func()) {
 	t.Helper()
 	f.mu.Lock()
 	for o := range f.conns {
-		if o.nc.RemoteAddr().String() == l.nc.LocalAddr().String() {
+		if o.netConn.RemoteAddr().String() == l.netConn.LocalAddr().String() {
 			c = o
 		}
 	}
@@ -465,12 +465,12 @@
 	if c == nil {
 		t.Fatal("no such connection")
 	}
-	c.mu.Lock()
-	return c, c.mu.Unlock
+	c.parseMu.Lock()
+	return c, c.parseMu.Unlock
 }
 
 // until waits for something that must come.
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 4000 {
 		if ok() {
@@ -482,45 +482,45 @@
 }
 
 // accepted waits until so many connections have been taken.
-func accepted(t *testing.T, f *Front, n uint64) {
+func waitForAccepted(t *testing.T, f *Server, n uint64) {
 	t.Helper()
-	until(t, "the connection", func() bool { return f.Stats().Accepted == n })
+	waitFor(t, "the connection", func() bool { return f.Stats().Accepted == n })
 }
 
 // TestARequestThatIsNotReadYetIsNotClosedOn: it crosses an eviction, and the sweep of idle connections and of those late
 // with a request. In each case the connection was due before the request came.
-func TestARequestThatIsNotReadYetIsNotClosedOn(t *testing.T) {
-	for name, cross := range map[string]func(t *testing.T, f *Front, c *conn){
-		"eviction": func(t *testing.T, f *Front, c *conn) {
+func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
+	for name, cross := range map[string]func(t *testing.T, f *Server, c *conn){
+		"eviction": func(t *testing.T, f *Server, c *conn) {
 			for n := range 6 { // by its age it is the first to yield
 				dial(t, f)
-				accepted(t, f, uint64(n+2))
+				waitForAccepted(t, f, uint64(n+2))
 			}
 		},
-		"idle": func(t *testing.T, f *Front, c *conn) { c.end() },
-		"late": func(t *testing.T, f *Front, c *conn) {
+		"idle": func(t *testing.T, f *Server, c *conn) { c.closeIfIdle() },
+		"late": func(t *testing.T, f *Server, c *conn) {
 			f.mu.Lock()
-			c.since = time.Now().Add(-time.Hour)
+			c.lastActivity = time.Now().Add(-time.Hour)
 			f.mu.Unlock()
 			next := f.sweeps.Load() + 2
-			until(t, "a sweep", func() bool { return f.sweeps.Load() >= next })
+			waitFor(t, "a sweep", func() bool { return f.sweeps.Load() >= next })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, _ := serve(t, func(c *Config) { c.MaxConns = 3 })
+			f, _ := startServer(t, func(c *Config) { c.MaxConnections = 3 })
 			l := dial(t, f)
-			accepted(t, f, 1)
-			c, resume := stopReading(t, f, l)
-			l.write(request(served, "x"))
-			until(t, "the request", func() bool {
+			waitForAccepted(t, f, 1)
+			c, resume := pauseReading(t, f, l)
+			l.send(newRequest(servedFunction, "x"))
+			waitFor(t, "the request", func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				return c.reads
+				return c.reading
 			})
 			cross(t, f, c)
 			resume()
-			if status, body, _, _ := l.answer(); status != 200 || body != "done x" {
+			if status, body, _, _ := l.readResponse(); status != 200 || body != "done x" {
 				t.Errorf("%d %q", status, body)
 			}
 		})
@@ -528,138 +528,138 @@
 }
 
 // TestBytesInTheSystemAreOwed: before the reader has been woken, and the descriptor alone shows that something came.
-func TestBytesInTheSystemAreOwed(t *testing.T) {
+func TestReadableSeesBytesInSocketBuffer(t *testing.T) {
 	fd, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if readable(fd[0]) || polled(fd[0], unix.POLLRDHUP) != 0 || readable(-1) {
+	if readable(fd[0]) || poll(fd[0], unix.POLLRDHUP) != 0 || readable(-1) {
 		t.Error("something is seen where nothing came")
 	}
 	if _, err := syscall.Write(fd[1], []byte("P")); err != nil || !readable(fd[0]) {
 		t.Error("a byte is not seen", err)
 	}
 	_ = syscall.Close(fd[1])
-	if polled(fd[0], unix.POLLRDHUP)&unix.POLLRDHUP == 0 {
+	if poll(fd[0], unix.POLLRDHUP)&unix.POLLRDHUP == 0 {
 		t.Error("the end behind it is not seen")
 	}
 	_ = syscall.Close(fd[0])
 }
 
 // deaf is a connection whose event loop has not got to hear of anything yet.
-type deaf struct {
+type unnotifiedConn struct {
 	netpoll.Connection
 	fd int
 }
 
-func (d deaf) Fd() int        { return d.fd }
-func (d deaf) IsActive() bool { return true }
+func (d unnotifiedConn) Fd() int        { return d.fd }
+func (d unnotifiedConn) IsActive() bool { return true }
 
 // TestAClientThatLeftIsGone: the call tells so as soon as the socket does, though the event loop may not have.
-func TestAClientThatLeftIsGone(t *testing.T) {
-	f, u := serve(t, nil)
+func TestDisconnectedClient(t *testing.T) {
+	f, u := startServer(t, nil)
 	l := dial(t, f)
-	accepted(t, f, 1)
+	waitForAccepted(t, f, 1)
 	in := make(chan *router.Call, 1)
 	hold := make(chan struct{})
 	u.mu.Lock()
-	u.hold = func(c *router.Call) { in <- c; <-hold }
+	u.beforeAnswer = func(c *router.Call) { in <- c; <-hold }
 	u.mu.Unlock()
-	l.write(request(served, ""))
+	l.send(newRequest(servedFunction, ""))
 	call := <-in
 	if call.ClientLeft() {
 		t.Error("gone while it waits")
 	}
-	_ = l.nc.Close()
-	until(t, "the end", call.ClientLeft)
+	_ = l.netConn.Close()
+	waitFor(t, "the end", call.ClientLeft)
 	close(hold)
-	open(t, f, 0)
+	waitForOpenRequests(t, f, 0)
 
 	fd, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = syscall.Close(fd[0]) }()
-	c := &conn{f: f, nc: deaf{fd: fd[0]}}
-	if c.gone() {
+	c := &conn{server: f, netConn: unnotifiedConn{fd: fd[0]}}
+	if c.disconnected() {
 		t.Error("gone while it waits")
 	}
-	if _ = syscall.Close(fd[1]); !c.gone() {
+	if _ = syscall.Close(fd[1]); !c.disconnected() {
 		t.Error("not gone though the socket tells so")
 	}
 }
 
 // TestAClientThatLeavesBeforeItsRequestIsRead: nothing of the request goes anywhere.
-func TestAClientThatLeavesBeforeItsRequestIsRead(t *testing.T) {
-	f, u := serve(t, nil)
+func TestClientDisconnectsBeforeRequestIsRead(t *testing.T) {
+	f, u := startServer(t, nil)
 	l := dial(t, f)
-	accepted(t, f, 1)
-	c, resume := stopReading(t, f, l)
-	l.write(request(served, ""))
-	until(t, "the request", func() bool {
+	waitForAccepted(t, f, 1)
+	c, resume := pauseReading(t, f, l)
+	l.send(newRequest(servedFunction, ""))
+	waitFor(t, "the request", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return c.reads
+		return c.reading
 	})
-	_ = l.nc.Close()
-	until(t, "the end", c.gone)
+	_ = l.netConn.Close()
+	waitFor(t, "the end", c.disconnected)
 	resume()
-	until(t, "the end of the reading", func() bool {
+	waitFor(t, "the end of the reading", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return !c.reads
+		return !c.reading
 	})
 	last := dial(t, f) // what the loop was handed before has been seen to by the time that this is answered
-	last.write(request(served, ""))
-	if status, _, _, _ := last.answer(); status != 200 {
+	last.send(newRequest(servedFunction, ""))
+	if status, _, _, _ := last.readResponse(); status != 200 {
 		t.Error(status)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.seen) != 1 {
-		t.Errorf("%d requests passed on", len(u.seen))
+	if len(u.requests) != 1 {
+		t.Errorf("%d requests passed on", len(u.requests))
 	}
 }
 
 // TestSettleWaitsForWhatIsOwed: a request in hand, and one that is not read yet; not a connection that says nothing.
-func TestSettleWaitsForWhatIsOwed(t *testing.T) {
-	f, _ := serve(t, nil)
+func TestWaitForDrain(t *testing.T) {
+	f, _ := startServer(t, nil)
 	dial(t, f)
-	accepted(t, f, 1)
-	if !f.Settle(20 * time.Second) {
+	waitForAccepted(t, f, 1)
+	if !f.WaitForDrain(20 * time.Second) {
 		t.Error("nothing was owed")
 	}
 	busy := dial(t, f)
-	busy.write(request(held, ""))
-	open(t, f, 1)
-	if f.Settle(0) {
+	busy.send(newRequest(pendingFunction, ""))
+	waitForOpenRequests(t, f, 1)
+	if f.WaitForDrain(0) {
 		t.Error("a request in hand was owed its answer")
 	}
-	_ = busy.nc.Close()
-	open(t, f, 0)
+	_ = busy.netConn.Close()
+	waitForOpenRequests(t, f, 0)
 	l := dial(t, f)
-	accepted(t, f, 3)
-	_, resume := stopReading(t, f, l)
-	l.write(request(served, "x"))
-	until(t, "what is owed", func() bool { return !f.Settle(0) })
+	waitForAccepted(t, f, 3)
+	_, resume := pauseReading(t, f, l)
+	l.send(newRequest(servedFunction, "x"))
+	waitFor(t, "what is owed", func() bool { return !f.WaitForDrain(0) })
 	settled := make(chan bool)
-	go func() { settled <- f.Settle(20 * time.Second) }()
+	go func() { settled <- f.WaitForDrain(20 * time.Second) }()
 	resume()
-	if status, _, _, _ := l.answer(); status != 200 || !<-settled {
+	if status, _, _, _ := l.readResponse(); status != 200 || !<-settled {
 		t.Errorf("status %d", status)
 	}
 }
 
 // TestTimeCountsFromArrival: what waited in the system before it was read has used up some of its time.
-func TestTimeCountsFromArrival(t *testing.T) {
-	f, _ := serve(t, nil)
+func TestDeadlineCountsFromArrival(t *testing.T) {
+	f, _ := startServer(t, nil)
 	in := http1.NewReader(f.cfg.Limits)
-	_ = in.Add([]byte(request(served, "", "X-Deadline-Ms: 1500")))
+	_ = in.Add([]byte(newRequest(servedFunction, "", "X-Deadline-Ms: 1500")))
 	m, err := in.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, _, err := f.call(m, time.Now().Add(-400*time.Millisecond))
+	c, _, err := f.parseCall(m, time.Now().Add(-400*time.Millisecond))
 	if err != nil || c.RemainingDeadline > 1100*time.Millisecond || c.RemainingDeadline < 500*time.Millisecond {
 		t.Errorf("left %v, %v", c.RemainingDeadline, err)
 	}
--- a/internal/server/httpserver/golden_test.go
+++ b/internal/server/httpserver/golden_test.go
@@ -14,11 +14,11 @@
 )
 
 // rawResponse reads the bytes of one response: its header as it came, and as much body as the header announces.
-func (l *link) rawResponse() string {
+func (l *client) readRawResponse() string {
 	l.t.Helper()
 	var raw strings.Builder
 	for {
-		line, err := l.in.ReadString('\n')
+		line, err := l.reader.ReadString('\n')
 		raw.WriteString(line)
 		if err != nil {
 			l.t.Fatalf("%v after %q", err, raw.String())
@@ -32,16 +32,16 @@
 		l.t.Fatal(err)
 	}
 	body := make([]byte, resp.ContentLength)
-	if _, err := io.ReadFull(l.in, body); err != nil {
+	if _, err := io.ReadFull(l.reader, body); err != nil {
 		l.t.Fatal(err)
 	}
 	return raw.String() + string(body)
 }
 
 // wantClosed fails the test unless the server closes the connection without a further byte.
-func (l *link) wantClosed() {
+func (l *client) expectClosed() {
 	l.t.Helper()
-	if rest, err := io.ReadAll(l.in); err != nil || len(rest) > 0 {
+	if rest, err := io.ReadAll(l.reader); err != nil || len(rest) > 0 {
 		l.t.Errorf("behind the response: %q, %v", rest, err)
 	}
 }
@@ -50,17 +50,17 @@
 func TestGoldenResponses(t *testing.T) {
 	for name, c := range map[string]struct{ request, want string }{
 		"ping":              {"GET /ping HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
-		"served":            {request(served, "x\x00\r\ny"), "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone x\x00\r\ny"},
-		"served and closed": {request(served, "x", "Connection: close"), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\ndone x"},
-		"rejected":          {request(refused, ""), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nX-Pushback-Ms: 70\r\n\r\n"},
-		"failed":            {request(failed, ""), "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"},
-		"deadline exceeded": {request(failed, "", "X-Deadline-Ms: 0.001"), "HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
+		"served":            {newRequest(servedFunction, "x\x00\r\ny"), "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone x\x00\r\ny"},
+		"served and closed": {newRequest(servedFunction, "x", "Connection: close"), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\ndone x"},
+		"rejected":          {newRequest(rejectedFunction, ""), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nX-Pushback-Ms: 70\r\n\r\n"},
+		"failed":            {newRequest(failedFunction, ""), "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"},
+		"deadline exceeded": {newRequest(failedFunction, "", "X-Deadline-Ms: 0.001"), "HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := serve(t, nil)
+			f, _ := startServer(t, nil)
 			l := dial(t, f)
-			l.write(c.request)
-			if got := l.rawResponse(); got != c.want {
+			l.send(c.request)
+			if got := l.readRawResponse(); got != c.want {
 				t.Errorf("got  %q\nwant %q", got, c.want)
 			}
 		})
@@ -68,7 +68,7 @@
 }
 
 // TestGoldenFinalAnswers holds every byte of the response to each final answer of the router.
-func TestGoldenFinalAnswers(t *testing.T) {
+func TestGoldenResponsesToFinalAnswers(t *testing.T) {
 	const (
 		badGateway  = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
 		unavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -95,14 +95,14 @@
 			"HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := serve(t, nil)
+			f, _ := startServer(t, nil)
 			l := dial(t, f)
-			l.write(request(held, ""))
-			open(t, f, 1)
-			c1, resume := stopReading(t, f, l)
+			l.send(newRequest(pendingFunction, ""))
+			waitForOpenRequests(t, f, 1)
+			c1, resume := pauseReading(t, f, l)
 			resume()
 			c1.Finish(c.answer)
-			if got := l.rawResponse(); got != c.want {
+			if got := l.readRawResponse(); got != c.want {
 				t.Errorf("got  %q\nwant %q", got, c.want)
 			}
 		})
@@ -114,42 +114,42 @@
 	for name, c := range map[string]struct {
 		request, status, reason string
 	}{
-		"unknown path":            {strings.Replace(request(served, ""), "/call HTTP", "/x HTTP", 1), "404 Not Found", "no such path"},
-		"method":                  {strings.Replace(request(served, ""), "POST", "PUT", 1), "405 Method Not Allowed", "method is not POST"},
-		"function":                {request("abc", ""), "404 Not Found", "path: the function is not 16 hex digits"},
-		"class twice":             {request(served, "", "+X-Class: safe"), "400 Bad Request", "x-class: given twice"},
-		"id twice":                {request(served, "", "+X-Correlation-Id: 1"), "400 Bad Request", "x-correlation-id: given twice"},
-		"deadline twice":          {request(served, "", "+X-Deadline-Ms: 1"), "400 Bad Request", "x-deadline-ms: given twice"},
-		"key twice":               {request(served, "", "+X-Operation-Key: a", "X-Operation-Key: a"), "400 Bad Request", "x-operation-key: given twice"},
-		"estimate twice":          {request(served, "", "+X-Estimate-Ms: 1", "X-Estimate-Ms: 1"), "400 Bad Request", "x-estimate-ms: given twice"},
-		"attributes twice":        {request(served, "", "+X-Attrs: lanes:1", "X-Attrs: lanes:1"), "400 Bad Request", "x-attrs: given twice"},
-		"class":                   {request(served, "", "X-Class: odd"), "400 Bad Request", "x-class: not a class of the settings"},
-		"id":                      {request(served, "", "X-Correlation-Id: 12"), "400 Bad Request", "x-correlation-id: not 16 hex digits"},
-		"deadline":                {request(served, "", "X-Deadline-Ms: 0"), "400 Bad Request", "x-deadline-ms: not a usable figure"},
-		"key":                     {request(served, "", "X-Class: keyed"), "400 Bad Request", "x-operation-key: missing or unusable"},
-		"estimate":                {request(served, "", "X-Estimate-Ms: lots"), "400 Bad Request", "x-estimate-ms: not a usable figure"},
-		"form of the attributes":  {request(served, "", "X-Attrs: lanes=5"), "400 Bad Request", "x-attrs: not name:value;name:value"},
-		"value of an attribute":   {request(served, "", "X-Attrs: lanes:1025"), "400 Bad Request", "x-attrs: a figure that is not usable"},
-		"seventeen attributes":    {request(served, "", "X-Attrs: "+strings.Repeat("a:1;", 17)), "400 Bad Request", "x-attrs: not name:value;name:value"},
-		"first fault is named":    {request(served, "", "X-Class: odd", "X-Deadline-Ms: 0"), "400 Bad Request", "x-class: not a class of the settings"},
-		"length and encoding":     {request(served, "0\r\n\r\n", "Transfer-Encoding: chunked"), "400 Bad Request", "http1: transfer-encoding with content-length, or in HTTP/1.0"},
-		"length":                  {request(served, "", "Content-Length: -1"), "400 Bad Request", `http1: content-length "-1"`},
-		"body beyond its limit":   {request(served, "", "Content-Length: 62914560"), "413 Content Too Large", "http1: body exceeds its limit"},
+		"unknown path":            {strings.Replace(newRequest(servedFunction, ""), "/call HTTP", "/x HTTP", 1), "404 Not Found", "no such path"},
+		"method":                  {strings.Replace(newRequest(servedFunction, ""), "POST", "PUT", 1), "405 Method Not Allowed", "method is not POST"},
+		"function":                {newRequest("abc", ""), "404 Not Found", "path: the function is not 16 hex digits"},
+		"class twice":             {newRequest(servedFunction, "", "+X-Class: safe"), "400 Bad Request", "x-class: given twice"},
+		"id twice":                {newRequest(servedFunction, "", "+X-Correlation-Id: 1"), "400 Bad Request", "x-correlation-id: given twice"},
+		"deadline twice":          {newRequest(servedFunction, "", "+X-Deadline-Ms: 1"), "400 Bad Request", "x-deadline-ms: given twice"},
+		"key twice":               {newRequest(servedFunction, "", "+X-Operation-Key: a", "X-Operation-Key: a"), "400 Bad Request", "x-operation-key: given twice"},
+		"estimate twice":          {newRequest(servedFunction, "", "+X-Estimate-Ms: 1", "X-Estimate-Ms: 1"), "400 Bad Request", "x-estimate-ms: given twice"},
+		"attributes twice":        {newRequest(servedFunction, "", "+X-Attrs: lanes:1", "X-Attrs: lanes:1"), "400 Bad Request", "x-attrs: given twice"},
+		"class":                   {newRequest(servedFunction, "", "X-Class: odd"), "400 Bad Request", "x-class: not a class of the settings"},
+		"id":                      {newRequest(servedFunction, "", "X-Correlation-Id: 12"), "400 Bad Request", "x-correlation-id: not 16 hex digits"},
+		"deadline":                {newRequest(servedFunction, "", "X-Deadline-Ms: 0"), "400 Bad Request", "x-deadline-ms: not a usable figure"},
+		"key":                     {newRequest(servedFunction, "", "X-Class: keyed"), "400 Bad Request", "x-operation-key: missing or unusable"},
+		"estimate":                {newRequest(servedFunction, "", "X-Estimate-Ms: lots"), "400 Bad Request", "x-estimate-ms: not a usable figure"},
+		"form of the attributes":  {newRequest(servedFunction, "", "X-Attrs: lanes=5"), "400 Bad Request", "x-attrs: not name:value;name:value"},
+		"value of an attribute":   {newRequest(servedFunction, "", "X-Attrs: lanes:1025"), "400 Bad Request", "x-attrs: a figure that is not usable"},
+		"seventeen attributes":    {newRequest(servedFunction, "", "X-Attrs: "+strings.Repeat("a:1;", 17)), "400 Bad Request", "x-attrs: not name:value;name:value"},
+		"first fault is named":    {newRequest(servedFunction, "", "X-Class: odd", "X-Deadline-Ms: 0"), "400 Bad Request", "x-class: not a class of the settings"},
+		"length and encoding":     {newRequest(servedFunction, "0\r\n\r\n", "Transfer-Encoding: chunked"), "400 Bad Request", "http1: transfer-encoding with content-length, or in HTTP/1.0"},
+		"length":                  {newRequest(servedFunction, "", "Content-Length: -1"), "400 Bad Request", `http1: content-length "-1"`},
+		"body beyond its limit":   {newRequest(servedFunction, "", "Content-Length: 62914560"), "413 Content Too Large", "http1: body exceeds its limit"},
 		"header beyond its limit": {"GET /" + strings.Repeat("x", 5<<10), "431 Request Header Fields Too Large", "http1: header exceeds its limit"},
 		"version":                 {"GET / HTTP/9.9\r\nHost: a\r\n\r\n", "505 HTTP Version Not Supported", `http1: version "HTTP/9.9"`},
 		"host":                    {"GET / HTTP/1.1\r\n\r\n", "400 Bad Request", "http1: host missing, repeated or unusable"},
 		"no HTTP":                 {"\x16\x03\x01\x00\xff\r\n\r\n", "400 Bad Request", "http1: no method"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := serve(t, nil)
+			f, _ := startServer(t, nil)
 			l := dial(t, f)
-			l.write(c.request)
+			l.send(c.request)
 			want := fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s\n", c.status, len(c.reason)+1, c.reason)
-			if got := l.rawResponse(); got != want {
+			if got := l.readRawResponse(); got != want {
 				t.Errorf("got  %q\nwant %q", got, want)
 			}
-			l.wantClosed()
-			if s := f.Stats(); s.Bad != 1 || s.Open != 0 {
+			l.expectClosed()
+			if s := f.Stats(); s.BadRequests != 1 || s.OpenRequests != 0 {
 				t.Errorf("%+v", s)
 			}
 		})
@@ -159,34 +159,34 @@
 // TestGoldenOtherErrors holds every byte of the responses that depend on more than the request.
 func TestGoldenOtherErrors(t *testing.T) {
 	t.Run("request not complete in time", func(t *testing.T) {
-		f, _ := serve(t, func(c *Config) { c.First = 50 * time.Millisecond })
+		f, _ := startServer(t, func(c *Config) { c.RequestTimeout = 50 * time.Millisecond })
 		l := dial(t, f)
-		l.write(request(served, "body")[:40])
+		l.send(newRequest(servedFunction, "body")[:40])
 		want := "HTTP/1.1 408 Request Timeout\r\nContent-Length: 25\r\nConnection: close\r\n\r\nno whole request in time\n"
-		if got := l.rawResponse(); got != want {
+		if got := l.readRawResponse(); got != want {
 			t.Errorf("got  %q\nwant %q", got, want)
 		}
-		l.wantClosed()
+		l.expectClosed()
 	})
 	t.Run("id of an open request", func(t *testing.T) {
-		f, _ := serve(t, nil)
+		f, _ := startServer(t, nil)
 		first, second := dial(t, f), dial(t, f)
-		first.write(request(held, "", "X-Correlation-Id: 00000000000000ff"))
-		open(t, f, 1)
-		second.write(request(served, "", "X-Correlation-Id: 00000000000000ff"))
+		first.send(newRequest(pendingFunction, "", "X-Correlation-Id: 00000000000000ff"))
+		waitForOpenRequests(t, f, 1)
+		second.send(newRequest(servedFunction, "", "X-Correlation-Id: 00000000000000ff"))
 		want := "HTTP/1.1 409 Conflict\r\nContent-Length: 29\r\nConnection: close\r\n\r\na request of this id is open\n"
-		if got := second.rawResponse(); got != want {
+		if got := second.readRawResponse(); got != want {
 			t.Errorf("got  %q\nwant %q", got, want)
 		}
-		second.wantClosed()
+		second.expectClosed()
 	})
 	t.Run("router stopped", func(t *testing.T) {
-		f, u := serve(t, nil)
-		u.r.Kill()
+		f, u := startServer(t, nil)
+		u.router.Kill()
 		l := dial(t, f)
-		l.write(request(served, ""))
+		l.send(newRequest(servedFunction, ""))
 		want := "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-		if got := l.rawResponse(); got != want {
+		if got := l.readRawResponse(); got != want {
 			t.Errorf("got  %q\nwant %q", got, want)
 		}
 	})
--- a/internal/transport/http1/bench_test.go
+++ b/internal/transport/http1/bench_test.go
@@ -7,13 +7,13 @@
 		response bool
 		message  string
 	}{
-		"request": {false, post},
+		"request": {false, postMessage},
 		"chunked request": {false, "POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
 			"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: u\r\n\r\n"},
 		"response": {true, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"},
 	} {
 		b.Run(name, func(b *testing.B) {
-			r := NewReader(limits)
+			r := NewReader(testLimits)
 			r.response = c.response
 			message := []byte(c.message)
 			b.ReportAllocs()
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/reader_test.go
@@ -1,75 +1,78 @@
 package http1
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
 )
 
-var limits = Limits{Head: 512, Fields: 16, Body: 64, Pending: 256}
+var testLimits = Limits{Head: 512, Fields: 16, Body: 64, Pending: 256}
 
-// read feeds the pieces and returns the messages, and the status of the error that ended it.
-func read(response bool, pieces ...string) (out []string, status int) {
-	out, err := readAll(response, pieces...)
-	if e, ok := err.(*Error); ok {
-		return out, e.Status
-	}
-	if err != nil {
-		return out, -1
-	}
-	return out, 0
-}
-
-// readAll feeds the pieces and returns the messages, and the error that ended it.
-func readAll(response bool, pieces ...string) (out []string, err error) {
-	r := NewReader(limits)
+// readMessages feeds the pieces to a Reader and returns the messages, and the error that ended the reading.
+func readMessages(response bool, pieces ...string) (messages []string, err error) {
+	r := NewReader(testLimits)
 	r.response = response
-	for _, p := range pieces {
-		for len(p) > 0 {
-			k := min(max(r.Room(), 1), len(p))
-			if err := r.Add([]byte(p[:k])); err != nil {
-				return out, err
+	for _, piece := range pieces {
+		for len(piece) > 0 {
+			n := min(max(r.Available(), 1), len(piece))
+			if err := r.Add([]byte(piece[:n])); err != nil {
+				return messages, err
 			}
-			p = p[k:]
+			piece = piece[n:]
 			for {
 				m, err := r.Next()
 				if err != nil {
-					return out, err
+					return messages, err
 				}
 				if m == nil {
 					break
 				}
-				out = append(out, fmt.Sprintf("%s%s%s%.0d %s close=%v", m.Method, m.Target, "", m.Status, m.Body, m.Close))
+				messages = append(messages, fmt.Sprintf("%s%s%.0d %s close=%v", m.Method, m.Target, m.Status, m.Body, m.Close))
 			}
 		}
 	}
-	return out, nil
+	return messages, nil
+}
+
+// readStatus is readMessages with the status of the error: 0 without one, -1 where it has no status.
+func readStatus(response bool, pieces ...string) (messages []string, status int) {
+	messages, err := readMessages(response, pieces...)
+	var httpErr *Error
+	switch {
+	case err == nil:
+		return messages, 0
+	case errors.As(err, &httpErr):
+		return messages, httpErr.Status
+	default:
+		return messages, -1
+	}
 }
 
-const post = "POST /call/x/call HTTP/1.1\r\nHost: a\r\nX-Class: c\r\nContent-Length: 4\r\n\r\nbody"
+const postMessage = "POST /call/x/call HTTP/1.1\r\nHost: a\r\nX-Class: c\r\nContent-Length: 4\r\n\r\nbody"
 
-// TestEveryCut: where a stream is cut changes nothing, nor what waits behind a message.
-func TestEveryCut(t *testing.T) {
+// TestMessagesSplitAtEveryByte: where a stream is cut changes nothing, nor does what waits behind a message.
+func TestMessagesSplitAtEveryByte(t *testing.T) {
 	chunked := "POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: u\r\n\r\n"
-	in := post + "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n" + chunked
+	input := postMessage + "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n" + chunked
 	want := "POST/call/x/call body close=false\nGET/ping  close=false\nPOST/c abcd close=true"
-	for i := range len(in) {
-		got, status := read(false, in[:i], in[i:])
+	for i := range len(input) {
+		got, status := readStatus(false, input[:i], input[i:])
 		if strings.Join(got, "\n") != want || status != 0 {
 			t.Fatalf("cut at %d: %d, %q", i, status, got)
 		}
 	}
 }
 
-// TestFramingInDoubtIsTurnedDown: lengths and encodings by which two parties may see different messages, and all that
-// is no HTTP, each by the status that the RFCs name.
-func TestFramingInDoubtIsTurnedDown(t *testing.T) {
+// TestInvalidMessages: lengths and encodings by which two parties may see different messages, and all that is not HTTP,
+// are rejected, each with the status that the RFCs name.
+func TestInvalidMessages(t *testing.T) {
 	head := func(line string, fields ...string) string {
 		return line + "\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
 	}
 	p := "POST /c HTTP/1.1"
 	for name, c := range map[string]struct {
-		in     string
+		input  string
 		status int
 		reason string
 	}{
@@ -106,26 +109,28 @@
 		"chunk size that is no hex": {head(p, "Host: a", "Transfer-Encoding: chunked") + "zz\r\n", 400, `http1: chunk size "zz"`},
 		"chunk past the bound":      {head(p, "Host: a", "Transfer-Encoding: chunked") + "ffffff\r\n", 413, "http1: body exceeds its limit"},
 		"chunks past the bound":     {head(p, "Host: a", "Transfer-Encoding: chunked") + strings.Repeat("8\r\nabcdefgh\r\n", 9), 413, "http1: body exceeds its limit"},
-		"chunk longer than told":    {head(p, "Host: a", "Transfer-Encoding: chunked") + "1\r\nabc\r\n", 400, "http1: chunk longer than its size"},
+		"chunk longer than stated":  {head(p, "Host: a", "Transfer-Encoding: chunked") + "1\r\nabc\r\n", 400, "http1: chunk longer than its size"},
 		"trailers without end":      {head(p, "Host: a", "Transfer-Encoding: chunked") + "0\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyy\r\n", 40), 431, "http1: trailer exceeds its limit"},
 	} {
-		got, status := read(false, c.in)
-		if status != c.status || len(got) > 0 {
-			t.Errorf("%s: status %d, want %d; passed on %q", name, status, c.status, got)
-		}
-		if _, err := readAll(false, c.in); err == nil || err.Error() != c.reason {
-			t.Errorf("%s: error %v, want %s", name, err, c.reason)
-		}
+		t.Run(name, func(t *testing.T) {
+			messages, status := readStatus(false, c.input)
+			if status != c.status || len(messages) > 0 {
+				t.Errorf("status %d, want %d; messages %q", status, c.status, messages)
+			}
+			if _, err := readMessages(false, c.input); err == nil || err.Error() != c.reason {
+				t.Errorf("error %v, want %s", err, c.reason)
+			}
+		})
 	}
 }
 
-// TestNothingIsKeptBehindAMessage: a peer that sends on and on behind a request in hand is told so.
-func TestNothingIsKeptBehindAMessage(t *testing.T) {
-	r := NewReader(limits)
+// TestPendingLimit: a peer that sends on and on behind a request that is being handled gets ErrPendingLimit.
+func TestPendingLimit(t *testing.T) {
+	r := NewReader(testLimits)
 	for range 1000 {
-		if r.Room() == 0 {
-			if r.Add([]byte("x")) != ErrPending {
-				t.Fatal("taken beyond the bound")
+		if r.Available() == 0 {
+			if err := r.Add([]byte("x")); !errors.Is(err, ErrPendingLimit) {
+				t.Fatalf("beyond the limit: %v", err)
 			}
 			return
 		}
@@ -133,59 +138,68 @@
 			t.Fatal(err)
 		}
 	}
-	t.Fatal("no bound")
+	t.Fatal("no limit")
 }
 
 func TestResponses(t *testing.T) {
-	in := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 204 No Content\r\n\r\n" +
+	stream := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 204 No Content\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"
-	got, status := read(true, in)
-	if want := "200 {} close=false\n204  close=false\n200 {} close=false"; strings.Join(got, "\n") != want || status != 0 {
-		t.Errorf("%d, %q", status, got)
-	}
-	for _, in := range []string{"HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/3 200 OK\r\n\r\n", "HTTP/1.1 99 OK\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"} {
-		if got, status := read(true, in); status == 0 || len(got) > 0 {
-			t.Errorf("%q: status %d, %q", in, status, got)
-		}
+	messages, status := readStatus(true, stream)
+	if want := "200 {} close=false\n204  close=false\n200 {} close=false"; strings.Join(messages, "\n") != want || status != 0 {
+		t.Errorf("%d, %q", status, messages)
 	}
-	r := NewResponseReader(limits) // without a length the end of the connection ends it
-	_ = r.Add([]byte("HTTP/1.1 200 OK\r\n\r\n{}"))
-	if m, err := r.Next(); m != nil || err != nil {
-		t.Errorf("%v, %v before the end", m, err)
-	}
-	if m := r.End(); m == nil || string(m.Body) != "{}" {
-		t.Errorf("%v at the end", m)
+	for name, input := range map[string]string{
+		"status not a number":    "HTTP/1.1 2x0 OK\r\n\r\n",
+		"other version":          "HTTP/3 200 OK\r\n\r\n",
+		"status of two digits":   "HTTP/1.1 99 OK\r\n\r\n",
+		"body beyond its limit":  "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
+		"length beside encoding": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			if messages, status := readStatus(true, input); status == 0 || len(messages) > 0 {
+				t.Errorf("%q: status %d, %q", input, status, messages)
+			}
+		})
 	}
+	t.Run("ended by the connection", func(t *testing.T) {
+		r := NewResponseReader(testLimits)
+		_ = r.Add([]byte("HTTP/1.1 200 OK\r\n\r\n{}"))
+		if m, err := r.Next(); m != nil || err != nil {
+			t.Errorf("%v, %v before the end", m, err)
+		}
+		if m := r.End(); m == nil || string(m.Body) != "{}" {
+			t.Errorf("%v at the end", m)
+		}
+	})
 }
 
 func TestAppendResponse(t *testing.T) {
-	b := AppendResponse(nil, 503, []Field{{"X-Pushback-Ms", "70"}}, []byte("no"), true)
-	r := NewResponseReader(limits)
-	_ = r.Add(b)
+	response := AppendResponse(nil, StatusServiceUnavailable, []Field{{"X-Pushback-Ms", "70"}}, []byte("no"), true)
+	r := NewResponseReader(testLimits)
+	_ = r.Add(response)
 	m, err := r.Next()
 	if err != nil || m == nil || m.Status != 503 || string(m.Body) != "no" || !m.Close {
 		t.Fatalf("%+v, %v", m, err)
 	}
-	if v, ok := m.Get("x-pushback-ms"); !ok || v != "70" {
-		t.Errorf("pushback %q", v)
+	if value, ok := m.Get("x-pushback-ms"); !ok || value != "70" {
+		t.Errorf("X-Pushback-Ms %q", value)
 	}
 }
 
-// FuzzReader: no input panics, pieces give what the whole gives, and what is kept stays within the bounds.
+// FuzzReader: no input panics, and the same bytes in pieces give the same messages as at once.
 func FuzzReader(f *testing.F) {
-	f.Add(post, 20, false)
+	f.Add(postMessage, 20, false)
 	f.Add("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 70, false)
 	f.Add("POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 9, false)
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 30, true)
-	f.Fuzz(func(t *testing.T, in string, cut int, response bool) {
-		if cut < 0 || cut > len(in) || len(in) > limits.Head {
+	f.Fuzz(func(t *testing.T, input string, cut int, response bool) {
+		if cut < 0 || cut > len(input) || len(input) > testLimits.Head {
 			return
 		}
-		whole, a := read(response, in)
-		pieces, b := read(response, in[:cut], in[cut:])
-		if fmt.Sprint(whole) != fmt.Sprint(pieces) || (a == 0) != (b == 0) {
-			t.Fatalf("whole %q, %d; cut at %d %q, %d", whole, a, cut, pieces, b)
+		whole, wholeStatus := readStatus(response, input)
+		pieces, piecesStatus := readStatus(response, input[:cut], input[cut:])
+		if fmt.Sprint(whole) != fmt.Sprint(pieces) || (wholeStatus == 0) != (piecesStatus == 0) {
+			t.Fatalf("whole %q, %d; cut at %d %q, %d", whole, wholeStatus, cut, pieces, piecesStatus)
 		}
 	})
 }
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -29,7 +29,7 @@
 // Listen opens a listener, on "tcp" or "unix", and serves it until Close. handler is asked for each
 // connection's Handler before its first frame.
 func Listen(network, addr string, cfg Config, handler func(*Conn) Handler) (*Server, error) {
-	ln, err := listen.On(network, addr)
+	ln, err := listen.Open(network, addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/listen/listen_test.go
+++ b/internal/transport/listen/listen_test.go
@@ -17,9 +17,10 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// child is a server with few descriptors: it echoes what it reads until its standard input ends.
-func child() {
-	ln, err := On("tcp", "127.0.0.1:0")
+// runServerProcess serves with few descriptors: it echoes what it reads until its standard input ends, and then prints
+// how many connections it shed and the processor time that it used.
+func runServerProcess() {
+	ln, err := Open("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
@@ -53,100 +54,134 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv("LISTEN_TEST_CHILD") != "" {
-		child()
+		runServerProcess()
 	}
 	os.Exit(m.Run())
 }
 
-// TestWithoutDescriptors: where the system has none left, connections are closed at once, the event loop neither spins
-// nor stops, those that stand are served, and new ones are as soon as some have gone.
-func TestWithoutDescriptors(t *testing.T) {
+// serverProcess is a child process that runs runServerProcess.
+type serverProcess struct {
+	t       *testing.T
+	cmd     *exec.Cmd
+	stdin   io.Closer
+	stdout  *bufio.Reader
+	address string
+}
+
+func startServerProcess(t *testing.T) *serverProcess {
+	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "LISTEN_TEST_CHILD=1")
 	cmd.Stderr = os.Stderr
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	lines := bufio.NewReader(out)
-	addr, err := lines.ReadString('\n')
+	lines := bufio.NewReader(stdout)
+	address, err := lines.ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr = strings.TrimSpace(addr)
-	dial := func() net.Conn {
-		t.Helper()
-		nc, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_ = nc.SetDeadline(time.Now().Add(20 * time.Second))
-		return nc
+	return &serverProcess{t, cmd, stdin, lines, strings.TrimSpace(address)}
+}
+
+func (p *serverProcess) dial() net.Conn {
+	p.t.Helper()
+	netConn, err := net.Dial("tcp", p.address)
+	if err != nil {
+		p.t.Fatal(err)
 	}
-	echoes := func(nc net.Conn) bool {
-		t.Helper()
-		if _, err := nc.Write([]byte("x")); err != nil {
-			return false
-		}
-		_, err := io.ReadFull(nc, make([]byte, 1))
-		var ne net.Error
-		if errors.As(err, &ne) && ne.Timeout() {
-			t.Fatal("a connection is neither served nor closed")
+	_ = netConn.SetDeadline(time.Now().Add(20 * time.Second))
+	return netConn
+}
+
+// isServed reports whether a byte comes back on a connection, and not its end.
+func (p *serverProcess) isServed(netConn net.Conn) bool {
+	p.t.Helper()
+	if _, err := netConn.Write([]byte("x")); err != nil {
+		return false
+	}
+	_, err := io.ReadFull(netConn, make([]byte, 1))
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		p.t.Fatal("a connection is neither served nor closed")
+	}
+	return err == nil
+}
+
+// waitUntilServed dials until a new connection is served: closed connections reach the server in their own time.
+func (p *serverProcess) waitUntilServed() {
+	p.t.Helper()
+	const attempts = 1002
+	for range attempts {
+		netConn := p.dial()
+		served := p.isServed(netConn)
+		_ = netConn.Close()
+		if served {
+			return
 		}
-		return err == nil
+		time.Sleep(5 * time.Millisecond)
+	}
+	p.t.Fatal("no connection is served once descriptors are free")
+}
+
+// stop ends the process and returns what it printed last.
+func (p *serverProcess) stop() (shed int, processorTime time.Duration) {
+	p.t.Helper()
+	_ = p.stdin.Close()
+	line, err := p.stdout.ReadString('\n')
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	var duration string
+	if _, err := fmt.Sscan(line, &shed, &duration); err != nil {
+		p.t.Errorf("%q: %v", line, err)
+	}
+	if processorTime, err = time.ParseDuration(duration); err != nil {
+		p.t.Errorf("%q: %v", line, err)
 	}
-	var held []net.Conn
-	turned := 0
+	if err := p.cmd.Wait(); err != nil {
+		p.t.Error(err)
+	}
+	return shed, processorTime
+}
+
+// TestListenerWithoutFreeDescriptors: where the system has no descriptor left, connections are closed at once, the event
+// loop neither spins nor stops, established ones are served, and new ones are as soon as some have been closed.
+func TestListenerWithoutFreeDescriptors(t *testing.T) {
+	p := startServerProcess(t)
+	var served []net.Conn
+	closed := 0
 	for range 40 {
-		if nc := dial(); echoes(nc) {
-			held = append(held, nc)
+		if netConn := p.dial(); p.isServed(netConn) {
+			served = append(served, netConn)
 		} else {
-			turned++
-			_ = nc.Close()
+			closed++
+			_ = netConn.Close()
 		}
 	}
-	if len(held) == 0 || turned == 0 {
-		t.Fatalf("%d served, %d turned away", len(held), turned)
+	if len(served) == 0 || closed == 0 {
+		t.Fatalf("%d served, %d closed", len(served), closed)
 	}
-	for _, nc := range held {
-		if !echoes(nc) {
-			t.Error("a connection that stood is served no more")
+	for _, netConn := range served {
+		if !p.isServed(netConn) {
+			t.Error("an established connection is no longer served")
 		}
-		_ = nc.Close()
-	}
-	for n := 0; ; n++ { // the closes reach the server in their own time
-		nc := dial()
-		ok := echoes(nc)
-		_ = nc.Close()
-		if ok {
-			break
-		}
-		if n > 1000 {
-			t.Fatal("nobody is served once descriptors are free")
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
-	_ = in.Close()
-	last, err := lines.ReadString('\n')
-	if err != nil {
-		t.Fatal(err)
-	}
-	var shed int
-	var cpu string
-	if _, err := fmt.Sscan(last, &shed, &cpu); err != nil || shed < turned {
-		t.Errorf("%q: %v", last, err)
+		_ = netConn.Close()
 	}
-	if d, err := time.ParseDuration(cpu); err != nil || d > 5*time.Second {
-		t.Errorf("the event loop has used %s", cpu)
+	p.waitUntilServed()
+	shed, processorTime := p.stop()
+	if shed < closed {
+		t.Errorf("the server counts %d connections shed, its clients %d", shed, closed)
 	}
-	if err := cmd.Wait(); err != nil {
-		t.Error(err)
+	if processorTime > 5*time.Second {
+		t.Errorf("the event loop has used %s", processorTime)
 	}
 }
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -12,6 +12,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/invocation"
+	"github.com/topazfront/topazfront/internal/transport/listen"
 	"github.com/topazfront/topazfront/internal/transport/resp"
 )
 
@@ -263,9 +264,8 @@
 	if !ok || !nc.IsActive() {
 		return true // the write tells
 	}
-	set := []unix.PollFd{{Fd: int32(fd.Fd()), Events: unix.POLLOUT}}
-	n, err := unix.Poll(set, 0)
-	return err != nil || n > 0
+	ready, err := listen.Poll(fd.Fd(), unix.POLLOUT)
+	return err != nil || ready != 0
 }
 
 // read takes what has come. netpoll runs it on one goroutine at a time.
