--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -1,128 +1,102 @@
 package httpserver
 
 import (
-	"math"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
-	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// turned is why a request can't be taken: nothing of it was sent anywhere.
-type requestError struct {
-	status int
-	reason string
-}
-
-func (t *requestError) Error() string { return t.reason }
+// retryAfterField is the header field of a rejection: how many milliseconds the client should stay away.
+const retryAfterField = "X-Pushback-Ms"
 
-// The bounds of what a request may say of itself. Beyond them a figure is no figure: the module is not asked
-// what to make of it.
-const (
-	maxMilliseconds     = 10 * 60 * 1000 // of a deadline, an estimate, a load
-	maxMemoryMB = 1 << 24        // MB
-	maxConcurrencyPerInstance  = 1024
-)
-
-// call fills a call in from a request. came is when its last byte came.
-func (f *Server) parseCall(m *http1.Message, came time.Time) (*router.Call, *invocation.Request, error) {
-	part := strings.Split(m.Target, "/")
-	if len(part) != 4 || part[0] != "" || part[1] != "call" || part[3] != "call" {
-		return nil, nil, &requestError{404, "no such path"}
+// serveRequest acts on one complete request.
+func (c *conn) serveRequest(m *http1.Message, arrived time.Time) {
+	if m.Method == "GET" && m.Target == "/ping" {
+		c.respond(http1.StatusOK, nil, nil)
+		return
 	}
-	if m.Method != "POST" {
-		return nil, nil, &requestError{405, "method is not POST"}
+	call, request, err := c.server.parseCall(m, arrived)
+	if err != nil {
+		c.rejectRequest(err)
+		return
 	}
-	fn := part[2]
-	if !invocation.Hex(fn, 16) {
-		return nil, nil, &requestError{404, "path: the function is not 16 hex digits"}
+	call.Client, call.ClientLeft = c, c.disconnected
+	c.server.mu.Lock()
+	if _, open := c.server.openIDs[request.ID]; open {
+		c.server.mu.Unlock()
+		c.rejectRequest(&requestError{http1.StatusConflict, "a request of this id is open"})
+		return
 	}
-	for _, name := range []string{"x-class", "x-correlation-id", "x-deadline-ms", "x-operation-key", "x-estimate-ms", "x-attrs"} {
-		if _, once := m.Get(name); !once && m.Has(name) {
-			return nil, nil, &requestError{400, name + ": given twice"}
-		}
-	}
-	class, _ := m.Get("x-class")
-	effect, ok := f.cfg.Classes[class]
+	c.server.openIDs[request.ID] = struct{}{}
+	c.requestID = request.ID
+	number := c.requestCount
+	c.server.mu.Unlock()
+	cancel, ok := c.server.router.Submit(call)
 	if !ok {
-		return nil, nil, &requestError{400, "x-class: not a class of the settings"}
-	}
-	id, _ := m.Get("x-correlation-id")
-	if !invocation.Hex(id, 16) {
-		return nil, nil, &requestError{400, "x-correlation-id: not 16 hex digits"}
+		c.completeRequest(http1.StatusServiceUnavailable, nil, nil)
+		return
 	}
-	text, _ := m.Get("x-deadline-ms")
-	deadline, ok := parseNumber(text, maxMilliseconds)
-	if !ok || deadline <= 0 {
-		return nil, nil, &requestError{400, "x-deadline-ms: not a usable figure"}
+	c.server.mu.Lock()
+	closed := c.closed
+	if !closed && c.requestCount == number && c.requestID == request.ID {
+		c.cancel = cancel
 	}
-	key, given := m.Get("x-operation-key")
-	if given && !invocation.Key(key) || !given && effect == dispatch.IdempotentByKey {
-		return nil, nil, &requestError{400, "x-operation-key: missing or unusable"}
-	}
-	until := came.Add(milliseconds(deadline))
-	c := &router.Call{Function: fn, Class: class, ConcurrencyPerInstance: 1, RemainingDeadline: time.Until(until)}
-	if text, ok := m.Get("x-estimate-ms"); ok {
-		work, ok := parseNumber(text, maxMilliseconds)
-		if !ok {
-			return nil, nil, &requestError{400, "x-estimate-ms: not a usable figure"}
-		}
-		c.ExpectedWork = milliseconds(work)
+	c.server.mu.Unlock()
+	if closed { // the client left meanwhile; a call that has ended is not affected by its cancellation
+		cancel()
+		c.releaseID(request.ID)
 	}
-	if text, ok := m.Get("x-attrs"); ok {
-		if err := parseAttributes(c, text); err != nil {
-			return nil, nil, err
-		}
+}
+
+// releaseID allows a request's id to be used again.
+func (c *conn) releaseID(id string) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.requestID == id {
+		delete(c.server.openIDs, id)
+		c.requestID = ""
 	}
-	req := &invocation.Request{ID: id, Class: class, Function: fn, Key: key, Body: m.Body}
-	c.Request = req
-	return c, req, nil
 }
 
-// attrs reads the further figures of a request.
-func parseAttributes(c *router.Call, text string) error {
-	seen := 0
-	for text != "" {
-		var pair string
-		pair, text, _ = strings.Cut(text, ";")
-		name, value, ok := strings.Cut(pair, ":")
-		if seen++; !ok || seen > 16 {
-			return &requestError{400, "x-attrs: not name:value;name:value"}
-		}
-		most := float64(maxMilliseconds)
-		switch name {
-		case "memory_mb":
-			most = maxMemoryMB
-		case "lanes":
-			most = maxConcurrencyPerInstance
+// Start implements router.Client.
+func (c *conn) Start(any) {}
+
+// Message implements router.Client. A response of this protocol comes whole, with the final answer.
+func (c *conn) Message(p []byte, _ func(int)) int { return len(p) }
+
+// Finish implements router.Client.
+func (c *conn) Finish(answer router.FinalAnswer) {
+	switch answer.Kind {
+	case router.FinalAnswered:
+		if answer.Attempt != nil && answer.Attempt.Result == dispatch.OK {
+			c.completeRequest(http1.StatusOK, nil, answer.Attempt.Body)
+			return
 		}
-		v, ok := parseNumber(value, most)
-		if !ok {
-			return &requestError{400, "x-attrs: a figure that is not usable"}
+		c.completeRequest(http1.StatusBadGateway, nil, nil)
+	case router.FinalRejected:
+		var fields []http1.Field
+		if ms := answer.RetryAfter.Milliseconds(); ms > 0 {
+			fields = []http1.Field{{Name: retryAfterField, Value: strconv.FormatInt(ms, 10)}}
 		}
-		switch name {
-		case "memory_mb":
-			c.MemoryMB = v
-		case "lanes":
-			c.ConcurrencyPerInstance = int(max(v, 1))
-		case "load_ms":
-			c.LoadTime = milliseconds(v)
+		c.completeRequest(http1.StatusServiceUnavailable, fields, nil)
+	default:
+		status := http1.StatusBadGateway
+		if answer.DeadlineExceeded {
+			status = http1.StatusGatewayTimeout
 		}
+		c.completeRequest(status, nil, nil)
 	}
-	return nil
 }
 
-// figure reads a decimal number from 0 to most: digits, and a fraction where there is one.
-func parseNumber(s string, most float64) (float64, bool) {
-	if len(s) > 20 || strings.Trim(s, "0123456789.") != "" {
-		return 0, false
-	}
-	v, err := strconv.ParseFloat(s, 64)
-	return v, err == nil && v >= 0 && v <= most && !math.IsNaN(v)
+// completeRequest responds to the call in flight.
+func (c *conn) completeRequest(status int, fields []http1.Field, body []byte) {
+	c.server.mu.Lock()
+	id := c.requestID
+	c.cancel = nil
+	c.server.mu.Unlock()
+	c.releaseID(id)
+	c.respond(status, fields, body)
 }
-
-func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- /dev/null
+++ b/internal/server/httpserver/eviction.go
@@ -0,0 +1,115 @@
+package httpserver
+
+import (
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"github.com/topazfront/topazfront/internal/transport/http1"
+)
+
+// sweepInterval is the time between two looks for connections that are late or idle.
+const sweepInterval = 100 * time.Millisecond
+
+// addConnection registers a new connection. Where there are MaxConnections already, one is evicted, and that is the new
+// one if no other may be.
+func (s *Server) addConnection(netConn netpoll.Connection) *conn {
+	_ = netConn.SetWriteTimeout(s.cfg.WriteTimeout)
+	c := &conn{server: s, netConn: netConn, lastActivity: time.Now(), reader: http1.NewReader(s.cfg.Limits)}
+	s.mu.Lock()
+	s.stats.Accepted++
+	var evicted *conn
+	if len(s.conns) >= s.cfg.MaxConnections {
+		evicted = s.evictionCandidate(c)
+		s.stats.Evicted++
+	}
+	if evicted != c {
+		s.conns[c] = struct{}{}
+	}
+	if evicted != nil {
+		evicted.closed = true
+		delete(s.conns, evicted)
+	}
+	s.mu.Unlock()
+	if evicted != nil {
+		_ = evicted.netConn.Close()
+	}
+	return c
+}
+
+// evictionCandidate returns the least useful connection: one that has never had a response, the oldest first, then the
+// one idle longest. It is the added one where all others have a request in flight, or one that has come in part or is
+// not read yet. The server's lock is held.
+func (s *Server) evictionCandidate(added *conn) *conn {
+	candidate := added
+	for c := range s.conns {
+		if (candidate == added || c.evictedBefore(candidate)) && !c.closed && !c.requestStarted && !c.hasPendingWork() {
+			candidate = c
+		}
+	}
+	return candidate
+}
+
+// evictedBefore reports whether c is to be evicted rather than other. The server's lock is held.
+func (c *conn) evictedBefore(other *conn) bool {
+	if c.responded != other.responded {
+		return !c.responded
+	}
+	return c.lastActivity.Before(other.lastActivity)
+}
+
+// hasPendingWork reports whether a request is in flight, or may have come and was not looked at: then the connection is
+// not closed. The server's lock is held, without which nothing that has come is read.
+func (c *conn) hasPendingWork() bool {
+	return c.requestInFlight || c.reading || readable(descriptor(c.netConn)) || c.netConn.Reader().Len() > 0
+}
+
+// sweep closes late and idle connections until the server stops.
+func (s *Server) sweep() {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.stop:
+			return
+		case <-ticker.C:
+		}
+		s.closeExpired(time.Now())
+	}
+}
+
+// closeExpired closes the connections that by now are late with a request or have been idle for too long.
+func (s *Server) closeExpired(now time.Time) {
+	var late, idle []*conn
+	s.mu.Lock()
+	for c := range s.conns {
+		switch wait := now.Sub(c.lastActivity); {
+		case c.closed:
+		case (!c.responded || c.requestStarted) && wait > s.cfg.RequestTimeout:
+			if !c.hasPendingWork() {
+				late = append(late, c)
+			}
+		case wait > s.cfg.IdleTimeout:
+			idle = append(idle, c)
+		}
+	}
+	s.mu.Unlock()
+	for _, c := range late {
+		c.rejectConnection(http1.StatusRequestTimeout, "no whole request in time")
+	}
+	for _, c := range idle {
+		c.closeIfIdle()
+	}
+}
+
+// closeIfIdle closes the connection, unless a request has come meanwhile.
+func (c *conn) closeIfIdle() {
+	c.server.mu.Lock()
+	if c.closed || c.requestStarted || c.hasPendingWork() {
+		c.server.mu.Unlock()
+		return
+	}
+	c.closed = true
+	c.server.mu.Unlock()
+	_ = c.netConn.Close()
+}
--- a/internal/server/httpserver/golden_test.go
+++ b/internal/server/httpserver/golden_test.go
@@ -13,15 +13,15 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// rawResponse reads the bytes of one response: its header as it came, and as much body as the header announces.
-func (l *client) readRawResponse() string {
-	l.t.Helper()
+// readRawResponse reads the bytes of one response: its header as it came, and as much body as the header announces.
+func (c *client) readRawResponse() string {
+	c.t.Helper()
 	var raw strings.Builder
 	for {
-		line, err := l.reader.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		raw.WriteString(line)
 		if err != nil {
-			l.t.Fatalf("%v after %q", err, raw.String())
+			c.t.Fatalf("%v after %q", err, raw.String())
 		}
 		if line == "\r\n" {
 			break
@@ -29,27 +29,27 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(raw.String())), nil)
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	body := make([]byte, resp.ContentLength)
-	if _, err := io.ReadFull(l.reader, body); err != nil {
-		l.t.Fatal(err)
+	if _, err := io.ReadFull(c.reader, body); err != nil {
+		c.t.Fatal(err)
 	}
 	return raw.String() + string(body)
 }
 
-// wantClosed fails the test unless the server closes the connection without a further byte.
-func (l *client) expectClosed() {
-	l.t.Helper()
-	if rest, err := io.ReadAll(l.reader); err != nil || len(rest) > 0 {
-		l.t.Errorf("behind the response: %q, %v", rest, err)
+// expectClosed fails the test unless the server closes the connection without a further byte.
+func (c *client) expectClosed() {
+	c.t.Helper()
+	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) > 0 {
+		c.t.Errorf("behind the response: %q, %v", rest, err)
 	}
 }
 
-// TestGoldenResponses holds every byte of the responses to requests that were taken.
+// TestGoldenResponses holds every byte of the responses to requests that were accepted.
 func TestGoldenResponses(t *testing.T) {
 	for name, c := range map[string]struct{ request, want string }{
-		"ping":              {"GET /ping HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
+		"ping":              {pingRequest, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
 		"served":            {newRequest(servedFunction, "x\x00\r\ny"), "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone x\x00\r\ny"},
 		"served and closed": {newRequest(servedFunction, "x", "Connection: close"), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\ndone x"},
 		"rejected":          {newRequest(rejectedFunction, ""), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nX-Pushback-Ms: 70\r\n\r\n"},
@@ -57,10 +57,10 @@
 		"deadline exceeded": {newRequest(failedFunction, "", "X-Deadline-Ms: 0.001"), "HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := startServer(t, nil)
-			l := dial(t, f)
-			l.send(c.request)
-			if got := l.readRawResponse(); got != c.want {
+			s, _ := startServer(t, nil)
+			cl := dial(t, s)
+			cl.send(c.request)
+			if got := cl.readRawResponse(); got != c.want {
 				t.Errorf("got  %q\nwant %q", got, c.want)
 			}
 		})
@@ -95,14 +95,12 @@
 			"HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := startServer(t, nil)
-			l := dial(t, f)
-			l.send(newRequest(pendingFunction, ""))
-			waitForOpenRequests(t, f, 1)
-			c1, resume := pauseReading(t, f, l)
-			resume()
-			c1.Finish(c.answer)
-			if got := l.readRawResponse(); got != c.want {
+			s, _ := startServer(t, nil)
+			cl := dial(t, s)
+			cl.send(newRequest(pendingFunction, ""))
+			waitForOpenRequests(t, s, 1)
+			serverSide(t, s, cl).Finish(c.answer)
+			if got := cl.readRawResponse(); got != c.want {
 				t.Errorf("got  %q\nwant %q", got, c.want)
 			}
 		})
@@ -141,16 +139,16 @@
 		"no HTTP":                 {"\x16\x03\x01\x00\xff\r\n\r\n", "400 Bad Request", "http1: no method"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := startServer(t, nil)
-			l := dial(t, f)
-			l.send(c.request)
+			s, _ := startServer(t, nil)
+			cl := dial(t, s)
+			cl.send(c.request)
 			want := fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s\n", c.status, len(c.reason)+1, c.reason)
-			if got := l.readRawResponse(); got != want {
+			if got := cl.readRawResponse(); got != want {
 				t.Errorf("got  %q\nwant %q", got, want)
 			}
-			l.expectClosed()
-			if s := f.Stats(); s.BadRequests != 1 || s.OpenRequests != 0 {
-				t.Errorf("%+v", s)
+			cl.expectClosed()
+			if stats := s.Stats(); stats.BadRequests != 1 || stats.OpenRequests != 0 {
+				t.Errorf("%+v", stats)
 			}
 		})
 	}
@@ -159,20 +157,20 @@
 // TestGoldenOtherErrors holds every byte of the responses that depend on more than the request.
 func TestGoldenOtherErrors(t *testing.T) {
 	t.Run("request not complete in time", func(t *testing.T) {
-		f, _ := startServer(t, func(c *Config) { c.RequestTimeout = 50 * time.Millisecond })
-		l := dial(t, f)
-		l.send(newRequest(servedFunction, "body")[:40])
+		s, _ := startServer(t, func(c *Config) { c.RequestTimeout = 50 * time.Millisecond })
+		cl := dial(t, s)
+		cl.send(newRequest(servedFunction, "body")[:40])
 		want := "HTTP/1.1 408 Request Timeout\r\nContent-Length: 25\r\nConnection: close\r\n\r\nno whole request in time\n"
-		if got := l.readRawResponse(); got != want {
+		if got := cl.readRawResponse(); got != want {
 			t.Errorf("got  %q\nwant %q", got, want)
 		}
-		l.expectClosed()
+		cl.expectClosed()
 	})
 	t.Run("id of an open request", func(t *testing.T) {
-		f, _ := startServer(t, nil)
-		first, second := dial(t, f), dial(t, f)
+		s, _ := startServer(t, nil)
+		first, second := dial(t, s), dial(t, s)
 		first.send(newRequest(pendingFunction, "", "X-Correlation-Id: 00000000000000ff"))
-		waitForOpenRequests(t, f, 1)
+		waitForOpenRequests(t, s, 1)
 		second.send(newRequest(servedFunction, "", "X-Correlation-Id: 00000000000000ff"))
 		want := "HTTP/1.1 409 Conflict\r\nContent-Length: 29\r\nConnection: close\r\n\r\na request of this id is open\n"
 		if got := second.readRawResponse(); got != want {
@@ -181,12 +179,12 @@
 		second.expectClosed()
 	})
 	t.Run("router stopped", func(t *testing.T) {
-		f, u := startServer(t, nil)
-		u.router.Kill()
-		l := dial(t, f)
-		l.send(newRequest(servedFunction, ""))
+		s, upstream := startServer(t, nil)
+		upstream.router.Kill()
+		cl := dial(t, s)
+		cl.send(newRequest(servedFunction, ""))
 		want := "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-		if got := l.readRawResponse(); got != want {
+		if got := cl.readRawResponse(); got != want {
 			t.Errorf("got  %q\nwant %q", got, want)
 		}
 	})
--- /dev/null
+++ b/internal/server/httpserver/parse.go
@@ -0,0 +1,166 @@
+package httpserver
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/invocation"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/transport/http1"
+)
+
+// The header fields of a call, in lower case as the reader gives them.
+const (
+	classField      = "x-class"
+	idField         = "x-correlation-id"
+	deadlineField   = "x-deadline-ms"
+	keyField        = "x-operation-key"
+	estimateField   = "x-estimate-ms"
+	attributesField = "x-attrs"
+)
+
+// callFields may each be given once.
+var callFields = []string{classField, idField, deadlineField, keyField, estimateField, attributesField}
+
+// The bounds of what a request may state. A figure beyond them is invalid: the dispatcher never sees it.
+const (
+	maxMilliseconds           = 10 * 60 * 1000 // of a deadline, an estimate, a load
+	maxMemoryMB               = 1 << 24
+	maxConcurrencyPerInstance = 1024
+	maxAttributes             = 16
+	maxNumberLength           = 20 // bytes
+	hexIDLength               = 16 // digits of a function's or request's id
+)
+
+// requestError is why a request can't become a call: no part of it was forwarded.
+type requestError struct {
+	status int
+	reason string
+}
+
+func (e *requestError) Error() string { return e.reason }
+
+// parseCall returns the call that a request asks for. arrived is when the request's last byte came; the deadline counts
+// from it. The error is a *requestError.
+func (s *Server) parseCall(m *http1.Message, arrived time.Time) (*router.Call, *invocation.Request, error) {
+	function, err := parseTarget(m)
+	if err != nil {
+		return nil, nil, err
+	}
+	for _, name := range callFields {
+		if _, once := m.Get(name); !once && m.Has(name) {
+			return nil, nil, &requestError{http1.StatusBadRequest, name + ": given twice"}
+		}
+	}
+	class, _ := m.Get(classField)
+	idempotency, ok := s.cfg.Classes[class]
+	if !ok {
+		return nil, nil, &requestError{http1.StatusBadRequest, "x-class: not a class of the settings"}
+	}
+	id, _ := m.Get(idField)
+	if !invocation.Hex(id, hexIDLength) {
+		return nil, nil, &requestError{http1.StatusBadRequest, "x-correlation-id: not 16 hex digits"}
+	}
+	text, _ := m.Get(deadlineField)
+	timeout, ok := parseNumber(text, maxMilliseconds)
+	if !ok || timeout <= 0 {
+		return nil, nil, &requestError{http1.StatusBadRequest, "x-deadline-ms: not a usable figure"}
+	}
+	key, given := m.Get(keyField)
+	if given && !invocation.Key(key) || !given && idempotency == dispatch.IdempotentByKey {
+		return nil, nil, &requestError{http1.StatusBadRequest, "x-operation-key: missing or unusable"}
+	}
+	deadline := arrived.Add(milliseconds(timeout))
+	call := &router.Call{Function: function, Class: class, ConcurrencyPerInstance: 1, RemainingDeadline: time.Until(deadline)}
+	if err := parseEstimates(call, m); err != nil {
+		return nil, nil, err
+	}
+	request := &invocation.Request{ID: id, Class: class, Function: function, Key: key, Body: m.Body}
+	call.Request = request
+	return call, request, nil
+}
+
+// parseTarget checks the method and the path of a call, /call/<function>/call, and returns the function's id.
+func parseTarget(m *http1.Message) (function string, err error) {
+	parts := strings.Split(m.Target, "/")
+	if len(parts) != 4 || parts[0] != "" || parts[1] != "call" || parts[3] != "call" {
+		return "", &requestError{http1.StatusNotFound, "no such path"}
+	}
+	if m.Method != "POST" {
+		return "", &requestError{http1.StatusMethodNotAllowed, "method is not POST"}
+	}
+	function = parts[2]
+	if !invocation.Hex(function, hexIDLength) {
+		return "", &requestError{http1.StatusNotFound, "path: the function is not 16 hex digits"}
+	}
+	return function, nil
+}
+
+// parseEstimates reads the fields in which a request may state its work and the resources of its function.
+func parseEstimates(call *router.Call, m *http1.Message) error {
+	if text, ok := m.Get(estimateField); ok {
+		work, ok := parseNumber(text, maxMilliseconds)
+		if !ok {
+			return &requestError{http1.StatusBadRequest, "x-estimate-ms: not a usable figure"}
+		}
+		call.ExpectedWork = milliseconds(work)
+	}
+	if text, ok := m.Get(attributesField); ok {
+		return parseAttributes(call, text)
+	}
+	return nil
+}
+
+// parseAttributes reads "name:value;name:value". Attributes with other names are ignored, but their values are checked.
+func parseAttributes(call *router.Call, text string) error {
+	count := 0
+	for text != "" {
+		var pair string
+		pair, text, _ = strings.Cut(text, ";")
+		name, value, ok := strings.Cut(pair, ":")
+		if count++; !ok || count > maxAttributes {
+			return &requestError{http1.StatusBadRequest, "x-attrs: not name:value;name:value"}
+		}
+		number, ok := parseNumber(value, maxAttributeValue(name))
+		if !ok {
+			return &requestError{http1.StatusBadRequest, "x-attrs: a figure that is not usable"}
+		}
+		switch name {
+		case "memory_mb":
+			call.MemoryMB = number
+		case "lanes":
+			call.ConcurrencyPerInstance = int(max(number, 1))
+		case "load_ms":
+			call.LoadTime = milliseconds(number)
+		}
+	}
+	return nil
+}
+
+func maxAttributeValue(name string) float64 {
+	switch name {
+	case "memory_mb":
+		return maxMemoryMB
+	case "lanes":
+		return maxConcurrencyPerInstance
+	default:
+		return maxMilliseconds
+	}
+}
+
+// parseNumber reads a decimal number from 0 to limit: digits, and a fraction where there is one.
+func parseNumber(s string, limit float64) (number float64, ok bool) {
+	if len(s) > maxNumberLength || strings.Trim(s, "0123456789.") != "" {
+		return 0, false
+	}
+	number, err := strconv.ParseFloat(s, 64)
+	return number, err == nil && number >= 0 && number <= limit && !math.IsNaN(number)
+}
+
+// milliseconds converts a number of milliseconds.
+func milliseconds(number float64) time.Duration {
+	return time.Duration(number * float64(time.Millisecond))
+}
--- /dev/null
+++ b/internal/server/httpserver/response.go
@@ -0,0 +1,67 @@
+package httpserver
+
+import (
+	"errors"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/transport/http1"
+)
+
+// responseHeadCapacity is the initial capacity for a response's header, in bytes.
+const responseHeadCapacity = 256
+
+// rejectRequest responds to a request that can't be a call, and closes the connection: no usual client sends such.
+func (c *conn) rejectRequest(err error) {
+	status := http1.StatusBadRequest
+	var requestErr *requestError
+	if errors.As(err, &requestErr) {
+		status = requestErr.status
+	}
+	c.server.mu.Lock()
+	c.server.stats.BadRequests++
+	c.closeAfterResponse = true
+	c.server.mu.Unlock()
+	c.server.cfg.Logger.Debug("request rejected", "client", c.netConn.RemoteAddr(), "reason", err)
+	c.respond(status, nil, []byte(err.Error()+"\n"))
+}
+
+// rejectConnection responds where no request could be read, and closes the connection.
+func (c *conn) rejectConnection(status int, reason string) {
+	c.server.mu.Lock()
+	if c.closed || c.requestInFlight {
+		c.server.mu.Unlock()
+		return
+	}
+	c.requestInFlight, c.closeAfterResponse = true, true
+	c.server.stats.BadRequests++
+	c.server.mu.Unlock()
+	c.server.cfg.Logger.Debug("client connection rejected", "client", c.netConn.RemoteAddr(), "reason", reason)
+	c.respond(status, nil, []byte(reason+"\n"))
+}
+
+// respond writes a response; the next request is looked for when the client has taken it. It does not block: a client
+// that doesn't read delays only its own connection, and that for WriteTimeout at most.
+func (c *conn) respond(status int, fields []http1.Field, body []byte) {
+	c.server.mu.Lock()
+	closing, closed := c.closeAfterResponse, c.closed
+	c.server.mu.Unlock()
+	if closed {
+		return
+	}
+	go func() {
+		response := make([]byte, 0, responseHeadCapacity+len(body))
+		_, err := c.netConn.Write(http1.AppendResponse(response, status, fields, body, closing))
+		c.server.mu.Lock()
+		c.requestInFlight, c.responded, c.lastActivity = false, true, time.Now()
+		if err != nil || closing {
+			c.closed = true
+		}
+		closed := c.closed
+		c.server.mu.Unlock()
+		if closed {
+			_ = c.netConn.Close()
+			return
+		}
+		c.serveNext(time.Now()) // what came behind the request, if anything
+	}()
+}
--- /dev/null
+++ b/internal/server/httpserver/shutdown.go
@@ -0,0 +1,58 @@
+package httpserver
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	drainPollInterval        = 5 * time.Millisecond
+	eventLoopShutdownTimeout = time.Second
+)
+
+// WaitForDrain waits until no client waits for a response: no request in flight, received and not read, or waiting on a
+// connection that was not accepted yet, and the last response's bytes taken by the system. It reports whether that came
+// within limit. The router must have stopped: it rejects what still comes.
+func (s *Server) WaitForDrain(limit time.Duration) bool {
+	for deadline := time.Now().Add(limit); ; time.Sleep(drainPollInterval) {
+		pending := s.hasPendingWork()
+		if !pending || time.Now().After(deadline) {
+			return !pending
+		}
+	}
+}
+
+// hasPendingWork reports whether a connection has pending work, or waits to be accepted.
+func (s *Server) hasPendingWork() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	pending := readable(s.listener.Fd())
+	for c := range s.conns {
+		pending = pending || c.hasPendingWork()
+	}
+	return pending
+}
+
+// Close closes the listener and all connections. Only the first call does anything.
+func (s *Server) Close() {
+	s.mu.Lock()
+	if s.closed {
+		s.mu.Unlock()
+		return
+	}
+	s.closed = true
+	conns := make([]*conn, 0, len(s.conns))
+	for c := range s.conns {
+		conns = append(conns, c)
+	}
+	s.mu.Unlock()
+	close(s.stop)
+	s.wg.Wait()
+	for _, c := range conns {
+		_ = c.netConn.Close()
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), eventLoopShutdownTimeout)
+	defer cancel()
+	_ = s.eventLoop.Shutdown(ctx)
+	_ = s.listener.Close()
+}
