--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -52,7 +52,7 @@
 	upstream   *respupstream.Pool
 	router     *router.Router
 	watcher    *discovery.Watcher
-	httpServer *httpserver.Front
+	httpServer *httpserver.Server
 	stopOnce   sync.Once // for Shutdown or Close, whichever comes first
 }
 
@@ -134,16 +134,16 @@
 		classes[class.Name] = class.Idempotency
 	}
 	s.httpServer, err = httpserver.Listen(httpserver.Config{
-		Address:  s.cfg.ListenAddress,
-		Classes:  classes,
-		MaxConns: budget.ClientConns,
+		Address:        s.cfg.ListenAddress,
+		Classes:        classes,
+		MaxConnections: budget.ClientConns,
 		Limits: http1.Limits{Head: maxRequestHeadBytes, Fields: maxRequestFields, Body: maxRequestBodyBytes,
 			Pending: maxPendingRequestBytes},
-		First:  firstRequestTimeout,
-		Idle:   clientIdleTimeout,
-		Write:  writeTimeout,
-		Buffer: budget.SocketBufferBytes,
-		Log:    s.logger,
+		RequestTimeout:     firstRequestTimeout,
+		IdleTimeout:        clientIdleTimeout,
+		WriteTimeout:       writeTimeout,
+		ReceiveBufferBytes: budget.SocketBufferBytes,
+		Logger:             s.logger,
 	}, s.router)
 	return err
 }
--- a/internal/httprouter/stats.go
+++ b/internal/httprouter/stats.go
@@ -11,7 +11,7 @@
 		"calls", router.Calls, "served", router.Served, "refused", router.Rejected, "failed", router.Failed,
 		"dropped", router.Cancelled, "attempts", router.Attempts, "orders", router.Loads, "probes", router.HealthChecks,
 		"open", router.Open,
-		"clients", server.Conns, "bad", server.Bad, "evicted", server.Evicted,
+		"clients", server.Connections, "bad", server.BadRequests, "evicted", server.Evicted,
 		"worker_conns", upstream.Conns, "worker_open", upstream.Open, "waiting", upstream.Waiting, "dials", upstream.Dials,
 		"dials_failed", upstream.Failed, "broken", upstream.Broken, "unwritten", upstream.Unwritten, "late", upstream.Late,
 		"cursor", watcher.Revision, "questions", watcher.Polls, "channel_broken", watcher.FailedPolls,
