--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -33,6 +33,7 @@
 	started  int
 	drained  chan string
 	cancel   bool // cancels the attempt at once
+	retries  int  // attempts to start after one that was refused
 }
 
 func (p *probe) Step(now time.Duration, events []dispatch.Event) (out []dispatch.Action) {
@@ -49,7 +50,10 @@
 			p.mu.Unlock()
 		case dispatch.AttemptEnded:
 			p.outcomes <- e
-			if !e.Final {
+			if e.Result == dispatch.Rejected && p.retries > 0 {
+				p.retries--
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: "w"})
+			} else if !e.Final {
 				out = append(out, dispatch.FailRequest{ID: e.ID})
 			}
 		case dispatch.EndpointUpdate:
--- /dev/null
+++ b/internal/upstream/grpcupstream/golden_test.go
@@ -0,0 +1,127 @@
+package grpcupstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	peer "golang.org/x/net/http2"
+	peerhpack "golang.org/x/net/http2/hpack"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/transport/hpack"
+)
+
+// requestRecorder passes on each request that comes to it, as a line for each header field and one for the data.
+// It refuses the first attempt of a request with the metadata "x-test: refuse once", and answers none.
+func requestRecorder(t *testing.T) (addr string, requests <-chan string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	recorded := make(chan string, 8)
+	go func() {
+		for {
+			nc, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go recordRequests(nc, recorded)
+		}
+	}()
+	return ln.Addr().String(), recorded
+}
+
+func recordRequests(nc net.Conn, recorded chan<- string) {
+	defer func() { _ = nc.Close() }()
+	_, _ = io.ReadFull(nc, make([]byte, len(peer.ClientPreface)))
+	fr := peer.NewFramer(nc, nc)
+	fr.ReadMetaHeaders = peerhpack.NewDecoder(4096, nil)
+	_ = fr.WriteSettings()
+	head, data := map[uint32]string{}, map[uint32]string{}
+	for {
+		f, err := fr.ReadFrame()
+		if err != nil {
+			return
+		}
+		id := f.Header().StreamID
+		switch f := f.(type) {
+		case *peer.MetaHeadersFrame:
+			for _, field := range f.Fields {
+				head[id] += field.Name + ": " + field.Value + "\n"
+			}
+		case *peer.DataFrame:
+			data[id] += string(f.Data())
+			if f.StreamEnded() {
+				recorded <- head[id] + fmt.Sprintf("%q", data[id])
+				if strings.Contains(head[id], "x-test: refuse once") && strings.Contains(head[id], "grpc-previous-rpc-attempts: 0") {
+					_ = fr.WriteRSTStream(id, peer.ErrCodeRefusedStream)
+				}
+			}
+		}
+	}
+}
+
+// TestGoldenRequestsToAWorker holds the header fields, in their order, and the data of each kind of request to a worker.
+// The time that is left differs from run to run and is compared as milliseconds of seven digits.
+func TestGoldenRequestsToAWorker(t *testing.T) {
+	addr, requests := requestRecorder(t)
+	r, p := stage(t, addr)
+	p.retries = 1
+	timeout := regexp.MustCompile(`(?m)^grpc-timeout: ([0-9]{7})m$`)
+	expect := func(what, method string, lines ...string) {
+		t.Helper()
+		got := get(t, requests, what)
+		if m := timeout.FindStringSubmatch(got); m != nil {
+			if ms, _ := strconv.Atoi(m[1]); ms > 3600000 || ms < 3570000 {
+				t.Errorf("%s: timeout %d ms", what, ms)
+			}
+			got = timeout.ReplaceAllString(got, "grpc-timeout: #######m")
+		}
+		want := ":method: POST\n:scheme: http\n:path: /inference.GRPCInferenceService/" + method + "\n:authority: worker\n" +
+			"te: trailers\ncontent-type: application/grpc\ngrpc-timeout: #######m\ntopazfront-router: r\n" + strings.Join(lines, "\n")
+		if got != want {
+			t.Errorf("%s:\ngot\n%s\nwant\n%s", what, got, want)
+		}
+	}
+	submit := func(streamed bool, req *oip.Request) {
+		if _, ok := r.Submit(&router.Call{Function: "m", Class: "c", RemainingDeadline: time.Hour, Streamed: streamed,
+			Request: req, Client: newAnswer()}); !ok {
+			t.Fatal("the router did not accept the request")
+		}
+	}
+
+	submit(false, &oip.Request{Message: body(), Encoding: "gzip", Accept: "gzip,identity",
+		Metadata: []hpack.Field{{Name: "x-own", Value: "kept"}, {Name: "x-own-bin", Value: "AAE"}}})
+	expect("an attempt", "ModelInfer",
+		"grpc-previous-rpc-attempts: 0", "grpc-encoding: gzip", "grpc-accept-encoding: gzip,identity", "x-own: kept", "x-own-bin: AAE", `"\x00\x00\x00\x00\x03\n\x01m"`)
+	submit(true, &oip.Request{Message: body()})
+	expect("an attempt of a streamed call", "ModelStreamInfer",
+		"grpc-previous-rpc-attempts: 0", `"\x00\x00\x00\x00\x03\n\x01m"`)
+	submit(false, &oip.Request{Message: body(), Metadata: []hpack.Field{{Name: "x-test", Value: "refuse once"}}})
+	expect("an attempt that is refused", "ModelInfer",
+		"grpc-previous-rpc-attempts: 0", "x-test: refuse once", `"\x00\x00\x00\x00\x03\n\x01m"`)
+	expect("its retry", "ModelInfer",
+		"grpc-previous-rpc-attempts: 1", "x-test: refuse once", `"\x00\x00\x00\x00\x03\n\x01m"`)
+
+	pool := New(Config{Router: "r", ConnectTimeout: time.Second, MaxConns: 1, MaxMessage: 1 << 20})
+	t.Cleanup(pool.Close)
+	pool.Attach(r)
+	pool.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
+	pool.LoadFunction("w", "m", 3, time.Hour, func(router.LoadResult) {})
+	expect("a load command", "RepositoryModelLoad",
+		`"\x00\x00\x00\x00\x11\x12\x01m\x1a\f\n\x06copies\x12\x02\x10\x03"`)
+	pool.CheckHealth("w", time.Hour, func(router.HealthResult) {})
+	expect("a health check", "ServerReady",
+		`"\x00\x00\x00\x00\x00"`)
+}
--- /dev/null
+++ b/internal/upstream/respupstream/golden_test.go
@@ -0,0 +1,124 @@
+package respupstream
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"regexp"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invocation"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// wireRecorder accepts one connection and passes on each message as the bytes that came. It answers an attempt, a load
+// command and a health check, and an attempt with the body "silent" not at all.
+func wireRecorder(t *testing.T) (addr string, messages <-chan string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	recorded := make(chan string, 8)
+	go func() {
+		nc, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		defer func() { _ = nc.Close() }()
+		var raw bytes.Buffer
+		for in := bufio.NewReader(io.TeeReader(nc, &raw)); ; raw.Reset() {
+			m, err := fakeplatform.ReadMessage(in)
+			if err != nil {
+				return
+			}
+			recorded <- raw.String()
+			switch {
+			case m[0] == "load":
+				_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "yes", "-", ""))
+			case m[len(m)-1] != "silent" && m[0] != "drop":
+				_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "ok", "slots_up=2", "answer"))
+			}
+		}
+	}()
+	return ln.Addr().String(), recorded
+}
+
+// TestGoldenMessagesOnTheSocket holds the bytes of each kind of message to a worker as they leave the socket. The time
+// that is left differs from run to run and is compared as seven digits.
+func TestGoldenMessagesOnTheSocket(t *testing.T) {
+	addr, messages := wireRecorder(t)
+	st := newStage(t, func(c *Config) { c.MaxConns = 1 }, &script{to: []string{"w"}})
+	st.list = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
+	st.r.SetEndpoints(st.list)
+	limit := regexp.MustCompile(`limit=([0-9]{7})\b`)
+	expect := func(what, want string) {
+		t.Helper()
+		got := fakeplatform.Await(t, messages, what)
+		if m := limit.FindStringSubmatch(got); m != nil {
+			if ms, _ := strconv.Atoi(m[1]); ms > 3600000 || ms < 3570000 {
+				t.Errorf("%s: limit %d ms", what, ms)
+			}
+			got = limit.ReplaceAllString(got, "limit=#######")
+		}
+		if got != want {
+			t.Errorf("%s:\ngot  %q\nwant %q", what, got, want)
+		}
+	}
+	submit := func(id, class, function, key, body string) (client, func()) {
+		c := make(client, 1)
+		cancel, ok := st.r.Submit(&router.Call{Function: function, Class: class, RemainingDeadline: time.Hour, Client: c,
+			Request: &invocation.Request{ID: id, Class: class, Function: function, Key: key, Body: []byte(body)}})
+		if !ok {
+			t.Fatal("the router did not accept the request")
+		}
+		return c, func() { cancel() }
+	}
+
+	c, _ := submit("00000000000000a1", "renew", fn, "k-1", "a\r\nbody")
+	expect("an attempt", "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n"+
+		"$55\r\ncls=renew,item=7f3a9c21e0b4d655,limit=#######,nonce=k-1\r\n$7\r\na\r\nbody\r\n")
+	fakeplatform.Await(t, c, "the answer")
+
+	loaded := make(chan router.LoadResult, 1)
+	st.p.LoadFunction("w", fn, 2, 15*time.Second, func(r router.LoadResult) { loaded <- r })
+	expect("a load command", "*3\r\n$6\r\nensure\r\n$2\r\nq1\r\n$32\r\nitem=7f3a9c21e0b4d655,slots_up=2\r\n")
+	if r := fakeplatform.Await(t, loaded, "the load result"); r.Result != dispatch.OK || r.Copies != 2 {
+		t.Errorf("load result %+v", r)
+	}
+
+	checked := make(chan router.HealthResult, 1)
+	st.p.CheckHealth("w", 15*time.Second, func(r router.HealthResult) { checked <- r })
+	expect("a health check", "*2\r\n$4\r\nload\r\n$2\r\nq2\r\n")
+	if r := fakeplatform.Await(t, checked, "the health result"); r.Result != dispatch.OK || !r.Ready {
+		t.Errorf("health result %+v", r)
+	}
+
+	_, cancel := submit("00000000000000a2", "c", fn, "", "silent")
+	expect("an attempt without a key", "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a2\r\n"+
+		"$41\r\ncls=c,item=7f3a9c21e0b4d655,limit=#######\r\n$6\r\nsilent\r\n")
+	cancel()
+	expect("a cancellation", "*2\r\n$4\r\ndrop\r\n$16\r\n00000000000000a2\r\n")
+}
+
+// TestGoldenAttemptLimits holds the limit that an attempt carries: whole milliseconds, rounded down, and never below 1.
+func TestGoldenAttemptLimits(t *testing.T) {
+	r := &invocation.Request{ID: "00000000000000a1", Class: "c", Function: "f", Body: []byte{}}
+	for left, want := range map[time.Duration]string{
+		1500*time.Millisecond + 999*time.Microsecond: "$23\r\ncls=c,item=f,limit=1500",
+		999 * time.Microsecond:                       "$20\r\ncls=c,item=f,limit=1",
+		-time.Second:                                 "$20\r\ncls=c,item=f,limit=1",
+	} {
+		want := "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n" + want + "\r\n$0\r\n\r\n"
+		if got := string(execOf(r, left)); got != want {
+			t.Errorf("%v left:\ngot  %q\nwant %q", left, got, want)
+		}
+	}
+}
