--- a/internal/httprouter/node.go
+++ b/internal/httprouter/node.go
@@ -61,9 +61,9 @@
 	}
 	n := &Node{cfg: cfg, log: o.Log.With("router", cfg.Name)}
 	share := cfg.Shares()
-	n.pool = respupstream.New(respupstream.Config{ConnectTimeout: cfg.Limits.ConnectTimeout, IdleClose: cfg.Limits.IdleClose / 2,
-		WriteTimeout: writeWithin, StallAfter: stallWithin, MaxConns: share.Workers, MaxOpen: cfg.Limits.StreamsPerConn,
-		MaxAnswer: 64 << 10, Buffer: share.SocketBuffer, Log: n.log})
+	n.pool = respupstream.New(respupstream.Config{ConnectTimeout: cfg.Limits.ConnectTimeout, IdleTimeout: cfg.Limits.IdleClose / 2,
+		WriteTimeout: writeWithin, StallTimeout: stallWithin, MaxConns: share.Workers, MaxRequestsPerConn: cfg.Limits.StreamsPerConn,
+		MaxResponseBytes: 64 << 10, ReceiveBuffer: share.SocketBuffer, Logger: n.log})
 	var err error
 	n.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.Settings,
 		LoadTimeout: cfg.Limits.OrderTimeout, HealthCheckTimeout: cfg.Limits.ConnectTimeout,
@@ -204,10 +204,10 @@
 	each := func(d time.Duration) float64 { return d.Seconds() * 1000 / float64(max(r.Served, 1)) }
 	n.log.Info("state", "calls", r.Calls, "served", r.Served, "refused", r.Rejected, "failed", r.Failed, "dropped", r.Cancelled,
 		"attempts", r.Attempts, "orders", r.Loads, "probes", r.HealthChecks, "open", r.Open, "clients", f.Conns, "bad", f.Bad,
-		"evicted", f.Evicted, "worker_conns", p.Conns, "worker_open", p.Open, "waiting", p.Waiting, "dials", p.Dials,
-		"dials_failed", p.Failed, "broken", p.Broken, "unwritten", p.Unwritten, "late", p.Late, "cursor", c.Cursor,
+		"evicted", f.Evicted, "worker_conns", p.Conns, "worker_open", p.InFlight, "waiting", p.Queued, "dials", p.Dials,
+		"dials_failed", p.DialFailures, "broken", p.ProtocolErrors, "unwritten", p.NeverWritten, "late", p.CancelledInFlight, "cursor", c.Cursor,
 		"questions", c.Questions, "channel_broken", c.Broken,
-		"out", r.AttemptsInFlight, "module_ms", each(r.ServedDuration), "waited_ms", each(p.Waited), "wire_ms", each(p.Wire))
+		"out", r.AttemptsInFlight, "module_ms", each(r.ServedDuration), "waited_ms", each(p.QueueTime), "wire_ms", each(p.ResponseTime))
 }
 
 // quiet takes netpoll's own log lines.
--- /dev/null
+++ b/internal/upstream/respupstream/conn_test.go
@@ -0,0 +1,77 @@
+package respupstream
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+// TestAttemptAfterIdleResetUsesAnotherConnection: an attempt that finds its connection reset before a byte was accepted is
+// written to another.
+func TestAttemptAfterIdleResetUsesAnotherConnection(t *testing.T) {
+	w := &fakeplatform.Worker{ID: "w"}
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	fakeplatform.Await(t, h.submit(15*time.Second), "the first answer")
+	fakeplatform.Await(t, h.dispatcher.outcomes, "its outcome")
+	for _, r := range w.Got() {
+		_ = r.Conn.Close()
+	}
+	for range 20 {
+		final := fakeplatform.Await(t, h.submit(15*time.Second), "an answer")
+		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result == dispatch.OK && string(final.Attempt.Body) == "done body" {
+			return
+		}
+	}
+	t.Error("no answer after a reset")
+}
+
+// TestConnectionLimitAndIdleTimeout: the connections to all workers stay within the limit, and idle ones are closed.
+func TestConnectionLimitAndIdleTimeout(t *testing.T) {
+	release := make(chan struct{})
+	w := &fakeplatform.Worker{ID: "w"}
+	w.Act = func(r fakeplatform.Request) {
+		go func() {
+			<-release
+			r.Conn.Say(r.ID, "ok", "-", "")
+		}()
+	}
+	h := newHarness(t, func(c *Config) { c.MaxConns, c.MaxRequestsPerConn, c.IdleTimeout = 3, 100, 50*time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	for range 40 {
+		h.submit(15 * time.Second)
+	}
+	for range 40 {
+		fakeplatform.Await(t, w.Came(), "an attempt")
+	}
+	if stats := h.pool.Stats(); stats.Conns > 3 || stats.InFlight != 40 {
+		t.Errorf("%+v", stats)
+	}
+	close(release)
+	for range 40 {
+		fakeplatform.Await(t, h.dispatcher.outcomes, "an outcome")
+	}
+	for range 2000 {
+		if h.pool.Stats().Conns == 0 && w.Conns() == 0 {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	t.Errorf("idle connections were not closed: %+v", h.pool.Stats())
+}
+
+// TestUsedIDsExpire: expired ids are forgotten unless in flight, and a connection that remembers too many drains.
+func TestUsedIDsExpire(t *testing.T) {
+	c := &conn{inFlight: map[string]*exchange{"open": {}}, usedIDs: map[string]int64{"old": 1, "open": 1, "new": 1 << 40}, worker: &worker{}}
+	c.expireUsedIDs(time.Now())
+	if len(c.usedIDs) != 2 || c.usedIDs["old"] != 0 {
+		t.Errorf("%v", c.usedIDs)
+	}
+	for i := range maxUsedIDs {
+		c.usedIDs[fmt.Sprint(i)] = 1 << 40
+	}
+	if c.expireUsedIDs(time.Now()); !c.draining {
+		t.Error("a connection that remembers too many ids does not drain")
+	}
+}
--- /dev/null
+++ b/internal/upstream/respupstream/dial.go
@@ -0,0 +1,99 @@
+package respupstream
+
+import (
+	"context"
+	"errors"
+	"syscall"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/transport/resp"
+)
+
+// maxResponseItems bounds the bulk strings of one response. A valid response has four; the parser rejects the others.
+const maxResponseItems = 8
+
+// dial opens one connection and gives it to the exchanges that wait for one. It runs on a goroutine of its own, which ends
+// after the connect timeout at the latest.
+func (p *Pool) dial(w *worker) {
+	netConn, err := netpoll.NewDialer().DialConnection("tcp", w.addr, p.config.ConnectTimeout)
+	if err != nil {
+		p.dialFailed(w, err)
+		return
+	}
+	c := newConn(p, w, netConn)
+	p.mu.Lock()
+	w.connecting--
+	p.connecting--
+	p.conns[c] = struct{}{}
+	w.conns = append(w.conns, c)
+	c.draining = w.removed || p.closed
+	p.mu.Unlock()
+	_ = netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
+	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.close(); return nil })
+	if !netConn.IsActive() { // it ended before the callbacks were set
+		c.close()
+		return
+	}
+	var callbacks []func()
+	p.mu.Lock()
+	c.takeWaiting()
+	if w.connecting == 0 { // no other connect is in progress: the rest shares the connections there are
+		callbacks = p.reassignWaiting(w)
+	}
+	p.mu.Unlock()
+	runCallbacks(callbacks)
+}
+
+// dialFailed ends all exchanges that wait for a connection to the worker. Nothing of them was written.
+func (p *Pool) dialFailed(w *worker, err error) {
+	var callbacks []func()
+	p.mu.Lock()
+	w.connecting--
+	p.connecting--
+	p.stats.DialFailures++
+	result := dispatch.ConnectFailed
+	if isLocalDialError(err) {
+		result = dispatch.NotSent
+	}
+	waiting := w.waiting
+	w.waiting = nil
+	for _, x := range waiting {
+		callbacks = append(callbacks, p.finish(x, result, nil))
+	}
+	p.mu.Unlock()
+	runCallbacks(callbacks)
+	p.config.Logger.Debug("connect failed", "endpoint", w.id, "error", err)
+}
+
+// newConn returns a connection that is not yet in the pool and has no callbacks set.
+func newConn(p *Pool, w *worker, netConn netpoll.Connection) *conn {
+	c := &conn{
+		pool:       p,
+		worker:     w,
+		netConn:    netConn,
+		reader:     resp.NewReader(resp.Limits{Items: maxResponseItems, Bytes: p.config.MaxResponseBytes}),
+		inFlight:   map[string]*exchange{},
+		usedIDs:    map[string]int64{},
+		lastReadAt: time.Now(),
+		lastUsedAt: time.Now(),
+	}
+	if fd, ok := netConn.(netpoll.Conn); ok && p.config.ReceiveBuffer > 0 {
+		_ = syscall.SetsockoptInt(fd.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, p.config.ReceiveBuffer)
+	}
+	_ = netConn.SetWriteTimeout(p.config.WriteTimeout)
+	return c
+}
+
+// isLocalDialError reports whether a connect failed because this process or host lacked a resource. Such a failure is no
+// evidence against the worker.
+func isLocalDialError(err error) bool {
+	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, e) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/upstream/respupstream/dial_test.go
@@ -0,0 +1,82 @@
+package respupstream
+
+import (
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+// TestRefusedConnectionIsConnectFailed: a refused connect proves that nothing ran.
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	w := &fakeplatform.Worker{ID: "w"}
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	w.Stop()
+	h.submit(15 * time.Second)
+	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectFailed {
+		t.Errorf("%+v", ended)
+	}
+}
+
+// TestConnectTimeout: a connect that times out proves that nothing ran, and the worker never receives the request.
+func TestConnectTimeout(t *testing.T) {
+	addr, _ := listenWithFullBacklog(t)
+	h := newHarness(t, func(c *Config) { c.ConnectTimeout = 50 * time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
+	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
+	h.router.SetEndpoints(h.endpoints)
+	h.submit(20 * time.Second)
+	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectFailed {
+		t.Errorf("%+v", ended)
+	}
+	if stats := h.pool.Stats(); stats.Written != 0 || stats.Conns != 0 {
+		t.Errorf("%+v", stats)
+	}
+}
+
+// TestLateConnectionServesWaitingAttempt: the attempt that waited for a slow connect is written and answered.
+func TestLateConnectionServesWaitingAttempt(t *testing.T) {
+	addr, accept := listenWithFullBacklog(t)
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}})
+	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
+	h.router.SetEndpoints(h.endpoints)
+	client := h.submit(20 * time.Second)
+	h.waitForStats("no connect was started", func(s Stats) bool { return s.Dials == 1 })
+	ln := accept()
+	go func() {
+		for {
+			nc, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go answerAll(nc, "late but whole", func(string) {})
+		}
+	}()
+	if final := fakeplatform.Await(t, client, "the answer"); final.Attempt == nil || string(final.Attempt.Body) != "late but whole" {
+		t.Errorf("%+v", final)
+	}
+}
+
+// TestLocalDialErrorsAreNotBlamedOnWorker: a connect that fails for want of a local resource must not make the worker
+// suspected.
+func TestLocalDialErrorsAreNotBlamedOnWorker(t *testing.T) {
+	for err, want := range map[error]bool{
+		&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}:         true,
+		&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}: true,
+		netpoll.Exception(syscall.EMFILE, "when dial"):                                      true,
+		&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}:  false,
+		netpoll.Exception(netpoll.ErrDialTimeout, "when dial"):                              false,
+	} {
+		t.Run(err.Error(), func(t *testing.T) {
+			if got := isLocalDialError(err); got != want {
+				t.Errorf("isLocalDialError: %v, want %v", got, want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/upstream/respupstream/evidence_test.go
@@ -0,0 +1,124 @@
+package respupstream
+
+import (
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+)
+
+// TestAttemptResults covers the rows of the table in evidence.go that a worker causes: what it does, and the result that the
+// dispatcher receives.
+func TestAttemptResults(t *testing.T) {
+	for name, test := range map[string]struct {
+		act    func(fakeplatform.Request)
+		result dispatch.Result
+	}{
+		"ok":                       {reply("ok", "-", "answer"), dispatch.OK},
+		"ok with a load report":    {reply("ok", "company=3,meter=inflight:7;util:0.61", "answer"), dispatch.OK},
+		"not resident":             {reply("nothing", "-", ""), dispatch.NotResident},
+		"rejected":                 {reply("refused", "-", ""), dispatch.Rejected},
+		"error":                    {reply("error", "-", ""), dispatch.Errored},
+		"stale":                    {reply("stale", "-", ""), dispatch.NotSent},
+		"connection closed":        {func(r fakeplatform.Request) { _ = r.Conn.Close() }, dispatch.ConnectionReset},
+		"not RESP":                 {replyRaw("\x00\x01noise\r\n"), dispatch.ConnectionReset},
+		"line without end":         {replyRaw("*" + strings.Repeat("1", 64)), dispatch.ConnectionReset},
+		"length of 3 GB":           {replyRaw("*4\r\n$16\r\n0000000000000001\r\n$2\r\nok\r\n$1\r\n-\r\n$3221225472\r\nx"), dispatch.ConnectionReset},
+		"unknown status":           {reply("fine", "-", "answer"), dispatch.ConnectionReset},
+		"status of a health check": {reply("yes", "-", ""), dispatch.ConnectionReset},
+		"too few items":            {reply("ok", "-"), dispatch.ConnectionReset},
+		"field without value":      {reply("ok", "company", "answer"), dispatch.ConnectionReset},
+		"NaN":                      {reply("ok", "company=NaN", "answer"), dispatch.ConnectionReset},
+		"negative number":          {reply("ok", "meter=inflight:-1", "answer"), dispatch.ConnectionReset},
+		"body shorter than its length": {func(r fakeplatform.Request) {
+			r.Conn.Raw("*4\r\n$16\r\n" + r.ID + "\r\n$2\r\nok\r\n$1\r\n-\r\n$9\r\nanswer\r\n*4\r\n")
+		}, dispatch.ConnectionReset},
+		"response for an unknown id first": {func(r fakeplatform.Request) {
+			r.Conn.Say("ffffffffffffffff", "ok", "-", "another's")
+			r.Conn.Say(r.ID, "ok", "-", "answer")
+		}, dispatch.OK},
+		"duplicate response": {func(r fakeplatform.Request) {
+			r.Conn.Raw(strings.Repeat(fakeplatform.Message(r.ID, "ok", "-", "answer"), 2))
+		}, dispatch.OK},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w", Act: test.act})
+			client := h.submit(15 * time.Second)
+			ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome")
+			if ended.Result != test.result || ended.Final != (test.result == dispatch.OK) {
+				t.Errorf("outcome %+v, want result %v", ended, test.result)
+			}
+			if name == "ok with a load report" && (ended.FunctionInFlight != 3 || ended.LoadReport.InFlight != 7) {
+				t.Errorf("report %+v", ended)
+			}
+			final := fakeplatform.Await(t, client, "the final answer")
+			if test.result == dispatch.OK && string(final.Attempt.Body) != "answer" {
+				t.Errorf("the client got %q", final.Attempt.Body)
+			}
+		})
+	}
+}
+
+// TestMalformedResponseResetsAllOnItsConnection: the other attempts on the connection may have run, too.
+func TestMalformedResponseResetsAllOnItsConnection(t *testing.T) {
+	var mu sync.Mutex
+	received := 0
+	w := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
+		mu.Lock()
+		defer mu.Unlock()
+		if received++; received == 3 {
+			r.Conn.Raw("noise\r\n")
+		}
+	}}
+	h := newHarness(t, func(c *Config) { c.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	for range 3 {
+		h.submit(15 * time.Second)
+	}
+	for range 3 {
+		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectionReset {
+			t.Errorf("%+v", ended)
+		}
+	}
+}
+
+// TestLateResponseIsNotMatchedToRetry: a retry under the same id at the same worker uses another connection, so that a late
+// or duplicate response to the first attempt is not taken for the response to the retry.
+func TestLateResponseIsNotMatchedToRetry(t *testing.T) {
+	var mu sync.Mutex
+	var conns []*fakeplatform.Conn
+	w := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
+		if r.Verb != "exec" {
+			return
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		if conns = append(conns, r.Conn); len(conns) == 1 {
+			r.Conn.Say(r.ID, "nothing", "-", "")
+			return
+		}
+		conns[0].Say(r.ID, "ok", "-", "late")
+		conns[1].Say(r.ID, "ok", "-", "its own")
+	}}
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "w"}}, w)
+	final := fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
+	mu.Lock()
+	defer mu.Unlock()
+	if string(final.Attempt.Body) != "its own" || conns[0] == conns[1] {
+		t.Errorf("answer %q, same connection %v", final.Attempt.Body, conns[0] == conns[1])
+	}
+}
+
+// TestStalledResponseResetsConnection: a connection whose response stops halfway is closed, and what is in flight on it may
+// have run.
+func TestStalledResponseResetsConnection(t *testing.T) {
+	w := &fakeplatform.Worker{ID: "w", Act: replyRaw("*4\r\n$16\r\n")}
+	h := newHarness(t, func(c *Config) { c.StallTimeout = 50 * time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	h.submit(15 * time.Second)
+	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectionReset {
+		t.Errorf("%+v", ended)
+	}
+}
--- /dev/null
+++ b/internal/upstream/respupstream/exchange_test.go
@@ -0,0 +1,82 @@
+package respupstream
+
+import (
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invocation"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// TestAttemptCarriesRequestUnchanged: id, class, key and body are unchanged, and the limit is the remaining deadline.
+func TestAttemptCarriesRequestUnchanged(t *testing.T) {
+	w := &fakeplatform.Worker{ID: "w"}
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
+	r := w.Got()[0]
+	if r.Verb != "exec" || r.ID != "0000000000000001" || r.Body != "body" || r.Fields["cls"] != "c" || r.Fields["item"] != testFunction || r.Fields["nonce"] != "k1" {
+		t.Errorf("%+v", r)
+	}
+	if limit := r.Fields["limit"]; len(limit) != 5 || limit > "15000" {
+		t.Errorf("limit %s", limit)
+	}
+}
+
+// TestCancelAfterWrite: a written attempt is cancelled at the worker, and its late response is not taken for another
+// request's.
+func TestCancelAfterWrite(t *testing.T) {
+	cancellations := make(chan fakeplatform.Request, 1)
+	var mu sync.Mutex
+	var first fakeplatform.Request
+	w := &fakeplatform.Worker{ID: "w"}
+	w.Act = func(r fakeplatform.Request) {
+		mu.Lock()
+		defer mu.Unlock()
+		switch {
+		case r.Verb == "drop":
+			first.Conn.Say(first.ID, "ok", "-", "late")
+			cancellations <- r
+		case first.ID == "":
+			first = r
+		default:
+			r.Conn.Say(r.ID, "ok", "-", "second")
+		}
+	}
+	h := newHarness(t, func(config *Config) { config.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	client := make(testClient, 1)
+	cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client,
+		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
+	fakeplatform.Await(t, w.Came(), "the attempt")
+	cancel()
+	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.Cancelled {
+		t.Errorf("%+v", ended)
+	}
+	if r := fakeplatform.Await(t, cancellations, "the cancellation"); r.ID != strings.Repeat("a", 16) {
+		t.Errorf("cancelled %q", r.ID)
+	}
+	if final := fakeplatform.Await(t, h.submit(15*time.Second), "the answer to the second"); string(final.Attempt.Body) != "second" {
+		t.Errorf("%q", final.Attempt.Body)
+	}
+}
+
+// TestLoadsAndHealthChecks: load commands and health checks reach the worker and report what it answers.
+func TestLoadsAndHealthChecks(t *testing.T) {
+	w := &fakeplatform.Worker{ID: "w"}
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}, loadWorker: "w", checkWorker: "w"}, w)
+	fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
+	if result := fakeplatform.Await(t, h.dispatcher.loaded, "the load result"); result.Result != dispatch.OK || result.Copies != 2 || result.Function != testFunction {
+		t.Errorf("%+v", result)
+	}
+	if result := fakeplatform.Await(t, h.dispatcher.checked, "the health check result"); result.Result != dispatch.OK || result.LoadReport.InFlight != 1 {
+		t.Errorf("%+v", result)
+	}
+	for _, r := range w.Got() {
+		if r.Verb == "ensure" && (r.Fields["item"] != testFunction || r.Fields["slots_up"] != "2") {
+			t.Errorf("%+v", r)
+		}
+	}
+}
--- a/internal/upstream/respupstream/golden_test.go
+++ b/internal/upstream/respupstream/golden_test.go
@@ -55,9 +55,9 @@
 // that is left differs from run to run and is compared as seven digits.
 func TestGoldenMessagesOnTheSocket(t *testing.T) {
 	addr, messages := wireRecorder(t)
-	st := newStage(t, func(c *Config) { c.MaxConns = 1 }, &script{to: []string{"w"}})
-	st.list = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
-	st.r.SetEndpoints(st.list)
+	h := newHarness(t, func(client *Config) { client.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
+	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
+	h.router.SetEndpoints(h.endpoints)
 	limit := regexp.MustCompile(`limit=([0-9]{7})\b`)
 	expect := func(what, want string) {
 		t.Helper()
@@ -72,36 +72,36 @@
 			t.Errorf("%s:\ngot  %q\nwant %q", what, got, want)
 		}
 	}
-	submit := func(id, class, function, key, body string) (client, func()) {
-		c := make(client, 1)
-		cancel, ok := st.r.Submit(&router.Call{Function: function, Class: class, RemainingDeadline: time.Hour, Client: c,
+	submit := func(id, class, function, key, body string) (testClient, func()) {
+		client := make(testClient, 1)
+		cancel, ok := h.router.Submit(&router.Call{Function: function, Class: class, RemainingDeadline: time.Hour, Client: client,
 			Request: &invocation.Request{ID: id, Class: class, Function: function, Key: key, Body: []byte(body)}})
 		if !ok {
 			t.Fatal("the router did not accept the request")
 		}
-		return c, func() { cancel() }
+		return client, func() { cancel() }
 	}
 
-	c, _ := submit("00000000000000a1", "renew", fn, "k-1", "a\r\nbody")
+	client, _ := submit("00000000000000a1", "renew", testFunction, "k-1", "a\r\nbody")
 	expect("an attempt", "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n"+
 		"$55\r\ncls=renew,item=7f3a9c21e0b4d655,limit=#######,nonce=k-1\r\n$7\r\na\r\nbody\r\n")
-	fakeplatform.Await(t, c, "the answer")
+	fakeplatform.Await(t, client, "the answer")
 
 	loaded := make(chan router.LoadResult, 1)
-	st.p.LoadFunction("w", fn, 2, 15*time.Second, func(r router.LoadResult) { loaded <- r })
+	h.pool.LoadFunction("w", testFunction, 2, 15*time.Second, func(r router.LoadResult) { loaded <- r })
 	expect("a load command", "*3\r\n$6\r\nensure\r\n$2\r\nq1\r\n$32\r\nitem=7f3a9c21e0b4d655,slots_up=2\r\n")
 	if r := fakeplatform.Await(t, loaded, "the load result"); r.Result != dispatch.OK || r.Copies != 2 {
 		t.Errorf("load result %+v", r)
 	}
 
 	checked := make(chan router.HealthResult, 1)
-	st.p.CheckHealth("w", 15*time.Second, func(r router.HealthResult) { checked <- r })
+	h.pool.CheckHealth("w", 15*time.Second, func(r router.HealthResult) { checked <- r })
 	expect("a health check", "*2\r\n$4\r\nload\r\n$2\r\nq2\r\n")
 	if r := fakeplatform.Await(t, checked, "the health result"); r.Result != dispatch.OK || !r.Ready {
 		t.Errorf("health result %+v", r)
 	}
 
-	_, cancel := submit("00000000000000a2", "c", fn, "", "silent")
+	_, cancel := submit("00000000000000a2", "c", testFunction, "", "silent")
 	expect("an attempt without a key", "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a2\r\n"+
 		"$41\r\ncls=c,item=7f3a9c21e0b4d655,limit=#######\r\n$6\r\nsilent\r\n")
 	cancel()
@@ -117,7 +117,7 @@
 		-time.Second:                                 "$20\r\ncls=c,item=f,limit=1",
 	} {
 		want := "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n" + want + "\r\n$0\r\n\r\n"
-		if got := string(execOf(r, left)); got != want {
+		if got := string(encodeAttempt(r, left)); got != want {
 			t.Errorf("%v left:\ngot  %q\nwant %q", left, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/upstream/respupstream/harness_test.go
@@ -0,0 +1,253 @@
+package respupstream
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invocation"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// scriptedDispatcher starts the attempts of each request at the listed workers, one after another, and passes on the events
+// that end attempts, load commands and health checks.
+type scriptedDispatcher struct {
+	attemptWorkers []string // of the first attempt, of its retry, and so on
+	outcomes       chan dispatch.AttemptEnded
+	loaded         chan dispatch.FunctionLoaded
+	checked        chan dispatch.HealthChecked
+	loadWorker     string // receives a load command with each request; "": none
+	checkWorker    string // receives a health check with each request; "": none
+
+	mu       sync.Mutex
+	attempts map[dispatch.RequestID]int // that have ended
+}
+
+func (s *scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, e := range events {
+		switch e := e.(type) {
+		case dispatch.Request:
+			out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: s.attemptWorkers[0]})
+			if s.loadWorker != "" {
+				out = append(out, dispatch.LoadFunction{Worker: s.loadWorker, Function: e.Function, Copies: 2})
+			}
+			if s.checkWorker != "" {
+				out = append(out, dispatch.CheckHealth{Worker: s.checkWorker})
+			}
+		case dispatch.AttemptEnded:
+			s.outcomes <- e
+			s.attempts[e.ID]++
+			if n := s.attempts[e.ID]; !e.Final && n < len(s.attemptWorkers) {
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: s.attemptWorkers[n]})
+			} else if !e.Final {
+				out = append(out, dispatch.FailRequest{ID: e.ID})
+			}
+		case dispatch.RequestCancelled:
+			out = append(out, dispatch.CancelAttempt{ID: e.ID})
+		case dispatch.FunctionLoaded:
+			s.loaded <- e
+		case dispatch.HealthChecked:
+			s.checked <- e
+		}
+	}
+	return out
+}
+
+// testClient receives the final answer to one call.
+type testClient chan router.FinalAnswer
+
+func (c testClient) Start(any) {}
+
+func (c testClient) Message(p []byte, _ func(int)) int { return len(p) }
+
+func (c testClient) Finish(f router.FinalAnswer) { c <- f }
+
+const testFunction = "7f3a9c21e0b4d655"
+
+// harness is a router with a scripted dispatcher, the pool under test, and fake workers.
+type harness struct {
+	t          *testing.T
+	dispatcher *scriptedDispatcher
+	pool       *Pool
+	router     *router.Router
+	endpoints  []endpoints.Worker
+	calls      int // submitted
+}
+
+func newHarness(t *testing.T, configure func(*Config), dispatcher *scriptedDispatcher, workers ...*fakeplatform.Worker) *harness {
+	t.Helper()
+	dispatcher.outcomes = make(chan dispatch.AttemptEnded, 64)
+	dispatcher.loaded = make(chan dispatch.FunctionLoaded, 64)
+	dispatcher.checked = make(chan dispatch.HealthChecked, 64)
+	dispatcher.attempts = map[dispatch.RequestID]int{}
+	config := Config{ConnectTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, StallTimeout: 10 * time.Second, MaxConns: 8,
+		MaxRequestsPerConn: 32, MaxResponseBytes: 1 << 12, ReceiveBuffer: 32 << 10}
+	if configure != nil {
+		configure(&config)
+	}
+	h := &harness{t: t, dispatcher: dispatcher, pool: New(config)}
+	var err error
+	h.router, err = router.New(router.Config{Name: "r", LoadTimeout: 20 * time.Second, HealthCheckTimeout: 20 * time.Second,
+		NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return dispatcher, nil }}, h.pool)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.pool.Attach(h.router)
+	for _, w := range workers {
+		if err := w.Start("127.0.0.1:0"); err != nil {
+			t.Fatal(err)
+		}
+		h.endpoints = append(h.endpoints, endpoints.Worker{Endpoint: dispatch.Endpoint{ID: w.ID}, Address: w.Addr()})
+		t.Cleanup(w.Stop)
+	}
+	h.router.SetEndpoints(h.endpoints)
+	t.Cleanup(func() { h.router.Kill(); h.pool.Close() })
+	return h
+}
+
+// waitForEndpoints returns once the router's loop has processed the latest endpoint list: the second request for its stats
+// is answered in a later iteration than the first.
+func (h *harness) waitForEndpoints() {
+	h.router.Stats()
+	h.router.Stats()
+}
+
+// waitForStats waits until ok accepts the stats of the pool.
+func (h *harness) waitForStats(failure string, ok func(Stats) bool) {
+	h.t.Helper()
+	for range 4000 {
+		if ok(h.pool.Stats()) {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	h.t.Fatalf("%s: %+v", failure, h.pool.Stats())
+}
+
+// submit submits a request and returns its client.
+func (h *harness) submit(left time.Duration) testClient {
+	client := make(testClient, 2)
+	h.calls++
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: left, Client: client,
+		Request: &invocation.Request{ID: fmt.Sprintf("%016x", h.calls), Class: "c", Function: testFunction, Key: "k1", Body: []byte("body")}})
+	return client
+}
+
+// reply makes a worker answer each attempt with the items after its id.
+func reply(items ...string) func(fakeplatform.Request) {
+	return func(r fakeplatform.Request) {
+		if r.Verb == "exec" {
+			r.Conn.Say(append([]string{r.ID}, items...)...)
+		}
+	}
+}
+
+// replyRaw makes a worker write s for each message.
+func replyRaw(s string) func(fakeplatform.Request) {
+	return func(r fakeplatform.Request) { r.Conn.Raw(s) }
+}
+
+// answerAll answers each message on a connection with the body, until the connection ends.
+func answerAll(nc net.Conn, body string, observe func(id string)) {
+	for in := bufio.NewReader(nc); ; {
+		m, err := fakeplatform.ReadMessage(in)
+		if err != nil {
+			return
+		}
+		observe(m[1])
+		_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "ok", "-", body))
+	}
+}
+
+// queueUnwritten queues an exchange that cannot be written yet: the only connection to its worker is still being opened.
+func queueUnwritten(t *testing.T, h *harness, kind exchangeKind) (x *exchange, ended chan dispatch.Result) {
+	t.Helper()
+	ended = make(chan dispatch.Result, 1)
+	x = &exchange{pool: h.pool, kind: kind, id: "held", writeBefore: time.Now().Add(15 * time.Second),
+		encode: func(time.Duration) []byte { return encodeHealthCheck("held") },
+		done:   func(r dispatch.Result, _ *response) { ended <- r }}
+	h.pool.mu.Lock()
+	defer h.pool.mu.Unlock()
+	w := h.pool.workers["w"]
+	x.worker = w
+	w.connecting++ // stands for a connect that hangs
+	h.pool.connecting++
+	w.waiting = append(w.waiting, x)
+	return x, ended
+}
+
+// listenWithoutReading accepts one connection and reads from it, and answers, only once startReading is closed.
+func listenWithoutReading(t *testing.T, startReading <-chan struct{}) (addr string, ids <-chan string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	received := make(chan string, 8)
+	go func() {
+		nc, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		defer func() { _ = nc.Close() }()
+		<-startReading
+		answerAll(nc, "answer", func(id string) { received <- id })
+	}()
+	return ln.Addr().String(), received
+}
+
+// listenWithFullBacklog returns the address of a listener whose backlog is full, so that further connects hang until accept
+// is called, which empties the backlog.
+func listenWithFullBacklog(t *testing.T) (addr string, accept func() net.Listener) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	file := os.NewFile(uintptr(fd), "listener")
+	ln, err := net.FileListener(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = file.Close()
+	t.Cleanup(func() { _ = ln.Close() })
+	var fill []net.Conn
+	for {
+		nc, err := net.DialTimeout("tcp", ln.Addr().String(), 200*time.Millisecond)
+		if err != nil {
+			break
+		}
+		if fill = append(fill, nc); len(fill) > 64 {
+			t.Skip("this system accepts connections beyond a full backlog")
+		}
+	}
+	return ln.Addr().String(), func() net.Listener {
+		for _, nc := range fill {
+			_ = nc.Close()
+			got, err := ln.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			_ = got.Close()
+		}
+		return ln
+	}
+}
--- /dev/null
+++ b/internal/upstream/respupstream/response.go
@@ -0,0 +1,107 @@
+package respupstream
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math"
+	"strconv"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// Bounds on the parts of a response.
+const (
+	maxIDLength     = 64
+	maxNumberLength = 32  // characters
+	maxNumber       = 1e9 // exclusive
+)
+
+// errMalformedResponse is wrapped by the error for any response that cannot be parsed. The connection is closed.
+var errMalformedResponse = errors.New("respupstream: malformed response")
+
+// response is a response of a worker.
+type response struct {
+	id     string
+	status string // a key of statusResults
+	report router.WorkerReport
+	copies int    // of the function that are loaded, as a load command's response reports them
+	body   []byte // valid while the items that it was parsed from are
+}
+
+// parseResponse parses the items of a response: id, status, fields ("-" for none) and body. Unknown fields are ignored.
+// Errors wrap errMalformedResponse.
+func parseResponse(items [][]byte) (received response, err error) {
+	if len(items) != 4 || len(items[0]) == 0 || len(items[0]) > maxIDLength {
+		return received, errMalformedResponse
+	}
+	received.id, received.status, received.body = string(items[0]), string(items[1]), items[3]
+	if statusResults[received.status] == nil {
+		return received, fmt.Errorf("%w: unknown status %.20q", errMalformedResponse, received.status)
+	}
+	received.report = router.NoWorkerReport
+	rest := items[2]
+	if len(rest) == 1 && rest[0] == '-' {
+		return received, nil
+	}
+	for len(rest) > 0 {
+		var pair []byte
+		pair, rest, _ = bytes.Cut(rest, []byte{','})
+		name, value, ok := bytes.Cut(pair, []byte{'='})
+		if !ok || len(name) == 0 {
+			return received, fmt.Errorf("%w: fields %.40q", errMalformedResponse, items[2])
+		}
+		switch string(name) {
+		case "company":
+			count, ok := parseNumber(value)
+			if !ok {
+				return received, fmt.Errorf("%w: company %.20q", errMalformedResponse, value)
+			}
+			received.report.FunctionInFlight = int(count)
+		case "slots_up":
+			count, ok := parseNumber(value)
+			if !ok {
+				return received, fmt.Errorf("%w: slots_up %.20q", errMalformedResponse, value)
+			}
+			received.copies = int(count)
+		case "meter":
+			if !parseLoadReport(&received.report.LoadReport, value) {
+				return received, fmt.Errorf("%w: meter %.40q", errMalformedResponse, value)
+			}
+		}
+	}
+	return received, nil
+}
+
+// parseLoadReport sets the known metrics of a load report and ignores the others. It reports whether the list was well
+// formed.
+func parseLoadReport(report *dispatch.LoadReport, rest []byte) bool {
+	for len(rest) > 0 {
+		var pair []byte
+		pair, rest, _ = bytes.Cut(rest, []byte{';'})
+		name, value, ok := bytes.Cut(pair, []byte{':'})
+		count, valid := parseNumber(value)
+		if !ok || !valid {
+			return false
+		}
+		switch string(name) {
+		case "inflight":
+			report.InFlight = count
+		case "queue":
+			report.Queued = count
+		case "x1": // loads in progress or queued; which metric this is comes from the settings
+			report.Loading = count
+		}
+	}
+	return true
+}
+
+// parseNumber parses a finite number of at least 0 and below maxNumber.
+func parseNumber(p []byte) (float64, bool) {
+	if len(p) == 0 || len(p) > maxNumberLength {
+		return 0, false
+	}
+	v, err := strconv.ParseFloat(string(p), 64)
+	return v, err == nil && !math.IsNaN(v) && v >= 0 && v < maxNumber
+}
--- /dev/null
+++ b/internal/upstream/respupstream/response_test.go
@@ -0,0 +1,15 @@
+package respupstream
+
+import "testing"
+
+// FuzzParseResponse: no response panics the parser, and what it accepts has a known status.
+func FuzzParseResponse(f *testing.F) {
+	f.Add("id", "ok", "company=1,meter=inflight:7;util:0.61", "body")
+	f.Add("id", "refused", "-", "")
+	f.Fuzz(func(t *testing.T, id, status, fields, body string) {
+		received, err := parseResponse([][]byte{[]byte(id), []byte(status), []byte(fields), []byte(body)})
+		if err == nil && (received.id != id || statusResults[received.status] == nil || received.report.FunctionInFlight < -1) {
+			t.Fatalf("%+v", received)
+		}
+	})
+}
--- /dev/null
+++ b/internal/upstream/respupstream/sweep.go
@@ -0,0 +1,49 @@
+package respupstream
+
+import (
+	"time"
+)
+
+// sweepInterval is the time between two sweeps.
+const sweepInterval = 50 * time.Millisecond
+
+// sweep closes connections that were idle for too long, have drained, or have a stalled response, and assigns exchanges
+// that wait although no connect is in progress. It runs on one goroutine from New until Close.
+func (p *Pool) sweep() {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-p.stop:
+			return
+		case <-ticker.C:
+		}
+		now := time.Now()
+		var stalled, idle []*conn
+		p.mu.Lock()
+		for c := range p.conns {
+			switch {
+			case c.partialResponse && now.Sub(c.lastReadAt) > p.config.StallTimeout:
+				stalled = append(stalled, c)
+			case c.outstanding() == 0 && !c.writing && (c.draining || p.config.IdleTimeout > 0 && now.Sub(c.lastUsedAt) > p.config.IdleTimeout):
+				c.draining = true
+				idle = append(idle, c)
+			}
+			c.expireUsedIDs(now)
+		}
+		var callbacks []func()
+		for _, w := range p.workers {
+			if len(w.waiting) > 0 && w.connecting == 0 {
+				callbacks = append(callbacks, p.reassignWaiting(w)...)
+			}
+		}
+		p.mu.Unlock()
+		runCallbacks(callbacks)
+		for _, c := range stalled {
+			c.fail("response stalled")
+		}
+		for _, c := range idle {
+			c.close()
+		}
+	}
+}
--- /dev/null
+++ b/internal/upstream/respupstream/write_test.go
@@ -0,0 +1,137 @@
+package respupstream
+
+import (
+	"fmt"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/invocation"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// TestQueuedExchangeIsRecheckedBeforeWrite: while a connect hung the worker began to drain, was removed, was replaced at its
+// address or under its id, or the deadline passed. Nothing is written then, and the result is NotSent.
+func TestQueuedExchangeIsRecheckedBeforeWrite(t *testing.T) {
+	names := map[exchangeKind]string{kindAttempt: "attempt", kindLoad: "load command"}
+	for name, change := range map[string]func(h *harness, x *exchange){
+		"worker drains":    func(h *harness, _ *exchange) { h.endpoints[0].State = dispatch.EndpointDraining },
+		"worker removed":   func(h *harness, _ *exchange) { h.endpoints = nil },
+		"worker restarted": func(h *harness, _ *exchange) { h.endpoints[0].StartedAt = time.Hour },
+		"address reused":   func(h *harness, _ *exchange) { h.endpoints[0].ID = "other" },
+		"no time left": func(h *harness, x *exchange) {
+			h.pool.mu.Lock()
+			x.writeBefore = time.Now()
+			h.pool.mu.Unlock()
+		},
+		"client left": func(h *harness, x *exchange) {
+			h.pool.mu.Lock()
+			x.call = &router.Call{ClientLeft: func() bool { return true }}
+			h.pool.mu.Unlock()
+		},
+	} {
+		for _, kind := range []exchangeKind{kindAttempt, kindLoad} {
+			t.Run(fmt.Sprint(name, "/", names[kind]), func(t *testing.T) {
+				t.Parallel()
+				w := &fakeplatform.Worker{ID: "w"}
+				h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+				h.waitForEndpoints()
+				x, ended := queueUnwritten(t, h, kind)
+				change(h, x)
+				h.router.SetEndpoints(h.endpoints)
+				h.waitForEndpoints()
+				h.pool.dial(x.worker) // the connect succeeds
+				if result := fakeplatform.Await(t, ended, "the end"); result != dispatch.NotSent {
+					t.Errorf("result %v", result)
+				}
+				if got := w.Got(); len(got) > 0 {
+					t.Errorf("the worker got %v", got)
+				}
+			})
+		}
+	}
+}
+
+// TestQueuedExchangeIsWrittenIfNothingChanged is the control of the test above: without a change the exchange is written.
+func TestQueuedExchangeIsWrittenIfNothingChanged(t *testing.T) {
+	w := &fakeplatform.Worker{ID: "w"}
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
+	h.waitForEndpoints()
+	x, _ := queueUnwritten(t, h, kindHealthCheck)
+	h.pool.dial(x.worker)
+	fakeplatform.Await(t, w.Came(), "the queued exchange")
+}
+
+// TestNoRetryAfterClientLeft: the client leaves during the first attempt, and the router has not yet been notified when that
+// ends. The retry that follows is not written.
+func TestNoRetryAfterClientLeft(t *testing.T) {
+	var left atomic.Bool
+	first := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
+		left.Store(true)
+		r.Conn.Say(r.ID, "error", "-", "")
+	}}
+	second := &fakeplatform.Worker{ID: "x"}
+	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "x"}}, first, second)
+	client := make(testClient, 1)
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client, ClientLeft: left.Load,
+		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
+	for _, want := range []dispatch.Result{dispatch.Errored, dispatch.NotSent} {
+		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != want {
+			t.Errorf("%+v, want result %v", ended, want)
+		}
+	}
+	fakeplatform.Await(t, client, "the final answer")
+	if got := second.Got(); len(got) > 0 {
+		t.Errorf("the second worker got %v", got)
+	}
+}
+
+// TestExchangeBehindBlockedWriteIsRechecked: a worker does not read, so that one request fills the socket and another is
+// queued behind it. When the socket accepts bytes again the worker drains, or the client of the second has left: only the
+// first is written.
+func TestExchangeBehindBlockedWriteIsRechecked(t *testing.T) {
+	t.Run("worker drains", func(t *testing.T) { testBlockedWrite(t, false) })
+	t.Run("client left", func(t *testing.T) { testBlockedWrite(t, true) })
+}
+
+func testBlockedWrite(t *testing.T, clientLeaves bool) {
+	t.Helper()
+	startReading := make(chan struct{})
+	addr, received := listenWithoutReading(t, startReading)
+	h := newHarness(t, func(c *Config) { c.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
+	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
+	h.router.SetEndpoints(h.endpoints)
+	big := make(testClient, 1)
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second, Client: big,
+		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction, Body: make([]byte, 32<<20)}})
+	h.waitForStats("the first is not being written", func(s Stats) bool { return s.Written == 1 })
+	var left atomic.Bool
+	small := make(testClient, 1)
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second, Client: small, ClientLeft: left.Load,
+		Request: &invocation.Request{ID: strings.Repeat("b", 16), Class: "c", Function: testFunction}})
+	h.waitForStats("the second is not queued", func(s Stats) bool { return s.Queued == 1 })
+	if clientLeaves {
+		left.Store(true)
+	} else {
+		h.endpoints[0].State = dispatch.EndpointDraining
+		h.router.SetEndpoints(h.endpoints)
+		h.waitForEndpoints()
+	}
+	close(startReading)
+	if final := fakeplatform.Await(t, big, "the answer to the first"); string(final.Attempt.Body) != "answer" {
+		t.Errorf("%+v", final)
+	}
+	fakeplatform.Await(t, small, "the final answer to the second")
+	for range 2 {
+		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != dispatch.OK && ended.Result != dispatch.NotSent {
+			t.Errorf("%+v", ended)
+		}
+	}
+	if id := fakeplatform.Await(t, received, "the first request"); id != strings.Repeat("a", 16) || len(received) > 0 {
+		t.Errorf("the worker got %s and %d more", id, len(received))
+	}
+}
