--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -70,9 +70,9 @@
 	id, addr   string
 	startedAt  time.Duration
 	state      dispatch.EndpointState
-	removed    bool    // no longer in the endpoint list
-	conns      []*conn // that accept new exchanges
-	connecting int     // connects in progress
+	removed    bool        // no longer in the endpoint list
+	conns      []*conn     // that accept new exchanges
+	connecting int         // connects in progress
 	waiting    []*exchange // for a connection
 }
 
