--- a/internal/transport/resp/resp.go
+++ b/internal/transport/resp/resp.go
@@ -1,5 +1,5 @@
 // Package resp reads and writes arrays of bulk strings of RESP, the Redis serialization protocol. The reader is
-// incremental and knows each length's bound before it keeps a byte of what the length announces.
+// incremental and rejects a length beyond its limits before it buffers any of the bytes that the length announces.
 package resp
 
 import (
@@ -8,124 +8,125 @@
 	"strconv"
 )
 
-// Limits bound one message.
+// Limits bounds one message.
 type Limits struct {
 	Items int // bulk strings
-	Bytes int // of all of them together
+	Bytes int // of all items together
 }
 
-// The errors of a Reader. After one the stream is of no further use.
+// The errors of a Reader. After one of them the stream cannot be resynchronized and must be closed.
 var (
 	ErrSyntax = errors.New("resp: not an array of bulk strings")
 	ErrLimit  = errors.New("resp: message exceeds its limits")
 )
 
-// lineMax is the longest line: a sign, the digits of a length, CR and LF.
-const lineMax = 16
+// maxLineLength is the longest line in bytes: a type prefix, the digits of a length, CR and LF.
+const maxLineLength = 16
 
-// Reader takes a stream in pieces and hands over whole messages.
+// Reader parses a stream that arrives in chunks into complete messages. It is not safe for concurrent use.
 type Reader struct {
-	lim  Limits
-	buf  []byte
-	need int // bytes that buf must hold before another look is of use
+	limits   Limits
+	buffer   []byte
+	minBytes int // parsing is not tried again before the buffer holds as many
 }
 
-// NewReader returns a Reader within limits.
-func NewReader(l Limits) *Reader { return &Reader{lim: l} }
+// NewReader returns a Reader that rejects messages beyond the limits.
+func NewReader(limits Limits) *Reader { return &Reader{limits: limits} }
 
-// Partial tells whether a message has begun and is not whole.
-func (r *Reader) Partial() bool { return len(r.buf) > 0 }
+// Partial reports whether a message has begun and is not complete.
+func (r *Reader) Partial() bool { return len(r.buffer) > 0 }
 
-// Feed takes the next bytes and calls each with every message that is whole. The items are each's until it
-// returns. p is the caller's again when Feed returns.
-func (r *Reader) Feed(p []byte, each func(items [][]byte) error) error {
-	if len(r.buf) > 0 {
-		r.buf = append(r.buf, p...)
-		p = r.buf
+// Feed parses the next bytes of the stream and calls handle with the items of each complete message. The items are valid
+// until handle returns; Feed does not retain p. An error of handle ends the parsing and is returned as it is.
+func (r *Reader) Feed(p []byte, handle func(items [][]byte) error) error {
+	if len(r.buffer) > 0 {
+		r.buffer = append(r.buffer, p...)
+		p = r.buffer
 	}
 	var items [][]byte
 	for len(p) > 0 {
-		if len(p) < r.need {
+		if len(p) < r.minBytes {
 			break
 		}
-		n, need, err := r.message(p, &items)
+		n, minBytes, err := r.readMessage(p, &items)
 		if err != nil {
 			return err
 		}
 		if n == 0 {
-			r.need = need
+			r.minBytes = minBytes
 			break
 		}
-		r.need = 0
-		if err := each(items); err != nil {
+		r.minBytes = 0
+		if err := handle(items); err != nil {
 			return err
 		}
 		p = p[n:]
 	}
 	switch {
 	case len(p) == 0:
-		r.buf = nil // an idle connection holds no buffer
-	case len(r.buf) == 0 || &p[0] != &r.buf[0]:
-		r.buf = append([]byte(nil), p...)
+		r.buffer = nil // an idle connection holds no buffer
+	case len(r.buffer) == 0 || &p[0] != &r.buffer[0]:
+		r.buffer = append([]byte(nil), p...)
 	}
 	return nil
 }
 
-// message reads one message at the start of p. n is 0 where it is not whole; need is then the least length at
-// which it may be.
-func (r *Reader) message(p []byte, items *[][]byte) (n, need int, err error) {
-	count, at, err := length(p, '*')
-	if err != nil || at == 0 {
+// readMessage parses one message at the start of p into items and returns its length n. If the message is not complete, n
+// is 0 and minBytes is the least length of p at which it may be.
+func (r *Reader) readMessage(p []byte, items *[][]byte) (n, minBytes int, err error) {
+	count, offset, err := readLength(p, '*')
+	if err != nil || offset == 0 {
 		return 0, len(p) + 1, err
 	}
 	if count < 1 {
 		return 0, 0, ErrSyntax
 	}
-	if count > r.lim.Items {
+	if count > r.limits.Items {
 		return 0, 0, ErrLimit
 	}
 	*items = (*items)[:0]
 	total := 0
 	for range count {
-		size, k, err := length(p[at:], '$')
-		if err != nil || k == 0 {
+		size, lineLength, err := readLength(p[offset:], '$')
+		if err != nil || lineLength == 0 {
 			return 0, len(p) + 1, err
 		}
-		if total += size; size > r.lim.Bytes || total > r.lim.Bytes {
+		if total += size; size > r.limits.Bytes || total > r.limits.Bytes {
 			return 0, 0, ErrLimit
 		}
-		at += k
-		if len(p) < at+size+2 {
-			return 0, at + size + 2, nil
+		offset += lineLength
+		if len(p) < offset+size+2 {
+			return 0, offset + size + 2, nil
 		}
-		if p[at+size] != '\r' || p[at+size+1] != '\n' {
+		if p[offset+size] != '\r' || p[offset+size+1] != '\n' {
 			return 0, 0, ErrSyntax
 		}
-		*items = append(*items, p[at:at+size:at+size])
-		at += size + 2
+		*items = append(*items, p[offset:offset+size:offset+size])
+		offset += size + 2
 	}
-	return at, 0, nil
+	return offset, 0, nil
 }
 
-// length reads a line of a kind and a decimal length. n is 0 where the line is not whole.
-func length(p []byte, kind byte) (v, n int, err error) {
+// readLength parses a line of a prefix and a decimal length, and returns the length of the line as n. If the line is not
+// complete, n is 0. An invalid line is rejected as soon as it shows.
+func readLength(p []byte, prefix byte) (value, n int, err error) {
 	if len(p) == 0 {
 		return 0, 0, nil
 	}
-	if p[0] != kind {
+	if p[0] != prefix {
 		return 0, 0, ErrSyntax
 	}
-	end := bytes.IndexByte(p[:min(len(p), lineMax)], '\n')
-	digits := p[1:min(len(p), lineMax)]
+	end := bytes.IndexByte(p[:min(len(p), maxLineLength)], '\n')
+	digits := p[1:min(len(p), maxLineLength)]
 	if end >= 0 {
 		if end < 3 || p[end-1] != '\r' {
 			return 0, 0, ErrSyntax
 		}
 		digits = p[1 : end-1]
-	} else if len(p) >= lineMax {
+	} else if len(p) >= maxLineLength {
 		return 0, 0, ErrLimit
-	} else if k := len(digits); k > 0 && digits[k-1] == '\r' {
-		digits = digits[:k-1]
+	} else if digitCount := len(digits); digitCount > 0 && digits[digitCount-1] == '\r' {
+		digits = digits[:digitCount-1]
 	}
 	for _, c := range digits {
 		if c < '0' || c > '9' {
@@ -138,24 +139,24 @@
 	if len(digits) > 1 && digits[0] == '0' {
 		return 0, 0, ErrSyntax
 	}
-	v, err = strconv.Atoi(string(digits))
+	value, err = strconv.Atoi(string(digits))
 	if err != nil {
 		return 0, 0, ErrLimit
 	}
-	return v, end + 1, nil
+	return value, end + 1, nil
 }
 
-// Append adds a message of the items to b.
-func Append(b []byte, items ...[]byte) []byte {
-	b = append(b, '*')
-	b = strconv.AppendInt(b, int64(len(items)), 10)
-	b = append(b, '\r', '\n')
-	for _, it := range items {
-		b = append(b, '$')
-		b = strconv.AppendInt(b, int64(len(it)), 10)
-		b = append(b, '\r', '\n')
-		b = append(b, it...)
-		b = append(b, '\r', '\n')
+// Append appends a message of the items to dst and returns the extended slice.
+func Append(dst []byte, items ...[]byte) []byte {
+	dst = append(dst, '*')
+	dst = strconv.AppendInt(dst, int64(len(items)), 10)
+	dst = append(dst, '\r', '\n')
+	for _, item := range items {
+		dst = append(dst, '$')
+		dst = strconv.AppendInt(dst, int64(len(item)), 10)
+		dst = append(dst, '\r', '\n')
+		dst = append(dst, item...)
+		dst = append(dst, '\r', '\n')
 	}
-	return b
+	return dst
 }
