--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -56,8 +56,8 @@
 	if g.drain == 0 {
 		g.drain = time.Minute
 	}
-	g.pool = grpcupstream.New(grpcupstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
-		MaxConns: cfg.Workers.Connections, MaxMessage: cfg.Limits.MessageBytes, HTTP2: h2, Log: log})
+	g.pool = grpcupstream.New(grpcupstream.Config{RouterName: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
+		MaxConnsPerWorker: cfg.Workers.Connections, MaxMessageBytes: cfg.Limits.MessageBytes, HTTP2: h2, Logger: log})
 	var err error
 	g.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.Settings(),
 		LoadTimeout: cfg.Loading.OrderTimeout.Duration(), HealthCheckTimeout: cfg.Workers.ProbeTimeout.Duration(),
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -13,35 +13,49 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// attempt is one try of a call at a worker: the receiver of its stream there. What comes before the router
-// grants it to the client is held; the worker's window is given back as the client's connection takes what
-// came, so that a slow reader holds its own worker's stream back and nothing else.
+// attempt is one attempt of a call at a worker and the receiver of its stream. The response is buffered until the router calls
+// ForwardTo. The worker's flow-control window is credited as the client's connection consumes the bytes, so that a slow client
+// holds back the stream of its own worker and nothing else.
 type attempt struct {
-	p        *Pool
-	token    router.AttemptToken
-	req      *oip.Request
-	streamed bool
-	worker   string
-	n        int
-	until    time.Time
-
-	mu       sync.Mutex
-	stream   *http2.Stream
-	metadata []hpack.Field
-	started  bool // response headers have come
-	badHTTP  *verdict
-	counter  grpc.Counter
-	held     []byte
-	ahead    int // bytes whose window was given back before the client took them
-	client   router.Client
-	drain    func(int) // drained, made once
-	began    bool
-	ended    bool
-	gone     bool // cancelled
+	pool             *Pool
+	token            router.AttemptToken
+	request          *oip.Request
+	streamed         bool
+	worker           string // id
+	previousAttempts int
+	deadline         time.Time
+
+	mu              sync.Mutex
+	stream          *http2.Stream // nil until it is opened
+	metadata        []hpack.Field // of the response headers, for the client
+	headersReceived bool
+	invalidResponse *outcome // not gRPC or not HTTP status 200; nil otherwise
+	counter         grpc.Counter
+	buffered        []byte        // response bytes that no client has received
+	earlyCredit     int           // bytes that were credited to the stream's window before the client consumed them
+	client          router.Client // nil until ForwardTo
+	onConsumed      func(int)     // the method value clientConsumed, allocated once
+	responseStarted bool          // the router was notified
+	ended           bool
+	cancelled       bool
 }
 
-// open starts the stream; it runs with a connection that seemed to have room.
-func (a *attempt) open(c *http2.Conn) error {
+// StartAttempt implements router.Upstream.
+func (p *Pool) StartAttempt(token router.AttemptToken, call *router.Call, workerID string, previousAttempts int, left time.Duration) router.UpstreamAttempt {
+	request, _ := call.Request.(*oip.Request)
+	a := &attempt{pool: p, token: token, request: request, streamed: call.Streamed, worker: workerID,
+		previousAttempts: previousAttempts, deadline: time.Now().Add(left)}
+	a.onConsumed = a.clientConsumed
+	if request == nil {
+		a.fail("the call came by another protocol")
+		return a
+	}
+	p.startStream(workerID, a)
+	return a
+}
+
+// openStream implements outgoingCall. An attempt that has ended meanwhile opens none.
+func (a *attempt) openStream(c *http2.Conn) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ended {
@@ -51,79 +65,89 @@
 	if a.streamed {
 		path = oip.StreamInfer
 	}
-	fields := append(a.p.head(path, time.Until(a.until)), hpack.Field{Name: "grpc-previous-rpc-attempts",
-		Value: strconv.Itoa(a.n)})
-	if a.req.Encoding != "" {
-		fields = append(fields, hpack.Field{Name: "grpc-encoding", Value: a.req.Encoding})
+	fields := append(a.pool.requestHeaders(path, time.Until(a.deadline)), hpack.Field{Name: "grpc-previous-rpc-attempts",
+		Value: strconv.Itoa(a.previousAttempts)})
+	if a.request.Encoding != "" {
+		fields = append(fields, hpack.Field{Name: "grpc-encoding", Value: a.request.Encoding})
 	}
-	if a.req.Accept != "" {
-		fields = append(fields, hpack.Field{Name: "grpc-accept-encoding", Value: a.req.Accept})
+	if a.request.Accept != "" {
+		fields = append(fields, hpack.Field{Name: "grpc-accept-encoding", Value: a.request.Accept})
 	}
-	fields = append(fields, a.req.Metadata...)
-	s, err := c.Open(a, fields, a.req.Message, true)
+	fields = append(fields, a.request.Metadata...)
+	stream, err := c.Open(a, fields, a.request.Message, true)
 	if err == nil {
-		a.stream = s
+		a.stream = stream
 	}
 	return err
 }
 
-// fail ends an attempt that was never sent.
+// fail implements outgoingCall.
 func (a *attempt) fail(reason string) {
-	a.end(router.AttemptResult{Result: dispatch.ConnectFailed, Report: router.NoWorkerReport,
-		Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}}})
+	a.finishWith(outcome{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}})
+}
+
+// finishWith ends an attempt that brought no trailers.
+func (a *attempt) finishWith(ended outcome) {
+	a.finish(router.AttemptResult{Result: ended.result, Trailer: oip.Tail{Status: ended.status}, Report: router.NoWorkerReport})
 }
 
-func (a *attempt) end(how router.AttemptResult) {
+// finish reports the end of the attempt to the router, once. What no client has received goes along.
+func (a *attempt) finish(result router.AttemptResult) {
 	a.mu.Lock()
 	if a.ended {
 		a.mu.Unlock()
 		return
 	}
 	a.ended = true
-	how.Head = a.metadata
+	result.Head = a.metadata
 	if a.client == nil {
-		how.Body, a.held = a.held, nil
+		result.Body, a.buffered = a.buffered, nil
 	}
 	a.mu.Unlock()
-	a.p.router.AttemptEnded(a.token, how)
+	a.pool.router.AttemptEnded(a.token, result)
 }
 
-// Headers implements http2.Receiver.
+// Headers implements http2.Receiver. The first headers are those of the response, unless they end the stream; the others are
+// trailers.
 func (a *attempt) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	a.mu.Lock()
-	if !a.started {
-		a.started = true
+	if !a.headersReceived {
+		a.headersReceived = true
 		if status, _ := grpc.Get(fields, ":status"); status != "200" {
-			a.badHTTP = &verdict{dispatch.Errored, grpc.StatusOfHTTP(status)}
-		} else if ct, _ := grpc.Get(fields, "content-type"); !grpc.IsContent(ct) {
-			a.badHTTP = &verdict{dispatch.Errored, grpc.Status{Code: grpc.Unknown,
-				Message: "worker's answer has content-type " + strconv.Quote(ct)}}
+			a.invalidResponse = &outcome{dispatch.Errored, grpc.StatusOfHTTP(status)}
+		} else if contentType, _ := grpc.Get(fields, "content-type"); !grpc.IsContent(contentType) {
+			a.invalidResponse = &outcome{dispatch.Errored, grpc.Status{Code: grpc.Unknown,
+				Message: "worker's answer has content-type " + strconv.Quote(contentType)}}
 		}
 		if !end {
-			a.metadata = passed(fields, true)
+			a.metadata = forwardedMetadata(fields, true)
 			a.mu.Unlock()
 			return
 		}
 	}
-	messages, broken, bad := a.counter.Messages, a.counter.Partial(), a.badHTTP
+	messages, truncated, invalid := a.counter.Messages, a.counter.Partial(), a.invalidResponse
 	a.mu.Unlock()
 	report, err := oip.ReportOf(fields)
 	if err != nil {
-		a.p.cfg.Log.Info("unreadable load report", "worker", a.worker, "error", err)
-	}
-	got, drains := ofTrailers(fields, messages, broken, a.streamed)
-	if bad != nil {
-		got = *bad
-	}
-	a.end(router.AttemptResult{Result: got.result, Trailer: oip.Tail{Status: got.status, Trailers: passed(fields, false)}, Report: told(report),
-		WorkerDraining: drains})
+		a.pool.config.Logger.Info("malformed load report", "endpoint", a.worker, "error", err)
+	}
+	classified, workerDraining := classifyTrailers(fields, messages, truncated, a.streamed)
+	if invalid != nil {
+		classified = *invalid
+	}
+	a.finish(router.AttemptResult{
+		Result:         classified.result,
+		Trailer:        oip.Tail{Status: classified.status, Trailers: forwardedMetadata(fields, false)},
+		Report:         workerReport(report),
+		WorkerDraining: workerDraining,
+	})
 }
 
-// passed picks the worker's own metadata; of a response's headers, its encoding too.
-func passed(fields []hpack.Field, encoding bool) []hpack.Field {
+// forwardedMetadata selects the worker's own metadata, and from response headers its encoding too.
+func forwardedMetadata(fields []hpack.Field, includeEncoding bool) []hpack.Field {
 	var out []hpack.Field
 	for _, f := range fields {
-		if encoding && f.Name == "grpc-encoding" || !grpc.Reserved(f.Name) && f.Name != oip.ReportField &&
+		if includeEncoding && f.Name == "grpc-encoding" || !grpc.Reserved(f.Name) && f.Name != oip.ReportField &&
 			f.Name != oip.AdmissionField {
 			out = append(out, f)
 		}
@@ -134,42 +158,40 @@
 // Data implements http2.Receiver.
 func (a *attempt) Data(s *http2.Stream, p []byte, end bool) {
 	a.mu.Lock()
-	if a.ended || a.gone {
+	if a.ended || a.cancelled {
 		a.mu.Unlock()
 		s.Consume(len(p))
 		return
 	}
-	broken := a.counter.Add(p)
-	before := a.counter.Messages == 0 || !a.streamed
+	malformed := a.counter.Add(p)
+	beforeFirstMessage := a.counter.Messages == 0 || !a.streamed
 	switch {
-	case broken != nil || a.badHTTP != nil:
+	case malformed != nil || a.invalidResponse != nil:
 	case a.client != nil:
-		a.took(a.client.Message(p, a.drain))
+		a.creditWindow(a.client.Message(p, a.onConsumed))
 	default:
-		a.held = append(a.held, p...)
-		if before { // a message larger than the window must come in whole
-			a.ahead += len(p)
+		a.buffered = append(a.buffered, p...)
+		if beforeFirstMessage { // else a message larger than the window could not become complete
+			a.earlyCredit += len(p)
 			s.Consume(len(p))
 		}
 	}
-	tooLarge := before && len(a.held) > a.p.cfg.MaxMessage+grpc.PrefixLen
-	tell := a.streamed && !a.began && a.counter.Messages > 0 && broken == nil && a.badHTTP == nil
-	a.began = a.began || tell
-	metadata, bad := a.metadata, a.badHTTP
+	tooLarge := beforeFirstMessage && len(a.buffered) > a.pool.config.MaxMessageBytes+grpc.PrefixLen
+	notifyStarted := a.streamed && !a.responseStarted && a.counter.Messages > 0 && malformed == nil && a.invalidResponse == nil
+	a.responseStarted = a.responseStarted || notifyStarted
+	metadata, invalid := a.metadata, a.invalidResponse
 	a.mu.Unlock()
 	switch {
-	case bad != nil:
+	case invalid != nil:
 		s.Reset(http2.Cancel)
-		a.end(router.AttemptResult{Result: bad.result, Trailer: oip.Tail{Status: bad.status}, Report: router.NoWorkerReport})
-	case broken != nil || tooLarge:
+		a.finishWith(*invalid)
+	case malformed != nil || tooLarge:
 		s.Reset(http2.Cancel)
-		a.end(router.AttemptResult{Result: dispatch.Errored, Report: router.NoWorkerReport, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Internal,
-			Message: "worker's answer is broken or too large"}}})
+		a.finishWith(outcome{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken or too large"}})
 	case end:
-		a.end(router.AttemptResult{Result: dispatch.Errored, Report: router.NoWorkerReport, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unknown,
-			Message: "worker sent no status"}}})
-	case tell:
-		a.p.router.ResponseStarted(a.token, metadata)
+		a.finishWith(outcome{dispatch.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}})
+	case notifyStarted:
+		a.pool.router.ResponseStarted(a.token, metadata)
 	}
 }
 
@@ -179,48 +201,47 @@
 // Closed implements http2.Receiver.
 func (a *attempt) Closed(_ *http2.Stream, err error) {
 	if err == nil {
-		return // Headers or Data has told the end
+		return // Headers or Data has ended the attempt
 	}
-	got := ofStream(err)
-	a.end(router.AttemptResult{Result: got.result, Trailer: oip.Tail{Status: got.status}, Report: router.NoWorkerReport})
+	a.finishWith(classifyStreamError(err))
 }
 
-// Grant implements router.Attempt.
-func (a *attempt) ForwardTo(c router.Client) {
+// ForwardTo implements router.UpstreamAttempt.
+func (a *attempt) ForwardTo(client router.Client) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.client = c
-	held := a.held
-	a.held = nil
-	if len(held) > 0 && !a.gone {
-		a.took(c.Message(held, a.drain))
+	a.client = client
+	buffered := a.buffered
+	a.buffered = nil
+	if len(buffered) > 0 && !a.cancelled {
+		a.creditWindow(client.Message(buffered, a.onConsumed))
 	}
 }
 
-// drained is told, as the client's connection takes them, of bytes that were held.
-func (a *attempt) drained(n int) {
+// clientConsumed is called by the client's connection as it consumes bytes that Message accepted.
+func (a *attempt) clientConsumed(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.took(n)
+	a.creditWindow(n)
 }
 
-func (a *attempt) took(n int) {
-	k := min(n, a.ahead)
-	a.ahead -= k
+// creditWindow credits n consumed bytes to the stream's window, less those that were credited early. The lock is held.
+func (a *attempt) creditWindow(n int) {
+	early := min(n, a.earlyCredit)
+	a.earlyCredit -= early
 	if a.stream != nil {
-		a.stream.Consume(n - k)
+		a.stream.Consume(n - early)
 	}
 }
 
-// Cancel implements router.Attempt.
+// Cancel implements router.UpstreamAttempt.
 func (a *attempt) Cancel() {
 	a.mu.Lock()
-	a.gone = true
-	s := a.stream
+	a.cancelled = true
+	stream := a.stream
 	a.mu.Unlock()
-	if s != nil {
-		s.Reset(http2.Cancel)
+	if stream != nil {
+		stream.Reset(http2.Cancel)
 	}
-	a.end(router.AttemptResult{Result: dispatch.Cancelled, Report: router.NoWorkerReport,
-		Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Canceled, Message: "cancelled by the gateway"}}})
+	a.finishWith(outcome{dispatch.Cancelled, grpc.Status{Code: grpc.Canceled, Message: "cancelled by the gateway"}})
 }
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -15,152 +15,156 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// maxControl is the largest answer that an order or a probe may bring, in bytes.
-const maxControl = 64 << 10
-
-// control is one of the gateway's own unary calls to a worker: a load order or a probe.
-type control struct {
-	p     *Pool
-	path  string
-	body  []byte
-	until time.Time
-	done  func(got verdict, body []byte, report oip.Report)
-
-	mu     sync.Mutex
-	stream *http2.Stream
-	timer  *time.Timer
-	reader grpc.Reader
-	answer []byte
-	count  int
-	over   bool
+// maxControlResponse is the largest response to a load command or a health check, in bytes.
+const maxControlResponse = 64 << 10
+
+// controlCall is a unary call of the gateway's own to a worker: a load command or a health check.
+type controlCall struct {
+	pool     *Pool
+	path     string
+	body     []byte // with the gRPC prefix
+	deadline time.Time
+	done     func(result outcome, body []byte, report oip.Report) // called once, without the lock
+
+	mu       sync.Mutex
+	stream   *http2.Stream // nil until it is opened
+	timer    *time.Timer
+	reader   grpc.Reader
+	response []byte // the last message received, without its prefix
+	messages int    // received
+	ended    bool
 }
 
-func (p *Pool) control(worker, path string, m proto.Message, limit time.Duration,
-	done func(verdict, []byte, oip.Report)) {
-	raw, err := proto.Marshal(m)
+// startControlCall sends a message to a worker and calls done once, after limit at the latest.
+func (p *Pool) startControlCall(workerID, path string, message proto.Message, limit time.Duration,
+	done func(outcome, []byte, oip.Report)) {
+	encoded, err := proto.Marshal(message)
 	if err != nil {
-		done(verdict{dispatch.NotSent, grpc.Status{Code: grpc.Internal, Message: err.Error()}}, nil, oip.NoReport)
+		done(outcome{dispatch.NotSent, grpc.Status{Code: grpc.Internal, Message: err.Error()}}, nil, oip.NoReport)
 		return
 	}
-	x := &control{p: p, path: path, until: time.Now().Add(limit), done: done,
-		body: append(grpc.AppendPrefix(nil, len(raw), false), raw...), reader: grpc.Reader{Max: maxControl}}
-	x.timer = time.AfterFunc(limit, func() {
-		x.mu.Lock()
-		s := x.stream
-		x.mu.Unlock()
-		x.end(verdict{dispatch.TimedOut, grpc.Status{Code: grpc.DeadlineExceeded}}, oip.NoReport)
-		if s != nil {
-			s.Reset(http2.Cancel)
+	call := &controlCall{pool: p, path: path, deadline: time.Now().Add(limit), done: done,
+		body: append(grpc.AppendPrefix(nil, len(encoded), false), encoded...), reader: grpc.Reader{Max: maxControlResponse}}
+	call.timer = time.AfterFunc(limit, func() {
+		call.mu.Lock()
+		stream := call.stream
+		call.mu.Unlock()
+		call.finish(outcome{dispatch.TimedOut, grpc.Status{Code: grpc.DeadlineExceeded}}, oip.NoReport)
+		if stream != nil {
+			stream.Reset(http2.Cancel)
 		}
 	})
-	p.do(worker, x)
+	p.startStream(workerID, call)
 }
 
-func (x *control) open(c *http2.Conn) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.over {
+// openStream implements outgoingCall. A call that has ended meanwhile opens none.
+func (cc *controlCall) openStream(c *http2.Conn) error {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.ended {
 		return nil
 	}
-	s, err := c.Open(x, x.p.head(x.path, time.Until(x.until)), x.body, true)
+	stream, err := c.Open(cc, cc.pool.requestHeaders(cc.path, time.Until(cc.deadline)), cc.body, true)
 	if err == nil {
-		x.stream = s
+		cc.stream = stream
 	}
 	return err
 }
 
-func (x *control) fail(reason string) {
-	x.end(verdict{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoReport)
+// fail implements outgoingCall.
+func (cc *controlCall) fail(reason string) {
+	cc.finish(outcome{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoReport)
 }
 
-func (x *control) end(got verdict, report oip.Report) {
-	x.mu.Lock()
-	if x.over {
-		x.mu.Unlock()
+// finish stops the timer and reports the result, once.
+func (cc *controlCall) finish(result outcome, report oip.Report) {
+	cc.mu.Lock()
+	if cc.ended {
+		cc.mu.Unlock()
 		return
 	}
-	x.over = true
-	x.timer.Stop()
-	body := x.answer
-	x.mu.Unlock()
-	x.done(got, body, report)
+	cc.ended = true
+	cc.timer.Stop()
+	body := cc.response
+	cc.mu.Unlock()
+	cc.done(result, body, report)
 }
 
-// Headers implements http2.Receiver.
-func (x *control) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
+// Headers implements http2.Receiver. Only trailers matter.
+func (cc *controlCall) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
 		return
 	}
-	x.mu.Lock()
-	count, broken := x.count, x.reader.Partial()
-	x.mu.Unlock()
+	cc.mu.Lock()
+	messages, truncated := cc.messages, cc.reader.Partial()
+	cc.mu.Unlock()
 	report, _ := oip.ReportOf(fields)
-	got, _ := ofTrailers(fields, count, broken, false)
-	x.end(got, report)
+	result, _ := classifyTrailers(fields, messages, truncated, false)
+	cc.finish(result, report)
 }
 
 // Data implements http2.Receiver.
-func (x *control) Data(s *http2.Stream, p []byte, end bool) {
+func (cc *controlCall) Data(s *http2.Stream, p []byte, end bool) {
 	s.Consume(len(p))
-	x.mu.Lock()
-	m, rest, err := x.reader.Next(p)
-	if m != nil {
-		x.count++
-		x.answer = append([]byte(nil), m[grpc.PrefixLen:]...)
+	cc.mu.Lock()
+	message, rest, err := cc.reader.Next(p)
+	if message != nil {
+		cc.messages++
+		cc.response = append([]byte(nil), message[grpc.PrefixLen:]...)
 	}
-	x.mu.Unlock()
+	cc.mu.Unlock()
 	if err != nil || len(rest) > 0 || end {
 		s.Reset(http2.Cancel)
-		x.end(verdict{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "broken answer"}}, oip.NoReport)
+		cc.finish(outcome{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "broken answer"}}, oip.NoReport)
 	}
 }
 
 // Sent implements http2.Receiver.
-func (x *control) Sent(*http2.Stream, int) {}
+func (cc *controlCall) Sent(*http2.Stream, int) {}
 
 // Closed implements http2.Receiver.
-func (x *control) Closed(_ *http2.Stream, err error) {
+func (cc *controlCall) Closed(_ *http2.Stream, err error) {
 	if err != nil {
-		x.end(ofStream(err), oip.NoReport)
+		cc.finish(classifyStreamError(err), oip.NoReport)
 	}
 }
 
-// Load implements router.Upstream: RepositoryModelLoad, whose parameter "copies" asks for so many.
-func (p *Pool) LoadFunction(worker, function string, copies int, limit time.Duration, done func(router.LoadResult)) {
+// LoadFunction implements router.Upstream by RepositoryModelLoad with the parameter "copies".
+func (p *Pool) LoadFunction(workerID, function string, copies int, limit time.Duration, done func(router.LoadResult)) {
 	model, version := oip.SplitFunction(function)
-	m := &inference.RepositoryModelLoadRequest{ModelName: model, Parameters: map[string]*inference.ModelRepositoryParameter{
+	request := &inference.RepositoryModelLoadRequest{ModelName: model, Parameters: map[string]*inference.ModelRepositoryParameter{
 		oip.ParamCopies: {ParameterChoice: &inference.ModelRepositoryParameter_Int64Param{Int64Param: int64(copies)}}}}
 	if version != "" {
-		m.Parameters["version"] = &inference.ModelRepositoryParameter{
+		request.Parameters["version"] = &inference.ModelRepositoryParameter{
 			ParameterChoice: &inference.ModelRepositoryParameter_StringParam{StringParam: version}}
 	}
-	p.control(worker, oip.Load, m, limit, func(got verdict, _ []byte, report oip.Report) {
-		o := router.LoadResult{Result: got.result, Copies: int(max(report.Copies, 0))}
-		if got.result == dispatch.OK && got.status.Code != grpc.OK {
-			o.Result = dispatch.Errored // a status about the order itself brings no copy
+	p.startControlCall(workerID, oip.Load, request, limit, func(ended outcome, _ []byte, report oip.Report) {
+		result := router.LoadResult{Result: ended.result, Copies: int(max(report.Copies, 0))}
+		if ended.result == dispatch.OK && ended.status.Code != grpc.OK {
+			result.Result = dispatch.Errored // a status about the command itself means that no copy was loaded
 		}
-		done(o)
+		done(result)
 	})
 }
 
-// Ask implements router.Upstream: ServerReady, whose trailers bring the worker's load.
-func (p *Pool) CheckHealth(worker string, limit time.Duration, done func(router.HealthResult)) {
-	p.control(worker, oip.ServerReady, &inference.ServerReadyRequest{}, limit,
-		func(got verdict, body []byte, report oip.Report) {
-			a := router.HealthResult{Result: got.result, Report: told(report)}
-			if got.result == dispatch.OK && got.status.Code != grpc.OK {
-				a.Result = dispatch.Errored
+// CheckHealth implements router.Upstream by ServerReady, whose trailers carry the worker's load report.
+func (p *Pool) CheckHealth(workerID string, limit time.Duration, done func(router.HealthResult)) {
+	p.startControlCall(workerID, oip.ServerReady, &inference.ServerReadyRequest{}, limit,
+		func(ended outcome, body []byte, report oip.Report) {
+			result := router.HealthResult{Result: ended.result, Report: workerReport(report)}
+			if ended.result == dispatch.OK && ended.status.Code != grpc.OK {
+				result.Result = dispatch.Errored
 			}
-			var m inference.ServerReadyResponse
-			if a.Result == dispatch.OK && proto.Unmarshal(body, &m) == nil {
-				a.Ready = m.Ready
+			var response inference.ServerReadyResponse
+			if result.Result == dispatch.OK && proto.Unmarshal(body, &response) == nil {
+				result.Ready = response.Ready
 			}
-			done(a)
+			done(result)
 		})
 }
 
-// told puts a worker's report in the router's words.
-func told(r oip.Report) router.WorkerReport {
-	return router.WorkerReport{LoadReport: dispatch.LoadReport{InFlight: r.InFlight, Queued: r.Queue, Loading: r.Loading},
-		CacheStatus: dispatch.CacheStatus(r.Warmth), FunctionInFlight: int(max(r.Company, -1))}
+// workerReport converts the report of a worker.
+func workerReport(report oip.Report) router.WorkerReport {
+	return router.WorkerReport{LoadReport: dispatch.LoadReport{InFlight: report.InFlight, Queued: report.Queue, Loading: report.Loading},
+		CacheStatus: dispatch.CacheStatus(report.Warmth), FunctionInFlight: int(max(report.Company, -1))}
 }
--- a/internal/upstream/grpcupstream/golden_test.go
+++ b/internal/upstream/grpcupstream/golden_test.go
@@ -76,12 +76,12 @@
 // The time that is left differs from run to run and is compared as milliseconds of seven digits.
 func TestGoldenRequestsToAWorker(t *testing.T) {
 	addr, requests := requestRecorder(t)
-	r, p := stage(t, addr)
-	p.retries = 1
+	r, dispatcher := newTestRouter(t, addr)
+	dispatcher.retries = 1
 	timeout := regexp.MustCompile(`(?m)^grpc-timeout: ([0-9]{7})m$`)
 	expect := func(what, method string, lines ...string) {
 		t.Helper()
-		got := get(t, requests, what)
+		got := receive(t, requests, what)
 		if m := timeout.FindStringSubmatch(got); m != nil {
 			if ms, _ := strconv.Atoi(m[1]); ms > 3600000 || ms < 3570000 {
 				t.Errorf("%s: timeout %d ms", what, ms)
@@ -96,25 +96,25 @@
 	}
 	submit := func(streamed bool, req *oip.Request) {
 		if _, ok := r.Submit(&router.Call{Function: "m", Class: "c", RemainingDeadline: time.Hour, Streamed: streamed,
-			Request: req, Client: newAnswer()}); !ok {
+			Request: req, Client: newTestClient()}); !ok {
 			t.Fatal("the router did not accept the request")
 		}
 	}
 
-	submit(false, &oip.Request{Message: body(), Encoding: "gzip", Accept: "gzip,identity",
+	submit(false, &oip.Request{Message: testMessage(), Encoding: "gzip", Accept: "gzip,identity",
 		Metadata: []hpack.Field{{Name: "x-own", Value: "kept"}, {Name: "x-own-bin", Value: "AAE"}}})
 	expect("an attempt", "ModelInfer",
 		"grpc-previous-rpc-attempts: 0", "grpc-encoding: gzip", "grpc-accept-encoding: gzip,identity", "x-own: kept", "x-own-bin: AAE", `"\x00\x00\x00\x00\x03\n\x01m"`)
-	submit(true, &oip.Request{Message: body()})
+	submit(true, &oip.Request{Message: testMessage()})
 	expect("an attempt of a streamed call", "ModelStreamInfer",
 		"grpc-previous-rpc-attempts: 0", `"\x00\x00\x00\x00\x03\n\x01m"`)
-	submit(false, &oip.Request{Message: body(), Metadata: []hpack.Field{{Name: "x-test", Value: "refuse once"}}})
+	submit(false, &oip.Request{Message: testMessage(), Metadata: []hpack.Field{{Name: "x-test", Value: "refuse once"}}})
 	expect("an attempt that is refused", "ModelInfer",
 		"grpc-previous-rpc-attempts: 0", "x-test: refuse once", `"\x00\x00\x00\x00\x03\n\x01m"`)
 	expect("its retry", "ModelInfer",
 		"grpc-previous-rpc-attempts: 1", "x-test: refuse once", `"\x00\x00\x00\x00\x03\n\x01m"`)
 
-	pool := New(Config{Router: "r", ConnectTimeout: time.Second, MaxConns: 1, MaxMessage: 1 << 20})
+	pool := New(Config{RouterName: "r", ConnectTimeout: time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
 	t.Cleanup(pool.Close)
 	pool.Attach(r)
 	pool.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
--- /dev/null
+++ b/internal/upstream/grpcupstream/harness_test.go
@@ -0,0 +1,189 @@
+package grpcupstream
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	peer "golang.org/x/net/http2"
+	peerhpack "golang.org/x/net/http2/hpack"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server/grpcserver"
+	"github.com/topazfront/topazfront/internal/transport/grpc"
+)
+
+// testDispatcher starts one attempt of each request at worker "w" and records the events that follow.
+type testDispatcher struct {
+	mu       sync.Mutex
+	ended    chan dispatch.AttemptEnded
+	started  int         // responses, under mu
+	draining chan string // ids of workers that began to drain
+	cancel   bool        // each attempt is cancelled at once
+	retries  int         // attempts to start after one that was rejected
+}
+
+func (d *testDispatcher) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
+	for _, e := range events {
+		switch e := e.(type) {
+		case dispatch.Request:
+			out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: "w"})
+			if d.cancel {
+				out = append(out, dispatch.CancelAttempt{ID: e.ID})
+			}
+		case dispatch.ResponseStarted:
+			d.mu.Lock()
+			d.started++
+			d.mu.Unlock()
+		case dispatch.AttemptEnded:
+			d.ended <- e
+			if e.Result == dispatch.Rejected && d.retries > 0 {
+				d.retries--
+				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: "w"})
+			} else if !e.Final {
+				out = append(out, dispatch.FailRequest{ID: e.ID})
+			}
+		case dispatch.EndpointUpdate:
+			for _, endpoint := range e.Endpoints {
+				if endpoint.State == dispatch.EndpointDraining {
+					d.draining <- endpoint.ID
+				}
+			}
+		}
+	}
+	return out
+}
+
+// testClient is the client of one call and records what it receives.
+type testClient struct {
+	mu     sync.Mutex
+	starts int
+	bytes  bytes.Buffer
+	status chan grpc.Status
+}
+
+func newTestClient() *testClient { return &testClient{status: make(chan grpc.Status, 4)} }
+
+func (c *testClient) Start(any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.starts++
+}
+
+func (c *testClient) Message(p []byte, _ func(int)) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.bytes.Write(p)
+	return len(p)
+}
+
+func (c *testClient) Finish(f router.FinalAnswer) {
+	status, _ := grpcserver.Told(f)
+	c.status <- status
+}
+
+// newTestRouter returns a router with one worker, "w", at the address.
+func newTestRouter(t *testing.T, addr string) (*router.Router, *testDispatcher) {
+	t.Helper()
+	dispatcher := &testDispatcher{ended: make(chan dispatch.AttemptEnded, 16), draining: make(chan string, 16)}
+	pool := New(Config{RouterName: "r", ConnectTimeout: 300 * time.Millisecond, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
+	r, err := router.New(router.Config{Name: "r", LoadTimeout: time.Second, HealthCheckTimeout: time.Second,
+		Endpoints:     endpoints.Settings{CheckInterval: time.Hour},
+		NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return dispatcher, nil }}, pool)
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool.Attach(r)
+	r.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
+	t.Cleanup(func() { r.Kill(); pool.Close() })
+	return r, dispatcher
+}
+
+// testMessage returns a message with its gRPC prefix.
+func testMessage() []byte {
+	return append(grpc.AppendPrefix(nil, 3, false), 0x0a, 1, 'm')
+}
+
+func submit(t *testing.T, r *router.Router, streamed bool, left time.Duration) *testClient {
+	t.Helper()
+	client := newTestClient()
+	if _, ok := r.Submit(&router.Call{Function: "m", Class: "c", RemainingDeadline: left, Streamed: streamed,
+		Request: &oip.Request{Message: testMessage()}, Client: client}); !ok {
+		t.Fatal("the router did not accept the call")
+	}
+	return client
+}
+
+func receive[T any](t *testing.T, ch <-chan T, what string) T {
+	t.Helper()
+	select {
+	case v := <-ch:
+		return v
+	case <-time.After(20 * time.Second):
+		t.Fatalf("%s did not come", what)
+		panic("unreached")
+	}
+}
+
+// scriptedStream is a request that has arrived completely at a scripted worker.
+type scriptedStream struct {
+	conn    net.Conn
+	framer  *peer.Framer
+	encoder *peerhpack.Encoder
+	block   *bytes.Buffer // that the encoder writes to
+	id      uint32
+}
+
+// headers writes the names and values as response headers or, with end, as trailers.
+func (s *scriptedStream) headers(end bool, kv ...string) {
+	s.block.Reset()
+	for i := 0; i < len(kv); i += 2 {
+		_ = s.encoder.WriteField(peerhpack.HeaderField{Name: kv[i], Value: kv[i+1]})
+	}
+	_ = s.framer.WriteHeaders(peer.HeadersFrameParam{StreamID: s.id, BlockFragment: s.block.Bytes(), EndHeaders: true, EndStream: end})
+}
+
+// startScriptedWorker starts a worker that calls act for each request.
+func startScriptedWorker(t *testing.T, act func(*scriptedStream)) (addr string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	go func() {
+		for {
+			nc, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go serveScripted(nc, act)
+		}
+	}()
+	return ln.Addr().String()
+}
+
+func serveScripted(nc net.Conn, act func(*scriptedStream)) {
+	defer func() { _ = nc.Close() }()
+	framer := peer.NewFramer(nc, nc)
+	framer.AllowIllegalWrites = true
+	_, _ = io.ReadFull(nc, make([]byte, len(peer.ClientPreface)))
+	_ = framer.WriteSettings()
+	var block bytes.Buffer
+	encoder := peerhpack.NewEncoder(&block)
+	for {
+		f, err := framer.ReadFrame()
+		if err != nil {
+			return
+		}
+		if data, ok := f.(*peer.DataFrame); ok && data.StreamEnded() {
+			act(&scriptedStream{conn: nc, framer: framer, encoder: encoder, block: &block, id: data.StreamID})
+		}
+	}
+}
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -1,234 +1,93 @@
-// Package grpcupstream holds the connections to workers. It starts attempts, load orders and probes there, and
-// judges by what the wire shows how each ended (the table in evidence.go). It chooses no worker.
+// Package grpcupstream sends requests to workers over gRPC. It holds the connections, starts attempts, load commands and
+// health checks on them, and classifies how each ended by what was seen on the connection (the table in evidence.go). It does
+// not choose workers.
 package grpcupstream
 
 import (
-	"errors"
 	"log/slog"
 	"sync"
 	"time"
 
 	"github.com/topazfront/topazfront/internal/endpoints"
-	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// Config is the upstream's share of the settings.
+// Config is the part of the settings that concerns connections to workers.
 type Config struct {
-	Router         string // name of this router, told to workers
-	ConnectTimeout time.Duration
-	MaxConns       int // connections to one worker
-	MaxMessage     int // bytes of a message of an answer that is held whole
-	HTTP2          http2.Config
-	Log            *slog.Logger
+	RouterName        string // sent to workers in RouterField
+	ConnectTimeout    time.Duration
+	MaxConnsPerWorker int
+	MaxMessageBytes   int // of a response message that is buffered until it is complete
+	HTTP2             http2.Config
+	Logger            *slog.Logger // nil: nothing is logged
 }
 
-// RouterField tells a worker which router a call comes from.
+// RouterField is the metadata in which a worker receives the name of the router that a call comes from.
 const RouterField = "topazfront-router"
 
-// Pool is the connections of one router to all workers.
+// Pool holds the connections of one router to all workers and implements router.Upstream.
 type Pool struct {
-	cfg    Config
+	config Config
 	router *router.Router
 
-	mu      sync.Mutex
-	workers map[string]*worker
+	mu      sync.Mutex         // guards all below, the workers' fields included
+	workers map[string]*worker // by id
 	closed  bool
 }
 
-// worker is one worker's connections.
+// worker is a worker with its connections.
 type worker struct {
-	id, addr string
-	conns    []*http2.Conn
-	dialing  int
-	waiting  []exchange // for a connection
+	id, addr   string
+	conns      []*http2.Conn  // that may accept new streams
+	connecting int            // connects in progress, at most 1
+	waiting    []outgoingCall // for the connect in progress
 }
 
-// exchange is something to be sent on a stream.
-type exchange interface {
-	open(*http2.Conn) error
-	fail(reason string)
-}
-
-// New returns a Pool that knows no worker. Attach must follow before it is used.
+// New returns a Pool without workers. Attach must be called before it is used.
 func New(cfg Config) *Pool {
-	if cfg.Log == nil {
-		cfg.Log = slog.New(slog.DiscardHandler)
+	if cfg.Logger == nil {
+		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Pool{cfg: cfg, workers: map[string]*worker{}}
+	return &Pool{config: cfg, workers: map[string]*worker{}}
 }
 
-// Attach names the router that is told how things end.
+// Attach sets the router that is notified of how attempts end.
 func (p *Pool) Attach(r *router.Router) { p.router = r }
 
-// Workers implements router.Upstream.
+// SetEndpoints implements router.Upstream. Connections to a worker that was removed, or to its former address, accept no new
+// streams and close when those they have are done.
 func (p *Pool) SetEndpoints(list []endpoints.Worker) {
-	var leave []*http2.Conn
+	var stale []*http2.Conn
 	addresses := make(map[string]string, len(list))
 	p.mu.Lock()
-	for _, l := range list {
-		id, addr := l.ID, l.Address
+	for _, endpoint := range list {
+		id, addr := endpoint.ID, endpoint.Address
 		addresses[id] = addr
 		w := p.workers[id]
 		if w == nil {
 			p.workers[id] = &worker{id: id, addr: addr}
 		} else if w.addr != addr {
-			leave = append(leave, w.conns...)
+			stale = append(stale, w.conns...)
 			w.addr, w.conns = addr, nil
 		}
 	}
 	for id, w := range p.workers {
 		if _, ok := addresses[id]; !ok {
-			leave = append(leave, w.conns...)
+			stale = append(stale, w.conns...)
 			delete(p.workers, id)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range leave {
+	for _, c := range stale {
 		c.Shutdown()
 	}
 }
 
-// Send implements router.Upstream.
-func (p *Pool) StartAttempt(token router.AttemptToken, c *router.Call, worker string, n int, left time.Duration) router.UpstreamAttempt {
-	req, _ := c.Request.(*oip.Request)
-	a := &attempt{p: p, token: token, req: req, streamed: c.Streamed, worker: worker, n: n, until: time.Now().Add(left)}
-	a.drain = a.drained
-	if req == nil {
-		a.fail("the call came by another protocol")
-		return a
-	}
-	p.do(worker, a)
-	return a
-}
-
-// do finds a connection for x, or opens one.
-func (p *Pool) do(id string, x exchange) {
-	p.mu.Lock()
-	w := p.workers[id]
-	if w == nil || p.closed {
-		p.mu.Unlock()
-		x.fail("worker is not listed")
-		return
-	}
-	var best *http2.Conn
-	room := 0
-	for _, c := range w.conns {
-		if r := c.Room(); r > room {
-			best, room = c, r
-		}
-	}
-	if best == nil {
-		switch {
-		case w.dialing == 0 && len(w.conns) < p.cfg.MaxConns:
-			w.waiting = append(w.waiting, x)
-			w.dialing++
-			go p.dial(w, w.addr)
-		case w.dialing > 0:
-			w.waiting = append(w.waiting, x)
-		default:
-			p.mu.Unlock()
-			x.fail("no stream is free")
-			return
-		}
-		p.mu.Unlock()
-		return
-	}
-	p.mu.Unlock()
-	if err := x.open(best); err != nil {
-		p.again(id, x, err)
-	}
-}
-
-// again takes an exchange that lost its connection, or the last free stream, before anything was sent.
-func (p *Pool) again(id string, x exchange, err error) {
-	p.mu.Lock()
-	w := p.workers[id]
-	if w == nil || p.closed || w.dialing == 0 && len(w.conns) >= p.cfg.MaxConns {
-		p.mu.Unlock()
-		x.fail(err.Error())
-		return
-	}
-	w.waiting = append(w.waiting, x)
-	if w.dialing == 0 {
-		w.dialing++
-		go p.dial(w, w.addr)
-	}
-	p.mu.Unlock()
-}
-
-// dial opens one connection for those that wait.
-func (p *Pool) dial(w *worker, addr string) {
-	h := &link{p: p, w: w}
-	c, err := http2.Dial("tcp", addr, p.cfg.ConnectTimeout, p.cfg.HTTP2, h)
-	p.mu.Lock()
-	w.dialing--
-	waiting := w.waiting
-	w.waiting = nil
-	stale := p.closed || p.workers[w.id] != w || w.addr != addr
-	if err == nil && !stale && !h.over {
-		w.conns = append(w.conns, c)
-	}
-	p.mu.Unlock()
-	if err == nil && stale {
-		c.Shutdown()
-	}
-	for _, x := range waiting {
-		switch {
-		case err != nil:
-			x.fail(err.Error())
-		case stale:
-			p.do(w.id, x)
-		default:
-			switch err := x.open(c); {
-			case errors.Is(err, http2.ErrNoStreams):
-				p.again(w.id, x, err)
-			case err != nil: // a worker that accepts and closes at once is not dialled over and over
-				x.fail(err.Error())
-			}
-		}
-	}
-}
-
-// link is one connection's handler.
-type link struct {
-	p    *Pool
-	w    *worker
-	over bool // no more streams; guarded by p.mu
-}
-
-// Open implements http2.Handler. A client is never opened a stream to.
-func (l *link) Open(*http2.Stream) http2.Receiver { return nil }
-
-// GoAway implements http2.Handler. Without an error it is a worker's word that it takes nothing new.
-func (l *link) GoAway(c *http2.Conn, code http2.ErrCode) {
-	l.leave(c)
-	if code == http2.NoError {
-		l.p.router.WorkerDraining(l.w.id)
-	} else {
-		l.p.cfg.Log.Warn("worker ended the connection", "worker", l.w.id, "code", code.String())
-	}
-}
-
-// Lost implements http2.Handler.
-func (l *link) Lost(c *http2.Conn, err error) { l.leave(c) }
-
-func (l *link) leave(c *http2.Conn) {
-	l.p.mu.Lock()
-	defer l.p.mu.Unlock()
-	l.over = true
-	for i, o := range l.w.conns {
-		if o == c {
-			l.w.conns = append(l.w.conns[:i], l.w.conns[i+1:]...)
-			return
-		}
-	}
-}
-
-// Close ends all connections.
+// Close closes the connections that may accept new streams, and with them the streams that they have. Connections that
+// drain end by themselves.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -242,7 +101,7 @@
 	}
 }
 
-// Conns tells how many connections are open.
+// Conns returns the number of connections that may accept new streams.
 func (p *Pool) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,7 +112,7 @@
 	return n
 }
 
-// head is what every request to a worker begins with.
-func (p *Pool) head(path string, left time.Duration) []hpack.Field {
-	return append(grpc.Head("worker", path, left), hpack.Field{Name: RouterField, Value: p.cfg.Router})
+// requestHeaders returns the headers that every request to a worker begins with; left is what remains of its deadline.
+func (p *Pool) requestHeaders(path string, left time.Duration) []hpack.Field {
+	return append(grpc.Head("worker", path, left), hpack.Field{Name: RouterField, Value: p.config.RouterName})
 }
--- /dev/null
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -0,0 +1,140 @@
+package grpcupstream
+
+import (
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	peergrpc "google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/oip/inference"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/transport/grpc"
+)
+
+// TestAllCallsAgainstGRPCGo has an independent server, grpc-go, answer every kind of call that is sent to workers.
+func TestAllCallsAgainstGRPCGo(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	srv := peergrpc.NewServer(peergrpc.UnknownServiceHandler(serveWithGRPCGo))
+	go func() { _ = srv.Serve(ln) }()
+	defer srv.Stop()
+	r, dispatcher := newTestRouter(t, ln.Addr().String())
+	client := submit(t, r, false, 10*time.Second)
+	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.OK || ended.LoadReport.InFlight != 4 {
+		t.Errorf("unary: %+v", ended)
+	}
+	if st := receive(t, client.status, "the answer"); st.Code != grpc.OK {
+		t.Errorf("unary: %v", st)
+	}
+	client = submit(t, r, true, 10*time.Second)
+	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.OK || dispatcher.started != 1 {
+		t.Errorf("streamed: %+v, started %d", ended, dispatcher.started)
+	}
+	var counter grpc.Counter
+	if err := counter.Add(client.bytes.Bytes()); err != nil || counter.Messages != 3 || client.starts != 1 {
+		t.Errorf("streamed: %d messages, %v, started %d times", counter.Messages, err, client.starts)
+	}
+	pool := New(Config{RouterName: "r", ConnectTimeout: time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
+	defer pool.Close()
+	pool.Attach(r)
+	pool.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
+	loads, checks := make(chan router.LoadResult, 1), make(chan router.HealthResult, 1)
+	pool.LoadFunction("w", "m", 1, 10*time.Second, func(loaded router.LoadResult) { loads <- loaded })
+	if loaded := receive(t, loads, "the load result"); loaded.Result != dispatch.OK || loaded.Copies != 2 {
+		t.Errorf("load command: %+v", loaded)
+	}
+	pool.CheckHealth("w", 10*time.Second, func(checked router.HealthResult) { checks <- checked })
+	if checked := receive(t, checks, "the health check result"); checked.Result != dispatch.OK || !checked.Ready || checked.Report.LoadReport.InFlight != 4 {
+		t.Errorf("health check: %+v", checked)
+	}
+}
+
+// serveWithGRPCGo is a worker: its trailers report 4 requests in flight and 2 copies.
+func serveWithGRPCGo(_ any, s peergrpc.ServerStream) error {
+	method, _ := peergrpc.MethodFromServerStream(s)
+	report := oip.NoReport
+	report.InFlight, report.Copies = 4, 2
+	s.SetTrailer(metadata.Pairs(oip.ReportField, string(encodeReport(report))))
+	switch method {
+	case oip.Infer, oip.StreamInfer:
+		var m inference.ModelInferRequest
+		if err := s.RecvMsg(&m); err != nil {
+			return err
+		}
+		if method == oip.Infer {
+			return s.SendMsg(&inference.ModelInferResponse{ModelName: m.ModelName})
+		}
+		for range 3 {
+			if err := s.SendMsg(&inference.ModelStreamInferResponse{InferResponse: &inference.ModelInferResponse{ModelName: m.ModelName}}); err != nil {
+				return err
+			}
+		}
+		return nil
+	case oip.Load:
+		var m inference.RepositoryModelLoadRequest
+		if err := s.RecvMsg(&m); err != nil {
+			return err
+		}
+		if m.Parameters[oip.ParamCopies].GetInt64Param() != 1 || m.ModelName != "m" {
+			return status.Error(codes.InvalidArgument, "unexpected load command")
+		}
+		return s.SendMsg(&inference.RepositoryModelLoadResponse{})
+	case oip.ServerReady:
+		var m inference.ServerReadyRequest
+		if err := s.RecvMsg(&m); err != nil {
+			return err
+		}
+		return s.SendMsg(&inference.ServerReadyResponse{Ready: true})
+	}
+	return status.Error(codes.Unimplemented, method)
+}
+
+// encodeReport returns the serialized report without base64: grpc-go encodes -bin fields itself.
+func encodeReport(r oip.Report) []byte {
+	b, err := grpc.DecodeBin(r.Field().Value)
+	if err != nil {
+		panic(err)
+	}
+	return b
+}
+
+// TestWorkerThatClosesAtOnceIsNotRedialled: attempts at a worker that accepts and closes connections end, whatever the
+// deadline, and do not dial again and again.
+func TestWorkerThatClosesAtOnceIsNotRedialled(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = ln.Close() }()
+	var accepted atomic.Int32
+	go func() {
+		for {
+			nc, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			accepted.Add(1)
+			_ = nc.Close()
+		}
+	}()
+	r, dispatcher := newTestRouter(t, ln.Addr().String())
+	for range 10 {
+		submit(t, r, false, time.Hour)
+		if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectFailed && ended.Result != dispatch.ConnectionReset {
+			t.Errorf("%v", ended.Result)
+		}
+	}
+	if n := accepted.Load(); n > 20 {
+		t.Errorf("%d connections for 10 attempts", n)
+	}
+}
