--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -113,7 +113,7 @@
 		return &inference.InferParameter{ParameterChoice: &inference.InferParameter_DoubleParam{DoubleParam: f}}
 	}
 	m := &inference.ModelInferRequest{ModelName: r.Model, Id: call, Parameters: map[string]*inference.InferParameter{
-		fakeworker.ParamRequest: text(r.ID), oip.ParamKey: text(r.ID), fakeworker.ParamWorkMS: number(r.Work.Seconds() * 1000),
+		fakeworker.ParamRequest: text(r.ID), oip.ParamIdempotencyKey: text(r.ID), fakeworker.ParamWorkMS: number(r.Work.Seconds() * 1000),
 		fakeworker.ParamMessages: number(float64(r.Messages)), fakeworker.ParamBytes: number(float64(r.Bytes))}}
 	if r.Hint > 0 {
 		m.Parameters[oip.ParamWorkMS] = number(r.Hint.Seconds() * 1000)
--- a/internal/fake/fakeworker/serve.go
+++ b/internal/fake/fakeworker/serve.go
@@ -132,7 +132,7 @@
 	case oip.Infer, oip.StreamInfer:
 		var m inference.ModelInferRequest
 		if err := proto.Unmarshal(r.body, &m); err != nil || m.ModelName == "" {
-			r.end(ending{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
+			r.end(ending{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoLoadReport)
 			return
 		}
 		r.job = jobOf(&m, r)
@@ -140,7 +140,7 @@
 	case oip.Load:
 		var m inference.RepositoryModelLoadRequest
 		if err := proto.Unmarshal(r.body, &m); err != nil {
-			r.end(ending{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
+			r.end(ending{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoLoadReport)
 			return
 		}
 		r.load(&m)
@@ -159,7 +159,7 @@
 				out.Models = append(out.Models, &inference.RepositoryIndexResponse_ModelIndex{Name: name, State: "READY"})
 			}
 		}
-		r.unary(out, oip.NoReport)
+		r.unary(out, oip.NoLoadReport)
 	case oip.Unload:
 		var m inference.RepositoryModelUnloadRequest
 		if proto.Unmarshal(r.body, &m) == nil && w.models[m.ModelName] != nil {
@@ -170,11 +170,11 @@
 				}
 			}
 		}
-		r.unary(&inference.RepositoryModelUnloadResponse{}, oip.NoReport)
+		r.unary(&inference.RepositoryModelUnloadResponse{}, oip.NoLoadReport)
 	case oip.ServerLive:
-		r.unary(&inference.ServerLiveResponse{Live: true}, oip.NoReport)
+		r.unary(&inference.ServerLiveResponse{Live: true}, oip.NoLoadReport)
 	default:
-		r.end(ending{status: grpc.Status{Code: grpc.Unimplemented, Message: "no call " + r.path}}, oip.NoReport)
+		r.end(ending{status: grpc.Status{Code: grpc.Unimplemented, Message: "no call " + r.path}}, oip.NoLoadReport)
 	}
 }
 
@@ -189,8 +189,8 @@
 		return or
 	}
 	j := &job{call: m.Id, request: m.Parameters[ParamRequest].GetStringParam(), router: r.router, reply: r,
-		class: m.Parameters[oip.ParamClass].GetStringParam(), key: m.Parameters[oip.ParamKey].GetStringParam(),
-		model: Model{Name: m.ModelName, MemoryMB: number(oip.ParamMemoryMB, 100), Lanes: int(number(oip.ParamLanes, 1)),
+		class: m.Parameters[oip.ParamClass].GetStringParam(), key: m.Parameters[oip.ParamIdempotencyKey].GetStringParam(),
+		model: Model{Name: m.ModelName, MemoryMB: number(oip.ParamMemoryMB, 100), Lanes: int(number(oip.ParamConcurrency, 1)),
 			Load: time.Duration(number(oip.ParamLoadMS, 0) * float64(time.Millisecond))},
 		work:     time.Duration(number(ParamWorkMS, 1) * float64(time.Millisecond)),
 		streamed: r.path == oip.StreamInfer, messages: int(number(ParamMessages, 1)), bytes: int(number(ParamBytes, 16))}
@@ -234,7 +234,7 @@
 	})
 }
 
-func (r *reply) unary(m proto.Message, report oip.Report) {
+func (r *reply) unary(m proto.Message, report oip.LoadReport) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
 		r.end(ending{status: grpc.Status{Code: grpc.Internal, Message: err.Error()}}, report)
@@ -274,13 +274,13 @@
 }
 
 // end sends the trailers.
-func (r *reply) end(e ending, report oip.Report) {
+func (r *reply) end(e ending, report oip.LoadReport) {
 	fields := e.status.Trailer()
 	if e.admission != "" {
 		fields = append(fields, hpack.Field{Name: oip.AdmissionField, Value: e.admission})
 	}
-	if report != oip.NoReport {
-		fields = append(fields, report.Field())
+	if report != oip.NoLoadReport {
+		fields = append(fields, report.Trailer())
 	}
 	if r.begun {
 		_ = r.s.WriteTrailers(fields)
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -334,7 +334,7 @@
 var (
 	full     = ending{grpc.Status{Code: grpc.ResourceExhausted, Message: "worker is full"}, oip.AdmissionFull}
 	drains   = ending{grpc.Status{Code: grpc.Unavailable, Message: "worker drains"}, oip.AdmissionDraining}
-	missing  = ending{grpc.Status{Code: grpc.NotFound, Message: "model is not loaded"}, oip.AdmissionMissing}
+	missing  = ending{grpc.Status{Code: grpc.NotFound, Message: "model is not loaded"}, oip.AdmissionNotResident}
 	loadFail = ending{grpc.Status{Code: grpc.Internal, Message: "load failed"}, ""}
 	broken   = ending{grpc.Status{Code: grpc.Internal, Message: "class fails here"}, ""}
 )
@@ -763,15 +763,15 @@
 	}
 }
 
-func (w *Worker) report(j *job) oip.Report {
-	r := oip.NoReport
+func (w *Worker) report(j *job) oip.LoadReport {
+	r := oip.NoLoadReport
 	if !w.cfg.ServerMetrics {
 		return r
 	}
-	r.InFlight, r.Queue = float64(len(w.jobs)), float64(w.waits())
+	r.InFlight, r.Queued = float64(len(w.jobs)), float64(w.waits())
 	r.Loading = float64(w.loading + len(w.backlog))
 	if j != nil {
-		r.Company, r.Warmth = float64(j.company), j.warmth
+		r.FunctionInFlight, r.CacheStatus = float64(j.company), j.warmth
 		if j.m != nil {
 			r.Copies = float64(j.m.loaded())
 		}
--- a/internal/grpcgateway/gateway_test.go
+++ b/internal/grpcgateway/gateway_test.go
@@ -113,7 +113,7 @@
 func ask(model, id string, work, messages, bytes int64) *inference.ModelInferRequest {
 	return &inference.ModelInferRequest{ModelName: model, Id: id, Parameters: map[string]*inference.InferParameter{
 		fakeworker.ParamWorkMS: number(work), fakeworker.ParamMessages: number(messages), fakeworker.ParamBytes: number(bytes),
-		fakeworker.ParamRequest: text(id), oip.ParamKey: text(id)}}
+		fakeworker.ParamRequest: text(id), oip.ParamIdempotencyKey: text(id)}}
 }
 
 func (r *rig) infer(ctx context.Context, m *inference.ModelInferRequest) (*inference.ModelInferResponse, error) {
--- a/internal/oip/oip.go
+++ b/internal/oip/oip.go
@@ -1,18 +1,14 @@
-// Package oip is the Open Inference Protocol, version 2, over gRPC: the paths of its calls, its messages
-// (package inference, generated), the load report of workers, and a scan that reads the fields that decide
-// a call's way in place, without unpacking tensors.
+// Package oip implements what the gateway needs of the Open Inference Protocol, version 2, over gRPC: the paths of its calls,
+// its messages (package inference, generated), the load report and the admission trailer of workers, and a parser that reads
+// the fields that decide where a call is routed in place, without decoding tensors.
 package oip
 
 import (
-	"errors"
-	"fmt"
-	"math"
-	"strings"
-
-	"google.golang.org/protobuf/encoding/protowire"
+	"github.com/topazfront/topazfront/internal/transport/grpc"
+	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// Service is the full name of the service.
+// Service is the full name of the gRPC service.
 const Service = "inference.GRPCInferenceService"
 
 // The paths of the calls.
@@ -29,188 +25,38 @@
 	Unload         = "/" + Service + "/RepositoryModelUnload"
 )
 
-// The request parameters that speak to the gateway, each over what the model's settings say.
+// The request parameters that are addressed to the gateway. Each overrides the settings of the model.
 const (
-	ParamClass    = "class"     // string
-	ParamTenant   = "tenant"    // string
-	ParamMemoryMB = "memory_mb" // a number, as the next
-	ParamLanes    = "lanes"
-	ParamLoadMS   = "load_ms"
-	ParamWorkMS   = "work_ms" // the cost hint: expected work on a standard core
-	ParamKey      = "idempotency_key"
-	ParamCopies   = "copies" // of a load order
+	ParamClass          = "class"     // string
+	ParamTenant         = "tenant"    // string
+	ParamMemoryMB       = "memory_mb" // a number, like the next three
+	ParamConcurrency    = "lanes"     // requests that one instance serves at once
+	ParamLoadMS         = "load_ms"   // expected time to load an instance
+	ParamWorkMS         = "work_ms"   // cost hint: expected work on a standard core
+	ParamIdempotencyKey = "idempotency_key"
+	ParamCopies         = "copies" // of a load command
 )
 
-// Routed is what a request says of its own way. Strings are copies and may be kept.
-type Routed struct {
-	Model, Version, ID string
-	Class, Tenant, Key string
-	// Numbers are NaN where they were not given.
-	MemoryMB, Lanes, LoadMS, WorkMS float64
-}
-
-// ErrMalformed tells of a message that is no protobuf message of the right shape.
-var ErrMalformed = errors.New("oip: malformed request message")
-
-const maxParams = 64 // more are no request of this protocol's users
-
-// Scan reads the routed fields of a ModelInferRequest. Other fields are stepped over, whatever their size.
-func Scan(b []byte) (Routed, error) {
-	r := Routed{MemoryMB: math.NaN(), Lanes: math.NaN(), LoadMS: math.NaN(), WorkMS: math.NaN()}
-	params := 0
-	for len(b) > 0 {
-		num, typ, n := protowire.ConsumeTag(b)
-		if n < 0 {
-			return r, fmt.Errorf("%w: %w", ErrMalformed, protowire.ParseError(n))
-		}
-		b = b[n:]
-		if num > 4 || typ != protowire.BytesType {
-			if n = protowire.ConsumeFieldValue(num, typ, b); n < 0 {
-				return r, fmt.Errorf("%w: field %d: %w", ErrMalformed, num, protowire.ParseError(n))
-			}
-			b = b[n:]
-			continue
-		}
-		v, n := protowire.ConsumeBytes(b)
-		if n < 0 {
-			return r, fmt.Errorf("%w: field %d: %w", ErrMalformed, num, protowire.ParseError(n))
-		}
-		b = b[n:]
-		switch num {
-		case 1:
-			r.Model = string(v)
-		case 2:
-			r.Version = string(v)
-		case 3:
-			r.ID = string(v)
-		case 4:
-			if params++; params > maxParams {
-				return r, fmt.Errorf("%w: over %d parameters", ErrMalformed, maxParams)
-			}
-			if err := r.parameter(v); err != nil {
-				return r, err
-			}
-		}
-	}
-	return r, nil
-}
+// AdmissionField is the trailer by which a worker guarantees that a call never ran there.
+const AdmissionField = "worker-admission"
 
-// parameter reads one entry of the map of parameters.
-func (r *Routed) parameter(b []byte) error {
-	var key, value []byte
-	for len(b) > 0 {
-		num, typ, n := protowire.ConsumeTag(b)
-		if n < 0 {
-			return fmt.Errorf("%w: parameters: %w", ErrMalformed, protowire.ParseError(n))
-		}
-		b = b[n:]
-		if (num == 1 || num == 2) && typ == protowire.BytesType {
-			v, n := protowire.ConsumeBytes(b)
-			if n < 0 {
-				return fmt.Errorf("%w: parameters: %w", ErrMalformed, protowire.ParseError(n))
-			}
-			if num == 1 {
-				key = v
-			} else {
-				value = v
-			}
-			b = b[n:]
-			continue
-		}
-		if n = protowire.ConsumeFieldValue(num, typ, b); n < 0 {
-			return fmt.Errorf("%w: parameters: %w", ErrMalformed, protowire.ParseError(n))
-		}
-		b = b[n:]
-	}
-	var number *float64
-	var text *string
-	switch string(key) {
-	case ParamClass:
-		text = &r.Class
-	case ParamTenant:
-		text = &r.Tenant
-	case ParamKey:
-		text = &r.Key
-	case ParamMemoryMB:
-		number = &r.MemoryMB
-	case ParamLanes:
-		number = &r.Lanes
-	case ParamLoadMS:
-		number = &r.LoadMS
-	case ParamWorkMS:
-		number = &r.WorkMS
-	default:
-		return nil // the worker's own
-	}
-	s, f, isText, err := choice(value)
-	switch {
-	case err != nil:
-		return fmt.Errorf("%w: parameter %s", err, key)
-	case text != nil && isText:
-		*text = s
-	case number != nil && !isText && f >= 0 && f < 1e12: // false for NaN
-		*number = f
-	default:
-		return fmt.Errorf("%w: parameter %s has a value of the wrong type or size", ErrMalformed, key)
-	}
-	return nil
-}
-
-// choice reads an InferParameter: a text or a number.
-func choice(b []byte) (s string, f float64, isText bool, err error) {
-	for len(b) > 0 {
-		num, typ, n := protowire.ConsumeTag(b)
-		if n < 0 {
-			return "", 0, false, ErrMalformed
-		}
-		b = b[n:]
-		switch {
-		case num == 3 && typ == protowire.BytesType:
-			v, n := protowire.ConsumeBytes(b)
-			if n < 0 {
-				return "", 0, false, ErrMalformed
-			}
-			s, isText = string(v), true
-			b = b[n:]
-		case (num == 2 || num == 5) && typ == protowire.VarintType:
-			v, n := protowire.ConsumeVarint(b)
-			if n < 0 {
-				return "", 0, false, ErrMalformed
-			}
-			if f = float64(v); num == 2 {
-				f = float64(int64(v))
-			}
-			isText = false
-			b = b[n:]
-		case num == 4 && typ == protowire.Fixed64Type:
-			v, n := protowire.ConsumeFixed64(b)
-			if n < 0 {
-				return "", 0, false, ErrMalformed
-			}
-			f, isText = math.Float64frombits(v), false
-			b = b[n:]
-		default:
-			if n = protowire.ConsumeFieldValue(num, typ, b); n < 0 {
-				return "", 0, false, ErrMalformed
-			}
-			b = b[n:]
-		}
-	}
-	return s, f, isText, nil
-}
+// The values of AdmissionField.
+const (
+	AdmissionFull        = "full"     // no capacity, in the queue or in memory
+	AdmissionDraining    = "draining" // the worker accepts no new calls
+	AdmissionNotResident = "missing"  // the model is not loaded there and no load is in progress
+)
 
-// Function is the key by which a model's calls meet: its name, and its version where one is asked for.
-func (r Routed) Function() string {
-	if r.Version == "" {
-		return r.Model
-	}
-	return r.Model + "@" + r.Version
+// Request is an inference call as a server received it. It is forwarded to a worker unchanged.
+type Request struct {
+	Message        []byte        // with its gRPC prefix, as received
+	Encoding       string        // grpc-encoding of the message; "": none
+	AcceptEncoding string        // grpc-accept-encoding of the client; "": none
+	Metadata       []hpack.Field // the client's own
 }
 
-// SplitFunction undoes Function.
-func SplitFunction(key string) (model, version string) {
-	if i := strings.LastIndexByte(key, '@'); i >= 0 {
-		return key[:i], key[i+1:]
-	}
-	return key, ""
+// Trailer is the end of a response.
+type Trailer struct {
+	Status   grpc.Status   // that the client receives
+	Metadata []hpack.Field // the worker's own
 }
--- a/internal/server/grpcserver/front.go
+++ b/internal/server/grpcserver/front.go
@@ -320,7 +320,7 @@
 		x.reply(st, nil)
 		return
 	}
-	c.Request = &oip.Request{Message: message, Encoding: x.encoding, Accept: x.accept, Metadata: x.metadata}
+	c.Request = &oip.Request{Message: message, Encoding: x.encoding, AcceptEncoding: x.accept, Metadata: x.metadata}
 	c.Streamed, c.Client = x.streamed(), x
 	drop, ok := x.f.router.Submit(c)
 	if !ok {
@@ -417,13 +417,13 @@
 // Told puts a final answer in gRPC's words: a status and trailers, with the advice on retries of gRFC A6.
 func Told(f router.FinalAnswer) (grpc.Status, []hpack.Field) {
 	const pushback = "grpc-retry-pushback-ms"
-	tail := oip.Tail{}
+	tail := oip.Trailer{}
 	if f.Attempt != nil {
-		tail, _ = f.Attempt.Trailer.(oip.Tail)
+		tail, _ = f.Attempt.Trailer.(oip.Trailer)
 	}
 	switch f.Kind {
 	case router.FinalAnswered:
-		return tail.Status, tail.Trailers
+		return tail.Status, tail.Metadata
 	case router.FinalRejected:
 		return grpc.Status{Code: grpc.Unavailable, Message: "refused; trying again does no harm"},
 			[]hpack.Field{{Name: pushback, Value: strconv.FormatInt(max(f.RetryAfter, 0).Milliseconds(), 10)}}
--- a/internal/server/grpcserver/front_test.go
+++ b/internal/server/grpcserver/front_test.go
@@ -211,9 +211,9 @@
 // TestFinalAnswersInItsWords: the router's neutral final answers become a status and advice on retries; a failure
 // never invites one, and what a worker said of the call is passed on only where it says more than that it failed.
 func TestFinalAnswersInItsWords(t *testing.T) {
-	internal := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
-	away := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable}}}
-	lost := &router.AttemptResult{Result: dispatch.ConnectionReset, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unknown}}}
+	internal := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
+	away := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Unavailable}}}
+	lost := &router.AttemptResult{Result: dispatch.ConnectionReset, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Unknown}}}
 	for name, c := range map[string]struct {
 		f    router.FinalAnswer
 		code grpc.Code
@@ -225,7 +225,7 @@
 		"failed by an error":    {router.FinalAnswer{Kind: router.FinalFailed, Attempt: internal}, grpc.Internal, "-1"},
 		"failed, worker away":   {router.FinalAnswer{Kind: router.FinalFailed, Attempt: away}, grpc.Unknown, "-1"},
 		"failed, without words": {router.FinalAnswer{Kind: router.FinalFailed, Attempt: &router.AttemptResult{Result: dispatch.Errored}}, grpc.Unknown, "-1"},
-		"answered":              {router.FinalAnswer{Attempt: &router.AttemptResult{Result: dispatch.OK, Trailer: oip.Tail{}}}, grpc.OK, ""},
+		"answered":              {router.FinalAnswer{Attempt: &router.AttemptResult{Result: dispatch.OK, Trailer: oip.Trailer{}}}, grpc.OK, ""},
 		"answered, then lost":   {router.FinalAnswer{Attempt: lost}, grpc.Unknown, ""},
 	} {
 		st, tail := Told(c.f)
--- a/internal/server/intake.go
+++ b/internal/server/intake.go
@@ -48,7 +48,7 @@
 
 // Call fills a call in: by the model's settings, and over them by what the request says. left is the time
 // until the client gives up, or 0 where it set none; then the class's deadline holds.
-func (in *Intake) Call(r oip.Routed, left time.Duration) (*router.Call, error) {
+func (in *Intake) Call(r oip.RoutingFields, left time.Duration) (*router.Call, error) {
 	if r.Model == "" {
 		return nil, &Error{Field: "model_name", Reason: "is empty"}
 	}
@@ -67,8 +67,8 @@
 	if !math.IsNaN(r.MemoryMB) {
 		c.MemoryMB = r.MemoryMB
 	}
-	if !math.IsNaN(r.Lanes) {
-		c.ConcurrencyPerInstance = int(min(max(r.Lanes, 1), 1024))
+	if !math.IsNaN(r.ConcurrencyPerInstance) {
+		c.ConcurrencyPerInstance = int(min(max(r.ConcurrencyPerInstance, 1), 1024))
 	}
 	if !math.IsNaN(r.LoadMS) {
 		c.LoadTime = time.Duration(r.LoadMS * float64(time.Millisecond))
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -70,8 +70,8 @@
 	if a.request.Encoding != "" {
 		fields = append(fields, hpack.Field{Name: "grpc-encoding", Value: a.request.Encoding})
 	}
-	if a.request.Accept != "" {
-		fields = append(fields, hpack.Field{Name: "grpc-accept-encoding", Value: a.request.Accept})
+	if a.request.AcceptEncoding != "" {
+		fields = append(fields, hpack.Field{Name: "grpc-accept-encoding", Value: a.request.AcceptEncoding})
 	}
 	fields = append(fields, a.request.Metadata...)
 	stream, err := c.Open(a, fields, a.request.Message, true)
@@ -88,7 +88,7 @@
 
 // finishWith ends an attempt that brought no trailers.
 func (a *attempt) finishWith(ended outcome) {
-	a.finish(router.AttemptResult{Result: ended.result, Trailer: oip.Tail{Status: ended.status}, Report: router.NoWorkerReport})
+	a.finish(router.AttemptResult{Result: ended.result, Trailer: oip.Trailer{Status: ended.status}, Report: router.NoWorkerReport})
 }
 
 // finish reports the end of the attempt to the router, once. What no client has received goes along.
@@ -127,7 +127,7 @@
 	}
 	messages, truncated, invalid := a.counter.Messages, a.counter.Partial(), a.invalidResponse
 	a.mu.Unlock()
-	report, err := oip.ReportOf(fields)
+	report, err := oip.ParseLoadReport(fields)
 	if err != nil {
 		a.pool.config.Logger.Info("malformed load report", "endpoint", a.worker, "error", err)
 	}
@@ -137,7 +137,7 @@
 	}
 	a.finish(router.AttemptResult{
 		Result:         classified.result,
-		Trailer:        oip.Tail{Status: classified.status, Trailers: forwardedMetadata(fields, false)},
+		Trailer:        oip.Trailer{Status: classified.status, Metadata: forwardedMetadata(fields, false)},
 		Report:         workerReport(report),
 		WorkerDraining: workerDraining,
 	})
@@ -147,7 +147,7 @@
 func forwardedMetadata(fields []hpack.Field, includeEncoding bool) []hpack.Field {
 	var out []hpack.Field
 	for _, f := range fields {
-		if includeEncoding && f.Name == "grpc-encoding" || !grpc.Reserved(f.Name) && f.Name != oip.ReportField &&
+		if includeEncoding && f.Name == "grpc-encoding" || !grpc.Reserved(f.Name) && f.Name != oip.LoadReportField &&
 			f.Name != oip.AdmissionField {
 			out = append(out, f)
 		}
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -24,7 +24,7 @@
 	path     string
 	body     []byte // with the gRPC prefix
 	deadline time.Time
-	done     func(result outcome, body []byte, report oip.Report) // called once, without the lock
+	done     func(result outcome, body []byte, report oip.LoadReport) // called once, without the lock
 
 	mu       sync.Mutex
 	stream   *http2.Stream // nil until it is opened
@@ -37,10 +37,10 @@
 
 // startControlCall sends a message to a worker and calls done once, after limit at the latest.
 func (p *Pool) startControlCall(workerID, path string, message proto.Message, limit time.Duration,
-	done func(outcome, []byte, oip.Report)) {
+	done func(outcome, []byte, oip.LoadReport)) {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
-		done(outcome{dispatch.NotSent, grpc.Status{Code: grpc.Internal, Message: err.Error()}}, nil, oip.NoReport)
+		done(outcome{dispatch.NotSent, grpc.Status{Code: grpc.Internal, Message: err.Error()}}, nil, oip.NoLoadReport)
 		return
 	}
 	call := &controlCall{pool: p, path: path, deadline: time.Now().Add(limit), done: done,
@@ -49,7 +49,7 @@
 		call.mu.Lock()
 		stream := call.stream
 		call.mu.Unlock()
-		call.finish(outcome{dispatch.TimedOut, grpc.Status{Code: grpc.DeadlineExceeded}}, oip.NoReport)
+		call.finish(outcome{dispatch.TimedOut, grpc.Status{Code: grpc.DeadlineExceeded}}, oip.NoLoadReport)
 		if stream != nil {
 			stream.Reset(http2.Cancel)
 		}
@@ -73,11 +73,11 @@
 
 // fail implements outgoingCall.
 func (cc *controlCall) fail(reason string) {
-	cc.finish(outcome{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoReport)
+	cc.finish(outcome{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoLoadReport)
 }
 
 // finish stops the timer and reports the result, once.
-func (cc *controlCall) finish(result outcome, report oip.Report) {
+func (cc *controlCall) finish(result outcome, report oip.LoadReport) {
 	cc.mu.Lock()
 	if cc.ended {
 		cc.mu.Unlock()
@@ -98,7 +98,7 @@
 	cc.mu.Lock()
 	messages, truncated := cc.messages, cc.reader.Partial()
 	cc.mu.Unlock()
-	report, _ := oip.ReportOf(fields)
+	report, _ := oip.ParseLoadReport(fields)
 	result, _ := classifyTrailers(fields, messages, truncated, false)
 	cc.finish(result, report)
 }
@@ -115,7 +115,7 @@
 	cc.mu.Unlock()
 	if err != nil || len(rest) > 0 || end {
 		s.Reset(http2.Cancel)
-		cc.finish(outcome{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "broken answer"}}, oip.NoReport)
+		cc.finish(outcome{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "broken answer"}}, oip.NoLoadReport)
 	}
 }
 
@@ -125,7 +125,7 @@
 // Closed implements http2.Receiver.
 func (cc *controlCall) Closed(_ *http2.Stream, err error) {
 	if err != nil {
-		cc.finish(classifyStreamError(err), oip.NoReport)
+		cc.finish(classifyStreamError(err), oip.NoLoadReport)
 	}
 }
 
@@ -138,7 +138,7 @@
 		request.Parameters["version"] = &inference.ModelRepositoryParameter{
 			ParameterChoice: &inference.ModelRepositoryParameter_StringParam{StringParam: version}}
 	}
-	p.startControlCall(workerID, oip.Load, request, limit, func(ended outcome, _ []byte, report oip.Report) {
+	p.startControlCall(workerID, oip.Load, request, limit, func(ended outcome, _ []byte, report oip.LoadReport) {
 		result := router.LoadResult{Result: ended.result, Copies: int(max(report.Copies, 0))}
 		if ended.result == dispatch.OK && ended.status.Code != grpc.OK {
 			result.Result = dispatch.Errored // a status about the command itself means that no copy was loaded
@@ -150,7 +150,7 @@
 // CheckHealth implements router.Upstream by ServerReady, whose trailers carry the worker's load report.
 func (p *Pool) CheckHealth(workerID string, limit time.Duration, done func(router.HealthResult)) {
 	p.startControlCall(workerID, oip.ServerReady, &inference.ServerReadyRequest{}, limit,
-		func(ended outcome, body []byte, report oip.Report) {
+		func(ended outcome, body []byte, report oip.LoadReport) {
 			result := router.HealthResult{Result: ended.result, Report: workerReport(report)}
 			if ended.result == dispatch.OK && ended.status.Code != grpc.OK {
 				result.Result = dispatch.Errored
@@ -164,7 +164,7 @@
 }
 
 // workerReport converts the report of a worker.
-func workerReport(report oip.Report) router.WorkerReport {
-	return router.WorkerReport{LoadReport: dispatch.LoadReport{InFlight: report.InFlight, Queued: report.Queue, Loading: report.Loading},
-		CacheStatus: dispatch.CacheStatus(report.Warmth), FunctionInFlight: int(max(report.Company, -1))}
+func workerReport(report oip.LoadReport) router.WorkerReport {
+	return router.WorkerReport{LoadReport: dispatch.LoadReport{InFlight: report.InFlight, Queued: report.Queued, Loading: report.Loading},
+		CacheStatus: dispatch.CacheStatus(report.CacheStatus), FunctionInFlight: int(max(report.FunctionInFlight, -1))}
 }
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -75,7 +75,7 @@
 		return outcome{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken"}}, false
 	case status.Code == grpc.OK:
 		return outcome{dispatch.OK, status}, false
-	case messages == 0 && !truncated && admission == oip.AdmissionMissing:
+	case messages == 0 && !truncated && admission == oip.AdmissionNotResident:
 		return outcome{dispatch.NotResident, status}, false
 	case messages == 0 && !truncated && admission == oip.AdmissionFull:
 		return outcome{dispatch.Rejected, status}, false
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -89,7 +89,7 @@
 		s.headers(true, withOKHeaders("grpc-status", "14", oip.AdmissionField, oip.AdmissionDraining)...)
 	}, result: dispatch.Rejected, status: grpc.Unknown, draining: true},
 	{name: "admission missing", act: func(s *scriptedStream) {
-		s.headers(true, withOKHeaders("grpc-status", "5", oip.AdmissionField, oip.AdmissionMissing)...)
+		s.headers(true, withOKHeaders("grpc-status", "5", oip.AdmissionField, oip.AdmissionNotResident)...)
 	}, result: dispatch.NotResident, status: grpc.Unknown},
 	{name: "admission full after a message", streamed: true, act: func(s *scriptedStream) {
 		s.headers(false, okHeaders...)
--- a/internal/upstream/grpcupstream/golden_test.go
+++ b/internal/upstream/grpcupstream/golden_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 
-	submit(false, &oip.Request{Message: testMessage(), Encoding: "gzip", Accept: "gzip,identity",
+	submit(false, &oip.Request{Message: testMessage(), Encoding: "gzip", AcceptEncoding: "gzip,identity",
 		Metadata: []hpack.Field{{Name: "x-own", Value: "kept"}, {Name: "x-own-bin", Value: "AAE"}}})
 	expect("an attempt", "ModelInfer",
 		"grpc-previous-rpc-attempts: 0", "grpc-encoding: gzip", "grpc-accept-encoding: gzip,identity", "x-own: kept", "x-own-bin: AAE", `"\x00\x00\x00\x00\x03\n\x01m"`)
--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -62,9 +62,9 @@
 // serveWithGRPCGo is a worker: its trailers report 4 requests in flight and 2 copies.
 func serveWithGRPCGo(_ any, s peergrpc.ServerStream) error {
 	method, _ := peergrpc.MethodFromServerStream(s)
-	report := oip.NoReport
+	report := oip.NoLoadReport
 	report.InFlight, report.Copies = 4, 2
-	s.SetTrailer(metadata.Pairs(oip.ReportField, string(encodeReport(report))))
+	s.SetTrailer(metadata.Pairs(oip.LoadReportField, string(encodeReport(report))))
 	switch method {
 	case oip.Infer, oip.StreamInfer:
 		var m inference.ModelInferRequest
@@ -100,8 +100,8 @@
 }
 
 // encodeReport returns the serialized report without base64: grpc-go encodes -bin fields itself.
-func encodeReport(r oip.Report) []byte {
-	b, err := grpc.DecodeBin(r.Field().Value)
+func encodeReport(r oip.LoadReport) []byte {
+	b, err := grpc.DecodeBin(r.Trailer().Value)
 	if err != nil {
 		panic(err)
 	}
