--- a/internal/upstream/respupstream/golden_test.go
+++ b/internal/upstream/respupstream/golden_test.go
@@ -75,7 +75,7 @@
 	submit := func(id, class, function, key, body string) (testClient, func()) {
 		client := make(testClient, 1)
 		cancel, ok := h.router.Submit(&router.Call{Function: function, Class: class, RemainingDeadline: time.Hour, Client: client,
-			Request: &invocation.Request{ID: id, Class: class, Function: function, Key: key, Body: []byte(body)}})
+			Request: &invocation.Request{ID: id, Class: class, Function: function, IdempotencyKey: key, Body: []byte(body)}})
 		if !ok {
 			t.Fatal("the router did not accept the request")
 		}
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -140,7 +140,7 @@
 	client := make(testClient, 2)
 	h.calls++
 	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: left, Client: client,
-		Request: &invocation.Request{ID: fmt.Sprintf("%016x", h.calls), Class: "c", Function: testFunction, Key: "k1", Body: []byte("body")}})
+		Request: &invocation.Request{ID: fmt.Sprintf("%016x", h.calls), Class: "c", Function: testFunction, IdempotencyKey: "k1", Body: []byte("body")}})
 	return client
 }
 
--- a/internal/upstream/respupstream/message.go
+++ b/internal/upstream/respupstream/message.go
@@ -17,9 +17,9 @@
 	fields = append(fields, request.Function...)
 	fields = append(fields, ",limit="...)
 	fields = strconv.AppendInt(fields, max(left.Milliseconds(), 1), 10)
-	if request.Key != "" {
+	if request.IdempotencyKey != "" {
 		fields = append(fields, ",nonce="...)
-		fields = append(fields, request.Key...)
+		fields = append(fields, request.IdempotencyKey...)
 	}
 	return resp.Append(make([]byte, 0, 256+len(request.Body)), []byte("exec"), []byte(request.ID), fields, request.Body)
 }
