--- a/internal/server/callbuilder.go
+++ b/internal/server/callbuilder.go
@@ -58,7 +58,7 @@
 // NewCall returns the call of a request: with the model's settings, where the request does not state other values.
 // timeout is the time until the client gives up, or 0 where it set none; then the class's deadline holds. The error
 // is a *RequestError.
-func (b *CallBuilder) NewCall(request oip.Routed, timeout time.Duration) (*router.Call, error) {
+func (b *CallBuilder) NewCall(request oip.RoutingFields, timeout time.Duration) (*router.Call, error) {
 	if request.Model == "" {
 		return nil, &RequestError{Field: "model_name", Reason: "is empty"}
 	}
@@ -84,12 +84,12 @@
 
 // applyEstimates puts the figures that a request states over those of its model's settings. NaN stands for a figure
 // that the request does not state.
-func applyEstimates(call *router.Call, request oip.Routed) {
+func applyEstimates(call *router.Call, request oip.RoutingFields) {
 	if !math.IsNaN(request.MemoryMB) {
 		call.MemoryMB = request.MemoryMB
 	}
-	if !math.IsNaN(request.Lanes) {
-		call.ConcurrencyPerInstance = int(min(max(request.Lanes, minConcurrencyPerInstance), maxConcurrencyPerInstance))
+	if !math.IsNaN(request.ConcurrencyPerInstance) {
+		call.ConcurrencyPerInstance = int(min(max(request.ConcurrencyPerInstance, minConcurrencyPerInstance), maxConcurrencyPerInstance))
 	}
 	if !math.IsNaN(request.LoadMS) {
 		call.LoadTime = time.Duration(request.LoadMS * float64(time.Millisecond))
