--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,235 @@
+package config
+
+import (
+	"bytes"
+	"encoding/base64"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"sort"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// compareGolden compares bytes with a file under testdata/golden.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// readGolden reads an input under testdata/golden.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// indentedJSON marshals a value as the golden files hold it.
+func indentedJSON(t *testing.T, value any) []byte {
+	t.Helper()
+	raw, err := json.MarshalIndent(value, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(raw, '\n')
+}
+
+// plainValue writes a value as numbers and strings in the order of its fields, without any Go name, so that
+// renaming a type or field leaves the text as it is.
+func plainValue(v reflect.Value) string {
+	parts := []string{}
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			parts = append(parts, plainValue(v.Field(i)))
+		}
+		return "(" + strings.Join(parts, " ") + ")"
+	case reflect.Slice:
+		for i := range v.Len() {
+			parts = append(parts, plainValue(v.Index(i)))
+		}
+		return "[" + strings.Join(parts, " ") + "]"
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			parts = append(parts, plainValue(key)+": "+plainValue(v.MapIndex(key)))
+		}
+		sort.Strings(parts)
+		return "{" + strings.Join(parts, " ") + "}"
+	case reflect.String:
+		return strconv.Quote(v.String())
+	case reflect.Bool:
+		return strconv.FormatBool(v.Bool())
+	case reflect.Float64:
+		return strconv.FormatFloat(v.Float(), 'g', -1, 64)
+	case reflect.Uint8, reflect.Uint64:
+		return strconv.FormatUint(v.Uint(), 10)
+	case reflect.Int, reflect.Int64:
+		return strconv.FormatInt(v.Int(), 10)
+	}
+	return "unsupported " + v.Kind().String()
+}
+
+// TestGoldenGateway holds what is read from a file with every key, each of another value, and what the file's
+// settings become for the dispatcher, the servers and the gossip agent.
+func TestGoldenGateway(t *testing.T) {
+	g, err := Parse("gateway.json", readGolden(t, "gateway.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "gateway.out", indentedJSON(t, g))
+	compareGolden(t, "settings.out", []byte(plainValue(reflect.ValueOf(g.Settings()))+"\n"))
+
+	var intake bytes.Buffer
+	in := g.Intake()
+	for _, name := range slices.Sorted(maps.Keys(in.Models)) {
+		m := in.Models[name]
+		fmt.Fprintln(&intake, name, m.Class, m.MemoryMB, m.Lanes, m.LoadTime, m.Work, m.Versions)
+	}
+	m := in.Default
+	fmt.Fprintln(&intake, "default", m.Class, m.MemoryMB, m.Lanes, m.LoadTime, m.Work, m.Versions)
+	for _, name := range slices.Sorted(maps.Keys(in.Deadlines)) {
+		fmt.Fprintln(&intake, name, in.Deadlines[name])
+	}
+	fmt.Fprintln(&intake, in.Margin, in.MaxBody)
+	compareGolden(t, "intake.out", intake.Bytes())
+
+	a := g.Gossip.Agent(g.Name, g.Seed)
+	compareGolden(t, "agent.out", fmt.Appendln(nil, a.ID, a.Listen, a.Advertise, a.Seeds, a.Gossip.BytesPerSecond,
+		a.Gossip.BurstBytes, a.Gossip.MessagesPerSec, a.Gossip.BurstMessages, a.Gossip.ProbeEvery, a.Gossip.Fresh,
+		a.Judge.Fresh, a.LookTimeout, a.Seed))
+}
+
+// TestGoldenGatewayHasEveryKey guards the golden input: a key that is added to the settings is added there too.
+func TestGoldenGatewayHasEveryKey(t *testing.T) {
+	g, err := Parse("gateway.json", readGolden(t, "gateway.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var zeros []string
+	var find func(path string, v reflect.Value)
+	find = func(path string, v reflect.Value) {
+		switch {
+		case v.IsZero():
+			zeros = append(zeros, path)
+		case v.Kind() == reflect.Pointer:
+			find(path, v.Elem())
+		case v.Kind() == reflect.Struct:
+			for i := range v.NumField() {
+				find(path+"/"+v.Type().Field(i).Tag.Get("json"), v.Field(i))
+			}
+		}
+	}
+	find("", reflect.ValueOf(g))
+	if len(zeros) > 0 {
+		t.Errorf("keys without a value: %v", zeros)
+	}
+}
+
+// TestGoldenDefaults holds the settings that a file without them gets.
+func TestGoldenDefaults(t *testing.T) {
+	compareGolden(t, "defaults.out", indentedJSON(t, Defaults()))
+}
+
+// TestGoldenWorkers holds what is read from a worker list with every key, and how it is written.
+func TestGoldenWorkers(t *testing.T) {
+	raw := readGolden(t, "workers.json")
+	l, err := ParseWorkers("workers.json", raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	origin := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
+	roster := l.Roster(func(at time.Time) time.Duration { return at.Sub(origin) })
+	compareGolden(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", plainValue(reflect.ValueOf(roster)),
+		plainValue(reflect.ValueOf(l.Starts()))))
+	path := filepath.Join(t.TempDir(), "workers.json")
+	if err := WriteWorkers(path, *l); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(append(written, '\n'), raw) {
+		t.Errorf("the list was written as\n%s\nit was read from\n%s", written, raw)
+	}
+}
+
+// TestGoldenMembers holds what is read from a file of admitted routers, and how it is written.
+func TestGoldenMembers(t *testing.T) {
+	raw := readGolden(t, "members.json")
+	members, err := ParseMembers("members.json", raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	for _, id := range slices.Sorted(maps.Keys(members)) {
+		for _, key := range slices.Sorted(maps.Keys(members[id])) {
+			fmt.Fprintln(&out, id, key, base64.StdEncoding.EncodeToString(members[id][key]))
+		}
+	}
+	compareGolden(t, "members.out", out.Bytes())
+	var l MemberList
+	if err := json.Unmarshal(raw, &l); err != nil {
+		t.Fatal(err)
+	}
+	if written := indentedJSON(t, l); !bytes.Equal(written, raw) {
+		t.Errorf("the list was written as\n%s\nit was read from\n%s", written, raw)
+	}
+}
+
+// TestGoldenSchemas holds the schemas but for their texts for readers.
+func TestGoldenSchemas(t *testing.T) {
+	for name, schema := range map[string][]byte{"gateway": gatewaySchema, "workers": workersSchema, "members": membersSchema} {
+		t.Run(name, func(t *testing.T) {
+			var doc map[string]any
+			if err := json.Unmarshal(schema, &doc); err != nil {
+				t.Fatal(err)
+			}
+			removeTexts(doc)
+			compareGolden(t, name+"_schema.out", indentedJSON(t, doc))
+		})
+	}
+}
+
+// removeTexts removes titles and descriptions; a setting of such a name would be an object and stays.
+func removeTexts(v any) {
+	switch v := v.(type) {
+	case map[string]any:
+		for _, key := range []string{"title", "description"} {
+			if _, isText := v[key].(string); isText {
+				delete(v, key)
+			}
+		}
+		for _, inner := range v {
+			removeTexts(inner)
+		}
+	case []any:
+		for _, inner := range v {
+			removeTexts(inner)
+		}
+	}
+}
--- /dev/null
+++ b/internal/grpcgateway/admin_golden_test.go
@@ -0,0 +1,151 @@
+package grpcgateway
+
+import (
+	"bytes"
+	"crypto/ed25519"
+	"encoding/base64"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/adminapi"
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/gossip"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// compareGolden compares bytes with a file under testdata/golden.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// fill sets every field of a value, each number and text to the next of a sequence.
+func fill(v reflect.Value, next *int) {
+	*next++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Field(i).CanSet() {
+				fill(v.Field(i), next)
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(v.Index(0), next)
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(key, next)
+		fill(value, next)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.String:
+		v.SetString(fmt.Sprint("text", *next))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Float64:
+		v.SetFloat(float64(*next) + 0.5)
+	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(*next))
+	case reflect.Int, reflect.Int8, reflect.Int64:
+		v.SetInt(int64(*next))
+	}
+}
+
+// TestGoldenAdminReplies holds the JSON of each method's reply, with every field set.
+func TestGoldenAdminReplies(t *testing.T) {
+	var out bytes.Buffer
+	for _, c := range []struct {
+		method string
+		reply  any
+	}{
+		{"router.status", &router.Stats{}},
+		{"gossip.status", &agent.Status{}},
+		{"gossip.peers", &[]agent.Peer{}},
+		{"gossip.suspicions", &[]gossip.Suspicion{}},
+		{"gossip.keys", &agent.KeyList{}},
+	} {
+		next := 0
+		fill(reflect.ValueOf(c.reply).Elem(), &next)
+		raw, err := json.MarshalIndent(c.reply, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%s %s\n", c.method, raw)
+	}
+	compareGolden(t, "admin_replies.out", out.Bytes())
+}
+
+// topKeys describes a reply by its kind and, where it is an object, its keys.
+func topKeys(raw json.RawMessage) string {
+	var object map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &object); err == nil && object != nil {
+		return "object " + strings.Join(slices.Sorted(maps.Keys(object)), " ")
+	}
+	return string(raw)
+}
+
+// TestGoldenAdminMethods calls each method of a gateway with gossip, and of one without.
+func TestGoldenAdminMethods(t *testing.T) {
+	own := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
+	public, _ := own.Public().(ed25519.PublicKey)
+	pem, err := config.FormatKey(agent.Key{Name: "k1", Private: own})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, withGossip := range map[string]bool{"with_gossip": true, "without_gossip": false} {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			socket := filepath.Join(dir, "s")
+			newRig(t, 1, func(c *config.Gateway) {
+				c.Control.Socket = socket
+				if !withGossip {
+					return
+				}
+				c.Gossip = &config.Gossip{Listen: "127.0.0.1:0", Members: filepath.Join(dir, "members.json"),
+					Key: filepath.Join(dir, "key.pem"), Preset: "local", LookTimeout: 400}
+				members := config.MemberList{Members: []config.MemberLine{{ID: "r0", Keys: []config.KeyLine{
+					{ID: "k1", Public: base64.StdEncoding.EncodeToString(public)}}}}}
+				if err := config.WriteFile(c.Gossip.Members, members); err != nil {
+					t.Fatal(err)
+				}
+				if err := os.WriteFile(c.Gossip.Key, pem, 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}, nil)
+			var out bytes.Buffer
+			for _, method := range []string{"router.status", "gossip.status", "gossip.peers", "gossip.suspicions", "gossip.keys", "other"} {
+				var raw json.RawMessage
+				if err := adminapi.Call(socket, method, nil, &raw, 5*time.Second); err != nil {
+					fmt.Fprintln(&out, method, "error", strings.TrimPrefix(err.Error(), socket))
+					continue
+				}
+				fmt.Fprintln(&out, method, topKeys(raw))
+			}
+			compareGolden(t, "admin_methods_"+name+".out", out.Bytes())
+		})
+	}
+}
