--- a/cmd/topazfront/gossip.go
+++ b/cmd/topazfront/gossip.go
@@ -141,8 +141,8 @@
 	if err := os.Rename(tmp, c.File); err != nil {
 		return err
 	}
-	line, err := json.Marshal(config.MemberLine{ID: c.ID, Keys: []config.KeyLine{{ID: c.Key,
-		Public: base64.StdEncoding.EncodeToString(pub)}}})
+	line, err := json.Marshal(config.Member{ID: c.ID, Keys: []config.MemberKey{{ID: c.Key,
+		PublicKey: base64.StdEncoding.EncodeToString(pub)}}})
 	if err != nil {
 		return err
 	}
@@ -192,7 +192,7 @@
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
-	if err := config.WriteFile(filepath.Join(c.Out, "gossip.json"), all); err != nil {
+	if err := config.WriteJSON(filepath.Join(c.Out, "gossip.json"), all); err != nil {
 		return err
 	}
 	return gossipsim.Plot(c.Out, all)
--- a/internal/config/follow.go
+++ b/internal/config/follow.go
@@ -8,53 +8,67 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// FollowFile calls use with a file's content now and after each change, and refused with what is wrong where it
-// can't be read or used. Content that was refused is tried again when it changes. It returns when stop is closed.
-func FollowFile(path string, stop <-chan struct{}, use func(raw []byte) error, refused func(error)) {
-	// Watches are few on some systems (inotify(7), max_user_instances). Without one the file is read each second
-	// all the same: a list of workers must not go unread because of that.
+// pollInterval is how often a file is read without a file event: events may be lost when many come at once.
+const pollInterval = time.Second
+
+// follower reads one file for as long as FollowFile runs, in its caller's goroutine.
+type follower struct {
+	path        string
+	apply       func(raw []byte) error
+	reject      func(error)
+	lastContent string
+	unreadable  bool // the last read failed
+}
+
+// FollowFile calls apply with a file's content now and after each change, and reject with the error where the file cannot
+// be read or apply fails. Content that apply rejected is not tried again until it changes. It returns when stop is closed.
+func FollowFile(path string, stop <-chan struct{}, apply func(raw []byte) error, reject func(error)) {
+	// Watches are few on some systems (inotify(7), max_user_instances). Without one the file is polled
+	// all the same: a worker list must not go unread because of that.
 	var events chan fsnotify.Event
 	var errs chan error
-	if watch, err := fsnotify.NewWatcher(); err == nil {
-		defer func() { _ = watch.Close() }()
+	if watcher, err := fsnotify.NewWatcher(); err == nil {
+		defer func() { _ = watcher.Close() }()
 		// The folder is watched, as a file that is replaced by rename is another file.
-		if err := watch.Add(filepath.Dir(path)); err == nil {
-			events, errs = watch.Events, watch.Errors
-		}
-	}
-	last, lost := "", false
-	read := func() {
-		raw, err := os.ReadFile(path)
-		if err != nil {
-			if !lost { // told once, not each second
-				refused(err)
-			}
-			lost = true
-			return
-		}
-		if string(raw) == last && !lost {
-			return
-		}
-		last, lost = string(raw), false
-		if err := use(raw); err != nil {
-			refused(err)
+		if err := watcher.Add(filepath.Dir(path)); err == nil {
+			events, errs = watcher.Events, watcher.Errors
 		}
 	}
-	read()
-	again := time.NewTicker(time.Second) // file events may be lost when many come at once
-	defer again.Stop()
+	f := &follower{path: path, apply: apply, reject: reject}
+	f.read()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case e := <-events:
-			if filepath.Clean(e.Name) == filepath.Clean(path) && !e.Has(fsnotify.Chmod) {
-				read()
+		case event := <-events:
+			if filepath.Clean(event.Name) == filepath.Clean(path) && !event.Has(fsnotify.Chmod) {
+				f.read()
 			}
 		case err := <-errs:
-			refused(err)
-		case <-again.C:
-			read()
+			reject(err)
+		case <-ticker.C:
+			f.read()
+		}
+	}
+}
+
+// read applies the file's content if it has changed, or can be read again.
+func (f *follower) read() {
+	raw, err := os.ReadFile(f.path)
+	if err != nil {
+		if !f.unreadable { // reported once, not at each poll
+			f.reject(err)
 		}
+		f.unreadable = true
+		return
+	}
+	if string(raw) == f.lastContent && !f.unreadable {
+		return
+	}
+	f.lastContent, f.unreadable = string(raw), false
+	if err := f.apply(raw); err != nil {
+		f.reject(err)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	compareGolden(t, "gateway.out", indentedJSON(t, g))
-	compareGolden(t, "settings.out", []byte(plainValue(reflect.ValueOf(g.Settings()))+"\n"))
+	compareGolden(t, "settings.out", []byte(plainValue(reflect.ValueOf(g.DispatchSettings()))+"\n"))
 
 	var intake bytes.Buffer
 	in := g.Intake()
@@ -117,7 +117,7 @@
 	fmt.Fprintln(&intake, in.Margin, in.MaxBody)
 	compareGolden(t, "intake.out", intake.Bytes())
 
-	a := g.Gossip.Agent(g.Name, g.Seed)
+	a := g.Gossip.AgentConfig(g.Name, g.Seed)
 	compareGolden(t, "agent.out", fmt.Appendln(nil, a.ID, a.Listen, a.Advertise, a.Seeds, a.Gossip.BytesPerSecond,
 		a.Gossip.BurstBytes, a.Gossip.MessagesPerSec, a.Gossip.BurstMessages, a.Gossip.ProbeEvery, a.Gossip.Fresh,
 		a.Judge.Fresh, a.LookTimeout, a.Seed))
@@ -157,16 +157,16 @@
 // TestGoldenWorkers holds what is read from a worker list with every key, and how it is written.
 func TestGoldenWorkers(t *testing.T) {
 	raw := readGolden(t, "workers.json")
-	l, err := ParseWorkers("workers.json", raw)
+	list, err := ParseWorkers("workers.json", raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	origin := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
-	roster := l.Roster(func(at time.Time) time.Duration { return at.Sub(origin) })
-	compareGolden(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", plainValue(reflect.ValueOf(roster)),
-		plainValue(reflect.ValueOf(l.Starts()))))
+	endpoints := list.Endpoints(func(at time.Time) time.Duration { return at.Sub(origin) })
+	compareGolden(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", plainValue(reflect.ValueOf(endpoints)),
+		plainValue(reflect.ValueOf(list.StartTimes()))))
 	path := filepath.Join(t.TempDir(), "workers.json")
-	if err := WriteWorkers(path, *l); err != nil {
+	if err := WriteWorkers(path, *list); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(path)
@@ -192,11 +192,11 @@
 		}
 	}
 	compareGolden(t, "members.out", out.Bytes())
-	var l MemberList
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var list MemberList
+	if err := json.Unmarshal(raw, &list); err != nil {
 		t.Fatal(err)
 	}
-	if written := indentedJSON(t, l); !bytes.Equal(written, raw) {
+	if written := indentedJSON(t, list); !bytes.Equal(written, raw) {
 		t.Errorf("the list was written as\n%s\nit was read from\n%s", written, raw)
 	}
 }
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -1,109 +1,91 @@
 package config
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
-	"os"
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
-// Worker is one line of the list of workers.
+// Worker is one entry of the worker list.
 type Worker struct {
-	ID      string     `json:"id"`
-	Address string     `json:"address"`
-	Zone    string     `json:"zone,omitempty"`
-	Kind    string     `json:"kind,omitempty"`
-	Cell    int        `json:"cell,omitempty"`
-	State   string     `json:"state,omitempty"`
-	Weight  float64    `json:"weight,omitempty"`
-	Started *time.Time `json:"started,omitempty"`
+	ID        string     `json:"id"`
+	Address   string     `json:"address"` // host:port
+	Zone      string     `json:"zone,omitempty"`
+	Kind      string     `json:"kind,omitempty"` // one of the gateway's kinds
+	Cell      int        `json:"cell,omitempty"`
+	State     string     `json:"state,omitempty"` // on, draining or gone; empty: on
+	Weight    float64    `json:"weight,omitempty"`
+	StartedAt *time.Time `json:"started,omitempty"` // when its process last started; nil: long ago
 }
 
-// WorkerList is the list of workers.
+// WorkerList is the content of the file of workers.
 type WorkerList struct {
 	Workers []Worker `json:"workers"`
 }
 
-// ParseWorkers checks a list of workers; name stands in errors. A list with anything wrong in it is refused
-// whole, so that a half-written one takes no worker out of service.
-func ParseWorkers(name string, raw []byte) (*WorkerList, error) {
-	if err := validate(name, raw, workersSchema); err != nil {
+// ParseWorkers checks a worker list. Problems of the list are an InvalidError, which names it by file. A list with any
+// problem is rejected whole, so that a half-written one takes no worker out of service.
+func ParseWorkers(file string, raw []byte) (*WorkerList, error) {
+	var list WorkerList
+	if err := decode(file, raw, workersSchema, &list); err != nil {
 		return nil, err
 	}
-	var l WorkerList
-	if err := json.Unmarshal(raw, &l); err != nil {
-		return nil, &InvalidError{name, []Problem{{"", err.Error()}}}
-	}
-	out := &InvalidError{File: name}
-	seen := map[string]bool{}
-	for i, w := range l.Workers {
+	invalid, seen := &InvalidError{File: file}, map[string]bool{}
+	for i, w := range list.Workers {
 		if seen[w.ID] {
-			out.Problems = append(out.Problems, Problem{fmt.Sprintf("/workers/%d/id", i), fmt.Sprintf("%q is named twice", w.ID)})
+			invalid.add(fmt.Sprintf("/workers/%d/id", i), "%q is named twice", w.ID)
 		}
 		seen[w.ID] = true
 		if _, _, err := net.SplitHostPort(w.Address); err != nil {
-			out.Problems = append(out.Problems, Problem{fmt.Sprintf("/workers/%d/address", i), err.Error()})
+			invalid.add(fmt.Sprintf("/workers/%d/address", i), "%v", err)
 		}
 	}
-	if len(out.Problems) > 0 {
-		return nil, out
+	if err := invalid.orNil(); err != nil {
+		return nil, err
 	}
-	return &l, nil
+	return &list, nil
 }
 
-// Roster converts the list; at gives the router's time for a moment.
-func (l *WorkerList) Roster(at func(time.Time) time.Duration) []endpoints.Worker {
-	states := map[string]dispatch.EndpointState{"": dispatch.EndpointActive, "on": dispatch.EndpointActive, "draining": dispatch.EndpointDraining, "gone": dispatch.EndpointRemoved}
-	out := make([]endpoints.Worker, 0, len(l.Workers))
+// Endpoints converts the list for the router. routerTime converts a time of day to the router's clock.
+func (l *WorkerList) Endpoints(routerTime func(time.Time) time.Duration) []endpoints.Worker {
+	workers := make([]endpoints.Worker, 0, len(l.Workers))
 	for _, w := range l.Workers {
-		m := dispatch.Endpoint{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: states[w.State], Weight: w.Weight}
-		if w.Started != nil {
-			m.StartedAt = at(*w.Started)
+		endpoint := dispatch.Endpoint{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: endpointStates[w.State],
+			Weight: w.Weight}
+		if w.StartedAt != nil {
+			endpoint.StartedAt = routerTime(*w.StartedAt)
 		}
-		out = append(out, endpoints.Worker{Endpoint: m, Address: w.Address})
+		workers = append(workers, endpoints.Worker{Endpoint: endpoint, Address: w.Address})
 	}
-	return out
+	return workers
 }
 
-// Starts gives the workers' start times in Unix milliseconds, 0 for long ago: the same at every router.
-func (l *WorkerList) Starts() map[string]uint64 {
-	out := make(map[string]uint64, len(l.Workers))
+// StartTimes returns the workers' start times in Unix milliseconds, 0 where the list has none: the same at every router.
+func (l *WorkerList) StartTimes() map[string]uint64 {
+	starts := make(map[string]uint64, len(l.Workers))
 	for _, w := range l.Workers {
-		if out[w.ID] = 0; w.Started != nil {
-			out[w.ID] = uint64(max(w.Started.UnixMilli(), 0))
+		starts[w.ID] = 0
+		if w.StartedAt != nil {
+			starts[w.ID] = uint64(max(w.StartedAt.UnixMilli(), 0))
 		}
 	}
-	return out
+	return starts
 }
 
-// WriteWorkers replaces a list in one step: a reader sees the old one or the new one whole.
-func WriteWorkers(path string, l WorkerList) error { return WriteFile(path, l) }
-
-// WriteFile replaces a file by a value as JSON, in one step.
-func WriteFile(path string, v any) error {
-	raw, err := json.MarshalIndent(v, "", " ")
-	if err != nil {
-		return err
-	}
-	tmp := path + ".new"
-	if err := os.WriteFile(tmp, raw, 0o644); err != nil {
-		return err
-	}
-	return os.Rename(tmp, path)
-}
+// WriteWorkers replaces a worker list atomically: a reader sees the old list or the new one, never a part.
+func WriteWorkers(path string, list WorkerList) error { return WriteJSON(path, list) }
 
-// Follow calls list with the file's content now and after each change, and refused with what is wrong where
-// it can't be used; the list handed over before then stands. It returns when stop is closed.
-func Follow(path string, stop <-chan struct{}, list func(*WorkerList), refused func(error)) {
+// FollowWorkers calls apply with the worker list now and after each change, and reject with the error where the file cannot be
+// read or has problems; the list applied before stays in force. It returns when stop is closed.
+func FollowWorkers(path string, stop <-chan struct{}, apply func(*WorkerList), reject func(error)) {
 	FollowFile(path, stop, func(raw []byte) error {
-		l, err := ParseWorkers(path, raw)
+		list, err := ParseWorkers(path, raw)
 		if err == nil {
-			list(l)
+			apply(list)
 		}
 		return err
-	}, refused)
+	}, reject)
 }
--- a/internal/grpcgateway/admin_golden_test.go
+++ b/internal/grpcgateway/admin_golden_test.go
@@ -121,18 +121,18 @@
 			dir := t.TempDir()
 			socket := filepath.Join(dir, "s")
 			newRig(t, 1, func(c *config.Gateway) {
-				c.Control.Socket = socket
+				c.Admin.Socket = socket
 				if !withGossip {
 					return
 				}
-				c.Gossip = &config.Gossip{Listen: "127.0.0.1:0", Members: filepath.Join(dir, "members.json"),
-					Key: filepath.Join(dir, "key.pem"), Preset: "local", LookTimeout: 400}
-				members := config.MemberList{Members: []config.MemberLine{{ID: "r0", Keys: []config.KeyLine{
-					{ID: "k1", Public: base64.StdEncoding.EncodeToString(public)}}}}}
-				if err := config.WriteFile(c.Gossip.Members, members); err != nil {
+				c.Gossip = &config.Gossip{Listen: "127.0.0.1:0", MembersFile: filepath.Join(dir, "members.json"),
+					KeyFile: filepath.Join(dir, "key.pem"), Preset: "local", VerificationTimeout: 400}
+				members := config.MemberList{Members: []config.Member{{ID: "r0", Keys: []config.MemberKey{
+					{ID: "k1", PublicKey: base64.StdEncoding.EncodeToString(public)}}}}}
+				if err := config.WriteJSON(c.Gossip.MembersFile, members); err != nil {
 					t.Fatal(err)
 				}
-				if err := os.WriteFile(c.Gossip.Key, pem, 0o600); err != nil {
+				if err := os.WriteFile(c.Gossip.KeyFile, pem, 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}, nil)
--- a/internal/grpcgateway/compare_test.go
+++ b/internal/grpcgateway/compare_test.go
@@ -78,14 +78,11 @@
 			panic(err)
 		}
 		cfg := config.Defaults()
-		cfg.Listen, cfg.Workers.File, cfg.Limits.Streams = "127.0.0.1:0", dir+"/w.json", 100000
-		cfg.Reports = "none" // these workers tell nothing of their load
-		cfg.Kinds = append(cfg.Kinds, struct {
-			Name     string  `json:"name"`
-			MemoryMB float64 `json:"memory_mb"`
-		}{"box", 100000})
-		cfg.Classes = []config.Class{{Name: "quote", Aim: 20000, Deadline: 30000, Worth: 1, Effect: "safe"}}
-		cfg.DefaultModel = &config.Model{Class: "quote", MemoryMB: 100, Lanes: 1000, Load: 10, Work: 1}
+		cfg.Listen, cfg.Workers.File, cfg.Limits.MaxStreams = "127.0.0.1:0", dir+"/w.json", 100000
+		cfg.LoadReports = "none" // these workers tell nothing of their load
+		cfg.WorkerKinds = []config.WorkerKind{{Name: "box", MemoryMB: 100000}}
+		cfg.Classes = []config.Class{{Name: "quote", LatencyObjective: 20000, Deadline: 30000, PriorityWeight: 1, Idempotency: "safe"}}
+		cfg.DefaultModel = &config.Model{Class: "quote", MemoryMB: 100, ConcurrencyPerInstance: 1000, LoadTime: 10, WorkTime: 1}
 		g, err := Start(&cfg, Options{})
 		if err != nil {
 			panic(err)
--- a/internal/grpcgateway/forward_test.go
+++ b/internal/grpcgateway/forward_test.go
@@ -105,9 +105,9 @@
 		b.Fatal(err)
 	}
 	cfg := config.Defaults()
-	cfg.Listen, cfg.Workers.File, cfg.Reports = "127.0.0.1:0", file, "none"
-	cfg.Classes = []config.Class{{Name: "q", Aim: 1e6, Deadline: 1e6, Effect: "safe"}}
-	cfg.DefaultModel = &config.Model{Class: "q", MemoryMB: 1, Lanes: 1}
+	cfg.Listen, cfg.Workers.File, cfg.LoadReports = "127.0.0.1:0", file, "none"
+	cfg.Classes = []config.Class{{Name: "q", LatencyObjective: 1e6, Deadline: 1e6, Idempotency: "safe"}}
+	cfg.DefaultModel = &config.Model{Class: "q", MemoryMB: 1, ConcurrencyPerInstance: 1}
 	g, err := Start(&cfg, Options{Drain: time.Second})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -51,17 +51,17 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	log := o.Log.With("router", cfg.Name)
-	h2 := http2.Config{MaxStreams: cfg.Limits.Streams, StreamWindow: cfg.Limits.StreamWindow}
+	h2 := http2.Config{MaxStreams: cfg.Limits.MaxStreams, StreamWindow: cfg.Limits.StreamWindowBytes}
 	g := &Gateway{cfg: cfg, log: log, stop: make(chan struct{}), drain: o.Drain}
 	if g.drain == 0 {
 		g.drain = time.Minute
 	}
 	g.pool = grpcupstream.New(grpcupstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
-		MaxConns: cfg.Workers.Connections, MaxMessage: cfg.Limits.MessageBytes, HTTP2: h2, Log: log})
+		MaxConns: cfg.Workers.MaxConnections, MaxMessage: cfg.Limits.MaxMessageBytes, HTTP2: h2, Log: log})
 	var err error
-	g.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.Settings(),
-		LoadTimeout: cfg.Loading.OrderTimeout.Duration(), HealthCheckTimeout: cfg.Workers.ProbeTimeout.Duration(),
-		Endpoints: endpoints.Settings{CheckInterval: cfg.Workers.AskAfter.Duration()}, NewDispatcher: o.Decider, Logger: log,
+	g.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.DispatchSettings(),
+		LoadTimeout: cfg.Loading.CommandTimeout.Duration(), HealthCheckTimeout: cfg.Workers.HealthCheckTimeout.Duration(),
+		Endpoints: endpoints.Settings{CheckInterval: cfg.Workers.CheckInterval.Duration()}, NewDispatcher: o.Decider, Logger: log,
 		Observer: o.Tap}, g.pool)
 	if err != nil {
 		return nil, err
@@ -74,11 +74,11 @@
 	first := make(chan struct{})
 	var once sync.Once
 	g.wg.Go(func() {
-		config.Follow(cfg.Workers.File, g.stop, func(l *config.WorkerList) {
+		config.FollowWorkers(cfg.Workers.File, g.stop, func(l *config.WorkerList) {
 			log.Info("list of workers", "workers", len(l.Workers))
-			g.router.SetEndpoints(l.Roster(g.router.At))
+			g.router.SetEndpoints(l.Endpoints(g.router.At))
 			if g.peers != nil {
-				g.peers.SetWorkers(l.Starts())
+				g.peers.SetWorkers(l.StartTimes())
 			}
 			once.Do(func() { close(first) })
 		}, func(err error) {
--- a/internal/grpcgateway/gateway_test.go
+++ b/internal/grpcgateway/gateway_test.go
@@ -65,17 +65,14 @@
 	cfg.Name, cfg.Listen, cfg.Seed = "r0", "127.0.0.1:0", 1
 	cfg.Workers.File = r.file
 	cfg.Classes = []config.Class{
-		{Name: "quote", Aim: 1000, Deadline: 3000, Worth: 2, Effect: "safe"},
-		{Name: "renew", Aim: 800, Deadline: 3000, Worth: 5, Effect: "keyed", Scope: "cell", Window: 5000},
-		{Name: "points", Aim: 800, Deadline: 2500, Worth: 3, Effect: "unsafe"}}
+		{Name: "quote", LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 2, Idempotency: "safe"},
+		{Name: "renew", LatencyObjective: 800, Deadline: 3000, PriorityWeight: 5, Idempotency: "keyed", DeduplicationScope: "cell", DeduplicationWindow: 5000},
+		{Name: "points", LatencyObjective: 800, Deadline: 2500, PriorityWeight: 3, Idempotency: "unsafe"}}
 	cfg.Models = map[string]config.Model{
-		"quote": {Class: "quote", MemoryMB: 100, Lanes: 4, Load: 20, Work: 5},
-		"renew": {Class: "renew", MemoryMB: 100, Lanes: 4, Load: 20, Work: 5},
-		"award": {Class: "points", MemoryMB: 100, Lanes: 4, Load: 20, Work: 5}}
-	cfg.Kinds = append(cfg.Kinds, struct {
-		Name     string  `json:"name"`
-		MemoryMB float64 `json:"memory_mb"`
-	}{"box", 4000})
+		"quote": {Class: "quote", MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20, WorkTime: 5},
+		"renew": {Class: "renew", MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20, WorkTime: 5},
+		"award": {Class: "points", MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20, WorkTime: 5}}
+	cfg.WorkerKinds = []config.WorkerKind{{Name: "box", MemoryMB: 4000}}
 	if change != nil {
 		change(&cfg)
 	}
--- a/internal/grpcgateway/gossip.go
+++ b/internal/grpcgateway/gossip.go
@@ -16,17 +16,17 @@
 	if set == nil {
 		return nil
 	}
-	c := set.Agent(g.cfg.Name, g.cfg.Seed)
+	c := set.AgentConfig(g.cfg.Name, g.cfg.Seed)
 	c.Log, c.Hooks = g.log, o.Gossip
-	raw, err := os.ReadFile(set.Key)
+	raw, err := os.ReadFile(set.KeyFile)
 	if err == nil {
-		c.Key, err = config.ParseKey(set.Key, raw)
+		c.Key, err = config.ParseKey(set.KeyFile, raw)
 	}
 	if err != nil {
 		return err
 	}
-	if raw, err = os.ReadFile(set.Members); err == nil {
-		c.Members, err = config.ParseMembers(set.Members, raw)
+	if raw, err = os.ReadFile(set.MembersFile); err == nil {
+		c.Members, err = config.ParseMembers(set.MembersFile, raw)
 	}
 	if err != nil {
 		return err
@@ -49,15 +49,15 @@
 			}, refused)
 		})
 	}
-	follow(set.Members, raw, func(raw []byte) error {
-		m, err := config.ParseMembers(set.Members, raw)
+	follow(set.MembersFile, raw, func(raw []byte) error {
+		m, err := config.ParseMembers(set.MembersFile, raw)
 		if err == nil {
 			g.peers.SetMembers(m)
 		}
 		return err
 	})
-	follow(set.Key, nil, func(raw []byte) error {
-		k, err := config.ParseKey(set.Key, raw)
+	follow(set.KeyFile, nil, func(raw []byte) error {
+		k, err := config.ParseKey(set.KeyFile, raw)
 		if err == nil {
 			g.peers.SetKey(k)
 		}
@@ -71,7 +71,7 @@
 
 // control opens the operators' socket where the settings ask for one.
 func (g *Gateway) control() (err error) {
-	path := g.cfg.Control.Socket
+	path := g.cfg.Admin.Socket
 	if path == "" {
 		return nil
 	}
--- a/internal/grpcgateway/hard_test.go
+++ b/internal/grpcgateway/hard_test.go
@@ -144,7 +144,7 @@
 		t.Run(how, func(t *testing.T) {
 			r := newRig(t, 3, func(c *config.Gateway) {
 				c.Safety.DrainGrace = 100
-				c.Workers.AskAfter = 100 // it is asked often; it says that it drains
+				c.Workers.CheckInterval = 100 // it is asked often; it says that it drains
 			}, nil)
 			r.warm("quote")
 			began, open := make(chan struct{}), atomic.Int32{}
@@ -218,7 +218,7 @@
 
 // TestGoAwayOfAHealthyWorker guards against a worker that ends its connections for their age: it comes back.
 func TestGoAwayOfAHealthyWorker(t *testing.T) {
-	r := newRig(t, 1, func(c *config.Gateway) { c.Workers.AskAfter = 100 }, nil)
+	r := newRig(t, 1, func(c *config.Gateway) { c.Workers.CheckInterval = 100 }, nil)
 	r.warm("quote")
 	r.workers[0].Drain(true)
 	r.workers[0].Resume()
@@ -453,7 +453,7 @@
 	t.Run("streams", func(t *testing.T) {
 		r := newRig(t, 6, func(c *config.Gateway) { // long enough that hardly any is shed
 			for i := range c.Classes {
-				c.Classes[i].Aim, c.Classes[i].Deadline, c.Classes[i].Window = 15000, 20000, 20000
+				c.Classes[i].LatencyObjective, c.Classes[i].Deadline, c.Classes[i].DeduplicationWindow = 15000, 20000, 20000
 			}
 		}, func(c *fakeworker.Config) { c.Cores = 32; c.KeyedFor = 20 * time.Second })
 		for _, m := range []string{"quote", "renew", "award"} {
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -50,7 +50,7 @@
 	p := &party{set: s.Gossip, dir: dir, seed: s.Seed, net: fakepeer.NewNet(s.Seed), keyName: "k1",
 		addrs: make([]string, s.Routers), conns: make([]*fakepeer.Conn, s.Routers), stop: make(chan struct{})}
 	p.net.Set(fakepeer.Faults{Loss: s.Gossip.Loss})
-	c := p.agent(&config.Gossip{Preset: "local", Bytes: s.Gossip.Bytes}, "")
+	c := p.agent(&config.Gossip{Preset: "local", BytesPerSecond: s.Gossip.Bytes}, "")
 	for i := range s.Routers {
 		p.meters = append(p.meters, &fakepeer.Meter{Rate: c.Gossip.BytesPerSecond, Burst: c.Gossip.BurstBytes,
 			PerSec: c.Gossip.MessagesPerSec, Count: c.Gossip.BurstMessages})
@@ -61,7 +61,7 @@
 	return p, p.writeMembers(s.Routers, "k1")
 }
 
-func (p *party) agent(g *config.Gossip, id string) agent.Config { return g.Agent(id, p.seed) }
+func (p *party) agent(g *config.Gossip, id string) agent.Config { return g.AgentConfig(id, p.seed) }
 
 func (p *party) liarID(i int) string { return fmt.Sprintf("liar%d", i) }
 
@@ -69,10 +69,10 @@
 func (p *party) writeMembers(routers int, names ...string) error {
 	var l config.MemberList
 	add := func(id string) {
-		m := config.MemberLine{ID: id}
+		m := config.Member{ID: id}
 		for _, n := range names {
 			pub, _ := p.keyOf(id, n).Public().(ed25519.PublicKey)
-			m.Keys = append(m.Keys, config.KeyLine{ID: n, Public: base64.StdEncoding.EncodeToString(pub)})
+			m.Keys = append(m.Keys, config.MemberKey{ID: n, PublicKey: base64.StdEncoding.EncodeToString(pub)})
 		}
 		l.Members = append(l.Members, m)
 	}
@@ -82,7 +82,7 @@
 	for i := range p.set.Liars {
 		add(p.liarID(i))
 	}
-	return config.WriteFile(filepath.Join(p.dir, "members.json"), l)
+	return config.WriteJSON(filepath.Join(p.dir, "members.json"), l)
 }
 
 func (p *party) keyFile(i int) string { return filepath.Join(p.dir, fmt.Sprintf("key-%d.pem", i)) }
@@ -103,8 +103,8 @@
 func (p *party) settings(i int) *config.Gossip {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := &config.Gossip{ID: slotID(i), Listen: "127.0.0.1:0", Preset: "local", Bytes: p.set.Bytes, LookTimeout: 400,
-		Members: filepath.Join(p.dir, "members.json"), Key: p.keyFile(i)}
+	g := &config.Gossip{ID: slotID(i), Listen: "127.0.0.1:0", Preset: "local", BytesPerSecond: p.set.Bytes, VerificationTimeout: 400,
+		MembersFile: filepath.Join(p.dir, "members.json"), KeyFile: p.keyFile(i)}
 	if p.addrs[i] != "" {
 		g.Listen = p.addrs[i] // a later life is found where the earlier was
 	}
@@ -172,7 +172,7 @@
 		})
 	}
 	l := r.lines()
-	starts := l.Starts()
+	starts := l.StartTimes()
 	for i := range p.set.Liars {
 		id := p.liarID(i)
 		c := p.agent(&config.Gossip{Listen: "127.0.0.1:0", Preset: "local", Seeds: addrs[:min(3, len(addrs))]}, id)
@@ -202,7 +202,7 @@
 				case <-t.C:
 				}
 				l := r.lines()
-				now := l.Starts()
+				now := l.StartTimes()
 				for id := range now {
 					liar.Praise(id)
 				}
--- a/internal/scenario/rig.go
+++ b/internal/scenario/rig.go
@@ -249,7 +249,7 @@
 		Zone: fmt.Sprintf("hall-%c", 'a'+cell%f.Zones), Kind: kind.Name, Cell: cell, State: "on", Weight: 1}}
 	if cold {
 		at := w.Started()
-		m.line.Started = &at
+		m.line.StartedAt = &at
 	}
 	r.mu.Lock()
 	r.members = append(r.members, m)
@@ -262,30 +262,27 @@
 	s, g := r.script, config.Defaults()
 	g.Name, g.Listen, g.Seed, g.Routers = sl.name, "127.0.0.1:0", s.Seed+uint64(100*sl.n+sl.lives), s.Routers
 	g.Zone = fmt.Sprintf("hall-%c", 'a'+sl.n%s.Fleet.Zones)
-	g.Workers.File, g.Workers.AskAfter = sl.file, 500
+	g.Workers.File, g.Workers.CheckInterval = sl.file, 500
 	for _, k := range s.Fleet.Kinds {
-		g.Kinds = append(g.Kinds, struct {
-			Name     string  `json:"name"`
-			MemoryMB float64 `json:"memory_mb"`
-		}{k.Name, k.MemoryMB})
+		g.WorkerKinds = append(g.WorkerKinds, config.WorkerKind{Name: k.Name, MemoryMB: k.MemoryMB})
 	}
-	ms := func(v Seconds) config.Millis { return config.Millis(v * 1000) }
+	ms := func(v Seconds) config.Milliseconds { return config.Milliseconds(v * 1000) }
 	for _, c := range s.Classes {
-		g.Classes = append(g.Classes, config.Class{Name: c.Name, Aim: ms(c.Aim), Deadline: ms(c.Deadline), Worth: c.Worth,
-			LateShare: c.LateShare, Effect: c.Effect, Scope: c.Scope, Window: ms(c.Window)})
+		g.Classes = append(g.Classes, config.Class{Name: c.Name, LatencyObjective: ms(c.Aim), Deadline: ms(c.Deadline), PriorityWeight: c.Worth,
+			LateValueFraction: c.LateShare, Idempotency: c.Effect, DeduplicationScope: c.Scope, DeduplicationWindow: ms(c.Window)})
 	}
 	g.Models = map[string]config.Model{}
 	for name, m := range r.models {
-		g.Models[name] = config.Model{Class: m.Class, MemoryMB: m.MemoryMB, Lanes: m.Lanes,
-			Load: config.Millis(m.Load.Milliseconds())}
-	}
-	g.Loading.OnMiss, g.Loading.TellsWarm = s.Fleet.OnMiss, s.Fleet.TellsWarm
-	g.Loading.IdleKeep = ms(s.Fleet.IdleKeep)
-	g.Loading.RationSpan, g.Loading.RationFree = ms(s.Rules.LoadSpan), s.Rules.LoadFree
-	g.Loading.RationShare = s.Rules.LoadShare
-	g.Reports, g.Limits.AnswerMargin = s.Fleet.Reports, 50
-	g.Safety.DrainGrace, g.Safety.ColdShare, g.Safety.ColdFor = ms(s.Rules.DrainGrace), s.Rules.ColdShare, ms(s.Rules.ColdFor)
-	g.Safety.FallMultiple, g.Safety.FallSpan = s.Rules.FallMultiple, ms(s.Rules.FallSpan)
+		g.Models[name] = config.Model{Class: m.Class, MemoryMB: m.MemoryMB, ConcurrencyPerInstance: m.Lanes,
+			LoadTime: config.Milliseconds(m.Load.Milliseconds())}
+	}
+	g.Loading.OnCacheMiss, g.Loading.CacheStatusReported = s.Fleet.OnMiss, s.Fleet.TellsWarm
+	g.Loading.IdleResidency = ms(s.Fleet.IdleKeep)
+	g.Loading.RateWindow, g.Loading.RateBurst = ms(s.Rules.LoadSpan), s.Rules.LoadFree
+	g.Loading.RateRatio = s.Rules.LoadShare
+	g.LoadReports, g.Limits.ResponseMargin = s.Fleet.Reports, 50
+	g.Safety.DrainGrace, g.Safety.SlowStartShare, g.Safety.SlowStartDuration = ms(s.Rules.DrainGrace), s.Rules.ColdShare, ms(s.Rules.ColdFor)
+	g.Safety.OverloadMultiple, g.Safety.OverloadWindow = s.Rules.FallMultiple, ms(s.Rules.FallSpan)
 	if r.party != nil {
 		g.Gossip = r.party.settings(sl.n)
 	}
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -198,7 +198,7 @@
 		}
 		at := m.w.Started()
 		r.mu.Lock()
-		m.line.Started, m.hidden = &at, false
+		m.line.StartedAt, m.hidden = &at, false
 		r.mu.Unlock()
 	}
 	r.publish()
