--- a/cmd/topazfront/main.go
+++ b/cmd/topazfront/main.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	g, err := grpcgateway.Start(cfg, grpcgateway.Options{Log: p.logger(cfg.Log.Level, cfg.Log.Format)})
+	g, err := grpcgateway.Start(cfg, grpcgateway.Options{Logger: p.logger(cfg.Log.Level, cfg.Log.Format)})
 	if err != nil {
 		return err
 	}
--- a/internal/grpcgateway/admin_golden_test.go
+++ b/internal/grpcgateway/admin_golden_test.go
@@ -120,7 +120,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			socket := filepath.Join(dir, "s")
-			newRig(t, 1, func(c *config.Gateway) {
+			newHarness(t, 1, func(c *config.Gateway) {
 				c.Admin.Socket = socket
 				if !withGossip {
 					return
--- /dev/null
+++ b/internal/grpcgateway/client_test.go
@@ -0,0 +1,159 @@
+package grpcgateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"runtime"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/oip/inference"
+)
+
+// TestSlowReaderBlocksOnlyItsOwnStream: a client that does not read holds back its worker, by flow control, and neither
+// the gateway's memory nor other streams.
+func TestSlowReaderBlocksOnlyItsOwnStream(t *testing.T) {
+	h := newHarness(t, 1, nil, nil)
+	h.loadModel("quote")
+	slow, err := h.newStream(timeoutContext(t, 30*time.Second))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const messages, size = 400, 50000 // 20 MB
+	if err := slow.SendMsg(newRequest("quote", "slow", 200, messages, size)); err != nil {
+		t.Fatal(err)
+	}
+	_ = slow.CloseSend()
+	var response inference.ModelStreamInferResponse
+	if err := slow.RecvMsg(&response); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(600 * time.Millisecond) // the worker has made all by now; the client reads nothing
+	before := heapBytes()
+	for i := range 50 {
+		received, _, err := h.streamInfer(timeoutContext(t, 10*time.Second), newRequest("quote", fmt.Sprint("o", i), 2, 10, 2000), nil)
+		if err != nil || received != 10 {
+			t.Fatalf("another stream: %d messages, %v", received, err)
+		}
+	}
+	if growth := heapBytes() - before; growth > 20<<20 {
+		t.Errorf("the heap grew by %d bytes", growth)
+	}
+	received := 1
+	for {
+		if err := slow.RecvMsg(&response); errors.Is(err, io.EOF) {
+			break
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		if received++; len(response.InferResponse.RawOutputContents[0]) != size {
+			t.Fatalf("message %d has %d bytes", received, len(response.InferResponse.RawOutputContents[0]))
+		}
+	}
+	if received != messages {
+		t.Errorf("%d messages", received)
+	}
+}
+
+// heapBytes returns the size of the live heap.
+func heapBytes() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
+
+// callStage is a stage of a call at which a client may leave.
+type callStage struct {
+	name         string
+	prepare      func(*harness)
+	changeWorker func(*fakeworker.Config)
+	workMS       int64
+	reached      invariants.Kind // recorded when the call is at this stage
+	workerHangs  bool            // the worker never drops the call
+}
+
+var callStages = []callStage{
+	{name: "load wait", prepare: func(*harness) {}, workMS: 5, reached: invariants.Got,
+		changeWorker: func(c *fakeworker.Config) {
+			c.StopsWork = true
+			slow := c.Models["quote"]
+			slow.Load = 2 * time.Second
+			c.Models["quote"] = slow
+		}},
+	{name: "at work", prepare: func(h *harness) { h.loadModel("quote") }, workMS: 600, reached: invariants.Ran,
+		changeWorker: func(c *fakeworker.Config) { c.StopsWork = true }},
+	{name: "worker hangs", workMS: 5, reached: invariants.Got, workerHangs: true,
+		prepare:      func(h *harness) { h.setFaults(func(f *fakeworker.Faults) { f.Hang = true }) },
+		changeWorker: func(c *fakeworker.Config) { c.StopsWork = true }},
+}
+
+// The ways in which a client leaves a call.
+const (
+	byCancel     = "cancel"
+	byDeadline   = "deadline"
+	byDisconnect = "disconnect"
+)
+
+// TestClientLeavesCall has clients leave at each stage of a call; what they leave behind ends too.
+func TestClientLeavesCall(t *testing.T) {
+	for _, stage := range callStages {
+		for _, way := range []string{byCancel, byDeadline, byDisconnect} {
+			t.Run(stage.name+", "+way, func(t *testing.T) { stage.leave(t, way) })
+		}
+	}
+}
+
+// leave makes a call, has its client leave it at the stage, and waits for router and workers to forget it.
+func (s callStage) leave(t *testing.T, way string) {
+	h := newHarness(t, 2, nil, s.changeWorker)
+	s.prepare(h)
+	timeout := 20 * time.Second
+	if way == byDeadline {
+		timeout = 300 * time.Millisecond
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	ended := make(chan error, 1)
+	go func() { // ends with ctx
+		_, _, err := h.streamInfer(ctx, newRequest("quote", "l1", s.workMS, 3, 10), nil)
+		ended <- err
+	}()
+	if way != byDeadline {
+		waitUntil(t, "the call reached its stage", func() bool { return h.records(s.reached, "l1") > 0 })
+		if way == byCancel {
+			cancel()
+		} else {
+			_ = h.conn.Close()
+		}
+	}
+	if err := <-ended; err == nil {
+		t.Error("the call was served")
+	}
+	waitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
+	if !s.workerHangs {
+		waitUntil(t, "the workers dropped it", func() bool { return h.workers[0].Held()+h.workers[1].Held() == 0 })
+	}
+	if h.records(invariants.Ran, "l1") > 1 {
+		t.Error("it ran twice")
+	}
+}
+
+// TestDeadlineEndsOpenStream: the client's deadline ends a stream that has begun, and the worker's with it.
+func TestDeadlineEndsOpenStream(t *testing.T) {
+	h := newHarness(t, 1, nil, func(c *fakeworker.Config) { c.StopsWork = true })
+	h.loadModel("quote")
+	messages, _, err := h.streamInfer(timeoutContext(t, 500*time.Millisecond), newRequest("quote", "long", 5000, 100, 10), nil)
+	if status.Code(err) != codes.DeadlineExceeded || messages == 0 {
+		t.Fatalf("%d messages, %v", messages, err)
+	}
+	waitUntil(t, "the worker's stream ended", func() bool { return h.workers[0].Held() == 0 })
+	waitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
+}
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -1,5 +1,5 @@
-// Package grpcgateway puts one gateway together from its settings: the router's loop, the connections to workers,
-// the fronts, and the list of workers that it follows.
+// Package grpcgateway assembles one gateway from its settings: the router's loop, the connections to the workers, the
+// gRPC server, the gossip agent, the admin API, and the worker list that it follows.
 package grpcgateway
 
 import (
@@ -18,144 +18,127 @@
 	"github.com/topazfront/topazfront/internal/upstream/grpcupstream"
 )
 
-// Version is the program's.
+// Version is the program's version.
 const Version = "0.2.0"
 
-// Options are what does not stand in a settings file.
+// defaultDrainTimeout holds where Options have none.
+const defaultDrainTimeout = time.Minute
+
+// Options hold what the settings file does not: the caller's hooks and the ways to replace parts in tests.
 type Options struct {
-	Log     *slog.Logger
-	Decider func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: the module
-	Drain   time.Duration                                              // most that Stop waits for calls in hand; 0: a minute
-	Tap     func(now time.Duration, events []dispatch.Event, actions []dispatch.Action)
-	Gossip  agent.Hooks
+	Logger        *slog.Logger                                               // nil: nothing is logged
+	NewDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: dispatch.New
+	DrainTimeout  time.Duration                                              // most that Stop waits for open calls; 0: a minute
+	Observer      func(now time.Duration, events []dispatch.Event, actions []dispatch.Action)
+	GossipHooks   agent.Hooks
 }
 
-// Gateway is one running gateway.
+// Gateway is one running gateway. Stop or Kill ends it and all its goroutines. Its methods may be called from any
+// goroutine.
 type Gateway struct {
-	cfg    *config.Gateway
-	log    *slog.Logger
-	pool   *grpcupstream.Pool
-	router *router.Router
-	front  *grpcserver.Front
-	peers  *agent.Agent     // nil: no gossip
-	ctl    *adminapi.Server // nil: no operators' socket
-	drain  time.Duration
-	stop   chan struct{}
-	once   sync.Once
-	wg     sync.WaitGroup
+	cfg          *config.Gateway
+	logger       *slog.Logger
+	drainTimeout time.Duration
+
+	pool        *grpcupstream.Pool
+	router      *router.Router
+	server      *grpcserver.Front
+	gossipAgent *agent.Agent     // nil: no gossip
+	adminServer *adminapi.Server // nil: no admin API
+
+	stopFollowing chan struct{}  // closed to end the followers
+	followers     sync.WaitGroup // of files
+	closeOnce     sync.Once
 }
 
-// Start runs a gateway until Stop.
+// Start runs a gateway until Stop or Kill. It returns once the worker list has been read, or rejected, and the server
+// listens. cfg must not change afterwards.
 func Start(cfg *config.Gateway, o Options) (*Gateway, error) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
-	}
-	log := o.Log.With("router", cfg.Name)
-	h2 := http2.Config{MaxStreams: cfg.Limits.MaxStreams, StreamWindow: cfg.Limits.StreamWindowBytes}
-	g := &Gateway{cfg: cfg, log: log, stop: make(chan struct{}), drain: o.Drain}
-	if g.drain == 0 {
-		g.drain = time.Minute
+	if o.Logger == nil {
+		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	g.pool = grpcupstream.New(grpcupstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
-		MaxConns: cfg.Workers.MaxConnections, MaxMessage: cfg.Limits.MaxMessageBytes, HTTP2: h2, Log: log})
-	var err error
-	g.router, err = router.New(router.Config{Name: cfg.Name, Seed: cfg.Seed, Settings: cfg.DispatchSettings(),
-		LoadTimeout: cfg.Loading.CommandTimeout.Duration(), HealthCheckTimeout: cfg.Workers.HealthCheckTimeout.Duration(),
-		Endpoints: endpoints.Settings{CheckInterval: cfg.Workers.CheckInterval.Duration()}, NewDispatcher: o.Decider, Logger: log,
-		Observer: o.Tap}, g.pool)
-	if err != nil {
-		return nil, err
+	g := &Gateway{cfg: cfg, logger: o.Logger.With("router", cfg.Name), stopFollowing: make(chan struct{}),
+		drainTimeout: o.DrainTimeout}
+	if g.drainTimeout == 0 {
+		g.drainTimeout = defaultDrainTimeout
 	}
-	g.pool.Attach(g.router)
-	if err := g.gossip(o); err != nil {
-		g.Kill()
+	if err := g.startRouter(o); err != nil {
 		return nil, err
 	}
-	first := make(chan struct{})
-	var once sync.Once
-	g.wg.Go(func() {
-		config.FollowWorkers(cfg.Workers.File, g.stop, func(l *config.WorkerList) {
-			log.Info("list of workers", "workers", len(l.Workers))
-			g.router.SetEndpoints(l.Endpoints(g.router.At))
-			if g.peers != nil {
-				g.peers.SetWorkers(l.StartTimes())
-			}
-			once.Do(func() { close(first) })
-		}, func(err error) {
-			log.Warn("list of workers refused; the one before stands", "error", err)
-			once.Do(func() { close(first) })
-		})
-	})
-	<-first
-	g.front, err = grpcserver.Listen(grpcserver.Config{Address: cfg.Listen, HTTP2: h2, Intake: cfg.Intake(),
-		Version: Version, Log: log}, g.router)
-	if err == nil {
-		err = g.control()
-	}
-	if err != nil {
+	if err := g.startServers(o); err != nil {
 		g.Kill()
 		return nil, err
 	}
-	log.Info("serving", "address", g.front.Addr(), "classes", len(cfg.Classes), "models", len(cfg.Models))
+	g.logger.Info("gateway started", "address", g.server.Addr(), "classes", len(cfg.Classes), "models", len(cfg.Models))
 	return g, nil
 }
 
-// others ends what no call goes through.
-func (g *Gateway) others() {
-	if g.ctl != nil {
-		g.ctl.Close()
-	}
-	if g.peers != nil {
-		g.peers.Close()
+// startRouter starts the router's loop with its connections to workers.
+func (g *Gateway) startRouter(o Options) (err error) {
+	cfg := g.cfg
+	g.pool = grpcupstream.New(grpcupstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
+		MaxConns: cfg.Workers.MaxConnections, MaxMessage: cfg.Limits.MaxMessageBytes, HTTP2: g.http2Config(), Log: g.logger})
+	g.router, err = router.New(router.Config{
+		Name:               cfg.Name,
+		Seed:               cfg.Seed,
+		Settings:           cfg.DispatchSettings(),
+		LoadTimeout:        cfg.Loading.CommandTimeout.Duration(),
+		HealthCheckTimeout: cfg.Workers.HealthCheckTimeout.Duration(),
+		Endpoints:          endpoints.Settings{CheckInterval: cfg.Workers.CheckInterval.Duration()},
+		NewDispatcher:      o.NewDispatcher,
+		Logger:             g.logger,
+		Observer:           o.Observer,
+	}, g.pool)
+	if err != nil {
+		return err
 	}
+	g.pool.Attach(g.router)
+	return nil
 }
 
-// Addr is the address of the gRPC front.
-func (g *Gateway) Addr() string { return g.front.Addr() }
-
-// Router is the gateway's router.
-func (g *Gateway) Router() *router.Router { return g.router }
-
-// Stop drains and ends the gateway: clients are told to go elsewhere, calls in hand get their final answers,
-// then all is closed. It returns what the router has done.
-func (g *Gateway) Stop() router.Stats {
-	g.once.Do(func() {
-		g.log.Info("draining", "calls", g.router.Stats().Open, "clients", g.front.Conns())
-		g.front.Drain()
-		if lost := g.router.Stop(g.drain); lost > 0 {
-			g.log.Error("stopped with calls that had no final answer", "calls", lost)
-		}
-		g.settle()
-		close(g.stop)
-		g.wg.Wait()
-		g.front.Close()
-		g.pool.Close()
-		g.others()
-		g.log.Info("stopped")
-	})
-	return g.router.Stats()
+// startServers starts what feeds the router: gossip, the worker list, the gRPC server, and the admin API last. After an
+// error the caller must call Kill.
+func (g *Gateway) startServers(o Options) (err error) {
+	if err := g.startGossip(o.GossipHooks); err != nil {
+		return err
+	}
+	<-g.followWorkers()
+	g.server, err = grpcserver.Listen(grpcserver.Config{Address: g.cfg.Listen, HTTP2: g.http2Config(), Intake: g.cfg.Intake(),
+		Version: Version, Log: g.logger}, g.router)
+	if err != nil {
+		return err
+	}
+	return g.startAdmin()
 }
 
-// Kill ends the gateway as the death of its process would: connections break, nothing more is answered.
-func (g *Gateway) Kill() {
-	g.once.Do(func() {
-		g.router.Kill()
-		if g.front != nil {
-			g.front.Close()
-		}
-		g.pool.Close()
-		close(g.stop)
-		g.wg.Wait()
-		g.others()
-	})
+// http2Config returns what the server's and the workers' connections have in common.
+func (g *Gateway) http2Config() http2.Config {
+	return http2.Config{MaxStreams: g.cfg.Limits.MaxStreams, StreamWindow: g.cfg.Limits.StreamWindowBytes}
 }
 
-// settle waits, not for long, for the last answers to leave for their clients.
-func (g *Gateway) settle() {
-	for range 200 {
-		if g.front.Streams() == 0 {
-			return
+// followWorkers hands the worker list to the router, and to gossip, now and after each change, until stopFollowing is
+// closed. The channel that it returns is closed when the list has first been applied or rejected.
+func (g *Gateway) followWorkers() <-chan struct{} {
+	firstRead := make(chan struct{})
+	var once sync.Once
+	apply := func(list *config.WorkerList) {
+		g.logger.Info("worker list applied", "workers", len(list.Workers))
+		g.router.SetEndpoints(list.Endpoints(g.router.At))
+		if g.gossipAgent != nil {
+			g.gossipAgent.SetWorkers(list.StartTimes())
 		}
-		time.Sleep(5 * time.Millisecond)
+		once.Do(func() { close(firstRead) })
 	}
+	reject := func(err error) {
+		g.logger.Warn("worker list rejected, the previous one stays in force", "error", err)
+		once.Do(func() { close(firstRead) })
+	}
+	g.followers.Go(func() { config.FollowWorkers(g.cfg.Workers.File, g.stopFollowing, apply, reject) })
+	return firstRead
 }
+
+// Addr returns the address of the gRPC server.
+func (g *Gateway) Addr() string { return g.server.Addr() }
+
+// GossipAgent returns the gossip agent, nil without gossip.
+func (g *Gateway) GossipAgent() *agent.Agent { return g.gossipAgent }
--- a/internal/grpcgateway/gossip.go
+++ b/internal/grpcgateway/gossip.go
@@ -1,96 +1,75 @@
 package grpcgateway
 
 import (
-	"encoding/json"
-	"fmt"
 	"os"
 
-	"github.com/topazfront/topazfront/internal/adminapi"
 	"github.com/topazfront/topazfront/internal/config"
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// gossip starts the agent where the settings ask for one, and follows the files of keys.
-func (g *Gateway) gossip(o Options) error {
-	set := g.cfg.Gossip
-	if set == nil {
+// startGossip starts the agent where the settings have gossip, and follows its files.
+func (g *Gateway) startGossip(hooks agent.Hooks) error {
+	settings := g.cfg.Gossip
+	if settings == nil {
 		return nil
 	}
-	c := set.AgentConfig(g.cfg.Name, g.cfg.Seed)
-	c.Log, c.Hooks = g.log, o.Gossip
-	raw, err := os.ReadFile(set.KeyFile)
-	if err == nil {
-		c.Key, err = config.ParseKey(set.KeyFile, raw)
-	}
+	agentConfig := settings.AgentConfig(g.cfg.Name, g.cfg.Seed)
+	agentConfig.Log, agentConfig.Hooks = g.logger, hooks
+	keyFile, err := os.ReadFile(settings.KeyFile)
 	if err != nil {
 		return err
 	}
-	if raw, err = os.ReadFile(set.MembersFile); err == nil {
-		c.Members, err = config.ParseMembers(set.MembersFile, raw)
+	if agentConfig.Key, err = config.ParseKey(settings.KeyFile, keyFile); err != nil {
+		return err
 	}
+	membersFile, err := os.ReadFile(settings.MembersFile)
 	if err != nil {
 		return err
 	}
-	if g.peers, err = agent.Start(c, g.router); err != nil {
+	if agentConfig.Members, err = config.ParseMembers(settings.MembersFile, membersFile); err != nil {
 		return err
 	}
-	g.router.SetGossip(g.peers)
-	refused := func(err error) { g.log.Warn("gossip: file refused; what it said before stands", "error", err) }
-	follow := func(path string, first []byte, use func([]byte) error) {
-		g.wg.Go(func() {
-			begun := false
-			config.FollowFile(path, g.stop, func(raw []byte) error {
-				if !begun && string(raw) == string(first) {
-					begun = true
-					return nil // in use already
-				}
-				begun = true
-				return use(raw)
-			}, refused)
-		})
-	}
-	follow(set.MembersFile, raw, func(raw []byte) error {
-		m, err := config.ParseMembers(set.MembersFile, raw)
-		if err == nil {
-			g.peers.SetMembers(m)
-		}
+	if g.gossipAgent, err = agent.Start(agentConfig, g.router); err != nil {
 		return err
-	})
-	follow(set.KeyFile, nil, func(raw []byte) error {
-		k, err := config.ParseKey(set.KeyFile, raw)
-		if err == nil {
-			g.peers.SetKey(k)
-		}
-		return err
-	})
+	}
+	g.router.SetGossip(g.gossipAgent)
+	g.followGossipFile(settings.MembersFile, membersFile, g.applyMembers)
+	g.followGossipFile(settings.KeyFile, nil, g.applyKey) // read again at once: it may have been replaced meanwhile
 	return nil
 }
 
-// Peers is the gossip agent; nil without gossip.
-func (g *Gateway) Peers() *agent.Agent { return g.peers }
-
-// control opens the operators' socket where the settings ask for one.
-func (g *Gateway) control() (err error) {
-	path := g.cfg.Admin.Socket
-	if path == "" {
-		return nil
+// followGossipFile calls apply with a file's content after each change, until stopFollowing is closed. The first read
+// is not applied where it finds applied, the content that is in use already.
+func (g *Gateway) followGossipFile(path string, applied []byte, apply func([]byte) error) {
+	first := true
+	applyChange := func(raw []byte) error {
+		inUse := first && string(raw) == string(applied)
+		first = false
+		if inUse {
+			return nil
+		}
+		return apply(raw)
 	}
-	methods := map[string]adminapi.Method{
-		"router.status": func(json.RawMessage) (any, error) { return g.router.Stats(), nil },
+	reject := func(err error) {
+		g.logger.Warn("gossip file rejected, its previous content stays in force", "error", err)
 	}
-	for name, f := range map[string]func(*agent.Agent) any{
-		"gossip.status":     func(a *agent.Agent) any { return a.Status() },
-		"gossip.peers":      func(a *agent.Agent) any { return a.Peers() },
-		"gossip.suspicions": func(a *agent.Agent) any { return a.Suspicions() },
-		"gossip.keys":       func(a *agent.Agent) any { return a.Keys() },
-	} {
-		methods[name] = func(json.RawMessage) (any, error) {
-			if g.peers == nil {
-				return nil, fmt.Errorf("router %q runs without gossip", g.cfg.Name)
-			}
-			return f(g.peers), nil
-		}
+	g.followers.Go(func() { config.FollowFile(path, g.stopFollowing, applyChange, reject) })
+}
+
+// applyMembers replaces the admitted routers by those of the file's content.
+func (g *Gateway) applyMembers(raw []byte) error {
+	members, err := config.ParseMembers(g.cfg.Gossip.MembersFile, raw)
+	if err == nil {
+		g.gossipAgent.SetMembers(members)
+	}
+	return err
+}
+
+// applyKey replaces this router's key by that of the file's content.
+func (g *Gateway) applyKey(raw []byte) error {
+	key, err := config.ParseKey(g.cfg.Gossip.KeyFile, raw)
+	if err == nil {
+		g.gossipAgent.SetKey(key)
 	}
-	g.ctl, err = adminapi.Listen(path, methods, g.log)
 	return err
 }
--- /dev/null
+++ b/internal/grpcgateway/harness_test.go
@@ -0,0 +1,217 @@
+package grpcgateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/oip/inference"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// harness is a gateway in front of fake workers, with a grpc-go client, for one test.
+type harness struct {
+	t       *testing.T
+	gateway *Gateway
+	workers []*fakeworker.Worker
+	list    config.WorkerList // as writeWorkerList writes it
+	path    string            // of the worker list
+	log     *invariants.Log
+	conn    *grpc.ClientConn
+}
+
+// testModels are the models that the fake workers know and the gateway serves, with the class of each.
+var testModels = map[string]string{"quote": "quote", "renew": "renew", "award": "points"}
+
+// newHarness starts so many workers and a gateway, which end with the test. changeGateway and changeWorker may alter the
+// settings; nil ones do nothing.
+func newHarness(t *testing.T, workers int, changeGateway func(*config.Gateway), changeWorker func(*fakeworker.Config)) *harness {
+	t.Helper()
+	h := &harness{t: t, path: filepath.Join(t.TempDir(), "workers.json"), log: invariants.NewLog()}
+	h.startWorkers(workers, changeWorker)
+	h.writeWorkerList()
+	cfg := testGatewayConfig(h.path)
+	if changeGateway != nil {
+		changeGateway(cfg)
+	}
+	gateway, err := Start(cfg, Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.gateway = gateway
+	t.Cleanup(func() { gateway.Stop() })
+	h.conn, err = grpc.NewClient(gateway.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(64<<20), grpc.MaxCallSendMsgSize(64<<20)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = h.conn.Close() })
+	return h
+}
+
+func (h *harness) startWorkers(count int, change func(*fakeworker.Config)) {
+	h.t.Helper()
+	cell, store := fakeworker.NewCell(), fakeworker.NewStore(200, 100)
+	for i := range count {
+		c := fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 8, Speed: 1, MemoryMB: 4000, Queue: 1000, LoadsAtOnce: 8,
+			IdleKeep: 10 * time.Second, LoadsOnMiss: true, GrowsCopies: true, KeyedFor: 5 * time.Second,
+			Keyed: map[string]bool{"renew": true}, Store: store, Cell: cell, Log: h.log, Seed: uint64(i),
+			DefaultLoad: 20 * time.Millisecond, ServerMetrics: true, Models: map[string]fakeworker.Model{}}
+		for model, class := range testModels {
+			c.Models[model] = fakeworker.Model{Name: model, Class: class, MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond}
+		}
+		if change != nil {
+			change(&c)
+		}
+		worker, err := fakeworker.Start(c)
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		h.t.Cleanup(worker.Kill)
+		h.workers = append(h.workers, worker)
+		h.list.Workers = append(h.list.Workers, config.Worker{ID: worker.ID(), Address: worker.Addr(), Zone: "a", Kind: "box"})
+	}
+}
+
+// testGatewayConfig returns settings with a class of each idempotency: quote is idempotent, renew is by key, points is not.
+func testGatewayConfig(workerList string) *config.Gateway {
+	cfg := config.Defaults()
+	cfg.Name, cfg.Listen, cfg.Seed = "r0", "127.0.0.1:0", 1
+	cfg.Workers.File = workerList
+	cfg.Classes = []config.Class{
+		{Name: "quote", LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 2, Idempotency: "safe"},
+		{Name: "renew", LatencyObjective: 800, Deadline: 3000, PriorityWeight: 5, Idempotency: "keyed",
+			DeduplicationScope: "cell", DeduplicationWindow: 5000},
+		{Name: "points", LatencyObjective: 800, Deadline: 2500, PriorityWeight: 3, Idempotency: "unsafe"}}
+	cfg.Models = map[string]config.Model{}
+	for model, class := range testModels {
+		cfg.Models[model] = config.Model{Class: class, MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20, WorkTime: 5}
+	}
+	cfg.WorkerKinds = []config.WorkerKind{{Name: "box", MemoryMB: 4000}}
+	return &cfg
+}
+
+// writeWorkerList replaces the file that the gateway follows.
+func (h *harness) writeWorkerList() {
+	h.t.Helper()
+	if err := config.WriteWorkers(h.path, h.list); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// stats returns the router's statistics.
+func (h *harness) stats() router.Stats { return h.gateway.router.Stats() }
+
+// records counts the records of a kind for a call.
+func (h *harness) records(kind invariants.Kind, call string) (count int) {
+	for _, r := range h.log.Records() {
+		if r.Kind == kind && r.Call == call {
+			count++
+		}
+	}
+	return count
+}
+
+// setFaults changes the faults of every worker.
+func (h *harness) setFaults(change func(*fakeworker.Faults)) {
+	for _, w := range h.workers {
+		w.Set(change)
+	}
+}
+
+// loadModel makes one call, so that the model is resident somewhere.
+func (h *harness) loadModel(model string) {
+	h.t.Helper()
+	if _, err := h.infer(timeoutContext(h.t, 10*time.Second), newRequest(model, "warm-"+model, 1, 1, 1)); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// infer makes a unary call.
+func (h *harness) infer(ctx context.Context, request *inference.ModelInferRequest) (*inference.ModelInferResponse, error) {
+	var response inference.ModelInferResponse
+	err := h.conn.Invoke(ctx, oip.Infer, request, &response)
+	return &response, err
+}
+
+// newStream opens a stream for requests and responses.
+func (h *harness) newStream(ctx context.Context) (grpc.ClientStream, error) {
+	return h.conn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}, oip.StreamInfer)
+}
+
+// streamInfer sends one request on a stream and reads the response to its end. onMessage, unless nil, is called after
+// each message with their number so far.
+func (h *harness) streamInfer(ctx context.Context, request *inference.ModelInferRequest, onMessage func(int)) (messages, bytes int, err error) {
+	stream, err := h.newStream(ctx)
+	if err != nil {
+		return 0, 0, err
+	}
+	if err := stream.SendMsg(request); err != nil {
+		return 0, 0, err
+	}
+	if err := stream.CloseSend(); err != nil {
+		return 0, 0, err
+	}
+	for {
+		var response inference.ModelStreamInferResponse
+		if err := stream.RecvMsg(&response); errors.Is(err, io.EOF) {
+			return messages, bytes, nil
+		} else if err != nil {
+			return messages, bytes, err
+		}
+		sequence := response.InferResponse.Parameters["sequence"].GetInt64Param()
+		if sequence != int64(messages) {
+			return messages, bytes, fmt.Errorf("message %d has sequence number %d", messages, sequence)
+		}
+		messages++
+		bytes += len(response.InferResponse.RawOutputContents[0])
+		if onMessage != nil {
+			onMessage(messages)
+		}
+	}
+}
+
+// newRequest builds a request for so many messages of so many bytes, after so many milliseconds of work.
+func newRequest(model, id string, workMS, messages, bytes int64) *inference.ModelInferRequest {
+	return &inference.ModelInferRequest{ModelName: model, Id: id, Parameters: map[string]*inference.InferParameter{
+		fakeworker.ParamWorkMS: numberParameter(workMS), fakeworker.ParamMessages: numberParameter(messages),
+		fakeworker.ParamBytes: numberParameter(bytes), fakeworker.ParamRequest: textParameter(id),
+		oip.ParamKey: textParameter(id)}}
+}
+
+func numberParameter(n int64) *inference.InferParameter {
+	return &inference.InferParameter{ParameterChoice: &inference.InferParameter_Int64Param{Int64Param: n}}
+}
+
+func textParameter(s string) *inference.InferParameter {
+	return &inference.InferParameter{ParameterChoice: &inference.InferParameter_StringParam{StringParam: s}}
+}
+
+// timeoutContext returns a context that ends after a timeout, or with the test.
+func timeoutContext(t *testing.T, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	t.Cleanup(cancel)
+	return ctx
+}
+
+// waitUntil waits for a condition, and fails the test where it does not come to hold.
+func waitUntil(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if condition() {
+			return
+		}
+	}
+	t.Fatalf("did not come to hold: %s", what)
+}
--- /dev/null
+++ b/internal/grpcgateway/shutdown_test.go
@@ -0,0 +1,32 @@
+package grpcgateway
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+)
+
+// TestStopWithOpenCalls: a stop is announced, open calls are answered, then nothing is served.
+func TestStopWithOpenCalls(t *testing.T) {
+	h := newHarness(t, 2, nil, nil)
+	h.loadModel("quote")
+	var wg sync.WaitGroup
+	for i := range 40 {
+		wg.Go(func() {
+			messages, _, err := h.streamInfer(timeoutContext(t, 20*time.Second), newRequest("quote", fmt.Sprint("h", i), 300, 5, 10), nil)
+			if err != nil || messages != 5 {
+				t.Errorf("stream %d: %d messages, %v", i, messages, err)
+			}
+		})
+	}
+	waitUntil(t, "the calls are open", func() bool { return h.stats().Open >= 40 })
+	stats := h.gateway.Stop()
+	wg.Wait()
+	if stats.Served < 41 || stats.Open != 0 {
+		t.Errorf("%+v", stats)
+	}
+	if _, err := h.infer(timeoutContext(t, time.Second), newRequest("quote", "late", 1, 1, 1)); err == nil {
+		t.Error("a stopped gateway served a call")
+	}
+}
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -132,12 +132,12 @@
 func (p *party) joined(i int, g *grpcgateway.Gateway) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addrs[i] = g.Peers().Addr()
+	p.addrs[i] = g.GossipAgent().Addr()
 }
 
 // retire keeps what a life counted that is about to end.
 func (p *party) retire(g *grpcgateway.Gateway) {
-	d := g.Peers().Status().Dropped
+	d := g.GossipAgent().Status().Dropped
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gone = p.gone.Add(d)
@@ -282,7 +282,7 @@
 	sum := func() (d agent.Dropped) {
 		d = p.gone
 		for _, sl := range r.routers {
-			d = d.Add(sl.g.Peers().Status().Dropped)
+			d = d.Add(sl.g.GossipAgent().Status().Dropped)
 		}
 		return d
 	}
@@ -293,7 +293,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	for i, sl := range r.routers {
-		s := sl.g.Peers().Status()
+		s := sl.g.GossipAgent().Status()
 		_, _, rate, over := p.meters[i].Totals()
 		out.Most, out.Mean, out.Over = max(out.Most, rate), out.Mean+rate/float64(len(r.routers)), out.Over+over
 		out.Claims, out.Looks = out.Claims+s.Judge.Claims, out.Looks+s.Judge.Looks
@@ -302,7 +302,7 @@
 		if !slices.Contains(out.Keys, s.Key) {
 			out.Keys = append(out.Keys, s.Key)
 		}
-		for _, m := range sl.g.Peers().Peers() {
+		for _, m := range sl.g.GossipAgent().Peers() {
 			if len(m.ID) > 4 && m.ID[:4] == "liar" {
 				out.LiarMean += m.Weight / float64(len(r.routers)*len(p.liars))
 			}
--- a/internal/scenario/rig.go
+++ b/internal/scenario/rig.go
@@ -305,10 +305,10 @@
 		r.log.Add(invariants.Record{Kind: invariants.Told, Router: name, Worker: id, Off: !on})
 	}
 	sl.mu.Unlock()
-	o := grpcgateway.Options{Log: r.opt.Log, Decider: r.opt.Decider,
-		Drain: 2 * time.Second} // nothing is in hand by then, unless a rule is broken
+	o := grpcgateway.Options{Logger: r.opt.Log, NewDispatcher: r.opt.Decider,
+		DrainTimeout: 2 * time.Second} // nothing is in hand by then, unless a rule is broken
 	if r.party != nil {
-		o.Gossip = r.party.hooks(sl.n)
+		o.GossipHooks = r.party.hooks(sl.n)
 	}
 	g, err := grpcgateway.Start(r.settings(sl), o)
 	if err != nil {
