--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -52,7 +52,7 @@
 
 // TestGoldenReplies holds the lines that a server sends, byte for byte.
 func TestGoldenReplies(t *testing.T) {
-	conn, err := net.Dial("unix", server(t))
+	conn, err := net.Dial("unix", startServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,8 +83,8 @@
 
 // TestGoldenReplyWithoutResult holds what a method without a result is answered by: an empty object.
 func TestGoldenReplyWithoutResult(t *testing.T) {
-	out, _ := answer([]byte(`{"jsonrpc":"2.0","id":1,"method":"nothing"}`), map[string]Method{
-		"nothing": func(json.RawMessage) (any, error) { return nil, nil }}, nil)
+	s := &Server{methods: map[string]Method{"nothing": func(json.RawMessage) (any, error) { return nil, nil }}}
+	out, _ := s.handle([]byte(`{"jsonrpc":"2.0","id":1,"method":"nothing"}`))
 	if raw, err := json.Marshal(out); err != nil || string(raw) != `{"jsonrpc":"2.0","id":1,"result":{}}` {
 		t.Errorf("%s, %v", raw, err)
 	}
