--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -21,7 +21,7 @@
 
 // DispatchSettings returns the dispatcher's settings.
 func (g *Gateway) DispatchSettings() dispatch.Settings {
-	s := dispatch.Settings{
+	settings := dispatch.Settings{
 		Zone:                g.Zone,
 		Routers:             g.Routers,
 		LoadReports:         reportSources[g.LoadReports],
@@ -45,15 +45,15 @@
 		SuspicionsReported:  g.Gossip != nil,
 	}
 	for _, k := range g.WorkerKinds {
-		s.WorkerKinds = append(s.WorkerKinds, dispatch.WorkerKind{Name: k.Name, MemoryMB: k.MemoryMB})
+		settings.WorkerKinds = append(settings.WorkerKinds, dispatch.WorkerKind{Name: k.Name, MemoryMB: k.MemoryMB})
 	}
 	for _, c := range g.Classes {
-		s.Classes = append(s.Classes, c.dispatchClass())
+		settings.Classes = append(settings.Classes, c.dispatchClass())
 	}
 	for _, t := range g.Tenants {
-		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerSecond, Share: t.Share})
+		settings.Tenants = append(settings.Tenants, dispatch.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerSecond, Share: t.Share})
 	}
-	return s
+	return settings
 }
 
 func (c Class) dispatchClass() dispatch.Class {
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -125,14 +125,38 @@
 // Defaults returns the settings that hold where a file has none.
 func Defaults() Gateway {
 	return Gateway{
-		Name:        "router",
-		Routers:     1,
-		Workers:     WorkerSettings{ConnectTimeout: 250, MaxConnections: 4, CheckInterval: 5000, HealthCheckTimeout: 1000},
-		Loading:     LoadingSettings{OnCacheMiss: "load", CommandsAllowed: true, IdleResidency: 10000, CommandTimeout: 10000},
+		Name:    "router",
+		Routers: 1,
+		Workers: WorkerSettings{
+			ConnectTimeout:     250,
+			MaxConnections:     4,
+			CheckInterval:      5000,
+			HealthCheckTimeout: 1000,
+		},
+		Loading: LoadingSettings{
+			OnCacheMiss:     "load",
+			CommandsAllowed: true,
+			IdleResidency:   10000,
+			CommandTimeout:  10000,
+		},
 		LoadReports: "answers",
-		Limits: Limits{MaxAttempts: 5, CancelAllowed: true, HealthChecksAllowed: true, MaxRetryAfter: 1000, ResponseMargin: 10, MaxMessageBytes: 16 << 20,
-			MaxStreams: 1000, StreamWindowBytes: 128 << 10},
-		Safety: SafetySettings{DrainGrace: 250, SlowStartShare: 0.2, SlowStartDuration: 15000, OverloadMultiple: 2.5, OverloadWindow: 1500},
-		Log:    LogSettings{Level: "info", Format: "text"},
+		Limits: Limits{
+			MaxAttempts:         5,
+			CancelAllowed:       true,
+			HealthChecksAllowed: true,
+			MaxRetryAfter:       1000,
+			ResponseMargin:      10,
+			MaxMessageBytes:     16 << 20,
+			MaxStreams:          1000,
+			StreamWindowBytes:   128 << 10,
+		},
+		Safety: SafetySettings{
+			DrainGrace:        250,
+			SlowStartShare:    0.2,
+			SlowStartDuration: 15000,
+			OverloadMultiple:  2.5,
+			OverloadWindow:    1500,
+		},
+		Log: LogSettings{Level: "info", Format: "text"},
 	}
 }
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -55,20 +55,20 @@
 	if g.ID != "" {
 		id = g.ID
 	}
-	c := agent.Config{ID: id, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.Local,
+	agentConfig := agent.Config{ID: id, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.Local,
 		Judge: gossip.LocalJudge, Gate: gossip.LocalGate, Witness: gossip.LocalWitness,
 		LookTimeout: g.VerificationTimeout.Duration(), Seed: seed}
 	if preset, ok := gossip.Presets[g.Preset]; ok {
-		c.Gossip = preset
+		agentConfig.Gossip = preset
 	}
 	if g.BytesPerSecond > 0 { // the burst keeps its ratio to the rate
-		c.Gossip.BurstBytes *= g.BytesPerSecond / c.Gossip.BytesPerSecond
-		c.Gossip.BytesPerSecond = g.BytesPerSecond
+		agentConfig.Gossip.BurstBytes *= g.BytesPerSecond / agentConfig.Gossip.BytesPerSecond
+		agentConfig.Gossip.BytesPerSecond = g.BytesPerSecond
 	}
 	if g.MessagesPerSecond > 0 {
-		c.Gossip.BurstMessages *= g.MessagesPerSecond / c.Gossip.MessagesPerSec
-		c.Gossip.MessagesPerSec = g.MessagesPerSecond
+		agentConfig.Gossip.BurstMessages *= g.MessagesPerSecond / agentConfig.Gossip.MessagesPerSec
+		agentConfig.Gossip.MessagesPerSec = g.MessagesPerSecond
 	}
-	c.Judge.Fresh = c.Gossip.Fresh
-	return c
+	agentConfig.Judge.Fresh = agentConfig.Gossip.Fresh
+	return agentConfig
 }
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -53,19 +53,19 @@
 
 // Start runs a gateway until Stop or Kill. It returns once the worker list has been read, or rejected, and the server
 // listens. cfg must not change afterwards.
-func Start(cfg *config.Gateway, o Options) (*Gateway, error) {
-	if o.Logger == nil {
-		o.Logger = slog.New(slog.DiscardHandler)
+func Start(cfg *config.Gateway, options Options) (*Gateway, error) {
+	if options.Logger == nil {
+		options.Logger = slog.New(slog.DiscardHandler)
 	}
-	g := &Gateway{cfg: cfg, logger: o.Logger.With("router", cfg.Name), stopFollowing: make(chan struct{}),
-		drainTimeout: o.DrainTimeout}
+	g := &Gateway{cfg: cfg, logger: options.Logger.With("router", cfg.Name), stopFollowing: make(chan struct{}),
+		drainTimeout: options.DrainTimeout}
 	if g.drainTimeout == 0 {
 		g.drainTimeout = defaultDrainTimeout
 	}
-	if err := g.startRouter(o); err != nil {
+	if err := g.startRouter(options); err != nil {
 		return nil, err
 	}
-	if err := g.startServers(o); err != nil {
+	if err := g.startServers(options); err != nil {
 		g.Kill()
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 }
 
 // startRouter starts the router's loop with its connections to workers.
-func (g *Gateway) startRouter(o Options) (err error) {
+func (g *Gateway) startRouter(options Options) (err error) {
 	cfg := g.cfg
 	g.pool = grpcupstream.New(grpcupstream.Config{Router: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
 		MaxConns: cfg.Workers.MaxConnections, MaxMessage: cfg.Limits.MaxMessageBytes, HTTP2: g.http2Config(), Log: g.logger})
@@ -85,9 +85,9 @@
 		LoadTimeout:        cfg.Loading.CommandTimeout.Duration(),
 		HealthCheckTimeout: cfg.Workers.HealthCheckTimeout.Duration(),
 		Endpoints:          endpoints.Settings{CheckInterval: cfg.Workers.CheckInterval.Duration()},
-		NewDispatcher:      o.NewDispatcher,
+		NewDispatcher:      options.NewDispatcher,
 		Logger:             g.logger,
-		Observer:           o.Observer,
+		Observer:           options.Observer,
 	}, g.pool)
 	if err != nil {
 		return err
@@ -98,8 +98,8 @@
 
 // startServers starts what feeds the router: gossip, the worker list, the gRPC server, and the admin API last. After an
 // error the caller must call Kill.
-func (g *Gateway) startServers(o Options) (err error) {
-	if err := g.startGossip(o.GossipHooks); err != nil {
+func (g *Gateway) startServers(options Options) (err error) {
+	if err := g.startGossip(options.GossipHooks); err != nil {
 		return err
 	}
 	<-g.followWorkers()
