--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -50,7 +50,7 @@
 	p := &party{set: s.Gossip, dir: dir, seed: s.Seed, net: fakepeer.NewNet(s.Seed), keyName: "k1",
 		addrs: make([]string, s.Routers), conns: make([]*fakepeer.Conn, s.Routers), stop: make(chan struct{})}
 	p.net.Set(fakepeer.Faults{Loss: s.Gossip.Loss})
-	c := p.agent(&config.Gossip{Preset: "local", Bytes: s.Gossip.Bytes}, "")
+	c := p.agent(&config.Gossip{Preset: "local", BytesPerSecond: s.Gossip.Bytes}, "")
 	for i := range s.Routers {
 		p.meters = append(p.meters, &fakepeer.Meter{Rate: c.Gossip.BytesPerSecond, Burst: c.Gossip.BurstBytes,
 			PerSec: c.Gossip.MessagesPerSec, Count: c.Gossip.BurstMessages})
@@ -61,7 +61,7 @@
 	return p, p.writeMembers(s.Routers, "k1")
 }
 
-func (p *party) agent(g *config.Gossip, id string) agent.Config { return g.Agent(id, p.seed) }
+func (p *party) agent(g *config.Gossip, id string) agent.Config { return g.AgentConfig(id, p.seed) }
 
 func (p *party) liarID(i int) string { return fmt.Sprintf("liar%d", i) }
 
@@ -69,10 +69,10 @@
 func (p *party) writeMembers(routers int, names ...string) error {
 	var l config.MemberList
 	add := func(id string) {
-		m := config.MemberLine{ID: id}
+		m := config.Member{ID: id}
 		for _, n := range names {
 			pub, _ := p.keyOf(id, n).Public().(ed25519.PublicKey)
-			m.Keys = append(m.Keys, config.KeyLine{ID: n, Public: base64.StdEncoding.EncodeToString(pub)})
+			m.Keys = append(m.Keys, config.MemberKey{ID: n, PublicKey: base64.StdEncoding.EncodeToString(pub)})
 		}
 		l.Members = append(l.Members, m)
 	}
@@ -82,7 +82,7 @@
 	for i := range p.set.Liars {
 		add(p.liarID(i))
 	}
-	return config.WriteFile(filepath.Join(p.dir, "members.json"), l)
+	return config.WriteJSON(filepath.Join(p.dir, "members.json"), l)
 }
 
 func (p *party) keyFile(i int) string { return filepath.Join(p.dir, fmt.Sprintf("key-%d.pem", i)) }
@@ -103,8 +103,8 @@
 func (p *party) settings(i int) *config.Gossip {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := &config.Gossip{ID: slotID(i), Listen: "127.0.0.1:0", Preset: "local", Bytes: p.set.Bytes, LookTimeout: 400,
-		Members: filepath.Join(p.dir, "members.json"), Key: p.keyFile(i)}
+	g := &config.Gossip{ID: slotID(i), Listen: "127.0.0.1:0", Preset: "local", BytesPerSecond: p.set.Bytes, VerificationTimeout: 400,
+		MembersFile: filepath.Join(p.dir, "members.json"), KeyFile: p.keyFile(i)}
 	if p.addrs[i] != "" {
 		g.Listen = p.addrs[i] // a later life is found where the earlier was
 	}
@@ -132,12 +132,12 @@
 func (p *party) joined(i int, g *grpcgateway.Gateway) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addrs[i] = g.Peers().Addr()
+	p.addrs[i] = g.GossipAgent().Addr()
 }
 
 // retire keeps what a life counted that is about to end.
 func (p *party) retire(g *grpcgateway.Gateway) {
-	d := g.Peers().Status().Dropped
+	d := g.GossipAgent().Status().Dropped
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gone = p.gone.Add(d)
@@ -172,7 +172,7 @@
 		})
 	}
 	l := r.lines()
-	starts := l.Starts()
+	starts := l.StartTimes()
 	for i := range p.set.Liars {
 		id := p.liarID(i)
 		c := p.agent(&config.Gossip{Listen: "127.0.0.1:0", Preset: "local", Seeds: addrs[:min(3, len(addrs))]}, id)
@@ -202,7 +202,7 @@
 				case <-t.C:
 				}
 				l := r.lines()
-				now := l.Starts()
+				now := l.StartTimes()
 				for id := range now {
 					liar.Praise(id)
 				}
@@ -282,7 +282,7 @@
 	sum := func() (d agent.Dropped) {
 		d = p.gone
 		for _, sl := range r.routers {
-			d = d.Add(sl.g.Peers().Status().Dropped)
+			d = d.Add(sl.g.GossipAgent().Status().Dropped)
 		}
 		return d
 	}
@@ -293,7 +293,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	for i, sl := range r.routers {
-		s := sl.g.Peers().Status()
+		s := sl.g.GossipAgent().Status()
 		_, _, rate, over := p.meters[i].Totals()
 		out.Most, out.Mean, out.Over = max(out.Most, rate), out.Mean+rate/float64(len(r.routers)), out.Over+over
 		out.Claims, out.Looks = out.Claims+s.Judge.Claims, out.Looks+s.Judge.Looks
@@ -302,7 +302,7 @@
 		if !slices.Contains(out.Keys, s.Key) {
 			out.Keys = append(out.Keys, s.Key)
 		}
-		for _, m := range sl.g.Peers().Peers() {
+		for _, m := range sl.g.GossipAgent().Peers() {
 			if len(m.ID) > 4 && m.ID[:4] == "liar" {
 				out.LiarMean += m.Weight / float64(len(r.routers)*len(p.liars))
 			}
