--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -82,7 +82,7 @@
 	}()
 	in := c.conn.Reader()
 	for n := in.Len(); n > 0; n = in.Len() {
-		received, err := in.Next(min(n, max(c.reader.Room(), 1)))
+		received, err := in.Next(min(n, max(c.reader.Available(), 1)))
 		if err == nil {
 			err = c.reader.Add(received)
 		}
--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -52,7 +52,7 @@
 	upstream   *respupstream.Pool
 	router     *router.Router
 	watcher    *discovery.Watcher
-	httpServer *httpserver.Front
+	httpServer *httpserver.Server
 	stopOnce   sync.Once // for Shutdown or Close, whichever comes first
 }
 
@@ -84,15 +84,15 @@
 func (s *Server) startRouter(budget Budget, newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)) error {
 	limits := s.cfg.Limits
 	s.upstream = respupstream.New(respupstream.Config{
-		ConnectTimeout: limits.ConnectTimeout,
-		IdleClose:      limits.IdleClose / 2,
-		WriteTimeout:   writeTimeout,
-		StallAfter:     responseStallTimeout,
-		MaxConns:       budget.WorkerConns,
-		MaxOpen:        limits.RequestsPerConn,
-		MaxAnswer:      maxWorkerResponseBytes,
-		Buffer:         budget.SocketBufferBytes,
-		Log:            s.logger,
+		ConnectTimeout:     limits.ConnectTimeout,
+		IdleTimeout:        limits.IdleClose / 2,
+		WriteTimeout:       writeTimeout,
+		StallTimeout:       responseStallTimeout,
+		MaxConns:           budget.WorkerConns,
+		MaxRequestsPerConn: limits.RequestsPerConn,
+		MaxResponseBytes:   maxWorkerResponseBytes,
+		ReceiveBuffer:      budget.SocketBufferBytes,
+		Logger:             s.logger,
 	})
 	var err error
 	s.router, err = router.New(router.Config{
@@ -134,16 +134,16 @@
 		classes[class.Name] = class.Idempotency
 	}
 	s.httpServer, err = httpserver.Listen(httpserver.Config{
-		Address:  s.cfg.ListenAddress,
-		Classes:  classes,
-		MaxConns: budget.ClientConns,
+		Address:        s.cfg.ListenAddress,
+		Classes:        classes,
+		MaxConnections: budget.ClientConns,
 		Limits: http1.Limits{Head: maxRequestHeadBytes, Fields: maxRequestFields, Body: maxRequestBodyBytes,
 			Pending: maxPendingRequestBytes},
-		First:  firstRequestTimeout,
-		Idle:   clientIdleTimeout,
-		Write:  writeTimeout,
-		Buffer: budget.SocketBufferBytes,
-		Log:    s.logger,
+		RequestTimeout:     firstRequestTimeout,
+		IdleTimeout:        clientIdleTimeout,
+		WriteTimeout:       writeTimeout,
+		ReceiveBufferBytes: budget.SocketBufferBytes,
+		Logger:             s.logger,
 	}, s.router)
 	return err
 }
--- a/internal/httprouter/shutdown.go
+++ b/internal/httprouter/shutdown.go
@@ -15,13 +15,13 @@
 // the router was stopped before.
 func (s *Server) Shutdown() (unanswered int) {
 	s.stopOnce.Do(func() {
-		s.logger.Info("stopping", "calls", s.httpServer.Stats().Open)
+		s.logger.Info("stopping", "calls", s.httpServer.Stats().OpenRequests)
 		limit := s.shutdownLimit()
 		s.router.StartShutdown(limit)
 		accept := min(acceptAfterSIGTERM, limit)
 		time.Sleep(accept)
 		unanswered = s.router.Stop(limit - accept + finalAnswersGrace)
-		if !s.httpServer.Settle(writeTimeout) {
+		if !s.httpServer.WaitForDrain(writeTimeout) {
 			s.logger.Warn("stopped before a client had received its answer")
 		}
 		s.httpServer.Close()
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -26,7 +26,7 @@
 		}()
 	}
 	for range 4000 {
-		if h.server.httpServer.Stats().Open == 3 {
+		if h.server.httpServer.Stats().OpenRequests == 3 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
