--- /dev/null
+++ b/internal/gossip/characterization_test.go
@@ -0,0 +1,382 @@
+package gossip_test
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/gossip"
+)
+
+// The tests in this file hold what the cores decide: seeded runs, every action encoded by fixed tags and numbers without
+// any Go name, one SHA-256 for each seed. A change of names or layout must leave the sums as they are.
+
+// recorder hashes values by their kind and content.
+type recorder struct{ sum hash.Hash }
+
+func newRecorder() recorder { return recorder{sha256.New()} }
+
+func (r recorder) write(values ...any) {
+	for _, v := range values {
+		switch v := v.(type) {
+		case string:
+			r.write(len(v))
+			r.sum.Write([]byte(v))
+		case []byte:
+			r.write(len(v))
+			r.sum.Write(v)
+		case bool:
+			if v {
+				r.sum.Write([]byte{1})
+			} else {
+				r.sum.Write([]byte{0})
+			}
+		case int:
+			r.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+		case uint64:
+			r.sum.Write(binary.BigEndian.AppendUint64(nil, v))
+		case time.Duration:
+			r.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+		case float64:
+			r.write(fmt.Sprintf("%.17g", v))
+		default:
+			panic(fmt.Sprintf("no encoding of %T", v))
+		}
+	}
+}
+
+func (r recorder) statement(s *gossip.Statement) {
+	r.write(int(s.About), s.Signer, s.Key, s.Life, s.Seq, s.At, s.Subject, s.Of, s.Num, s.Text, s.Sig[:])
+}
+
+func (r recorder) message(m *gossip.Message) {
+	r.write(int(m.Kind), m.Want, m.Back, m.Count, m.Life, m.Now, m.Seq, m.Seen, m.From, m.Addr, m.Target, len(m.Statements))
+	for i := range m.Statements {
+		r.statement(&m.Statements[i])
+	}
+}
+
+// coreAction writes one action of a core with the member that it is of.
+func (r recorder) coreAction(now time.Duration, by int, action any) {
+	r.write(now, by)
+	switch a := action.(type) {
+	case gossip.Send:
+		r.write(1, a.To, a.Stream)
+		r.message(&a.Message)
+	case gossip.Change:
+		r.write(2, a.ID, int(a.State))
+	case gossip.Heard:
+		r.write(3, a.Age)
+		r.statement(&a.Statement)
+	case gossip.Live:
+		r.write(4, a.Count)
+	case gossip.Raise:
+		r.write(5, a.To)
+	case gossip.Twin:
+		r.write(6, a.Addr)
+	default:
+		panic(fmt.Sprintf("no encoding of %T", action))
+	}
+}
+
+// final writes what a core holds at the end of a run.
+func (r recorder) final(c *gossip.Core) {
+	for _, m := range c.Members() {
+		r.write(m.ID, m.Addr, int(m.State), m.Life, m.Direct, m.Doubted)
+	}
+	for _, s := range c.Evidence() {
+		r.statement(&s)
+	}
+	s := c.Stats()
+	r.write(c.Live(), c.Health(), c.Due(), s.Sent, s.SentBytes, s.Withheld, s.Suspicions, s.Deaths, s.Refuted, s.MostLive)
+}
+
+func (r recorder) hex() string { return hex.EncodeToString(r.sum.Sum(nil)) }
+
+// delivery is a message on its way to a member.
+type delivery struct {
+	at      time.Duration
+	to      int
+	message gossip.Message
+}
+
+// cluster is cores on a simulated network that is advanced in steps of 10 ms.
+type cluster struct {
+	t        *testing.T
+	r        recorder
+	rng      *rand.Rand
+	config   gossip.Config
+	cores    []*gossip.Core
+	skew     []time.Duration
+	now      time.Duration
+	inFlight []delivery
+	loss     float64
+	cut      func(from, to int) bool
+}
+
+func memberID(i int) string { return fmt.Sprintf("m%02d", i) }
+
+func newCluster(t *testing.T, seed uint64, members int) *cluster {
+	c := &cluster{t: t, r: newRecorder(), rng: rand.New(rand.NewPCG(seed, 77)), config: gossip.Local, loss: float64(seed%4) * 0.08,
+		cores: make([]*gossip.Core, members), skew: make([]time.Duration, members)}
+	if seed%2 == 0 {
+		c.config = gossip.Wide
+	}
+	c.config.ForgetAfter = 10 * time.Second
+	if seed%3 == 0 {
+		c.config.BytesPerSecond, c.config.BurstBytes, c.config.MaxStatements, c.config.MaxEvidence = 2500, 3500, 12, 64
+	}
+	for i := range members {
+		c.skew[i] = time.Duration(c.rng.IntN(5)) * time.Hour
+	}
+	return c
+}
+
+func (c *cluster) start(i int, life uint64, seeds ...string) {
+	sign := func(s *gossip.Statement) {
+		s.Key = "k"
+		sum := sha256.Sum256(fmt.Append(nil, int(s.About), s.Signer, s.Life, s.Seq, s.At, s.Subject, s.Of, s.Num, s.Text))
+		copy(s.Sig[:], sum[:])
+	}
+	core, err := gossip.New(c.config, memberID(i), memberID(i), life, life+uint64(i), sign)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.cores[i] = core
+	c.step(i, gossip.Join{Addrs: seeds})
+}
+
+func (c *cluster) step(i int, events ...any) {
+	for _, a := range c.cores[i].Step(c.now+c.skew[i], events) {
+		c.r.coreAction(c.now, i, a)
+		s, ok := a.(gossip.Send)
+		if !ok {
+			continue
+		}
+		var to int
+		if n, _ := fmt.Sscanf(s.To, "m%d", &to); n != 1 || to >= len(c.cores) {
+			continue
+		}
+		if c.cut != nil && c.cut(i, to) || !s.Stream && c.rng.Float64() < c.loss {
+			continue
+		}
+		delay := time.Duration(c.rng.IntN(40)) * time.Millisecond
+		if c.rng.IntN(100) == 0 {
+			delay += 2 * time.Second
+		}
+		c.inFlight = append(c.inFlight, delivery{c.now + delay, to, s.Message})
+	}
+}
+
+// receive hands a message to a core without the statements that the core does not want.
+func (c *cluster) receive(to int, m gossip.Message) {
+	var wanted []gossip.Statement
+	for _, s := range m.Statements {
+		if c.cores[to].Wants(&s) {
+			wanted = append(wanted, s)
+		}
+	}
+	m.Statements = wanted
+	c.step(to, gossip.Received{Message: m})
+}
+
+func (c *cluster) run(span time.Duration) {
+	for end := c.now + span; c.now < end; {
+		c.now += 10 * time.Millisecond
+		due := []delivery{}
+		c.inFlight = slices.DeleteFunc(c.inFlight, func(d delivery) bool {
+			if d.at <= c.now {
+				due = append(due, d)
+			}
+			return d.at <= c.now
+		})
+		for _, d := range due {
+			if c.cores[d.to] != nil {
+				c.receive(d.to, d.message)
+			}
+		}
+		for i, core := range c.cores {
+			if core != nil && core.Due() <= c.now+c.skew[i] {
+				c.step(i)
+			}
+		}
+	}
+}
+
+// report has every running member say something of a worker.
+func (c *cluster) report(about gossip.About, worker, text string) {
+	for i, core := range c.cores {
+		if core != nil && c.rng.IntN(3) > 0 {
+			c.step(i, gossip.Say{Statement: gossip.Statement{About: about, Subject: worker, Of: 7, Text: text}})
+		}
+	}
+}
+
+func clusterSum(t *testing.T, seed uint64) string {
+	const members = 12
+	c := newCluster(t, seed, members)
+	words := make([]gossip.Statement, members)
+	for i := range words {
+		words[i] = gossip.Statement{About: gossip.IsAlive, Signer: memberID(i), Life: 100, Seq: 1, Text: memberID(i)}
+	}
+	for i := range members {
+		c.start(i, 100+uint64(i), memberID(0), memberID(members/2), "elsewhere")
+		if seed%4 == 1 {
+			c.step(i, gossip.Known{Words: words})
+			c.cores[i].Settle()
+		}
+	}
+	c.run(15 * time.Second)
+	c.report(gossip.Silent, "w1", "")
+	c.report(gossip.Failing, "w2", "renew")
+	c.report(gossip.Slow, "w3", "")
+	c.run(3 * time.Second)
+	c.report(gossip.Back, "w1", "")
+	c.report(gossip.IsAlive, "w1", "") // not about a worker: nothing comes of it
+	c.cores[3] = nil
+	c.cores[4] = nil
+	c.run(20 * time.Second)
+	c.start(3, 50, memberID(0)) // its clock was set back
+	c.start(4, 500, memberID(1))
+	c.cut = func(from, to int) bool { return (from < 4) != (to < 4) }
+	c.run(30 * time.Second)
+	c.cut = func(from, to int) bool { return from == 5 }
+	c.run(20 * time.Second)
+	c.cut = nil
+	// Another process with member 6's key, a replayed packet of an earlier incarnation, a doubt of member 7 by 8.
+	c.receive(1, gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: "other", Life: 900,
+		Statements: []gossip.Statement{{About: gossip.IsAlive, Signer: memberID(6), Life: 900, Seq: 3, Text: "other"}}})
+	c.step(2, gossip.Stale{Message: gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: memberID(6), Life: 1}, Seen: 1000})
+	for i := range 5 {
+		c.receive(9, gossip.Message{Kind: gossip.Kind(i), Want: true, From: memberID(8), Addr: memberID(8), Life: 108, Seq: 9,
+			Target: memberID(7), Statements: []gossip.Statement{{About: gossip.Doubts, Signer: memberID(8), Life: 108,
+				Seq: 1 << 20, Subject: memberID(7), Of: 107, Num: uint64(i)}}})
+	}
+	c.run(15 * time.Second)
+	for i, core := range c.cores {
+		if core != nil {
+			c.step(i, gossip.Admit{Admitted: func(id string) bool { return id != memberID(10) }})
+		}
+	}
+	c.run(25 * time.Second)
+	for _, core := range c.cores {
+		if core != nil {
+			c.r.final(core)
+		}
+	}
+	return c.r.hex()
+}
+
+// workerSum plays random events to the judge, the witness and the gate.
+func workerSum(seed uint64) string {
+	r, rng := newRecorder(), rand.New(rand.NewPCG(seed, 78))
+	judge, gate := gossip.NewJudge(gossip.LocalJudge), gossip.NewGate(gossip.LocalGate)
+	witness := gossip.NewWitness(gossip.LocalWitness, judge.Says)
+	now, started := time.Duration(0), map[string]uint64{}
+	for range 3000 {
+		now += time.Duration(rng.IntN(300)) * time.Millisecond
+		worker, signer := fmt.Sprint("w", rng.IntN(5)), fmt.Sprint("s", rng.IntN(6))
+		class := fmt.Sprint("c", rng.IntN(3))
+		about := gossip.About(rng.IntN(6))
+		var toJudge, toWitness []any
+		switch rng.IntN(9) {
+		case 0:
+			next := map[string]uint64{}
+			for w := range 5 {
+				if rng.IntN(6) > 0 {
+					next[fmt.Sprint("w", w)] = started[fmt.Sprint("w", w)]
+				}
+			}
+			if rng.IntN(10) == 0 {
+				next[worker]++
+			}
+			started = next
+			toJudge, toWitness = []any{gossip.Workers{Started: started}}, []any{gossip.Workers{Started: started}}
+		case 1:
+			toJudge, toWitness = []any{gossip.HeardOf{Worker: worker}}, []any{gossip.HeardOf{Worker: worker}}
+		case 2, 3:
+			toWitness = []any{gossip.Doubted{Worker: worker, About: about, Text: class}}
+		case 4:
+			toJudge = []any{gossip.Looked{Worker: worker, Alive: rng.IntN(2) > 0, Void: rng.IntN(5) == 0}}
+		default:
+			toJudge = []any{gossip.Claim{Worker: worker, Started: started[worker], About: gossip.About(2 + rng.IntN(4)),
+				Class: class, Signer: signer, Age: time.Duration(rng.IntN(6000)-200) * time.Millisecond},
+				gossip.Claim{Worker: worker, Started: started[worker], About: gossip.Silent, Signer: signer + "b"}}
+		}
+		r.write(now)
+		for _, a := range witness.Step(now, toWitness) {
+			s, _ := a.(gossip.Say)
+			r.write(1)
+			r.statement(&s.Statement)
+		}
+		for _, a := range judge.Step(now, toJudge) {
+			switch a := a.(type) {
+			case gossip.Look:
+				r.write(2, a.Worker)
+			case gossip.FoundSilent:
+				r.write(3, a.Worker)
+			}
+		}
+		due, ok := witness.Due()
+		r.write(due, ok, judge.Weight(signer), judge.Says(worker))
+		if rng.IntN(20) == 0 {
+			for _, s := range judge.Suspicions() {
+				r.write(s.Worker, s.About, s.Class, s.Weight, strings.Join(s.By, " "))
+			}
+		}
+		for range rng.IntN(60) {
+			r.write(gate.Allow(now, signer), gate.AllowMember(now, worker))
+		}
+		if rng.IntN(8) == 0 {
+			gate.Good(now, signer, worker)
+		}
+	}
+	s := judge.Stats()
+	r.write(s.Claims, s.Looks, s.Silent, s.Contradicted)
+	return r.hex()
+}
+
+func TestCharacterizationOfCluster(t *testing.T) {
+	for i, want := range clusterSums {
+		t.Run(fmt.Sprint("seed ", i+1), func(t *testing.T) {
+			if got := clusterSum(t, uint64(i+1)); got != want {
+				t.Errorf("%s, want %s", got, want)
+			}
+		})
+	}
+}
+
+func TestCharacterizationOfWorkerEvidence(t *testing.T) {
+	for i, want := range workerSums {
+		t.Run(fmt.Sprint("seed ", i+1), func(t *testing.T) {
+			if got := workerSum(uint64(i + 1)); got != want {
+				t.Errorf("%s, want %s", got, want)
+			}
+		})
+	}
+}
+
+var clusterSums = []string{
+	"28bd2a5b8cbc6f93dc5c805d6dec08edb83be8c9f16fe4f82ecbd6997e0cec8b",
+	"b03f8c5a4f8899e6561f151374b6767c776eac472d1d3c03203e9c449186b3cf",
+	"721de449449b1ebf10a327970f67a0d968ebcc2e1235c8c15bdc724be9b1311d",
+	"dc51e550e66f1a3418169651349c5c1dcbc515bd02a4454bb1c5349639e6bad2",
+	"511d0430fef781b808445a19f6ef96f01411f1f5ac7444e8688d02fe32c1e812",
+	"d803c672a46fcbf514dd8499af6ef35a81a77c2e36ebe378e2e4174dbc2d4bb0",
+	"cd788190330f843db2d572415691a560ac045bf30f871376407b3ac6ed708447",
+	"f218723f6583274180331d687a1812bc3f2472be3213bf764281e04059fbbcb2",
+}
+
+var workerSums = []string{
+	"9915a3072503e1b1656ebe2354bdf9994d95f924cabc9989194aefb5f9058c46",
+	"65953bdc0609e920f288f92c846994be83fce5891bd3d3965461b1617e3043ac",
+	"61e704a30a6d3126860a5bf492f7d313f3a21f9a35af864d3652185a851edc7c",
+	"90c8749a2a5f4382774022daa3db820ffddc4b4ae7677c805162c6c9670a38ff",
+}
--- /dev/null
+++ b/internal/gossip/gossipsim/characterization_test.go
@@ -0,0 +1,31 @@
+package gossipsim
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"testing"
+	"time"
+)
+
+// TestCharacterizationOfTrials holds the figures of seeded trials, and with them their JSON form, as one sum.
+func TestCharacterizationOfTrials(t *testing.T) {
+	sum := sha256.New()
+	for seed := range uint64(3) {
+		for _, trial := range []Trial{{}, {Loss: 0.05}, {Slow: 0.1}} {
+			trial.Members, trial.Seed = 24, seed+1
+			trial.Warm, trial.Steady, trial.After = 5*time.Second, 8*time.Second, 40*time.Second
+			r := trial.Run()
+			r.WallSeconds = 0
+			raw, err := json.Marshal(r)
+			if err != nil {
+				t.Fatal(err)
+			}
+			sum.Write(append(raw, '\n'))
+		}
+	}
+	const want = "f8c6b480dfb3aa722af5a075e7e60bcaf0d3da562e95194d6a9752017aac9ea8"
+	if got := hex.EncodeToString(sum.Sum(nil)); got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
