--- a/cmd/topazfront/gossip.go
+++ b/cmd/topazfront/gossip.go
@@ -65,12 +65,12 @@
 		fmt.Fprintf(w, "router\t%s at %s, signing with key %s\n", s.ID, s.Addr, s.Key)
 		fmt.Fprintf(w, "routers\t%d live, itself included; %d known; at most %d were live at once\n", s.Live, s.Members+1, s.MostLive)
 		fmt.Fprintf(w, "local health\t%d (0 is good)\n", s.Health)
-		fmt.Fprintf(w, "traffic\t%d messages sent, %d bytes; %d withheld for want of budget; %d received\n", s.Core.Sent,
-			s.Core.SentBytes, s.Core.Withheld, s.Received)
+		fmt.Fprintf(w, "traffic\t%d messages sent, %d bytes; %d withheld for want of budget; %d received\n", s.Core.MessagesSent,
+			s.Core.BytesSent, s.Core.Withheld, s.Received)
 		fmt.Fprintf(w, "routers doubted\t%d times, %d held to be dead; doubts of itself answered: %d\n", s.Core.Suspicions,
-			s.Core.Deaths, s.Core.Refuted)
-		fmt.Fprintf(w, "word of workers\t%d claims, %d looks, %d found silent, %d found well\n", s.Judge.Claims, s.Judge.Looks,
-			s.Judge.Silent, s.Judge.Contradicted)
+			s.Core.Deaths, s.Core.Refutations)
+		fmt.Fprintf(w, "word of workers\t%d claims, %d looks, %d found silent, %d found well\n", s.Judge.Claims, s.Judge.Checks,
+			s.Judge.ConfirmedSilent, s.Judge.Contradicted)
 		d := s.Dropped
 		fmt.Fprintf(w, "dropped\t%d packets: %d over the limit of checks, %d malformed, %d by unknown keys, %d with a bad signature, "+
 			"%d replayed, %d with the queue full; %d statements within others\n", d.Packets(), d.Limited, d.Malformed,
@@ -84,7 +84,7 @@
 	return ask(&c.running, "gossip.peers", func(w io.Writer, list []agent.Peer) {
 		fmt.Fprintln(w, "router\taddress\tstate\theard itself\tdoubted by\tweight\tkeys")
 		for _, p := range list {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%.2f\t%s\n", p.ID, p.Addr, p.State, p.Direct, p.Doubted, p.Weight,
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%.2f\t%s\n", p.ID, p.Addr, p.State, p.Direct, p.SuspectedBy, p.Weight,
 				strings.Join(p.Keys, " "))
 		}
 	})
@@ -96,7 +96,7 @@
 	return ask(&c.running, "gossip.suspicions", func(w io.Writer, list []gossip.Suspicion) {
 		fmt.Fprintln(w, "worker\tsaid to be\tclass\tweight\tby")
 		for _, s := range list {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%s\n", s.Worker, s.About, s.Class, s.Weight, strings.Join(s.By, " "))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%s\n", s.Worker, s.Kind, s.Class, s.Weight, strings.Join(s.Signers, " "))
 		}
 	})
 }
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -60,8 +60,8 @@
 	if g.ID != "" {
 		name = g.ID
 	}
-	c := agent.Config{ID: name, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.Local,
-		Judge: gossip.LocalJudge, Gate: gossip.LocalGate, Witness: gossip.LocalWitness,
+	c := agent.Config{ID: name, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.LocalConfig,
+		Judge: gossip.LocalSuspicionQuorumConfig, Gate: gossip.LocalPacketLimiterConfig, Witness: gossip.LocalEvidenceCollectorConfig,
 		LookTimeout: g.LookTimeout.Duration(), Seed: seed}
 	if p, ok := gossip.Presets[g.Preset]; ok {
 		c.Gossip = p
@@ -71,10 +71,10 @@
 		c.Gossip.BytesPerSecond = g.Bytes
 	}
 	if g.Messages > 0 {
-		c.Gossip.BurstMessages *= g.Messages / c.Gossip.MessagesPerSec
-		c.Gossip.MessagesPerSec = g.Messages
+		c.Gossip.BurstMessages *= g.Messages / c.Gossip.MessagesPerSecond
+		c.Gossip.MessagesPerSecond = g.Messages
 	}
-	c.Judge.Fresh = c.Gossip.Fresh
+	c.Judge.ClaimLifetime = c.Gossip.EvidenceLifetime
 	return c
 }
 
--- a/internal/fake/fakepeer/forger.go
+++ b/internal/fake/fakepeer/forger.go
@@ -23,7 +23,7 @@
 
 	conn net.PacketConn
 	rng  *rand.Rand
-	keys *gossip.Keys
+	keys *gossip.Keyring
 	own  ed25519.PrivateKey
 	Sent int
 }
@@ -52,12 +52,12 @@
 	if f.Stolen != nil {
 		own = f.Stolen(f.Names[i])
 	}
-	k := gossip.NewKeys(f.KeyIDs[i], own, uint64(time.Now().UnixNano()))
-	s := gossip.Statement{About: gossip.Silent, Signer: f.Names[i], Life: 1 << 61, Seq: 1, Subject: f.Worker, Of: f.Of}
-	k.Sign(&s)
-	alive := gossip.Statement{About: gossip.IsAlive, Signer: f.Names[i], Life: 1 << 61, Seq: 2, Text: f.Addr()}
-	k.Sign(&alive)
-	p, err := k.Seal(gossip.Message{Kind: gossip.Push, From: f.Names[i], Addr: f.Addr(), Life: 1 << 61,
+	k := gossip.NewKeyring(f.KeyIDs[i], own, uint64(time.Now().UnixNano()))
+	s := gossip.Statement{Kind: gossip.WorkerSilent, Signer: f.Names[i], Incarnation: 1 << 61, Seq: 1, Subject: f.Worker, SubjectIncarnation: f.Of}
+	k.SignStatement(&s)
+	alive := gossip.Statement{Kind: gossip.MemberAlive, Signer: f.Names[i], Incarnation: 1 << 61, Seq: 2, Text: f.Addr()}
+	k.SignStatement(&alive)
+	p, err := k.Seal(gossip.Message{Kind: gossip.Push, From: f.Names[i], Addr: f.Addr(), Incarnation: 1 << 61,
 		Statements: []gossip.Statement{s, alive}})
 	if err != nil {
 		return nil
--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -25,9 +25,9 @@
 	Advertise   string // where others reach it; empty: as it listens
 	Seeds       []string
 	Gossip      gossip.Config
-	Judge       gossip.JudgeConfig
-	Gate        gossip.GateConfig
-	Witness     gossip.WitnessConfig
+	Judge       gossip.SuspicionQuorumConfig
+	Gate        gossip.PacketLimiterConfig
+	Witness     gossip.EvidenceCollectorConfig
 	LookTimeout time.Duration
 	Seed        uint64
 	Life        uint64 // 0: the start time
@@ -85,17 +85,17 @@
 
 // Status is how an agent stands.
 type Status struct {
-	ID       string            `json:"id"`
-	Addr     string            `json:"address"`
-	Key      string            `json:"key"`
-	Members  int               `json:"members"`
-	Live     int               `json:"live"`
-	MostLive int               `json:"most_live"`
-	Health   int               `json:"local_health"` // 0 is good
-	Received uint64            `json:"received"`
-	Core     gossip.Stats      `json:"core"`
-	Judge    gossip.JudgeStats `json:"judge"`
-	Dropped  Dropped           `json:"dropped"`
+	ID       string                      `json:"id"`
+	Addr     string                      `json:"address"`
+	Key      string                      `json:"key"`
+	Members  int                         `json:"members"`
+	Live     int                         `json:"live"`
+	MostLive int                         `json:"most_live"`
+	Health   int                         `json:"local_health"` // 0 is good
+	Received uint64                      `json:"received"`
+	Core     gossip.Stats                `json:"core"`
+	Judge    gossip.SuspicionQuorumStats `json:"judge"`
+	Dropped  Dropped                     `json:"dropped"`
 }
 
 // Peer is a member as the operators see it.
@@ -136,10 +136,10 @@
 
 	// Of the loop.
 	core     *gossip.Core
-	keys     *gossip.Keys
-	gate     *gossip.Gate
-	judge    *gossip.Judge
-	witness  *gossip.Witness
+	keys     *gossip.Keyring
+	gate     *gossip.PacketLimiter
+	judge    *gossip.SuspicionQuorum
+	witness  *gossip.EvidenceCollector
 	toCore   []any
 	toJudge  []any
 	toWit    []any
@@ -165,18 +165,18 @@
 	if life == 0 {
 		life = uint64(a.begin.UnixNano())
 	}
-	a.keys = gossip.NewKeys(cfg.Key.Name, cfg.Key.Private, life)
+	a.keys = gossip.NewKeyring(cfg.Key.Name, cfg.Key.Private, life)
 	var err error
-	a.core, err = gossip.New(cfg.Gossip, cfg.ID, a.addr, life, cfg.Seed, a.keys.Sign)
+	a.core, err = gossip.NewCore(cfg.Gossip, cfg.ID, a.addr, life, cfg.Seed, a.keys.SignStatement)
 	if err != nil {
 		a.shut()
 		return nil, err
 	}
-	a.gate = gossip.NewGate(cfg.Gate)
-	a.judge = gossip.NewJudge(cfg.Judge)
-	a.witness = gossip.NewWitness(cfg.Witness, a.judge.Says)
+	a.gate = gossip.NewPacketLimiter(cfg.Gate)
+	a.judge = gossip.NewSuspicionQuorum(cfg.Judge)
+	a.witness = gossip.NewEvidenceCollector(cfg.Witness, a.judge.SilenceWeight)
 	a.admit(cfg.Members)
-	a.toCore = append(a.toCore, gossip.Join{Addrs: cfg.Seeds})
+	a.toCore = append(a.toCore, gossip.Join{Addresses: cfg.Seeds})
 	a.log.Info("gossip", "address", a.addr, "key", cfg.Key.Name, "admitted", len(cfg.Members), "seeds", len(cfg.Seeds))
 	go a.loop()
 	a.reading.Go(a.read)
@@ -358,22 +358,22 @@
 	switch o := o.(type) {
 	case gossip.Send:
 		a.send(o)
-	case gossip.Change:
+	case gossip.MemberStateChanged:
 		a.log.Info("peer", "peer", o.ID, "state", o.State)
 		if o.State == gossip.Dead && a.cfg.Dead != nil {
 			a.cfg.Dead(o.ID)
 		}
-	case gossip.Live:
+	case gossip.LiveCountIncreased:
 		a.router.ApplyGossip(dispatch.GossipUpdate{Routers: o.Count})
-	case gossip.Heard:
+	case gossip.EvidenceReceived:
 		s := &o.Statement
-		a.log.Debug("word of a worker", "worker", s.Subject, "is", s.About, "class", s.Text, "by", s.Signer, "age", o.Age)
-		a.toJudge = append(a.toJudge, gossip.Claim{Worker: s.Subject, Started: s.Of, About: s.About, Class: s.Text,
+		a.log.Debug("word of a worker", "worker", s.Subject, "is", s.Kind, "class", s.Text, "by", s.Signer, "age", o.Age)
+		a.toJudge = append(a.toJudge, gossip.Claim{Worker: s.Subject, Started: s.SubjectIncarnation, Kind: s.Kind, Class: s.Text,
 			Signer: s.Signer, Age: o.Age})
-	case gossip.Raise:
-		a.keys.Raise(o.To)
-		a.log.Warn("an earlier life of this router counted further; was the clock set back?", "to", o.To)
-	case gossip.Twin:
+	case gossip.IncarnationRaised:
+		a.keys.AdvanceCounter(o.Above)
+		a.log.Warn("an earlier life of this router counted further; was the clock set back?", "to", o.Above)
+	case gossip.DuplicateMember:
 		if now := a.now(); now-a.twinTold > 10*time.Second {
 			a.twinTold = now
 			a.log.Error("another process speaks under this router's name and key", "from", o.Addr)
@@ -383,13 +383,13 @@
 
 func (a *Agent) actJudge(o any) {
 	switch o := o.(type) {
-	case gossip.Look:
-		a.router.VerifyWorker(o.Worker, a.cfg.Judge.Heard, a.cfg.LookTimeout, func(alive, void bool) {
+	case gossip.CheckWorker:
+		a.router.VerifyWorker(o.Worker, a.cfg.Judge.RecentlyHeard, a.cfg.LookTimeout, func(alive, void bool) {
 			a.post(func() {
-				a.toJudge = append(a.toJudge, gossip.Looked{Worker: o.Worker, Alive: alive, Void: void})
+				a.toJudge = append(a.toJudge, gossip.WorkerChecked{Worker: o.Worker, Alive: alive, Skipped: void})
 			})
 		})
-	case gossip.FoundSilent:
+	case gossip.SilenceConfirmed:
 		a.log.Info("peers' word of a silent worker bears out", "worker", o.Worker)
 		a.router.ApplyGossip(dispatch.GossipUpdate{SuspectedWorkers: []string{o.Worker}})
 	}
@@ -436,7 +436,7 @@
 		a.dropped.Malformed++
 		return
 	}
-	if !a.gate.Allow(now, src) {
+	if !a.gate.AllowPacket(now, src) {
 		a.dropped.Limited++
 		return
 	}
@@ -451,7 +451,7 @@
 	case errors.Is(err, gossip.ErrReplay):
 		a.dropped.Replay++
 		if errors.Is(err, gossip.ErrStale) {
-			a.toCore = append(a.toCore, gossip.Stale{Message: m, Seen: seen})
+			a.toCore = append(a.toCore, gossip.StaleMessage{Message: m, Seen: seen})
 		}
 	}
 	if err != nil {
@@ -460,14 +460,14 @@
 	}
 	a.received++
 	if !stream {
-		a.gate.Good(now, src, m.From)
+		a.gate.Authenticated(now, src, m.From)
 	}
 	keep := m.Statements[:0]
 	for i := range m.Statements {
 		s := &m.Statements[i]
 		switch {
 		case !a.core.Wants(s):
-		case !a.gate.AllowMember(now, m.From) || a.keys.Check(s) != nil:
+		case !a.gate.AllowStatement(now, m.From) || a.keys.VerifyStatement(s) != nil:
 			a.dropped.Statements++
 		default:
 			keep = append(keep, *s)
@@ -475,19 +475,19 @@
 	}
 	m.Statements = keep
 	// One at a time, as what the core wants depends on what it has learned.
-	for _, o := range a.core.Step(now, append(drain(&a.toCore), gossip.Received{Message: m})) {
+	for _, o := range a.core.Step(now, append(drain(&a.toCore), gossip.MessageReceived{Message: m})) {
 		a.act(o)
 	}
 }
 
 // admit follows the list of admitted members.
 func (a *Agent) admit(m Members) {
-	a.keys.Admit(m)
-	a.toCore = append(a.toCore, gossip.Admit{Admitted: func(id string) bool { return id == a.cfg.ID || m[id] != nil }})
-	if own := m[a.cfg.ID][a.keys.Name()]; own == nil {
-		a.log.Warn("this router's own key is not among the admitted ones", "key", a.keys.Name())
+	a.keys.SetAdmitted(m)
+	a.toCore = append(a.toCore, gossip.AdmissionChanged{Admitted: func(id string) bool { return id == a.cfg.ID || m[id] != nil }})
+	if own := m[a.cfg.ID][a.keys.OwnKeyName()]; own == nil {
+		a.log.Warn("this router's own key is not among the admitted ones", "key", a.keys.OwnKeyName())
 	} else if pub, ok := a.cfg.Key.Private.Public().(ed25519.PublicKey); !ok || !pub.Equal(own) {
-		a.log.Error("the admitted key of this router's is not the one that it signs with", "key", a.keys.Name())
+		a.log.Error("the admitted key of this router's is not the one that it signs with", "key", a.keys.OwnKeyName())
 	}
 }
 
@@ -505,7 +505,7 @@
 	a.post(func() {
 		a.log.Info("own key", "key", k.Name)
 		a.cfg.Key = k
-		a.keys.Use(k.Name, k.Private)
+		a.keys.SetOwnKey(k.Name, k.Private)
 		a.admit(a.cfg.Members)
 	})
 }
@@ -513,29 +513,29 @@
 // SetWorkers follows the list of workers: start times in Unix milliseconds, 0 for long ago.
 func (a *Agent) SetWorkers(started map[string]uint64) {
 	a.post(func() {
-		a.toWit = append(a.toWit, gossip.Workers{Started: started})
-		a.toJudge = append(a.toJudge, gossip.Workers{Started: started})
+		a.toWit = append(a.toWit, gossip.WorkerList{Started: started})
+		a.toJudge = append(a.toJudge, gossip.WorkerList{Started: started})
 	})
 }
 
 // Doubted tells of a doubt that the router has by its own evidence.
 func (a *Agent) ReportSuspicion(d dispatch.ReportSuspicion) {
-	about := gossip.Silent
+	about := gossip.WorkerSilent
 	if d.Slow {
-		about = gossip.Slow
+		about = gossip.WorkerSlow
 	} else if d.Class != "" {
-		about = gossip.Failing
+		about = gossip.WorkerFailing
 	}
 	a.post(func() {
-		a.toWit = append(a.toWit, gossip.Doubted{Worker: d.Worker, About: about, Text: d.Class})
+		a.toWit = append(a.toWit, gossip.WorkerSuspected{Worker: d.Worker, Kind: about, Class: d.Class})
 	})
 }
 
 // HeardOf tells that a worker that was doubted to be silent gave a sign of life.
 func (a *Agent) ReportAlive(worker string) {
 	a.post(func() {
-		a.toWit = append(a.toWit, gossip.HeardOf{Worker: worker})
-		a.toJudge = append(a.toJudge, gossip.HeardOf{Worker: worker})
+		a.toWit = append(a.toWit, gossip.WorkerHeard{Worker: worker})
+		a.toJudge = append(a.toJudge, gossip.WorkerHeard{Worker: worker})
 	})
 }
 
@@ -555,7 +555,7 @@
 // Status tells how the agent stands.
 func (a *Agent) Status() Status {
 	return ask(a, func() Status {
-		s := Status{ID: a.cfg.ID, Addr: a.addr, Key: a.keys.Name(), Members: len(a.core.Members()), Live: a.core.Live(),
+		s := Status{ID: a.cfg.ID, Addr: a.addr, Key: a.keys.OwnKeyName(), Members: len(a.core.Members()), Live: a.core.Live(),
 			MostLive: a.core.Stats().MostLive, Health: a.core.Health(), Received: a.received, Core: a.core.Stats(),
 			Judge: a.judge.Stats(), Dropped: a.dropped}
 		a.mu.Lock()
@@ -570,7 +570,7 @@
 	return ask(a, func() (out []Peer) {
 		for _, m := range a.core.Members() {
 			out = append(out, Peer{Member: m, State: m.State.String(), Weight: a.judge.Weight(m.ID),
-				Keys: slices.Sorted(maps.Keys(a.keys.Admitted(m.ID)))})
+				Keys: slices.Sorted(maps.Keys(a.keys.AdmittedKeys(m.ID)))})
 		}
 		return out
 	})
@@ -584,7 +584,7 @@
 // Keys lists the admitted keys by name.
 func (a *Agent) Keys() KeyList {
 	return ask(a, func() KeyList {
-		out := KeyList{Own: a.keys.Name(), Members: map[string][]string{}}
+		out := KeyList{Own: a.keys.OwnKeyName(), Members: map[string][]string{}}
 		for id, k := range a.cfg.Members {
 			out.Members[id] = slices.Sorted(maps.Keys(k))
 		}
--- a/internal/gossip/agent/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -78,15 +78,15 @@
 
 // quick is a protocol that tests needn't wait for.
 func quick() gossip.Config {
-	c := gossip.Local
-	c.ProbeEvery, c.ProbeTimeout, c.SyncEvery, c.ForgetAfter = 100*time.Millisecond, 40*time.Millisecond, time.Second, 3*time.Second
-	c.PushEvery, c.BytesPerSecond, c.BurstBytes, c.MessagesPerSec, c.BurstMessages = 20*time.Millisecond, 40000, 40000, 400, 400
+	c := gossip.LocalConfig
+	c.ProbeInterval, c.ProbeTimeout, c.SyncInterval, c.DeadMemberRetention = 100*time.Millisecond, 40*time.Millisecond, time.Second, 3*time.Second
+	c.PushInterval, c.BytesPerSecond, c.BurstBytes, c.MessagesPerSecond, c.BurstMessages = 20*time.Millisecond, 40000, 40000, 400, 400
 	return c
 }
 
 func (g *group) config(i int) agent.Config {
-	c := agent.Config{ID: g.ids[i], Listen: "127.0.0.1:0", Gossip: quick(), Judge: gossip.LocalJudge, Gate: gossip.LocalGate,
-		Witness: gossip.LocalWitness, LookTimeout: time.Second, Seed: uint64(i), Members: admit(g.ids, "k1"),
+	c := agent.Config{ID: g.ids[i], Listen: "127.0.0.1:0", Gossip: quick(), Judge: gossip.LocalSuspicionQuorumConfig, Gate: gossip.LocalPacketLimiterConfig,
+		Witness: gossip.LocalEvidenceCollectorConfig, LookTimeout: time.Second, Seed: uint64(i), Members: admit(g.ids, "k1"),
 		Key: agent.Key{Name: "k1", Private: keyOf(g.ids[i], "k1")}}
 	c.Seeds = g.addrs[:min(2, len(g.addrs))]
 	m := g.meters[i]
@@ -104,7 +104,7 @@
 	c := quick()
 	for i := range n {
 		g.ids = append(g.ids, fmt.Sprintf("r%d", i))
-		g.meters = append(g.meters, &fakepeer.Meter{Rate: c.BytesPerSecond, Burst: c.BurstBytes, PerSec: c.MessagesPerSec, Count: c.BurstMessages})
+		g.meters = append(g.meters, &fakepeer.Meter{Rate: c.BytesPerSecond, Burst: c.BurstBytes, PerSec: c.MessagesPerSecond, Count: c.BurstMessages})
 	}
 	for i := range n {
 		r := &script{dead: map[string]bool{}, notify: make(chan struct{}, 1)}
@@ -151,7 +151,7 @@
 	})
 	g.until("the operators to see the failing class", func() bool {
 		return slices.ContainsFunc(g.agents[4].Suspicions(), func(s gossip.Suspicion) bool {
-			return s.Worker == "w2" && s.About == "failing" && s.Class == "renew" && slices.Equal(s.By, []string{"r1"})
+			return s.Worker == "w2" && s.Kind == "failing" && s.Class == "renew" && slices.Equal(s.Signers, []string{"r1"})
 		})
 	})
 	for i, r := range g.routers {
@@ -245,7 +245,7 @@
 		if s.Live != 4 || s.Judge.Claims > 0 {
 			t.Errorf("after a flood agent %d has %d live and %d claims", i, s.Live, s.Judge.Claims)
 		}
-		most := gossip.LocalGate.Strangers*(time.Since(began).Seconds()+2) + 100 // with those of before
+		most := gossip.LocalPacketLimiterConfig.ChecksOfUnknown*(time.Since(began).Seconds()+2) + 100 // with those of before
 		if checked := s.Dropped.Signature + s.Dropped.UnknownKey; float64(checked) > most {
 			t.Errorf("agent %d checked %d of the flood's signatures, %.0f are allowed", i, checked, most)
 		}
@@ -359,7 +359,7 @@
 	life := func() (n uint64) {
 		for _, p := range g.agents[0].Peers() {
 			if p.ID == "r2" && p.State == "alive" {
-				n = p.Life
+				n = p.Incarnation
 			}
 		}
 		return n
@@ -388,7 +388,7 @@
 		a.Close()
 		t.Error("two agents on one port")
 	}
-	c.Listen, c.Gossip.PacketBytes = "127.0.0.1:0", 9000
+	c.Listen, c.Gossip.MaxPacketBytes = "127.0.0.1:0", 9000
 	if a, err := agent.Start(c, g.routers[0]); err == nil {
 		a.Close()
 		t.Error("packets of 9000 bytes")
--- a/internal/gossip/agent/compare_test.go
+++ b/internal/gossip/agent/compare_test.go
@@ -103,7 +103,7 @@
 		for i := range members {
 			c := memberlist.DefaultLANConfig()
 			c.Name, c.BindAddr, c.BindPort = fmt.Sprintf("m%d", i), "127.0.0.1", 0
-			c.ProbeInterval, c.ProbeTimeout = gossip.Local.ProbeEvery, gossip.Local.ProbeTimeout
+			c.ProbeInterval, c.ProbeTimeout = gossip.LocalConfig.ProbeInterval, gossip.LocalConfig.ProbeTimeout
 			c.Logger, c.Events = log.New(io.Discard, "", 0), events{f}
 			nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, Logger: c.Logger})
 			if err != nil {
@@ -147,8 +147,8 @@
 		}
 		for i := range members {
 			m := &fakepeer.Meter{}
-			c := agent.Config{ID: ids[i], Listen: "127.0.0.1:0", Seeds: addrs[:min(1, len(addrs))], Gossip: gossip.Local,
-				Judge: gossip.LocalJudge, Gate: gossip.LocalGate, Witness: gossip.LocalWitness, Seed: uint64(i),
+			c := agent.Config{ID: ids[i], Listen: "127.0.0.1:0", Seeds: addrs[:min(1, len(addrs))], Gossip: gossip.LocalConfig,
+				Judge: gossip.LocalSuspicionQuorumConfig, Gate: gossip.LocalPacketLimiterConfig, Witness: gossip.LocalEvidenceCollectorConfig, Seed: uint64(i),
 				Members: admit(ids, "k1"), Key: agent.Key{Name: "k1", Private: keyOf(ids[i], "k1")},
 				Dead: f.add,
 				Hooks: agent.Hooks{Packets: func(pc net.PacketConn) net.PacketConn {
--- a/internal/gossip/agent/golden_test.go
+++ b/internal/gossip/agent/golden_test.go
@@ -16,17 +16,17 @@
 		want  string
 	}{
 		{"status", agent.Status{ID: "r1", Addr: "a:1", Key: "k1", Members: 1, Live: 2, MostLive: 3, Health: 4, Received: 5,
-			Core:    gossip.Stats{Sent: 6, SentBytes: 7, Withheld: 8, Suspicions: 9, Deaths: 10, Refuted: 11, MostLive: 12},
-			Judge:   gossip.JudgeStats{Claims: 13, Looks: 14, Silent: 15, Contradicted: 16},
+			Core:    gossip.Stats{MessagesSent: 6, BytesSent: 7, Withheld: 8, Suspicions: 9, Deaths: 10, Refutations: 11, MostLive: 12},
+			Judge:   gossip.SuspicionQuorumStats{Claims: 13, Checks: 14, ConfirmedSilent: 15, Contradicted: 16},
 			Dropped: agent.Dropped{Limited: 17, Malformed: 18, UnknownKey: 19, Signature: 20, Replay: 21, Queue: 22, Statements: 23}},
 			`{"id":"r1","address":"a:1","key":"k1","members":1,"live":2,"most_live":3,"local_health":4,"received":5,` +
 				`"core":{"messages_sent":6,"bytes_sent":7,"withheld":8,"suspicions":9,"deaths":10,"refuted":11,"most_live":12},` +
 				`"judge":{"claims":13,"looks":14,"found_silent":15,"contradicted":16},` +
 				`"dropped":{"over_the_limit":17,"malformed":18,"unknown_key":19,"bad_signature":20,"replayed":21,"queue_full":22,"statements":23}}`},
-		{"peer", agent.Peer{Member: gossip.Member{ID: "r2", Addr: "b:2", State: gossip.Suspect, Life: 7, Direct: true, Doubted: 2},
+		{"peer", agent.Peer{Member: gossip.Member{ID: "r2", Addr: "b:2", State: gossip.Suspect, Incarnation: 7, Direct: true, SuspectedBy: 2},
 			State: "suspect", Weight: 0.5, Keys: []string{"k1", "k2"}},
 			`{"id":"r2","address":"b:2","life":7,"direct":true,"doubted_by":2,"state":"suspect","weight":0.5,"keys":["k1","k2"]}`},
-		{"suspicion", gossip.Suspicion{Worker: "w1", About: gossip.Failing.String(), Class: "c", Weight: 2, By: []string{"r1"}},
+		{"suspicion", gossip.Suspicion{Worker: "w1", Kind: gossip.WorkerFailing.String(), Class: "c", Weight: 2, Signers: []string{"r1"}},
 			`{"worker":"w1","about":"failing","class":"c","weight":2,"by":["r1"]}`},
 		{"keys", agent.KeyList{Own: "k1", Members: map[string][]string{"r1": {"k1"}}}, `{"own":"k1","members":{"r1":["k1"]}}`},
 	} {
--- a/internal/gossip/agent/property_test.go
+++ b/internal/gossip/agent/property_test.go
@@ -29,7 +29,7 @@
 func TestWordBelowTheQuorumChangesNoSend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		alone, told := module(t), module(t)
-		judge := gossip.NewJudge(gossip.LocalJudge)
+		judge := gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig)
 		now, next := time.Hour, dispatch.RequestID(0)
 		open := map[dispatch.RequestID][]dispatch.StartAttempt{}
 		starts := map[string]uint64{}
@@ -56,7 +56,7 @@
 				}
 				starts[w] = uint64(m.StartedAt / time.Millisecond)
 				play(dispatch.EndpointUpdate{Endpoints: []dispatch.Endpoint{m}})
-				judge.Step(now, []any{gossip.Workers{Started: starts}})
+				judge.Step(now, []any{gossip.WorkerList{Started: starts}})
 			case op == 1 || op == 2:
 				next++
 				play(dispatch.Request{ID: next, Function: w, Class: "c", MemoryMB: 10, ConcurrencyPerInstance: 2, RemainingDeadline: 3 * time.Second})
@@ -73,9 +73,9 @@
 				}
 			default:
 				c := gossip.Claim{Worker: w, Started: starts[w], Signer: "liar",
-					About: gossip.About(rapid.IntRange(int(gossip.Silent), int(gossip.Back)).Draw(t, "about"))}
-				for _, o := range judge.Step(now, []any{c, gossip.Looked{Worker: w}}) {
-					if s, ok := o.(gossip.FoundSilent); ok {
+					Kind: gossip.StatementKind(rapid.IntRange(int(gossip.WorkerSilent), int(gossip.ClaimWithdrawn)).Draw(t, "about"))}
+				for _, o := range judge.Step(now, []any{c, gossip.WorkerChecked{Worker: w}}) {
+					if s, ok := o.(gossip.SilenceConfirmed); ok {
 						told.Step(now, []dispatch.Event{dispatch.GossipUpdate{SuspectedWorkers: []string{s.Worker}}})
 					}
 				}
--- a/internal/gossip/characterization_test.go
+++ b/internal/gossip/characterization_test.go
@@ -53,11 +53,11 @@
 }
 
 func (r recorder) statement(s *gossip.Statement) {
-	r.write(int(s.About), s.Signer, s.Key, s.Life, s.Seq, s.At, s.Subject, s.Of, s.Num, s.Text, s.Sig[:])
+	r.write(int(s.Kind), s.Signer, s.Key, s.Incarnation, s.Seq, s.SignedAt, s.Subject, s.SubjectIncarnation, s.SubjectSeq, s.Text, s.Signature[:])
 }
 
 func (r recorder) message(m *gossip.Message) {
-	r.write(int(m.Kind), m.Want, m.Back, m.Count, m.Life, m.Now, m.Seq, m.Seen, m.From, m.Addr, m.Target, len(m.Statements))
+	r.write(int(m.Kind), m.WantAlive, m.Reply, m.Counter, m.Incarnation, m.SentAt, m.ProbeSeq, m.ReceiverSeen, m.From, m.Addr, m.Target, len(m.Statements))
 	for i := range m.Statements {
 		r.statement(&m.Statements[i])
 	}
@@ -70,16 +70,16 @@
 	case gossip.Send:
 		r.write(1, a.To, a.Stream)
 		r.message(&a.Message)
-	case gossip.Change:
+	case gossip.MemberStateChanged:
 		r.write(2, a.ID, int(a.State))
-	case gossip.Heard:
+	case gossip.EvidenceReceived:
 		r.write(3, a.Age)
 		r.statement(&a.Statement)
-	case gossip.Live:
+	case gossip.LiveCountIncreased:
 		r.write(4, a.Count)
-	case gossip.Raise:
-		r.write(5, a.To)
-	case gossip.Twin:
+	case gossip.IncarnationRaised:
+		r.write(5, a.Above)
+	case gossip.DuplicateMember:
 		r.write(6, a.Addr)
 	default:
 		panic(fmt.Sprintf("no encoding of %T", action))
@@ -89,13 +89,13 @@
 // final writes what a core holds at the end of a run.
 func (r recorder) final(c *gossip.Core) {
 	for _, m := range c.Members() {
-		r.write(m.ID, m.Addr, int(m.State), m.Life, m.Direct, m.Doubted)
+		r.write(m.ID, m.Addr, int(m.State), m.Incarnation, m.Direct, m.SuspectedBy)
 	}
 	for _, s := range c.Evidence() {
 		r.statement(&s)
 	}
 	s := c.Stats()
-	r.write(c.Live(), c.Health(), c.Due(), s.Sent, s.SentBytes, s.Withheld, s.Suspicions, s.Deaths, s.Refuted, s.MostLive)
+	r.write(c.Live(), c.Health(), c.Due(), s.MessagesSent, s.BytesSent, s.Withheld, s.Suspicions, s.Deaths, s.Refutations, s.MostLive)
 }
 
 func (r recorder) hex() string { return hex.EncodeToString(r.sum.Sum(nil)) }
@@ -124,14 +124,14 @@
 func memberID(i int) string { return fmt.Sprintf("m%02d", i) }
 
 func newCluster(t *testing.T, seed uint64, members int) *cluster {
-	c := &cluster{t: t, r: newRecorder(), rng: rand.New(rand.NewPCG(seed, 77)), config: gossip.Local, loss: float64(seed%4) * 0.08,
+	c := &cluster{t: t, r: newRecorder(), rng: rand.New(rand.NewPCG(seed, 77)), config: gossip.LocalConfig, loss: float64(seed%4) * 0.08,
 		cores: make([]*gossip.Core, members), skew: make([]time.Duration, members)}
 	if seed%2 == 0 {
-		c.config = gossip.Wide
+		c.config = gossip.WideConfig
 	}
-	c.config.ForgetAfter = 10 * time.Second
+	c.config.DeadMemberRetention = 10 * time.Second
 	if seed%3 == 0 {
-		c.config.BytesPerSecond, c.config.BurstBytes, c.config.MaxStatements, c.config.MaxEvidence = 2500, 3500, 12, 64
+		c.config.BytesPerSecond, c.config.BurstBytes, c.config.MaxQueuedStatements, c.config.MaxEvidence = 2500, 3500, 12, 64
 	}
 	for i := range members {
 		c.skew[i] = time.Duration(c.rng.IntN(5)) * time.Hour
@@ -142,15 +142,15 @@
 func (c *cluster) start(i int, life uint64, seeds ...string) {
 	sign := func(s *gossip.Statement) {
 		s.Key = "k"
-		sum := sha256.Sum256(fmt.Append(nil, int(s.About), s.Signer, s.Life, s.Seq, s.At, s.Subject, s.Of, s.Num, s.Text))
-		copy(s.Sig[:], sum[:])
+		sum := sha256.Sum256(fmt.Append(nil, int(s.Kind), s.Signer, s.Incarnation, s.Seq, s.SignedAt, s.Subject, s.SubjectIncarnation, s.SubjectSeq, s.Text))
+		copy(s.Signature[:], sum[:])
 	}
-	core, err := gossip.New(c.config, memberID(i), memberID(i), life, life+uint64(i), sign)
+	core, err := gossip.NewCore(c.config, memberID(i), memberID(i), life, life+uint64(i), sign)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	c.cores[i] = core
-	c.step(i, gossip.Join{Addrs: seeds})
+	c.step(i, gossip.Join{Addresses: seeds})
 }
 
 func (c *cluster) step(i int, events ...any) {
@@ -184,7 +184,7 @@
 		}
 	}
 	m.Statements = wanted
-	c.step(to, gossip.Received{Message: m})
+	c.step(to, gossip.MessageReceived{Message: m})
 }
 
 func (c *cluster) run(span time.Duration) {
@@ -211,10 +211,10 @@
 }
 
 // report has every running member say something of a worker.
-func (c *cluster) report(about gossip.About, worker, text string) {
+func (c *cluster) report(about gossip.StatementKind, worker, text string) {
 	for i, core := range c.cores {
 		if core != nil && c.rng.IntN(3) > 0 {
-			c.step(i, gossip.Say{Statement: gossip.Statement{About: about, Subject: worker, Of: 7, Text: text}})
+			c.step(i, gossip.Publish{Statement: gossip.Statement{Kind: about, Subject: worker, SubjectIncarnation: 7, Text: text}})
 		}
 	}
 }
@@ -224,22 +224,22 @@
 	c := newCluster(t, seed, members)
 	words := make([]gossip.Statement, members)
 	for i := range words {
-		words[i] = gossip.Statement{About: gossip.IsAlive, Signer: memberID(i), Life: 100, Seq: 1, Text: memberID(i)}
+		words[i] = gossip.Statement{Kind: gossip.MemberAlive, Signer: memberID(i), Incarnation: 100, Seq: 1, Text: memberID(i)}
 	}
 	for i := range members {
 		c.start(i, 100+uint64(i), memberID(0), memberID(members/2), "elsewhere")
 		if seed%4 == 1 {
-			c.step(i, gossip.Known{Words: words})
-			c.cores[i].Settle()
+			c.step(i, gossip.KnownMembers{Statements: words})
+			c.cores[i].MarkAllDirect()
 		}
 	}
 	c.run(15 * time.Second)
-	c.report(gossip.Silent, "w1", "")
-	c.report(gossip.Failing, "w2", "renew")
-	c.report(gossip.Slow, "w3", "")
+	c.report(gossip.WorkerSilent, "w1", "")
+	c.report(gossip.WorkerFailing, "w2", "renew")
+	c.report(gossip.WorkerSlow, "w3", "")
 	c.run(3 * time.Second)
-	c.report(gossip.Back, "w1", "")
-	c.report(gossip.IsAlive, "w1", "") // not about a worker: nothing comes of it
+	c.report(gossip.ClaimWithdrawn, "w1", "")
+	c.report(gossip.MemberAlive, "w1", "") // not about a worker: nothing comes of it
 	c.cores[3] = nil
 	c.cores[4] = nil
 	c.run(20 * time.Second)
@@ -252,24 +252,24 @@
 	c.cut = nil
 	// Another process with member 6's key, a replayed packet of an earlier incarnation, a doubt of member 7 by 8.
 	for i := range 3 { // the third one comes sooner than a member may raise its incarnation again
-		c.receive(6, gossip.Message{Kind: gossip.Push, From: memberID(5), Addr: memberID(5), Life: 105,
-			Statements: []gossip.Statement{{About: gossip.IsAlive, Signer: memberID(6), Life: 900 + 10*uint64(i), Seq: 3, Text: "other"}}})
+		c.receive(6, gossip.Message{Kind: gossip.Push, From: memberID(5), Addr: memberID(5), Incarnation: 105,
+			Statements: []gossip.Statement{{Kind: gossip.MemberAlive, Signer: memberID(6), Incarnation: 900 + 10*uint64(i), Seq: 3, Text: "other"}}})
 		c.run(time.Duration(2-i) * time.Second)
 	}
-	c.receive(1, gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: "other", Life: 2000,
-		Statements: []gossip.Statement{{About: gossip.IsAlive, Signer: memberID(6), Life: 2000, Seq: 3, Text: "other"}}})
-	c.step(2, gossip.Stale{Message: gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: memberID(6), Life: 1}, Seen: 1000})
+	c.receive(1, gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: "other", Incarnation: 2000,
+		Statements: []gossip.Statement{{Kind: gossip.MemberAlive, Signer: memberID(6), Incarnation: 2000, Seq: 3, Text: "other"}}})
+	c.step(2, gossip.StaleMessage{Message: gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: memberID(6), Incarnation: 1}, Seen: 1000})
 	for i := range 5 {
-		c.receive(9, gossip.Message{Kind: gossip.Kind(i), Want: true, From: memberID(8), Addr: memberID(8), Life: 108, Seq: 9,
-			Target: memberID(7), Statements: []gossip.Statement{{About: gossip.Doubts, Signer: memberID(8), Life: 108,
-				Seq: 1 << 20, Subject: memberID(7), Of: 107, Num: uint64(i)}}})
+		c.receive(9, gossip.Message{Kind: gossip.MessageKind(i), WantAlive: true, From: memberID(8), Addr: memberID(8), Incarnation: 108, ProbeSeq: 9,
+			Target: memberID(7), Statements: []gossip.Statement{{Kind: gossip.MemberSuspected, Signer: memberID(8), Incarnation: 108,
+				Seq: 1 << 20, Subject: memberID(7), SubjectIncarnation: 107, SubjectSeq: uint64(i)}}})
 	}
 	c.run(15 * time.Second)
-	c.report(gossip.Silent, "w4", "")
+	c.report(gossip.WorkerSilent, "w4", "")
 	c.run(time.Second)
 	for i, core := range c.cores {
 		if core != nil {
-			c.step(i, gossip.Admit{Admitted: func(id string) bool { return id != memberID(10) }})
+			c.step(i, gossip.AdmissionChanged{Admitted: func(id string) bool { return id != memberID(10) }})
 		}
 	}
 	c.run(25 * time.Second)
@@ -286,7 +286,7 @@
 	list map[string]uint64, toJudge, toWitness []any,
 ) {
 	class := fmt.Sprint("c", rng.IntN(3))
-	about := gossip.About(rng.IntN(6))
+	about := gossip.StatementKind(rng.IntN(6))
 	switch rng.IntN(9) {
 	case 0:
 		next := map[string]uint64{}
@@ -299,17 +299,17 @@
 			next[worker]++
 		}
 		started = next
-		toJudge, toWitness = []any{gossip.Workers{Started: started}}, []any{gossip.Workers{Started: started}}
+		toJudge, toWitness = []any{gossip.WorkerList{Started: started}}, []any{gossip.WorkerList{Started: started}}
 	case 1:
-		toJudge, toWitness = []any{gossip.HeardOf{Worker: worker}}, []any{gossip.HeardOf{Worker: worker}}
+		toJudge, toWitness = []any{gossip.WorkerHeard{Worker: worker}}, []any{gossip.WorkerHeard{Worker: worker}}
 	case 2, 3:
-		toWitness = []any{gossip.Doubted{Worker: worker, About: about, Text: class}}
+		toWitness = []any{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
 	case 4:
-		toJudge = []any{gossip.Looked{Worker: worker, Alive: rng.IntN(2) > 0, Void: rng.IntN(5) == 0}}
+		toJudge = []any{gossip.WorkerChecked{Worker: worker, Alive: rng.IntN(2) > 0, Skipped: rng.IntN(5) == 0}}
 	default:
-		toJudge = []any{gossip.Claim{Worker: worker, Started: started[worker], About: gossip.About(2 + rng.IntN(4)),
+		toJudge = []any{gossip.Claim{Worker: worker, Started: started[worker], Kind: gossip.StatementKind(2 + rng.IntN(4)),
 			Class: class, Signer: signer, Age: time.Duration(rng.IntN(6000)-200) * time.Millisecond},
-			gossip.Claim{Worker: worker, Started: started[worker], About: gossip.Silent, Signer: signer + "b"}}
+			gossip.Claim{Worker: worker, Started: started[worker], Kind: gossip.WorkerSilent, Signer: signer + "b"}}
 	}
 	return started, toJudge, toWitness
 }
@@ -317,8 +317,8 @@
 // workerSum plays random events to the judge, the witness and the gate.
 func workerSum(seed uint64) string {
 	r, rng := newRecorder(), rand.New(rand.NewPCG(seed, 78))
-	judge, gate := gossip.NewJudge(gossip.LocalJudge), gossip.NewGate(gossip.LocalGate)
-	witness := gossip.NewWitness(gossip.LocalWitness, judge.Says)
+	judge, gate := gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig), gossip.NewPacketLimiter(gossip.LocalPacketLimiterConfig)
+	witness := gossip.NewEvidenceCollector(gossip.LocalEvidenceCollectorConfig, judge.SilenceWeight)
 	now, started := time.Duration(0), map[string]uint64{}
 	for range 3000 {
 		now += time.Duration(rng.IntN(300)) * time.Millisecond
@@ -327,34 +327,34 @@
 		started, toJudge, toWitness = workerEvents(rng, started, worker, signer)
 		r.write(now)
 		for _, a := range witness.Step(now, toWitness) {
-			s, _ := a.(gossip.Say)
+			s, _ := a.(gossip.Publish)
 			r.write(1)
 			r.statement(&s.Statement)
 		}
 		for _, a := range judge.Step(now, toJudge) {
 			switch a := a.(type) {
-			case gossip.Look:
+			case gossip.CheckWorker:
 				r.write(2, a.Worker)
-			case gossip.FoundSilent:
+			case gossip.SilenceConfirmed:
 				r.write(3, a.Worker)
 			}
 		}
 		due, ok := witness.Due()
-		r.write(due, ok, judge.Weight(signer), judge.Says(worker))
+		r.write(due, ok, judge.Weight(signer), judge.SilenceWeight(worker))
 		if rng.IntN(20) == 0 {
 			for _, s := range judge.Suspicions() {
-				r.write(s.Worker, s.About, s.Class, s.Weight, strings.Join(s.By, " "))
+				r.write(s.Worker, s.Kind, s.Class, s.Weight, strings.Join(s.Signers, " "))
 			}
 		}
 		for range rng.IntN(60) {
-			r.write(gate.Allow(now, signer), gate.AllowMember(now, worker))
+			r.write(gate.AllowPacket(now, signer), gate.AllowStatement(now, worker))
 		}
 		if rng.IntN(8) == 0 {
-			gate.Good(now, signer, worker)
+			gate.Authenticated(now, signer, worker)
 		}
 	}
 	s := judge.Stats()
-	r.write(s.Claims, s.Looks, s.Silent, s.Contradicted)
+	r.write(s.Claims, s.Checks, s.ConfirmedSilent, s.Contradicted)
 	return r.hex()
 }
 
--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -21,61 +21,61 @@
 
 // Config is every constant of the protocol.
 type Config struct {
-	ProbeEvery     time.Duration // one member is probed in each such time
-	ProbeTimeout   time.Duration // a probe without an answer is helped by others after this
-	Helpers        int           // members asked to probe in one's stead
-	SuspectMult    float64       // least length of a suspicion, in probe times and log10 of the members
-	SuspectMaxMult float64       // the longest, as a multiple of the least
-	Confirmations  int           // independent confirmations that bring a suspicion to its least length
-	HealthMax      int           // most that the own health may slow probes down, as a multiple
-	SpreadMult     float64       // a statement is passed on this times log10 of the members, rounded up
-	PushEvery      time.Duration // fresh word of workers is pushed to Fanout members in each such time
-	Fanout         int
-	PacketBytes    int           // largest packet: below a usual MTU
-	SyncEvery      time.Duration // state is exchanged with one member in each such time
-	SyncBytes      int           // most of it in one exchange
-	BytesPerSecond float64       // sent by this member, whatever the others do,
-	BurstBytes     float64       // and at once
-	MessagesPerSec float64       // likewise in messages
-	BurstMessages  float64
-	Reserve        float64       // share of both that answers to others leave to the own probes
-	MaxMembers     int           // members known at the most
-	MaxStatements  int           // statements waiting to be passed on
-	MaxEvidence    int           // statements on workers held
-	Fresh          time.Duration // a statement on a worker is held and passed on for so long
-	ForgetAfter    time.Duration // a dead member is remembered, so that old word of it is known for what it is
+	ProbeInterval          time.Duration // one member is probed in each such time
+	ProbeTimeout           time.Duration // a probe without an answer is helped by others after this
+	IndirectProbes         int           // members asked to probe in one's stead
+	SuspicionMultiplier    float64       // least length of a suspicion, in probe times and log10 of the members
+	MaxSuspicionMultiplier float64       // the longest, as a multiple of the least
+	Confirmations          int           // independent confirmations that bring a suspicion to its least length
+	MaxHealthPenalty       int           // most that the own health may slow probes down, as a multiple
+	TransmitMultiplier     float64       // a statement is passed on this times log10 of the members, rounded up
+	PushInterval           time.Duration // fresh word of workers is pushed to Fanout members in each such time
+	Fanout                 int
+	MaxPacketBytes         int           // largest packet: below a usual MTU
+	SyncInterval           time.Duration // state is exchanged with one member in each such time
+	MaxSyncBytes           int           // most of it in one exchange
+	BytesPerSecond         float64       // sent by this member, whatever the others do,
+	BurstBytes             float64       // and at once
+	MessagesPerSecond      float64       // likewise in messages
+	BurstMessages          float64
+	ReservedShare          float64       // share of both that answers to others leave to the own probes
+	MaxMembers             int           // members known at the most
+	MaxQueuedStatements    int           // statements waiting to be passed on
+	MaxEvidence            int           // statements on workers held
+	EvidenceLifetime       time.Duration // a statement on a worker is held and passed on for so long
+	DeadMemberRetention    time.Duration // a dead member is remembered, so that old word of it is known for what it is
 }
 
 // Local suits routers in one place.
-var Local = Config{ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, Helpers: 3, SuspectMult: 4,
-	SuspectMaxMult: 6, Confirmations: 3, HealthMax: 8, SpreadMult: 4, PushEvery: 100 * time.Millisecond, Fanout: 3,
-	PacketBytes: 1200, SyncEvery: 10 * time.Second, SyncBytes: 8000, BytesPerSecond: 8000, BurstBytes: 16000,
-	MessagesPerSec: 40, BurstMessages: 80, Reserve: 0.25, MaxMembers: 10000, MaxStatements: 4096, MaxEvidence: 4096,
-	Fresh: 5 * time.Second, ForgetAfter: time.Minute}
+var LocalConfig = Config{ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3, SuspicionMultiplier: 4,
+	MaxSuspicionMultiplier: 6, Confirmations: 3, MaxHealthPenalty: 8, TransmitMultiplier: 4, PushInterval: 100 * time.Millisecond, Fanout: 3,
+	MaxPacketBytes: 1200, SyncInterval: 10 * time.Second, MaxSyncBytes: 8000, BytesPerSecond: 8000, BurstBytes: 16000,
+	MessagesPerSecond: 40, BurstMessages: 80, ReservedShare: 0.25, MaxMembers: 10000, MaxQueuedStatements: 4096, MaxEvidence: 4096,
+	EvidenceLifetime: 5 * time.Second, DeadMemberRetention: time.Minute}
 
 // Wide suits routers far apart.
-var Wide = func() Config {
-	c := Local
-	c.ProbeEvery, c.ProbeTimeout, c.SuspectMult = 3*time.Second, time.Second, 6
-	c.PushEvery, c.Fresh = 300*time.Millisecond, 10*time.Second
+var WideConfig = func() Config {
+	c := LocalConfig
+	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMultiplier = 3*time.Second, time.Second, 6
+	c.PushInterval, c.EvidenceLifetime = 300*time.Millisecond, 10*time.Second
 	return c
 }()
 
 // Presets are the configurations by name.
-var Presets = map[string]Config{"local": Local, "wide": Wide}
+var Presets = map[string]Config{"local": LocalConfig, "wide": WideConfig}
 
-func (c Config) check() error {
+func (c Config) validate() error {
 	switch {
-	case c.ProbeEvery <= 0 || c.ProbeTimeout <= 0 || c.ProbeTimeout >= c.ProbeEvery:
+	case c.ProbeInterval <= 0 || c.ProbeTimeout <= 0 || c.ProbeTimeout >= c.ProbeInterval:
 		return errors.New("gossip: the probe's time-out must lie between 0 and the time between probes")
-	case c.PacketBytes < 512 || c.PacketBytes > 1400:
+	case c.MaxPacketBytes < 512 || c.MaxPacketBytes > 1400:
 		return errors.New("gossip: packets of 512 to 1400 bytes")
-	case c.BytesPerSecond < float64(c.PacketBytes) || c.BurstBytes < 2*float64(c.PacketBytes):
+	case c.BytesPerSecond < float64(c.MaxPacketBytes) || c.BurstBytes < 2*float64(c.MaxPacketBytes):
 		return errors.New("gossip: the budget is less than a packet a second, or two at once")
-	case c.MessagesPerSec < 4 || c.BurstMessages < 8:
+	case c.MessagesPerSecond < 4 || c.BurstMessages < 8:
 		return errors.New("gossip: the budget is less than 4 messages a second, or 8 at once")
-	case c.Helpers < 0 || c.Confirmations < 1 || c.HealthMax < 1 || c.MaxMembers < 1 || c.MaxStatements < 1 ||
-		c.MaxEvidence < 1 || c.Fanout < 0 || c.PushEvery <= 0 || c.SyncEvery <= 0 || c.Reserve < 0 || c.Reserve >= 1:
+	case c.IndirectProbes < 0 || c.Confirmations < 1 || c.MaxHealthPenalty < 1 || c.MaxMembers < 1 || c.MaxQueuedStatements < 1 ||
+		c.MaxEvidence < 1 || c.Fanout < 0 || c.PushInterval <= 0 || c.SyncInterval <= 0 || c.ReservedShare < 0 || c.ReservedShare >= 1:
 		return errors.New("gossip: a count or a share is out of its range")
 	}
 	return nil
--- a/internal/gossip/core_test.go
+++ b/internal/gossip/core_test.go
@@ -12,24 +12,24 @@
 
 // coreWith is a core that knows a and b, of lives 10, by their first words.
 func coreWith(t interface{ Fatal(...any) }) *Core {
-	c, err := New(Local, "me", "me", 5, 1, unsigned)
+	c, err := NewCore(LocalConfig, "me", "me", 5, 1, unsigned)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(0, []any{Known{Words: []Statement{aliveOf("a", 10, 1), aliveOf("b", 10, 1)}}})
+	c.Step(0, []any{KnownMembers{Statements: []Statement{aliveOf("a", 10, 1), aliveOf("b", 10, 1)}}})
 	return c
 }
 
 func aliveOf(id string, life, seq uint64) Statement {
-	return Statement{About: IsAlive, Signer: id, Life: life, Seq: seq, Text: id}
+	return Statement{Kind: MemberAlive, Signer: id, Incarnation: life, Seq: seq, Text: id}
 }
 
 func doubtOf(by, id string, life, seq uint64) Statement {
-	return Statement{About: Doubts, Signer: by, Life: 10, Seq: 50, Subject: id, Of: life, Num: seq}
+	return Statement{Kind: MemberSuspected, Signer: by, Incarnation: 10, Seq: 50, Subject: id, SubjectIncarnation: life, SubjectSeq: seq}
 }
 
-func from(id string, s ...Statement) Received {
-	return Received{Message{Kind: Push, From: id, Addr: id, Life: 10, Statements: s}}
+func from(id string, s ...Statement) MessageReceived {
+	return MessageReceived{Message{Kind: Push, From: id, Addr: id, Incarnation: 10, Statements: s}}
 }
 
 func (c *Core) stateOf(id string) State {
@@ -53,7 +53,7 @@
 		c := coreWith(t)
 		before := c.Members()
 		c.Step(time.Second, []any{from("b", lie)})
-		if after := c.Members(); after[0].ID != "a" || after[0].State != before[0].State || after[0].Life != before[0].Life ||
+		if after := c.Members(); after[0].ID != "a" || after[0].State != before[0].State || after[0].Incarnation != before[0].Incarnation ||
 			len(after) != 2 {
 			t.Errorf("%s: %+v became %+v", name, before, after)
 		}
@@ -77,11 +77,11 @@
 func TestDoubtOfItselfIsAnswered(t *testing.T) {
 	c := coreWith(t)
 	c.Step(time.Second, []any{from("b", doubtOf("b", "me", 5, 1))})
-	if c.word.Seq == 1 || c.Health() != 1 || c.Stats().Refuted != 1 {
-		t.Errorf("word %d, health %d", c.word.Seq, c.Health())
+	if c.ownAlive.Seq == 1 || c.Health() != 1 || c.Stats().Refutations != 1 {
+		t.Errorf("word %d, health %d", c.ownAlive.Seq, c.Health())
 	}
 	c.Step(2*time.Second, []any{from("b", doubtOf("b", "me", 5, 1))})
-	if c.Stats().Refuted != 1 {
+	if c.Stats().Refutations != 1 {
 		t.Error("answered twice")
 	}
 }
@@ -93,7 +93,7 @@
 		var back []any
 		for _, o := range c.Step(now, nil) {
 			if s, ok := o.(Send); ok && s.Message.Kind == Ping { // b answers for both addresses
-				back = append(back, Received{Message{Kind: Ack, From: "b", Addr: "b", Life: 10, Seq: s.Message.Seq}})
+				back = append(back, MessageReceived{Message{Kind: Ack, From: "b", Addr: "b", Incarnation: 10, ProbeSeq: s.Message.ProbeSeq}})
 			}
 		}
 		c.Step(now, back)
@@ -113,13 +113,13 @@
 		s.Text = "elsewhere"
 		for _, o := range c.Step(now, []any{from("b", s)}) {
 			switch o := o.(type) {
-			case Twin:
+			case DuplicateMember:
 				if twins++; o.Addr != "elsewhere" {
 					t.Errorf("twin at %q", o.Addr)
 				}
-			case Raise:
+			case IncarnationRaised:
 				raises++
-				life = o.To + 2
+				life = o.Above + 2
 			}
 		}
 	}
@@ -131,7 +131,7 @@
 // TestNotAdmitted: who is not admitted is not known, whoever vouches; who is no longer admitted is forgotten.
 func TestNotAdmitted(t *testing.T) {
 	c := coreWith(t)
-	c.Step(time.Second, []any{Admit{func(id string) bool { return id != "a" && id[0] != 'x' }}})
+	c.Step(time.Second, []any{AdmissionChanged{func(id string) bool { return id != "a" && id[0] != 'x' }}})
 	if c.stateOf("a") != Dead || len(c.Members()) != 1 {
 		t.Errorf("still known: %v", c.Members())
 	}
@@ -151,18 +151,18 @@
 	if c.Live() != 1 {
 		t.Errorf("%d live of whom nothing came", c.Live())
 	}
-	if out := c.Step(time.Second, []any{from("b")}); c.Live() != 2 || count[Live](out) != 1 {
+	if out := c.Step(time.Second, []any{from("b")}); c.Live() != 2 || count[LiveCountIncreased](out) != 1 {
 		t.Errorf("%d live, want b and itself; told %v", c.Live(), out)
 	}
 	for now := 2 * time.Second; now < 3*time.Minute; now += 100 * time.Millisecond { // b vanishes, and comes back
-		if out := c.Step(now, nil); count[Live](out) > 0 {
+		if out := c.Step(now, nil); count[LiveCountIncreased](out) > 0 {
 			t.Fatalf("told of fewer: %v", out)
 		}
 	}
 	if c.Live() != 1 {
 		t.Errorf("%d live after b vanished", c.Live())
 	}
-	if out := c.Step(4*time.Minute, []any{from("b", aliveOf("b", 10, 2))}); count[Live](out) > 0 || c.Stats().MostLive != 2 {
+	if out := c.Step(4*time.Minute, []any{from("b", aliveOf("b", 10, 2))}); count[LiveCountIncreased](out) > 0 || c.Stats().MostLive != 2 {
 		t.Errorf("told again: %v", out)
 	}
 }
@@ -172,11 +172,11 @@
 	c := coreWith(t)
 	c.Step(time.Second, []any{from("b")}) // its clock and this one show the same
 	word := func(seq uint64, at time.Duration, w string) Statement {
-		return Statement{About: Silent, Signer: "b", Life: 10, Seq: seq, At: at, Subject: w, Of: 3}
+		return Statement{Kind: WorkerSilent, Signer: "b", Incarnation: 10, Seq: seq, SignedAt: at, Subject: w, SubjectIncarnation: 3}
 	}
 	ages := func(now time.Duration, s ...Statement) (out []time.Duration) {
 		for _, o := range c.Step(now, []any{from("a", s...)}) {
-			if h, ok := o.(Heard); ok {
+			if h, ok := o.(EvidenceReceived); ok {
 				out = append(out, h.Age)
 			}
 		}
@@ -193,7 +193,7 @@
 		{"older", 3 * time.Second, word(1, time.Second, "w"), nil},
 		{"newer", 4 * time.Second, word(3, 3*time.Second, "w"), []time.Duration{time.Second}},
 		{"too old", 20 * time.Second, word(4, 4*time.Second, "w"), nil},
-		{"by nobody known", 21 * time.Second, Statement{About: Silent, Signer: "z", Subject: "w"}, nil},
+		{"by nobody known", 21 * time.Second, Statement{Kind: WorkerSilent, Signer: "z", Subject: "w"}, nil},
 	} {
 		if got := ages(v.now, v.s); !slices.Equal(got, v.want) {
 			t.Errorf("%s: heard with ages %v, want %v", v.what, got, v.want)
@@ -202,7 +202,7 @@
 	for i := range uint64(2000) {
 		ages(30*time.Second, word(10+i, 29*time.Second, ID(int(i))+ID(int(i/676))))
 	}
-	if n := len(c.Evidence()); n > Local.MaxEvidence/16 || n < 10 {
+	if n := len(c.Evidence()); n > LocalConfig.MaxEvidence/16 || n < 10 {
 		t.Errorf("%d statements of one signer held", n)
 	}
 	c.Step(60*time.Second, nil)
@@ -220,7 +220,7 @@
 		last := map[string]State{}
 		step := func(events ...any) {
 			for _, o := range c.Step(now, events) {
-				if ch, ok := o.(Change); ok {
+				if ch, ok := o.(MemberStateChanged); ok {
 					if last[ch.ID] == Dead && ch.State == Suspect {
 						t.Fatalf("%s went from dead to suspect", ch.ID)
 					}
@@ -239,13 +239,13 @@
 				step(from(by, doubtOf(by, of, life, seq)))
 			}
 		}
-		end := now + c.patience(1) + 20*time.Second // with those that a probe under way may still begin
+		end := now + c.suspicionTimeout(1) + 20*time.Second // with those that a probe under way may still begin
 		for now < end {
 			now += 100 * time.Millisecond
 			var acks []any
 			for _, o := range c.Step(now, nil) {
 				if s, ok := o.(Send); ok && s.Message.Kind == Ping { // all answer, so nobody is doubted anew
-					acks = append(acks, Received{Message{Kind: Ack, From: s.To, Addr: s.To, Life: 11, Seq: s.Message.Seq}})
+					acks = append(acks, MessageReceived{Message{Kind: Ack, From: s.To, Addr: s.To, Incarnation: 11, ProbeSeq: s.Message.ProbeSeq}})
 				}
 			}
 			step(acks...)
@@ -261,12 +261,12 @@
 // TestQueueSendsNewestFirstAndBounded: a statement is passed on as often as told, replaced by a newer one on
 // the same, and the queue gives way by those passed on most.
 func TestQueueSendsNewestFirstAndBounded(t *testing.T) {
-	q := newQueue(3)
+	q := newBroadcastQueue(3)
 	for i := range uint64(4) {
 		q.put(aliveOf(ID(int(i)), 1, 1))
 	}
-	if q.n != 3 {
-		t.Fatalf("%d queued", q.n)
+	if q.length != 3 {
+		t.Fatalf("%d queued", q.length)
 	}
 	q.put(aliveOf(ID(3), 1, 2))
 	first := q.take(120, 3, nil)
@@ -284,7 +284,7 @@
 			t.Errorf("%s was passed on %d times", id, n)
 		}
 	}
-	if q.n != 0 || len(sent) != 3 {
-		t.Errorf("%d left, %v", q.n, sent)
+	if q.length != 0 || len(sent) != 3 {
+		t.Errorf("%d left, %v", q.length, sent)
 	}
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -81,24 +81,24 @@
 // and what is read back from them. Ed25519 signatures are deterministic (RFC 8032), so those bytes are held too.
 func TestGoldenPackets(t *testing.T) {
 	private, public := keyOf(1)
-	sender, receiver := NewKeys("k1", private, 100), NewKeys("k2", private, 1)
-	receiver.Admit(admit("a", "k1", public))
+	sender, receiver := NewKeyring("k1", private, 100), NewKeyring("k2", private, 1)
+	receiver.SetAdmitted(admit("a", "k1", public))
 	var statements []Statement
-	for i, about := range []About{IsAlive, Doubts, Silent, Failing, Slow, Back} {
+	for i, about := range []StatementKind{MemberAlive, MemberSuspected, WorkerSilent, WorkerFailing, WorkerSlow, ClaimWithdrawn} {
 		n := uint64(i + 1)
-		s := Statement{About: about, Signer: "a", Life: 300 + n, Seq: 400 + n, At: time.Duration(n) * time.Second,
-			Subject: "w" + strconv.Itoa(i), Of: 500 + n, Num: 600 + n, Text: "text" + strconv.Itoa(i)}
-		if about == IsAlive {
+		s := Statement{Kind: about, Signer: "a", Incarnation: 300 + n, Seq: 400 + n, SignedAt: time.Duration(n) * time.Second,
+			Subject: "w" + strconv.Itoa(i), SubjectIncarnation: 500 + n, SubjectSeq: 600 + n, Text: "text" + strconv.Itoa(i)}
+		if about == MemberAlive {
 			s.Subject = ""
 		}
-		sender.Sign(&s)
+		sender.SignStatement(&s)
 		statements = append(statements, s)
 	}
 	var packets, values strings.Builder
-	for i, kind := range []Kind{Ping, Ack, Help, Push, Exchange} {
+	for i, kind := range []MessageKind{Ping, Ack, PingRequest, Push, StateExchange} {
 		n := uint64(i + 1)
-		packet, err := sender.Seal(Message{Kind: kind, Want: i == 0, Back: kind == Exchange, Life: 700 + n,
-			Now: time.Duration(n) * time.Minute, Seq: 800 + n, Seen: 900 + n, From: "a", Addr: "1.2.3.4:5",
+		packet, err := sender.Seal(Message{Kind: kind, WantAlive: i == 0, Reply: kind == StateExchange, Incarnation: 700 + n,
+			SentAt: time.Duration(n) * time.Minute, ProbeSeq: 800 + n, ReceiverSeen: 900 + n, From: "a", Addr: "1.2.3.4:5",
 			Target: "b" + strconv.Itoa(i), Statements: statements[:i+2]})
 		if err != nil {
 			t.Fatal(err)
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		for i := range message.Statements {
-			if err := receiver.Check(&message.Statements[i]); err != nil {
+			if err := receiver.VerifyStatement(&message.Statements[i]); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/gossip/gossipsim/measure.go
+++ b/internal/gossip/gossipsim/measure.go
@@ -38,7 +38,7 @@
 // Run plays a trial: all know each other; a steady while; a word of a worker; a death.
 func (t Trial) Run() Result {
 	began := time.Now()
-	w := New(gossip.Local, t.Members, t.Seed)
+	w := New(gossip.LocalConfig, t.Members, t.Seed)
 	w.Loss = t.Loss
 	slow := make([]bool, t.Members)
 	rng := rand.New(rand.NewPCG(t.Seed, 11))
@@ -59,9 +59,9 @@
 	var from time.Duration
 	w.Told = func(_ int, a any) {
 		switch a := a.(type) {
-		case gossip.Heard:
+		case gossip.EvidenceReceived:
 			heard = append(heard, (w.Now - from).Seconds())
-		case gossip.Change:
+		case gossip.MemberStateChanged:
 			if a.State == gossip.Dead && gone >= 0 && a.ID == ID(gone) {
 				dead = append(dead, (w.Now - from).Seconds())
 			} else if a.State == gossip.Dead {
@@ -80,8 +80,8 @@
 
 	from = w.Now
 	speaker := slices.Index(slow, false)
-	w.Do(speaker, gossip.Say{Statement: gossip.Statement{About: gossip.Silent, Subject: "worker"}})
-	w.Run(gossip.Local.Fresh)
+	w.Do(speaker, gossip.Publish{Statement: gossip.Statement{Kind: gossip.WorkerSilent, Subject: "worker"}})
+	w.Run(gossip.LocalConfig.EvidenceLifetime)
 	slices.Sort(heard)
 	at := func(list []float64, share float64, of int) float64 {
 		if k := int(share * float64(of)); k < len(list) {
--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -88,14 +88,14 @@
 
 // StartLife begins a life of a given number.
 func (w *Network) StartLife(i int, life uint64, seeds ...int) {
-	c, err := gossip.New(w.cfg, ID(i), ID(i), life, w.seed+uint64(i)+life<<20, func(*gossip.Statement) {})
+	c, err := gossip.NewCore(w.cfg, ID(i), ID(i), life, w.seed+uint64(i)+life<<20, func(*gossip.Statement) {})
 	if err != nil {
 		panic(err) // a configuration that is wrong in the script itself
 	}
 	w.Cores[i] = c
 	j := gossip.Join{}
 	for _, s := range seeds {
-		j.Addrs = append(j.Addrs, ID(s))
+		j.Addresses = append(j.Addresses, ID(s))
 	}
 	w.Do(i, j)
 }
@@ -110,12 +110,12 @@
 	}
 	words := make([]gossip.Statement, len(w.Cores))
 	for i := range w.Cores {
-		words[i] = gossip.Statement{About: gossip.IsAlive, Signer: ID(i), Life: uint64(i + 2), Seq: 1, Text: ID(i)}
+		words[i] = gossip.Statement{Kind: gossip.MemberAlive, Signer: ID(i), Incarnation: uint64(i + 2), Seq: 1, Text: ID(i)}
 	}
 	for i := range w.Cores {
 		w.Start(i)
-		w.Do(i, gossip.Known{Words: words})
-		w.Cores[i].Settle()
+		w.Do(i, gossip.KnownMembers{Statements: words})
+		w.Cores[i].MarkAllDirect()
 	}
 }
 
@@ -146,7 +146,7 @@
 }
 
 // read leaves out the statements that the core does not want, as its caller would.
-func (w *Network) read(to int, m gossip.Message) gossip.Received {
+func (w *Network) read(to int, m gossip.Message) gossip.MessageReceived {
 	var keep []gossip.Statement
 	for _, s := range m.Statements {
 		if w.Cores[to].Wants(&s) {
@@ -154,7 +154,7 @@
 		}
 	}
 	m.Statements = keep
-	return gossip.Received{Message: m}
+	return gossip.MessageReceived{Message: m}
 }
 
 func (w *Network) act(from int, out []any) {
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -13,7 +13,7 @@
 func watch(w *Network) deaths {
 	d := deaths{}
 	w.Told = func(by int, a any) {
-		if c, ok := a.(gossip.Change); ok && c.State == gossip.Dead {
+		if c, ok := a.(gossip.MemberStateChanged); ok && c.State == gossip.Dead {
 			if d[c.ID] == nil {
 				d[c.ID] = map[int]time.Duration{}
 			}
@@ -25,7 +25,7 @@
 
 func TestEachFindsEach(t *testing.T) {
 	for _, n := range []int{2, 10, 60} {
-		w := New(gossip.Local, n, 1)
+		w := New(gossip.LocalConfig, n, 1)
 		w.StartAll(false)
 		w.Run(40 * time.Second)
 		if least, most := w.Alive(); least != n-1 || most != n-1 {
@@ -35,7 +35,7 @@
 }
 
 func TestDeathIsSeenByAllAndNobodyElseDies(t *testing.T) {
-	w := New(gossip.Local, 40, 2)
+	w := New(gossip.LocalConfig, 40, 2)
 	w.Loss = 0.05
 	w.StartAll(false)
 	w.Run(40 * time.Second)
@@ -59,7 +59,7 @@
 // TestThirtyPercentLoss: with nearly a third of the datagrams lost nobody is held to be dead for long, and a
 // death is still seen.
 func TestThirtyPercentLoss(t *testing.T) {
-	w := New(gossip.Local, 30, 5)
+	w := New(gossip.LocalConfig, 30, 5)
 	w.Loss, w.Twice = 0.3, 0.2
 	w.StartAll(false)
 	w.Run(30 * time.Second)
@@ -82,7 +82,7 @@
 }
 
 func TestPartitionHeals(t *testing.T) {
-	w := New(gossip.Local, 20, 3)
+	w := New(gossip.LocalConfig, 20, 3)
 	w.StartAll(false)
 	w.Run(30 * time.Second)
 	lives := w.Cores[0].Live()
@@ -103,7 +103,7 @@
 
 // TestOneWayLink: what others carry for it keeps a member alive that can't send to one, or can't hear one.
 func TestOneWayLink(t *testing.T) {
-	w := New(gossip.Local, 12, 4)
+	w := New(gossip.LocalConfig, 12, 4)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
 	d := watch(w)
@@ -116,7 +116,7 @@
 
 // TestFlapsAndMassRestart: members that come and go are followed, and a restart of all is over within a minute.
 func TestFlapsAndMassRestart(t *testing.T) {
-	w := New(gossip.Local, 20, 6)
+	w := New(gossip.LocalConfig, 20, 6)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
 	for range 6 {
@@ -144,7 +144,7 @@
 // TestClocksHoursOffAndSetBack: clocks that differ don't matter; a member that starts anew with a lower life
 // number is told of its earlier one and taken back.
 func TestClocksHoursOffAndSetBack(t *testing.T) {
-	w := New(gossip.Local, 10, 7)
+	w := New(gossip.LocalConfig, 10, 7)
 	for i := range w.Skew {
 		w.Skew[i] = time.Duration(i) * 5 * time.Hour
 	}
@@ -152,11 +152,11 @@
 	w.Run(30 * time.Second)
 	var ages []time.Duration
 	w.Told = func(_ int, a any) {
-		if h, ok := a.(gossip.Heard); ok {
+		if h, ok := a.(gossip.EvidenceReceived); ok {
 			ages = append(ages, h.Age)
 		}
 	}
-	w.Do(2, gossip.Say{Statement: gossip.Statement{About: gossip.Silent, Subject: "w"}})
+	w.Do(2, gossip.Publish{Statement: gossip.Statement{Kind: gossip.WorkerSilent, Subject: "w"}})
 	w.Run(3 * time.Second)
 	if len(ages) != 9 {
 		t.Errorf("%d of 9 heard it", len(ages))
@@ -177,23 +177,23 @@
 
 // TestBudgetHoldsWhateverPeersDo: one core is flooded with all that asks for answers, and stays within it.
 func TestBudgetHoldsWhateverPeersDo(t *testing.T) {
-	w := New(gossip.Local, 10, 8)
+	w := New(gossip.LocalConfig, 10, 8)
 	w.StartAll(false)
 	w.Run(10 * time.Second)
 	begin, base := w.Now, w.Sent[0]
 	for i := range 20000 {
-		w.Inject(0, gossip.Message{Kind: gossip.Kind(i % 5), Want: true, From: ID(1 + i%9), Addr: ID(1 + i%9), Life: 100,
-			Seq: uint64(i), Target: ID(i % 10)})
+		w.Inject(0, gossip.Message{Kind: gossip.MessageKind(i % 5), WantAlive: true, From: ID(1 + i%9), Addr: ID(1 + i%9), Incarnation: 100,
+			ProbeSeq: uint64(i), Target: ID(i % 10)})
 		if i%100 == 0 {
 			w.Run(50 * time.Millisecond)
 		}
 	}
 	span := (w.Now - begin).Seconds()
-	cfg := gossip.Local
+	cfg := gossip.LocalConfig
 	if got := w.Sent[0].Bytes - base.Bytes; got > cfg.BurstBytes+cfg.BytesPerSecond*span {
 		t.Errorf("%.0f bytes in %.0f s", got, span)
 	}
-	if got := w.Sent[0].Messages - base.Messages; got > cfg.BurstMessages+cfg.MessagesPerSec*span {
+	if got := w.Sent[0].Messages - base.Messages; got > cfg.BurstMessages+cfg.MessagesPerSecond*span {
 		t.Errorf("%.0f messages in %.0f s", got, span)
 	}
 	w.Run(20 * time.Second)
@@ -204,7 +204,7 @@
 
 // TestAllPeersSilent: the one that is left goes on within its budget, and takes them back when they come.
 func TestAllPeersSilent(t *testing.T) {
-	w := New(gossip.Local, 12, 9)
+	w := New(gossip.LocalConfig, 12, 9)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
 	for i := 1; i < 12; i++ {
@@ -215,7 +215,7 @@
 	if n := w.Cores[0].Live(); n != 1 {
 		t.Errorf("%d live of one", n)
 	}
-	if rate := (w.Sent[0].Bytes - base) / 360; rate > gossip.Local.BytesPerSecond/4 {
+	if rate := (w.Sent[0].Bytes - base) / 360; rate > gossip.LocalConfig.BytesPerSecond/4 {
 		t.Errorf("alone it sends %.0f bytes a second", rate)
 	}
 	for i := 1; i < 12; i++ {
@@ -235,7 +235,7 @@
 	if a != b {
 		t.Errorf("%+v\n%+v", a, b)
 	}
-	if a.Reached < 0.9 || a.DeathFirst <= 0 || a.Bytes <= 0 || a.Bytes > gossip.Local.BytesPerSecond {
+	if a.Reached < 0.9 || a.DeathFirst <= 0 || a.Bytes <= 0 || a.Bytes > gossip.LocalConfig.BytesPerSecond {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/gossip/keys_test.go
+++ b/internal/gossip/keyring_test.go
@@ -29,24 +29,24 @@
 	return out
 }
 
-func sample(k *Keys) Message {
-	s := Statement{About: Silent, Signer: "a", Life: 9, Seq: 3, At: 5 * time.Second, Subject: "w1", Of: 77}
-	k.Sign(&s)
-	return Message{Kind: Ping, Seq: 7, Life: 9, Now: time.Minute, From: "a", Addr: "1.2.3.4:5", Statements: []Statement{s}}
+func sample(k *Keyring) Message {
+	s := Statement{Kind: WorkerSilent, Signer: "a", Incarnation: 9, Seq: 3, SignedAt: 5 * time.Second, Subject: "w1", SubjectIncarnation: 77}
+	k.SignStatement(&s)
+	return Message{Kind: Ping, ProbeSeq: 7, Incarnation: 9, SentAt: time.Minute, From: "a", Addr: "1.2.3.4:5", Statements: []Statement{s}}
 }
 
 func TestSignedPackets(t *testing.T) {
 	own, pub := keyOf(1)
 	other, _ := keyOf(2)
-	a, b := NewKeys("k1", own, 100), NewKeys("k9", other, 100)
-	b.Admit(admit("a", "k1", pub))
+	a, b := NewKeyring("k1", own, 100), NewKeyring("k9", other, 100)
+	b.SetAdmitted(admit("a", "k1", pub))
 	m := sample(a)
 	p, err := a.Seal(m)
 	if err != nil || len(p) > m.Size() {
 		t.Fatalf("%d bytes, counted as %d, %v", len(p), m.Size(), err)
 	}
-	m.Count = 101
-	if got, _, err := b.Open(p); err != nil || !reflect.DeepEqual(got, m) || b.Check(&got.Statements[0]) != nil {
+	m.Counter = 101
+	if got, _, err := b.Open(p); err != nil || !reflect.DeepEqual(got, m) || b.VerifyStatement(&got.Statements[0]) != nil {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	if _, seen, err := b.Open(p); !errors.Is(err, ErrReplay) || seen != 101 {
@@ -64,7 +64,7 @@
 			t.Fatalf("cut at %d, and taken", i)
 		}
 	}
-	forged, err := NewKeys("k1", other, 200).Seal(m)
+	forged, err := NewKeyring("k1", other, 200).Seal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 		t.Errorf("signed by another: %v", err)
 	}
 	changed := m.Statements[0]
-	changed.Of++
-	if err := b.Check(&changed); !errors.Is(err, ErrSignature) {
+	changed.SubjectIncarnation++
+	if err := b.VerifyStatement(&changed); !errors.Is(err, ErrSignature) {
 		t.Errorf("a changed statement: %v", err)
 	}
 }
@@ -82,7 +82,7 @@
 func TestKeyExchangedInService(t *testing.T) {
 	old, oldPub := keyOf(1)
 	next, nextPub := keyOf(2)
-	a, b := NewKeys("k1", old, 100), NewKeys("k1", next, 0)
+	a, b := NewKeyring("k1", old, 100), NewKeyring("k1", next, 0)
 	try := func(when string, want error) {
 		t.Helper()
 		m := sample(a)
@@ -93,27 +93,27 @@
 		if _, _, err := b.Open(p); !errors.Is(err, want) {
 			t.Errorf("%s: packet %v, want %v", when, err, want)
 		}
-		if err := b.Check(&m.Statements[0]); !errors.Is(err, want) {
+		if err := b.VerifyStatement(&m.Statements[0]); !errors.Is(err, want) {
 			t.Errorf("%s: statement %v, want %v", when, err, want)
 		}
 	}
-	b.Admit(admit("a", "k1", oldPub))
+	b.SetAdmitted(admit("a", "k1", oldPub))
 	try("old key", nil)
-	b.Admit(admit("a", "k1", oldPub, "a", "k2", nextPub))
+	b.SetAdmitted(admit("a", "k1", oldPub, "a", "k2", nextPub))
 	try("old key in the overlap", nil)
-	a.Use("k2", next)
+	a.SetOwnKey("k2", next)
 	try("new key in the overlap", nil)
-	b.Admit(admit("a", "k2", nextPub))
+	b.SetAdmitted(admit("a", "k2", nextPub))
 	try("new key after it", nil)
-	a.Use("k1", old)
+	a.SetOwnKey("k1", old)
 	try("old key after it", ErrUnknownKey)
 }
 
 // TestReplays: each packet is taken once, late ones too while they are not long behind.
 func TestReplays(t *testing.T) {
 	own, pub := keyOf(1)
-	a, b := NewKeys("k", own, 1<<40), NewKeys("k", own, 0)
-	b.Admit(admit("a", "k", pub))
+	a, b := NewKeyring("k", own, 1<<40), NewKeyring("k", own, 0)
+	b.SetAdmitted(admit("a", "k", pub))
 	var packets [][]byte
 	for range 200 {
 		p, err := a.Seal(Message{Kind: Ping, From: "a"})
@@ -131,7 +131,7 @@
 			t.Errorf("packet %d: %v, want it fresh: %v", c.i, err, c.fresh)
 		}
 	}
-	again := NewKeys("k", own, 1<<41) // a member that started anew counts from a later time
+	again := NewKeyring("k", own, 1<<41) // a member that started anew counts from a later time
 	p, err := again.Seal(Message{Kind: Ping, From: "a"})
 	if err != nil {
 		t.Fatal(err)
@@ -139,14 +139,14 @@
 	if _, _, err := b.Open(p); err != nil {
 		t.Errorf("a new life: %v", err)
 	}
-	back := NewKeys("k", own, 50) // one whose clock was set back, and that is told so
+	back := NewKeyring("k", own, 50) // one whose clock was set back, and that is told so
 	for _, raise := range []uint64{0, 1 << 41} {
-		back.Raise(raise)
-		back.Raise(1 << 62) // nobody may push it to where it could not be overtaken
+		back.AdvanceCounter(raise)
+		back.AdvanceCounter(1 << 62) // nobody may push it to where it could not be overtaken
 		if p, err = back.Seal(Message{Kind: Ping, From: "a"}); err != nil {
 			t.Fatal(err)
 		}
-		back.Raise(1<<41 + 1)
+		back.AdvanceCounter(1<<41 + 1)
 		if _, _, err := b.Open(p); (err == nil) != (raise > 0) || errors.Is(err, ErrStale) != (raise == 0) {
 			t.Errorf("counted from above %d: %v", raise, err)
 		}
@@ -155,8 +155,8 @@
 
 // TestGateBoundsChecks: a flood of strangers, or of one known address, takes nothing from another.
 func TestGateBoundsChecks(t *testing.T) {
-	g := NewGate(GateConfig{PerSource: 10, Strangers: 5})
-	g.Good(0, "good", "a")
+	g := NewPacketLimiter(PacketLimiterConfig{ChecksPerSource: 10, ChecksOfUnknown: 5})
+	g.Authenticated(0, "good", "a")
 	allowed := map[string]int{}
 	for i := range 100_000 { // ten seconds at line rate
 		now := time.Duration(i) * 100 * time.Microsecond
@@ -164,7 +164,7 @@
 		if src == "good" && i%300 != 2 {
 			src = "z"
 		}
-		if g.Allow(now, src) {
+		if g.AllowPacket(now, src) {
 			allowed[src]++
 		}
 	}
@@ -175,10 +175,10 @@
 		t.Errorf("%d checks for a known address that sent 330 in 10 s at 10 a second", n)
 	}
 	for i := range 1000 { // a member that moves about takes no more than one place
-		g.Good(time.Minute, ID(i), "a")
+		g.Authenticated(time.Minute, ID(i), "a")
 	}
-	if len(g.known) != 1 {
-		t.Errorf("%d addresses kept for one member", len(g.known))
+	if len(g.sources) != 1 {
+		t.Errorf("%d addresses kept for one member", len(g.sources))
 	}
 }
 
@@ -187,7 +187,7 @@
 // TestErrorsNameThePlace: another version is named, and so is the byte at which a message went wrong.
 func TestErrorsNameThePlace(t *testing.T) {
 	own, _ := keyOf(1)
-	m := sample(NewKeys("k", own, 1))
+	m := sample(NewKeyring("k", own, 1))
 	raw, err := m.Append(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -197,11 +197,11 @@
 		want string
 	}{
 		{append([]byte{9}, raw[1:]...), "version 9, this is 1"},
-		{append([]byte{version, 77}, raw[2:]...), "kind at byte 1"},
+		{append([]byte{protocolVersion, 77}, raw[2:]...), "kind at byte 1"},
 		{raw[:len(raw)-1], "signature at byte"},
 		{nil, "no version at byte 0"},
 	} {
-		if _, err := Parse(c.b); !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseMessage(c.b); !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want it to say %q", err, c.want)
 		}
 	}
@@ -214,20 +214,20 @@
 
 func FuzzParse(f *testing.F) {
 	own, pub := keyOf(1)
-	k := NewKeys("k", own, 1)
+	k := NewKeyring("k", own, 1)
 	m := sample(k)
-	m.Statements = append(m.Statements, Statement{About: IsAlive, Signer: "b", Life: 1 << 60, Seq: 1, Text: "b:1"},
-		Statement{About: Doubts, Signer: "b", Subject: "a", Of: 9, Num: 1})
+	m.Statements = append(m.Statements, Statement{Kind: MemberAlive, Signer: "b", Incarnation: 1 << 60, Seq: 1, Text: "b:1"},
+		Statement{Kind: MemberSuspected, Signer: "b", Subject: "a", SubjectIncarnation: 9, SubjectSeq: 1})
 	raw, err := m.Append(nil)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
-	f.Add([]byte{version, 0, 0, 0, 0, 0, 0, 0, 1, 'a', 0, 0})
-	k.Admit(admit("a", "k", pub))
+	f.Add([]byte{protocolVersion, 0, 0, 0, 0, 0, 0, 0, 1, 'a', 0, 0})
+	k.SetAdmitted(admit("a", "k", pub))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, _, _ = k.Open(b)
-		m, err := Parse(b)
+		m, err := ParseMessage(b)
 		if err != nil {
 			if !errors.Is(err, ErrMalformed) {
 				t.Fatal(err)
@@ -238,17 +238,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := Parse(out); err != nil || !reflect.DeepEqual(again, m) {
+		if again, err := ParseMessage(out); err != nil || !reflect.DeepEqual(again, m) {
 			t.Fatalf("%+v became %+v, %v", m, again, err)
 		}
-		if len(out)+overhead > m.Size() {
-			t.Fatalf("%d bytes, counted as %d", len(out)+overhead, m.Size())
+		if len(out)+envelopeSize > m.Size() {
+			t.Fatalf("%d bytes, counted as %d", len(out)+envelopeSize, m.Size())
 		}
-		c, err := New(Local, "me", "me", 1, 1, func(*Statement) {})
+		c, err := NewCore(LocalConfig, "me", "me", 1, 1, func(*Statement) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(time.Second, []any{Received{m}, Received{m}, Stale{m, 5}})
+		c.Step(time.Second, []any{MessageReceived{m}, MessageReceived{m}, StaleMessage{m, 5}})
 		c.Step(time.Minute, nil)
 	})
 }
--- a/internal/gossip/statement.go
+++ b/internal/gossip/statement.go
@@ -7,25 +7,25 @@
 )
 
 // About is what a statement says.
-type About uint8
+type StatementKind uint8
 
 // What statements say.
 const (
-	IsAlive About = iota // the signer takes part, at the address Text
-	Doubts               // the signer had no answer from the member Subject, last known by its statement (Of, Num)
-	Silent               // the worker Subject, in the life that began at Of (Unix milliseconds), gives no sign of life
-	Failing              // it fails the class Text
-	Slow                 // it answers slowly
-	Back                 // the signer takes back what it said of it
-	abouts
+	MemberAlive     StatementKind = iota // the signer takes part, at the address Text
+	MemberSuspected                      // the signer had no answer from the member Subject, last known by its statement (Of, Num)
+	WorkerSilent                         // the worker Subject, in the life that began at Of (Unix milliseconds), gives no sign of life
+	WorkerFailing                        // it fails the class Text
+	WorkerSlow                           // it answers slowly
+	ClaimWithdrawn                       // the signer takes back what it said of it
+	statementKindCount
 )
 
-func (a About) String() string {
+func (a StatementKind) String() string {
 	return [...]string{"alive", "doubted", "silent", "failing", "slow", "back"}[a]
 }
 
 // OfWorker tells that a statement is on a worker.
-func (a About) OfWorker() bool { return a >= Silent }
+func (a StatementKind) AboutWorker() bool { return a >= WorkerSilent }
 
 // Statement is one signed word. Everything that is passed on is one, so that a lie has a name:
 //
@@ -37,48 +37,48 @@
 //
 // Order: (Life, Seq) rises with each statement of a signer, over restarts too, as a life is named by its start.
 type Statement struct {
-	About   About
-	Signer  string
-	Key     string // name of its key
-	Life    uint64 // of the signer
-	Seq     uint64
-	At      time.Duration // by the signer's clock, whose zero and pace are its own: only differences count
-	Subject string
-	Of, Num uint64
-	Text    string
-	Sig     [ed25519.SignatureSize]byte
+	Kind                           StatementKind
+	Signer                         string
+	Key                            string // name of its key
+	Incarnation                    uint64 // of the signer
+	Seq                            uint64
+	SignedAt                       time.Duration // by the signer's clock, whose zero and pace are its own: only differences count
+	Subject                        string
+	SubjectIncarnation, SubjectSeq uint64
+	Text                           string
+	Signature                      [ed25519.SignatureSize]byte
 }
 
 // after tells that s was signed later than o by the same signer.
-func (s *Statement) after(o *Statement) bool {
-	return cmp.Or(cmp.Compare(s.Life, o.Life), cmp.Compare(s.Seq, o.Seq)) > 0
+func (s *Statement) newerThan(o *Statement) bool {
+	return cmp.Or(cmp.Compare(s.Incarnation, o.Incarnation), cmp.Compare(s.Seq, o.Seq)) > 0
 }
 
 // Kind is a message's.
-type Kind uint8
+type MessageKind uint8
 
 // The kinds of message.
 const (
-	Ping     Kind = iota
-	Ack           // answers a Ping of that Seq
-	Help          // probe the target in my stead
-	Push          // fresh statements; not answered
-	Exchange      // a part of the state, over a stream: answered by one that is Back
-	kinds
+	Ping          MessageKind = iota
+	Ack                       // answers a Ping of that Seq
+	PingRequest               // probe the target in my stead
+	Push                      // fresh statements; not answered
+	StateExchange             // a part of the state, over a stream: answered by one that is Back
+	messageKindCount
 )
 
 // Message is one packet's content, or what goes over a stream.
 type Message struct {
-	Kind       Kind
-	Want       bool          // send me your own statement: I don't have it
-	Back       bool          // of Exchange: an answer
-	Count      uint64        // of the sender's packets, set by Keys.Seal
-	Life       uint64        // of the sender
-	Now        time.Duration // the sender's clock
-	Seq        uint64        // of the probe
-	Seen       uint64        // the highest count or life known of the receiver, where its own lies below it
-	From       string
-	Addr       string // of the sender
-	Target     string // of Help: whom to probe
-	Statements []Statement
+	Kind         MessageKind
+	WantAlive    bool          // send me your own statement: I don't have it
+	Reply        bool          // of Exchange: an answer
+	Counter      uint64        // of the sender's packets, set by Keys.Seal
+	Incarnation  uint64        // of the sender
+	SentAt       time.Duration // the sender's clock
+	ProbeSeq     uint64        // of the probe
+	ReceiverSeen uint64        // the highest count or life known of the receiver, where its own lies below it
+	From         string
+	Addr         string // of the sender
+	Target       string // of Help: whom to probe
+	Statements   []Statement
 }
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -53,7 +53,7 @@
 	c := p.agent(&config.Gossip{Preset: "local", Bytes: s.Gossip.Bytes}, "")
 	for i := range s.Routers {
 		p.meters = append(p.meters, &fakepeer.Meter{Rate: c.Gossip.BytesPerSecond, Burst: c.Gossip.BurstBytes,
-			PerSec: c.Gossip.MessagesPerSec, Count: c.Gossip.BurstMessages})
+			PerSec: c.Gossip.MessagesPerSecond, Count: c.Gossip.BurstMessages})
 		if err := p.writeKey(i, "k1"); err != nil {
 			return nil, err
 		}
@@ -296,8 +296,8 @@
 		s := sl.g.Peers().Status()
 		_, _, rate, over := p.meters[i].Totals()
 		out.Most, out.Mean, out.Over = max(out.Most, rate), out.Mean+rate/float64(len(r.routers)), out.Over+over
-		out.Claims, out.Looks = out.Claims+s.Judge.Claims, out.Looks+s.Judge.Looks
-		out.Silent, out.WellFound = out.Silent+s.Judge.Silent, out.WellFound+s.Judge.Contradicted
+		out.Claims, out.Looks = out.Claims+s.Judge.Claims, out.Looks+s.Judge.Checks
+		out.Silent, out.WellFound = out.Silent+s.Judge.ConfirmedSilent, out.WellFound+s.Judge.Contradicted
 		out.LeastLive = min(out.LeastLive, s.Live)
 		if !slices.Contains(out.Keys, s.Key) {
 			out.Keys = append(out.Keys, s.Key)
