--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -556,7 +556,7 @@
 func (a *Agent) Status() Status {
 	return ask(a, func() Status {
 		s := Status{ID: a.cfg.ID, Addr: a.addr, Key: a.keys.OwnKeyName(), Members: len(a.core.Members()), Live: a.core.Live(),
-			MostLive: a.core.Stats().MostLive, Health: a.core.Health(), Received: a.received, Core: a.core.Stats(),
+			MostLive: a.core.Stats().MostLive, Health: a.core.HealthPenalty(), Received: a.received, Core: a.core.Stats(),
 			Judge: a.judge.Stats(), Dropped: a.dropped}
 		a.mu.Lock()
 		s.Dropped.Queue = a.full
--- a/internal/gossip/characterization_test.go
+++ b/internal/gossip/characterization_test.go
@@ -95,7 +95,7 @@
 		r.statement(&s)
 	}
 	s := c.Stats()
-	r.write(c.Live(), c.Health(), c.Due(), s.MessagesSent, s.BytesSent, s.Withheld, s.Suspicions, s.Deaths, s.Refutations, s.MostLive)
+	r.write(c.Live(), c.HealthPenalty(), c.Due(), s.MessagesSent, s.BytesSent, s.Withheld, s.Suspicions, s.Deaths, s.Refutations, s.MostLive)
 }
 
 func (r recorder) hex() string { return hex.EncodeToString(r.sum.Sum(nil)) }
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -20,7 +20,7 @@
 	maxStringLength = 255
 	envelopeSize    = 1 + 32 + ed25519.SignatureSize // the key's name and the signature before a message
 	// maxNumber bounds lives, counts and orders, so that none can be pushed to where it could not be overtaken.
-	maxNumber = 1 << 62
+	maxCounter = 1 << 62
 )
 
 func uvarintSize(v uint64) (n int) {
@@ -134,7 +134,7 @@
 
 func (r *decoder) uvarint(what string) uint64 {
 	v, n := binary.Uvarint(r.rest)
-	if n <= 0 || v > maxNumber {
+	if n <= 0 || v > maxCounter {
 		r.fail(what)
 		return 0
 	}
--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -30,7 +30,7 @@
 	MaxHealthPenalty       int           // most that the own health may slow probes down, as a multiple
 	TransmitMultiplier     float64       // a statement is passed on this times log10 of the members, rounded up
 	PushInterval           time.Duration // fresh word of workers is pushed to Fanout members in each such time
-	Fanout                 int
+	PushFanout                 int
 	MaxPacketBytes         int           // largest packet: below a usual MTU
 	SyncInterval           time.Duration // state is exchanged with one member in each such time
 	MaxSyncBytes           int           // most of it in one exchange
@@ -48,7 +48,7 @@
 
 // Local suits routers in one place.
 var LocalConfig = Config{ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3, SuspicionMultiplier: 4,
-	MaxSuspicionMultiplier: 6, Confirmations: 3, MaxHealthPenalty: 8, TransmitMultiplier: 4, PushInterval: 100 * time.Millisecond, Fanout: 3,
+	MaxSuspicionMultiplier: 6, Confirmations: 3, MaxHealthPenalty: 8, TransmitMultiplier: 4, PushInterval: 100 * time.Millisecond, PushFanout: 3,
 	MaxPacketBytes: 1200, SyncInterval: 10 * time.Second, MaxSyncBytes: 8000, BytesPerSecond: 8000, BurstBytes: 16000,
 	MessagesPerSecond: 40, BurstMessages: 80, ReservedShare: 0.25, MaxMembers: 10000, MaxQueuedStatements: 4096, MaxEvidence: 4096,
 	EvidenceLifetime: 5 * time.Second, DeadMemberRetention: time.Minute}
@@ -75,7 +75,7 @@
 	case c.MessagesPerSecond < 4 || c.BurstMessages < 8:
 		return errors.New("gossip: the budget is less than 4 messages a second, or 8 at once")
 	case c.IndirectProbes < 0 || c.Confirmations < 1 || c.MaxHealthPenalty < 1 || c.MaxMembers < 1 || c.MaxQueuedStatements < 1 ||
-		c.MaxEvidence < 1 || c.Fanout < 0 || c.PushInterval <= 0 || c.SyncInterval <= 0 || c.ReservedShare < 0 || c.ReservedShare >= 1:
+		c.MaxEvidence < 1 || c.PushFanout < 0 || c.PushInterval <= 0 || c.SyncInterval <= 0 || c.ReservedShare < 0 || c.ReservedShare >= 1:
 		return errors.New("gossip: a count or a share is out of its range")
 	}
 	return nil
--- a/internal/gossip/core.go
+++ b/internal/gossip/core.go
@@ -308,7 +308,7 @@
 }
 
 // Health is the local health: 0 is good.
-func (c *Core) Health() int { return c.healthPenalty }
+func (c *Core) HealthPenalty() int { return c.healthPenalty }
 
 // Stats tells what the core has done.
 func (c *Core) Stats() Stats {
@@ -505,7 +505,7 @@
 
 // raise begins a higher life where an earlier one of this member's had come further.
 func (c *Core) raiseIncarnation(to uint64) {
-	if to >= maxNumber-1<<32 || c.now-c.raisedAt < c.cfg.ProbeInterval {
+	if to >= maxCounter-1<<32 || c.now-c.raisedAt < c.cfg.ProbeInterval {
 		return
 	}
 	c.raisedAt, c.incarnation, c.statementSeq = c.now, to+1, 0
@@ -843,7 +843,7 @@
 	if c.now < c.nextPush {
 		return
 	}
-	fanout, reserve := c.cfg.Fanout, c.cfg.ReservedShare
+	fanout, reserve := c.cfg.PushFanout, c.cfg.ReservedShare
 	if !c.hasUrgentStatement() {
 		if c.queue.length < pushBacklog {
 			return
--- a/internal/gossip/core_test.go
+++ b/internal/gossip/core_test.go
@@ -77,8 +77,8 @@
 func TestDoubtOfItselfIsAnswered(t *testing.T) {
 	c := coreWith(t)
 	c.Step(time.Second, []any{from("b", doubtOf("b", "me", 5, 1))})
-	if c.ownAlive.Seq == 1 || c.Health() != 1 || c.Stats().Refutations != 1 {
-		t.Errorf("word %d, health %d", c.ownAlive.Seq, c.Health())
+	if c.ownAlive.Seq == 1 || c.HealthPenalty() != 1 || c.Stats().Refutations != 1 {
+		t.Errorf("word %d, health %d", c.ownAlive.Seq, c.HealthPenalty())
 	}
 	c.Step(2*time.Second, []any{from("b", doubtOf("b", "me", 5, 1))})
 	if c.Stats().Refutations != 1 {
--- a/internal/gossip/evidence_collector.go
+++ b/internal/gossip/evidence_collector.go
@@ -70,7 +70,7 @@
 			if d := w.suspicions[k]; d != nil {
 				delete(w.suspicions, k)
 				if d.published {
-					out = append(out, w.publication(ClaimWithdrawn, e.Worker, ""))
+					out = append(out, w.publishEvent(ClaimWithdrawn, e.Worker, ""))
 				}
 			}
 		}
@@ -81,7 +81,7 @@
 			delete(w.suspicions, k)
 		case now >= d.nextPublication && (d.published || w.weightOfOthers(k.subject) < w.cfg.SufficientWeight):
 			d.nextPublication, d.published = now+w.cfg.RepeatInterval, true
-			out = append(out, w.publication(k.kind, k.subject, d.class))
+			out = append(out, w.publishEvent(k.kind, k.subject, d.class))
 		}
 	}
 	slices.SortFunc(out, func(a, b any) int {
@@ -97,7 +97,7 @@
 	return out
 }
 
-func (w *EvidenceCollector) publication(a StatementKind, worker, text string) Publish {
+func (w *EvidenceCollector) publishEvent(a StatementKind, worker, text string) Publish {
 	return Publish{Statement{Kind: a, Subject: worker, SubjectIncarnation: w.started[worker], Text: text}}
 }
 
--- a/internal/gossip/keyring.go
+++ b/internal/gossip/keyring.go
@@ -66,7 +66,7 @@
 
 // Raise counts packets from above n, where peers have seen so many of an earlier life.
 func (k *Keyring) AdvanceCounter(n uint64) {
-	if n < maxNumber-1<<32 {
+	if n < maxCounter-1<<32 {
 		k.counter = max(k.counter, n)
 	}
 }
