--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -140,9 +140,9 @@
 	gate     *gossip.PacketLimiter
 	judge    *gossip.SuspicionQuorum
 	witness  *gossip.EvidenceCollector
-	toCore   []any
-	toJudge  []any
-	toWit    []any
+	toCore   []gossip.Event
+	toJudge  []gossip.QuorumEvent
+	toWit    []gossip.CollectorEvent
 	dropped  Dropped
 	received uint64
 	twinTold time.Duration
@@ -348,13 +348,13 @@
 	}
 }
 
-func drain(list *[]any) []any {
+func drain[T any](list *[]T) []T {
 	out := *list
 	*list = nil
 	return out
 }
 
-func (a *Agent) act(o any) {
+func (a *Agent) act(o gossip.Action) {
 	switch o := o.(type) {
 	case gossip.Send:
 		a.send(o)
@@ -381,7 +381,7 @@
 	}
 }
 
-func (a *Agent) actJudge(o any) {
+func (a *Agent) actJudge(o gossip.QuorumAction) {
 	switch o := o.(type) {
 	case gossip.CheckWorker:
 		a.router.VerifyWorker(o.Worker, a.cfg.Judge.RecentlyHeard, a.cfg.LookTimeout, func(alive, void bool) {
--- a/internal/gossip/agent/property_test.go
+++ b/internal/gossip/agent/property_test.go
@@ -56,7 +56,7 @@
 				}
 				starts[w] = uint64(m.StartedAt / time.Millisecond)
 				play(dispatch.EndpointUpdate{Endpoints: []dispatch.Endpoint{m}})
-				judge.Step(now, []any{gossip.WorkerList{Started: starts}})
+				judge.Step(now, []gossip.QuorumEvent{gossip.WorkerList{Started: starts}})
 			case op == 1 || op == 2:
 				next++
 				play(dispatch.Request{ID: next, Function: w, Class: "c", MemoryMB: 10, ConcurrencyPerInstance: 2, RemainingDeadline: 3 * time.Second})
@@ -74,7 +74,7 @@
 			default:
 				c := gossip.Claim{Worker: w, Started: starts[w], Signer: "liar",
 					Kind: gossip.StatementKind(rapid.IntRange(int(gossip.WorkerSilent), int(gossip.ClaimWithdrawn)).Draw(t, "about"))}
-				for _, o := range judge.Step(now, []any{c, gossip.WorkerChecked{Worker: w}}) {
+				for _, o := range judge.Step(now, []gossip.QuorumEvent{c, gossip.WorkerChecked{Worker: w}}) {
 					if s, ok := o.(gossip.SilenceConfirmed); ok {
 						told.Step(now, []dispatch.Event{dispatch.GossipUpdate{SuspectedWorkers: []string{s.Worker}}})
 					}
--- a/internal/gossip/broadcast_queue.go
+++ b/internal/gossip/broadcast_queue.go
@@ -2,129 +2,130 @@
 
 import "math"
 
-// subjectOf names what a statement is about, so that a newer one replaces an older.
-type statementKey struct {
-	signer, subject string
-	kind            StatementKind
-}
-
-func (s *Statement) key() statementKey {
-	g := s.Kind
-	if g == ClaimWithdrawn {
-		g = WorkerSilent
-	}
-	return statementKey{s.Signer, s.Subject, g}
-}
+// minStatementRoom is the least room in a packet that is worth a search: a signature and the shortest fields.
+const minStatementRoom = 64 + 8
 
-// item is a statement that waits to be passed on.
+// queuedStatement is a statement that waits to be passed on.
 type queuedStatement struct {
 	statement Statement
-	sent      int
+	sent      int // times that it was passed on
 	rank      int
-	dropped   bool
+	dropped   bool // still in its rank, but no longer of the queue
 }
 
-// queue holds the statements to be passed on: by how often each has been, those of little use later. The
-// newest goes first among equals. Buckets make a packet's choice cost what it takes, not what waits.
+// broadcastQueue holds the statements to be passed on, in ranks by how often each has been; those of little use begin
+// at a later rank. Within a rank the newest goes first. Ranks make filling a packet cost what is taken, not what waits.
 type broadcastQueue struct {
 	capacity int
 	byKey    map[statementKey]*queuedStatement
 	ranks    [][]*queuedStatement
-	length   int // live items
+	length   int // without dropped statements
 }
 
-func newBroadcastQueue(most int) broadcastQueue {
-	return broadcastQueue{capacity: most, byKey: map[statementKey]*queuedStatement{}}
+func newBroadcastQueue(capacity int) broadcastQueue {
+	return broadcastQueue{capacity: capacity, byKey: map[statementKey]*queuedStatement{}}
 }
 
-// handicap is how many times others are passed on first.
-func (s *Statement) initialTransmissions() int {
+// initialRank is how many times other statements are passed on before this one.
+func (s *Statement) initialRank() int {
 	switch s.Kind {
 	case WorkerFailing, WorkerSlow: // nobody acts on them
 		return 4
-	case MemberSuspected: // the words that answer them go first
+	case MemberSuspected: // the MemberAlive that refutes it goes first
 		return 3
 	}
 	return 0
 }
 
-// put queues a statement in place of an older one on the same.
+// put queues a statement in place of an older one with its key.
 func (q *broadcastQueue) put(s Statement) {
 	q.drop(s.key())
-	if q.length >= q.capacity { // the one passed on most gives way
-		for r := len(q.ranks) - 1; r >= 0 && q.length >= q.capacity; r-- {
-			for _, i := range q.ranks[r] {
-				if !i.dropped {
-					q.drop(i.statement.key())
-					break
-				}
+	if q.length >= q.capacity {
+		q.evict()
+	}
+	queued := &queuedStatement{statement: s, rank: s.initialRank()}
+	q.byKey[s.key()] = queued
+	q.addToRank(queued)
+	q.length++
+}
+
+// evict drops one statement of those passed on most.
+func (q *broadcastQueue) evict() {
+	for rank := len(q.ranks) - 1; rank >= 0 && q.length >= q.capacity; rank-- {
+		for _, queued := range q.ranks[rank] {
+			if !queued.dropped {
+				q.drop(queued.statement.key())
+				break
 			}
 		}
 	}
-	i := &queuedStatement{statement: s, rank: s.initialTransmissions()}
-	q.byKey[s.key()] = i
-	q.addToRank(i)
-	q.length++
 }
 
-func (q *broadcastQueue) addToRank(i *queuedStatement) {
-	for len(q.ranks) <= i.rank {
+func (q *broadcastQueue) addToRank(queued *queuedStatement) {
+	for len(q.ranks) <= queued.rank {
 		q.ranks = append(q.ranks, nil)
 	}
-	q.ranks[i.rank] = append(q.ranks[i.rank], i)
+	q.ranks[queued.rank] = append(q.ranks[queued.rank], queued)
 }
 
-func (q *broadcastQueue) drop(k statementKey) {
-	if i := q.byKey[k]; i != nil {
-		i.dropped = true
-		delete(q.byKey, k)
+func (q *broadcastQueue) drop(key statementKey) {
+	if queued := q.byKey[key]; queued != nil {
+		queued.dropped = true
+		delete(q.byKey, key)
 		q.length--
 	}
 }
 
-// take chooses statements for a packet with so much room, and counts them as passed on. copies is how often a
-// statement is passed on.
-func (q *broadcastQueue) take(room, copies int, into []Statement) []Statement {
-	const least = 64 + 8
+// take appends statements that fit into room bytes to dst and counts them as passed on. A statement leaves the queue
+// when it has been passed on limit times.
+func (q *broadcastQueue) take(room, limit int, dst []Statement) []Statement {
 	var chosen []*queuedStatement
-	for r := 0; r < len(q.ranks) && room >= least; r++ {
-		list := q.ranks[r]
-		keep := list[:0]
-		for n := len(list) - 1; n >= 0; n-- {
-			i := list[n]
-			if i.dropped {
-				list[n] = nil
-				continue
-			}
-			if size := i.statement.Size(); size <= room {
-				room -= size
-				chosen = append(chosen, i)
-				list[n] = nil
-			} else if room = min(room, size); room < least {
-				break
-			}
+	for rank := 0; rank < len(q.ranks) && room >= minStatementRoom; rank++ {
+		room = q.takeFromRank(rank, room, &chosen)
+	}
+	for _, queued := range chosen {
+		dst = append(dst, queued.statement)
+		queued.sent++
+		queued.rank++
+		if queued.sent >= limit {
+			q.drop(queued.statement.key())
+		} else {
+			q.addToRank(queued)
 		}
-		for _, i := range list {
-			if i != nil {
-				keep = append(keep, i)
-			}
+	}
+	return dst
+}
+
+// takeFromRank moves statements that fit from one rank to chosen, newest first, and returns the room that is left.
+// Larger ones are passed over while a smaller one may still fit.
+func (q *broadcastQueue) takeFromRank(rank, room int, chosen *[]*queuedStatement) int {
+	list := q.ranks[rank]
+	for n := len(list) - 1; n >= 0; n-- {
+		queued := list[n]
+		if queued.dropped {
+			list[n] = nil
+			continue
+		}
+		if size := queued.statement.Size(); size <= room {
+			room -= size
+			*chosen = append(*chosen, queued)
+			list[n] = nil
+		} else if room < minStatementRoom {
+			break
 		}
-		clear(list[len(keep):])
-		q.ranks[r] = keep
 	}
-	for _, i := range chosen {
-		into = append(into, i.statement)
-		i.sent, i.rank = i.sent+1, i.rank+1
-		if i.sent >= copies {
-			q.drop(i.statement.key())
-		} else {
-			q.addToRank(i)
+	keep := list[:0]
+	for _, queued := range list {
+		if queued != nil {
+			keep = append(keep, queued)
 		}
 	}
-	return into
+	clear(list[len(keep):])
+	q.ranks[rank] = keep
+	return room
 }
 
-// copies is how often a statement is passed on among n members.
-func transmissions(mult float64, n int) int {
-	return max(int(math.Ceil(mult*math.Log10(float64(n+1)))), 1)
+// transmissions returns how often a statement is passed on among n members.
+func transmissions(multiplier float64, n int) int {
+	return max(int(math.Ceil(multiplier*math.Log10(float64(n+1)))), 1)
 }
--- a/internal/gossip/characterization_test.go
+++ b/internal/gossip/characterization_test.go
@@ -64,7 +64,7 @@
 }
 
 // coreAction writes one action of a core with the member that it is of.
-func (r recorder) coreAction(now time.Duration, by int, action any) {
+func (r recorder) coreAction(now time.Duration, by int, action gossip.Action) {
 	r.write(now, by)
 	switch a := action.(type) {
 	case gossip.Send:
@@ -139,13 +139,13 @@
 	return c
 }
 
-func (c *cluster) start(i int, life uint64, seeds ...string) {
+func (c *cluster) start(i int, incarnation uint64, seeds ...string) {
 	sign := func(s *gossip.Statement) {
 		s.Key = "k"
 		sum := sha256.Sum256(fmt.Append(nil, int(s.Kind), s.Signer, s.Incarnation, s.Seq, s.SignedAt, s.Subject, s.SubjectIncarnation, s.SubjectSeq, s.Text))
 		copy(s.Signature[:], sum[:])
 	}
-	core, err := gossip.NewCore(c.config, memberID(i), memberID(i), life, life+uint64(i), sign)
+	core, err := gossip.NewCore(c.config, memberID(i), memberID(i), incarnation, incarnation+uint64(i), sign)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	c.step(i, gossip.Join{Addresses: seeds})
 }
 
-func (c *cluster) step(i int, events ...any) {
+func (c *cluster) step(i int, events ...gossip.Event) {
 	for _, a := range c.cores[i].Step(c.now+c.skew[i], events) {
 		c.r.coreAction(c.now, i, a)
 		s, ok := a.(gossip.Send)
@@ -210,7 +210,7 @@
 	}
 }
 
-// report has every running member say something of a worker.
+// report has every running member publish a claim about a worker.
 func (c *cluster) report(about gossip.StatementKind, worker, text string) {
 	for i, core := range c.cores {
 		if core != nil && c.rng.IntN(3) > 0 {
@@ -222,14 +222,14 @@
 func clusterSum(t *testing.T, seed uint64) string {
 	const members = 12
 	c := newCluster(t, seed, members)
-	words := make([]gossip.Statement, members)
-	for i := range words {
-		words[i] = gossip.Statement{Kind: gossip.MemberAlive, Signer: memberID(i), Incarnation: 100, Seq: 1, Text: memberID(i)}
+	statements := make([]gossip.Statement, members)
+	for i := range statements {
+		statements[i] = gossip.Statement{Kind: gossip.MemberAlive, Signer: memberID(i), Incarnation: 100, Seq: 1, Text: memberID(i)}
 	}
 	for i := range members {
 		c.start(i, 100+uint64(i), memberID(0), memberID(members/2), "elsewhere")
 		if seed%4 == 1 {
-			c.step(i, gossip.KnownMembers{Statements: words})
+			c.step(i, gossip.KnownMembers{Statements: statements})
 			c.cores[i].MarkAllDirect()
 		}
 	}
@@ -250,7 +250,7 @@
 	c.cut = func(from, to int) bool { return from == 5 }
 	c.run(20 * time.Second)
 	c.cut = nil
-	// Another process with member 6's key, a replayed packet of an earlier incarnation, a doubt of member 7 by 8.
+	// Another process with member 6's key, a replayed packet of an earlier incarnation, a suspicion of member 7 by 8.
 	for i := range 3 { // the third one comes sooner than a member may raise its incarnation again
 		c.receive(6, gossip.Message{Kind: gossip.Push, From: memberID(5), Addr: memberID(5), Incarnation: 105,
 			Statements: []gossip.Statement{{Kind: gossip.MemberAlive, Signer: memberID(6), Incarnation: 900 + 10*uint64(i), Seq: 3, Text: "other"}}})
@@ -283,7 +283,7 @@
 
 // workerEvents draws the events of one step, and the list of workers from then on.
 func workerEvents(rng *rand.Rand, started map[string]uint64, worker, signer string) (
-	list map[string]uint64, toJudge, toWitness []any,
+	list map[string]uint64, toQuorum []gossip.QuorumEvent, toCollector []gossip.CollectorEvent,
 ) {
 	class := fmt.Sprint("c", rng.IntN(3))
 	about := gossip.StatementKind(rng.IntN(6))
@@ -299,39 +299,39 @@
 			next[worker]++
 		}
 		started = next
-		toJudge, toWitness = []any{gossip.WorkerList{Started: started}}, []any{gossip.WorkerList{Started: started}}
+		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerList{Started: started}}, []gossip.CollectorEvent{gossip.WorkerList{Started: started}}
 	case 1:
-		toJudge, toWitness = []any{gossip.WorkerHeard{Worker: worker}}, []any{gossip.WorkerHeard{Worker: worker}}
+		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerHeard{Worker: worker}}, []gossip.CollectorEvent{gossip.WorkerHeard{Worker: worker}}
 	case 2, 3:
-		toWitness = []any{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
+		toCollector = []gossip.CollectorEvent{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
 	case 4:
-		toJudge = []any{gossip.WorkerChecked{Worker: worker, Alive: rng.IntN(2) > 0, Skipped: rng.IntN(5) == 0}}
+		toQuorum = []gossip.QuorumEvent{gossip.WorkerChecked{Worker: worker, Alive: rng.IntN(2) > 0, Skipped: rng.IntN(5) == 0}}
 	default:
-		toJudge = []any{gossip.Claim{Worker: worker, Started: started[worker], Kind: gossip.StatementKind(2 + rng.IntN(4)),
+		toQuorum = []gossip.QuorumEvent{gossip.Claim{Worker: worker, Started: started[worker], Kind: gossip.StatementKind(2 + rng.IntN(4)),
 			Class: class, Signer: signer, Age: time.Duration(rng.IntN(6000)-200) * time.Millisecond},
 			gossip.Claim{Worker: worker, Started: started[worker], Kind: gossip.WorkerSilent, Signer: signer + "b"}}
 	}
-	return started, toJudge, toWitness
+	return started, toQuorum, toCollector
 }
 
-// workerSum plays random events to the judge, the witness and the gate.
+// workerSum plays random events to the quorum, the collector and the limiter.
 func workerSum(seed uint64) string {
 	r, rng := newRecorder(), rand.New(rand.NewPCG(seed, 78))
-	judge, gate := gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig), gossip.NewPacketLimiter(gossip.LocalPacketLimiterConfig)
-	witness := gossip.NewEvidenceCollector(gossip.LocalEvidenceCollectorConfig, judge.SilenceWeight)
+	quorum, limiter := gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig), gossip.NewPacketLimiter(gossip.LocalPacketLimiterConfig)
+	collector := gossip.NewEvidenceCollector(gossip.LocalEvidenceCollectorConfig, quorum.SilenceWeight)
 	now, started := time.Duration(0), map[string]uint64{}
 	for range 3000 {
 		now += time.Duration(rng.IntN(300)) * time.Millisecond
 		worker, signer := fmt.Sprint("w", rng.IntN(5)), fmt.Sprint("s", rng.IntN(6))
-		var toJudge, toWitness []any
-		started, toJudge, toWitness = workerEvents(rng, started, worker, signer)
+		var toQuorum []gossip.QuorumEvent
+		var toCollector []gossip.CollectorEvent
+		started, toQuorum, toCollector = workerEvents(rng, started, worker, signer)
 		r.write(now)
-		for _, a := range witness.Step(now, toWitness) {
-			s, _ := a.(gossip.Publish)
+		for _, a := range collector.Step(now, toCollector) {
 			r.write(1)
-			r.statement(&s.Statement)
+			r.statement(&a.Statement)
 		}
-		for _, a := range judge.Step(now, toJudge) {
+		for _, a := range quorum.Step(now, toQuorum) {
 			switch a := a.(type) {
 			case gossip.CheckWorker:
 				r.write(2, a.Worker)
@@ -339,21 +339,21 @@
 				r.write(3, a.Worker)
 			}
 		}
-		due, ok := witness.Due()
-		r.write(due, ok, judge.Weight(signer), judge.SilenceWeight(worker))
+		due, ok := collector.Due()
+		r.write(due, ok, quorum.Weight(signer), quorum.SilenceWeight(worker))
 		if rng.IntN(20) == 0 {
-			for _, s := range judge.Suspicions() {
+			for _, s := range quorum.Suspicions() {
 				r.write(s.Worker, s.Kind, s.Class, s.Weight, strings.Join(s.Signers, " "))
 			}
 		}
 		for range rng.IntN(60) {
-			r.write(gate.AllowPacket(now, signer), gate.AllowStatement(now, worker))
+			r.write(limiter.AllowPacket(now, signer), limiter.AllowStatement(now, worker))
 		}
 		if rng.IntN(8) == 0 {
-			gate.Authenticated(now, signer, worker)
+			limiter.Authenticated(now, signer, worker)
 		}
 	}
-	s := judge.Stats()
+	s := quorum.Stats()
 	r.write(s.Claims, s.Checks, s.ConfirmedSilent, s.Contradicted)
 	return r.hex()
 }
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -8,37 +8,53 @@
 	"time"
 )
 
-// ErrMalformed tells of bytes that are no message of this version.
+// ErrMalformed reports bytes that are not a message of this protocol version.
 var ErrMalformed = errors.New("gossip: malformed message")
 
-func malformedError(what string, at int) error {
-	return fmt.Errorf("%w: %s at byte %d", ErrMalformed, what, at)
+func malformedError(what string, offset int) error {
+	return fmt.Errorf("%w: %s at byte %d", ErrMalformed, what, offset)
 }
 
 const (
 	protocolVersion = 1
 	maxStringLength = 255
-	envelopeSize    = 1 + 32 + ed25519.SignatureSize // the key's name and the signature before a message
-	// maxNumber bounds lives, counts and orders, so that none can be pushed to where it could not be overtaken.
+	// envelopeSize is the most bytes before a message in a packet: the key's name and the signature.
+	envelopeSize = 1 + 32 + ed25519.SignatureSize
+	// maxCounter bounds incarnations, counters and sequence numbers.
 	maxCounter = 1 << 62
+	// counterHeadroom is how far below maxCounter a member may be raised by others, so that nobody can push it to
+	// where its numbers could not rise any more.
+	counterHeadroom = 1 << 32
+	// maxDurationMillis is the longest time that is read, in milliseconds.
+	maxDurationMillis = uint64(1 << 62 / time.Millisecond)
 )
 
-func uvarintSize(v uint64) (n int) {
-	for n = 1; v >= 0x80; n++ {
+// Bits of a message's flags.
+const (
+	flagWantAlive = 1 << iota
+	flagReply
+	flagLimit // all flags lie below
+)
+
+func uvarintSize(v uint64) int {
+	n := 1
+	for v >= 0x80 {
 		v >>= 7
+		n++
 	}
 	return n
 }
 
 func durationSize(d time.Duration) int { return uvarintSize(uint64(max(d, 0) / time.Millisecond)) }
 
-// Size is the bytes that a statement takes.
+// Size returns the bytes that a statement takes in a message.
 func (s *Statement) Size() int {
-	return 1 + uvarintSize(s.Incarnation) + uvarintSize(s.Seq) + durationSize(s.SignedAt) + uvarintSize(s.SubjectIncarnation) + uvarintSize(s.SubjectSeq) + 4 +
-		len(s.Signer) + len(s.Key) + len(s.Subject) + len(s.Text) + len(s.Signature)
+	return 1 + uvarintSize(s.Incarnation) + uvarintSize(s.Seq) + durationSize(s.SignedAt) +
+		uvarintSize(s.SubjectIncarnation) + uvarintSize(s.SubjectSeq) +
+		4 + len(s.Signer) + len(s.Key) + len(s.Subject) + len(s.Text) + len(s.Signature)
 }
 
-// Size is at least the bytes that a message takes in a packet, signature included.
+// Size returns an upper bound of the bytes that a message takes in a packet, signature included.
 func (m *Message) Size() int {
 	n := envelopeSize + 3 + 5*binary.MaxVarintLen64 + 3 + len(m.From) + len(m.Addr) + len(m.Target)
 	for i := range m.Statements {
@@ -49,141 +65,161 @@
 
 func appendString(dst []byte, s string) []byte { return append(append(dst, byte(len(s))), s...) }
 
+// appendDuration writes a time as whole milliseconds; a negative one is written as 0.
 func appendDuration(dst []byte, d time.Duration) []byte {
 	return binary.AppendUvarint(dst, uint64(max(d, 0)/time.Millisecond))
 }
 
-// appendBody writes what a statement's signature covers.
+// appendSignedPart appends the bytes that a statement's signature covers.
 func (s *Statement) appendSignedPart(dst []byte) []byte {
 	dst = append(dst, byte(s.Kind))
 	for _, v := range []uint64{s.Incarnation, s.Seq, s.SubjectIncarnation, s.SubjectSeq} {
 		dst = binary.AppendUvarint(dst, v)
 	}
 	dst = appendDuration(dst, s.SignedAt)
-	for _, t := range []string{s.Signer, s.Key, s.Subject, s.Text} {
-		dst = appendString(dst, t)
+	for _, v := range []string{s.Signer, s.Key, s.Subject, s.Text} {
+		dst = appendString(dst, v)
 	}
 	return dst
 }
 
-// Append writes a message. Texts longer than 255 bytes are an error of the caller's settings.
-func (m *Message) Append(dst []byte) ([]byte, error) {
-	for _, s := range []string{m.From, m.Addr, m.Target} {
-		if len(s) > maxStringLength {
-			return nil, fmt.Errorf("gossip: a text of %d bytes, at most %d", len(s), maxStringLength)
+// AppendTo appends the encoded message. A string of more than 255 bytes is an error, and one of the settings.
+func (m *Message) AppendTo(dst []byte) ([]byte, error) {
+	for _, v := range []string{m.From, m.Addr, m.Target} {
+		if len(v) > maxStringLength {
+			return nil, fmt.Errorf("gossip: message with a string of %d bytes, at most %d are allowed", len(v), maxStringLength)
 		}
 	}
 	flags := byte(0)
 	if m.WantAlive {
-		flags |= 1
+		flags |= flagWantAlive
 	}
 	if m.Reply {
-		flags |= 2
+		flags |= flagReply
 	}
 	dst = append(dst, protocolVersion, byte(m.Kind), flags)
 	for _, v := range []uint64{m.Counter, m.Incarnation, m.ProbeSeq, m.ReceiverSeen} {
 		dst = binary.AppendUvarint(dst, v)
 	}
 	dst = appendDuration(dst, m.SentAt)
-	for _, t := range []string{m.From, m.Addr, m.Target} {
-		dst = appendString(dst, t)
+	for _, v := range []string{m.From, m.Addr, m.Target} {
+		dst = appendString(dst, v)
 	}
 	for i := range m.Statements {
 		s := &m.Statements[i]
 		if max(len(s.Signer), len(s.Key), len(s.Subject), len(s.Text)) > maxStringLength {
-			return nil, fmt.Errorf("gossip: a statement with a text of more than %d bytes", maxStringLength)
+			return nil, fmt.Errorf("gossip: statement with a string of more than %d bytes", maxStringLength)
 		}
 		dst = append(s.appendSignedPart(dst), s.Signature[:]...)
 	}
 	return dst, nil
 }
 
-// reader reads values off bytes and remembers what was wrong first.
+// decoder reads values off bytes. It keeps the first error; after one, all values read are zero.
 type decoder struct {
 	rest   []byte
-	length int
+	length int // of all bytes, to name the place of an error
 	err    error
 }
 
-func (r *decoder) fail(what string) {
-	if r.err == nil {
-		r.err = malformedError(what, r.length-len(r.rest))
+func (d *decoder) fail(what string) {
+	if d.err == nil {
+		d.err = malformedError(what, d.length-len(d.rest))
 	}
-	r.rest = nil
+	d.rest = nil
 }
 
-func (r *decoder) byte(below int, what string) byte {
-	if len(r.rest) == 0 || int(r.rest[0]) >= below {
-		r.fail(what)
+// byte reads one byte that must be less than limit.
+func (d *decoder) byte(limit int, what string) byte {
+	if len(d.rest) == 0 || int(d.rest[0]) >= limit {
+		d.fail(what)
 		return 0
 	}
-	v := r.rest[0]
-	r.rest = r.rest[1:]
+	v := d.rest[0]
+	d.rest = d.rest[1:]
 	return v
 }
 
-func (r *decoder) string(what string) string {
-	if len(r.rest) == 0 || len(r.rest) < 1+int(r.rest[0]) {
-		r.fail(what)
+func (d *decoder) string(what string) string {
+	if len(d.rest) == 0 || len(d.rest) < 1+int(d.rest[0]) {
+		d.fail(what)
 		return ""
 	}
-	s := string(r.rest[1 : 1+int(r.rest[0])])
-	r.rest = r.rest[1+int(r.rest[0]):]
+	end := 1 + int(d.rest[0])
+	s := string(d.rest[1:end])
+	d.rest = d.rest[end:]
 	return s
 }
 
-func (r *decoder) uvarint(what string) uint64 {
-	v, n := binary.Uvarint(r.rest)
+func (d *decoder) uvarint(what string) uint64 {
+	v, n := binary.Uvarint(d.rest)
 	if n <= 0 || v > maxCounter {
-		r.fail(what)
+		d.fail(what)
 		return 0
 	}
-	r.rest = r.rest[n:]
+	d.rest = d.rest[n:]
 	return v
 }
 
-func (r *decoder) duration(what string) time.Duration {
-	v := r.uvarint(what)
-	if v > uint64(1<<62/time.Millisecond) {
-		r.fail(what)
+func (d *decoder) duration(what string) time.Duration {
+	v := d.uvarint(what)
+	if v > maxDurationMillis {
+		d.fail(what)
 		return 0
 	}
 	return time.Duration(v) * time.Millisecond
 }
 
-// Parse reads a message that fills b. Its strings are copies; nothing of b is kept.
-func ParseMessage(b []byte) (m Message, err error) {
-	r := &decoder{rest: b, length: len(b)}
-	if v := r.byte(256, "no version"); r.err == nil && v != protocolVersion {
-		return m, fmt.Errorf("%w: version %d, this is %d", ErrMalformed, v, protocolVersion)
-	}
-	m.Kind = MessageKind(r.byte(int(messageKindCount), "kind"))
-	flags := r.byte(4, "flags")
-	m.WantAlive, m.Reply = flags&1 > 0, flags&2 > 0
-	m.Counter, m.Incarnation, m.ProbeSeq, m.ReceiverSeen = r.uvarint("count"), r.uvarint("life"), r.uvarint("sequence"), r.uvarint("seen")
-	m.SentAt = r.duration("clock")
-	m.From, m.Addr, m.Target = r.string("sender"), r.string("address"), r.string("target")
-	if r.err == nil && m.From == "" {
-		r.fail("sender")
-	}
-	for len(r.rest) > 0 {
-		s := Statement{Kind: StatementKind(r.byte(int(statementKindCount), "kind of statement"))}
-		s.Incarnation, s.Seq, s.SubjectIncarnation, s.SubjectSeq = r.uvarint("life"), r.uvarint("order"), r.uvarint("life of"), r.uvarint("order of")
-		s.SignedAt = r.duration("time")
-		s.Signer, s.Key, s.Subject, s.Text = r.string("signer"), r.string("key"), r.string("subject"), r.string("text")
-		if r.err == nil && (s.Signer == "" || (s.Subject == "") != (s.Kind == MemberAlive)) {
-			r.fail("subject")
-		}
-		if len(r.rest) < len(s.Signature) {
-			r.fail("signature")
-			break
-		}
-		copy(s.Signature[:], r.rest)
-		r.rest = r.rest[len(s.Signature):]
-		m.Statements = append(m.Statements, s)
-	}
-	if r.err != nil {
-		return Message{}, r.err
+// statement reads one statement. Whether its signature is right is not checked.
+func (d *decoder) statement() Statement {
+	s := Statement{Kind: StatementKind(d.byte(int(statementKindCount), "kind of statement"))}
+	s.Incarnation = d.uvarint("incarnation")
+	s.Seq = d.uvarint("sequence number")
+	s.SubjectIncarnation = d.uvarint("incarnation of the subject")
+	s.SubjectSeq = d.uvarint("sequence number of the subject")
+	s.SignedAt = d.duration("time")
+	s.Signer = d.string("signer")
+	s.Key = d.string("key")
+	s.Subject = d.string("subject")
+	s.Text = d.string("text")
+	if d.err == nil && (s.Signer == "" || (s.Subject == "") != (s.Kind == MemberAlive)) {
+		d.fail("subject")
+	}
+	if len(d.rest) < len(s.Signature) {
+		d.fail("signature")
+		return s
+	}
+	copy(s.Signature[:], d.rest)
+	d.rest = d.rest[len(s.Signature):]
+	return s
+}
+
+// ParseMessage reads a message that fills b. Its strings are copies; nothing of b is kept. Errors wrap ErrMalformed.
+func ParseMessage(b []byte) (Message, error) {
+	var m Message
+	d := &decoder{rest: b, length: len(b)}
+	if version := d.byte(256, "no version"); d.err == nil && version != protocolVersion {
+		return m, fmt.Errorf("%w: version %d, this is %d", ErrMalformed, version, protocolVersion)
+	}
+	m.Kind = MessageKind(d.byte(int(messageKindCount), "kind"))
+	flags := d.byte(flagLimit, "flags")
+	m.WantAlive, m.Reply = flags&flagWantAlive > 0, flags&flagReply > 0
+	m.Counter = d.uvarint("counter")
+	m.Incarnation = d.uvarint("incarnation")
+	m.ProbeSeq = d.uvarint("probe sequence number")
+	m.ReceiverSeen = d.uvarint("seen of the receiver")
+	m.SentAt = d.duration("clock")
+	m.From = d.string("sender")
+	m.Addr = d.string("address")
+	m.Target = d.string("target")
+	if d.err == nil && m.From == "" {
+		d.fail("sender")
+	}
+	for len(d.rest) > 0 {
+		m.Statements = append(m.Statements, d.statement())
+	}
+	if d.err != nil {
+		return Message{}, d.err
 	}
 	return m, nil
 }
--- a/internal/gossip/evidence_collector.go
+++ b/internal/gossip/evidence_collector.go
@@ -1,111 +1,132 @@
 package gossip
 
 import (
+	"cmp"
 	"slices"
 	"time"
 )
 
-// WitnessConfig is the constants of the witness.
+// EvidenceCollectorConfig holds the constants of an [EvidenceCollector].
 type EvidenceCollectorConfig struct {
-	RepeatInterval   time.Duration // what still stands is said again after this
-	SufficientWeight float64       // nothing is said of a worker of which others' word weighs this much already
+	RepeatInterval   time.Duration // a suspicion that holds is published again after this
+	SufficientWeight float64       // nothing is published about a worker if the claims of others weigh this much already
 	MaxSuspicions    int
 }
 
-// LocalWitness goes with Local.
-var LocalEvidenceCollectorConfig = EvidenceCollectorConfig{RepeatInterval: 3 * time.Second, SufficientWeight: 4, MaxSuspicions: 1024}
+// LocalEvidenceCollectorConfig goes with LocalConfig.
+var LocalEvidenceCollectorConfig = EvidenceCollectorConfig{
+	RepeatInterval:   3 * time.Second,
+	SufficientWeight: 4,
+	MaxSuspicions:    1024,
+}
 
-// Doubted is an event: this router has come to hold something against a worker, by its own evidence.
+// WorkerSuspected reports that this router suspects a worker by its own evidence.
 type WorkerSuspected struct {
 	Worker string
-	Kind   StatementKind // Silent, Failing or Slow
+	Kind   StatementKind // WorkerSilent, WorkerFailing or WorkerSlow
 	Class  string        // the class that it fails
 }
 
-// Witness decides what of this router's own evidence on workers others are told. It speaks only of what this
-// router saw; what others say moves it to silence at the most, so no word comes back as another's evidence.
+func (WorkerSuspected) collectorEvent() {}
+
+// EvidenceCollector decides which of this router's own suspicions of workers are published. It publishes only what this
+// router observed; claims of others can at most keep it from publishing, so no claim returns as another's evidence.
 type EvidenceCollector struct {
 	cfg            EvidenceCollectorConfig
-	weightOfOthers func(worker string) float64 // weight of others' word on it
+	weightOfOthers func(worker string) float64
 	started        map[string]uint64
-	suspicions     map[statementKey]*ownSuspicion
+	suspicions     map[statementKey]*ownSuspicion // with an empty signer
 }
 
+// ownSuspicion is a suspicion of a worker by this router.
 type ownSuspicion struct {
-	class                   string
-	since                   time.Duration
-	nextPublication, seenAt time.Duration
-	published               bool
+	class           string
+	nextPublication time.Duration
+	seenAt          time.Duration // when it was last reported
+	published       bool
 }
 
-// NewWitness returns a Witness that has seen nothing.
-func NewEvidenceCollector(c EvidenceCollectorConfig, others func(worker string) float64) *EvidenceCollector {
-	return &EvidenceCollector{cfg: c, weightOfOthers: others, started: map[string]uint64{}, suspicions: map[statementKey]*ownSuspicion{}}
+// NewEvidenceCollector returns a collector without suspicions. weightOfOthers returns the weight of the claims of other
+// routers that a worker is silent.
+func NewEvidenceCollector(cfg EvidenceCollectorConfig, weightOfOthers func(worker string) float64) *EvidenceCollector {
+	return &EvidenceCollector{
+		cfg:            cfg,
+		weightOfOthers: weightOfOthers,
+		started:        map[string]uint64{},
+		suspicions:     map[statementKey]*ownSuspicion{},
+	}
 }
 
-// Step takes Doubted, HeardOf and Workers, and returns the Says for the Core.
-func (w *EvidenceCollector) Step(now time.Duration, events []any) (out []any) {
+// Step processes events at a time and returns what is to be published, ordered by worker and kind.
+func (c *EvidenceCollector) Step(now time.Duration, events []CollectorEvent) []Publish {
+	var publications []Publish
 	for _, e := range events {
 		switch e := e.(type) {
 		case WorkerList:
-			for k := range w.suspicions {
-				if of, listed := e.Started[k.subject]; !listed || of != w.started[k.subject] {
-					delete(w.suspicions, k)
-				}
-			}
-			w.started = e.Started
+			c.updateWorkers(e.Started)
 		case WorkerSuspected:
-			if _, listed := w.started[e.Worker]; !listed || !e.Kind.AboutWorker() || e.Kind == ClaimWithdrawn {
-				continue
-			}
-			k := statementKey{"", e.Worker, e.Kind}
-			if w.suspicions[k] == nil && len(w.suspicions) < w.cfg.MaxSuspicions {
-				w.suspicions[k] = &ownSuspicion{since: now, nextPublication: now}
-			}
-			if d := w.suspicions[k]; d != nil {
-				d.class, d.seenAt = e.Class, now
-			}
+			c.recordSuspicion(now, e)
 		case WorkerHeard:
-			k := statementKey{"", e.Worker, WorkerSilent}
-			if d := w.suspicions[k]; d != nil {
-				delete(w.suspicions, k)
-				if d.published {
-					out = append(out, w.publishEvent(ClaimWithdrawn, e.Worker, ""))
+			key := statementKey{subject: e.Worker, kind: WorkerSilent}
+			if s := c.suspicions[key]; s != nil {
+				delete(c.suspicions, key)
+				if s.published {
+					publications = append(publications, c.publication(ClaimWithdrawn, e.Worker, ""))
 				}
 			}
 		}
 	}
-	for k, d := range w.suspicions {
+	for key, s := range c.suspicions {
 		switch {
-		case k.kind != WorkerSilent && now-d.seenAt > w.cfg.RepeatInterval: // not seen again: it is over, for all we know
-			delete(w.suspicions, k)
-		case now >= d.nextPublication && (d.published || w.weightOfOthers(k.subject) < w.cfg.SufficientWeight):
-			d.nextPublication, d.published = now+w.cfg.RepeatInterval, true
-			out = append(out, w.publishEvent(k.kind, k.subject, d.class))
+		case key.kind != WorkerSilent && now-s.seenAt > c.cfg.RepeatInterval: // not seen again: over, as far as is known
+			delete(c.suspicions, key)
+		case now >= s.nextPublication && (s.published || c.weightOfOthers(key.subject) < c.cfg.SufficientWeight):
+			s.nextPublication, s.published = now+c.cfg.RepeatInterval, true
+			publications = append(publications, c.publication(key.kind, key.subject, s.class))
 		}
 	}
-	slices.SortFunc(out, func(a, b any) int {
-		x, _ := a.(Publish)
-		y, _ := b.(Publish)
-		if x.Statement.Subject < y.Statement.Subject {
-			return -1
-		} else if x.Statement.Subject > y.Statement.Subject {
-			return 1
-		}
-		return int(x.Statement.Kind) - int(y.Statement.Kind)
+	slices.SortFunc(publications, func(a, b Publish) int {
+		return cmp.Or(cmp.Compare(a.Statement.Subject, b.Statement.Subject), cmp.Compare(a.Statement.Kind, b.Statement.Kind))
 	})
-	return out
+	return publications
+}
+
+// updateWorkers drops the suspicions of workers that are no longer listed or have restarted.
+func (c *EvidenceCollector) updateWorkers(started map[string]uint64) {
+	for key := range c.suspicions {
+		if incarnation, listed := started[key.subject]; !listed || incarnation != c.started[key.subject] {
+			delete(c.suspicions, key)
+		}
+	}
+	c.started = started
+}
+
+// recordSuspicion keeps a suspicion of a listed worker, or renews it.
+func (c *EvidenceCollector) recordSuspicion(now time.Duration, e WorkerSuspected) {
+	if _, listed := c.started[e.Worker]; !listed || !e.Kind.AboutWorker() || e.Kind == ClaimWithdrawn {
+		return
+	}
+	key := statementKey{subject: e.Worker, kind: e.Kind}
+	s := c.suspicions[key]
+	if s == nil {
+		if len(c.suspicions) >= c.cfg.MaxSuspicions {
+			return
+		}
+		s = &ownSuspicion{nextPublication: now}
+		c.suspicions[key] = s
+	}
+	s.class, s.seenAt = e.Class, now
 }
 
-func (w *EvidenceCollector) publishEvent(a StatementKind, worker, text string) Publish {
-	return Publish{Statement{Kind: a, Subject: worker, SubjectIncarnation: w.started[worker], Text: text}}
+func (c *EvidenceCollector) publication(kind StatementKind, worker, class string) Publish {
+	return Publish{Statement: Statement{Kind: kind, Subject: worker, SubjectIncarnation: c.started[worker], Text: class}}
 }
 
-// Due is when Step has something to say without an event; false if never.
-func (w *EvidenceCollector) Due() (at time.Duration, ok bool) {
-	for _, d := range w.suspicions {
-		if !ok || d.nextPublication < at {
-			at, ok = d.nextPublication, true
+// Due returns when Step may have something to publish without an event; false if never.
+func (c *EvidenceCollector) Due() (at time.Duration, ok bool) {
+	for _, s := range c.suspicions {
+		if !ok || s.nextPublication < at {
+			at, ok = s.nextPublication, true
 		}
 	}
 	return at, ok
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -80,9 +80,9 @@
 // TestGoldenPackets holds the signed packet of each kind of message with statements of each kind, as hexadecimal lines,
 // and what is read back from them. Ed25519 signatures are deterministic (RFC 8032), so those bytes are held too.
 func TestGoldenPackets(t *testing.T) {
-	private, public := keyOf(1)
+	private, public := testKey(1)
 	sender, receiver := NewKeyring("k1", private, 100), NewKeyring("k2", private, 1)
-	receiver.SetAdmitted(admit("a", "k1", public))
+	receiver.SetAdmitted(admittedKeys(memberKey{"a", "k1", public}))
 	var statements []Statement
 	for i, about := range []StatementKind{MemberAlive, MemberSuspected, WorkerSilent, WorkerFailing, WorkerSlow, ClaimWithdrawn} {
 		n := uint64(i + 1)
--- a/internal/gossip/gossipsim/measure.go
+++ b/internal/gossip/gossipsim/measure.go
@@ -57,7 +57,7 @@
 	wrong := map[string]bool{}
 	var heard, dead []float64
 	var from time.Duration
-	w.Told = func(_ int, a any) {
+	w.Told = func(_ int, a gossip.Action) {
 		switch a := a.(type) {
 		case gossip.EvidenceReceived:
 			heard = append(heard, (w.Now - from).Seconds())
--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -20,7 +20,7 @@
 	Delay func(from, to int) time.Duration
 	Cut   func(from, to int) bool // the way from one to another is cut, for streams too
 	Sent  []Traffic
-	Told  func(by int, action any) // told of each action but Sends
+	Told  func(by int, action gossip.Action) // told of each action but Sends
 	Skew  []time.Duration          // by which each clock is off
 
 	cfg    gossip.Config
@@ -123,7 +123,7 @@
 func (w *Network) Stop(i int) { w.Cores[i] = nil }
 
 // Do hands events to a core now.
-func (w *Network) Do(i int, events ...any) {
+func (w *Network) Do(i int, events ...gossip.Event) {
 	c := w.Cores[i]
 	w.act(i, c.Step(w.Now+w.Skew[i], events))
 	w.arm(i)
@@ -157,7 +157,7 @@
 	return gossip.MessageReceived{Message: m}
 }
 
-func (w *Network) act(from int, out []any) {
+func (w *Network) act(from int, out []gossip.Action) {
 	for _, a := range out {
 		s, ok := a.(gossip.Send)
 		if !ok {
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -12,7 +12,7 @@
 
 func watch(w *Network) deaths {
 	d := deaths{}
-	w.Told = func(by int, a any) {
+	w.Told = func(by int, a gossip.Action) {
 		if c, ok := a.(gossip.MemberStateChanged); ok && c.State == gossip.Dead {
 			if d[c.ID] == nil {
 				d[c.ID] = map[int]time.Duration{}
@@ -151,7 +151,7 @@
 	w.StartAll(false)
 	w.Run(30 * time.Second)
 	var ages []time.Duration
-	w.Told = func(_ int, a any) {
+	w.Told = func(_ int, a gossip.Action) {
 		if h, ok := a.(gossip.EvidenceReceived); ok {
 			ages = append(ages, h.Age)
 		}
--- a/internal/gossip/keyring.go
+++ b/internal/gossip/keyring.go
@@ -6,115 +6,101 @@
 	"fmt"
 )
 
-// Keys are the keys of the admitted members. A member may have several at a time, by their names, so that one
-// can be exchanged in service.
+// maxKeyNameLength is the longest name of a key, in bytes.
+const maxKeyNameLength = 31
+
+// Errors of verification. Those of [Keyring.Open] wrap ErrMalformed or one of these.
+var (
+	ErrUnknownKey = errors.New("gossip: signed by a key that is not admitted")
+	ErrSignature  = errors.New("gossip: invalid signature")
+	ErrReplay     = errors.New("gossip: packet received before, or older than those received")
+	ErrStale      = fmt.Errorf("%w: far older", ErrReplay) // as of a process that started with its clock set back
+)
+
+// Keyring signs for one member and verifies the packets and statements of the admitted members. A member may have
+// several keys at a time, by their names, so that a key can be replaced without an interruption.
 type Keyring struct {
 	ownName       string
 	private       ed25519.PrivateKey
-	counter       uint64
-	admitted      map[string]map[string]ed25519.PublicKey // by member and name
+	counter       uint64                                  // of the latest packet sealed
+	admitted      map[string]map[string]ed25519.PublicKey // by member and key name
 	replayWindows map[string]*replayWindow                // by member
 	buffer        []byte
 }
 
-// window tells which of a sender's packets have come: the highest count, and the 64 up to it (RFC 4303, section
-// 3.4.3, anti-replay).
-type replayWindow struct{ highest, received uint64 }
-
-// fresh notes a count and tells whether it is new. What lies far behind the highest is taken for old.
-func (w *replayWindow) accept(n uint64) bool {
-	switch {
-	case n > w.highest:
-		if d := n - w.highest; d < 64 {
-			w.received = w.received<<d | 1
-		} else {
-			w.received = 1
-		}
-		w.highest = n
-		return true
-	case w.highest-n >= 64 || w.received>>(w.highest-n)&1 == 1:
-		return false
+// NewKeyring returns the keyring of a member that signs with its key of that name. Its packets are counted from above
+// first, which must be higher than any counter of an earlier process: its start time in nanoseconds will do.
+func NewKeyring(name string, private ed25519.PrivateKey, first uint64) *Keyring {
+	return &Keyring{
+		ownName:       name,
+		private:       private,
+		counter:       first,
+		admitted:      map[string]map[string]ed25519.PublicKey{},
+		replayWindows: map[string]*replayWindow{},
 	}
-	w.received |= 1 << (w.highest - n)
-	return true
 }
 
-// staleBy is how far below the highest a count is stale: lives count from their start in nanoseconds, and no packet
-// is a quarter of a second's worth of counts late.
-const staleDistance = 1 << 28
-
-// Errors of opening a packet.
-var (
-	ErrUnknownKey = errors.New("gossip: signed by a key that is not admitted")
-	ErrSignature  = errors.New("gossip: signature does not fit")
-	ErrReplay     = errors.New("gossip: packet has come before, or is older than those that came")
-	ErrStale      = fmt.Errorf("%w: far older", ErrReplay) // as of a life that began with its clock set back
-)
-
-// NewKeys returns the keys of one member that signs with its key of that name. Its packets are counted from
-// first, which must be higher than any count of an earlier life: its start time in nanoseconds will do.
-func NewKeyring(name string, own ed25519.PrivateKey, first uint64) *Keyring {
-	return &Keyring{ownName: name, private: own, counter: first, admitted: map[string]map[string]ed25519.PublicKey{},
-		replayWindows: map[string]*replayWindow{}}
+// SetOwnKey signs with another key from now on.
+func (k *Keyring) SetOwnKey(name string, private ed25519.PrivateKey) {
+	k.ownName, k.private = name, private
 }
 
-// Use signs with another key from now on.
-func (k *Keyring) SetOwnKey(name string, own ed25519.PrivateKey) { k.ownName, k.private = name, own }
-
-// Name is that of the key in use.
+// OwnKeyName returns the name of the key in use.
 func (k *Keyring) OwnKeyName() string { return k.ownName }
 
-// Raise counts packets from above n, where peers have seen so many of an earlier life.
+// AdvanceCounter counts packets from above n, where other members have seen counters up to it of an earlier process.
 func (k *Keyring) AdvanceCounter(n uint64) {
-	if n < maxCounter-1<<32 {
+	if n < maxCounter-counterHeadroom {
 		k.counter = max(k.counter, n)
 	}
 }
 
-// Admit takes exactly these members and keys from now on. What was seen of a member stays, so that a key that
-// is taken out and admitted again opens nothing twice.
+// SetAdmitted admits exactly these members and keys from now on. The replay window of a member is kept, so that a key
+// that is removed and admitted again opens no packet twice.
 func (k *Keyring) SetAdmitted(members map[string]map[string]ed25519.PublicKey) { k.admitted = members }
 
-// Admitted lists the key names of a member; nil if it is not admitted.
+// AdmittedKeys returns the keys of a member by their names; nil if it is not admitted.
 func (k *Keyring) AdmittedKeys(member string) map[string]ed25519.PublicKey { return k.admitted[member] }
 
-// Seal returns a message as a signed packet: the key's name, the signature, the message.
+// Seal returns a message as a signed packet: the key's name, the signature, the message with the next counter.
 func (k *Keyring) Seal(m Message) ([]byte, error) {
 	k.counter++
 	m.Counter = k.counter
-	body, err := m.Append(nil)
+	body, err := m.AppendTo(nil)
 	if err != nil {
 		return nil, err
 	}
-	if len(k.ownName) > 31 {
-		return nil, fmt.Errorf("gossip: key name %q is longer than 31 bytes", k.ownName)
+	if len(k.ownName) > maxKeyNameLength {
+		return nil, fmt.Errorf("gossip: key name %q is longer than %d bytes", k.ownName, maxKeyNameLength)
 	}
-	out := make([]byte, 0, len(body)+envelopeSize)
-	out = append(appendString(out, k.ownName), ed25519.Sign(k.private, body)...)
-	return append(out, body...), nil
+	packet := make([]byte, 0, len(body)+envelopeSize)
+	packet = appendString(packet, k.ownName)
+	packet = append(packet, ed25519.Sign(k.private, body)...)
+	return append(packet, body...), nil
 }
 
-// Open returns a packet's message if the member that it names as its sender signed it. With ErrReplay it
-// returns the message as well, and the highest count seen: the sender may have started anew with its clock
-// set back.
-func (k *Keyring) Open(b []byte) (m Message, seen uint64, err error) {
-	if len(b) < 1 || len(b) < 1+int(b[0])+ed25519.SignatureSize {
-		return m, 0, malformedError("packet too short", len(b))
+// Open returns a packet's message if the member that it names as its sender signed it, and the highest counter seen of
+// the sender. With ErrReplay it returns both as well: the sender may have restarted with its clock set back.
+func (k *Keyring) Open(packet []byte) (m Message, seen uint64, err error) {
+	if len(packet) < 1 || len(packet) < 1+int(packet[0])+ed25519.SignatureSize {
+		return m, 0, malformedError("packet too short", len(packet))
 	}
-	name, b := string(b[1:1+int(b[0])]), b[1+int(b[0]):]
-	sig, body := b[:ed25519.SignatureSize], b[ed25519.SignatureSize:]
-	if m, err = ParseMessage(body); err != nil { // cheap, and bounded by the packet; it names the key to check
+	end := 1 + int(packet[0])
+	name, signed := string(packet[1:end]), packet[end:]
+	signature, body := signed[:ed25519.SignatureSize], signed[ed25519.SignatureSize:]
+	// Parsed before it is verified, as it names the key; that is cheap, and bounded by the packet.
+	if m, err = ParseMessage(body); err != nil {
 		return Message{}, 0, err
 	}
-	key, ok := k.admitted[m.From][name]
+	public, ok := k.admitted[m.From][name]
 	if !ok {
 		return Message{}, 0, fmt.Errorf("%w: %q of %q", ErrUnknownKey, name, m.From)
 	}
-	if !ed25519.Verify(key, body, sig) {
+	if !ed25519.Verify(public, body, signature) {
 		return Message{}, 0, fmt.Errorf("%w: by %q of %q", ErrSignature, name, m.From)
 	}
 	w := k.replayWindows[m.From]
-	if w == nil { // only of admitted members, so it is bounded by their number
+	if w == nil { // only of admitted members, so the map is bounded by their number
 		w = &replayWindow{}
 		k.replayWindows[m.From] = w
 	}
@@ -127,21 +113,22 @@
 	return m, w.highest, nil
 }
 
-// Sign completes a statement of this member's.
+// SignStatement sets the key name and the signature of a statement of this member.
 func (k *Keyring) SignStatement(s *Statement) {
 	s.Key = k.ownName
 	k.buffer = s.appendSignedPart(k.buffer[:0])
 	copy(s.Signature[:], ed25519.Sign(k.private, k.buffer))
 }
 
-// Check tells whether a statement is by the member that it names.
+// VerifyStatement returns nil if a statement is signed by the member that it names, ErrUnknownKey or ErrSignature if
+// not.
 func (k *Keyring) VerifyStatement(s *Statement) error {
-	key, ok := k.admitted[s.Signer][s.Key]
+	public, ok := k.admitted[s.Signer][s.Key]
 	if !ok {
 		return fmt.Errorf("%w: %q of %q", ErrUnknownKey, s.Key, s.Signer)
 	}
 	k.buffer = s.appendSignedPart(k.buffer[:0])
-	if !ed25519.Verify(key, k.buffer, s.Signature[:]) {
+	if !ed25519.Verify(public, k.buffer, s.Signature[:]) {
 		return fmt.Errorf("%w: statement by %q of %q", ErrSignature, s.Key, s.Signer)
 	}
 	return nil
--- a/internal/gossip/packet_limiter.go
+++ b/internal/gossip/packet_limiter.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// GateConfig is what a gate lets through.
+// PacketLimiterConfig holds the rates of a [PacketLimiter], each of which is its burst too.
 type PacketLimiterConfig struct {
-	ChecksPerSource float64 // signatures checked a second for an address from which a member's packets came, and at once
+	ChecksPerSource float64 // signatures verified a second for an address from which a member's packets came
 	ChecksOfUnknown float64 // and for all other addresses together
 }
 
-// LocalGate goes with Local.
+// LocalPacketLimiterConfig goes with LocalConfig.
 var LocalPacketLimiterConfig = PacketLimiterConfig{ChecksPerSource: 200, ChecksOfUnknown: 100}
 
-// bucket is a token bucket.
+// tokenBucket is a token bucket whose rate and capacity its user passes with each call.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Duration
 }
 
-func (b *tokenBucket) take(now time.Duration, rate, most, n float64) bool {
-	b.tokens, b.updatedAt = min(b.tokens+(now-b.updatedAt).Seconds()*rate, most), now
+// take refills the bucket up to now and takes n tokens, or none and returns false if it holds fewer.
+func (b *tokenBucket) take(now time.Duration, rate, capacity, n float64) bool {
+	b.tokens, b.updatedAt = min(b.tokens+(now-b.updatedAt).Seconds()*rate, capacity), now
 	if b.tokens < n {
 		return false
 	}
@@ -26,9 +27,9 @@
 	return true
 }
 
-// Gate bounds the signatures that are checked, as a check costs thousands of times what sending a forgery does.
-// An address that brought good packets of a member has a share of its own, which no flood from elsewhere
-// uses up; all strangers share one. So much is kept for one address of each member.
+// PacketLimiter limits how many signatures are verified, as a verification costs thousands of times what sending a
+// forgery does. An address that sent authentic packets of a member has a budget of its own, which no flood from
+// elsewhere uses up; all unknown addresses share one. One address is kept for each member.
 type PacketLimiter struct {
 	cfg            PacketLimiterConfig
 	unknownSources tokenBucket
@@ -37,41 +38,47 @@
 	members        map[string]*tokenBucket
 }
 
-// NewGate returns a Gate that knows no address.
-func NewPacketLimiter(c PacketLimiterConfig) *PacketLimiter {
-	return &PacketLimiter{cfg: c, unknownSources: tokenBucket{tokens: c.ChecksOfUnknown}, sources: map[string]*tokenBucket{}, sourceOf: map[string]string{},
-		members: map[string]*tokenBucket{}}
+// NewPacketLimiter returns a limiter that knows no address.
+func NewPacketLimiter(cfg PacketLimiterConfig) *PacketLimiter {
+	return &PacketLimiter{
+		cfg:            cfg,
+		unknownSources: tokenBucket{tokens: cfg.ChecksOfUnknown},
+		sources:        map[string]*tokenBucket{},
+		sourceOf:       map[string]string{},
+		members:        map[string]*tokenBucket{},
+	}
 }
 
-// Allow tells whether one more signature may be checked of what came from an address.
-func (g *PacketLimiter) AllowPacket(now time.Duration, source string) bool {
-	if b := g.sources[source]; b != nil {
-		return b.take(now, g.cfg.ChecksPerSource, g.cfg.ChecksPerSource, 1)
+// AllowPacket reports whether one more packet from an address may be verified, and counts it if so.
+func (l *PacketLimiter) AllowPacket(now time.Duration, source string) bool {
+	if b := l.sources[source]; b != nil {
+		return b.take(now, l.cfg.ChecksPerSource, l.cfg.ChecksPerSource, 1)
 	}
-	return g.unknownSources.take(now, g.cfg.ChecksOfUnknown, g.cfg.ChecksOfUnknown, 1)
+	return l.unknownSources.take(now, l.cfg.ChecksOfUnknown, l.cfg.ChecksOfUnknown, 1)
 }
 
-// Good notes that a packet of a member came from an address, with its signature in order.
-func (g *PacketLimiter) Authenticated(now time.Duration, source, member string) {
-	if old, ok := g.sourceOf[member]; ok {
-		if old == source {
+// Authenticated records that an authentic packet of a member came from an address. It replaces the member's address
+// from before.
+func (l *PacketLimiter) Authenticated(now time.Duration, source, member string) {
+	if previous, ok := l.sourceOf[member]; ok {
+		if previous == source {
 			return
 		}
-		delete(g.sources, old)
+		delete(l.sources, previous)
 	}
-	g.sourceOf[member] = source
-	if g.sources[source] == nil {
-		g.sources[source] = &tokenBucket{tokens: g.cfg.ChecksPerSource, updatedAt: now}
+	l.sourceOf[member] = source
+	if l.sources[source] == nil {
+		l.sources[source] = &tokenBucket{tokens: l.cfg.ChecksPerSource, updatedAt: now}
 	}
 }
 
-// AllowMember tells whether one more signature may be checked of the statements that a member, whose packet was
-// in order, passed on.
-func (g *PacketLimiter) AllowStatement(now time.Duration, member string) bool {
-	b := g.members[member]
+// AllowStatement reports whether one more of the statements that a member passed on, in an authentic packet, may be
+// verified, and counts it if so.
+func (l *PacketLimiter) AllowStatement(now time.Duration, member string) bool {
+	b := l.members[member]
 	if b == nil {
-		b = &tokenBucket{tokens: g.cfg.ChecksPerSource, updatedAt: now}
-		g.members[member] = b
+		b = &tokenBucket{tokens: l.cfg.ChecksPerSource, updatedAt: now}
+		l.members[member] = b
 	}
-	return b.take(now, g.cfg.ChecksPerSource, g.cfg.ChecksPerSource, 1)
+	return b.take(now, l.cfg.ChecksPerSource, l.cfg.ChecksPerSource, 1)
 }
--- /dev/null
+++ b/internal/gossip/receiving.go
@@ -0,0 +1,126 @@
+package gossip
+
+import "time"
+
+// maxSignerShare is the part of the stored evidence, as a divisor, that one signer may take.
+const maxSignerShare = 16
+
+// Wants reports whether a statement would be news to the core, so that the caller verifies no signature in vain.
+func (c *Core) Wants(s *Statement) bool {
+	if !c.admitted(s.Signer) {
+		return false
+	}
+	signer := c.members[s.Signer]
+	switch {
+	case s.Kind == MemberAlive && s.Signer == c.id:
+		return s.newerThan(&c.ownAlive)
+	case s.Kind == MemberAlive:
+		return signer == nil && len(c.members) < c.cfg.MaxMembers || signer != nil && s.newerThan(signer.alive)
+	case s.Signer == c.id:
+		return false
+	case s.Kind == MemberSuspected && s.Subject == c.id:
+		return s.SubjectIncarnation == c.ownAlive.Incarnation && s.SubjectSeq == c.ownAlive.Seq
+	case s.Kind == MemberSuspected:
+		return c.wantsSuspicion(s)
+	}
+	stored := c.evidence[s.key()]
+	if stored != nil && !s.newerThan(&stored.statement) {
+		return false
+	}
+	if stored == nil && !c.hasRoomForEvidence(s.Signer) {
+		return false
+	}
+	return signer != nil && c.statementAge(signer, s) < c.cfg.EvidenceLifetime
+}
+
+// wantsSuspicion accepts suspicions of the subject's latest MemberAlive, by each signer once, until enough confirm it.
+func (c *Core) wantsSuspicion(s *Statement) bool {
+	subject := c.members[s.Subject]
+	return subject != nil && subject.state != Dead &&
+		s.SubjectIncarnation == subject.alive.Incarnation && s.SubjectSeq == subject.alive.Seq &&
+		len(subject.suspicions) <= c.cfg.Confirmations && !subject.suspectedBy(s.Signer)
+}
+
+func (c *Core) hasRoomForEvidence(signer string) bool {
+	return len(c.evidence) < c.cfg.MaxEvidence &&
+		c.evidenceBySigner[signer] < max(c.cfg.MaxEvidence/maxSignerShare, 1)
+}
+
+// statementAge returns how long ago a member signed a statement.
+func (c *Core) statementAge(signer *member, s *Statement) time.Duration {
+	return signer.clock.age(s.Incarnation, c.now, s.SignedAt)
+}
+
+// messageReceived processes the statements of a message, then the message itself.
+func (c *Core) messageReceived(m *Message) {
+	if m.From == c.id || !c.admitted(m.From) {
+		return
+	}
+	for i := range m.Statements {
+		c.processStatement(&m.Statements[i])
+	}
+	sender := c.members[m.From]
+	if sender != nil {
+		if m.Incarnation < sender.alive.Incarnation {
+			c.notifyStale(m, sender.alive.Incarnation)
+			return
+		}
+		sender.clock.observe(m.Incarnation, c.now, m.SentAt)
+		c.recountLive = c.recountLive || !sender.direct
+		sender.direct = true
+	}
+	if m.ReceiverSeen > c.incarnation {
+		c.raiseIncarnation(m.ReceiverSeen)
+	}
+	wantAlive := sender == nil || sender.alive.Incarnation < m.Incarnation
+	var reply []Statement
+	if m.WantAlive {
+		reply = append(reply, c.ownAlive)
+	}
+	if sender != nil && sender.state != Alive && sender.alive.Incarnation == m.Incarnation {
+		reply = append(reply, c.signSuspicion(m.From, sender)) // so that it can refute
+	}
+	switch m.Kind {
+	case Ping:
+		ack := Message{Kind: Ack, ProbeSeq: m.ProbeSeq, WantAlive: wantAlive, Statements: reply}
+		c.send(m.Addr, ack, c.cfg.ReservedShare)
+		return
+	case Ack:
+		c.ackReceived(m)
+	case PingRequest:
+		c.pingRequestReceived(m)
+	case StateExchange:
+		if !m.Reply {
+			c.sendState(m.Addr, true)
+		}
+	}
+	if len(reply) > 0 || wantAlive {
+		c.send(m.Addr, Message{Kind: Push, WantAlive: wantAlive, Statements: reply}, c.cfg.ReservedShare)
+	}
+}
+
+// processStatement takes one statement that the caller has verified, unless it is no longer wanted.
+func (c *Core) processStatement(s *Statement) {
+	if !c.Wants(s) {
+		return
+	}
+	switch {
+	case s.Kind == MemberAlive && s.Signer == c.id:
+		if s.Text != c.addr {
+			c.actions = append(c.actions, DuplicateMember{Addr: s.Text})
+		}
+		c.raiseIncarnation(s.Incarnation)
+	case s.Kind == MemberAlive:
+		alive := *s // a copy of its own, as the member keeps it
+		c.processAlive(&alive, true)
+	case s.Kind == MemberSuspected && s.Subject == c.id:
+		// Being suspected is a sign that this member is slow itself (Lifeguard, section IV-A).
+		c.healthPenalty = min(c.healthPenalty+1, c.cfg.MaxHealthPenalty)
+		c.stats.Refutations++
+		c.announceAlive()
+	case s.Kind == MemberSuspected:
+		c.recordSuspicion(c.members[s.Subject], s)
+	default:
+		c.processEvidence(s)
+	}
+}
--- a/internal/gossip/statement.go
+++ b/internal/gossip/statement.go
@@ -6,79 +6,69 @@
 	"time"
 )
 
-// About is what a statement says.
+// StatementKind is what a statement says.
 type StatementKind uint8
 
-// What statements say.
+// The kinds of statement. Their numbers are part of the wire form.
 const (
 	MemberAlive     StatementKind = iota // the signer takes part, at the address Text
-	MemberSuspected                      // the signer had no answer from the member Subject, last known by its statement (Of, Num)
-	WorkerSilent                         // the worker Subject, in the life that began at Of (Unix milliseconds), gives no sign of life
-	WorkerFailing                        // it fails the class Text
-	WorkerSlow                           // it answers slowly
-	ClaimWithdrawn                       // the signer takes back what it said of it
+	MemberSuspected                      // the signer had no answer from the member Subject, last known by its MemberAlive (SubjectIncarnation, SubjectSeq)
+	WorkerSilent                         // the worker Subject, of the incarnation that began at SubjectIncarnation (Unix milliseconds), gives no sign of life
+	WorkerFailing                        // the worker fails the class Text
+	WorkerSlow                           // the worker answers slowly
+	ClaimWithdrawn                       // the signer withdraws its WorkerSilent
 	statementKindCount
 )
 
-func (a StatementKind) String() string {
-	return [...]string{"alive", "doubted", "silent", "failing", "slow", "back"}[a]
+func (k StatementKind) String() string {
+	return [...]string{"alive", "doubted", "silent", "failing", "slow", "back"}[k]
 }
 
-// OfWorker tells that a statement is on a worker.
-func (a StatementKind) AboutWorker() bool { return a >= WorkerSilent }
+// AboutWorker reports whether a statement is about a worker, not a member.
+func (k StatementKind) AboutWorker() bool { return k >= WorkerSilent }
 
-// Statement is one signed word. Everything that is passed on is one, so that a lie has a name:
+// Statement is a signed claim. All that is passed on is a statement, so that a lie can be attributed:
 //
-//   - Only the member itself says that it is alive. A doubt names the statement that it doubts, so a liar can
-//     push nobody's order numbers up, and a later word of the member voids it.
-//   - Nobody says that a member is dead. Each member lets a suspicion run out by itself.
-//   - Confirmations of a doubt count by their signers.
-//   - What is said of a worker holds for that life of it alone.
+//   - Only the member itself states that it is alive. A suspicion names the statement that it is of, so a liar can
+//     push nobody's sequence numbers up, and a newer MemberAlive of the member voids it.
+//   - Nobody states that a member is dead. Each member lets a suspicion run out by itself.
+//   - Confirmations of a suspicion count by their signers.
+//   - What is stated of a worker holds for that incarnation of it alone.
 //
-// Order: (Life, Seq) rises with each statement of a signer, over restarts too, as a life is named by its start.
+// Order: (Incarnation, Seq) rises with each statement of a signer, over restarts too, as an incarnation is numbered by
+// the start time of its process.
 type Statement struct {
-	Kind                           StatementKind
-	Signer                         string
-	Key                            string // name of its key
-	Incarnation                    uint64 // of the signer
-	Seq                            uint64
-	SignedAt                       time.Duration // by the signer's clock, whose zero and pace are its own: only differences count
-	Subject                        string
-	SubjectIncarnation, SubjectSeq uint64
-	Text                           string
-	Signature                      [ed25519.SignatureSize]byte
-}
+	Kind        StatementKind
+	Signer      string // ID of a member
+	Key         string // name of the signer's key
+	Incarnation uint64 // of the signer
+	Seq         uint64
+	SignedAt    time.Duration // by the signer's clock, whose zero and rate are its own: only differences count
+	Subject     string        // ID of a member or worker; empty for MemberAlive
+
+	SubjectIncarnation uint64
+	SubjectSeq         uint64
 
-// after tells that s was signed later than o by the same signer.
-func (s *Statement) newerThan(o *Statement) bool {
-	return cmp.Or(cmp.Compare(s.Incarnation, o.Incarnation), cmp.Compare(s.Seq, o.Seq)) > 0
+	Text      string // address or class, by the kind
+	Signature [ed25519.SignatureSize]byte
 }
 
-// Kind is a message's.
-type MessageKind uint8
+// newerThan reports whether s was signed later than other, of the same signer.
+func (s *Statement) newerThan(other *Statement) bool {
+	return cmp.Or(cmp.Compare(s.Incarnation, other.Incarnation), cmp.Compare(s.Seq, other.Seq)) > 0
+}
 
-// The kinds of message.
-const (
-	Ping          MessageKind = iota
-	Ack                       // answers a Ping of that Seq
-	PingRequest               // probe the target in my stead
-	Push                      // fresh statements; not answered
-	StateExchange             // a part of the state, over a stream: answered by one that is Back
-	messageKindCount
-)
+// statementKey identifies what a statement is about, so that a newer one of the signer replaces an older one.
+type statementKey struct {
+	signer, subject string
+	kind            StatementKind
+}
 
-// Message is one packet's content, or what goes over a stream.
-type Message struct {
-	Kind         MessageKind
-	WantAlive    bool          // send me your own statement: I don't have it
-	Reply        bool          // of Exchange: an answer
-	Counter      uint64        // of the sender's packets, set by Keys.Seal
-	Incarnation  uint64        // of the sender
-	SentAt       time.Duration // the sender's clock
-	ProbeSeq     uint64        // of the probe
-	ReceiverSeen uint64        // the highest count or life known of the receiver, where its own lies below it
-	From         string
-	Addr         string // of the sender
-	Target       string // of Help: whom to probe
-	Statements   []Statement
+// key returns the statement's key. A ClaimWithdrawn replaces the WorkerSilent that it withdraws.
+func (s *Statement) key() statementKey {
+	kind := s.Kind
+	if kind == ClaimWithdrawn {
+		kind = WorkerSilent
+	}
+	return statementKey{signer: s.Signer, subject: s.Subject, kind: kind}
 }
--- a/internal/gossip/suspicion_quorum.go
+++ b/internal/gossip/suspicion_quorum.go
@@ -8,283 +8,332 @@
 	"time"
 )
 
-// Claim is a member's word of a worker, in the life that began at Started.
-type Claim struct {
-	Worker  string
-	Started uint64 // Unix milliseconds by the list; word of another life is void
-	Kind    StatementKind
-	Class   string
-	Signer  string
-	Age     time.Duration // since the signer saw it
-}
+const (
+	// minContradictedShare is the least part of a halving that a contradicted claim costs its signer, however old it is.
+	minContradictedShare = 0.15
+	// confirmedWeightFactor is by how much a signer's weight rises with a confirmed claim: less than a contradicted one
+	// costs, as who calls all workers silent is right at times.
+	confirmedWeightFactor = 1.2
+)
 
-// JudgeConfig is the constants of the judge.
+// SuspicionQuorumConfig holds the constants of a [SuspicionQuorum].
 type SuspicionQuorumConfig struct {
-	Threshold       float64       // weight of independent signers from which a worker is looked at
-	ClaimLifetime   time.Duration // claims older than this count for nothing
-	CheckInterval   time.Duration // a worker is looked at no more often than this on others' word
-	ChecksPerSecond float64       // looks a second over all workers, and at once
-	RecentlyHeard   time.Duration // no look at a worker that was heard this recently
+	Threshold       float64       // weight of independent signers from which a worker is checked
+	ClaimLifetime   time.Duration // older claims have no weight
+	CheckInterval   time.Duration // a worker is checked no more often than this
+	ChecksPerSecond float64       // rate of checks over all workers, and the burst
+	RecentlyHeard   time.Duration // a worker that gave a sign of life within this time is not checked
 	WeightHalfLife  time.Duration // half of what a signer's weight lost comes back in this time
-	MaxClaims       int           // claims held for a worker
+	MaxClaims       int           // claims stored for a worker
 	MaxWorkers      int           // workers with claims
 }
 
-// LocalJudge goes with Local.
-var LocalSuspicionQuorumConfig = SuspicionQuorumConfig{Threshold: 2, ClaimLifetime: 5 * time.Second, CheckInterval: time.Second, ChecksPerSecond: 10,
-	RecentlyHeard: 500 * time.Millisecond, WeightHalfLife: 10 * time.Minute, MaxClaims: 32, MaxWorkers: 10000}
+// LocalSuspicionQuorumConfig goes with LocalConfig.
+var LocalSuspicionQuorumConfig = SuspicionQuorumConfig{
+	Threshold:       2,
+	ClaimLifetime:   5 * time.Second,
+	CheckInterval:   time.Second,
+	ChecksPerSecond: 10,
+	RecentlyHeard:   500 * time.Millisecond,
+	WeightHalfLife:  10 * time.Minute,
+	MaxClaims:       32,
+	MaxWorkers:      10000,
+}
 
-// Judge decides what a peer's word of a worker is worth. Word alone never acts: enough weight of independent
-// signers has this router look for itself, sooner than it would have; only the own look is told to the
-// module, which alone acts on it. Word that a worker is well is not taken but as the signer's taking back its
-// own claim, so it can lift no doubt, drain or cold budget. Only silence leads to looks, as no look shows that a
-// worker fails a class or is slow: such word is kept for the operators to read.
+// SuspicionQuorum decides when the claims of other routers lead to a check of a worker. A claim alone never acts:
+// enough weight of independent signers has this router check the worker itself, sooner than it would have; only the
+// result of the own check goes to the dispatcher, which alone acts on it. That a worker is well is accepted only as a
+// signer's withdrawal of its own claim, so it can end no suspicion, drain or slow start. Only claims of silence lead to
+// checks, as no check shows that a worker fails a class or is slow: such claims are kept for the operators to read.
 //
-// A signer weighs at most 1, whatever it sends, and by its record: half as much for each claim that own looks
-// contradict (hardly less for an old claim, as the worker may be back since), and up again as they bear it out (a multiplicative-weights vote; Littlestone, Warmuth, "The Weighted
-// Majority Algorithm", 1994), or slowly with time. Liars fewer than the quorum therefore cause nothing. More of
-// them cause looks, no more than the ration of looks, until their weight is gone: a look at a healthy worker
-// costs one question and shows that it is healthy.
+// A signer weighs at most 1, whatever it sends, and by its record: half as much for each claim that own checks
+// contradict (hardly less for an old claim, as the worker may have recovered since), and more again as they confirm it
+// (a multiplicative-weights vote; Littlestone, Warmuth, "The Weighted Majority Algorithm", 1994), or slowly with time.
+// Liars fewer than the threshold therefore cause nothing. More of them cause checks, within the rate limit of checks,
+// until their weight is gone: a check of a healthy worker costs one request and shows that it is healthy.
 type SuspicionQuorum struct {
 	cfg         SuspicionQuorumConfig
 	now         time.Duration
 	workers     map[string]*claimedWorker
-	records     map[string]signerRecord
+	records     map[string]signerRecord // of signers that weigh less than 1
 	checkBudget tokenBucket
 	stats       SuspicionQuorumStats
 }
 
-// JudgeStats counts what a judge has done.
+// SuspicionQuorumStats counts what a quorum has done.
 type SuspicionQuorumStats struct {
 	Claims          uint64 `json:"claims"`
 	Checks          uint64 `json:"looks"`
 	ConfirmedSilent uint64 `json:"found_silent"`
-	Contradicted    uint64 `json:"contradicted"` // looks that found a worker well
+	Contradicted    uint64 `json:"contradicted"` // checks that found a worker healthy
 }
 
-// record is what a signer's weight lacks, as of a time.
-type signerRecord struct {
-	penalty   float64
-	updatedAt time.Duration
+// Claim is a member's claim about a worker's incarnation, which began at Started.
+type Claim struct {
+	Worker  string
+	Started uint64 // Unix milliseconds, as in the list of workers; claims about another incarnation are void
+	Kind    StatementKind
+	Class   string
+	Signer  string
+	Age     time.Duration // since the signer saw it
 }
 
-// suspect is what is claimed and known of a worker.
-type claimedWorker struct {
-	started            uint64
-	heardAt, checkedAt time.Duration
-	checking           bool
-	silentSince        map[string]time.Duration // when each signer saw it silent
-	otherClaims        map[statementKey]Claim   // for the operators
+// WorkerChecked reports how a CheckWorker ended. Skipped: no check was made, and Alive has no meaning.
+type WorkerChecked struct {
+	Worker  string
+	Alive   bool
+	Skipped bool
 }
 
-// Look is an action: ask the worker for a sign of life.
+func (Claim) quorumEvent()         {}
+func (WorkerChecked) quorumEvent() {}
+
+// QuorumAction is an output of [SuspicionQuorum.Step].
+type QuorumAction interface{ quorumAction() }
+
+// CheckWorker asks the caller to request a sign of life of the worker, and to report it as WorkerChecked.
 type CheckWorker struct{ Worker string }
 
-// FoundSilent is an action: the own look found no sign of life either. The module is told.
+// SilenceConfirmed reports that the own check found no sign of life either. It is to be passed to the dispatcher.
 type SilenceConfirmed struct{ Worker string }
 
-// Workers is an event: the list's workers, with their start times in Unix milliseconds, 0 for long ago.
-type WorkerList struct{ Started map[string]uint64 }
+func (CheckWorker) quorumAction()      {}
+func (SilenceConfirmed) quorumAction() {}
 
-// HeardOf is an event: the worker gave this router a sign of life.
-type WorkerHeard struct{ Worker string }
+// signerRecord is by how much a signer's weight was below 1 at a time.
+type signerRecord struct {
+	penalty   float64
+	updatedAt time.Duration
+}
 
-// Looked is an event: how a Look ended. Void tells that none was taken.
-type WorkerChecked struct {
-	Worker  string
-	Alive   bool
-	Skipped bool
+// claimedWorker is what is claimed and known of a worker.
+type claimedWorker struct {
+	started            uint64
+	heardAt, checkedAt time.Duration
+	checking           bool
+	silentSince        map[string]time.Duration // when each signer saw it silent
+	otherClaims        map[statementKey]Claim   // for the operators; the subject of the key is the class
 }
 
-// NewJudge returns a Judge that has heard nothing.
-func NewSuspicionQuorum(c SuspicionQuorumConfig) *SuspicionQuorum {
-	return &SuspicionQuorum{cfg: c, workers: map[string]*claimedWorker{}, records: map[string]signerRecord{}, checkBudget: tokenBucket{tokens: c.ChecksPerSecond}}
+// NewSuspicionQuorum returns a quorum without claims.
+func NewSuspicionQuorum(cfg SuspicionQuorumConfig) *SuspicionQuorum {
+	return &SuspicionQuorum{
+		cfg:         cfg,
+		workers:     map[string]*claimedWorker{},
+		records:     map[string]signerRecord{},
+		checkBudget: tokenBucket{tokens: cfg.ChecksPerSecond},
+	}
 }
 
-// Weight is what a signer's word weighs, 0 to 1.
-func (j *SuspicionQuorum) Weight(signer string) float64 {
-	r, ok := j.records[signer]
+// Weight returns the weight of a signer's claims, 0 to 1.
+func (q *SuspicionQuorum) Weight(signer string) float64 {
+	r, ok := q.records[signer]
 	if !ok {
 		return 1
 	}
-	return 1 - r.penalty*math.Exp2(-float64(j.now-r.updatedAt)/float64(j.cfg.WeightHalfLife))
+	return 1 - r.penalty*math.Exp2(-float64(q.now-r.updatedAt)/float64(q.cfg.WeightHalfLife))
 }
 
-func (j *SuspicionQuorum) setWeight(signer string, w float64) {
-	if w >= 1 {
-		delete(j.records, signer)
+func (q *SuspicionQuorum) setWeight(signer string, weight float64) {
+	if weight >= 1 {
+		delete(q.records, signer)
 		return
 	}
-	j.records[signer] = signerRecord{1 - w, j.now}
+	q.records[signer] = signerRecord{penalty: 1 - weight, updatedAt: q.now}
 }
 
-// Says is the weight behind the fresh claims that a worker is silent.
-func (j *SuspicionQuorum) SilenceWeight(worker string) float64 {
-	if w := j.workers[worker]; w != nil {
-		return j.silenceWeightOf(w)
+// SilenceWeight returns the weight of the fresh claims that a worker is silent.
+func (q *SuspicionQuorum) SilenceWeight(worker string) float64 {
+	if w := q.workers[worker]; w != nil {
+		return q.silenceWeightOf(w)
 	}
 	return 0
 }
 
-// Suspicion is what is said of a worker, for the operators.
-type Suspicion struct {
-	Worker  string   `json:"worker"`
-	Kind    string   `json:"about"`
-	Class   string   `json:"class,omitempty"`
-	Weight  float64  `json:"weight"`
-	Signers []string `json:"by"`
-}
-
-// Suspicions lists what is said of workers.
-func (j *SuspicionQuorum) Suspicions() (out []Suspicion) {
-	for _, id := range slices.Sorted(maps.Keys(j.workers)) {
-		w := j.workers[id]
-		if sum := j.silenceWeightOf(w); sum > 0 {
-			out = append(out, Suspicion{Worker: id, Kind: WorkerSilent.String(), Weight: sum, Signers: slices.Sorted(maps.Keys(w.silentSince))})
-		}
-		by := map[[2]string][]string{}
-		for k, c := range w.otherClaims {
-			if j.now-c.Age > j.cfg.ClaimLifetime {
-				delete(w.otherClaims, k)
-				continue
-			}
-			at := [2]string{c.Kind.String(), c.Class}
-			by[at] = append(by[at], c.Signer)
-		}
-		for _, at := range slices.SortedFunc(maps.Keys(by), func(a, b [2]string) int {
-			return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1]))
-		}) {
-			slices.Sort(by[at])
-			s := Suspicion{Worker: id, Kind: at[0], Class: at[1], Signers: by[at]}
-			for _, signer := range by[at] {
-				s.Weight += j.Weight(signer)
-			}
-			out = append(out, s)
+// silenceWeightOf sums the weights of the fresh claims of silence and removes the others. The order of the sum is
+// fixed, so that it comes to the same digits each time.
+func (q *SuspicionQuorum) silenceWeightOf(w *claimedWorker) float64 {
+	sum := 0.0
+	for _, signer := range slices.Sorted(maps.Keys(w.silentSince)) {
+		if q.now-w.silentSince[signer] > q.cfg.ClaimLifetime {
+			delete(w.silentSince, signer)
+			continue
 		}
+		sum += q.Weight(signer)
 	}
-	return out
+	return sum
 }
 
-// Stats tells what the judge has done.
-func (j *SuspicionQuorum) Stats() SuspicionQuorumStats { return j.stats }
+// Stats returns what the quorum has done.
+func (q *SuspicionQuorum) Stats() SuspicionQuorumStats { return q.stats }
 
-// Step takes Claims, Workers, HeardOf and Looked, and returns Looks and FoundSilents.
-func (j *SuspicionQuorum) Step(now time.Duration, events []any) (out []any) {
-	j.now = max(j.now, now)
-	touched := map[string]bool{}
+// Step processes events at a time and returns what the caller is to do.
+func (q *SuspicionQuorum) Step(now time.Duration, events []QuorumEvent) []QuorumAction {
+	q.now = max(q.now, now)
+	var actions []QuorumAction
+	claimed := map[string]bool{}
 	for _, e := range events {
 		switch e := e.(type) {
 		case WorkerList:
-			j.updateWorkers(e)
+			q.updateWorkers(e.Started)
 		case WorkerHeard:
-			if w := j.workers[e.Worker]; w != nil {
-				w.heardAt = j.now
+			if w := q.workers[e.Worker]; w != nil {
+				w.heardAt = q.now
 			}
 		case Claim:
-			if j.recordClaim(e) {
-				touched[e.Worker] = true
+			if q.recordClaim(e) {
+				claimed[e.Worker] = true
 			}
 		case WorkerChecked:
-			out = j.workerChecked(out, e)
+			if q.workerChecked(e) {
+				actions = append(actions, SilenceConfirmed{Worker: e.Worker})
+			}
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(touched)) {
-		w := j.workers[id] // it may have left the list in the same step
-		if w != nil && j.silenceWeightOf(w) >= j.cfg.Threshold && !w.checking && j.now-w.checkedAt >= j.cfg.CheckInterval &&
-			j.now-w.heardAt >= j.cfg.RecentlyHeard && j.checkBudget.take(j.now, j.cfg.ChecksPerSecond, j.cfg.ChecksPerSecond, 1) {
-			w.checking, w.checkedAt = true, j.now
-			j.stats.Checks++
-			out = append(out, CheckWorker{id})
+	for _, id := range slices.Sorted(maps.Keys(claimed)) {
+		w := q.workers[id]
+		if w != nil && q.mayCheck(w) { // it may have left the list in the same step
+			w.checking, w.checkedAt = true, q.now
+			q.stats.Checks++
+			actions = append(actions, CheckWorker{Worker: id})
 		}
 	}
-	return out
+	return actions
+}
+
+// mayCheck reports whether the claims of silence lead to a check now, and takes it from the budget of checks.
+func (q *SuspicionQuorum) mayCheck(w *claimedWorker) bool {
+	return q.silenceWeightOf(w) >= q.cfg.Threshold && !w.checking && q.now-w.checkedAt >= q.cfg.CheckInterval &&
+		q.now-w.heardAt >= q.cfg.RecentlyHeard &&
+		q.checkBudget.take(q.now, q.cfg.ChecksPerSecond, q.cfg.ChecksPerSecond, 1)
 }
 
-// list follows the list of workers: what was said of another life of one is void.
-func (j *SuspicionQuorum) updateWorkers(e WorkerList) {
-	for id := range j.workers {
-		if _, listed := e.Started[id]; !listed {
-			delete(j.workers, id)
+// updateWorkers follows the list of workers. Claims about another incarnation of a worker are removed.
+func (q *SuspicionQuorum) updateWorkers(list map[string]uint64) {
+	for id := range q.workers {
+		if _, listed := list[id]; !listed {
+			delete(q.workers, id)
 		}
 	}
-	for id, started := range e.Started {
-		w := j.workers[id]
-		if w == nil && len(j.workers) >= j.cfg.MaxWorkers {
+	for id, started := range list {
+		w := q.workers[id]
+		if w == nil && len(q.workers) >= q.cfg.MaxWorkers {
 			continue
 		}
 		if w == nil {
-			w = &claimedWorker{heardAt: -j.cfg.RecentlyHeard, checkedAt: -j.cfg.CheckInterval}
-			j.workers[id] = w
+			w = &claimedWorker{heardAt: -q.cfg.RecentlyHeard, checkedAt: -q.cfg.CheckInterval}
+			q.workers[id] = w
 		}
 		if w.silentSince == nil || started != w.started {
-			w.started, w.silentSince, w.otherClaims = started, map[string]time.Duration{}, map[statementKey]Claim{}
+			w.started = started
+			w.silentSince = map[string]time.Duration{}
+			w.otherClaims = map[statementKey]Claim{}
 		}
 	}
 }
 
-// claim notes a claim that is fresh and of the worker's present life. It tells whether it may lead to a look.
-func (j *SuspicionQuorum) recordClaim(e Claim) bool {
-	w := j.workers[e.Worker]
-	if w == nil || e.Started != w.started || e.Age < 0 || e.Age > j.cfg.ClaimLifetime {
+// recordClaim keeps a claim that is fresh and about the worker's present incarnation. It reports whether the claim may
+// lead to a check.
+func (q *SuspicionQuorum) recordClaim(c Claim) bool {
+	w := q.workers[c.Worker]
+	if w == nil || c.Started != w.started || c.Age < 0 || c.Age > q.cfg.ClaimLifetime {
 		return false
 	}
-	j.stats.Claims++
-	switch e.Kind {
+	q.stats.Claims++
+	switch c.Kind {
 	case ClaimWithdrawn:
-		delete(w.silentSince, e.Signer)
+		delete(w.silentSince, c.Signer)
 		return false
 	case WorkerSilent:
 	default:
-		k := statementKey{e.Signer, e.Class, e.Kind}
-		if _, ok := w.otherClaims[k]; ok || len(w.otherClaims) < j.cfg.MaxClaims {
-			e.Age = j.now - e.Age // when it was seen, from here on
-			w.otherClaims[k] = e
+		key := statementKey{signer: c.Signer, subject: c.Class, kind: c.Kind}
+		if _, known := w.otherClaims[key]; known || len(w.otherClaims) < q.cfg.MaxClaims {
+			c.Age = q.now - c.Age // from here on the time at which it was seen
+			w.otherClaims[key] = c
 		}
 		return false
 	}
-	if _, ok := w.silentSince[e.Signer]; !ok && len(w.silentSince) >= j.cfg.MaxClaims {
+	if _, known := w.silentSince[c.Signer]; !known && len(w.silentSince) >= q.cfg.MaxClaims {
 		return false
 	}
-	w.silentSince[e.Signer] = j.now - e.Age
+	w.silentSince[c.Signer] = q.now - c.Age
 	return true
 }
 
-// says is the weight behind the fresh claims of silence.
-func (j *SuspicionQuorum) silenceWeightOf(w *claimedWorker) (sum float64) {
-	for _, signer := range slices.Sorted(maps.Keys(w.silentSince)) {
-		if j.now-w.silentSince[signer] > j.cfg.ClaimLifetime {
-			delete(w.silentSince, signer)
-			continue
-		}
-		sum += j.Weight(signer)
-	}
-	return sum
-}
-
-// looked takes an own look: it settles the claims that led to it.
-func (j *SuspicionQuorum) workerChecked(out []any, e WorkerChecked) []any {
-	w := j.workers[e.Worker]
+// workerChecked settles the claims that led to an own check. It reports whether the check confirmed the silence.
+func (q *SuspicionQuorum) workerChecked(e WorkerChecked) (silent bool) {
+	w := q.workers[e.Worker]
 	if w == nil || !w.checking {
-		return out
+		return false
 	}
 	w.checking = false
 	if e.Skipped {
-		return out
+		return false
 	}
 	for signer, seen := range w.silentSince {
 		if e.Alive { // an old claim may have been true when it was made
-			fresh := 1 - float64(j.now-seen)/float64(j.cfg.ClaimLifetime)
-			j.setWeight(signer, j.Weight(signer)*math.Exp2(-min(max(fresh, 0.15), 1)))
+			freshness := 1 - float64(q.now-seen)/float64(q.cfg.ClaimLifetime)
+			q.setWeight(signer, q.Weight(signer)*math.Exp2(-min(max(freshness, minContradictedShare), 1)))
 		} else {
-			j.setWeight(signer, j.Weight(signer)*1.2) // who calls all silent is right at times
+			q.setWeight(signer, q.Weight(signer)*confirmedWeightFactor)
 		}
 	}
 	clear(w.silentSince)
 	if e.Alive {
-		w.heardAt = j.now
-		j.stats.Contradicted++
-		return out
+		w.heardAt = q.now
+		q.stats.Contradicted++
+		return false
+	}
+	q.stats.ConfirmedSilent++
+	return true
+}
+
+// Suspicion is what is claimed of a worker, for the operators.
+type Suspicion struct {
+	Worker  string   `json:"worker"`
+	Kind    string   `json:"about"`
+	Class   string   `json:"class,omitempty"`
+	Weight  float64  `json:"weight"`
+	Signers []string `json:"by"`
+}
+
+// Suspicions lists the fresh claims about workers: by worker, silence first, then by kind and class.
+func (q *SuspicionQuorum) Suspicions() []Suspicion {
+	var list []Suspicion
+	for _, id := range slices.Sorted(maps.Keys(q.workers)) {
+		w := q.workers[id]
+		if weight := q.silenceWeightOf(w); weight > 0 {
+			signers := slices.Sorted(maps.Keys(w.silentSince))
+			list = append(list, Suspicion{Worker: id, Kind: WorkerSilent.String(), Weight: weight, Signers: signers})
+		}
+		list = append(list, q.otherSuspicions(id, w)...)
+	}
+	return list
+}
+
+// otherSuspicions lists the fresh claims about a worker that are not of silence, and removes the others.
+func (q *SuspicionQuorum) otherSuspicions(id string, w *claimedWorker) []Suspicion {
+	type subject struct{ kind, class string }
+	signers := map[subject][]string{}
+	for key, c := range w.otherClaims {
+		if q.now-c.Age > q.cfg.ClaimLifetime {
+			delete(w.otherClaims, key)
+			continue
+		}
+		s := subject{c.Kind.String(), c.Class}
+		signers[s] = append(signers[s], c.Signer)
+	}
+	ordered := slices.SortedFunc(maps.Keys(signers), func(a, b subject) int {
+		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.class, b.class))
+	})
+	var list []Suspicion
+	for _, s := range ordered {
+		slices.Sort(signers[s])
+		suspicion := Suspicion{Worker: id, Kind: s.kind, Class: s.class, Signers: signers[s]}
+		for _, signer := range signers[s] {
+			suspicion.Weight += q.Weight(signer)
+		}
+		list = append(list, suspicion)
 	}
-	j.stats.ConfirmedSilent++
-	return append(out, SilenceConfirmed{e.Worker})
+	return list
 }
--- a/internal/gossip/suspicion_quorum_test.go
+++ b/internal/gossip/suspicion_quorum_test.go
@@ -10,215 +10,182 @@
 
 var oneWorker = WorkerList{Started: map[string]uint64{"w": 5}}
 
-// judgeOf is a judge that knows one worker, of a life that began at 5.
-func judgeOf() *SuspicionQuorum {
-	j := NewSuspicionQuorum(LocalSuspicionQuorumConfig)
-	j.Step(0, []any{oneWorker})
-	return j
+// newTestQuorum returns a quorum that knows worker w, of the incarnation that began at 5.
+func newTestQuorum() *SuspicionQuorum {
+	q := NewSuspicionQuorum(LocalSuspicionQuorumConfig)
+	q.Step(0, []QuorumEvent{oneWorker})
+	return q
 }
 
-func claimOf(signer string) Claim {
+// silenceClaim returns a signer's fresh claim that worker w is silent.
+func silenceClaim(signer string) Claim {
 	return Claim{Worker: "w", Started: 5, Kind: WorkerSilent, Signer: signer}
 }
 
-func count[T any](out []any) (n int) {
-	for _, a := range out {
-		if _, ok := a.(T); ok {
-			n++
-		}
-	}
-	return n
-}
-
-func TestOneWordCausesNothingTwoCauseALook(t *testing.T) {
-	j := judgeOf()
+func TestTwoSignersCauseACheckOneDoesNot(t *testing.T) {
+	q := newTestQuorum()
 	for i := range 50 { // one signer, however often
-		if out := j.Step(time.Duration(i)*100*time.Millisecond, []any{claimOf("a")}); len(out) > 0 {
-			t.Fatalf("one signer caused %v", out)
+		now := time.Duration(i) * 100 * time.Millisecond
+		if actions := q.Step(now, []QuorumEvent{silenceClaim("a")}); len(actions) > 0 {
+			t.Fatalf("one signer caused %v", actions)
 		}
 	}
-	out := j.Step(5*time.Second, []any{claimOf("b")})
-	if count[CheckWorker](out) != 1 || count[SilenceConfirmed](out) != 0 {
-		t.Fatalf("two signers caused %v, want a look", out)
+	actions := q.Step(5*time.Second, []QuorumEvent{silenceClaim("b")})
+	if countOf[CheckWorker](actions) != 1 || countOf[SilenceConfirmed](actions) != 0 {
+		t.Fatalf("two signers caused %v, want a check", actions)
 	}
-	if out := j.Step(5100*time.Millisecond, []any{WorkerChecked{Worker: "w"}}); count[SilenceConfirmed](out) != 1 {
-		t.Fatalf("an own look without an answer: %v", out)
+	actions = q.Step(5100*time.Millisecond, []QuorumEvent{WorkerChecked{Worker: "w"}})
+	if countOf[SilenceConfirmed](actions) != 1 {
+		t.Fatalf("an own check without an answer caused %v", actions)
 	}
 }
 
-func TestWhatDoesNotCount(t *testing.T) {
-	with := func(f func(*Claim)) Claim { c := claimOf("a"); f(&c); return c }
-	for name, events := range map[string][]any{
-		"an earlier life":    {with(func(c *Claim) { c.Started = 4 }), claimOf("b")},
-		"stale":              {with(func(c *Claim) { c.Age = time.Minute }), claimOf("b")},
-		"from the future":    {with(func(c *Claim) { c.Age = -time.Second }), claimOf("b")},
-		"restarted since":    {claimOf("a"), WorkerList{Started: map[string]uint64{"w": 6}}, claimOf("b")},
-		"taken back":         {claimOf("a"), with(func(c *Claim) { c.Kind = ClaimWithdrawn }), claimOf("b")},
-		"of an unlisted one": {with(func(c *Claim) { c.Worker = "x" }), with(func(c *Claim) { c.Worker, c.Signer = "x", "b" })},
-		"no longer listed":   {claimOf("a"), WorkerList{}, claimOf("b")},
-		"heard a moment ago": {WorkerHeard{"w"}, claimOf("a"), claimOf("b")},
-		"not of silence":     {with(func(c *Claim) { c.Kind = WorkerFailing }), with(func(c *Claim) { c.Kind, c.Signer = WorkerSlow, "b" })},
-		"a look not asked":   {WorkerChecked{Worker: "w"}},
+func TestClaimsWithoutWeight(t *testing.T) {
+	with := func(change func(*Claim)) Claim { c := silenceClaim("a"); change(&c); return c }
+	for name, events := range map[string][]QuorumEvent{
+		"earlier incarnation": {with(func(c *Claim) { c.Started = 4 }), silenceClaim("b")},
+		"too old":             {with(func(c *Claim) { c.Age = time.Minute }), silenceClaim("b")},
+		"from the future":     {with(func(c *Claim) { c.Age = -time.Second }), silenceClaim("b")},
+		"restarted since": {silenceClaim("a"), WorkerList{Started: map[string]uint64{"w": 6}},
+			silenceClaim("b")},
+		"withdrawn": {silenceClaim("a"), with(func(c *Claim) { c.Kind = ClaimWithdrawn }), silenceClaim("b")},
+		"worker not listed": {with(func(c *Claim) { c.Worker = "x" }),
+			with(func(c *Claim) { c.Worker, c.Signer = "x", "b" })},
+		"worker no longer listed":  {silenceClaim("a"), WorkerList{}, silenceClaim("b")},
+		"worker heard just before": {WorkerHeard{"w"}, silenceClaim("a"), silenceClaim("b")},
+		"not of silence": {with(func(c *Claim) { c.Kind = WorkerFailing }),
+			with(func(c *Claim) { c.Kind, c.Signer = WorkerSlow, "b" })},
+		"check not asked for": {WorkerChecked{Worker: "w"}},
 	} {
-		if out := judgeOf().Step(time.Second, events); len(out) > 0 {
-			t.Errorf("%s caused %v", name, out)
-		}
+		t.Run(name, func(t *testing.T) {
+			if actions := newTestQuorum().Step(time.Second, events); len(actions) > 0 {
+				t.Errorf("caused %v", actions)
+			}
+		})
 	}
 }
 
-// TestLiarsAtTheQuorum says what happens then: two liars cause one look at a healthy worker, lose half their
-// weight by it, and cause no more; honest members are still heard beside them.
-func TestLiarsAtTheQuorum(t *testing.T) {
-	j, looks := judgeOf(), 0
+// TestLiarsAtTheThreshold: two liars cause one check of a healthy worker, lose half their weight by it, and cause no
+// more; honest members still count beside them.
+func TestLiarsAtTheThreshold(t *testing.T) {
+	q, checks := newTestQuorum(), 0
 	for i := range 600 {
 		now := time.Duration(i) * 100 * time.Millisecond
-		out := j.Step(now, []any{claimOf("a"), claimOf("b")})
-		if count[SilenceConfirmed](out) > 0 {
-			t.Fatal("liars had a healthy worker called silent")
+		actions := q.Step(now, []QuorumEvent{silenceClaim("a"), silenceClaim("b")})
+		if countOf[SilenceConfirmed](actions) > 0 {
+			t.Fatal("liars had a healthy worker confirmed as silent")
 		}
-		if count[CheckWorker](out) > 0 {
-			looks++
-			j.Step(now+time.Millisecond, []any{WorkerChecked{Worker: "w", Alive: true}})
+		if countOf[CheckWorker](actions) > 0 {
+			checks++
+			q.Step(now+time.Millisecond, []QuorumEvent{WorkerChecked{Worker: "w", Alive: true}})
 		}
 	}
-	if looks != 1 || j.Weight("a") > 0.6 {
-		t.Errorf("%d looks; a liar weighs %v", looks, j.Weight("a"))
+	if checks != 1 || q.Weight("a") > 0.6 {
+		t.Errorf("%d checks; a liar weighs %v", checks, q.Weight("a"))
 	}
-	j.Step(70*time.Second, []any{claimOf("c")})
-	if out := j.Step(70*time.Second, []any{claimOf("d")}); count[CheckWorker](out) != 1 {
-		t.Errorf("honest word caused %v", out)
+	q.Step(70*time.Second, []QuorumEvent{silenceClaim("c")})
+	if actions := q.Step(70*time.Second, []QuorumEvent{silenceClaim("d")}); countOf[CheckWorker](actions) != 1 {
+		t.Errorf("honest claims caused %v", actions)
 	}
 }
 
-// TestLooksAreRationed: many liars that name every worker at once cause no more looks than the ration, and are
-// soon not heard at all.
-func TestLooksAreRationed(t *testing.T) {
-	j, list := NewSuspicionQuorum(LocalSuspicionQuorumConfig), WorkerList{Started: map[string]uint64{}}
+// TestChecksAreRateLimited: many liars that name every worker at once cause no more checks than the rate limit allows,
+// and soon have no weight at all.
+func TestChecksAreRateLimited(t *testing.T) {
+	q, list := NewSuspicionQuorum(LocalSuspicionQuorumConfig), WorkerList{Started: map[string]uint64{}}
 	for w := range 500 {
 		list.Started[fmt.Sprint(w)] = 1
 	}
-	j.Step(0, []any{list})
-	looks, late := 0, 0
+	q.Step(0, []QuorumEvent{list})
+	checks, late := 0, 0
 	for i := range 100 {
 		now := time.Duration(i) * 100 * time.Millisecond
-		var events []any
+		var claims []QuorumEvent
 		for w := range 500 {
 			for s := range 5 {
-				events = append(events, Claim{Worker: fmt.Sprint(w), Started: 1, Kind: WorkerSilent, Signer: fmt.Sprint("liar", s)})
+				claims = append(claims, Claim{Worker: fmt.Sprint(w), Started: 1, Kind: WorkerSilent, Signer: fmt.Sprint("liar", s)})
 			}
 		}
-		for _, a := range j.Step(now, events) {
-			if l, ok := a.(CheckWorker); ok {
-				if looks++; i > 0 {
+		for _, a := range q.Step(now, claims) {
+			if check, ok := a.(CheckWorker); ok {
+				checks++
+				if i > 0 {
 					late++
 				}
-				j.Step(now, []any{WorkerChecked{Worker: l.Worker, Alive: true}})
+				q.Step(now, []QuorumEvent{WorkerChecked{Worker: check.Worker, Alive: true}})
 			}
 		}
 	}
-	if looks > 10 || late > 0 {
-		t.Errorf("%d looks, %d after the first moment", looks, late)
+	if checks > 10 || late > 0 {
+		t.Errorf("%d checks, %d after the first moment", checks, late)
 	}
-	if s := j.Suspicions(); len(s) == 0 || s[0].Weight > 0.1 {
-		t.Errorf("the operators are not shown what is said: %v", s)
+	if s := q.Suspicions(); len(s) == 0 || s[0].Weight > 0.1 {
+		t.Errorf("the operators are not shown the claims: %v", s)
 	}
 }
 
-// TestBelowTheQuorumNothingActs is a property: whatever signers below the quorum say, in any order with signs
-// of life and looks, no action comes of it.
-func TestBelowTheQuorumNothingActs(t *testing.T) {
+// TestNothingActsBelowTheThreshold is a property: whatever signers below the threshold claim, in any order with signs of
+// life and checks, no action comes of it.
+func TestNothingActsBelowTheThreshold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j, now := judgeOf(), time.Duration(0)
+		q, now := newTestQuorum(), time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			c := claimOf("a")
-			c.Kind = StatementKind(rapid.IntRange(int(WorkerSilent), int(ClaimWithdrawn)).Draw(t, "about"))
+			c := silenceClaim("a")
+			c.Kind = StatementKind(rapid.IntRange(int(WorkerSilent), int(ClaimWithdrawn)).Draw(t, "kind"))
 			c.Age = time.Duration(rapid.IntRange(-1, 7).Draw(t, "age")) * time.Second
-			c.Started = uint64(rapid.IntRange(4, 6).Draw(t, "life"))
-			e := rapid.SampledFrom([]any{c, c, c, WorkerHeard{"w"}, WorkerChecked{Worker: "w"}, WorkerChecked{Worker: "w", Alive: true},
-				WorkerList{Started: map[string]uint64{"w": c.Started}}}).Draw(t, "event")
-			if out := j.Step(now, []any{e}); len(out) > 0 {
-				t.Fatalf("%v caused %v", e, out)
+			c.Started = uint64(rapid.IntRange(4, 6).Draw(t, "incarnation"))
+			e := rapid.SampledFrom([]QuorumEvent{c, c, c, WorkerHeard{"w"}, WorkerChecked{Worker: "w"},
+				WorkerChecked{Worker: "w", Alive: true}, WorkerList{Started: map[string]uint64{"w": c.Started}}}).Draw(t, "event")
+			if actions := q.Step(now, []QuorumEvent{e}); len(actions) > 0 {
+				t.Fatalf("%v caused %v", e, actions)
 			}
 		}
 	})
 }
 
-// TestOnlyAnOwnLookIsTold is a property: whatever is claimed, FoundSilent follows only a Look that found
-// nothing, and looks keep their ration.
-func TestOnlyAnOwnLookIsTold(t *testing.T) {
+// TestOnlyAnOwnCheckConfirms is a property: whatever is claimed, SilenceConfirmed follows only a CheckWorker that found
+// no sign of life, and checks keep their interval.
+func TestOnlyAnOwnCheckConfirms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j, now, asked := judgeOf(), time.Duration(0), false
-		var looks []time.Duration
+		q, now, checking := newTestQuorum(), time.Duration(0), false
+		var checks []time.Duration
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond
-			c := claimOf(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "signer"))
-			look := WorkerChecked{Worker: "w", Alive: rapid.Bool().Draw(t, "alive"), Skipped: rapid.Bool().Draw(t, "void")}
-			e := rapid.SampledFrom([]any{c, c, c, look, WorkerHeard{"w"}}).Draw(t, "event")
-			for _, a := range j.Step(now, []any{e}) {
+			c := silenceClaim(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "signer"))
+			checked := WorkerChecked{Worker: "w", Alive: rapid.Bool().Draw(t, "alive"), Skipped: rapid.Bool().Draw(t, "skipped")}
+			e := rapid.SampledFrom([]QuorumEvent{c, c, c, checked, WorkerHeard{"w"}}).Draw(t, "event")
+			for _, a := range q.Step(now, []QuorumEvent{e}) {
 				switch a.(type) {
 				case CheckWorker:
-					if asked {
-						t.Fatal("a second look while one is out")
+					if checking {
+						t.Fatal("a second check while one is under way")
 					}
-					asked, looks = true, append(looks, now)
-					if n := len(looks); n > 1 && looks[n-1]-looks[n-2] < LocalSuspicionQuorumConfig.CheckInterval {
-						t.Fatal("looks come too fast")
+					checking, checks = true, append(checks, now)
+					if n := len(checks); n > 1 && checks[n-1]-checks[n-2] < LocalSuspicionQuorumConfig.CheckInterval {
+						t.Fatal("checks come too fast")
 					}
 				case SilenceConfirmed:
-					if !asked || e != any(look) || look.Alive || look.Skipped {
-						t.Fatalf("told to be silent on %v", e)
+					if !checking || e != QuorumEvent(checked) || checked.Alive || checked.Skipped {
+						t.Fatalf("silence confirmed on %v", e)
 					}
 				}
 			}
 			if _, ended := e.(WorkerChecked); ended {
-				asked = false
+				checking = false
 			}
 		}
 	})
 }
 
-func TestJudgeIsBounded(t *testing.T) {
-	j := judgeOf()
+func TestSuspicionQuorumIsBounded(t *testing.T) {
+	q := newTestQuorum()
 	for i := range 1000 {
-		j.Step(time.Millisecond, []any{claimOf(fmt.Sprint(i)),
+		q.Step(time.Millisecond, []QuorumEvent{silenceClaim(fmt.Sprint(i)),
 			Claim{Worker: "w", Started: 5, Kind: WorkerFailing, Class: fmt.Sprint(i), Signer: "a"}})
 	}
-	if n, m := len(j.workers["w"].silentSince), len(j.workers["w"].otherClaims); n > LocalSuspicionQuorumConfig.MaxClaims || m > LocalSuspicionQuorumConfig.MaxClaims {
-		t.Errorf("%d and %d claims held", n, m)
-	}
-}
-
-// TestWitness: own doubts are told and told again while they stand, taken back when the worker is heard, and
-// not told where enough others have.
-func TestWitness(t *testing.T) {
-	others := 0.0
-	w := NewEvidenceCollector(LocalEvidenceCollectorConfig, func(string) float64 { return others })
-	says := func(now time.Duration, events ...any) (out []string) {
-		for _, a := range w.Step(now, events) {
-			s, _ := a.(Publish)
-			out = append(out, fmt.Sprint(s.Statement.Kind, " ", s.Statement.Subject, " ", s.Statement.SubjectIncarnation))
-		}
-		return out
-	}
-	check := func(what string, got []string, want ...string) {
-		t.Helper()
-		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s: said %v, want %v", what, got, want)
-		}
+	silent, others := len(q.workers["w"].silentSince), len(q.workers["w"].otherClaims)
+	if most := LocalSuspicionQuorumConfig.MaxClaims; silent > most || others > most {
+		t.Errorf("%d and %d claims stored", silent, others)
 	}
-	doubt := WorkerSuspected{Worker: "w", Kind: WorkerSilent}
-	check("not listed", says(0, doubt))
-	check("first", says(time.Second, oneWorker, doubt), "silent w 5")
-	check("again at once", says(2*time.Second, doubt))
-	check("while it stands", says(4*time.Second), "silent w 5")
-	check("heard", says(5*time.Second, WorkerHeard{"w"}), "back w 5")
-	check("over", says(20*time.Second))
-	others = 4
-	check("others said it", says(21*time.Second, doubt))
-	others = 0
-	check("they stopped", says(22*time.Second), "silent w 5")
-	check("restarted", says(30*time.Second, WorkerList{Started: map[string]uint64{"w": 6}}))
-	check("a class", says(31*time.Second, WorkerSuspected{Worker: "w", Kind: WorkerFailing, Class: "renew"}), "failing w 6")
-	check("not seen again", says(36*time.Second))
 }
