--- a/cmd/topazfront/gossip.go
+++ b/cmd/topazfront/gossip.go
@@ -64,17 +64,17 @@
 	return ask(&c.running, "gossip.status", func(w io.Writer, s agent.Status) {
 		fmt.Fprintf(w, "router\t%s at %s, signing with key %s\n", s.ID, s.Addr, s.Key)
 		fmt.Fprintf(w, "routers\t%d live, itself included; %d known; at most %d were live at once\n", s.Live, s.Members+1, s.MostLive)
-		fmt.Fprintf(w, "local health\t%d (0 is good)\n", s.Health)
+		fmt.Fprintf(w, "local health\t%d (0 is good)\n", s.HealthPenalty)
 		fmt.Fprintf(w, "traffic\t%d messages sent, %d bytes; %d withheld for want of budget; %d received\n", s.Core.MessagesSent,
 			s.Core.BytesSent, s.Core.Withheld, s.Received)
 		fmt.Fprintf(w, "routers doubted\t%d times, %d held to be dead; doubts of itself answered: %d\n", s.Core.Suspicions,
 			s.Core.Deaths, s.Core.Refutations)
-		fmt.Fprintf(w, "word of workers\t%d claims, %d looks, %d found silent, %d found well\n", s.Judge.Claims, s.Judge.Checks,
-			s.Judge.ConfirmedSilent, s.Judge.Contradicted)
+		fmt.Fprintf(w, "word of workers\t%d claims, %d looks, %d found silent, %d found well\n", s.Quorum.Claims, s.Quorum.Checks,
+			s.Quorum.ConfirmedSilent, s.Quorum.Contradicted)
 		d := s.Dropped
 		fmt.Fprintf(w, "dropped\t%d packets: %d over the limit of checks, %d malformed, %d by unknown keys, %d with a bad signature, "+
-			"%d replayed, %d with the queue full; %d statements within others\n", d.Packets(), d.Limited, d.Malformed,
-			d.UnknownKey, d.Signature, d.Replay, d.Queue, d.Statements)
+			"%d replayed, %d with the queue full; %d statements within others\n", d.TotalPackets(), d.RateLimited, d.Malformed,
+			d.UnknownKey, d.BadSignature, d.Replayed, d.QueueFull, d.Statements)
 	})
 }
 
@@ -164,17 +164,17 @@
 	fmt.Println("                     bytes/s msgs/s   peak   word heard by   reached   death seen by  wrongly  suspicions    wall")
 	fmt.Println("routers  loss  slow                             50%     99%            first     99%     dead   a minute       s")
 	for _, n := range c.Members {
-		for _, v := range []gossipsim.Trial{{}, {Loss: 0.05}, {Slow: 0.1}} {
+		for _, v := range []gossipsim.Trial{{}, {Loss: 0.05}, {SlowShare: 0.1}} {
 			for seed := range c.Seeds {
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
-				v.Members, v.Seed, v.Warm, v.Steady, v.After = n, uint64(seed+1), 10*time.Second, c.Steady, c.After
+				v.Members, v.Seed, v.WarmUp, v.Steady, v.FollowDeath = n, uint64(seed+1), 10*time.Second, c.Steady, c.After
 				r := v.Run()
 				all = append(all, r)
 				fmt.Printf("%7d  %4.2f  %4.2f  %7.0f  %5.1f %6.0f %7.3f %7.3f  %7.3f  %6.1f  %6.1f  %7d  %10.1f  %6.1f\n", r.Members,
-					r.Loss, r.Slow, r.Bytes, r.Messages, r.PeakBytes, r.SpreadHalf, r.SpreadMost, r.Reached, r.DeathFirst,
-					r.DeathMost, r.FalseDeaths, r.Suspicions, r.WallSeconds)
+					r.Loss, r.SlowShare, r.BytesPerSecond, r.MessagesPerSecond, r.PeakBytesPerSecond, r.SpreadTo50, r.SpreadTo99, r.Reached, r.FirstDeath,
+					r.DeathTo99, r.FalseDeaths, r.SuspicionsPerMemberMinute, r.WallSeconds)
 				if err := c.save(all); err != nil {
 					return err
 				}
@@ -195,5 +195,5 @@
 	if err := config.WriteFile(filepath.Join(c.Out, "gossip.json"), all); err != nil {
 		return err
 	}
-	return gossipsim.Plot(c.Out, all)
+	return gossipsim.WritePlots(c.Out, all)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -217,7 +217,7 @@
 	}
 	c := g.Gossip.Agent(g.Name, 1)
 	if !g.Settings().SuspicionsReported || c.ID != g.Name || c.Gossip.BytesPerSecond != 4000 || c.Gossip.ProbeInterval != 3*time.Second ||
-		c.Judge.ClaimLifetime != c.Gossip.EvidenceLifetime || c.LookTimeout != 400*time.Millisecond {
+		c.Quorum.ClaimLifetime != c.Gossip.EvidenceLifetime || c.CheckTimeout != 400*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 	if plain, err := Parse("g.json", []byte(good)); err != nil || plain.Settings().SuspicionsReported || plain.Gossip != nil {
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -61,8 +61,8 @@
 		name = g.ID
 	}
 	c := agent.Config{ID: name, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.LocalConfig,
-		Judge: gossip.LocalSuspicionQuorumConfig, Gate: gossip.LocalPacketLimiterConfig, Witness: gossip.LocalEvidenceCollectorConfig,
-		LookTimeout: g.LookTimeout.Duration(), Seed: seed}
+		Quorum: gossip.LocalSuspicionQuorumConfig, Limiter: gossip.LocalPacketLimiterConfig, Collector: gossip.LocalEvidenceCollectorConfig,
+		CheckTimeout: g.LookTimeout.Duration(), Seed: seed}
 	if p, ok := gossip.Presets[g.Preset]; ok {
 		c.Gossip = p
 	}
@@ -74,7 +74,7 @@
 		c.Gossip.BurstMessages *= g.Messages / c.Gossip.MessagesPerSecond
 		c.Gossip.MessagesPerSecond = g.Messages
 	}
-	c.Judge.ClaimLifetime = c.Gossip.EvidenceLifetime
+	c.Quorum.ClaimLifetime = c.Gossip.EvidenceLifetime
 	return c
 }
 
--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -20,28 +20,28 @@
 
 // Config is the agent's share of the settings.
 type Config struct {
-	ID          string
-	Listen      string // host:port, UDP and TCP
-	Advertise   string // where others reach it; empty: as it listens
-	Seeds       []string
-	Gossip      gossip.Config
-	Judge       gossip.SuspicionQuorumConfig
-	Gate        gossip.PacketLimiterConfig
-	Witness     gossip.EvidenceCollectorConfig
-	LookTimeout time.Duration
-	Seed        uint64
-	Life        uint64 // 0: the start time
-	Key         Key
-	Members     Members
-	Log         *slog.Logger
-	Hooks       Hooks
-	Dead        func(id string) // nil, or told of members that come to be held dead
+	ID           string
+	Listen       string // host:port, UDP and TCP
+	Advertise    string // where others reach it; empty: as it listens
+	Seeds        []string
+	Gossip       gossip.Config
+	Quorum       gossip.SuspicionQuorumConfig
+	Limiter      gossip.PacketLimiterConfig
+	Collector    gossip.EvidenceCollectorConfig
+	CheckTimeout time.Duration
+	Seed         uint64
+	Incarnation  uint64 // 0: the start time
+	Key          Key
+	Members      Members
+	Logger       *slog.Logger
+	Hooks        Hooks
+	MemberDied   func(id string) // nil, or told of members that come to be held dead
 }
 
 // Hooks put faults and counters between an agent and its sockets; nil ones do nothing.
 type Hooks struct {
-	Packets func(net.PacketConn) net.PacketConn
-	Stream  func(to string, bytes int) bool // told of each packet that goes over a stream; false: it is lost
+	WrapPacketConn func(net.PacketConn) net.PacketConn
+	AllowStream    func(to string, bytes int) bool // told of each packet that goes over a stream; false: it is lost
 }
 
 // Key is a router's own key.
@@ -63,39 +63,39 @@
 
 // Dropped counts what was not read, by reason.
 type Dropped struct {
-	Limited    uint64 `json:"over_the_limit"` // of signature checks for its source
-	Malformed  uint64 `json:"malformed"`
-	UnknownKey uint64 `json:"unknown_key"`
-	Signature  uint64 `json:"bad_signature"`
-	Replay     uint64 `json:"replayed"`
-	Queue      uint64 `json:"queue_full"`
-	Statements uint64 `json:"statements"` // within packets in order, that were forged or over the limit
+	RateLimited  uint64 `json:"over_the_limit"` // of signature checks for its source
+	Malformed    uint64 `json:"malformed"`
+	UnknownKey   uint64 `json:"unknown_key"`
+	BadSignature uint64 `json:"bad_signature"`
+	Replayed     uint64 `json:"replayed"`
+	QueueFull    uint64 `json:"queue_full"`
+	Statements   uint64 `json:"statements"` // within packets in order, that were forged or over the limit
 }
 
 // Packets sums the packets that were dropped.
-func (d Dropped) Packets() uint64 {
-	return d.Limited + d.Malformed + d.UnknownKey + d.Signature + d.Replay + d.Queue
+func (d Dropped) TotalPackets() uint64 {
+	return d.RateLimited + d.Malformed + d.UnknownKey + d.BadSignature + d.Replayed + d.QueueFull
 }
 
 // Add sums two counts.
 func (d Dropped) Add(o Dropped) Dropped {
-	return Dropped{d.Limited + o.Limited, d.Malformed + o.Malformed, d.UnknownKey + o.UnknownKey, d.Signature + o.Signature,
-		d.Replay + o.Replay, d.Queue + o.Queue, d.Statements + o.Statements}
+	return Dropped{d.RateLimited + o.RateLimited, d.Malformed + o.Malformed, d.UnknownKey + o.UnknownKey, d.BadSignature + o.BadSignature,
+		d.Replayed + o.Replayed, d.QueueFull + o.QueueFull, d.Statements + o.Statements}
 }
 
 // Status is how an agent stands.
 type Status struct {
-	ID       string                      `json:"id"`
-	Addr     string                      `json:"address"`
-	Key      string                      `json:"key"`
-	Members  int                         `json:"members"`
-	Live     int                         `json:"live"`
-	MostLive int                         `json:"most_live"`
-	Health   int                         `json:"local_health"` // 0 is good
-	Received uint64                      `json:"received"`
-	Core     gossip.Stats                `json:"core"`
-	Judge    gossip.SuspicionQuorumStats `json:"judge"`
-	Dropped  Dropped                     `json:"dropped"`
+	ID            string                      `json:"id"`
+	Addr          string                      `json:"address"`
+	Key           string                      `json:"key"`
+	Members       int                         `json:"members"`
+	Live          int                         `json:"live"`
+	MostLive      int                         `json:"most_live"`
+	HealthPenalty int                         `json:"local_health"` // 0 is good
+	Received      uint64                      `json:"received"`
+	Core          gossip.Stats                `json:"core"`
+	Quorum        gossip.SuspicionQuorumStats `json:"judge"`
+	Dropped       Dropped                     `json:"dropped"`
 }
 
 // Peer is a member as the operators see it.
@@ -113,81 +113,81 @@
 }
 
 // queueMost is how many packets wait for the loop at the most; the rest are dropped, as in the network.
-const queueMost = 4096
+const maxQueuedPackets = 4096
 
 // Agent runs the cores for one router.
 type Agent struct {
-	cfg    Config
-	log    *slog.Logger
-	router Router
-	addr   string
-	begin  time.Time
-	conn   net.PacketConn
-	stream *streams
-
-	mu      sync.Mutex
-	queue   []func()
-	packets int
-	full    uint64 // dropped at the queue
-	wake    chan struct{}
-	closed  bool
-	done    chan struct{}
-	reading sync.WaitGroup
+	cfg        Config
+	logger     *slog.Logger
+	router     Router
+	addr       string
+	startedAt  time.Time
+	packetConn net.PacketConn
+	streams    *streamTransport
+
+	mu            sync.Mutex
+	tasks         []func()
+	queuedPackets int
+	queueFull     uint64 // dropped at the queue
+	wake          chan struct{}
+	closed        bool
+	loopDone      chan struct{}
+	readers       sync.WaitGroup
 
 	// Of the loop.
-	core     *gossip.Core
-	keys     *gossip.Keyring
-	gate     *gossip.PacketLimiter
-	judge    *gossip.SuspicionQuorum
-	witness  *gossip.EvidenceCollector
-	toCore   []gossip.Event
-	toJudge  []gossip.QuorumEvent
-	toWit    []gossip.CollectorEvent
-	dropped  Dropped
-	received uint64
-	twinTold time.Duration
+	core              *gossip.Core
+	keys              *gossip.Keyring
+	limiter           *gossip.PacketLimiter
+	quorum            *gossip.SuspicionQuorum
+	collector         *gossip.EvidenceCollector
+	coreEvents        []gossip.Event
+	quorumEvents      []gossip.QuorumEvent
+	collectorEvents   []gossip.CollectorEvent
+	dropped           Dropped
+	received          uint64
+	duplicateLoggedAt time.Duration
 }
 
 // epoch is what the agent's clock shows at its start.
-const epoch = time.Hour
+const clockStart = time.Hour
 
 // Start opens the sockets and runs the agent until Close.
 func Start(cfg Config, r Router) (*Agent, error) {
-	if cfg.Log == nil {
-		cfg.Log = slog.New(slog.DiscardHandler)
+	if cfg.Logger == nil {
+		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	a := &Agent{cfg: cfg, log: cfg.Log, router: r, begin: time.Now(), wake: make(chan struct{}, 1),
-		done: make(chan struct{})}
-	if err := a.open(); err != nil {
+	a := &Agent{cfg: cfg, logger: cfg.Logger, router: r, startedAt: time.Now(), wake: make(chan struct{}, 1),
+		loopDone: make(chan struct{})}
+	if err := a.listen(); err != nil {
 		return nil, err
 	}
-	life := cfg.Life
+	life := cfg.Incarnation
 	if life == 0 {
-		life = uint64(a.begin.UnixNano())
+		life = uint64(a.startedAt.UnixNano())
 	}
 	a.keys = gossip.NewKeyring(cfg.Key.Name, cfg.Key.Private, life)
 	var err error
 	a.core, err = gossip.NewCore(cfg.Gossip, cfg.ID, a.addr, life, cfg.Seed, a.keys.SignStatement)
 	if err != nil {
-		a.shut()
+		a.closeSockets()
 		return nil, err
 	}
-	a.gate = gossip.NewPacketLimiter(cfg.Gate)
-	a.judge = gossip.NewSuspicionQuorum(cfg.Judge)
-	a.witness = gossip.NewEvidenceCollector(cfg.Witness, a.judge.SilenceWeight)
-	a.admit(cfg.Members)
-	a.toCore = append(a.toCore, gossip.Join{Addresses: cfg.Seeds})
-	a.log.Info("gossip", "address", a.addr, "key", cfg.Key.Name, "admitted", len(cfg.Members), "seeds", len(cfg.Seeds))
+	a.limiter = gossip.NewPacketLimiter(cfg.Limiter)
+	a.quorum = gossip.NewSuspicionQuorum(cfg.Quorum)
+	a.collector = gossip.NewEvidenceCollector(cfg.Collector, a.quorum.SilenceWeight)
+	a.applyMembers(cfg.Members)
+	a.coreEvents = append(a.coreEvents, gossip.Join{Addresses: cfg.Seeds})
+	a.logger.Info("gossip", "address", a.addr, "key", cfg.Key.Name, "admitted", len(cfg.Members), "seeds", len(cfg.Seeds))
 	go a.loop()
-	a.reading.Go(a.read)
+	a.readers.Go(a.readDatagrams)
 	return a, nil
 }
 
 // open opens both sockets on one port.
-func (a *Agent) open() error {
+func (a *Agent) listen() error {
 	var last error
 	for range 16 { // a port that the system chose for one may be in use for the other
-		s, err := listenStreams(a.cfg.Listen, a.takeStream)
+		s, err := listenStream(a.cfg.Listen, a.streamPacketReceived)
 		if err != nil {
 			return fmt.Errorf("gossip: %w", err)
 		}
@@ -203,9 +203,9 @@
 		if u, ok := pc.(*net.UDPConn); ok {
 			_ = u.SetReadBuffer(1 << 20) // the system may give less; what does not fit is lost, as in any network
 		}
-		a.conn, a.stream, a.addr = pc, s, s.Addr()
-		if a.cfg.Hooks.Packets != nil {
-			a.conn = a.cfg.Hooks.Packets(pc)
+		a.packetConn, a.streams, a.addr = pc, s, s.Addr()
+		if a.cfg.Hooks.WrapPacketConn != nil {
+			a.packetConn = a.cfg.Hooks.WrapPacketConn(pc)
 		}
 		if a.cfg.Advertise != "" {
 			a.addr = a.cfg.Advertise
@@ -215,15 +215,15 @@
 	return fmt.Errorf("gossip: no port free for both UDP and TCP: %w", last)
 }
 
-func (a *Agent) shut() {
-	_ = a.conn.Close()
-	a.stream.Close()
+func (a *Agent) closeSockets() {
+	_ = a.packetConn.Close()
+	a.streams.Close()
 }
 
 // Addr is where others reach the agent.
 func (a *Agent) Addr() string { return a.addr }
 
-func (a *Agent) now() time.Duration { return epoch + time.Since(a.begin) }
+func (a *Agent) now() time.Duration { return clockStart + time.Since(a.startedAt) }
 
 // Close ends the agent without a word, as its death would.
 func (a *Agent) Close() {
@@ -234,13 +234,13 @@
 	if was {
 		return
 	}
-	a.poke()
-	<-a.done
-	a.shut()
-	a.reading.Wait()
+	a.wakeLoop()
+	<-a.loopDone
+	a.closeSockets()
+	a.readers.Wait()
 }
 
-func (a *Agent) poke() {
+func (a *Agent) wakeLoop() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
@@ -248,57 +248,59 @@
 }
 
 // post has the loop run f.
-func (a *Agent) post(f func()) bool {
+func (a *Agent) enqueue(f func()) bool {
 	a.mu.Lock()
 	if a.closed {
 		a.mu.Unlock()
 		return false
 	}
-	a.queue = append(a.queue, f)
+	a.tasks = append(a.tasks, f)
 	a.mu.Unlock()
-	a.poke()
+	a.wakeLoop()
 	return true
 }
 
 // read hands datagrams to the loop.
-func (a *Agent) read() {
+func (a *Agent) readDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := a.conn.ReadFrom(buf)
+		n, from, err := a.packetConn.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
 			continue // a datagram that could not be delivered earlier
 		}
-		if n > maxDatagram {
-			n = maxDatagram + 1 // it is refused, whatever is in it
+		if n > maxDatagramBytes {
+			n = maxDatagramBytes + 1 // it is refused, whatever is in it
 		}
 		p := append([]byte(nil), buf[:n]...)
 		src := from.String()
-		a.packet(func() { a.take(src, p, false) })
+		a.enqueuePacket(func() { a.packetReceived(src, p, false) })
 	}
 }
 
-const maxDatagram = 1400
+const maxDatagramBytes = 1400
 
-func (a *Agent) takeStream(src string, p []byte) { a.packet(func() { a.take(src, p, true) }) }
+func (a *Agent) streamPacketReceived(src string, p []byte) {
+	a.enqueuePacket(func() { a.packetReceived(src, p, true) })
+}
 
 // packet posts a packet's reading while not too many wait.
-func (a *Agent) packet(f func()) {
+func (a *Agent) enqueuePacket(f func()) {
 	a.mu.Lock()
-	if a.closed || a.packets >= queueMost {
-		a.full++
+	if a.closed || a.queuedPackets >= maxQueuedPackets {
+		a.queueFull++
 		a.mu.Unlock()
 		return
 	}
-	a.packets++
-	a.queue = append(a.queue, f)
+	a.queuedPackets++
+	a.tasks = append(a.tasks, f)
 	a.mu.Unlock()
-	a.poke()
+	a.wakeLoop()
 }
 
 func (a *Agent) loop() {
-	defer close(a.done)
+	defer close(a.loopDone)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var batch []func()
@@ -312,21 +314,21 @@
 			a.mu.Unlock()
 			return
 		}
-		batch, a.queue = a.queue, batch[:0]
-		a.packets = 0
+		batch, a.tasks = a.tasks, batch[:0]
+		a.queuedPackets = 0
 		a.mu.Unlock()
 		for _, f := range batch {
 			f()
 		}
 		clear(batch)
 		a.step()
-		timer.Reset(max(a.due()-a.now(), 0))
+		timer.Reset(max(a.nextDue()-a.now(), 0))
 	}
 }
 
-func (a *Agent) due() time.Duration {
+func (a *Agent) nextDue() time.Duration {
 	at := a.core.Due()
-	if w, ok := a.witness.Due(); ok {
+	if w, ok := a.collector.Due(); ok {
 		at = min(at, w)
 	}
 	return at
@@ -334,63 +336,63 @@
 
 // step hands what has come to the cores, and what one decides to the next, until nothing is left.
 func (a *Agent) step() {
-	for first := true; first || len(a.toCore)+len(a.toJudge)+len(a.toWit) > 0; first = false {
+	for first := true; first || len(a.coreEvents)+len(a.quorumEvents)+len(a.collectorEvents) > 0; first = false {
 		now := a.now()
-		for _, o := range a.witness.Step(now, drain(&a.toWit)) {
-			a.toCore = append(a.toCore, o)
+		for _, o := range a.collector.Step(now, takeAll(&a.collectorEvents)) {
+			a.coreEvents = append(a.coreEvents, o)
 		}
-		for _, o := range a.core.Step(now, drain(&a.toCore)) {
-			a.act(o)
+		for _, o := range a.core.Step(now, takeAll(&a.coreEvents)) {
+			a.perform(o)
 		}
-		for _, o := range a.judge.Step(now, drain(&a.toJudge)) {
-			a.actJudge(o)
+		for _, o := range a.quorum.Step(now, takeAll(&a.quorumEvents)) {
+			a.performQuorumAction(o)
 		}
 	}
 }
 
-func drain[T any](list *[]T) []T {
+func takeAll[T any](list *[]T) []T {
 	out := *list
 	*list = nil
 	return out
 }
 
-func (a *Agent) act(o gossip.Action) {
+func (a *Agent) perform(o gossip.Action) {
 	switch o := o.(type) {
 	case gossip.Send:
 		a.send(o)
 	case gossip.MemberStateChanged:
-		a.log.Info("peer", "peer", o.ID, "state", o.State)
-		if o.State == gossip.Dead && a.cfg.Dead != nil {
-			a.cfg.Dead(o.ID)
+		a.logger.Info("peer", "peer", o.ID, "state", o.State)
+		if o.State == gossip.Dead && a.cfg.MemberDied != nil {
+			a.cfg.MemberDied(o.ID)
 		}
 	case gossip.LiveCountIncreased:
 		a.router.ApplyGossip(dispatch.GossipUpdate{Routers: o.Count})
 	case gossip.EvidenceReceived:
 		s := &o.Statement
-		a.log.Debug("word of a worker", "worker", s.Subject, "is", s.Kind, "class", s.Text, "by", s.Signer, "age", o.Age)
-		a.toJudge = append(a.toJudge, gossip.Claim{Worker: s.Subject, Started: s.SubjectIncarnation, Kind: s.Kind, Class: s.Text,
+		a.logger.Debug("word of a worker", "worker", s.Subject, "is", s.Kind, "class", s.Text, "by", s.Signer, "age", o.Age)
+		a.quorumEvents = append(a.quorumEvents, gossip.Claim{Worker: s.Subject, Started: s.SubjectIncarnation, Kind: s.Kind, Class: s.Text,
 			Signer: s.Signer, Age: o.Age})
 	case gossip.IncarnationRaised:
 		a.keys.AdvanceCounter(o.Above)
-		a.log.Warn("an earlier life of this router counted further; was the clock set back?", "to", o.Above)
+		a.logger.Warn("an earlier life of this router counted further; was the clock set back?", "to", o.Above)
 	case gossip.DuplicateMember:
-		if now := a.now(); now-a.twinTold > 10*time.Second {
-			a.twinTold = now
-			a.log.Error("another process speaks under this router's name and key", "from", o.Addr)
+		if now := a.now(); now-a.duplicateLoggedAt > 10*time.Second {
+			a.duplicateLoggedAt = now
+			a.logger.Error("another process speaks under this router's name and key", "from", o.Addr)
 		}
 	}
 }
 
-func (a *Agent) actJudge(o gossip.QuorumAction) {
+func (a *Agent) performQuorumAction(o gossip.QuorumAction) {
 	switch o := o.(type) {
 	case gossip.CheckWorker:
-		a.router.VerifyWorker(o.Worker, a.cfg.Judge.RecentlyHeard, a.cfg.LookTimeout, func(alive, void bool) {
-			a.post(func() {
-				a.toJudge = append(a.toJudge, gossip.WorkerChecked{Worker: o.Worker, Alive: alive, Skipped: void})
+		a.router.VerifyWorker(o.Worker, a.cfg.Quorum.RecentlyHeard, a.cfg.CheckTimeout, func(alive, void bool) {
+			a.enqueue(func() {
+				a.quorumEvents = append(a.quorumEvents, gossip.WorkerChecked{Worker: o.Worker, Alive: alive, Skipped: void})
 			})
 		})
 	case gossip.SilenceConfirmed:
-		a.log.Info("peers' word of a silent worker bears out", "worker", o.Worker)
+		a.logger.Info("peers' word of a silent worker bears out", "worker", o.Worker)
 		a.router.ApplyGossip(dispatch.GossipUpdate{SuspectedWorkers: []string{o.Worker}})
 	}
 }
@@ -398,25 +400,25 @@
 func (a *Agent) send(s gossip.Send) {
 	p, err := a.keys.Seal(s.Message)
 	if err != nil {
-		a.log.Error("message not sent", "error", err)
+		a.logger.Error("message not sent", "error", err)
 		return
 	}
 	if s.Stream {
-		if a.cfg.Hooks.Stream == nil || a.cfg.Hooks.Stream(s.To, len(p)+4) {
-			a.stream.Send(s.To, p)
+		if a.cfg.Hooks.AllowStream == nil || a.cfg.Hooks.AllowStream(s.To, len(p)+4) {
+			a.streams.Send(s.To, p)
 		}
 		return
 	}
-	to, err := resolve(s.To)
+	to, err := parseAddress(s.To)
 	if err != nil {
-		a.log.Debug("address of no use", "address", s.To, "error", err)
+		a.logger.Debug("address of no use", "address", s.To, "error", err)
 		return
 	}
-	_, _ = a.conn.WriteTo(p, to) // what is not sent counts as lost
+	_, _ = a.packetConn.WriteTo(p, to) // what is not sent counts as lost
 }
 
 // resolve reads an address. Names are not looked up here, as that could block the loop.
-func resolve(addr string) (*net.UDPAddr, error) {
+func parseAddress(addr string) (*net.UDPAddr, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, err
@@ -430,14 +432,14 @@
 
 // take reads one packet. What fails costs little: nothing is parsed, and no signature checked, beyond the
 // gate's bounds.
-func (a *Agent) take(src string, p []byte, stream bool) {
+func (a *Agent) packetReceived(src string, p []byte, stream bool) {
 	now := a.now()
-	if !stream && len(p) > maxDatagram {
+	if !stream && len(p) > maxDatagramBytes {
 		a.dropped.Malformed++
 		return
 	}
-	if !a.gate.AllowPacket(now, src) {
-		a.dropped.Limited++
+	if !a.limiter.AllowPacket(now, src) {
+		a.dropped.RateLimited++
 		return
 	}
 	m, seen, err := a.keys.Open(p)
@@ -447,27 +449,27 @@
 	case errors.Is(err, gossip.ErrUnknownKey):
 		a.dropped.UnknownKey++
 	case errors.Is(err, gossip.ErrSignature):
-		a.dropped.Signature++
+		a.dropped.BadSignature++
 	case errors.Is(err, gossip.ErrReplay):
-		a.dropped.Replay++
+		a.dropped.Replayed++
 		if errors.Is(err, gossip.ErrStale) {
-			a.toCore = append(a.toCore, gossip.StaleMessage{Message: m, Seen: seen})
+			a.coreEvents = append(a.coreEvents, gossip.StaleMessage{Message: m, Seen: seen})
 		}
 	}
 	if err != nil {
-		a.log.Debug("packet dropped", "from", src, "reason", err)
+		a.logger.Debug("packet dropped", "from", src, "reason", err)
 		return
 	}
 	a.received++
 	if !stream {
-		a.gate.Authenticated(now, src, m.From)
+		a.limiter.Authenticated(now, src, m.From)
 	}
 	keep := m.Statements[:0]
 	for i := range m.Statements {
 		s := &m.Statements[i]
 		switch {
 		case !a.core.Wants(s):
-		case !a.gate.AllowStatement(now, m.From) || a.keys.VerifyStatement(s) != nil:
+		case !a.limiter.AllowStatement(now, m.From) || a.keys.VerifyStatement(s) != nil:
 			a.dropped.Statements++
 		default:
 			keep = append(keep, *s)
@@ -475,46 +477,46 @@
 	}
 	m.Statements = keep
 	// One at a time, as what the core wants depends on what it has learned.
-	for _, o := range a.core.Step(now, append(drain(&a.toCore), gossip.MessageReceived{Message: m})) {
-		a.act(o)
+	for _, o := range a.core.Step(now, append(takeAll(&a.coreEvents), gossip.MessageReceived{Message: m})) {
+		a.perform(o)
 	}
 }
 
 // admit follows the list of admitted members.
-func (a *Agent) admit(m Members) {
+func (a *Agent) applyMembers(m Members) {
 	a.keys.SetAdmitted(m)
-	a.toCore = append(a.toCore, gossip.AdmissionChanged{Admitted: func(id string) bool { return id == a.cfg.ID || m[id] != nil }})
+	a.coreEvents = append(a.coreEvents, gossip.AdmissionChanged{Admitted: func(id string) bool { return id == a.cfg.ID || m[id] != nil }})
 	if own := m[a.cfg.ID][a.keys.OwnKeyName()]; own == nil {
-		a.log.Warn("this router's own key is not among the admitted ones", "key", a.keys.OwnKeyName())
+		a.logger.Warn("this router's own key is not among the admitted ones", "key", a.keys.OwnKeyName())
 	} else if pub, ok := a.cfg.Key.Private.Public().(ed25519.PublicKey); !ok || !pub.Equal(own) {
-		a.log.Error("the admitted key of this router's is not the one that it signs with", "key", a.keys.OwnKeyName())
+		a.logger.Error("the admitted key of this router's is not the one that it signs with", "key", a.keys.OwnKeyName())
 	}
 }
 
 // SetMembers admits exactly these members from now on.
 func (a *Agent) SetMembers(m Members) {
-	a.post(func() {
-		a.log.Info("admitted members", "members", len(m))
+	a.enqueue(func() {
+		a.logger.Info("admitted members", "members", len(m))
 		a.cfg.Members = m
-		a.admit(m)
+		a.applyMembers(m)
 	})
 }
 
 // SetKey signs with another key from now on.
 func (a *Agent) SetKey(k Key) {
-	a.post(func() {
-		a.log.Info("own key", "key", k.Name)
+	a.enqueue(func() {
+		a.logger.Info("own key", "key", k.Name)
 		a.cfg.Key = k
 		a.keys.SetOwnKey(k.Name, k.Private)
-		a.admit(a.cfg.Members)
+		a.applyMembers(a.cfg.Members)
 	})
 }
 
 // SetWorkers follows the list of workers: start times in Unix milliseconds, 0 for long ago.
 func (a *Agent) SetWorkers(started map[string]uint64) {
-	a.post(func() {
-		a.toWit = append(a.toWit, gossip.WorkerList{Started: started})
-		a.toJudge = append(a.toJudge, gossip.WorkerList{Started: started})
+	a.enqueue(func() {
+		a.collectorEvents = append(a.collectorEvents, gossip.WorkerList{Started: started})
+		a.quorumEvents = append(a.quorumEvents, gossip.WorkerList{Started: started})
 	})
 }
 
@@ -526,40 +528,40 @@
 	} else if d.Class != "" {
 		about = gossip.WorkerFailing
 	}
-	a.post(func() {
-		a.toWit = append(a.toWit, gossip.WorkerSuspected{Worker: d.Worker, Kind: about, Class: d.Class})
+	a.enqueue(func() {
+		a.collectorEvents = append(a.collectorEvents, gossip.WorkerSuspected{Worker: d.Worker, Kind: about, Class: d.Class})
 	})
 }
 
 // HeardOf tells that a worker that was doubted to be silent gave a sign of life.
 func (a *Agent) ReportAlive(worker string) {
-	a.post(func() {
-		a.toWit = append(a.toWit, gossip.WorkerHeard{Worker: worker})
-		a.toJudge = append(a.toJudge, gossip.WorkerHeard{Worker: worker})
+	a.enqueue(func() {
+		a.collectorEvents = append(a.collectorEvents, gossip.WorkerHeard{Worker: worker})
+		a.quorumEvents = append(a.quorumEvents, gossip.WorkerHeard{Worker: worker})
 	})
 }
 
 // ask has the loop answer.
-func ask[T any](a *Agent, f func() T) (out T) {
+func callLoop[T any](a *Agent, f func() T) (out T) {
 	got := make(chan T, 1)
-	if !a.post(func() { got <- f() }) {
+	if !a.enqueue(func() { got <- f() }) {
 		return out
 	}
 	select {
 	case out = <-got:
-	case <-a.done:
+	case <-a.loopDone:
 	}
 	return out
 }
 
 // Status tells how the agent stands.
 func (a *Agent) Status() Status {
-	return ask(a, func() Status {
+	return callLoop(a, func() Status {
 		s := Status{ID: a.cfg.ID, Addr: a.addr, Key: a.keys.OwnKeyName(), Members: len(a.core.Members()), Live: a.core.Live(),
-			MostLive: a.core.Stats().MostLive, Health: a.core.HealthPenalty(), Received: a.received, Core: a.core.Stats(),
-			Judge: a.judge.Stats(), Dropped: a.dropped}
+			MostLive: a.core.Stats().MostLive, HealthPenalty: a.core.HealthPenalty(), Received: a.received, Core: a.core.Stats(),
+			Quorum: a.quorum.Stats(), Dropped: a.dropped}
 		a.mu.Lock()
-		s.Dropped.Queue = a.full
+		s.Dropped.QueueFull = a.queueFull
 		a.mu.Unlock()
 		return s
 	})
@@ -567,9 +569,9 @@
 
 // Peers lists the members known.
 func (a *Agent) Peers() []Peer {
-	return ask(a, func() (out []Peer) {
+	return callLoop(a, func() (out []Peer) {
 		for _, m := range a.core.Members() {
-			out = append(out, Peer{Member: m, State: m.State.String(), Weight: a.judge.Weight(m.ID),
+			out = append(out, Peer{Member: m, State: m.State.String(), Weight: a.quorum.Weight(m.ID),
 				Keys: slices.Sorted(maps.Keys(a.keys.AdmittedKeys(m.ID)))})
 		}
 		return out
@@ -578,12 +580,12 @@
 
 // Suspicions lists what is said of workers.
 func (a *Agent) Suspicions() []gossip.Suspicion {
-	return ask(a, func() []gossip.Suspicion { return a.judge.Suspicions() })
+	return callLoop(a, func() []gossip.Suspicion { return a.quorum.Suspicions() })
 }
 
 // Keys lists the admitted keys by name.
 func (a *Agent) Keys() KeyList {
-	return ask(a, func() KeyList {
+	return callLoop(a, func() KeyList {
 		out := KeyList{Own: a.keys.OwnKeyName(), Members: map[string][]string{}}
 		for id, k := range a.cfg.Members {
 			out.Members[id] = slices.Sorted(maps.Keys(k))
--- a/internal/gossip/agent/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -85,16 +85,16 @@
 }
 
 func (g *group) config(i int) agent.Config {
-	c := agent.Config{ID: g.ids[i], Listen: "127.0.0.1:0", Gossip: quick(), Judge: gossip.LocalSuspicionQuorumConfig, Gate: gossip.LocalPacketLimiterConfig,
-		Witness: gossip.LocalEvidenceCollectorConfig, LookTimeout: time.Second, Seed: uint64(i), Members: admit(g.ids, "k1"),
+	c := agent.Config{ID: g.ids[i], Listen: "127.0.0.1:0", Gossip: quick(), Quorum: gossip.LocalSuspicionQuorumConfig, Limiter: gossip.LocalPacketLimiterConfig,
+		Collector: gossip.LocalEvidenceCollectorConfig, CheckTimeout: time.Second, Seed: uint64(i), Members: admit(g.ids, "k1"),
 		Key: agent.Key{Name: "k1", Private: keyOf(g.ids[i], "k1")}}
 	c.Seeds = g.addrs[:min(2, len(g.addrs))]
 	m := g.meters[i]
 	own := ""
-	c.Hooks = agent.Hooks{Packets: func(pc net.PacketConn) net.PacketConn {
+	c.Hooks = agent.Hooks{WrapPacketConn: func(pc net.PacketConn) net.PacketConn {
 		own = pc.LocalAddr().String()
 		return g.net.Wrap(pc, m)
-	}, Stream: func(to string, n int) bool { m.Add(n); return g.net.Open(own, to) }} // a partition cuts streams too
+	}, AllowStream: func(to string, n int) bool { m.Add(n); return g.net.Open(own, to) }} // a partition cuts streams too
 	return c
 }
 
@@ -181,7 +181,7 @@
 	}
 	claims := func() (n uint64) {
 		for _, a := range g.agents[:3] {
-			n += a.Status().Judge.Claims
+			n += a.Status().Quorum.Claims
 		}
 		return n
 	}
@@ -223,7 +223,7 @@
 	f.Worker, f.Of = "w1", 5
 	dropped := func() (n uint64) {
 		for _, a := range g.agents {
-			n += a.Status().Dropped.Packets()
+			n += a.Status().Dropped.TotalPackets()
 		}
 		return n
 	}
@@ -238,15 +238,15 @@
 	began := time.Now()
 	g.until("the flood to be left unread", func() bool { // however much of it the sockets hold
 		f.Flood(g.addrs, 500)
-		return !slices.ContainsFunc(g.agents, func(a *agent.Agent) bool { return a.Status().Dropped.Limited < 1000 })
+		return !slices.ContainsFunc(g.agents, func(a *agent.Agent) bool { return a.Status().Dropped.RateLimited < 1000 })
 	})
 	for i, a := range g.agents {
 		s := a.Status()
-		if s.Live != 4 || s.Judge.Claims > 0 {
-			t.Errorf("after a flood agent %d has %d live and %d claims", i, s.Live, s.Judge.Claims)
+		if s.Live != 4 || s.Quorum.Claims > 0 {
+			t.Errorf("after a flood agent %d has %d live and %d claims", i, s.Live, s.Quorum.Claims)
 		}
 		most := gossip.LocalPacketLimiterConfig.ChecksOfUnknown*(time.Since(began).Seconds()+2) + 100 // with those of before
-		if checked := s.Dropped.Signature + s.Dropped.UnknownKey; float64(checked) > most {
+		if checked := s.Dropped.BadSignature + s.Dropped.UnknownKey; float64(checked) > most {
 			t.Errorf("agent %d checked %d of the flood's signatures, %.0f are allowed", i, checked, most)
 		}
 		if _, _, _, over := g.meters[i].Totals(); over > 0 {
@@ -269,7 +269,7 @@
 	f.Send(g.addrs[2:], 60)
 	g.until("them to be read", func() bool { // a third of them are whole
 		s := g.agents[2].Status()
-		return s.Received-before.Received >= 10 && s.Judge.Claims > 0
+		return s.Received-before.Received >= 10 && s.Quorum.Claims > 0
 	})
 }
 
@@ -277,7 +277,7 @@
 func TestReplayedAndTwice(t *testing.T) {
 	g := newGroup(t, 2)
 	g.net.Set(fakepeer.Faults{Twice: 1, Most: 5 * time.Millisecond})
-	g.until("doubles to be dropped", func() bool { return g.agents[0].Status().Dropped.Replay > 5 })
+	g.until("doubles to be dropped", func() bool { return g.agents[0].Status().Dropped.Replayed > 5 })
 	if n := g.agents[0].Status().Live; n != 2 {
 		t.Errorf("%d live", n)
 	}
@@ -309,7 +309,7 @@
 		}
 	}
 	c := g.config(1)
-	c.Listen, c.Hooks.Packets = "127.0.0.1:0", nil
+	c.Listen, c.Hooks.WrapPacketConn = "127.0.0.1:0", nil
 	c.Seeds = g.addrs[:1]
 	old, err := agent.Start(c, &script{notify: make(chan struct{}, 1)}) // one that still signs with the old key
 	if err != nil {
@@ -367,7 +367,7 @@
 	before := life()
 	g.agents[2].Close()
 	c := g.config(2)
-	c.Listen, c.Life = g.addrs[2], 1000
+	c.Listen, c.Incarnation = g.addrs[2], 1000
 	a, err := agent.Start(c, g.routers[2])
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gossip/agent/compare_test.go
+++ b/internal/gossip/agent/compare_test.go
@@ -148,12 +148,12 @@
 		for i := range members {
 			m := &fakepeer.Meter{}
 			c := agent.Config{ID: ids[i], Listen: "127.0.0.1:0", Seeds: addrs[:min(1, len(addrs))], Gossip: gossip.LocalConfig,
-				Judge: gossip.LocalSuspicionQuorumConfig, Gate: gossip.LocalPacketLimiterConfig, Witness: gossip.LocalEvidenceCollectorConfig, Seed: uint64(i),
+				Quorum: gossip.LocalSuspicionQuorumConfig, Limiter: gossip.LocalPacketLimiterConfig, Collector: gossip.LocalEvidenceCollectorConfig, Seed: uint64(i),
 				Members: admit(ids, "k1"), Key: agent.Key{Name: "k1", Private: keyOf(ids[i], "k1")},
-				Dead: f.add,
-				Hooks: agent.Hooks{Packets: func(pc net.PacketConn) net.PacketConn {
+				MemberDied: f.add,
+				Hooks: agent.Hooks{WrapPacketConn: func(pc net.PacketConn) net.PacketConn {
 					return n.Wrap(pc, m)
-				}, Stream: func(_ string, n int) bool { m.Add(n); return true }}}
+				}, AllowStream: func(_ string, n int) bool { m.Add(n); return true }}}
 			a, err := agent.Start(c, &script{notify: make(chan struct{}, 1)})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/gossip/agent/golden_test.go
+++ b/internal/gossip/agent/golden_test.go
@@ -15,10 +15,10 @@
 		value any
 		want  string
 	}{
-		{"status", agent.Status{ID: "r1", Addr: "a:1", Key: "k1", Members: 1, Live: 2, MostLive: 3, Health: 4, Received: 5,
+		{"status", agent.Status{ID: "r1", Addr: "a:1", Key: "k1", Members: 1, Live: 2, MostLive: 3, HealthPenalty: 4, Received: 5,
 			Core:    gossip.Stats{MessagesSent: 6, BytesSent: 7, Withheld: 8, Suspicions: 9, Deaths: 10, Refutations: 11, MostLive: 12},
-			Judge:   gossip.SuspicionQuorumStats{Claims: 13, Checks: 14, ConfirmedSilent: 15, Contradicted: 16},
-			Dropped: agent.Dropped{Limited: 17, Malformed: 18, UnknownKey: 19, Signature: 20, Replay: 21, Queue: 22, Statements: 23}},
+			Quorum:  gossip.SuspicionQuorumStats{Claims: 13, Checks: 14, ConfirmedSilent: 15, Contradicted: 16},
+			Dropped: agent.Dropped{RateLimited: 17, Malformed: 18, UnknownKey: 19, BadSignature: 20, Replayed: 21, QueueFull: 22, Statements: 23}},
 			`{"id":"r1","address":"a:1","key":"k1","members":1,"live":2,"most_live":3,"local_health":4,"received":5,` +
 				`"core":{"messages_sent":6,"bytes_sent":7,"withheld":8,"suspicions":9,"deaths":10,"refuted":11,"most_live":12},` +
 				`"judge":{"claims":13,"looks":14,"found_silent":15,"contradicted":16},` +
--- a/internal/gossip/agent/stream.go
+++ b/internal/gossip/agent/stream.go
@@ -16,30 +16,30 @@
 // and is closed. An answer comes on a connection of its own. The packet is signed like a datagram.
 
 const (
-	maxStream     = 64 << 10 // bytes of a packet over a stream
-	streamTimeout = 2 * time.Second
-	maxDials      = 8  // connections being made at a time
-	maxTaken      = 64 // connections being read at a time
+	maxStreamPacketBytes = 64 << 10 // bytes of a packet over a stream
+	streamTimeout        = 2 * time.Second
+	maxDials             = 8  // connections being made at a time
+	maxInbound           = 64 // connections being read at a time
 )
 
 // streams is the TCP side of an agent.
-type streams struct {
-	ln    *listen.Listener
-	loop  netpoll.EventLoop
-	slots chan struct{}
-	wg    sync.WaitGroup
+type streamTransport struct {
+	listener  *listen.Listener
+	eventLoop netpoll.EventLoop
+	dialSlots chan struct{}
+	dials     sync.WaitGroup
 
-	mu   sync.Mutex
-	open map[netpoll.Connection]struct{}
+	mu      sync.Mutex
+	inbound map[netpoll.Connection]struct{}
 }
 
-func listenStreams(addr string, take func(src string, p []byte)) (*streams, error) {
+func listenStream(addr string, take func(src string, p []byte)) (*streamTransport, error) {
 	ln, err := listen.On("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &streams{ln: ln, slots: make(chan struct{}, maxDials), open: map[netpoll.Connection]struct{}{}}
-	s.loop, err = netpoll.NewEventLoop(func(_ context.Context, c netpoll.Connection) error {
+	s := &streamTransport{listener: ln, dialSlots: make(chan struct{}, maxDials), inbound: map[netpoll.Connection]struct{}{}}
+	s.eventLoop, err = netpoll.NewEventLoop(func(_ context.Context, c netpoll.Connection) error {
 		defer func() { _ = c.Close() }()
 		_ = c.SetReadTimeout(streamTimeout)
 		r := c.Reader()
@@ -48,7 +48,7 @@
 			return err
 		}
 		n := int(binary.BigEndian.Uint32(head))
-		if n == 0 || n > maxStream {
+		if n == 0 || n > maxStreamPacketBytes {
 			return errors.New("gossip: length out of range")
 		}
 		p, err := r.Next(n)
@@ -58,9 +58,9 @@
 		return err
 	}, netpoll.WithOnConnect(func(ctx context.Context, c netpoll.Connection) context.Context {
 		s.mu.Lock()
-		full := len(s.open) >= maxTaken
+		full := len(s.inbound) >= maxInbound
 		if !full {
-			s.open[c] = struct{}{}
+			s.inbound[c] = struct{}{}
 		}
 		s.mu.Unlock()
 		if full {
@@ -69,13 +69,13 @@
 		}
 		_ = c.AddCloseCallback(func(c netpoll.Connection) error {
 			s.mu.Lock()
-			delete(s.open, c)
+			delete(s.inbound, c)
 			s.mu.Unlock()
 			return nil
 		})
 		time.AfterFunc(streamTimeout, func() { // whoever sends slowly holds no place
 			s.mu.Lock()
-			_, still := s.open[c]
+			_, still := s.inbound[c]
 			s.mu.Unlock()
 			if still {
 				_ = c.Close()
@@ -87,23 +87,23 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	ln.Serve(s.loop)
+	ln.Serve(s.eventLoop)
 	return s, nil
 }
 
 // Addr is the address listened on.
-func (s *streams) Addr() string { return s.ln.Addr().String() }
+func (s *streamTransport) Addr() string { return s.listener.Addr().String() }
 
 // Send brings a packet to an address, unless too many are on their way: then it is lost, as a datagram would
 // be.
-func (s *streams) Send(to string, p []byte) {
+func (s *streamTransport) Send(to string, p []byte) {
 	select {
-	case s.slots <- struct{}{}:
+	case s.dialSlots <- struct{}{}:
 	default:
 		return
 	}
-	s.wg.Go(func() {
-		defer func() { <-s.slots }()
+	s.dials.Go(func() {
+		defer func() { <-s.dialSlots }()
 		c, err := netpoll.DialConnection("tcp", to, streamTimeout)
 		if err != nil {
 			return
@@ -122,10 +122,10 @@
 }
 
 // Close ends the listener and what is open.
-func (s *streams) Close() {
+func (s *streamTransport) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = s.loop.Shutdown(ctx)
-	_ = s.ln.Close()
-	s.wg.Wait()
+	_ = s.eventLoop.Shutdown(ctx)
+	_ = s.listener.Close()
+	s.dials.Wait()
 }
--- a/internal/gossip/gossipsim/measure.go
+++ b/internal/gossip/gossipsim/measure.go
@@ -10,39 +10,39 @@
 
 // Trial is one size and its troubles.
 type Trial struct {
-	Members int           `json:"members"`
-	Loss    float64       `json:"loss"`
-	Slow    float64       `json:"slow"` // share of the members that read what comes up to 2 s late
-	Seed    uint64        `json:"seed"`
-	Warm    time.Duration `json:"-"`
-	Steady  time.Duration `json:"-"`
-	After   time.Duration `json:"-"` // for which a death is followed
+	Members     int           `json:"members"`
+	Loss        float64       `json:"loss"`
+	SlowShare   float64       `json:"slow"` // share of the members that read what comes up to 2 s late
+	Seed        uint64        `json:"seed"`
+	WarmUp      time.Duration `json:"-"`
+	Steady      time.Duration `json:"-"`
+	FollowDeath time.Duration `json:"-"` // for which a death is followed
 }
 
 // Result is what a trial came to. Times are seconds.
 type Result struct {
 	Trial
-	Bytes       float64 `json:"bytes_per_s"`      // of a member, with nothing new
-	Messages    float64 `json:"messages_per_s"`   // likewise
-	PeakBytes   float64 `json:"peak_bytes_per_s"` // most of any member in any second
-	SpreadHalf  float64 `json:"spread_half_s"`    // until half have heard a word of a worker,
-	SpreadMost  float64 `json:"spread_99_s"`      // and 99 of 100
-	Reached     float64 `json:"reached"`          // share that heard it at all
-	DeathFirst  float64 `json:"death_first_s"`    // until the first holds a silent member to be dead,
-	DeathMost   float64 `json:"death_99_s"`       // and 99 of 100
-	FalseDeaths int     `json:"false_deaths"`     // members, slow ones too, that at least one held to be dead
-	Suspicions  float64 `json:"suspicions_per_member_minute"`
-	WallSeconds float64 `json:"wall_s"`
+	BytesPerSecond            float64 `json:"bytes_per_s"`      // of a member, with nothing new
+	MessagesPerSecond         float64 `json:"messages_per_s"`   // likewise
+	PeakBytesPerSecond        float64 `json:"peak_bytes_per_s"` // most of any member in any second
+	SpreadTo50                float64 `json:"spread_half_s"`    // until half have heard a word of a worker,
+	SpreadTo99                float64 `json:"spread_99_s"`      // and 99 of 100
+	Reached                   float64 `json:"reached"`          // share that heard it at all
+	FirstDeath                float64 `json:"death_first_s"`    // until the first holds a silent member to be dead,
+	DeathTo99                 float64 `json:"death_99_s"`       // and 99 of 100
+	FalseDeaths               int     `json:"false_deaths"`     // members, slow ones too, that at least one held to be dead
+	SuspicionsPerMemberMinute float64 `json:"suspicions_per_member_minute"`
+	WallSeconds               float64 `json:"wall_s"`
 }
 
 // Run plays a trial: all know each other; a steady while; a word of a worker; a death.
 func (t Trial) Run() Result {
 	began := time.Now()
-	w := New(gossip.LocalConfig, t.Members, t.Seed)
+	w := NewNetwork(gossip.LocalConfig, t.Members, t.Seed)
 	w.Loss = t.Loss
 	slow := make([]bool, t.Members)
 	rng := rand.New(rand.NewPCG(t.Seed, 11))
-	for _, i := range rng.Perm(t.Members)[:int(t.Slow*float64(t.Members))] {
+	for _, i := range rng.Perm(t.Members)[:int(t.SlowShare*float64(t.Members))] {
 		slow[i] = true
 	}
 	w.Delay = func(_, to int) time.Duration {
@@ -57,12 +57,12 @@
 	wrong := map[string]bool{}
 	var heard, dead []float64
 	var from time.Duration
-	w.Told = func(_ int, a gossip.Action) {
+	w.OnAction = func(_ int, a gossip.Action) {
 		switch a := a.(type) {
 		case gossip.EvidenceReceived:
 			heard = append(heard, (w.Now - from).Seconds())
 		case gossip.MemberStateChanged:
-			if a.State == gossip.Dead && gone >= 0 && a.ID == ID(gone) {
+			if a.State == gossip.Dead && gone >= 0 && a.ID == MemberID(gone) {
 				dead = append(dead, (w.Now - from).Seconds())
 			} else if a.State == gossip.Dead {
 				wrong[a.ID] = true
@@ -70,17 +70,17 @@
 		}
 	}
 	w.StartAll(true)
-	w.Run(t.Warm)
+	w.Run(t.WarmUp)
 	base, suspicions := w.totals()
 	w.Run(t.Steady)
 	sent, more := w.totals()
-	r.Bytes = (sent.Bytes - base.Bytes) / t.Steady.Seconds() / float64(t.Members)
-	r.Messages = (sent.Messages - base.Messages) / t.Steady.Seconds() / float64(t.Members)
-	r.Suspicions = float64(more-suspicions) / float64(t.Members) / t.Steady.Minutes()
+	r.BytesPerSecond = (sent.Bytes - base.Bytes) / t.Steady.Seconds() / float64(t.Members)
+	r.MessagesPerSecond = (sent.Messages - base.Messages) / t.Steady.Seconds() / float64(t.Members)
+	r.SuspicionsPerMemberMinute = float64(more-suspicions) / float64(t.Members) / t.Steady.Minutes()
 
 	from = w.Now
 	speaker := slices.Index(slow, false)
-	w.Do(speaker, gossip.Publish{Statement: gossip.Statement{Kind: gossip.WorkerSilent, Subject: "worker"}})
+	w.Step(speaker, gossip.Publish{Statement: gossip.Statement{Kind: gossip.WorkerSilent, Subject: "worker"}})
 	w.Run(gossip.LocalConfig.EvidenceLifetime)
 	slices.Sort(heard)
 	at := func(list []float64, share float64, of int) float64 {
@@ -89,17 +89,17 @@
 		}
 		return -1
 	}
-	r.SpreadHalf, r.SpreadMost = at(heard, 0.5, t.Members-1), at(heard, 0.99, t.Members-1)
+	r.SpreadTo50, r.SpreadTo99 = at(heard, 0.5, t.Members-1), at(heard, 0.99, t.Members-1)
 	r.Reached = float64(len(heard)) / float64(t.Members-1)
 
 	from, gone = w.Now, speaker
 	w.Stop(gone)
-	w.Run(t.After)
+	w.Run(t.FollowDeath)
 	slices.Sort(dead)
-	r.DeathFirst, r.DeathMost = at(dead, 0, t.Members-1), at(dead, 0.99, t.Members-1)
+	r.FirstDeath, r.DeathTo99 = at(dead, 0, t.Members-1), at(dead, 0.99, t.Members-1)
 	r.FalseDeaths = len(wrong)
 	for _, s := range w.Sent {
-		r.PeakBytes = max(r.PeakBytes, s.Peak)
+		r.PeakBytesPerSecond = max(r.PeakBytesPerSecond, s.PeakBytes)
 	}
 	r.WallSeconds = time.Since(began).Seconds()
 	return r
--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -13,63 +13,63 @@
 
 // Network is the cores and what is between them.
 type Network struct {
-	Now   time.Duration
-	Cores []*gossip.Core // nil: not running
-	Loss  float64        // share of the datagrams that is lost
-	Twice float64        // share that comes twice
-	Delay func(from, to int) time.Duration
-	Cut   func(from, to int) bool // the way from one to another is cut, for streams too
-	Sent  []Traffic
-	Told  func(by int, action gossip.Action) // told of each action but Sends
-	Skew  []time.Duration          // by which each clock is off
-
-	cfg    gossip.Config
-	rng    *rand.Rand
-	seed   uint64
-	lives  uint64
-	index  map[string]int
-	q      queue
-	n      uint64
-	wakeAt []time.Duration
+	Now         time.Duration
+	Cores       []*gossip.Core // nil: not running
+	Loss        float64        // share of the datagrams that is lost
+	Duplicated  float64        // share that comes twice
+	Delay       func(from, to int) time.Duration
+	Partitioned func(from, to int) bool // the way from one to another is cut, for streams too
+	Sent        []Traffic
+	OnAction    func(by int, action gossip.Action) // told of each action but Sends
+	ClockSkew   []time.Duration                    // by which each clock is off
+
+	config          gossip.Config
+	rng             *rand.Rand
+	seed            uint64
+	lastIncarnation uint64
+	index           map[string]int
+	queue           eventQueue
+	eventSeq        uint64
+	timerAt         []time.Duration
 }
 
 // Traffic is what one core has sent.
 type Traffic struct {
 	Bytes, Messages float64
-	Peak            float64 // most bytes in any second, by full seconds
+	PeakBytes       float64 // most bytes in any second, by full seconds
 	second          time.Duration
-	inSecond        float64
+	bytesInSecond   float64
 }
 
 type event struct {
-	at   time.Duration
-	n    uint64
-	to   int
-	from int
-	m    *gossip.Message // nil: a wake
+	at      time.Duration
+	seq     uint64
+	to      int
+	from    int
+	message *gossip.Message // nil: a wake
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *queue) Push(x any) { e, _ := x.(event); *q = append(*q, e) }
+func (q *eventQueue) Push(x any) { e, _ := x.(event); *q = append(*q, e) }
 
 // Pop implements heap.Interface.
-func (q *queue) Pop() any { o := *q; e := o[len(o)-1]; *q = o[:len(o)-1]; return e }
+func (q *eventQueue) Pop() any { o := *q; e := o[len(o)-1]; *q = o[:len(o)-1]; return e }
 
 // New returns a network of n cores that are not yet running.
-func New(cfg gossip.Config, n int, seed uint64) *Network {
-	w := &Network{cfg: cfg, seed: seed, rng: rand.New(rand.NewPCG(seed, 3)), index: map[string]int{}, lives: 1,
-		Cores: make([]*gossip.Core, n), Sent: make([]Traffic, n), Skew: make([]time.Duration, n),
-		wakeAt: make([]time.Duration, n)}
+func NewNetwork(cfg gossip.Config, n int, seed uint64) *Network {
+	w := &Network{config: cfg, seed: seed, rng: rand.New(rand.NewPCG(seed, 3)), index: map[string]int{}, lastIncarnation: 1,
+		Cores: make([]*gossip.Core, n), Sent: make([]Traffic, n), ClockSkew: make([]time.Duration, n),
+		timerAt: make([]time.Duration, n)}
 	for i := range n {
-		w.index[ID(i)] = i
+		w.index[MemberID(i)] = i
 	}
 	w.Delay = func(int, int) time.Duration {
 		return time.Duration((1 + 4*w.rng.Float64()) * float64(time.Millisecond))
@@ -78,26 +78,26 @@
 }
 
 // ID is a core's name and address.
-func ID(i int) string { return fmt.Sprintf("r%04d", i) }
+func MemberID(i int) string { return fmt.Sprintf("r%04d", i) }
 
 // Start begins a core's next life. An address list makes it join there.
 func (w *Network) Start(i int, seeds ...int) {
-	w.lives++
-	w.StartLife(i, w.lives, seeds...)
+	w.lastIncarnation++
+	w.StartIncarnation(i, w.lastIncarnation, seeds...)
 }
 
 // StartLife begins a life of a given number.
-func (w *Network) StartLife(i int, life uint64, seeds ...int) {
-	c, err := gossip.NewCore(w.cfg, ID(i), ID(i), life, w.seed+uint64(i)+life<<20, func(*gossip.Statement) {})
+func (w *Network) StartIncarnation(i int, life uint64, seeds ...int) {
+	c, err := gossip.NewCore(w.config, MemberID(i), MemberID(i), life, w.seed+uint64(i)+life<<20, func(*gossip.Statement) {})
 	if err != nil {
 		panic(err) // a configuration that is wrong in the script itself
 	}
 	w.Cores[i] = c
 	j := gossip.Join{}
 	for _, s := range seeds {
-		j.Addresses = append(j.Addresses, ID(s))
+		j.Addresses = append(j.Addresses, MemberID(s))
 	}
-	w.Do(i, j)
+	w.Step(i, j)
 }
 
 // StartAll starts every core; each knows all others from the beginning where known is set, or joins by two.
@@ -110,11 +110,11 @@
 	}
 	words := make([]gossip.Statement, len(w.Cores))
 	for i := range w.Cores {
-		words[i] = gossip.Statement{Kind: gossip.MemberAlive, Signer: ID(i), Incarnation: uint64(i + 2), Seq: 1, Text: ID(i)}
+		words[i] = gossip.Statement{Kind: gossip.MemberAlive, Signer: MemberID(i), Incarnation: uint64(i + 2), Seq: 1, Text: MemberID(i)}
 	}
 	for i := range w.Cores {
 		w.Start(i)
-		w.Do(i, gossip.KnownMembers{Statements: words})
+		w.Step(i, gossip.KnownMembers{Statements: words})
 		w.Cores[i].MarkAllDirect()
 	}
 }
@@ -123,30 +123,30 @@
 func (w *Network) Stop(i int) { w.Cores[i] = nil }
 
 // Do hands events to a core now.
-func (w *Network) Do(i int, events ...gossip.Event) {
+func (w *Network) Step(i int, events ...gossip.Event) {
 	c := w.Cores[i]
-	w.act(i, c.Step(w.Now+w.Skew[i], events))
-	w.arm(i)
+	w.perform(i, c.Step(w.Now+w.ClockSkew[i], events))
+	w.setTimer(i)
 }
 
 // arm plans a core's next wake.
-func (w *Network) arm(i int) {
-	at := max(w.Cores[i].Due()-w.Skew[i], w.Now)
-	if w.wakeAt[i] > w.Now && w.wakeAt[i] <= at {
+func (w *Network) setTimer(i int) {
+	at := max(w.Cores[i].Due()-w.ClockSkew[i], w.Now)
+	if w.timerAt[i] > w.Now && w.timerAt[i] <= at {
 		return // an earlier wake is planned, and will look again
 	}
-	w.wakeAt[i] = at
-	w.n++
-	heap.Push(&w.q, event{at: at, n: w.n, to: i, from: i})
+	w.timerAt[i] = at
+	w.eventSeq++
+	heap.Push(&w.queue, event{at: at, seq: w.eventSeq, to: i, from: i})
 }
 
 // Inject delivers a message to a core now, whoever sent it.
 func (w *Network) Inject(to int, m gossip.Message) {
-	w.Do(to, w.read(to, m))
+	w.Step(to, w.wantedPart(to, m))
 }
 
 // read leaves out the statements that the core does not want, as its caller would.
-func (w *Network) read(to int, m gossip.Message) gossip.MessageReceived {
+func (w *Network) wantedPart(to int, m gossip.Message) gossip.MessageReceived {
 	var keep []gossip.Statement
 	for _, s := range m.Statements {
 		if w.Cores[to].Wants(&s) {
@@ -157,12 +157,12 @@
 	return gossip.MessageReceived{Message: m}
 }
 
-func (w *Network) act(from int, out []gossip.Action) {
+func (w *Network) perform(from int, out []gossip.Action) {
 	for _, a := range out {
 		s, ok := a.(gossip.Send)
 		if !ok {
-			if w.Told != nil {
-				w.Told(from, a)
+			if w.OnAction != nil {
+				w.OnAction(from, a)
 			}
 			continue
 		}
@@ -170,23 +170,23 @@
 		size := float64(s.Message.Size())
 		t.Bytes, t.Messages = t.Bytes+size, t.Messages+1
 		if sec := w.Now / time.Second; sec != t.second {
-			t.second, t.inSecond = sec, 0
+			t.second, t.bytesInSecond = sec, 0
 		}
-		t.inSecond += size
-		t.Peak = max(t.Peak, t.inSecond)
+		t.bytesInSecond += size
+		t.PeakBytes = max(t.PeakBytes, t.bytesInSecond)
 		to, known := w.index[s.To]
-		if !known || w.Cut != nil && w.Cut(from, to) || !s.Stream && w.rng.Float64() < w.Loss {
+		if !known || w.Partitioned != nil && w.Partitioned(from, to) || !s.Stream && w.rng.Float64() < w.Loss {
 			continue
 		}
-		for range 1 + w.twice() {
-			w.n++
-			heap.Push(&w.q, event{at: w.Now + w.Delay(from, to), n: w.n, to: to, from: from, m: &s.Message})
+		for range 1 + w.copies() {
+			w.eventSeq++
+			heap.Push(&w.queue, event{at: w.Now + w.Delay(from, to), seq: w.eventSeq, to: to, from: from, message: &s.Message})
 		}
 	}
 }
 
-func (w *Network) twice() int {
-	if w.Twice > 0 && w.rng.Float64() < w.Twice {
+func (w *Network) copies() int {
+	if w.Duplicated > 0 && w.rng.Float64() < w.Duplicated {
 		return 1
 	}
 	return 0
@@ -195,25 +195,25 @@
 // Run plays for a while.
 func (w *Network) Run(span time.Duration) {
 	end := w.Now + span
-	for len(w.q) > 0 && w.q[0].at <= end {
-		e, _ := heap.Pop(&w.q).(event)
+	for len(w.queue) > 0 && w.queue[0].at <= end {
+		e, _ := heap.Pop(&w.queue).(event)
 		w.Now = max(w.Now, e.at)
 		c := w.Cores[e.to]
 		switch {
 		case c == nil:
-		case e.m != nil:
-			w.Do(e.to, w.read(e.to, *e.m))
-		case c.Due()-w.Skew[e.to] <= w.Now:
-			w.Do(e.to)
-		case e.at >= w.wakeAt[e.to]:
-			w.arm(e.to)
+		case e.message != nil:
+			w.Step(e.to, w.wantedPart(e.to, *e.message))
+		case c.Due()-w.ClockSkew[e.to] <= w.Now:
+			w.Step(e.to)
+		case e.at >= w.timerAt[e.to]:
+			w.setTimer(e.to)
 		}
 	}
 	w.Now = end
 }
 
 // Alive counts the members that each running core has alive: the least and the most.
-func (w *Network) Alive() (least, most int) {
+func (w *Network) AliveRange() (least, most int) {
 	least = 1 << 30
 	for _, c := range w.Cores {
 		if c == nil {
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -12,7 +12,7 @@
 
 func watch(w *Network) deaths {
 	d := deaths{}
-	w.Told = func(by int, a gossip.Action) {
+	w.OnAction = func(by int, a gossip.Action) {
 		if c, ok := a.(gossip.MemberStateChanged); ok && c.State == gossip.Dead {
 			if d[c.ID] == nil {
 				d[c.ID] = map[int]time.Duration{}
@@ -25,17 +25,17 @@
 
 func TestEachFindsEach(t *testing.T) {
 	for _, n := range []int{2, 10, 60} {
-		w := New(gossip.LocalConfig, n, 1)
+		w := NewNetwork(gossip.LocalConfig, n, 1)
 		w.StartAll(false)
 		w.Run(40 * time.Second)
-		if least, most := w.Alive(); least != n-1 || most != n-1 {
+		if least, most := w.AliveRange(); least != n-1 || most != n-1 {
 			t.Errorf("of %d members each knows %d to %d others", n, least, most)
 		}
 	}
 }
 
 func TestDeathIsSeenByAllAndNobodyElseDies(t *testing.T) {
-	w := New(gossip.LocalConfig, 40, 2)
+	w := NewNetwork(gossip.LocalConfig, 40, 2)
 	w.Loss = 0.05
 	w.StartAll(false)
 	w.Run(40 * time.Second)
@@ -43,10 +43,10 @@
 	w.Stop(7)
 	began := w.Now
 	w.Run(60 * time.Second)
-	if got := len(d[ID(7)]); got != 39 {
+	if got := len(d[MemberID(7)]); got != 39 {
 		t.Errorf("the death is seen by %d of 39", got)
 	}
-	for by, at := range d[ID(7)] {
+	for by, at := range d[MemberID(7)] {
 		if at-began > 45*time.Second {
 			t.Errorf("%d saw it after %v", by, at-began)
 		}
@@ -59,8 +59,8 @@
 // TestThirtyPercentLoss: with nearly a third of the datagrams lost nobody is held to be dead for long, and a
 // death is still seen.
 func TestThirtyPercentLoss(t *testing.T) {
-	w := New(gossip.LocalConfig, 30, 5)
-	w.Loss, w.Twice = 0.3, 0.2
+	w := NewNetwork(gossip.LocalConfig, 30, 5)
+	w.Loss, w.Duplicated = 0.3, 0.2
 	w.StartAll(false)
 	w.Run(30 * time.Second)
 	d := watch(w)
@@ -76,38 +76,38 @@
 	d = watch(w)
 	w.Stop(3)
 	w.Run(90 * time.Second)
-	if got := len(d[ID(3)]); got != 29 {
+	if got := len(d[MemberID(3)]); got != 29 {
 		t.Errorf("the death is seen by %d of 29", got)
 	}
 }
 
 func TestPartitionHeals(t *testing.T) {
-	w := New(gossip.LocalConfig, 20, 3)
+	w := NewNetwork(gossip.LocalConfig, 20, 3)
 	w.StartAll(false)
 	w.Run(30 * time.Second)
 	lives := w.Cores[0].Live()
-	w.Cut = func(from, to int) bool { return (from < 10) != (to < 10) }
+	w.Partitioned = func(from, to int) bool { return (from < 10) != (to < 10) }
 	w.Run(60 * time.Second)
-	if _, most := w.Alive(); most != 9 {
+	if _, most := w.AliveRange(); most != 9 {
 		t.Errorf("in the partition somebody has %d others alive, want 9", most)
 	}
 	if lives != 20 || w.Cores[0].Live() != 10 || w.Cores[19].Live() != 10 {
 		t.Errorf("live counts: %d, then %d and %d on the sides", lives, w.Cores[0].Live(), w.Cores[19].Live())
 	}
-	w.Cut = nil
+	w.Partitioned = nil
 	w.Run(90 * time.Second)
-	if least, _ := w.Alive(); least != 19 {
+	if least, _ := w.AliveRange(); least != 19 {
 		t.Errorf("afterwards somebody has only %d others alive", least)
 	}
 }
 
 // TestOneWayLink: what others carry for it keeps a member alive that can't send to one, or can't hear one.
 func TestOneWayLink(t *testing.T) {
-	w := New(gossip.LocalConfig, 12, 4)
+	w := NewNetwork(gossip.LocalConfig, 12, 4)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
 	d := watch(w)
-	w.Cut = func(from, to int) bool { return from == 2 && to == 5 }
+	w.Partitioned = func(from, to int) bool { return from == 2 && to == 5 }
 	w.Run(60 * time.Second)
 	if len(d) > 0 {
 		t.Errorf("held to be dead: %v", d)
@@ -116,7 +116,7 @@
 
 // TestFlapsAndMassRestart: members that come and go are followed, and a restart of all is over within a minute.
 func TestFlapsAndMassRestart(t *testing.T) {
-	w := New(gossip.LocalConfig, 20, 6)
+	w := NewNetwork(gossip.LocalConfig, 20, 6)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
 	for range 6 {
@@ -126,7 +126,7 @@
 		w.Run(3 * time.Second)
 	}
 	w.Run(20 * time.Second)
-	if least, _ := w.Alive(); least != 19 {
+	if least, _ := w.AliveRange(); least != 19 {
 		t.Errorf("after flaps somebody has %d alive", least)
 	}
 	for i := range 20 {
@@ -136,7 +136,7 @@
 		w.Start(i, 0, 10)
 	}
 	w.Run(40 * time.Second)
-	if least, _ := w.Alive(); least != 19 {
+	if least, _ := w.AliveRange(); least != 19 {
 		t.Errorf("after a restart of all somebody has %d alive", least)
 	}
 }
@@ -144,19 +144,19 @@
 // TestClocksHoursOffAndSetBack: clocks that differ don't matter; a member that starts anew with a lower life
 // number is told of its earlier one and taken back.
 func TestClocksHoursOffAndSetBack(t *testing.T) {
-	w := New(gossip.LocalConfig, 10, 7)
-	for i := range w.Skew {
-		w.Skew[i] = time.Duration(i) * 5 * time.Hour
+	w := NewNetwork(gossip.LocalConfig, 10, 7)
+	for i := range w.ClockSkew {
+		w.ClockSkew[i] = time.Duration(i) * 5 * time.Hour
 	}
 	w.StartAll(false)
 	w.Run(30 * time.Second)
 	var ages []time.Duration
-	w.Told = func(_ int, a gossip.Action) {
+	w.OnAction = func(_ int, a gossip.Action) {
 		if h, ok := a.(gossip.EvidenceReceived); ok {
 			ages = append(ages, h.Age)
 		}
 	}
-	w.Do(2, gossip.Publish{Statement: gossip.Statement{Kind: gossip.WorkerSilent, Subject: "w"}})
+	w.Step(2, gossip.Publish{Statement: gossip.Statement{Kind: gossip.WorkerSilent, Subject: "w"}})
 	w.Run(3 * time.Second)
 	if len(ages) != 9 {
 		t.Errorf("%d of 9 heard it", len(ages))
@@ -168,22 +168,22 @@
 	}
 	w.Stop(3)
 	w.Run(2 * time.Second)
-	w.StartLife(3, 1, 0) // as if its clock had been set back
+	w.StartIncarnation(3, 1, 0) // as if its clock had been set back
 	w.Run(30 * time.Second)
-	if least, _ := w.Alive(); least != 9 {
+	if least, _ := w.AliveRange(); least != 9 {
 		t.Errorf("somebody has %d alive", least)
 	}
 }
 
 // TestBudgetHoldsWhateverPeersDo: one core is flooded with all that asks for answers, and stays within it.
 func TestBudgetHoldsWhateverPeersDo(t *testing.T) {
-	w := New(gossip.LocalConfig, 10, 8)
+	w := NewNetwork(gossip.LocalConfig, 10, 8)
 	w.StartAll(false)
 	w.Run(10 * time.Second)
 	begin, base := w.Now, w.Sent[0]
 	for i := range 20000 {
-		w.Inject(0, gossip.Message{Kind: gossip.MessageKind(i % 5), WantAlive: true, From: ID(1 + i%9), Addr: ID(1 + i%9), Incarnation: 100,
-			ProbeSeq: uint64(i), Target: ID(i % 10)})
+		w.Inject(0, gossip.Message{Kind: gossip.MessageKind(i % 5), WantAlive: true, From: MemberID(1 + i%9), Addr: MemberID(1 + i%9), Incarnation: 100,
+			ProbeSeq: uint64(i), Target: MemberID(i % 10)})
 		if i%100 == 0 {
 			w.Run(50 * time.Millisecond)
 		}
@@ -197,14 +197,14 @@
 		t.Errorf("%.0f messages in %.0f s", got, span)
 	}
 	w.Run(20 * time.Second)
-	if least, _ := w.Alive(); least < 9 {
+	if least, _ := w.AliveRange(); least < 9 {
 		t.Errorf("somebody has %d alive", least)
 	}
 }
 
 // TestAllPeersSilent: the one that is left goes on within its budget, and takes them back when they come.
 func TestAllPeersSilent(t *testing.T) {
-	w := New(gossip.LocalConfig, 12, 9)
+	w := NewNetwork(gossip.LocalConfig, 12, 9)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
 	for i := 1; i < 12; i++ {
@@ -222,20 +222,20 @@
 		w.Start(i, 0)
 	}
 	w.Run(40 * time.Second)
-	if least, _ := w.Alive(); least != 11 {
+	if least, _ := w.AliveRange(); least != 11 {
 		t.Errorf("afterwards somebody has %d alive", least)
 	}
 }
 
 // TestSameSeedSameDay: a trial comes to the same figures each time.
 func TestSameSeedSameDay(t *testing.T) {
-	trial := Trial{Members: 20, Loss: 0.05, Slow: 0.1, Seed: 4, Warm: 5 * time.Second, Steady: 5 * time.Second, After: 20 * time.Second}
+	trial := Trial{Members: 20, Loss: 0.05, SlowShare: 0.1, Seed: 4, WarmUp: 5 * time.Second, Steady: 5 * time.Second, FollowDeath: 20 * time.Second}
 	a, b := trial.Run(), trial.Run()
 	a.WallSeconds, b.WallSeconds = 0, 0
 	if a != b {
 		t.Errorf("%+v\n%+v", a, b)
 	}
-	if a.Reached < 0.9 || a.DeathFirst <= 0 || a.Bytes <= 0 || a.Bytes > gossip.LocalConfig.BytesPerSecond {
+	if a.Reached < 0.9 || a.FirstDeath <= 0 || a.BytesPerSecond <= 0 || a.BytesPerSecond > gossip.LocalConfig.BytesPerSecond {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/gossip/gossipsim/plot.go
+++ b/internal/gossip/gossipsim/plot.go
@@ -20,35 +20,35 @@
 	color color.RGBA
 	dash  []vg.Length
 }{
-	{"no trouble", func(r Result) bool { return r.Loss == 0 && r.Slow == 0 }, color.RGBA{R: 31, G: 95, B: 140, A: 255}, nil},
+	{"no trouble", func(r Result) bool { return r.Loss == 0 && r.SlowShare == 0 }, color.RGBA{R: 31, G: 95, B: 140, A: 255}, nil},
 	{"5 % loss", func(r Result) bool { return r.Loss > 0 }, color.RGBA{R: 200, G: 95, B: 30, A: 255}, []vg.Length{vg.Points(5), vg.Points(3)}},
-	{"10 % slow members", func(r Result) bool { return r.Slow > 0 }, color.RGBA{R: 90, G: 130, B: 50, A: 255}, []vg.Length{vg.Points(2), vg.Points(2)}},
+	{"10 % slow members", func(r Result) bool { return r.SlowShare > 0 }, color.RGBA{R: 90, G: 130, B: 50, A: 255}, []vg.Length{vg.Points(2), vg.Points(2)}},
 }
 
 // Plot writes the figures of trials as SVG into a folder: traffic, spread, detection and mistakes over the size.
-func Plot(dir string, all []Result) error {
+func WritePlots(dir string, all []Result) error {
 	for _, p := range []struct {
 		file, title, y string
 		value          func(Result) float64
 	}{
-		{"traffic", "Sent by each router, steady", "bytes a second", func(r Result) float64 { return r.Bytes }},
-		{"spread", "Word of a worker heard by 99 of 100", "seconds", func(r Result) float64 { return r.SpreadMost }},
-		{"death", "Silent router held to be dead by 99 of 100", "seconds", func(r Result) float64 { return r.DeathMost }},
+		{"traffic", "Sent by each router, steady", "bytes a second", func(r Result) float64 { return r.BytesPerSecond }},
+		{"spread", "Word of a worker heard by 99 of 100", "seconds", func(r Result) float64 { return r.SpreadTo99 }},
+		{"death", "Silent router held to be dead by 99 of 100", "seconds", func(r Result) float64 { return r.DeathTo99 }},
 		{"mistakes", "Routers wrongly held to be dead by somebody", "share of the routers",
 			func(r Result) float64 { return float64(r.FalseDeaths) / float64(r.Members) }},
 	} {
-		if err := plotOver(filepath.Join(dir, p.file+".svg"), p.title, p.y, all, p.value); err != nil {
+		if err := writePlot(filepath.Join(dir, p.file+".svg"), p.title, p.y, all, p.value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func plotOver(file, title, y string, all []Result, value func(Result) float64) error {
+func writePlot(file, title, y string, all []Result, value func(Result) float64) error {
 	pl := plot.New()
 	pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = title, "routers", y
 	pl.Title.Padding = vg.Points(8)
-	pl.X.Scale, pl.X.Tick.Marker = plot.LogScale{}, sizes(all)
+	pl.X.Scale, pl.X.Tick.Marker = plot.LogScale{}, sizeTicks(all)
 	pl.Y.Min, pl.Legend.Top, pl.Legend.Left = 0, true, true
 	pl.Add(plotter.NewGrid())
 	top := 0.0
@@ -85,7 +85,7 @@
 }
 
 // sizes marks the sizes that were played.
-func sizes(all []Result) plot.ConstantTicks {
+func sizeTicks(all []Result) plot.ConstantTicks {
 	var out plot.ConstantTicks
 	for _, r := range all {
 		if !slices.ContainsFunc(out, func(t plot.Tick) bool { return math.Abs(t.Value-float64(r.Members)) < 0.5 }) {
--- a/internal/grpcgateway/gossip.go
+++ b/internal/grpcgateway/gossip.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	c := set.Agent(g.cfg.Name, g.cfg.Seed)
-	c.Log, c.Hooks = g.log, o.Gossip
+	c.Logger, c.Hooks = g.log, o.Gossip
 	raw, err := os.ReadFile(set.Key)
 	if err == nil {
 		c.Key, err = config.ParseKey(set.Key, raw)
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -211,7 +211,7 @@
 		t.Errorf("the cap was exceeded %d times", g.Over)
 	}
 	// What is above the forgeries are copies of honest packets, none of which comes twice here, and the old key's.
-	if g.Dropped.Packets() < uint64(g.Forged) || g.Dropped.Packets()-g.Dropped.UnknownKey-g.Dropped.Limited > uint64(g.Forged) {
+	if g.Dropped.TotalPackets() < uint64(g.Forged) || g.Dropped.TotalPackets()-g.Dropped.UnknownKey-g.Dropped.RateLimited > uint64(g.Forged) {
 		t.Errorf("%d forged, dropped %+v", g.Forged, g.Dropped)
 	}
 	if g.LiarMean > 0.8 {
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -119,13 +119,13 @@
 // hooks stand between one router and its sockets.
 func (p *party) hooks(i int) agent.Hooks {
 	m := p.meters[i]
-	return agent.Hooks{Packets: func(c net.PacketConn) net.PacketConn {
+	return agent.Hooks{WrapPacketConn: func(c net.PacketConn) net.PacketConn {
 		w := p.net.Wrap(c, m)
 		p.mu.Lock()
 		p.conns[i] = w
 		p.mu.Unlock()
 		return w
-	}, Stream: func(_ string, n int) bool { m.Add(n); return true }}
+	}, AllowStream: func(_ string, n int) bool { m.Add(n); return true }}
 }
 
 // joined notes where a router's life listens.
@@ -287,7 +287,7 @@
 		return d
 	}
 	for range 50 {
-		if out.Dropped = sum(); out.Dropped.Packets() >= uint64(out.Forged) {
+		if out.Dropped = sum(); out.Dropped.TotalPackets() >= uint64(out.Forged) {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -296,8 +296,8 @@
 		s := sl.g.Peers().Status()
 		_, _, rate, over := p.meters[i].Totals()
 		out.Most, out.Mean, out.Over = max(out.Most, rate), out.Mean+rate/float64(len(r.routers)), out.Over+over
-		out.Claims, out.Looks = out.Claims+s.Judge.Claims, out.Looks+s.Judge.Checks
-		out.Silent, out.WellFound = out.Silent+s.Judge.ConfirmedSilent, out.WellFound+s.Judge.Contradicted
+		out.Claims, out.Looks = out.Claims+s.Quorum.Claims, out.Looks+s.Quorum.Checks
+		out.Silent, out.WellFound = out.Silent+s.Quorum.ConfirmedSilent, out.WellFound+s.Quorum.Contradicted
 		out.LeastLive = min(out.LeastLive, s.Live)
 		if !slices.Contains(out.Keys, s.Key) {
 			out.Keys = append(out.Keys, s.Key)
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -228,7 +228,7 @@
 	if g := r.Gossip; g != nil {
 		fmt.Fprintf(w, "gossip: %.0f bytes/s a router, %.0f at most, cap %.0f, exceeded %d times; forged %d, dropped %d; "+
 			"%d claims, %d looks, %d found a silent worker, %d a healthy one\n", g.Mean, g.Most, g.Cap, g.Over, g.Forged,
-			g.Dropped.Packets(), g.Claims, g.Looks, g.Silent, g.WellFound)
+			g.Dropped.TotalPackets(), g.Claims, g.Looks, g.Silent, g.WellFound)
 	}
 	if r.Silence != nil || r.Gossip != nil {
 		fmt.Fprintln(w)
