--- a/internal/gossip/agent/stream.go
+++ b/internal/gossip/agent/stream.go
@@ -12,91 +12,111 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
-// The path for large state: a connection brings one packet, its length before it in four bytes (big-endian),
-// and is closed. An answer comes on a connection of its own. The packet is signed like a datagram.
-
 const (
-	maxStreamPacketBytes = 64 << 10 // bytes of a packet over a stream
+	streamHeaderBytes    = 4        // the packet's length, big-endian
+	maxStreamPacketBytes = 64 << 10 // of a packet over a stream
 	streamTimeout        = 2 * time.Second
-	maxDials             = 8  // connections being made at a time
-	maxInbound           = 64 // connections being read at a time
+	maxDials             = 8  // outbound connections at a time
+	maxInbound           = 64 // inbound connections at a time
 )
 
-// streams is the TCP side of an agent.
+var errStreamLength = errors.New("gossip: length of a stream's packet out of range")
+
+// streamTransport carries packets that are too large for datagrams over TCP. A connection carries one packet, its
+// length before it, and is closed; an answer comes on a connection of its own. The packet is signed like a datagram.
 type streamTransport struct {
 	listener  *listen.Listener
 	eventLoop netpoll.EventLoop
+	received  func(source string, packet []byte)
 	dialSlots chan struct{}
-	dials     sync.WaitGroup
+	dials     sync.WaitGroup // one goroutine for each outbound connection
 
 	mu      sync.Mutex
-	inbound map[netpoll.Connection]struct{}
+	inbound map[netpoll.Connection]*time.Timer // the timer closes the connection
 }
 
-func listenStream(addr string, take func(src string, p []byte)) (*streamTransport, error) {
-	ln, err := listen.On("tcp", addr)
+// listenStream listens on an address. received is called for each packet, by goroutines of netpoll, and owns it.
+func listenStream(addr string, received func(source string, packet []byte)) (*streamTransport, error) {
+	listener, err := listen.On("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &streamTransport{listener: ln, dialSlots: make(chan struct{}, maxDials), inbound: map[netpoll.Connection]struct{}{}}
-	s.eventLoop, err = netpoll.NewEventLoop(func(_ context.Context, c netpoll.Connection) error {
-		defer func() { _ = c.Close() }()
-		_ = c.SetReadTimeout(streamTimeout)
-		r := c.Reader()
-		head, err := r.Next(4)
-		if err != nil {
-			return err
-		}
-		n := int(binary.BigEndian.Uint32(head))
-		if n == 0 || n > maxStreamPacketBytes {
-			return errors.New("gossip: length out of range")
-		}
-		p, err := r.Next(n)
-		if err == nil {
-			take(c.RemoteAddr().String(), append([]byte(nil), p...))
-		}
-		return err
-	}, netpoll.WithOnConnect(func(ctx context.Context, c netpoll.Connection) context.Context {
-		s.mu.Lock()
-		full := len(s.inbound) >= maxInbound
-		if !full {
-			s.inbound[c] = struct{}{}
-		}
-		s.mu.Unlock()
-		if full {
-			_ = c.Close()
-			return ctx
-		}
-		_ = c.AddCloseCallback(func(c netpoll.Connection) error {
-			s.mu.Lock()
-			delete(s.inbound, c)
-			s.mu.Unlock()
-			return nil
-		})
-		time.AfterFunc(streamTimeout, func() { // whoever sends slowly holds no place
-			s.mu.Lock()
-			_, still := s.inbound[c]
-			s.mu.Unlock()
-			if still {
-				_ = c.Close()
-			}
-		})
-		return ctx
-	}))
+	s := &streamTransport{
+		listener:  listener,
+		received:  received,
+		dialSlots: make(chan struct{}, maxDials),
+		inbound:   map[netpoll.Connection]*time.Timer{},
+	}
+	s.eventLoop, err = netpoll.NewEventLoop(s.readPacket, netpoll.WithOnConnect(s.connected))
 	if err != nil {
-		_ = ln.Close()
+		_ = listener.Close()
 		return nil, err
 	}
-	ln.Serve(s.eventLoop)
+	listener.Serve(s.eventLoop)
 	return s, nil
 }
 
-// Addr is the address listened on.
+// connected admits an inbound connection, for at most streamTimeout, or closes it where there are too many.
+func (s *streamTransport) connected(ctx context.Context, c netpoll.Connection) context.Context {
+	s.mu.Lock()
+	full := len(s.inbound) >= maxInbound
+	if !full {
+		// A peer that sends slowly keeps no place. The timer ends with the connection.
+		s.inbound[c] = time.AfterFunc(streamTimeout, func() { s.closeIfOpen(c) })
+	}
+	s.mu.Unlock()
+	if full {
+		_ = c.Close()
+		return ctx
+	}
+	_ = c.AddCloseCallback(func(c netpoll.Connection) error {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if timer := s.inbound[c]; timer != nil {
+			timer.Stop()
+			delete(s.inbound, c)
+		}
+		return nil
+	})
+	return ctx
+}
+
+func (s *streamTransport) closeIfOpen(c netpoll.Connection) {
+	s.mu.Lock()
+	_, open := s.inbound[c]
+	s.mu.Unlock()
+	if open {
+		_ = c.Close()
+	}
+}
+
+// readPacket reads the one packet of an inbound connection and closes it.
+func (s *streamTransport) readPacket(_ context.Context, c netpoll.Connection) error {
+	defer func() { _ = c.Close() }()
+	_ = c.SetReadTimeout(streamTimeout)
+	r := c.Reader()
+	header, err := r.Next(streamHeaderBytes)
+	if err != nil {
+		return err
+	}
+	length := int(binary.BigEndian.Uint32(header))
+	if length == 0 || length > maxStreamPacketBytes {
+		return errStreamLength
+	}
+	packet, err := r.Next(length)
+	if err != nil {
+		return err
+	}
+	s.received(c.RemoteAddr().String(), append([]byte(nil), packet...))
+	return nil
+}
+
+// Addr returns the address listened on.
 func (s *streamTransport) Addr() string { return s.listener.Addr().String() }
 
-// Send brings a packet to an address, unless too many are on their way: then it is lost, as a datagram would
+// Send sends a packet to an address without waiting for it. If too many are under way it is lost, as a datagram would
 // be.
-func (s *streamTransport) Send(to string, p []byte) {
+func (s *streamTransport) Send(to string, packet []byte) {
 	select {
 	case s.dialSlots <- struct{}{}:
 	default:
@@ -104,24 +124,30 @@
 	}
 	s.dials.Go(func() {
 		defer func() { <-s.dialSlots }()
-		c, err := netpoll.DialConnection("tcp", to, streamTimeout)
-		if err != nil {
-			return
-		}
-		_ = c.SetWriteTimeout(streamTimeout)
-		w := c.Writer()
-		head, err := w.Malloc(4)
-		if err == nil {
-			binary.BigEndian.PutUint32(head, uint32(len(p)))
-			if _, err = w.WriteBinary(p); err == nil {
-				_ = w.Flush()
-			}
-		}
-		_ = c.Close()
+		writePacket(to, packet)
 	})
 }
 
-// Close ends the listener and what is open.
+// writePacket dials an address and writes one packet. A failure loses the packet.
+func writePacket(to string, packet []byte) {
+	c, err := netpoll.DialConnection("tcp", to, streamTimeout)
+	if err != nil {
+		return
+	}
+	defer func() { _ = c.Close() }()
+	_ = c.SetWriteTimeout(streamTimeout)
+	w := c.Writer()
+	header, err := w.Malloc(streamHeaderBytes)
+	if err != nil {
+		return
+	}
+	binary.BigEndian.PutUint32(header, uint32(len(packet)))
+	if _, err = w.WriteBinary(packet); err == nil {
+		_ = w.Flush()
+	}
+}
+
+// Close ends the listener, gives the inbound connections a second to end and waits for the outbound ones.
 func (s *streamTransport) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -8,10 +8,10 @@
 )
 
 // deaths counts who holds whom to be dead, by their Change actions.
-type deaths map[string]map[int]time.Duration
+type deathsSeen map[string]map[int]time.Duration
 
-func watch(w *Network) deaths {
-	d := deaths{}
+func watchDeaths(w *Network) deathsSeen {
+	d := deathsSeen{}
 	w.OnAction = func(by int, a gossip.Action) {
 		if c, ok := a.(gossip.MemberStateChanged); ok && c.State == gossip.Dead {
 			if d[c.ID] == nil {
@@ -23,7 +23,7 @@
 	return d
 }
 
-func TestEachFindsEach(t *testing.T) {
+func TestAllMembersFindEachOther(t *testing.T) {
 	for _, n := range []int{2, 10, 60} {
 		w := NewNetwork(gossip.LocalConfig, n, 1)
 		w.StartAll(false)
@@ -34,12 +34,12 @@
 	}
 }
 
-func TestDeathIsSeenByAllAndNobodyElseDies(t *testing.T) {
+func TestDeathIsDetectedByAll(t *testing.T) {
 	w := NewNetwork(gossip.LocalConfig, 40, 2)
 	w.Loss = 0.05
 	w.StartAll(false)
 	w.Run(40 * time.Second)
-	d := watch(w)
+	d := watchDeaths(w)
 	w.Stop(7)
 	began := w.Now
 	w.Run(60 * time.Second)
@@ -58,12 +58,12 @@
 
 // TestThirtyPercentLoss: with nearly a third of the datagrams lost nobody is held to be dead for long, and a
 // death is still seen.
-func TestThirtyPercentLoss(t *testing.T) {
+func TestDetectionAtThirtyPercentLoss(t *testing.T) {
 	w := NewNetwork(gossip.LocalConfig, 30, 5)
 	w.Loss, w.Duplicated = 0.3, 0.2
 	w.StartAll(false)
 	w.Run(30 * time.Second)
-	d := watch(w)
+	d := watchDeaths(w)
 	w.Run(60 * time.Second)
 	for i, c := range w.Cores { // suspicions are many, and are refuted in time
 		if live := c.Live(); live < 29 {
@@ -73,7 +73,7 @@
 	if len(d) > 1 {
 		t.Errorf("%d members were held to be dead by somebody", len(d))
 	}
-	d = watch(w)
+	d = watchDeaths(w)
 	w.Stop(3)
 	w.Run(90 * time.Second)
 	if got := len(d[MemberID(3)]); got != 29 {
@@ -102,11 +102,11 @@
 }
 
 // TestOneWayLink: what others carry for it keeps a member alive that can't send to one, or can't hear one.
-func TestOneWayLink(t *testing.T) {
+func TestIndirectProbesCoverOneWayLink(t *testing.T) {
 	w := NewNetwork(gossip.LocalConfig, 12, 4)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
-	d := watch(w)
+	d := watchDeaths(w)
 	w.Partitioned = func(from, to int) bool { return from == 2 && to == 5 }
 	w.Run(60 * time.Second)
 	if len(d) > 0 {
@@ -115,7 +115,7 @@
 }
 
 // TestFlapsAndMassRestart: members that come and go are followed, and a restart of all is over within a minute.
-func TestFlapsAndMassRestart(t *testing.T) {
+func TestFlappingMemberAndMassRestart(t *testing.T) {
 	w := NewNetwork(gossip.LocalConfig, 20, 6)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
@@ -143,7 +143,7 @@
 
 // TestClocksHoursOffAndSetBack: clocks that differ don't matter; a member that starts anew with a lower life
 // number is told of its earlier one and taken back.
-func TestClocksHoursOffAndSetBack(t *testing.T) {
+func TestClockOffsetsAndClockSetBack(t *testing.T) {
 	w := NewNetwork(gossip.LocalConfig, 10, 7)
 	for i := range w.ClockSkew {
 		w.ClockSkew[i] = time.Duration(i) * 5 * time.Hour
@@ -176,7 +176,7 @@
 }
 
 // TestBudgetHoldsWhateverPeersDo: one core is flooded with all that asks for answers, and stays within it.
-func TestBudgetHoldsWhateverPeersDo(t *testing.T) {
+func TestBudgetHoldsUnderFlood(t *testing.T) {
 	w := NewNetwork(gossip.LocalConfig, 10, 8)
 	w.StartAll(false)
 	w.Run(10 * time.Second)
@@ -203,7 +203,7 @@
 }
 
 // TestAllPeersSilent: the one that is left goes on within its budget, and takes them back when they come.
-func TestAllPeersSilent(t *testing.T) {
+func TestAllOtherMembersSilent(t *testing.T) {
 	w := NewNetwork(gossip.LocalConfig, 12, 9)
 	w.StartAll(false)
 	w.Run(20 * time.Second)
@@ -228,7 +228,7 @@
 }
 
 // TestSameSeedSameDay: a trial comes to the same figures each time.
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	trial := Trial{Members: 20, Loss: 0.05, SlowShare: 0.1, Seed: 4, WarmUp: 5 * time.Second, Steady: 5 * time.Second, FollowDeath: 20 * time.Second}
 	a, b := trial.Run(), trial.Run()
 	a.WallSeconds, b.WallSeconds = 0, 0
