--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -1,5 +1,3 @@
-// Package gossipsim plays many gossip cores by a script's clock, in one goroutine and from one seed: the same
-// figures each time, at sizes that sockets don't reach.
 package gossipsim
 
 import (
@@ -11,44 +9,56 @@
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
-// Network is the cores and what is between them.
+// Network is a set of cores and the simulated network between them. Its exported fields may be set between calls.
 type Network struct {
 	Now         time.Duration
 	Cores       []*gossip.Core // nil: not running
-	Loss        float64        // share of the datagrams that is lost
-	Duplicated  float64        // share that comes twice
+	Loss        float64        // share of the datagrams that are lost
+	Duplicated  float64        // share of the datagrams that arrive twice
 	Delay       func(from, to int) time.Duration
-	Partitioned func(from, to int) bool // the way from one to another is cut, for streams too
-	Sent        []Traffic
-	OnAction    func(by int, action gossip.Action) // told of each action but Sends
-	ClockSkew   []time.Duration                    // by which each clock is off
+	Partitioned func(from, to int) bool            // whether nothing passes from one core to another, streams too; may be nil
+	Sent        []Traffic                          // by each core
+	OnAction    func(by int, action gossip.Action) // called for each action other than a Send; may be nil
+	ClockSkew   []time.Duration                    // of each core's clock
 
 	config          gossip.Config
 	rng             *rand.Rand
 	seed            uint64
 	lastIncarnation uint64
-	index           map[string]int
+	index           map[string]int // of the cores by address
 	queue           eventQueue
 	eventSeq        uint64
-	timerAt         []time.Duration
+	timerAt         []time.Duration // earliest timer set for each core
 }
 
 // Traffic is what one core has sent.
 type Traffic struct {
 	Bytes, Messages float64
-	PeakBytes       float64 // most bytes in any second, by full seconds
+	PeakBytes       float64 // most bytes in any full second
 	second          time.Duration
 	bytesInSecond   float64
 }
 
+// add counts a message sent at a time.
+func (t *Traffic) add(now time.Duration, bytes float64) {
+	t.Bytes += bytes
+	t.Messages++
+	if second := now / time.Second; second != t.second {
+		t.second, t.bytesInSecond = second, 0
+	}
+	t.bytesInSecond += bytes
+	t.PeakBytes = max(t.PeakBytes, t.bytesInSecond)
+}
+
+// event is the arrival of a message or, without one, a core's timer.
 type event struct {
 	at      time.Duration
-	seq     uint64
+	seq     uint64 // order of events at one time
 	to      int
-	from    int
-	message *gossip.Message // nil: a wake
+	message *gossip.Message
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -58,169 +68,198 @@
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *eventQueue) Push(x any) { e, _ := x.(event); *q = append(*q, e) }
+func (q *eventQueue) Push(x any) {
+	e, _ := x.(event)
+	*q = append(*q, e)
+}
 
 // Pop implements heap.Interface.
-func (q *eventQueue) Pop() any { o := *q; e := o[len(o)-1]; *q = o[:len(o)-1]; return e }
+func (q *eventQueue) Pop() any {
+	old := *q
+	e := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return e
+}
 
-// New returns a network of n cores that are not yet running.
-func NewNetwork(cfg gossip.Config, n int, seed uint64) *Network {
-	w := &Network{config: cfg, seed: seed, rng: rand.New(rand.NewPCG(seed, 3)), index: map[string]int{}, lastIncarnation: 1,
-		Cores: make([]*gossip.Core, n), Sent: make([]Traffic, n), ClockSkew: make([]time.Duration, n),
-		timerAt: make([]time.Duration, n)}
-	for i := range n {
-		w.index[MemberID(i)] = i
+// NewNetwork returns a network of n cores that are not yet running, with delays of 1 to 5 ms.
+func NewNetwork(config gossip.Config, n int, seed uint64) *Network {
+	nw := &Network{
+		Cores:           make([]*gossip.Core, n),
+		Sent:            make([]Traffic, n),
+		ClockSkew:       make([]time.Duration, n),
+		config:          config,
+		rng:             rand.New(rand.NewPCG(seed, 3)),
+		seed:            seed,
+		lastIncarnation: 1,
+		index:           map[string]int{},
+		timerAt:         make([]time.Duration, n),
 	}
-	w.Delay = func(int, int) time.Duration {
-		return time.Duration((1 + 4*w.rng.Float64()) * float64(time.Millisecond))
+	for i := range n {
+		nw.index[MemberID(i)] = i
 	}
-	return w
+	nw.Delay = func(int, int) time.Duration { return shortDelay(nw.rng) }
+	return nw
 }
 
-// ID is a core's name and address.
+// shortDelay draws a delay of 1 to 5 ms.
+func shortDelay(rng *rand.Rand) time.Duration {
+	return time.Duration((1 + 4*rng.Float64()) * float64(time.Millisecond))
+}
+
+// MemberID returns the ID of a core, which is its address too.
 func MemberID(i int) string { return fmt.Sprintf("r%04d", i) }
 
-// Start begins a core's next life. An address list makes it join there.
-func (w *Network) Start(i int, seeds ...int) {
-	w.lastIncarnation++
-	w.StartIncarnation(i, w.lastIncarnation, seeds...)
+// Start starts a core with the next incarnation. It joins at the cores that seeds names.
+func (nw *Network) Start(i int, seeds ...int) {
+	nw.lastIncarnation++
+	nw.StartIncarnation(i, nw.lastIncarnation, seeds...)
 }
 
-// StartLife begins a life of a given number.
-func (w *Network) StartIncarnation(i int, life uint64, seeds ...int) {
-	c, err := gossip.NewCore(w.config, MemberID(i), MemberID(i), life, w.seed+uint64(i)+life<<20, func(*gossip.Statement) {})
+// StartIncarnation starts a core with a given incarnation.
+func (nw *Network) StartIncarnation(i int, incarnation uint64, seeds ...int) {
+	seed := nw.seed + uint64(i) + incarnation<<20
+	unsigned := func(*gossip.Statement) {}
+	core, err := gossip.NewCore(nw.config, MemberID(i), MemberID(i), incarnation, seed, unsigned)
 	if err != nil {
-		panic(err) // a configuration that is wrong in the script itself
+		panic(err) // an error of the program that set the configuration
 	}
-	w.Cores[i] = c
-	j := gossip.Join{}
+	nw.Cores[i] = core
+	join := gossip.Join{}
 	for _, s := range seeds {
-		j.Addresses = append(j.Addresses, MemberID(s))
+		join.Addresses = append(join.Addresses, MemberID(s))
 	}
-	w.Step(i, j)
+	nw.Step(i, join)
 }
 
-// StartAll starts every core; each knows all others from the beginning where known is set, or joins by two.
-func (w *Network) StartAll(known bool) {
+// StartAll starts every core. With known, each knows all others from the beginning; without, all join at two of them.
+func (nw *Network) StartAll(known bool) {
 	if !known {
-		for i := range w.Cores {
-			w.Start(i, 0, len(w.Cores)/2)
+		for i := range nw.Cores {
+			nw.Start(i, 0, len(nw.Cores)/2)
 		}
 		return
 	}
-	words := make([]gossip.Statement, len(w.Cores))
-	for i := range w.Cores {
-		words[i] = gossip.Statement{Kind: gossip.MemberAlive, Signer: MemberID(i), Incarnation: uint64(i + 2), Seq: 1, Text: MemberID(i)}
+	statements := make([]gossip.Statement, len(nw.Cores))
+	for i := range nw.Cores {
+		statements[i] = gossip.Statement{
+			Kind:        gossip.MemberAlive,
+			Signer:      MemberID(i),
+			Incarnation: uint64(i + 2),
+			Seq:         1,
+			Text:        MemberID(i),
+		}
 	}
-	for i := range w.Cores {
-		w.Start(i)
-		w.Step(i, gossip.KnownMembers{Statements: words})
-		w.Cores[i].MarkAllDirect()
+	for i := range nw.Cores {
+		nw.Start(i)
+		nw.Step(i, gossip.KnownMembers{Statements: statements})
+		nw.Cores[i].MarkAllDirect()
 	}
 }
 
-// Stop ends a core without a word.
-func (w *Network) Stop(i int) { w.Cores[i] = nil }
+// Stop ends a core without notice to the others.
+func (nw *Network) Stop(i int) { nw.Cores[i] = nil }
 
-// Do hands events to a core now.
-func (w *Network) Step(i int, events ...gossip.Event) {
-	c := w.Cores[i]
-	w.perform(i, c.Step(w.Now+w.ClockSkew[i], events))
-	w.setTimer(i)
+// Step passes events to a core now.
+func (nw *Network) Step(i int, events ...gossip.Event) {
+	core := nw.Cores[i]
+	nw.perform(i, core.Step(nw.Now+nw.ClockSkew[i], events))
+	nw.setTimer(i)
 }
 
-// arm plans a core's next wake.
-func (w *Network) setTimer(i int) {
-	at := max(w.Cores[i].Due()-w.ClockSkew[i], w.Now)
-	if w.timerAt[i] > w.Now && w.timerAt[i] <= at {
-		return // an earlier wake is planned, and will look again
+// setTimer sets a core's timer to when it is due, unless an earlier one is set, which will set it anew.
+func (nw *Network) setTimer(i int) {
+	at := max(nw.Cores[i].Due()-nw.ClockSkew[i], nw.Now)
+	if nw.timerAt[i] > nw.Now && nw.timerAt[i] <= at {
+		return
 	}
-	w.timerAt[i] = at
-	w.eventSeq++
-	heap.Push(&w.queue, event{at: at, seq: w.eventSeq, to: i, from: i})
+	nw.timerAt[i] = at
+	nw.push(event{at: at, to: i})
+}
+
+// push queues an event behind those of the same time.
+func (nw *Network) push(e event) {
+	nw.eventSeq++
+	e.seq = nw.eventSeq
+	heap.Push(&nw.queue, e)
 }
 
 // Inject delivers a message to a core now, whoever sent it.
-func (w *Network) Inject(to int, m gossip.Message) {
-	w.Step(to, w.wantedPart(to, m))
+func (nw *Network) Inject(to int, m gossip.Message) {
+	nw.Step(to, nw.wantedPart(to, m))
 }
 
-// read leaves out the statements that the core does not want, as its caller would.
-func (w *Network) wantedPart(to int, m gossip.Message) gossip.MessageReceived {
-	var keep []gossip.Statement
+// wantedPart removes the statements that the core does not want, as its caller would.
+func (nw *Network) wantedPart(to int, m gossip.Message) gossip.MessageReceived {
+	var wanted []gossip.Statement
 	for _, s := range m.Statements {
-		if w.Cores[to].Wants(&s) {
-			keep = append(keep, s)
+		if nw.Cores[to].Wants(&s) {
+			wanted = append(wanted, s)
 		}
 	}
-	m.Statements = keep
+	m.Statements = wanted
 	return gossip.MessageReceived{Message: m}
 }
 
-func (w *Network) perform(from int, out []gossip.Action) {
-	for _, a := range out {
-		s, ok := a.(gossip.Send)
-		if !ok {
-			if w.OnAction != nil {
-				w.OnAction(from, a)
-			}
-			continue
-		}
-		t := &w.Sent[from]
-		size := float64(s.Message.Size())
-		t.Bytes, t.Messages = t.Bytes+size, t.Messages+1
-		if sec := w.Now / time.Second; sec != t.second {
-			t.second, t.bytesInSecond = sec, 0
-		}
-		t.bytesInSecond += size
-		t.PeakBytes = max(t.PeakBytes, t.bytesInSecond)
-		to, known := w.index[s.To]
-		if !known || w.Partitioned != nil && w.Partitioned(from, to) || !s.Stream && w.rng.Float64() < w.Loss {
-			continue
-		}
-		for range 1 + w.copies() {
-			w.eventSeq++
-			heap.Push(&w.queue, event{at: w.Now + w.Delay(from, to), seq: w.eventSeq, to: to, from: from, message: &s.Message})
+// perform carries out a core's actions.
+func (nw *Network) perform(from int, actions []gossip.Action) {
+	for _, a := range actions {
+		if s, ok := a.(gossip.Send); ok {
+			nw.send(from, s)
+		} else if nw.OnAction != nil {
+			nw.OnAction(from, a)
 		}
 	}
 }
 
-func (w *Network) copies() int {
-	if w.Duplicated > 0 && w.rng.Float64() < w.Duplicated {
-		return 1
+// send counts a message and queues its arrival, or two, or none.
+func (nw *Network) send(from int, s gossip.Send) {
+	nw.Sent[from].add(nw.Now, float64(s.Message.Size()))
+	to, known := nw.index[s.To]
+	if !known || nw.Partitioned != nil && nw.Partitioned(from, to) || !s.Stream && nw.rng.Float64() < nw.Loss {
+		return
+	}
+	for range nw.copies() {
+		nw.push(event{at: nw.Now + nw.Delay(from, to), to: to, message: &s.Message})
+	}
+}
+
+// copies draws how often a message arrives.
+func (nw *Network) copies() int {
+	if nw.Duplicated > 0 && nw.rng.Float64() < nw.Duplicated {
+		return 2
 	}
-	return 0
+	return 1
 }
 
-// Run plays for a while.
-func (w *Network) Run(span time.Duration) {
-	end := w.Now + span
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e, _ := heap.Pop(&w.queue).(event)
-		w.Now = max(w.Now, e.at)
-		c := w.Cores[e.to]
+// Run advances the simulated time.
+func (nw *Network) Run(duration time.Duration) {
+	end := nw.Now + duration
+	for len(nw.queue) > 0 && nw.queue[0].at <= end {
+		e, _ := heap.Pop(&nw.queue).(event)
+		nw.Now = max(nw.Now, e.at)
+		core := nw.Cores[e.to]
 		switch {
-		case c == nil:
+		case core == nil:
 		case e.message != nil:
-			w.Step(e.to, w.wantedPart(e.to, *e.message))
-		case c.Due()-w.ClockSkew[e.to] <= w.Now:
-			w.Step(e.to)
-		case e.at >= w.timerAt[e.to]:
-			w.setTimer(e.to)
+			nw.Step(e.to, nw.wantedPart(e.to, *e.message))
+		case core.Due()-nw.ClockSkew[e.to] <= nw.Now:
+			nw.Step(e.to)
+		case e.at >= nw.timerAt[e.to]:
+			nw.setTimer(e.to)
 		}
 	}
-	w.Now = end
+	nw.Now = end
 }
 
-// Alive counts the members that each running core has alive: the least and the most.
-func (w *Network) AliveRange() (least, most int) {
+// AliveRange counts the members that each running core takes for alive, and returns the least and the most.
+func (nw *Network) AliveRange() (least, most int) {
 	least = 1 << 30
-	for _, c := range w.Cores {
-		if c == nil {
+	for _, core := range nw.Cores {
+		if core == nil {
 			continue
 		}
 		n := 0
-		for _, m := range c.Members() {
+		for _, m := range core.Members() {
 			if m.State == gossip.Alive {
 				n++
 			}
@@ -229,3 +268,15 @@
 	}
 	return least, most
 }
+
+// totals sums the traffic of all cores, and the suspicions of those that run.
+func (nw *Network) totals() (sum Traffic, suspicions uint64) {
+	for i, sent := range nw.Sent {
+		sum.Bytes += sent.Bytes
+		sum.Messages += sent.Messages
+		if core := nw.Cores[i]; core != nil {
+			suspicions += core.Stats().Suspicions
+		}
+	}
+	return sum, suspicions
+}
--- a/internal/gossip/gossipsim/plot.go
+++ b/internal/gossip/gossipsim/plot.go
@@ -13,84 +13,94 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// series are the troubles that a plot tells apart.
+// series are the lines of a plot, by the faults of the trials.
 var series = []struct {
-	name  string
-	is    func(Result) bool
-	color color.RGBA
-	dash  []vg.Length
+	name     string
+	includes func(Result) bool
+	color    color.RGBA
+	dashes   []vg.Length
 }{
-	{"no trouble", func(r Result) bool { return r.Loss == 0 && r.SlowShare == 0 }, color.RGBA{R: 31, G: 95, B: 140, A: 255}, nil},
+	{"no faults", func(r Result) bool { return r.Loss == 0 && r.SlowShare == 0 }, color.RGBA{R: 31, G: 95, B: 140, A: 255}, nil},
 	{"5 % loss", func(r Result) bool { return r.Loss > 0 }, color.RGBA{R: 200, G: 95, B: 30, A: 255}, []vg.Length{vg.Points(5), vg.Points(3)}},
 	{"10 % slow members", func(r Result) bool { return r.SlowShare > 0 }, color.RGBA{R: 90, G: 130, B: 50, A: 255}, []vg.Length{vg.Points(2), vg.Points(2)}},
 }
 
-// Plot writes the figures of trials as SVG into a folder: traffic, spread, detection and mistakes over the size.
+// WritePlots writes the results of trials as SVG files into a folder: traffic, spread, detection and false deaths over the
+// number of routers.
 func WritePlots(dir string, all []Result) error {
 	for _, p := range []struct {
-		file, title, y string
-		value          func(Result) float64
+		file, title, unit string
+		value             func(Result) float64
 	}{
 		{"traffic", "Sent by each router, steady", "bytes a second", func(r Result) float64 { return r.BytesPerSecond }},
-		{"spread", "Word of a worker heard by 99 of 100", "seconds", func(r Result) float64 { return r.SpreadTo99 }},
-		{"death", "Silent router held to be dead by 99 of 100", "seconds", func(r Result) float64 { return r.DeathTo99 }},
-		{"mistakes", "Routers wrongly held to be dead by somebody", "share of the routers",
+		{"spread", "Claim about a worker received by 99 of 100", "seconds", func(r Result) float64 { return r.SpreadTo99 }},
+		{"death", "Silent router taken for dead by 99 of 100", "seconds", func(r Result) float64 { return r.DeathTo99 }},
+		{"mistakes", "Routers wrongly taken for dead by any", "share of the routers",
 			func(r Result) float64 { return float64(r.FalseDeaths) / float64(r.Members) }},
 	} {
-		if err := writePlot(filepath.Join(dir, p.file+".svg"), p.title, p.y, all, p.value); err != nil {
+		if err := writePlot(filepath.Join(dir, p.file+".svg"), p.title, p.unit, all, p.value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func writePlot(file, title, y string, all []Result, value func(Result) float64) error {
-	pl := plot.New()
-	pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = title, "routers", y
-	pl.Title.Padding = vg.Points(8)
-	pl.X.Scale, pl.X.Tick.Marker = plot.LogScale{}, sizeTicks(all)
-	pl.Y.Min, pl.Legend.Top, pl.Legend.Left = 0, true, true
-	pl.Add(plotter.NewGrid())
-	top := 0.0
+// writePlot writes one plot of a value.
+func writePlot(file, title, unit string, all []Result, value func(Result) float64) error {
+	p := plot.New()
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "routers", unit
+	p.Title.Padding = vg.Points(8)
+	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, sizeTicks(all)
+	p.Y.Min, p.Legend.Top, p.Legend.Left = 0, true, true
+	p.Add(plotter.NewGrid())
+	highest := 0.0
 	for _, s := range series {
-		by := map[int][]float64{}
-		for _, r := range all {
-			if v := value(r); s.is(r) && v >= 0 {
-				by[r.Members] = append(by[r.Members], v)
-			}
-		}
-		var pts plotter.XYs
-		for n, v := range by {
-			slices.Sort(v)
-			pts = append(pts, plotter.XY{X: float64(n), Y: v[len(v)/2]})
-		}
-		if len(pts) == 0 {
+		points := medians(all, s.includes, value)
+		if len(points) == 0 {
 			continue
 		}
-		slices.SortFunc(pts, func(a, b plotter.XY) int { return int(a.X - b.X) })
-		line, points, err := plotter.NewLinePoints(pts)
+		line, glyphs, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return err
 		}
-		line.Color, line.Dashes, line.Width = s.color, s.dash, vg.Points(1.5)
-		points.Color, points.Shape = s.color, draw.CircleGlyph{}
-		pl.Add(line, points)
-		pl.Legend.Add(s.name, line, points)
-		for _, p := range pts {
-			top = max(top, p.Y)
+		line.Color, line.Dashes, line.Width = s.color, s.dashes, vg.Points(1.5)
+		glyphs.Color, glyphs.Shape = s.color, draw.CircleGlyph{}
+		p.Add(line, glyphs)
+		p.Legend.Add(s.name, line, glyphs)
+		for _, point := range points {
+			highest = max(highest, point.Y)
+		}
+	}
+	p.Y.Max = max(highest*1.35, 0.01) // the legend stands above the lines
+	return p.Save(14*vg.Centimeter, 9*vg.Centimeter, file)
+}
+
+// medians returns the median of a value over the included trials of each size, by size. Negative values, of what was
+// not reached, are left out.
+func medians(all []Result, includes func(Result) bool, value func(Result) float64) plotter.XYs {
+	bySize := map[int][]float64{}
+	for _, r := range all {
+		if v := value(r); includes(r) && v >= 0 {
+			bySize[r.Members] = append(bySize[r.Members], v)
 		}
 	}
-	pl.Y.Max = max(top*1.35, 0.01) // the legend stands above the lines
-	return pl.Save(14*vg.Centimeter, 9*vg.Centimeter, file)
+	var points plotter.XYs
+	for size, values := range bySize {
+		slices.Sort(values)
+		points = append(points, plotter.XY{X: float64(size), Y: values[len(values)/2]})
+	}
+	slices.SortFunc(points, func(a, b plotter.XY) int { return int(a.X - b.X) })
+	return points
 }
 
-// sizes marks the sizes that were played.
+// sizeTicks marks the sizes that were played.
 func sizeTicks(all []Result) plot.ConstantTicks {
-	var out plot.ConstantTicks
+	var ticks plot.ConstantTicks
 	for _, r := range all {
-		if !slices.ContainsFunc(out, func(t plot.Tick) bool { return math.Abs(t.Value-float64(r.Members)) < 0.5 }) {
-			out = append(out, plot.Tick{Value: float64(r.Members), Label: fmt.Sprint(r.Members)})
+		size := float64(r.Members)
+		if !slices.ContainsFunc(ticks, func(t plot.Tick) bool { return math.Abs(t.Value-size) < 0.5 }) {
+			ticks = append(ticks, plot.Tick{Value: size, Label: fmt.Sprint(r.Members)})
 		}
 	}
-	return out
+	return ticks
 }
