--- a/internal/gossip/agent/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -80,8 +80,15 @@
 // fastConfig is a protocol with short intervals, so that tests need not wait for it.
 func fastConfig() gossip.Config {
 	cfg := gossip.LocalConfig
-	cfg.ProbeInterval, cfg.ProbeTimeout, cfg.SyncInterval, cfg.DeadMemberRetention = 100*time.Millisecond, 40*time.Millisecond, time.Second, 3*time.Second
-	cfg.PushInterval, cfg.BytesPerSecond, cfg.BurstBytes, cfg.MessagesPerSecond, cfg.BurstMessages = 20*time.Millisecond, 40000, 40000, 400, 400
+	cfg.ProbeInterval = 100 * time.Millisecond
+	cfg.ProbeTimeout = 40 * time.Millisecond
+	cfg.SyncInterval = time.Second
+	cfg.DeadMemberRetention = 3 * time.Second
+	cfg.PushInterval = 20 * time.Millisecond
+	cfg.BytesPerSecond = 40000
+	cfg.BurstBytes = 40000
+	cfg.MessagesPerSecond = 400
+	cfg.BurstMessages = 400
 	return cfg
 }
 
@@ -163,7 +170,7 @@
 	c.agents[1].ReportSuspicion(dispatch.ReportSuspicion{Worker: "w1"})
 	c.agents[1].ReportSuspicion(dispatch.ReportSuspicion{Worker: "w2", Class: "renew"})
 	c.waitFor("the others to confirm it as silent", func() bool {
-		return c.routers[2].notifiedOf("w1") && c.routers[3].notifiedOf("w1") && c.routers[4].notifiedOf("w1") && c.routers[5].notifiedOf("w1")
+		return !slices.ContainsFunc(c.routers[2:], func(r *fakeRouter) bool { return !r.notifiedOf("w1") })
 	})
 	c.waitFor("the operators to see the failing class", func() bool {
 		return slices.ContainsFunc(c.agents[4].Suspicions(), func(s gossip.Suspicion) bool {
--- a/internal/gossip/statement.go
+++ b/internal/gossip/statement.go
@@ -11,12 +11,20 @@
 
 // The kinds of statement. Their numbers are part of the wire form.
 const (
-	MemberAlive     StatementKind = iota // the signer takes part, at the address Text
-	MemberSuspected                      // the signer had no answer from the member Subject, last known by its MemberAlive (SubjectIncarnation, SubjectSeq)
-	WorkerSilent                         // the worker Subject, of the incarnation that began at SubjectIncarnation (Unix milliseconds), gives no sign of life
-	WorkerFailing                        // the worker fails the class Text
-	WorkerSlow                           // the worker answers slowly
-	ClaimWithdrawn                       // the signer withdraws its WorkerSilent
+	// MemberAlive: the signer takes part, at the address Text.
+	MemberAlive StatementKind = iota
+	// MemberSuspected: the signer had no answer from the member Subject, last known by its MemberAlive
+	// (SubjectIncarnation, SubjectSeq).
+	MemberSuspected
+	// WorkerSilent: the worker Subject, of the incarnation that began at SubjectIncarnation (Unix milliseconds), gives
+	// no sign of life.
+	WorkerSilent
+	// WorkerFailing: the worker fails the class Text.
+	WorkerFailing
+	// WorkerSlow: the worker answers slowly.
+	WorkerSlow
+	// ClaimWithdrawn: the signer withdraws its WorkerSilent.
+	ClaimWithdrawn
 	statementKindCount
 )
 
