--- a/internal/gossip/agent/stream.go
+++ b/internal/gossip/agent/stream.go
@@ -37,7 +37,7 @@
 
 // listenStream listens on an address. received is called for each packet, by goroutines of netpoll, and owns it.
 func listenStream(addr string, received func(source string, packet []byte)) (*streamTransport, error) {
-	listener, err := listen.On("tcp", addr)
+	listener, err := listen.Open("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
