--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -84,15 +84,15 @@
 func (s *Server) startRouter(budget Budget, newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)) error {
 	limits := s.cfg.Limits
 	s.upstream = respupstream.New(respupstream.Config{
-		ConnectTimeout: limits.ConnectTimeout,
-		IdleClose:      limits.IdleClose / 2,
-		WriteTimeout:   writeTimeout,
-		StallAfter:     responseStallTimeout,
-		MaxConns:       budget.WorkerConns,
-		MaxOpen:        limits.RequestsPerConn,
-		MaxAnswer:      maxWorkerResponseBytes,
-		Buffer:         budget.SocketBufferBytes,
-		Log:            s.logger,
+		ConnectTimeout:     limits.ConnectTimeout,
+		IdleTimeout:        limits.IdleClose / 2,
+		WriteTimeout:       writeTimeout,
+		StallTimeout:       responseStallTimeout,
+		MaxConns:           budget.WorkerConns,
+		MaxRequestsPerConn: limits.RequestsPerConn,
+		MaxResponseBytes:   maxWorkerResponseBytes,
+		ReceiveBuffer:      budget.SocketBufferBytes,
+		Logger:             s.logger,
 	})
 	var err error
 	s.router, err = router.New(router.Config{
--- a/internal/httprouter/stats.go
+++ b/internal/httprouter/stats.go
@@ -12,9 +12,9 @@
 		"dropped", router.Cancelled, "attempts", router.Attempts, "orders", router.Loads, "probes", router.HealthChecks,
 		"open", router.Open,
 		"clients", server.Connections, "bad", server.BadRequests, "evicted", server.Evicted,
-		"worker_conns", upstream.Conns, "worker_open", upstream.Open, "waiting", upstream.Waiting, "dials", upstream.Dials,
-		"dials_failed", upstream.Failed, "broken", upstream.Broken, "unwritten", upstream.Unwritten, "late", upstream.Late,
+		"worker_conns", upstream.Conns, "worker_open", upstream.InFlight, "waiting", upstream.Queued, "dials", upstream.Dials,
+		"dials_failed", upstream.DialFailures, "broken", upstream.ProtocolErrors, "unwritten", upstream.NeverWritten, "late", upstream.CancelledInFlight,
 		"cursor", watcher.Revision, "questions", watcher.Polls, "channel_broken", watcher.FailedPolls,
 		"out", router.AttemptsInFlight, "module_ms", perServedMS(router.ServedDuration),
-		"waited_ms", perServedMS(upstream.Waited), "wire_ms", perServedMS(upstream.Wire))
+		"waited_ms", perServedMS(upstream.QueueTime), "wire_ms", perServedMS(upstream.ResponseTime))
 }
