--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -55,9 +55,18 @@
 	if g.ID != "" {
 		id = g.ID
 	}
-	agentConfig := agent.Config{ID: id, Listen: g.Listen, Advertise: g.Advertise, Seeds: g.Seeds, Gossip: gossip.Local,
-		Judge: gossip.LocalJudge, Gate: gossip.LocalGate, Witness: gossip.LocalWitness,
-		LookTimeout: g.VerificationTimeout.Duration(), Seed: seed}
+	agentConfig := agent.Config{
+		ID:           id,
+		Listen:       g.Listen,
+		Advertise:    g.Advertise,
+		Seeds:        g.Seeds,
+		Gossip:       gossip.LocalConfig,
+		Quorum:       gossip.LocalSuspicionQuorumConfig,
+		Limiter:      gossip.LocalPacketLimiterConfig,
+		Collector:    gossip.LocalEvidenceCollectorConfig,
+		CheckTimeout: g.VerificationTimeout.Duration(),
+		Seed:         seed,
+	}
 	if preset, ok := gossip.Presets[g.Preset]; ok {
 		agentConfig.Gossip = preset
 	}
@@ -66,9 +75,9 @@
 		agentConfig.Gossip.BytesPerSecond = g.BytesPerSecond
 	}
 	if g.MessagesPerSecond > 0 {
-		agentConfig.Gossip.BurstMessages *= g.MessagesPerSecond / agentConfig.Gossip.MessagesPerSec
-		agentConfig.Gossip.MessagesPerSec = g.MessagesPerSecond
+		agentConfig.Gossip.BurstMessages *= g.MessagesPerSecond / agentConfig.Gossip.MessagesPerSecond
+		agentConfig.Gossip.MessagesPerSecond = g.MessagesPerSecond
 	}
-	agentConfig.Judge.Fresh = agentConfig.Gossip.Fresh
+	agentConfig.Quorum.ClaimLifetime = agentConfig.Gossip.EvidenceLifetime
 	return agentConfig
 }
