--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -119,8 +119,8 @@
 
 	a := g.Gossip.AgentConfig(g.Name, g.Seed)
 	compareGolden(t, "agent.out", fmt.Appendln(nil, a.ID, a.Listen, a.Advertise, a.Seeds, a.Gossip.BytesPerSecond,
-		a.Gossip.BurstBytes, a.Gossip.MessagesPerSec, a.Gossip.BurstMessages, a.Gossip.ProbeEvery, a.Gossip.Fresh,
-		a.Judge.Fresh, a.LookTimeout, a.Seed))
+		a.Gossip.BurstBytes, a.Gossip.MessagesPerSecond, a.Gossip.BurstMessages, a.Gossip.ProbeInterval, a.Gossip.EvidenceLifetime,
+		a.Quorum.ClaimLifetime, a.CheckTimeout, a.Seed))
 }
 
 // TestGoldenGatewayHasEveryKey guards the golden input: a key that is added to the settings is added there too.
--- a/internal/config/gossip_test.go
+++ b/internal/config/gossip_test.go
@@ -19,7 +19,7 @@
 	}
 	c := g.Gossip.AgentConfig(g.Name, 1)
 	if !g.DispatchSettings().SuspicionsReported || c.ID != g.Name || c.Gossip.BytesPerSecond != 4000 ||
-		c.Gossip.ProbeEvery != 3*time.Second || c.Judge.Fresh != c.Gossip.Fresh || c.LookTimeout != 400*time.Millisecond {
+		c.Gossip.ProbeInterval != 3*time.Second || c.Quorum.ClaimLifetime != c.Gossip.EvidenceLifetime || c.CheckTimeout != 400*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 	without, err := Parse("g.json", []byte(validGateway))
--- a/internal/grpcgateway/gossip.go
+++ b/internal/grpcgateway/gossip.go
@@ -14,7 +14,7 @@
 		return nil
 	}
 	agentConfig := settings.AgentConfig(g.cfg.Name, g.cfg.Seed)
-	agentConfig.Log, agentConfig.Hooks = g.logger, hooks
+	agentConfig.Logger, agentConfig.Hooks = g.logger, hooks
 	keyFile, err := os.ReadFile(settings.KeyFile)
 	if err != nil {
 		return err
