--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -13,6 +13,7 @@
 //   - Events and their slices belong to the caller again when Step returns. The returned slice is valid until the next
 //     call.
 //
-// The interface stands in settings.go, events.go and actions.go; state.go and timers.go hold what is remembered. Every
-// decision and every tuned value stands in the other files, which deploy/balancer.toml lists under "policy".
+// The interface stands in settings.go, events.go and actions.go; state.go, timers.go and bookkeeping.go hold what is
+// remembered and the plumbing. Every decision and every tuned value stands in the other files, which
+// deploy/balancer.toml lists under "policy".
 package dispatch
