--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -36,7 +36,7 @@
 	log    *slog.Logger
 	pool   *grpcupstream.Pool
 	router *router.Router
-	front  *grpcserver.Front
+	front  *grpcserver.Server
 	peers  *agent.Agent     // nil: no gossip
 	ctl    *adminapi.Server // nil: no operators' socket
 	drain  time.Duration
@@ -87,8 +87,8 @@
 		})
 	})
 	<-first
-	g.front, err = grpcserver.Listen(grpcserver.Config{Address: cfg.Listen, HTTP2: h2, Intake: cfg.Intake(),
-		Version: Version, Log: log}, g.router)
+	g.front, err = grpcserver.Listen(grpcserver.Config{Address: cfg.Listen, HTTP2: h2, CallBuilder: cfg.Intake(),
+		Version: Version, Logger: log}, g.router)
 	if err == nil {
 		err = g.control()
 	}
@@ -120,7 +120,7 @@
 // then all is closed. It returns what the router has done.
 func (g *Gateway) Stop() router.Stats {
 	g.once.Do(func() {
-		g.log.Info("draining", "calls", g.router.Stats().Open, "clients", g.front.Conns())
+		g.log.Info("draining", "calls", g.router.Stats().Open, "clients", g.front.Connections())
 		g.front.Drain()
 		if lost := g.router.Stop(g.drain); lost > 0 {
 			g.log.Error("stopped with calls that had no final answer", "calls", lost)
--- /dev/null
+++ b/internal/server/grpcserver/finalstatus.go
@@ -0,0 +1,56 @@
+package grpcserver
+
+import (
+	"strconv"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/transport/grpc"
+	"github.com/topazfront/topazfront/internal/transport/hpack"
+)
+
+const (
+	// retryPushbackField is the trailer that advises a client on its retry, in milliseconds (gRFC A6).
+	retryPushbackField = "grpc-retry-pushback-ms"
+	// noRetry in that trailer has the client not retry by itself.
+	noRetry = "-1"
+)
+
+// FinalStatus returns the gRPC status and the trailers for a final answer of the router.
+func FinalStatus(answer router.FinalAnswer) (grpc.Status, []hpack.Field) {
+	switch answer.Kind {
+	case router.FinalAnswered:
+		tail := tailOf(answer.Attempt)
+		return tail.Status, tail.Trailers
+	case router.FinalRejected:
+		retryAfter := max(answer.RetryAfter, 0).Milliseconds()
+		return grpc.Status{Code: grpc.Unavailable, Message: "refused; trying again does no harm"},
+			[]hpack.Field{{Name: retryPushbackField, Value: strconv.FormatInt(retryAfter, 10)}}
+	default:
+		return failureStatus(answer), []hpack.Field{{Name: retryPushbackField, Value: noRetry}}
+	}
+}
+
+// failureStatus returns the status of a failure. The worker's own status is passed on where it says more than that the
+// call failed: Unavailable says less, and it would invite a retry of a call that may have run.
+func failureStatus(answer router.FinalAnswer) grpc.Status {
+	if answer.DeadlineExceeded {
+		return grpc.Status{Code: grpc.DeadlineExceeded, Message: "deadline exceeded; the call may have run"}
+	}
+	if answer.Attempt != nil && answer.Attempt.Result == dispatch.Errored {
+		if status := tailOf(answer.Attempt).Status; status.Code != grpc.Unavailable && status.Code != grpc.OK {
+			return status
+		}
+	}
+	return grpc.Status{Code: grpc.Unknown, Message: "no answer; the call may have run"}
+}
+
+// tailOf returns the end of an attempt's response, or the zero Tail where there is none. attempt may be nil.
+func tailOf(attempt *router.AttemptResult) oip.Tail {
+	if attempt == nil {
+		return oip.Tail{}
+	}
+	tail, _ := attempt.Trailer.(oip.Tail)
+	return tail
+}
--- /dev/null
+++ b/internal/server/grpcserver/harness_test.go
@@ -0,0 +1,203 @@
+package grpcserver
+
+import (
+	"bytes"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/oip/inference"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/server"
+	"github.com/topazfront/topazfront/internal/transport/grpc"
+	"github.com/topazfront/topazfront/internal/transport/hpack"
+	"github.com/topazfront/topazfront/internal/transport/http2"
+)
+
+// Models of the tests, by what scriptedDispatcher does with their requests.
+const (
+	servedModel   = "served"
+	rejectedModel = "rejected"
+	failedModel   = "failed"
+)
+
+// scriptedDispatcher decides about each request by its model.
+type scriptedDispatcher struct{}
+
+func (scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
+	for _, event := range events {
+		if request, ok := event.(dispatch.Request); ok {
+			switch request.Function {
+			case servedModel:
+				actions = append(actions, dispatch.StartAttempt{ID: request.ID, Worker: "w"})
+			case rejectedModel:
+				actions = append(actions, dispatch.RejectRequest{ID: request.ID, RetryAfter: 70 * time.Millisecond})
+			case failedModel:
+				actions = append(actions, dispatch.FailRequest{ID: request.ID})
+			}
+		}
+	}
+	return actions
+}
+
+// echoUpstream answers each attempt with the message of its request. The client's metadata come back as trailers.
+type echoUpstream struct{ router *router.Router }
+
+// endedAttempt is an attempt that has ended.
+type endedAttempt struct{}
+
+func (endedAttempt) ForwardTo(router.Client) {}
+func (endedAttempt) Cancel()                 {}
+
+func (u *echoUpstream) StartAttempt(token router.AttemptToken, call *router.Call, _ string, _ int, _ time.Duration) router.UpstreamAttempt {
+	request, _ := call.Request.(*oip.Request)
+	trailers := append([]hpack.Field{{Name: "worker-trailer", Value: "t"}}, request.Metadata...)
+	u.router.AttemptEnded(token, router.AttemptResult{Result: dispatch.OK, Body: request.Message, Report: router.NoWorkerReport,
+		Head: []hpack.Field{{Name: "worker-head", Value: "h"}}, Trailer: oip.Tail{Trailers: trailers}})
+	return endedAttempt{}
+}
+func (*echoUpstream) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
+func (*echoUpstream) CheckHealth(string, time.Duration, func(router.HealthResult))             {}
+func (*echoUpstream) SetEndpoints([]endpoints.Worker)                                          {}
+
+// startServer starts a server with a router before an echoUpstream.
+func startServer(t *testing.T) *Server {
+	t.Helper()
+	upstream := &echoUpstream{}
+	newDispatcher := func(dispatch.Settings, uint64) (router.Dispatcher, error) { return scriptedDispatcher{}, nil }
+	r, err := router.New(router.Config{NewDispatcher: newDispatcher}, upstream)
+	if err != nil {
+		t.Fatal(err)
+	}
+	upstream.router = r
+	model := server.Model{Class: "c", MemoryMB: 1, Lanes: 1, Versions: []string{"1", "2"}}
+	s, err := Listen(Config{Address: "127.0.0.1:0", Version: "test", CallBuilder: &server.Intake{
+		Models:    map[string]server.Model{servedModel: model, rejectedModel: model, failedModel: model},
+		Deadlines: map[string]time.Duration{"c": 15 * time.Second}, MaxBody: 1000}}, r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { s.Close(); r.Kill() })
+	return s
+}
+
+// responseReader is the client of one stream. It reads the response.
+type responseReader struct {
+	header, trailers []hpack.Field
+	body             bytes.Buffer
+	done             chan error // has nil once the response has ended, or why the stream was closed
+}
+
+func newResponseReader() *responseReader { return &responseReader{done: make(chan error, 4)} }
+
+func (r *responseReader) Open(*http2.Stream) http2.Receiver { return nil }
+func (r *responseReader) GoAway(*http2.Conn, http2.ErrCode) {}
+func (r *responseReader) Lost(*http2.Conn, error)           {}
+func (r *responseReader) Sent(*http2.Stream, int)           {}
+func (r *responseReader) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
+	if !end {
+		r.header = append(r.header, fields...)
+		return
+	}
+	r.trailers = append(r.trailers, fields...)
+	r.done <- nil
+}
+func (r *responseReader) Data(s *http2.Stream, p []byte, _ bool) {
+	r.body.Write(p)
+	s.Consume(len(p))
+}
+func (r *responseReader) Closed(_ *http2.Stream, err error) {
+	if err != nil {
+		r.done <- err
+	}
+}
+
+// wait waits for the response's end.
+func (r *responseReader) wait(t *testing.T) {
+	t.Helper()
+	select {
+	case err := <-r.done:
+		if err != nil {
+			t.Fatal(err)
+		}
+	case <-time.After(20 * time.Second):
+		t.Fatal("no response")
+	}
+}
+
+// requestHeader returns the header of a request. A content-type among the fields replaces gRPC's.
+func requestHeader(path string, fields ...hpack.Field) []hpack.Field {
+	header := []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path}}
+	contentType := hpack.Field{Name: "content-type", Value: "application/grpc"}
+	for _, field := range fields {
+		if field.Name == contentType.Name {
+			contentType = field
+		} else {
+			header = append(header, field)
+		}
+	}
+	return append(header, contentType)
+}
+
+// openStream opens a connection and on it a stream, which carries body so far.
+func openStream(t *testing.T, s *Server, header []hpack.Field, body []byte, end bool) *responseReader {
+	t.Helper()
+	r := newResponseReader()
+	conn, err := http2.Dial("tcp", s.Addr(), time.Second, http2.Config{}, r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	if _, err := conn.Open(r, header, body, end); err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// roundTrip sends a complete request and returns the whole response.
+func roundTrip(t *testing.T, s *Server, path string, body []byte, fields ...hpack.Field) *responseReader {
+	t.Helper()
+	r := openStream(t, s, requestHeader(path, fields...), body, true)
+	r.wait(t)
+	return r
+}
+
+// waitForStream waits until the server has a stream open.
+func waitForStream(s *Server) {
+	for s.Streams() == 0 {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// framed returns a message with its gRPC prefix.
+func framed(m proto.Message) []byte {
+	raw, err := proto.Marshal(m)
+	if err != nil {
+		panic(err)
+	}
+	return append(grpc.AppendPrefix(nil, len(raw), false), raw...)
+}
+
+// inferRequest returns the message of an inference request, with its gRPC prefix.
+func inferRequest(model string) []byte {
+	return framed(&inference.ModelInferRequest{ModelName: model})
+}
+
+// gzipBomb returns a compressed message within the server's limit, whose content exceeds it.
+func gzipBomb(t *testing.T) []byte {
+	t.Helper()
+	message, err := grpc.Compress(make([]byte, 100000))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return message
+}
+
+// requestField returns a list of one header field.
+func requestField(name, value string) []hpack.Field {
+	return []hpack.Field{{Name: name, Value: value}}
+}
--- /dev/null
+++ b/internal/server/grpcserver/response.go
@@ -0,0 +1,79 @@
+package grpcserver
+
+import (
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/transport/grpc"
+	"github.com/topazfront/topazfront/internal/transport/hpack"
+)
+
+// unsupportedMediaType is the HTTP status of the response to a request whose content type is not gRPC's.
+const unsupportedMediaType = "415"
+
+// responseHeader returns the fields that begin every response of gRPC.
+func responseHeader() []hpack.Field {
+	return []hpack.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
+}
+
+// Start implements router.Client. head is the worker's metadata, a []hpack.Field, or nil.
+func (s *stream) Start(head any) {
+	metadata, _ := head.([]hpack.Field)
+	s.mu.Lock()
+	if s.headerSent || s.ended {
+		s.mu.Unlock()
+		return
+	}
+	s.headerSent = true
+	s.mu.Unlock()
+	_ = s.http2Stream.WriteHeaders(append(responseHeader(), metadata...), false)
+}
+
+// Message implements router.Client.
+func (s *stream) Message(p []byte, drain func(n int)) int {
+	s.mu.Lock()
+	s.reportSent = drain
+	s.mu.Unlock()
+	n, err := s.http2Stream.Write(p, false)
+	if err != nil {
+		return len(p) // the client has left: nothing is to be queued for it
+	}
+	return n
+}
+
+// Finish implements router.Client.
+func (s *stream) Finish(answer router.FinalAnswer) { s.completeRequest(FinalStatus(answer)) }
+
+// completeRequest ends the request in flight. It ends the stream too, unless that is a ModelStreamInfer and the request
+// was served: then its next request is served.
+func (s *stream) completeRequest(status grpc.Status, trailers []hpack.Field) {
+	if status.Code != grpc.OK || !s.streaming() {
+		s.end(status, trailers)
+		return
+	}
+	s.mu.Lock()
+	s.requestInFlight, s.cancel = false, nil
+	s.mu.Unlock()
+	s.serveNext(nil)
+}
+
+// end ends the stream with a status. Only the first call does anything.
+func (s *stream) end(status grpc.Status, trailers []hpack.Field) {
+	s.mu.Lock()
+	if s.ended {
+		s.mu.Unlock()
+		return
+	}
+	s.ended = true
+	headerSent := s.headerSent
+	s.mu.Unlock()
+	s.server.removeStream(s)
+	fields := append(status.Trailer(), trailers...)
+	if headerSent {
+		_ = s.http2Stream.WriteTrailers(fields)
+		return
+	}
+	header := responseHeader()
+	if status.Code == grpc.Unimplemented {
+		header = append(header, hpack.Field{Name: "grpc-accept-encoding", Value: grpc.Encodings})
+	}
+	_ = s.http2Stream.WriteHeaders(append(header, fields...), true)
+}
--- /dev/null
+++ b/internal/server/grpcserver/shutdown.go
@@ -0,0 +1,26 @@
+package grpcserver
+
+// Drain starts a graceful shutdown: GOAWAY asks clients to open no further streams, calls in flight go on, and
+// streams without a call in flight are ended.
+func (s *Server) Drain() {
+	s.http2Server.Drain()
+	s.mu.Lock()
+	s.draining = true
+	streams := make([]*stream, 0, len(s.streams))
+	for open := range s.streams {
+		streams = append(streams, open)
+	}
+	s.mu.Unlock()
+	for _, open := range streams {
+		open.serveNext(nil)
+	}
+}
+
+// Close closes the listener and all connections.
+func (s *Server) Close() { s.http2Server.Close() }
+
+func (s *Server) isDraining() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.draining
+}
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -81,7 +81,7 @@
 	return len(p)
 }
 func (a *answer) Finish(f router.FinalAnswer) {
-	st, _ := grpcserver.Told(f)
+	st, _ := grpcserver.FinalStatus(f)
 	a.status <- st
 }
 
