--- a/internal/server/grpcserver/finalstatus.go
+++ b/internal/server/grpcserver/finalstatus.go
@@ -21,8 +21,8 @@
 func FinalStatus(answer router.FinalAnswer) (grpc.Status, []hpack.Field) {
 	switch answer.Kind {
 	case router.FinalAnswered:
-		tail := tailOf(answer.Attempt)
-		return tail.Status, tail.Trailers
+		trailer := trailerOf(answer.Attempt)
+		return trailer.Status, trailer.Metadata
 	case router.FinalRejected:
 		retryAfter := max(answer.RetryAfter, 0).Milliseconds()
 		return grpc.Status{Code: grpc.Unavailable, Message: "refused; trying again does no harm"},
@@ -39,18 +39,18 @@
 		return grpc.Status{Code: grpc.DeadlineExceeded, Message: "deadline exceeded; the call may have run"}
 	}
 	if answer.Attempt != nil && answer.Attempt.Result == dispatch.Errored {
-		if status := tailOf(answer.Attempt).Status; status.Code != grpc.Unavailable && status.Code != grpc.OK {
+		if status := trailerOf(answer.Attempt).Status; status.Code != grpc.Unavailable && status.Code != grpc.OK {
 			return status
 		}
 	}
 	return grpc.Status{Code: grpc.Unknown, Message: "no answer; the call may have run"}
 }
 
-// tailOf returns the end of an attempt's response, or the zero Tail where there is none. attempt may be nil.
-func tailOf(attempt *router.AttemptResult) oip.Tail {
+// trailerOf returns the end of an attempt's response, or the zero Trailer where there is none. attempt may be nil.
+func trailerOf(attempt *router.AttemptResult) oip.Trailer {
 	if attempt == nil {
-		return oip.Tail{}
+		return oip.Trailer{}
 	}
-	tail, _ := attempt.Trailer.(oip.Tail)
-	return tail
+	trailer, _ := attempt.Trailer.(oip.Trailer)
+	return trailer
 }
--- a/internal/server/grpcserver/finalstatus_test.go
+++ b/internal/server/grpcserver/finalstatus_test.go
@@ -13,9 +13,9 @@
 // TestFinalStatus: a failure never invites a retry, and the worker's own status is passed on only where it says more
 // than that the call failed.
 func TestFinalStatus(t *testing.T) {
-	internal := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
-	unavailable := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unavailable}}}
-	lost := &router.AttemptResult{Result: dispatch.ConnectionReset, Trailer: oip.Tail{Status: grpc.Status{Code: grpc.Unknown}}}
+	internal := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
+	unavailable := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Unavailable}}}
+	lost := &router.AttemptResult{Result: dispatch.ConnectionReset, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Unknown}}}
 	for name, c := range map[string]struct {
 		answer   router.FinalAnswer
 		code     grpc.Code
@@ -27,7 +27,7 @@
 		"failed by an error":         {router.FinalAnswer{Kind: router.FinalFailed, Attempt: internal}, grpc.Internal, "-1"},
 		"failed, worker unavailable": {router.FinalAnswer{Kind: router.FinalFailed, Attempt: unavailable}, grpc.Unknown, "-1"},
 		"failed, no trailer":         {router.FinalAnswer{Kind: router.FinalFailed, Attempt: &router.AttemptResult{Result: dispatch.Errored}}, grpc.Unknown, "-1"},
-		"answered":                   {router.FinalAnswer{Attempt: &router.AttemptResult{Result: dispatch.OK, Trailer: oip.Tail{}}}, grpc.OK, ""},
+		"answered":                   {router.FinalAnswer{Attempt: &router.AttemptResult{Result: dispatch.OK, Trailer: oip.Trailer{}}}, grpc.OK, ""},
 		"answered, then lost":        {router.FinalAnswer{Attempt: lost}, grpc.Unknown, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/server/grpcserver/gatewaycall.go
+++ b/internal/server/grpcserver/gatewaycall.go
@@ -54,7 +54,7 @@
 	if err := proto.Unmarshal(body, &request); err != nil {
 		return nil, &grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}
 	}
-	model, ok := s.server.cfg.CallBuilder.Model(request.Name)
+	model, ok := s.server.cfg.CallBuilder.ModelSettings(request.Name)
 	if s.path == oip.ModelReady {
 		return &inference.ModelReadyResponse{Ready: ok}, nil
 	}
--- a/internal/server/grpcserver/golden_test.go
+++ b/internal/server/grpcserver/golden_test.go
@@ -148,8 +148,8 @@
 // TestGoldenFinalAnswers holds the status and the trailers for each final answer of the router.
 func TestGoldenFinalAnswers(t *testing.T) {
 	attempt := func(result dispatch.Result, code grpc.Code, message string) *router.AttemptResult {
-		return &router.AttemptResult{Result: result, Trailer: oip.Tail{Status: grpc.Status{Code: code, Message: message},
-			Trailers: []hpack.Field{{Name: "worker-trailer", Value: "t"}}}}
+		return &router.AttemptResult{Result: result, Trailer: oip.Trailer{Status: grpc.Status{Code: code, Message: message},
+			Metadata: []hpack.Field{{Name: "worker-trailer", Value: "t"}}}}
 	}
 	const (
 		rejected = "14 refused; trying again does no harm; grpc-retry-pushback-ms: "
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -57,7 +57,7 @@
 	request, _ := call.Request.(*oip.Request)
 	trailers := append([]hpack.Field{{Name: "worker-trailer", Value: "t"}}, request.Metadata...)
 	u.router.AttemptEnded(token, router.AttemptResult{Result: dispatch.OK, Body: request.Message, Report: router.NoWorkerReport,
-		Head: []hpack.Field{{Name: "worker-head", Value: "h"}}, Trailer: oip.Tail{Trailers: trailers}})
+		Head: []hpack.Field{{Name: "worker-head", Value: "h"}}, Trailer: oip.Trailer{Metadata: trailers}})
 	return endedAttempt{}
 }
 func (*echoUpstream) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
@@ -74,10 +74,10 @@
 		t.Fatal(err)
 	}
 	upstream.router = r
-	model := server.Model{Class: "c", MemoryMB: 1, Lanes: 1, Versions: []string{"1", "2"}}
-	s, err := Listen(Config{Address: "127.0.0.1:0", Version: "test", CallBuilder: &server.Intake{
-		Models:    map[string]server.Model{servedModel: model, rejectedModel: model, failedModel: model},
-		Deadlines: map[string]time.Duration{"c": 15 * time.Second}, MaxBody: 1000}}, r)
+	model := server.ModelSettings{Class: "c", MemoryMB: 1, ConcurrencyPerInstance: 1, Versions: []string{"1", "2"}}
+	s, err := Listen(Config{Address: "127.0.0.1:0", Version: "test", CallBuilder: &server.CallBuilder{
+		Models:    map[string]server.ModelSettings{servedModel: model, rejectedModel: model, failedModel: model},
+		Deadlines: map[string]time.Duration{"c": 15 * time.Second}, MaxMessageBytes: 1000}}, r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/grpcserver/request.go
+++ b/internal/server/grpcserver/request.go
@@ -121,7 +121,7 @@
 
 // serveRequest serves one complete request message, given with its gRPC prefix.
 func (s *stream) serveRequest(message []byte) {
-	body, err := grpc.Body(message, s.encoding, s.server.cfg.CallBuilder.MaxBody)
+	body, err := grpc.Body(message, s.encoding, s.server.cfg.CallBuilder.MaxMessageBytes)
 	switch {
 	case err != nil:
 		s.completeRequest(grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}, nil)
@@ -143,12 +143,12 @@
 	if s.timeout > 0 {
 		remaining = max(s.timeout-time.Since(s.arrived), minTimeout)
 	}
-	call, err := s.server.cfg.CallBuilder.Call(routed, remaining)
+	call, err := s.server.cfg.CallBuilder.NewCall(routed, remaining)
 	if err != nil {
 		s.completeRequest(requestErrorStatus(err), nil)
 		return
 	}
-	call.Request = &oip.Request{Message: message, Encoding: s.encoding, Accept: s.acceptEncoding, Metadata: s.metadata}
+	call.Request = &oip.Request{Message: message, Encoding: s.encoding, AcceptEncoding: s.acceptEncoding, Metadata: s.metadata}
 	call.Streamed, call.Client = s.streaming(), s
 	cancel, ok := s.server.router.Submit(call)
 	if !ok {
@@ -166,8 +166,8 @@
 
 // requestErrorStatus returns the status for a request that can't become a call.
 func requestErrorStatus(err error) grpc.Status {
-	var requestErr *server.Error
-	if errors.As(err, &requestErr) && requestErr.Missing {
+	var requestErr *server.RequestError
+	if errors.As(err, &requestErr) && requestErr.ModelNotFound {
 		return grpc.Status{Code: grpc.NotFound, Message: err.Error()}
 	}
 	return grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}
--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -18,7 +18,7 @@
 type Config struct {
 	Address     string
 	HTTP2       http2.Config
-	CallBuilder *server.Intake
+	CallBuilder *server.CallBuilder
 	Version     string       // of the gateway, as ServerMetadata reports it
 	Logger      *slog.Logger // nil: nothing is logged
 }
@@ -72,7 +72,7 @@
 
 // Open implements http2.Handler.
 func (h connHandler) Open(http2Stream *http2.Stream) http2.Receiver {
-	s := &stream{server: h.server, http2Stream: http2Stream, messageReader: grpc.Reader{Max: h.server.cfg.CallBuilder.MaxBody}}
+	s := &stream{server: h.server, http2Stream: http2Stream, messageReader: grpc.Reader{Max: h.server.cfg.CallBuilder.MaxMessageBytes}}
 	h.server.addStream(s)
 	return s
 }
