--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -37,24 +37,24 @@
 
 // startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
 // respond is the server's Answer. The channel returned has each further list, formatted.
-func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.Channel, *Watcher, chan string) {
+func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
 	return startWatcherWithWait(t, 200*time.Millisecond, respond)
 }
 
 func startWatcherWithWait(t *testing.T, pollWait time.Duration, respond func(int, string) (string, bool),
-) (*fakeplatform.Channel, *Watcher, chan string) {
+) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
-	server, err := fakeplatform.StartChannel(fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
+	server, err := fakeplatform.StartDiscoveryServer(fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.Answer = respond
+	server.Respond = respond
 	lists := make(chan string, 64)
 	watcher, err := Start(Config{Address: server.Addr(), ConnectTimeout: 5 * time.Second, PollWait: pollWait,
 		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
 		RouterTime: constantRouterTime, OnUpdate: func(workers []endpoints.Worker) { lists <- formatList(workers) },
-	}, parseResponse(t, server.Known()))
+	}, parseResponse(t, server.AllEvents()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -11,15 +11,15 @@
 // TestApplyIsAtomic checks that events that were applied are skipped, and that a gap applies no event of a response.
 func TestApplyIsAtomic(t *testing.T) {
 	list := newEndpointList()
-	first := `{"cursor":1,` + fakeplatform.Nodes(true, "a 1.1.1.1:1 active") + `}`
-	second := `{"cursor":2,` + fakeplatform.Nodes(false, "b 1.1.1.2:1 active") + `}`
+	first := `{"cursor":1,` + fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active") + `}`
+	second := `{"cursor":2,` + fakeplatform.EndpointsEvent(false, "b 1.1.1.2:1 active") + `}`
 	if changed, err := list.Apply(parseResponse(t, `{"cursor":1,"cmds":[`+first+`]}`)); !changed || err != nil {
 		t.Fatal(changed, err)
 	}
 	if changed, err := list.Apply(parseResponse(t, `{"cursor":1,"cmds":[`+first+`]}`)); changed || err != nil {
 		t.Error("applied twice", changed, err)
 	}
-	fourth := `{"cursor":4,` + fakeplatform.Nodes(false, "a 1.1.1.1:1 left") + `}`
+	fourth := `{"cursor":4,` + fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 left") + `}`
 	if _, err := list.Apply(parseResponse(t, `{"cursor":4,"cmds":[`+second+`,`+fourth+`]}`)); !errors.Is(err, ErrEventGap) {
 		t.Error("a gap:", err)
 	}
@@ -52,8 +52,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			list := newEndpointList()
-			for i, event := range []string{fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"),
-				fakeplatform.Nodes(false, "a 1.1.1.1:1 leaving"), fakeplatform.Nodes(false, "c 1.1.1.3:1 active")} {
+			for i, event := range []string{fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"),
+				fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 leaving"), fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active")} {
 				response := fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, i+1, i+1, event)
 				if _, err := list.Apply(parseResponse(t, response)); err != nil {
 					t.Fatal(err)
@@ -62,7 +62,7 @@
 			if got := formatList(list.Workers(constantRouterTime)); got != before {
 				t.Fatal(got)
 			}
-			snapshot := fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "c 1.1.1.3:1 leaving")
+			snapshot := fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "c 1.1.1.3:1 leaving")
 			response := fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, c.revision, c.revision, snapshot)
 			if _, err := list.Apply(parseResponse(t, response)); err != nil {
 				t.Error(err)
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -8,7 +8,7 @@
 
 // FuzzParsePollResponse checks that no response panics, and that the endpoints of one that is accepted can be used.
 func FuzzParsePollResponse(f *testing.F) {
-	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.Nodes(true, "a 1.1.1.1:1 active") + `}]}`))
+	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active") + `}]}`))
 	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":null}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		response, err := ParsePollResponse(raw)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,16 +11,16 @@
 
 func TestWatchAppliesUpdates(t *testing.T) {
 	server, _, lists := startWatcher(t, nil)
-	server.Tell(fakeplatform.Nodes(false, "a 1.1.1.1:1 leaving"))
+	server.AddEvent(fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 leaving"))
 	if got := fakeplatform.Await(t, lists, "the drain"); got != "a@1.1.1.1:1 drains, b@1.1.1.2:1" {
 		t.Errorf("after the drain: %s", got)
 	}
-	server.Tell(fakeplatform.Nodes(false, "a 1.1.1.1:1 left", "c 1.1.1.1:1 active")) // a new endpoint at the old address
+	server.AddEvent(fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 left", "c 1.1.1.1:1 active")) // a new endpoint at the old address
 	if got := fakeplatform.Await(t, lists, "the change"); got != "b@1.1.1.2:1, c@1.1.1.1:1" {
 		t.Errorf("after the change: %s", got)
 	}
-	server.Tell(`"other":{"x":1}`) // an event of another kind advances the revision and changes nothing
-	server.Tell(fakeplatform.Nodes(true, "d 1.1.1.4:1 active"))
+	server.AddEvent(`"other":{"x":1}`) // an event of another kind advances the revision and changes nothing
+	server.AddEvent(fakeplatform.EndpointsEvent(true, "d 1.1.1.4:1 active"))
 	if got := fakeplatform.Await(t, lists, "the snapshot"); got != "d@1.1.1.4:1" {
 		t.Errorf("after a snapshot: %s", got)
 	}
@@ -46,10 +46,10 @@
 	},
 	"without length, cut off": func(body string) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\n" + body[:len(body)-9], false },
 	"events out of order": func(string) (string, bool) {
-		return httpResponse(`{"cursor":9,"cmds":[{"cursor":3,` + fakeplatform.Nodes(false, "x 1.1.1.1:1 active") + `},{"cursor":2}]}`), true
+		return httpResponse(`{"cursor":9,"cmds":[{"cursor":3,` + fakeplatform.EndpointsEvent(false, "x 1.1.1.1:1 active") + `},{"cursor":2}]}`), true
 	},
 	"a gap": func(string) (string, bool) {
-		return httpResponse(`{"cursor":9,"cmds":[{"cursor":9,` + fakeplatform.Nodes(false, "x 1.1.1.1:1 active") + `}]}`), true
+		return httpResponse(`{"cursor":9,"cmds":[{"cursor":9,` + fakeplatform.EndpointsEvent(false, "x 1.1.1.1:1 active") + `}]}`), true
 	},
 }
 
@@ -83,7 +83,7 @@
 					return broken(body)
 				}
 			})
-			server.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+			server.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
 			fakeplatform.Await(t, brokenSent, "the broken response")
 			if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 				t.Errorf("list %s", got)
@@ -91,8 +91,8 @@
 			if stats := watcher.Stats(); stats.Revision != 2 || stats.Events != 1 || stats.FailedPolls == 0 {
 				t.Errorf("%+v", stats)
 			}
-			for len(server.Asked()) > 0 {
-				if revision := <-server.Asked(); revision > 2 {
+			for len(server.Polls()) > 0 {
+				if revision := <-server.Polls(); revision > 2 {
 					t.Errorf("polled from revision %d, beyond the events sent", revision)
 				}
 			}
@@ -104,15 +104,15 @@
 // and resumes from the same revision at the new one.
 func TestSetAddressKeepsRevision(t *testing.T) {
 	oldServer, watcher, lists := startWatcher(t, nil)
-	oldServer.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+	oldServer.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
 	fakeplatform.Await(t, lists, "the second event")
-	newServer, err := fakeplatform.StartChannel(`"x":1`, `"x":2`, fakeplatform.Nodes(false, "d 1.1.1.4:1 active"))
+	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`, `"x":2`, fakeplatform.EndpointsEvent(false, "d 1.1.1.4:1 active"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer newServer.Stop()
 	watcher.SetAddress(newServer.Addr())
-	if revision := fakeplatform.Await(t, newServer.Asked(), "a poll at the new address"); revision != 2 {
+	if revision := fakeplatform.Await(t, newServer.Polls(), "a poll at the new address"); revision != 2 {
 		t.Errorf("polled from revision %d", revision)
 	}
 	if got := fakeplatform.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
@@ -128,15 +128,15 @@
 func TestPendingPollIsInterrupted(t *testing.T) {
 	const pollWait = 5 * time.Second
 	oldServer, watcher, _ := startWatcherWithWait(t, pollWait, nil)
-	fakeplatform.Await(t, oldServer.Asked(), "a poll at the old address")
-	newServer, err := fakeplatform.StartChannel(`"x":1`)
+	fakeplatform.Await(t, oldServer.Polls(), "a poll at the old address")
+	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer newServer.Stop()
 	startedAt := time.Now()
 	watcher.SetAddress(newServer.Addr())
-	fakeplatform.Await(t, newServer.Asked(), "a poll at the new address")
+	fakeplatform.Await(t, newServer.Polls(), "a poll at the new address")
 	if elapsed := time.Since(startedAt); elapsed > pollWait/2 {
 		t.Errorf("polled at the new address after %v", elapsed)
 	}
@@ -151,12 +151,12 @@
 // faster than one that fails, and that a later event is applied all the same.
 func TestPrematureResponsesAreThrottled(t *testing.T) {
 	server, watcher, lists := startWatcher(t, nil)
-	server.Hasty()
+	server.RespondAtOnce()
 	time.Sleep(300 * time.Millisecond)
 	if stats := watcher.Stats(); stats.Polls > 100 {
 		t.Errorf("%d polls in 0.3 s", stats.Polls)
 	}
-	server.Tell(fakeplatform.Nodes(false, "c 1.1.1.3:1 active"))
+	server.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
 	if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 		t.Errorf("list %s", got)
 	}
--- a/internal/fake/fakeplatform/channel.go
+++ b/internal/fake/fakeplatform/channel.go
@@ -11,10 +11,10 @@
 )
 
 // Channel is a stand-in command channel: numbered events, told to whoever asks.
-type Channel struct {
+type DiscoveryServer struct {
 	// Answer is asked before each answer is written: what it returns is written instead, as raw bytes, and the
 	// connection is then held open or closed. Nil, or "" from it, answers as usual.
-	Answer func(question int, body string) (raw string, hold bool)
+	Respond func(question int, body string) (raw string, hold bool)
 
 	ln        net.Listener
 	srv       *http.Server
@@ -28,8 +28,8 @@
 }
 
 // StartChannel listens with the events so far, the first numbered 1.
-func StartChannel(events ...string) (*Channel, error) {
-	c := &Channel{events: events, more: make(chan struct{}), asked: make(chan int, 1<<12), quit: make(chan struct{})}
+func StartDiscoveryServer(events ...string) (*DiscoveryServer, error) {
+	c := &DiscoveryServer{events: events, more: make(chan struct{}), asked: make(chan int, 1<<12), quit: make(chan struct{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -43,16 +43,16 @@
 }
 
 // Addr is where the channel listens.
-func (c *Channel) Addr() string { return c.ln.Addr().String() }
+func (c *DiscoveryServer) Addr() string { return c.ln.Addr().String() }
 
 // Stop ends the channel and its connections.
-func (c *Channel) Stop() {
+func (c *DiscoveryServer) Stop() {
 	close(c.quit)
 	_ = c.srv.Close()
 }
 
 // Tell adds an event; body is its JSON without the number, as `"nodes":{...}`.
-func (c *Channel) Tell(event string) {
+func (c *DiscoveryServer) AddEvent(event string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.events = append(c.events, event)
@@ -61,23 +61,23 @@
 }
 
 // Hasty has the channel answer each question at once from now on.
-func (c *Channel) Hasty() {
+func (c *DiscoveryServer) RespondAtOnce() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hasty = true
 }
 
 // Asked has the cursor of each question, in order.
-func (c *Channel) Asked() <-chan int { return c.asked }
+func (c *DiscoveryServer) Polls() <-chan int { return c.asked }
 
 // Known is the answer to one who knows nothing: the form of "known" in a configuration.
-func (c *Channel) Known() string {
+func (c *DiscoveryServer) AllEvents() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.from(0)
 }
 
-func (c *Channel) from(n int) string {
+func (c *DiscoveryServer) from(n int) string {
 	var list []string
 	for i := n; i < len(c.events); i++ {
 		list = append(list, fmt.Sprintf(`{"cursor":%d,%s}`, i+1, c.events[i]))
@@ -85,7 +85,7 @@
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(c.events), strings.Join(list, ","))
 }
 
-func (c *Channel) next(w http.ResponseWriter, r *http.Request) {
+func (c *DiscoveryServer) next(w http.ResponseWriter, r *http.Request) {
 	n, err1 := strconv.Atoi(r.URL.Query().Get("resume"))
 	block, err2 := strconv.Atoi(r.URL.Query().Get("block"))
 	if err1 != nil || err2 != nil || block < 0 || block > 5000 || n < 0 {
@@ -99,7 +99,7 @@
 	if c.hasty {
 		block = 0
 	}
-	answer := c.Answer
+	answer := c.Respond
 	c.mu.Unlock()
 	c.asked <- n
 	if here <= n {
@@ -136,7 +136,7 @@
 
 // Nodes is an event about workers; each is "id address state" with further words for cell and start, as
 // "a 127.0.0.1:1 active 0 1700000000000".
-func Nodes(complete bool, workers ...string) string {
+func EndpointsEvent(complete bool, workers ...string) string {
 	var list []string
 	for _, w := range workers {
 		f := append(strings.Fields(w), "0", "0")
--- a/internal/fake/fakeplatform/client.go
+++ b/internal/fake/fakeplatform/client.go
@@ -13,18 +13,18 @@
 
 // Client is a stand-in client: it makes calls and records what comes of them.
 type Client struct {
-	Base string // "http://host:port"
-	Log  *invariants.Log
-	HTTP *http.Client
+	BaseURL    string // "http://host:port"
+	Records    *invariants.Log
+	HTTPClient *http.Client
 }
 
 // Call makes one call and returns the answer's status, 0 for none, and its body.
 func (c *Client) Call(id, class, function string, deadline time.Duration) (int, string) {
-	began := c.Log.Now()
-	c.Log.Add(invariants.Record{Kind: invariants.Asked, Call: id, Request: id, Class: class, Router: "r", Deadline: began + deadline})
+	began := c.Records.Now()
+	c.Records.Add(invariants.Record{Kind: invariants.Asked, Call: id, Request: id, Class: class, Router: "r", Deadline: began + deadline})
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+5*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "POST", c.Base+"/call/"+function+"/call", strings.NewReader(id))
+	req, err := http.NewRequestWithContext(ctx, "POST", c.BaseURL+"/call/"+function+"/call", strings.NewReader(id))
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -34,7 +34,7 @@
 	req.Header.Set("X-Operation-Key", "k"+id)
 	req.Header.Set("X-Estimate-Ms", "5")
 	req.Header.Set("X-Attrs", "memory_mb:512;lanes:2;load_ms:5")
-	resp, err := c.HTTP.Do(req)
+	resp, err := c.HTTPClient.Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -50,6 +50,6 @@
 	case 429, 503:
 		answer = invariants.Refused
 	}
-	c.Log.Add(invariants.Record{Kind: invariants.Answered, Call: id, Request: id, Class: class, Router: "r", Answer: answer})
+	c.Records.Add(invariants.Record{Kind: invariants.Answered, Call: id, Request: id, Class: class, Router: "r", Answer: answer})
 	return resp.StatusCode, string(body)
 }
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -19,22 +19,22 @@
 
 // Request is one message as a worker got it.
 type Request struct {
-	Verb   string
-	ID     string
-	Fields map[string]string
-	Body   string
-	Conn   *Conn
+	Command string
+	ID      string
+	Fields  map[string]string
+	Body    string
+	Conn    *Conn
 }
 
 // Worker is a stand-in worker. Its fields are set before it is started.
 type Worker struct {
-	ID   string
-	Log  *invariants.Log // nil: nothing is recorded
-	Work time.Duration
-	Drop string // a class whose repeats, by their key, are not run again
+	ID                string
+	Records           *invariants.Log // nil: nothing is recorded
+	WorkDuration      time.Duration
+	DeduplicatedClass string // a class whose repeats, by their key, are not run again
 	// Act is what the worker does with a message; nil answers as a healthy one. It runs on the connection's
 	// goroutine, or on its own for a healthy one.
-	Act func(r Request)
+	Handle func(r Request)
 
 	ln    net.Listener
 	mu    sync.Mutex
@@ -53,19 +53,19 @@
 }
 
 // Say writes one answer.
-func (c *Conn) Say(items ...string) {
-	c.Raw(Message(items...))
+func (c *Conn) WriteMessage(items ...string) {
+	c.WriteRaw(EncodeMessage(items...))
 }
 
 // Raw writes bytes as they are.
-func (c *Conn) Raw(s string) {
+func (c *Conn) WriteRaw(s string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _ = io.WriteString(c.Conn, s)
 }
 
 // Message is an array of bulk strings.
-func Message(items ...string) string {
+func EncodeMessage(items ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(items))
 	for _, it := range items {
@@ -115,21 +115,21 @@
 }
 
 // Got is what the worker has got so far.
-func (w *Worker) Got() []Request {
+func (w *Worker) Received() []Request {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Request(nil), w.got...)
 }
 
 // Conns is how many connections are open.
-func (w *Worker) Conns() int {
+func (w *Worker) Connections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.conns)
 }
 
 // Came has a value for each message that has come.
-func (w *Worker) Came() <-chan struct{} { return w.came }
+func (w *Worker) Arrivals() <-chan struct{} { return w.came }
 
 func (w *Worker) serve(c *Conn) {
 	defer func() {
@@ -156,24 +156,24 @@
 		case w.came <- struct{}{}:
 		default:
 		}
-		if w.Log != nil && r.Verb == "exec" {
-			w.Log.Add(invariants.Record{Kind: invariants.Got, Router: "r", Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
+		if w.Records != nil && r.Command == "exec" {
+			w.Records.Add(invariants.Record{Kind: invariants.Got, Router: "r", Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
 		}
-		if w.Log != nil && r.Verb == "ensure" {
+		if w.Records != nil && r.Command == "ensure" {
 			n, _ := strconv.Atoi(r.Fields["slots_up"])
-			w.Log.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.ID, Copies: n, Router: "r"})
+			w.Records.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.ID, Copies: n, Router: "r"})
 		}
-		if w.Act != nil {
-			w.Act(r)
+		if w.Handle != nil {
+			w.Handle(r)
 		} else {
-			w.wg.Go(func() { w.Healthy(r) })
+			w.wg.Go(func() { w.HandleHealthy(r) })
 		}
 	}
 }
 
 // Healthy does what a healthy worker does.
-func (w *Worker) Healthy(r Request) {
-	switch r.Verb {
+func (w *Worker) HandleHealthy(r Request) {
+	switch r.Command {
 	case "exec":
 		w.mu.Lock()
 		company := w.held[r.Fields["item"]]
@@ -183,28 +183,28 @@
 			all += n
 		}
 		w.mu.Unlock()
-		w.Run(r)
-		time.Sleep(w.Work)
+		w.RecordExecution(r)
+		time.Sleep(w.WorkDuration)
 		w.mu.Lock()
 		w.held[r.Fields["item"]]--
 		w.mu.Unlock()
-		r.Conn.Say(r.ID, "ok", fmt.Sprintf("company=%d,meter=inflight:%d;util:0.5", company, all), "done "+r.Body)
+		r.Conn.WriteMessage(r.ID, "ok", fmt.Sprintf("company=%d,meter=inflight:%d;util:0.5", company, all), "done "+r.Body)
 	case "ensure":
-		r.Conn.Say(r.ID, "ok", "slots_up="+r.Fields["slots_up"], "")
+		r.Conn.WriteMessage(r.ID, "ok", "slots_up="+r.Fields["slots_up"], "")
 	case "load", "health":
-		r.Conn.Say(r.ID, "yes", "meter=inflight:1", "")
+		r.Conn.WriteMessage(r.ID, "yes", "meter=inflight:1", "")
 	}
 }
 
 // Run records that a request runs, unless it is a repeat that is dropped.
-func (w *Worker) Run(r Request) {
+func (w *Worker) RecordExecution(r Request) {
 	w.mu.Lock()
 	key := r.Fields["nonce"]
-	again := w.Drop != "" && r.Fields["cls"] == w.Drop && w.keys[key]
+	again := w.DeduplicatedClass != "" && r.Fields["cls"] == w.DeduplicatedClass && w.keys[key]
 	w.keys[key] = true
 	w.mu.Unlock()
-	if w.Log != nil && !again {
-		w.Log.Add(invariants.Record{Kind: invariants.Ran, Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
+	if w.Records != nil && !again {
+		w.Records.Add(invariants.Record{Kind: invariants.Ran, Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
 	}
 }
 
@@ -241,10 +241,10 @@
 
 // requestOf reads a message to a worker; anything unusable is an error.
 func requestOf(items []string) (Request, error) {
-	r := Request{Verb: items[0]}
-	want := map[string]int{"exec": 4, "drop": 2, "ensure": 3, "release": 2, "load": 2, "health": 2}[r.Verb]
+	r := Request{Command: items[0]}
+	want := map[string]int{"exec": 4, "drop": 2, "ensure": 3, "release": 2, "load": 2, "health": 2}[r.Command]
 	if len(items) != want {
-		return r, fmt.Errorf("%s with %d items", r.Verb, len(items))
+		return r, fmt.Errorf("%s with %d items", r.Command, len(items))
 	}
 	r.ID = items[1]
 	fields := ""
@@ -262,7 +262,7 @@
 			return r, fmt.Errorf("field %q", pair)
 		}
 	}
-	if r.Verb == "exec" {
+	if r.Command == "exec" {
 		limit, err := strconv.Atoi(r.Fields["limit"])
 		if err != nil || limit <= 0 || len(r.ID) != 16 || len(r.Fields["item"]) != 16 || r.Fields["cls"] == "" {
 			return r, fmt.Errorf("unusable exec %q", items)
--- a/internal/httprouter/config_test.go
+++ b/internal/httprouter/config_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestParseConfigRejectsInvalid(t *testing.T) {
-	valid := configJSON("127.0.0.1:1", initialSnapshot(fakeplatform.Nodes(true, "a 127.0.0.1:1 active")))
+	valid := configJSON("127.0.0.1:1", initialSnapshot(fakeplatform.EndpointsEvent(true, "a 127.0.0.1:1 active")))
 	if _, err := ParseConfig([]byte(valid)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -53,9 +53,9 @@
 	return listener.Addr().String()
 }
 
-func startDiscovery(t *testing.T, events ...string) *fakeplatform.Channel {
+func startDiscovery(t *testing.T, events ...string) *fakeplatform.DiscoveryServer {
 	t.Helper()
-	server, err := fakeplatform.StartChannel(events...)
+	server, err := fakeplatform.StartDiscoveryServer(events...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	t         *testing.T
 	records   *invariants.Log
 	workers   []*fakeplatform.Worker
-	discovery *fakeplatform.Channel
+	discovery *fakeplatform.DiscoveryServer
 	server    *Server
 	client    *fakeplatform.Client
 	mu        sync.Mutex
@@ -99,12 +99,12 @@
 	h := &harness{t: t, records: invariants.NewLog()}
 	var list []string
 	for cell, id := range []string{"a", "b", "c"} {
-		w := startWorker(t, &fakeplatform.Worker{ID: id, Log: h.records, Work: 2 * time.Millisecond, Drop: "keyed"})
+		w := startWorker(t, &fakeplatform.Worker{ID: id, Records: h.records, WorkDuration: 2 * time.Millisecond, DeduplicatedClass: "keyed"})
 		h.workers = append(h.workers, w)
 		list = append(list, fmt.Sprintf("%s %s active %d", id, w.Addr(), cell))
 	}
-	h.discovery = startDiscovery(t, fakeplatform.Nodes(true, list...))
-	cfg, err := ParseConfig([]byte(configJSONWith(settings, h.discovery.Addr(), h.discovery.Known())))
+	h.discovery = startDiscovery(t, fakeplatform.EndpointsEvent(true, list...))
+	cfg, err := ParseConfig([]byte(configJSONWith(settings, h.discovery.Addr(), h.discovery.AllEvents())))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	t.Cleanup(h.server.Close)
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
-	h.client = &fakeplatform.Client{Base: "http://" + h.server.httpServer.Addr(), Log: h.records, HTTP: &http.Client{Transport: transport}}
+	h.client = &fakeplatform.Client{BaseURL: "http://" + h.server.httpServer.Addr(), Records: h.records, HTTPClient: &http.Client{Transport: transport}}
 	return h
 }
 
@@ -158,7 +158,7 @@
 func (h *harness) updateEndpoints(workers ...string) {
 	h.t.Helper()
 	before := h.server.watcher.Stats().Revision
-	h.discovery.Tell(fakeplatform.Nodes(false, workers...))
+	h.discovery.AddEvent(fakeplatform.EndpointsEvent(false, workers...))
 	for range 4000 {
 		if h.server.watcher.Stats().Revision > before {
 			h.server.router.Stats() // the loop has applied it by the iteration after the one that answers the first call
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -18,7 +18,7 @@
 // nearly all calls are served.
 func TestInvariantsThroughDrainReplacementAndAddressChange(t *testing.T) {
 	h := newHarness(t, nil)
-	resp, err := h.client.HTTP.Get(h.client.Base + "/ping")
+	resp, err := h.client.HTTPClient.Get(h.client.BaseURL + "/ping")
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
@@ -35,14 +35,14 @@
 	// a is removed, and d takes its address.
 	address := h.workers[0].Addr()
 	h.workers[0].Stop()
-	d := &fakeplatform.Worker{ID: "d", Log: h.records, Work: 2 * time.Millisecond, Drop: "keyed"}
+	d := &fakeplatform.Worker{ID: "d", Records: h.records, WorkDuration: 2 * time.Millisecond, DeduplicatedClass: "keyed"}
 	if err := d.Start(address); err != nil {
 		t.Skip("the address was taken by another process:", err)
 	}
 	defer d.Stop()
 	h.updateEndpoints("a "+address+" left", fmt.Sprintf("d %s active 0", address))
 	h.calls(30)
-	if !slices.ContainsFunc(d.Got(), func(r fakeplatform.Request) bool { return r.Verb == "exec" }) {
+	if !slices.ContainsFunc(d.Received(), func(r fakeplatform.Request) bool { return r.Command == "exec" }) {
 		t.Error("the new worker at the old address got nothing")
 	}
 
@@ -51,7 +51,7 @@
 
 	// The discovery server moves, and c drains by the new one.
 	moved := startDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
-	cfg, err := ParseConfig([]byte(configJSON(moved.Addr(), h.discovery.Known())))
+	cfg, err := ParseConfig([]byte(configJSON(moved.Addr(), h.discovery.AllEvents())))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,17 +67,17 @@
 func corruptEighthResponse(worker *fakeplatform.Worker) {
 	var mu sync.Mutex
 	n := 0
-	worker.Act = func(r fakeplatform.Request) {
+	worker.Handle = func(r fakeplatform.Request) {
 		mu.Lock()
 		n++
-		corrupt := n%8 == 0 && r.Verb == "exec"
+		corrupt := n%8 == 0 && r.Command == "exec"
 		mu.Unlock()
 		if !corrupt {
-			go worker.Healthy(r)
+			go worker.HandleHealthy(r)
 			return
 		}
-		worker.Run(r)
-		r.Conn.Raw("*4\r\n$16\r\nnoise")
+		worker.RecordExecution(r)
+		r.Conn.WriteRaw("*4\r\n$16\r\nnoise")
 	}
 }
 
@@ -167,14 +167,14 @@
 	h := newHarness(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &violatingDispatcher{}, nil })
 	h.calls(3)
 	h.updateEndpoints("a " + h.workers[0].Addr() + " leaving")
-	before := len(h.workers[0].Got())
+	before := len(h.workers[0].Received())
 	h.calls(10)
-	if got := len(h.workers[0].Got()); got != before {
+	if got := len(h.workers[0].Received()); got != before {
 		t.Errorf("%d messages to a worker that drains", got-before)
 	}
 	h.updateEndpoints("a " + h.workers[0].Addr() + " active") // it stays after all
 	h.calls(10)
-	if len(h.workers[0].Got()) == before {
+	if len(h.workers[0].Received()) == before {
 		t.Error("nothing to a worker that is listed as active again")
 	}
 }
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -128,7 +128,7 @@
 }
 
 func (p *process) client() *fakeplatform.Client {
-	return &fakeplatform.Client{Base: "http://" + p.address, Log: invariants.NewLog(), HTTP: &http.Client{Transport: &http.Transport{}}}
+	return &fakeplatform.Client{BaseURL: "http://" + p.address, Records: invariants.NewLog(), HTTPClient: &http.Client{Transport: &http.Transport{}}}
 }
 
 // requireServed makes one call.
@@ -165,7 +165,7 @@
 func TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery(t *testing.T) {
 	a := startWorker(t, &fakeplatform.Worker{ID: "a"})
 	b := startWorker(t, &fakeplatform.Worker{ID: "b"})
-	first := fakeplatform.Nodes(true, "a "+a.Addr()+" active")
+	first := fakeplatform.EndpointsEvent(true, "a "+a.Addr()+" active")
 	p := startProcess(t, configJSON(unusedAddress(t), initialSnapshot(first)))
 	var idle idleConns
 	defer idle.close()
@@ -173,15 +173,15 @@
 	client := p.client()
 	requireServed(t, client, 1)
 	idle.open(t, p.address, 200)
-	discovery := startDiscovery(t, first, fakeplatform.Nodes(false, "a "+a.Addr()+" leaving", "b "+b.Addr()+" active"))
+	discovery := startDiscovery(t, first, fakeplatform.EndpointsEvent(false, "a "+a.Addr()+" leaving", "b "+b.Addr()+" active"))
 	p.writeConfig(configJSON(discovery.Addr(), initialSnapshot(first)))
 	p.sendSignal(syscall.SIGHUP)
 	for revision := -1; revision != 2; { // polled from revision 2: the second event was applied
-		revision = fakeplatform.Await(t, discovery.Asked(), "a poll")
+		revision = fakeplatform.Await(t, discovery.Polls(), "a poll")
 	}
-	client.HTTP.CloseIdleConnections()
+	client.HTTPClient.CloseIdleConnections()
 	requireServed(t, client, 2)
-	if len(b.Got()) == 0 {
+	if len(b.Received()) == 0 {
 		t.Error("the worker that the discovery server added got nothing")
 	}
 }
@@ -194,7 +194,7 @@
 	for i := range 3999 {
 		list = append(list, fmt.Sprintf("w%d %s leaving", i+1, w.Addr()))
 	}
-	config := configJSON(unusedAddress(t), initialSnapshot(fakeplatform.Nodes(true, list...)))
+	config := configJSON(unusedAddress(t), initialSnapshot(fakeplatform.EndpointsEvent(true, list...)))
 	startedAt := time.Now()
 	p := startProcess(t, config)
 	resp, err := http.Get("http://" + p.address + "/ping")
@@ -218,14 +218,14 @@
 func TestProcessSignals(t *testing.T) {
 	release := make(chan struct{})
 	w := &fakeplatform.Worker{ID: "a"}
-	w.Act = func(r fakeplatform.Request) {
+	w.Handle = func(r fakeplatform.Request) {
 		go func() {
 			<-release
-			w.Healthy(r)
+			w.HandleHealthy(r)
 		}()
 	}
 	startWorker(t, w)
-	initial := initialSnapshot(fakeplatform.Nodes(true, "a "+w.Addr()+" active"))
+	initial := initialSnapshot(fakeplatform.EndpointsEvent(true, "a "+w.Addr()+" active"))
 	t.Run("right after the start", func(t *testing.T) {
 		p := startProcess(t, configJSON(unusedAddress(t), initial))
 		p.sendSignal(syscall.SIGTERM)
@@ -243,7 +243,7 @@
 		conns = append(conns, conn)
 	}
 	_, _ = io.WriteString(conns[0], rawRequest(1))
-	fakeplatform.Await(t, w.Came(), "the first call at the worker")
+	fakeplatform.Await(t, w.Arrivals(), "the first call at the worker")
 	_, _ = io.WriteString(conns[1], rawRequest(2)[:60])
 	p.sendSignal(syscall.SIGTERM)
 	p.waitForLine("msg=stopping")
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -12,7 +12,7 @@
 func TestShutdownAnswersPendingCalls(t *testing.T) {
 	h := newHarness(t, nil)
 	for _, worker := range h.workers {
-		worker.Act = func(fakeplatform.Request) {}
+		worker.Handle = func(fakeplatform.Request) {}
 	}
 	type answer struct {
 		class  string
--- a/internal/httprouter/signals_test.go
+++ b/internal/httprouter/signals_test.go
@@ -89,8 +89,8 @@
 func TestSignals(t *testing.T) {
 	h := newHarness(t, nil)
 	h.server.Close()
-	router := startRun(t, configJSON(h.discovery.Addr(), h.discovery.Known()))
-	h.client.Base = "http://" + addressInLine(router.waitForLine("msg=serving"))
+	router := startRun(t, configJSON(h.discovery.Addr(), h.discovery.AllEvents()))
+	h.client.BaseURL = "http://" + addressInLine(router.waitForLine("msg=serving"))
 	if status := h.call("safe"); status != 200 {
 		t.Errorf("status %d", status)
 	}
@@ -99,18 +99,18 @@
 	router.sendSIGHUP()
 	router.waitForLine("configuration reload failed")
 	second := startDiscovery(t, `"x":1`, `"x":2`)
-	router.writeConfig(configJSON(second.Addr(), h.discovery.Known()))
+	router.writeConfig(configJSON(second.Addr(), h.discovery.AllEvents()))
 	router.sendSIGHUP()
-	if revision := <-second.Asked(); revision != 1 {
+	if revision := <-second.Polls(); revision != 1 {
 		t.Errorf("polled from revision %d at the new address", revision)
 	}
 
 	router.terminate()
 	router.waitForLine("msg=stopping")
 	last := startDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
-	router.writeConfig(configJSON(last.Addr(), h.discovery.Known()))
+	router.writeConfig(configJSON(last.Addr(), h.discovery.AllEvents()))
 	router.sendSIGHUP() // right after SIGTERM: workers drain while the last calls are served
-	if revision := fakeplatform.Await(t, last.Asked(), "a poll at the last address"); revision != 2 {
+	if revision := fakeplatform.Await(t, last.Polls(), "a poll at the last address"); revision != 2 {
 		t.Errorf("polled from revision %d at the last address", revision)
 	}
 	h.requireServedDuringShutdown()
@@ -128,14 +128,14 @@
 // requireServedDuringShutdown makes calls over new connections for half the time that new clients are accepted.
 func (h *harness) requireServedDuringShutdown() {
 	h.t.Helper()
-	h.workers[0].Work = 0
+	h.workers[0].WorkDuration = 0
 	startedAt := time.Now()
 	served := 0
 	for time.Since(startedAt) < acceptAfterSIGTERM/2 {
 		if h.call("safe") == 200 {
 			served++
 		}
-		h.client.HTTP.CloseIdleConnections()
+		h.client.HTTPClient.CloseIdleConnections()
 	}
 	if served == 0 {
 		h.t.Error("no client is served after SIGTERM")
--- a/internal/upstream/respupstream/conn_test.go
+++ b/internal/upstream/respupstream/conn_test.go
@@ -16,7 +16,7 @@
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 	fakeplatform.Await(t, h.submit(15*time.Second), "the first answer")
 	fakeplatform.Await(t, h.dispatcher.outcomes, "its outcome")
-	for _, r := range w.Got() {
+	for _, r := range w.Received() {
 		_ = r.Conn.Close()
 	}
 	for range 20 {
@@ -32,10 +32,10 @@
 func TestConnectionLimitAndIdleTimeout(t *testing.T) {
 	release := make(chan struct{})
 	w := &fakeplatform.Worker{ID: "w"}
-	w.Act = func(r fakeplatform.Request) {
+	w.Handle = func(r fakeplatform.Request) {
 		go func() {
 			<-release
-			r.Conn.Say(r.ID, "ok", "-", "")
+			r.Conn.WriteMessage(r.ID, "ok", "-", "")
 		}()
 	}
 	h := newHarness(t, func(c *Config) { c.MaxConns, c.MaxRequestsPerConn, c.IdleTimeout = 3, 100, 50*time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
@@ -43,7 +43,7 @@
 		h.submit(15 * time.Second)
 	}
 	for range 40 {
-		fakeplatform.Await(t, w.Came(), "an attempt")
+		fakeplatform.Await(t, w.Arrivals(), "an attempt")
 	}
 	if stats := h.pool.Stats(); stats.Conns > 3 || stats.InFlight != 40 {
 		t.Errorf("%+v", stats)
@@ -53,7 +53,7 @@
 		fakeplatform.Await(t, h.dispatcher.outcomes, "an outcome")
 	}
 	for range 2000 {
-		if h.pool.Stats().Conns == 0 && w.Conns() == 0 {
+		if h.pool.Stats().Conns == 0 && w.Connections() == 0 {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
--- a/internal/upstream/respupstream/evidence_test.go
+++ b/internal/upstream/respupstream/evidence_test.go
@@ -34,19 +34,19 @@
 		"NaN":                      {reply("ok", "company=NaN", "answer"), dispatch.ConnectionReset},
 		"negative number":          {reply("ok", "meter=inflight:-1", "answer"), dispatch.ConnectionReset},
 		"body shorter than its length": {func(r fakeplatform.Request) {
-			r.Conn.Raw("*4\r\n$16\r\n" + r.ID + "\r\n$2\r\nok\r\n$1\r\n-\r\n$9\r\nanswer\r\n*4\r\n")
+			r.Conn.WriteRaw("*4\r\n$16\r\n" + r.ID + "\r\n$2\r\nok\r\n$1\r\n-\r\n$9\r\nanswer\r\n*4\r\n")
 		}, dispatch.ConnectionReset},
 		"response for an unknown id first": {func(r fakeplatform.Request) {
-			r.Conn.Say("ffffffffffffffff", "ok", "-", "another's")
-			r.Conn.Say(r.ID, "ok", "-", "answer")
+			r.Conn.WriteMessage("ffffffffffffffff", "ok", "-", "another's")
+			r.Conn.WriteMessage(r.ID, "ok", "-", "answer")
 		}, dispatch.OK},
 		"duplicate response": {func(r fakeplatform.Request) {
-			r.Conn.Raw(strings.Repeat(fakeplatform.Message(r.ID, "ok", "-", "answer"), 2))
+			r.Conn.WriteRaw(strings.Repeat(fakeplatform.EncodeMessage(r.ID, "ok", "-", "answer"), 2))
 		}, dispatch.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w", Act: test.act})
+			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w", Handle: test.act})
 			client := h.submit(15 * time.Second)
 			ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome")
 			if ended.Result != test.result || ended.Final != (test.result == dispatch.OK) {
@@ -67,11 +67,11 @@
 func TestMalformedResponseResetsAllOnItsConnection(t *testing.T) {
 	var mu sync.Mutex
 	received := 0
-	w := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
+	w := &fakeplatform.Worker{ID: "w", Handle: func(r fakeplatform.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if received++; received == 3 {
-			r.Conn.Raw("noise\r\n")
+			r.Conn.WriteRaw("noise\r\n")
 		}
 	}}
 	h := newHarness(t, func(c *Config) { c.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
@@ -90,18 +90,18 @@
 func TestLateResponseIsNotMatchedToRetry(t *testing.T) {
 	var mu sync.Mutex
 	var conns []*fakeplatform.Conn
-	w := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
-		if r.Verb != "exec" {
+	w := &fakeplatform.Worker{ID: "w", Handle: func(r fakeplatform.Request) {
+		if r.Command != "exec" {
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if conns = append(conns, r.Conn); len(conns) == 1 {
-			r.Conn.Say(r.ID, "nothing", "-", "")
+			r.Conn.WriteMessage(r.ID, "nothing", "-", "")
 			return
 		}
-		conns[0].Say(r.ID, "ok", "-", "late")
-		conns[1].Say(r.ID, "ok", "-", "its own")
+		conns[0].WriteMessage(r.ID, "ok", "-", "late")
+		conns[1].WriteMessage(r.ID, "ok", "-", "its own")
 	}}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "w"}}, w)
 	final := fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
@@ -115,7 +115,7 @@
 // TestStalledResponseResetsConnection: a connection whose response stops halfway is closed, and what is in flight on it may
 // have run.
 func TestStalledResponseResetsConnection(t *testing.T) {
-	w := &fakeplatform.Worker{ID: "w", Act: replyRaw("*4\r\n$16\r\n")}
+	w := &fakeplatform.Worker{ID: "w", Handle: replyRaw("*4\r\n$16\r\n")}
 	h := newHarness(t, func(c *Config) { c.StallTimeout = 50 * time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 	h.submit(15 * time.Second)
 	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectionReset {
--- a/internal/upstream/respupstream/exchange_test.go
+++ b/internal/upstream/respupstream/exchange_test.go
@@ -17,8 +17,8 @@
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 	fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
-	r := w.Got()[0]
-	if r.Verb != "exec" || r.ID != "0000000000000001" || r.Body != "body" || r.Fields["cls"] != "c" || r.Fields["item"] != testFunction || r.Fields["nonce"] != "k1" {
+	r := w.Received()[0]
+	if r.Command != "exec" || r.ID != "0000000000000001" || r.Body != "body" || r.Fields["cls"] != "c" || r.Fields["item"] != testFunction || r.Fields["nonce"] != "k1" {
 		t.Errorf("%+v", r)
 	}
 	if limit := r.Fields["limit"]; len(limit) != 5 || limit > "15000" {
@@ -33,24 +33,24 @@
 	var mu sync.Mutex
 	var first fakeplatform.Request
 	w := &fakeplatform.Worker{ID: "w"}
-	w.Act = func(r fakeplatform.Request) {
+	w.Handle = func(r fakeplatform.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case r.Verb == "drop":
-			first.Conn.Say(first.ID, "ok", "-", "late")
+		case r.Command == "drop":
+			first.Conn.WriteMessage(first.ID, "ok", "-", "late")
 			cancellations <- r
 		case first.ID == "":
 			first = r
 		default:
-			r.Conn.Say(r.ID, "ok", "-", "second")
+			r.Conn.WriteMessage(r.ID, "ok", "-", "second")
 		}
 	}
 	h := newHarness(t, func(config *Config) { config.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 	client := make(testClient, 1)
 	cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
-	fakeplatform.Await(t, w.Came(), "the attempt")
+	fakeplatform.Await(t, w.Arrivals(), "the attempt")
 	cancel()
 	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.Cancelled {
 		t.Errorf("%+v", ended)
@@ -74,8 +74,8 @@
 	if result := fakeplatform.Await(t, h.dispatcher.checked, "the health check result"); result.Result != dispatch.OK || result.LoadReport.InFlight != 1 {
 		t.Errorf("%+v", result)
 	}
-	for _, r := range w.Got() {
-		if r.Verb == "ensure" && (r.Fields["item"] != testFunction || r.Fields["slots_up"] != "2") {
+	for _, r := range w.Received() {
+		if r.Command == "ensure" && (r.Fields["item"] != testFunction || r.Fields["slots_up"] != "2") {
 			t.Errorf("%+v", r)
 		}
 	}
--- a/internal/upstream/respupstream/golden_test.go
+++ b/internal/upstream/respupstream/golden_test.go
@@ -42,9 +42,9 @@
 			recorded <- raw.String()
 			switch {
 			case m[0] == "load":
-				_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "yes", "-", ""))
+				_, _ = io.WriteString(nc, fakeplatform.EncodeMessage(m[1], "yes", "-", ""))
 			case m[len(m)-1] != "silent" && m[0] != "drop":
-				_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "ok", "slots_up=2", "answer"))
+				_, _ = io.WriteString(nc, fakeplatform.EncodeMessage(m[1], "ok", "slots_up=2", "answer"))
 			}
 		}
 	}()
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -147,15 +147,15 @@
 // reply makes a worker answer each attempt with the items after its id.
 func reply(items ...string) func(fakeplatform.Request) {
 	return func(r fakeplatform.Request) {
-		if r.Verb == "exec" {
-			r.Conn.Say(append([]string{r.ID}, items...)...)
+		if r.Command == "exec" {
+			r.Conn.WriteMessage(append([]string{r.ID}, items...)...)
 		}
 	}
 }
 
 // replyRaw makes a worker write s for each message.
 func replyRaw(s string) func(fakeplatform.Request) {
-	return func(r fakeplatform.Request) { r.Conn.Raw(s) }
+	return func(r fakeplatform.Request) { r.Conn.WriteRaw(s) }
 }
 
 // answerAll answers each message on a connection with the body, until the connection ends.
@@ -166,7 +166,7 @@
 			return
 		}
 		observe(m[1])
-		_, _ = io.WriteString(nc, fakeplatform.Message(m[1], "ok", "-", body))
+		_, _ = io.WriteString(nc, fakeplatform.EncodeMessage(m[1], "ok", "-", body))
 	}
 }
 
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -48,7 +48,7 @@
 				if result := fakeplatform.Await(t, ended, "the end"); result != dispatch.NotSent {
 					t.Errorf("result %v", result)
 				}
-				if got := w.Got(); len(got) > 0 {
+				if got := w.Received(); len(got) > 0 {
 					t.Errorf("the worker got %v", got)
 				}
 			})
@@ -63,16 +63,16 @@
 	h.waitForEndpoints()
 	x, _ := queueUnwritten(t, h, kindHealthCheck)
 	h.pool.dial(x.worker)
-	fakeplatform.Await(t, w.Came(), "the queued exchange")
+	fakeplatform.Await(t, w.Arrivals(), "the queued exchange")
 }
 
 // TestNoRetryAfterClientLeft: the client leaves during the first attempt, and the router has not yet been notified when that
 // ends. The retry that follows is not written.
 func TestNoRetryAfterClientLeft(t *testing.T) {
 	var left atomic.Bool
-	first := &fakeplatform.Worker{ID: "w", Act: func(r fakeplatform.Request) {
+	first := &fakeplatform.Worker{ID: "w", Handle: func(r fakeplatform.Request) {
 		left.Store(true)
-		r.Conn.Say(r.ID, "error", "-", "")
+		r.Conn.WriteMessage(r.ID, "error", "-", "")
 	}}
 	second := &fakeplatform.Worker{ID: "x"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "x"}}, first, second)
@@ -85,7 +85,7 @@
 		}
 	}
 	fakeplatform.Await(t, client, "the final answer")
-	if got := second.Got(); len(got) > 0 {
+	if got := second.Received(); len(got) > 0 {
 		t.Errorf("the second worker got %v", got)
 	}
 }
