--- a/internal/fake/fakeplatform/client.go
+++ b/internal/fake/fakeplatform/client.go
@@ -11,45 +11,63 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// Client is a stand-in client: it makes calls and records what comes of them.
+// responseGrace is how long after its deadline a client still waits for a response.
+const responseGrace = 5 * time.Second
+
+// Client is a fake client: it makes calls and records what comes of them.
 type Client struct {
 	BaseURL    string // "http://host:port"
 	Records    *invariants.Log
 	HTTPClient *http.Client
 }
 
-// Call makes one call and returns the answer's status, 0 for none, and its body.
-func (c *Client) Call(id, class, function string, deadline time.Duration) (int, string) {
-	began := c.Records.Now()
-	c.Records.Add(invariants.Record{Kind: invariants.Asked, Call: id, Request: id, Class: class, Router: "r", Deadline: began + deadline})
-	ctx, cancel := context.WithTimeout(context.Background(), deadline+5*time.Second)
+// Call makes one call. It returns the response's status and body, or 0 and an error's text where there is no complete
+// response.
+func (c *Client) Call(id, class, function string, deadline time.Duration) (status int, body string) {
+	started := c.Records.Now()
+	c.Records.Add(invariants.Record{Kind: invariants.Asked, Call: id, Request: id, Class: class, Router: routerName, Deadline: started + deadline})
+	ctx, cancel := context.WithTimeout(context.Background(), deadline+responseGrace)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "POST", c.BaseURL+"/call/"+function+"/call", strings.NewReader(id))
+	request, err := c.newRequest(ctx, id, class, function, deadline)
 	if err != nil {
 		return 0, err.Error()
 	}
-	req.Header.Set("X-Class", class)
-	req.Header.Set("X-Correlation-Id", id)
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
-	req.Header.Set("X-Operation-Key", "k"+id)
-	req.Header.Set("X-Estimate-Ms", "5")
-	req.Header.Set("X-Attrs", "memory_mb:512;lanes:2;load_ms:5")
-	resp, err := c.HTTPClient.Do(req)
+	response, err := c.HTTPClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(resp.Body)
+	defer func() { _ = response.Body.Close() }()
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	answer := invariants.Failed
-	switch resp.StatusCode {
-	case 200:
-		answer = invariants.Served
-	case 429, 503:
-		answer = invariants.Refused
+	c.Records.Add(invariants.Record{Kind: invariants.Answered, Call: id, Request: id, Class: class, Router: routerName,
+		Answer: answerOf(response.StatusCode)})
+	return response.StatusCode, string(raw)
+}
+
+func (c *Client) newRequest(ctx context.Context, id, class, function string, deadline time.Duration) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.BaseURL+"/call/"+function+"/call", strings.NewReader(id))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("X-Class", class)
+	request.Header.Set("X-Correlation-Id", id)
+	request.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
+	request.Header.Set("X-Operation-Key", "k"+id)
+	request.Header.Set("X-Estimate-Ms", "5")
+	request.Header.Set("X-Attrs", "memory_mb:512;lanes:2;load_ms:5")
+	return request, nil
+}
+
+// answerOf returns the final answer that a response's status stands for.
+func answerOf(status int) invariants.Answer {
+	switch status {
+	case http.StatusOK:
+		return invariants.Served
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return invariants.Refused
+	default:
+		return invariants.Failed
 	}
-	c.Records.Add(invariants.Record{Kind: invariants.Answered, Call: id, Request: id, Class: class, Router: "r", Answer: answer})
-	return resp.StatusCode, string(body)
 }
--- /dev/null
+++ b/internal/fake/fakeplatform/discovery.go
@@ -0,0 +1,168 @@
+package fakeplatform
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	// maxPollWaitMS is the longest time that a poll may ask to wait for events, in milliseconds.
+	maxPollWaitMS = 5000
+	// maxUnreadPolls bounds the polls that wait in DiscoveryServer.Polls. Beyond it a poll is not answered until one is
+	// read.
+	maxUnreadPolls = 1 << 12
+)
+
+// DiscoveryServer is a fake discovery server: it has a list of numbered events and answers long polls.
+type DiscoveryServer struct {
+	// Respond is called before each response, with the number of the poll, from 1, and the body that is to be sent. What
+	// it returns is written instead, as raw bytes without an HTTP header, and the connection is closed, with hold only
+	// when the server stops. With "" and without hold, or if Respond is nil, the response is the usual one.
+	Respond func(poll int, body string) (raw string, hold bool)
+
+	listener   net.Listener
+	httpServer *http.Server
+	polls      chan int
+	stop       chan struct{}  // closed by Stop
+	wg         sync.WaitGroup // of the goroutine that accepts connections
+
+	mu            sync.Mutex    // guards what follows
+	events        []string      // the first has revision 1
+	added         chan struct{} // closed and replaced when an event is added
+	pollCount     int
+	respondAtOnce bool
+}
+
+// StartDiscoveryServer starts a discovery server with events, the first of which has revision 1.
+func StartDiscoveryServer(events ...string) (*DiscoveryServer, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	s := &DiscoveryServer{listener: listener, events: events, added: make(chan struct{}), polls: make(chan int, maxUnreadPolls),
+		stop: make(chan struct{})}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /cmd/next", s.handlePoll)
+	s.httpServer = &http.Server{Handler: mux}
+	s.wg.Go(func() { _ = s.httpServer.Serve(listener) })
+	return s, nil
+}
+
+// Addr returns the address that the server listens on.
+func (s *DiscoveryServer) Addr() string { return s.listener.Addr().String() }
+
+// Stop closes the listener and all connections.
+func (s *DiscoveryServer) Stop() {
+	close(s.stop)
+	_ = s.httpServer.Close()
+	s.wg.Wait()
+}
+
+// AddEvent adds an event, which has the next revision. event is its JSON without the revision, such as `"nodes":{...}`.
+func (s *DiscoveryServer) AddEvent(event string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.events = append(s.events, event)
+	close(s.added)
+	s.added = make(chan struct{})
+}
+
+// RespondAtOnce has the server respond to each further poll at once, whether or not there are events.
+func (s *DiscoveryServer) RespondAtOnce() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.respondAtOnce = true
+}
+
+// Polls returns a channel that has the revision of each poll, in order.
+func (s *DiscoveryServer) Polls() <-chan int { return s.polls }
+
+// AllEvents returns the response to a poll from revision 0. It has the form of "known" in a configuration.
+func (s *DiscoveryServer) AllEvents() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.responseBody(0)
+}
+
+// responseBody returns the response with the events after a revision. The server's lock is held.
+func (s *DiscoveryServer) responseBody(revision int) string {
+	var events []string
+	for i := revision; i < len(s.events); i++ {
+		events = append(events, fmt.Sprintf(`{"cursor":%d,%s}`, i+1, s.events[i]))
+	}
+	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(s.events), strings.Join(events, ","))
+}
+
+// handlePoll responds with the events after the poll's revision, as soon as there are any or its wait is over.
+func (s *DiscoveryServer) handlePoll(w http.ResponseWriter, r *http.Request) {
+	revision, revisionErr := strconv.Atoi(r.URL.Query().Get("resume"))
+	waitMS, waitErr := strconv.Atoi(r.URL.Query().Get("block"))
+	if revisionErr != nil || waitErr != nil || waitMS < 0 || waitMS > maxPollWaitMS || revision < 0 {
+		http.Error(w, "bad question", http.StatusBadRequest)
+		return
+	}
+	s.mu.Lock()
+	s.pollCount++
+	poll := s.pollCount
+	added, last := s.added, len(s.events)
+	if s.respondAtOnce {
+		waitMS = 0
+	}
+	respond := s.Respond
+	s.mu.Unlock()
+	s.polls <- revision
+	if last <= revision {
+		select {
+		case <-added:
+		case <-time.After(time.Duration(waitMS) * time.Millisecond):
+		case <-r.Context().Done():
+			return
+		case <-s.stop:
+			return
+		}
+	}
+	s.mu.Lock()
+	body := s.responseBody(min(revision, len(s.events)))
+	s.mu.Unlock()
+	if respond != nil {
+		if raw, hold := respond(poll, body); raw != "" || hold {
+			s.writeRaw(w, raw, hold)
+			return
+		}
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = fmt.Fprint(w, body)
+}
+
+// writeRaw writes bytes in place of a response and closes the connection, with hold only when the server stops.
+func (s *DiscoveryServer) writeRaw(w http.ResponseWriter, raw string, hold bool) {
+	netConn, buffered, err := http.NewResponseController(w).Hijack()
+	if err != nil {
+		return
+	}
+	_, _ = buffered.WriteString(raw)
+	_ = buffered.Flush()
+	if hold {
+		<-s.stop
+	}
+	_ = netConn.Close()
+}
+
+// EndpointsEvent returns an event about workers, for AddEvent. Each worker is "id address state", or "id address state
+// cell start" with the start in Unix milliseconds, such as "a 127.0.0.1:1 active 0 1700000000000". snapshot is whether
+// the event has all workers that there are.
+func EndpointsEvent(snapshot bool, workers ...string) string {
+	var members []string
+	for _, worker := range workers {
+		words := append(strings.Fields(worker), "0", "0")
+		members = append(members, fmt.Sprintf(
+			`{"id":%q,"host_port":%q,"phase":%q,"cell":%s,"up_since_ms":%s,"locality":"z","flavor":"k","size":1.0}`,
+			words[0], words[1], words[2], words[3], words[4]))
+	}
+	return fmt.Sprintf(`"nodes":{"revision":1,"complete":%v,"members":[%s]}`, snapshot, strings.Join(members, ","))
+}
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -1,112 +1,85 @@
-// Package fakeplatform stands in for the parties of the users' platform: workers behind arrays of bulk strings, the
-// command channel, and clients. They are built on the standard library alone, so that they share no parser with what
-// they test, and record what they see at their own ends of the sockets.
 package fakeplatform
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"net"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// Request is one message as a worker got it.
-type Request struct {
-	Command string
-	ID      string
-	Fields  map[string]string
-	Body    string
-	Conn    *Conn
-}
+// routerName is the router's name in the records: a worker sees no names, and the tests run one router.
+const routerName = "r"
+
+// maxUnreadArrivals bounds the arrivals that wait in Worker.Arrivals. Further ones are dropped.
+const maxUnreadArrivals = 1 << 16
 
-// Worker is a stand-in worker. Its fields are set before it is started.
+// Worker is a fake worker. Its exported fields are set before Start.
 type Worker struct {
 	ID                string
 	Records           *invariants.Log // nil: nothing is recorded
-	WorkDuration      time.Duration
-	DeduplicatedClass string // a class whose repeats, by their key, are not run again
-	// Act is what the worker does with a message; nil answers as a healthy one. It runs on the connection's
-	// goroutine, or on its own for a healthy one.
+	WorkDuration      time.Duration   // of a request
+	DeduplicatedClass string          // a class of which a request with a known idempotency key is not run again
+	// Handle handles a message. It is called on the connection's goroutine. nil: messages are handled by HandleHealthy,
+	// each on a goroutine of its own.
 	Handle func(r Request)
 
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[*Conn]struct{}
-	got   []Request
-	held  map[string]int
-	keys  map[string]bool // that ran, of the class whose repeats are dropped
-	came  chan struct{}
-	wg    sync.WaitGroup
+	listener net.Listener
+	arrivals chan struct{}
+	wg       sync.WaitGroup // of all goroutines; Stop waits for it
+
+	mu           sync.Mutex // guards what follows
+	conns        map[*Conn]struct{}
+	received     []Request
+	inFlight     map[string]int  // requests, by function
+	executedKeys map[string]bool // idempotency keys of requests that ran
 }
 
-// Conn is one connection to a worker.
+// Conn is one connection to a worker. Its writes may be called from any goroutine.
 type Conn struct {
 	net.Conn
-	mu sync.Mutex
+	mu sync.Mutex // held while a message is written
 }
 
-// Say writes one answer.
+// WriteMessage writes an array of bulk strings.
 func (c *Conn) WriteMessage(items ...string) {
 	c.WriteRaw(EncodeMessage(items...))
 }
 
-// Raw writes bytes as they are.
-func (c *Conn) WriteRaw(s string) {
+// WriteRaw writes bytes as they are. An error is ignored: the router sees the lost connection, and the worker's reader
+// too.
+func (c *Conn) WriteRaw(raw string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = io.WriteString(c.Conn, s)
-}
-
-// Message is an array of bulk strings.
-func EncodeMessage(items ...string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(items))
-	for _, it := range items {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(it), it)
-	}
-	return b.String()
+	_, _ = io.WriteString(c.Conn, raw)
 }
 
-// Start listens; address may name a port that another worker has left.
+// Start starts the worker. address may name the port of a worker that was stopped.
 func (w *Worker) Start(address string) error {
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	w.ln, w.conns, w.held, w.keys, w.came = ln, map[*Conn]struct{}{}, map[string]int{}, map[string]bool{}, make(chan struct{}, 1<<16)
-	w.wg.Go(func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			c := &Conn{Conn: nc}
-			w.mu.Lock()
-			w.conns[c] = struct{}{}
-			w.mu.Unlock()
-			w.wg.Go(func() { w.serve(c) })
-		}
-	})
+	w.listener, w.arrivals = listener, make(chan struct{}, maxUnreadArrivals)
+	w.conns, w.inFlight, w.executedKeys = map[*Conn]struct{}{}, map[string]int{}, map[string]bool{}
+	w.wg.Go(w.accept)
 	return nil
 }
 
-// Addr is where the worker listens.
-func (w *Worker) Addr() string { return w.ln.Addr().String() }
+// Addr returns the address that the worker listens on.
+func (w *Worker) Addr() string { return w.listener.Addr().String() }
 
-// Stop ends the worker: its connections are reset.
+// Stop stops the worker: its connections are reset. It returns when the handling of all messages has ended.
 func (w *Worker) Stop() {
-	_ = w.ln.Close()
+	_ = w.listener.Close()
 	w.mu.Lock()
 	for c := range w.conns {
-		if t, ok := c.Conn.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
+		if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
+			_ = tcpConn.SetLinger(0) // the close sends a reset
 		}
 		_ = c.Close()
 	}
@@ -114,23 +87,40 @@
 	w.wg.Wait()
 }
 
-// Got is what the worker has got so far.
+// Received returns the messages received so far.
 func (w *Worker) Received() []Request {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Request(nil), w.got...)
+	return append([]Request(nil), w.received...)
 }
 
-// Conns is how many connections are open.
+// Connections returns how many connections are open.
 func (w *Worker) Connections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.conns)
 }
 
-// Came has a value for each message that has come.
-func (w *Worker) Arrivals() <-chan struct{} { return w.came }
+// Arrivals returns a channel that has a value for each message received.
+func (w *Worker) Arrivals() <-chan struct{} { return w.arrivals }
 
+// accept accepts connections until the listener is closed.
+func (w *Worker) accept() {
+	for {
+		netConn, err := w.listener.Accept()
+		if err != nil {
+			return
+		}
+		c := &Conn{Conn: netConn}
+		w.mu.Lock()
+		w.conns[c] = struct{}{}
+		w.mu.Unlock()
+		w.wg.Go(func() { w.serve(c) })
+	}
+}
+
+// serve handles the messages of a connection until it ends or a message can't be used. The platform's workers close the
+// connection then, too.
 func (w *Worker) serve(c *Conn) {
 	defer func() {
 		_ = c.Close()
@@ -144,129 +134,82 @@
 		if err != nil {
 			return
 		}
-		r, err := requestOf(items)
+		request, err := parseRequest(items)
 		if err != nil {
-			return // as the platform's own do
-		}
-		r.Conn = c
-		w.mu.Lock()
-		w.got = append(w.got, r)
-		w.mu.Unlock()
-		select {
-		case w.came <- struct{}{}:
-		default:
-		}
-		if w.Records != nil && r.Command == "exec" {
-			w.Records.Add(invariants.Record{Kind: invariants.Got, Router: "r", Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
-		}
-		if w.Records != nil && r.Command == "ensure" {
-			n, _ := strconv.Atoi(r.Fields["slots_up"])
-			w.Records.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.ID, Copies: n, Router: "r"})
+			return
 		}
+		request.Conn = c
+		w.recordReceived(request)
 		if w.Handle != nil {
-			w.Handle(r)
+			w.Handle(request)
 		} else {
-			w.wg.Go(func() { w.HandleHealthy(r) })
+			w.wg.Go(func() { w.HandleHealthy(request) })
 		}
 	}
 }
 
-// Healthy does what a healthy worker does.
+// recordReceived keeps a message for Received, announces it on Arrivals and records it.
+func (w *Worker) recordReceived(request Request) {
+	w.mu.Lock()
+	w.received = append(w.received, request)
+	w.mu.Unlock()
+	select {
+	case w.arrivals <- struct{}{}:
+	default:
+	}
+	if w.Records == nil {
+		return
+	}
+	switch request.Command {
+	case execCommand:
+		w.Records.Add(invariants.Record{Kind: invariants.Got, Router: routerName, Call: request.ID, Request: request.Body,
+			Class: request.Fields[classField], Worker: w.ID})
+	case ensureCommand:
+		copies, _ := strconv.Atoi(request.Fields[copiesField])
+		w.Records.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.ID, Copies: copies, Router: routerName})
+	}
+}
+
+// HandleHealthy handles a message as a healthy worker does.
 func (w *Worker) HandleHealthy(r Request) {
 	switch r.Command {
-	case "exec":
-		w.mu.Lock()
-		company := w.held[r.Fields["item"]]
-		w.held[r.Fields["item"]]++
-		all := 0
-		for _, n := range w.held {
-			all += n
-		}
-		w.mu.Unlock()
-		w.RecordExecution(r)
-		time.Sleep(w.WorkDuration)
-		w.mu.Lock()
-		w.held[r.Fields["item"]]--
-		w.mu.Unlock()
-		r.Conn.WriteMessage(r.ID, "ok", fmt.Sprintf("company=%d,meter=inflight:%d;util:0.5", company, all), "done "+r.Body)
-	case "ensure":
-		r.Conn.WriteMessage(r.ID, "ok", "slots_up="+r.Fields["slots_up"], "")
-	case "load", "health":
+	case execCommand:
+		w.handleExec(r)
+	case ensureCommand:
+		r.Conn.WriteMessage(r.ID, "ok", copiesField+"="+r.Fields[copiesField], "")
+	case loadCommand, healthCommand:
 		r.Conn.WriteMessage(r.ID, "yes", "meter=inflight:1", "")
 	}
 }
 
-// Run records that a request runs, unless it is a repeat that is dropped.
-func (w *Worker) RecordExecution(r Request) {
+// handleExec runs a request for WorkDuration. The reply reports the requests that the worker holds, and in "company"
+// how many others of the function it held when the request came.
+func (w *Worker) handleExec(r Request) {
+	function := r.Fields[functionField]
 	w.mu.Lock()
-	key := r.Fields["nonce"]
-	again := w.DeduplicatedClass != "" && r.Fields["cls"] == w.DeduplicatedClass && w.keys[key]
-	w.keys[key] = true
-	w.mu.Unlock()
-	if w.Records != nil && !again {
-		w.Records.Add(invariants.Record{Kind: invariants.Ran, Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
+	others := w.inFlight[function]
+	w.inFlight[function]++
+	total := 0
+	for _, n := range w.inFlight {
+		total += n
 	}
+	w.mu.Unlock()
+	w.RecordExecution(r)
+	time.Sleep(w.WorkDuration)
+	w.mu.Lock()
+	w.inFlight[function]--
+	w.mu.Unlock()
+	r.Conn.WriteMessage(r.ID, "ok", fmt.Sprintf("company=%d,meter=inflight:%d;util:0.5", others, total), "done "+r.Body)
 }
 
-// ReadMessage reads an array of bulk strings.
-func ReadMessage(in *bufio.Reader) ([]string, error) {
-	length := func(kind byte) (int, error) {
-		l, err := in.ReadString('\n')
-		if err != nil {
-			return 0, err
-		}
-		if len(l) < 4 || l[0] != kind {
-			return 0, errors.New("not an array of bulk strings")
-		}
-		return strconv.Atoi(strings.TrimSuffix(l[1:], "\r\n"))
-	}
-	n, err := length('*')
-	if err != nil || n < 1 || n > 16 {
-		return nil, errors.Join(err, errors.New("no array"))
-	}
-	items := make([]string, n)
-	for i := range items {
-		size, err := length('$')
-		if err != nil || size < 0 || size > 64<<20 {
-			return nil, errors.Join(err, errors.New("no bulk string"))
-		}
-		b := make([]byte, size+2)
-		if _, err := io.ReadFull(in, b); err != nil {
-			return nil, err
-		}
-		items[i] = string(b[:size])
-	}
-	return items, nil
-}
-
-// requestOf reads a message to a worker; anything unusable is an error.
-func requestOf(items []string) (Request, error) {
-	r := Request{Command: items[0]}
-	want := map[string]int{"exec": 4, "drop": 2, "ensure": 3, "release": 2, "load": 2, "health": 2}[r.Command]
-	if len(items) != want {
-		return r, fmt.Errorf("%s with %d items", r.Command, len(items))
-	}
-	r.ID = items[1]
-	fields := ""
-	if len(items) > 2 {
-		fields = items[2]
-	}
-	if len(items) > 3 {
-		r.Body = items[3]
-	}
-	r.Fields = map[string]string{}
-	for _, pair := range strings.Split(fields, ",") {
-		if name, value, ok := strings.Cut(pair, "="); ok && value != "" {
-			r.Fields[name] = value
-		} else if pair != "" {
-			return r, fmt.Errorf("field %q", pair)
-		}
-	}
-	if r.Command == "exec" {
-		limit, err := strconv.Atoi(r.Fields["limit"])
-		if err != nil || limit <= 0 || len(r.ID) != 16 || len(r.Fields["item"]) != 16 || r.Fields["cls"] == "" {
-			return r, fmt.Errorf("unusable exec %q", items)
-		}
+// RecordExecution records that a request runs, unless it is a repeat that is not run.
+func (w *Worker) RecordExecution(r Request) {
+	w.mu.Lock()
+	key := r.Fields[idempotencyKeyField]
+	repeated := w.DeduplicatedClass != "" && r.Fields[classField] == w.DeduplicatedClass && w.executedKeys[key]
+	w.executedKeys[key] = true
+	w.mu.Unlock()
+	if w.Records != nil && !repeated {
+		w.Records.Add(invariants.Record{Kind: invariants.Ran, Call: r.ID, Request: r.Body, Class: r.Fields[classField], Worker: w.ID})
 	}
-	return r, nil
 }
