--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -8,6 +8,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // formatList formats an endpoint list as "id@address, id@address drains".
@@ -36,7 +37,7 @@
 func constantRouterTime(time.Time) time.Duration { return 1 }
 
 // startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
-// respond is the server's Answer. The channel returned has each further list, formatted.
+// respond is the server's Respond. The channel returned has each further list, formatted.
 func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
 	return startWatcherWithWait(t, 200*time.Millisecond, respond)
@@ -59,7 +60,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { watcher.Close(); server.Stop() })
-	if got := fakeplatform.Await(t, lists, "the initial list"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
+	if got := testsupport.Await(t, lists, "the initial list"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
 		t.Fatalf("initial list: %s", got)
 	}
 	return server, watcher, lists
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -7,21 +7,22 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 func TestWatchAppliesUpdates(t *testing.T) {
 	server, _, lists := startWatcher(t, nil)
 	server.AddEvent(fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 leaving"))
-	if got := fakeplatform.Await(t, lists, "the drain"); got != "a@1.1.1.1:1 drains, b@1.1.1.2:1" {
+	if got := testsupport.Await(t, lists, "the drain"); got != "a@1.1.1.1:1 drains, b@1.1.1.2:1" {
 		t.Errorf("after the drain: %s", got)
 	}
 	server.AddEvent(fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 left", "c 1.1.1.1:1 active")) // a new endpoint at the old address
-	if got := fakeplatform.Await(t, lists, "the change"); got != "b@1.1.1.2:1, c@1.1.1.1:1" {
+	if got := testsupport.Await(t, lists, "the change"); got != "b@1.1.1.2:1, c@1.1.1.1:1" {
 		t.Errorf("after the change: %s", got)
 	}
 	server.AddEvent(`"other":{"x":1}`) // an event of another kind advances the revision and changes nothing
 	server.AddEvent(fakeplatform.EndpointsEvent(true, "d 1.1.1.4:1 active"))
-	if got := fakeplatform.Await(t, lists, "the snapshot"); got != "d@1.1.1.4:1" {
+	if got := testsupport.Await(t, lists, "the snapshot"); got != "d@1.1.1.4:1" {
 		t.Errorf("after a snapshot: %s", got)
 	}
 }
@@ -84,8 +85,8 @@
 				}
 			})
 			server.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
-			fakeplatform.Await(t, brokenSent, "the broken response")
-			if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+			testsupport.Await(t, brokenSent, "the broken response")
+			if got := testsupport.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 				t.Errorf("list %s", got)
 			}
 			if stats := watcher.Stats(); stats.Revision != 2 || stats.Events != 1 || stats.FailedPolls == 0 {
@@ -105,17 +106,17 @@
 func TestSetAddressKeepsRevision(t *testing.T) {
 	oldServer, watcher, lists := startWatcher(t, nil)
 	oldServer.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
-	fakeplatform.Await(t, lists, "the second event")
+	testsupport.Await(t, lists, "the second event")
 	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`, `"x":2`, fakeplatform.EndpointsEvent(false, "d 1.1.1.4:1 active"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer newServer.Stop()
 	watcher.SetAddress(newServer.Addr())
-	if revision := fakeplatform.Await(t, newServer.Polls(), "a poll at the new address"); revision != 2 {
+	if revision := testsupport.Await(t, newServer.Polls(), "a poll at the new address"); revision != 2 {
 		t.Errorf("polled from revision %d", revision)
 	}
-	if got := fakeplatform.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
+	if got := testsupport.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
 		t.Errorf("list %s", got)
 	}
 	if stats := watcher.Stats(); stats.Revision != 3 || stats.AddressChanges != 1 {
@@ -128,7 +129,7 @@
 func TestPendingPollIsInterrupted(t *testing.T) {
 	const pollWait = 5 * time.Second
 	oldServer, watcher, _ := startWatcherWithWait(t, pollWait, nil)
-	fakeplatform.Await(t, oldServer.Polls(), "a poll at the old address")
+	testsupport.Await(t, oldServer.Polls(), "a poll at the old address")
 	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`)
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +137,7 @@
 	defer newServer.Stop()
 	startedAt := time.Now()
 	watcher.SetAddress(newServer.Addr())
-	fakeplatform.Await(t, newServer.Polls(), "a poll at the new address")
+	testsupport.Await(t, newServer.Polls(), "a poll at the new address")
 	if elapsed := time.Since(startedAt); elapsed > pollWait/2 {
 		t.Errorf("polled at the new address after %v", elapsed)
 	}
@@ -157,7 +158,7 @@
 		t.Errorf("%d polls in 0.3 s", stats.Polls)
 	}
 	server.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
-	if got := fakeplatform.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+	if got := testsupport.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 		t.Errorf("list %s", got)
 	}
 }
--- a/internal/fake/fakeplatform/message.go
+++ b/internal/fake/fakeplatform/message.go
@@ -12,9 +12,9 @@
 // The commands of messages to workers.
 const (
 	execCommand    = "exec"    // run a request
-	dropCommand    = "drop"    // forget a request
+	dropCommand    = "drop"    // cancel a request
 	ensureCommand  = "ensure"  // hold copies of a function
-	releaseCommand = "release" // give up copies of a function
+	releaseCommand = "release" // has no reply, and no effect on a fake
 	loadCommand    = "load"    // report the load
 	healthCommand  = "health"  // report the readiness
 )
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -19,6 +19,7 @@
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // childConfigVariable is the environment variable that has the test binary run a router, by the configuration file that
@@ -122,7 +123,7 @@
 	p.t.Helper()
 	exited := make(chan error, 1)
 	go func() { exited <- p.cmd.Wait() }()
-	if err := fakeplatform.Await(p.t, exited, "the end of the process"); err != nil {
+	if err := testsupport.Await(p.t, exited, "the end of the process"); err != nil {
 		p.t.Error(err)
 	}
 }
@@ -177,7 +178,7 @@
 	p.writeConfig(configJSON(discovery.Addr(), initialSnapshot(first)))
 	p.sendSignal(syscall.SIGHUP)
 	for revision := -1; revision != 2; { // polled from revision 2: the second event was applied
-		revision = fakeplatform.Await(t, discovery.Polls(), "a poll")
+		revision = testsupport.Await(t, discovery.Polls(), "a poll")
 	}
 	client.HTTPClient.CloseIdleConnections()
 	requireServed(t, client, 2)
@@ -243,7 +244,7 @@
 		conns = append(conns, conn)
 	}
 	_, _ = io.WriteString(conns[0], rawRequest(1))
-	fakeplatform.Await(t, w.Arrivals(), "the first call at the worker")
+	testsupport.Await(t, w.Arrivals(), "the first call at the worker")
 	_, _ = io.WriteString(conns[1], rawRequest(2)[:60])
 	p.sendSignal(syscall.SIGTERM)
 	p.waitForLine("msg=stopping")
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestShutdownAnswersPendingCalls has clients wait for longer than the process lives on after SIGTERM, and workers
@@ -36,7 +37,7 @@
 	}
 	want := map[string]int{"safe": 503, "keyed": 502, "unsafe": 502}
 	for range 3 {
-		if a := fakeplatform.Await(t, answers, "an answer"); a.status != want[a.class] {
+		if a := testsupport.Await(t, answers, "an answer"); a.status != want[a.class] {
 			t.Errorf("%s: status %d, want %d", a.class, a.status, want[a.class])
 		}
 	}
--- a/internal/httprouter/signals_test.go
+++ b/internal/httprouter/signals_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // runningRouter is Run in the test's own process.
@@ -110,7 +110,7 @@
 	last := startDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
 	router.writeConfig(configJSON(last.Addr(), h.discovery.AllEvents()))
 	router.sendSIGHUP() // right after SIGTERM: workers drain while the last calls are served
-	if revision := fakeplatform.Await(t, last.Polls(), "a poll at the last address"); revision != 2 {
+	if revision := testsupport.Await(t, last.Polls(), "a poll at the last address"); revision != 2 {
 		t.Errorf("polled from revision %d at the last address", revision)
 	}
 	h.requireServedDuringShutdown()
--- a/internal/upstream/respupstream/conn_test.go
+++ b/internal/upstream/respupstream/conn_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestAttemptAfterIdleResetUsesAnotherConnection: an attempt that finds its connection reset before a byte was accepted is
@@ -14,14 +15,14 @@
 func TestAttemptAfterIdleResetUsesAnotherConnection(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
-	fakeplatform.Await(t, h.submit(15*time.Second), "the first answer")
-	fakeplatform.Await(t, h.dispatcher.outcomes, "its outcome")
+	testsupport.Await(t, h.submit(15*time.Second), "the first answer")
+	testsupport.Await(t, h.dispatcher.outcomes, "its outcome")
 	for _, r := range w.Received() {
 		_ = r.Conn.Close()
 	}
 	for range 20 {
-		final := fakeplatform.Await(t, h.submit(15*time.Second), "an answer")
-		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result == dispatch.OK && string(final.Attempt.Body) == "done body" {
+		final := testsupport.Await(t, h.submit(15*time.Second), "an answer")
+		if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result == dispatch.OK && string(final.Attempt.Body) == "done body" {
 			return
 		}
 	}
@@ -43,14 +44,14 @@
 		h.submit(15 * time.Second)
 	}
 	for range 40 {
-		fakeplatform.Await(t, w.Arrivals(), "an attempt")
+		testsupport.Await(t, w.Arrivals(), "an attempt")
 	}
 	if stats := h.pool.Stats(); stats.Conns > 3 || stats.InFlight != 40 {
 		t.Errorf("%+v", stats)
 	}
 	close(release)
 	for range 40 {
-		fakeplatform.Await(t, h.dispatcher.outcomes, "an outcome")
+		testsupport.Await(t, h.dispatcher.outcomes, "an outcome")
 	}
 	for range 2000 {
 		if h.pool.Stats().Conns == 0 && w.Connections() == 0 {
--- a/internal/upstream/respupstream/dial_test.go
+++ b/internal/upstream/respupstream/dial_test.go
@@ -12,6 +12,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestRefusedConnectionIsConnectFailed: a refused connect proves that nothing ran.
@@ -20,7 +21,7 @@
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 	w.Stop()
 	h.submit(15 * time.Second)
-	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectFailed {
+	if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectFailed {
 		t.Errorf("%+v", ended)
 	}
 }
@@ -32,7 +33,7 @@
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
 	h.submit(20 * time.Second)
-	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectFailed {
+	if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectFailed {
 		t.Errorf("%+v", ended)
 	}
 	if stats := h.pool.Stats(); stats.Written != 0 || stats.Conns != 0 {
@@ -58,7 +59,7 @@
 			go answerAll(nc, "late but whole", func(string) {})
 		}
 	}()
-	if final := fakeplatform.Await(t, client, "the answer"); final.Attempt == nil || string(final.Attempt.Body) != "late but whole" {
+	if final := testsupport.Await(t, client, "the answer"); final.Attempt == nil || string(final.Attempt.Body) != "late but whole" {
 		t.Errorf("%+v", final)
 	}
 }
--- a/internal/upstream/respupstream/evidence_test.go
+++ b/internal/upstream/respupstream/evidence_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestAttemptResults covers the rows of the table in evidence.go that a worker causes: what it does, and the result that the
@@ -48,14 +49,14 @@
 			t.Parallel()
 			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w", Handle: test.act})
 			client := h.submit(15 * time.Second)
-			ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome")
+			ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome")
 			if ended.Result != test.result || ended.Final != (test.result == dispatch.OK) {
 				t.Errorf("outcome %+v, want result %v", ended, test.result)
 			}
 			if name == "ok with a load report" && (ended.FunctionInFlight != 3 || ended.LoadReport.InFlight != 7) {
 				t.Errorf("report %+v", ended)
 			}
-			final := fakeplatform.Await(t, client, "the final answer")
+			final := testsupport.Await(t, client, "the final answer")
 			if test.result == dispatch.OK && string(final.Attempt.Body) != "answer" {
 				t.Errorf("the client got %q", final.Attempt.Body)
 			}
@@ -79,7 +80,7 @@
 		h.submit(15 * time.Second)
 	}
 	for range 3 {
-		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectionReset {
+		if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectionReset {
 			t.Errorf("%+v", ended)
 		}
 	}
@@ -104,7 +105,7 @@
 		conns[1].WriteMessage(r.ID, "ok", "-", "its own")
 	}}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "w"}}, w)
-	final := fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
+	final := testsupport.Await(t, h.submit(15*time.Second), "the answer")
 	mu.Lock()
 	defer mu.Unlock()
 	if string(final.Attempt.Body) != "its own" || conns[0] == conns[1] {
@@ -118,7 +119,7 @@
 	w := &fakeplatform.Worker{ID: "w", Handle: replyRaw("*4\r\n$16\r\n")}
 	h := newHarness(t, func(c *Config) { c.StallTimeout = 50 * time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 	h.submit(15 * time.Second)
-	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectionReset {
+	if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.ConnectionReset {
 		t.Errorf("%+v", ended)
 	}
 }
--- a/internal/upstream/respupstream/exchange_test.go
+++ b/internal/upstream/respupstream/exchange_test.go
@@ -10,13 +10,14 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestAttemptCarriesRequestUnchanged: id, class, key and body are unchanged, and the limit is the remaining deadline.
 func TestAttemptCarriesRequestUnchanged(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
-	fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
+	testsupport.Await(t, h.submit(15*time.Second), "the answer")
 	r := w.Received()[0]
 	if r.Command != "exec" || r.ID != "0000000000000001" || r.Body != "body" || r.Fields["cls"] != "c" || r.Fields["item"] != testFunction || r.Fields["nonce"] != "k1" {
 		t.Errorf("%+v", r)
@@ -50,15 +51,15 @@
 	client := make(testClient, 1)
 	cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
-	fakeplatform.Await(t, w.Arrivals(), "the attempt")
+	testsupport.Await(t, w.Arrivals(), "the attempt")
 	cancel()
-	if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.Cancelled {
+	if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != dispatch.Cancelled {
 		t.Errorf("%+v", ended)
 	}
-	if r := fakeplatform.Await(t, cancellations, "the cancellation"); r.ID != strings.Repeat("a", 16) {
+	if r := testsupport.Await(t, cancellations, "the cancellation"); r.ID != strings.Repeat("a", 16) {
 		t.Errorf("cancelled %q", r.ID)
 	}
-	if final := fakeplatform.Await(t, h.submit(15*time.Second), "the answer to the second"); string(final.Attempt.Body) != "second" {
+	if final := testsupport.Await(t, h.submit(15*time.Second), "the answer to the second"); string(final.Attempt.Body) != "second" {
 		t.Errorf("%q", final.Attempt.Body)
 	}
 }
@@ -67,11 +68,11 @@
 func TestLoadsAndHealthChecks(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}, loadWorker: "w", checkWorker: "w"}, w)
-	fakeplatform.Await(t, h.submit(15*time.Second), "the answer")
-	if result := fakeplatform.Await(t, h.dispatcher.loaded, "the load result"); result.Result != dispatch.OK || result.Copies != 2 || result.Function != testFunction {
+	testsupport.Await(t, h.submit(15*time.Second), "the answer")
+	if result := testsupport.Await(t, h.dispatcher.loaded, "the load result"); result.Result != dispatch.OK || result.Copies != 2 || result.Function != testFunction {
 		t.Errorf("%+v", result)
 	}
-	if result := fakeplatform.Await(t, h.dispatcher.checked, "the health check result"); result.Result != dispatch.OK || result.LoadReport.InFlight != 1 {
+	if result := testsupport.Await(t, h.dispatcher.checked, "the health check result"); result.Result != dispatch.OK || result.LoadReport.InFlight != 1 {
 		t.Errorf("%+v", result)
 	}
 	for _, r := range w.Received() {
--- a/internal/upstream/respupstream/golden_test.go
+++ b/internal/upstream/respupstream/golden_test.go
@@ -15,6 +15,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // wireRecorder accepts one connection and passes on each message as the bytes that came. It answers an attempt, a load
@@ -61,7 +62,7 @@
 	limit := regexp.MustCompile(`limit=([0-9]{7})\b`)
 	expect := func(what, want string) {
 		t.Helper()
-		got := fakeplatform.Await(t, messages, what)
+		got := testsupport.Await(t, messages, what)
 		if m := limit.FindStringSubmatch(got); m != nil {
 			if ms, _ := strconv.Atoi(m[1]); ms > 3600000 || ms < 3570000 {
 				t.Errorf("%s: limit %d ms", what, ms)
@@ -85,19 +86,19 @@
 	client, _ := submit("00000000000000a1", "renew", testFunction, "k-1", "a\r\nbody")
 	expect("an attempt", "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n"+
 		"$55\r\ncls=renew,item=7f3a9c21e0b4d655,limit=#######,nonce=k-1\r\n$7\r\na\r\nbody\r\n")
-	fakeplatform.Await(t, client, "the answer")
+	testsupport.Await(t, client, "the answer")
 
 	loaded := make(chan router.LoadResult, 1)
 	h.pool.LoadFunction("w", testFunction, 2, 15*time.Second, func(r router.LoadResult) { loaded <- r })
 	expect("a load command", "*3\r\n$6\r\nensure\r\n$2\r\nq1\r\n$32\r\nitem=7f3a9c21e0b4d655,slots_up=2\r\n")
-	if r := fakeplatform.Await(t, loaded, "the load result"); r.Result != dispatch.OK || r.Copies != 2 {
+	if r := testsupport.Await(t, loaded, "the load result"); r.Result != dispatch.OK || r.Copies != 2 {
 		t.Errorf("load result %+v", r)
 	}
 
 	checked := make(chan router.HealthResult, 1)
 	h.pool.CheckHealth("w", 15*time.Second, func(r router.HealthResult) { checked <- r })
 	expect("a health check", "*2\r\n$4\r\nload\r\n$2\r\nq2\r\n")
-	if r := fakeplatform.Await(t, checked, "the health result"); r.Result != dispatch.OK || !r.Ready {
+	if r := testsupport.Await(t, checked, "the health result"); r.Result != dispatch.OK || !r.Ready {
 		t.Errorf("health result %+v", r)
 	}
 
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -12,6 +12,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestQueuedExchangeIsRecheckedBeforeWrite: while a connect hung the worker began to drain, was removed, was replaced at its
@@ -45,7 +46,7 @@
 				h.router.SetEndpoints(h.endpoints)
 				h.waitForEndpoints()
 				h.pool.dial(x.worker) // the connect succeeds
-				if result := fakeplatform.Await(t, ended, "the end"); result != dispatch.NotSent {
+				if result := testsupport.Await(t, ended, "the end"); result != dispatch.NotSent {
 					t.Errorf("result %v", result)
 				}
 				if got := w.Received(); len(got) > 0 {
@@ -63,7 +64,7 @@
 	h.waitForEndpoints()
 	x, _ := queueUnwritten(t, h, kindHealthCheck)
 	h.pool.dial(x.worker)
-	fakeplatform.Await(t, w.Arrivals(), "the queued exchange")
+	testsupport.Await(t, w.Arrivals(), "the queued exchange")
 }
 
 // TestNoRetryAfterClientLeft: the client leaves during the first attempt, and the router has not yet been notified when that
@@ -80,11 +81,11 @@
 	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client, ClientLeft: left.Load,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
 	for _, want := range []dispatch.Result{dispatch.Errored, dispatch.NotSent} {
-		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != want {
+		if ended := testsupport.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != want {
 			t.Errorf("%+v, want result %v", ended, want)
 		}
 	}
-	fakeplatform.Await(t, client, "the final answer")
+	testsupport.Await(t, client, "the final answer")
 	if got := second.Received(); len(got) > 0 {
 		t.Errorf("the second worker got %v", got)
 	}
@@ -122,16 +123,16 @@
 		h.waitForEndpoints()
 	}
 	close(startReading)
-	if final := fakeplatform.Await(t, big, "the answer to the first"); string(final.Attempt.Body) != "answer" {
+	if final := testsupport.Await(t, big, "the answer to the first"); string(final.Attempt.Body) != "answer" {
 		t.Errorf("%+v", final)
 	}
-	fakeplatform.Await(t, small, "the final answer to the second")
+	testsupport.Await(t, small, "the final answer to the second")
 	for range 2 {
-		if ended := fakeplatform.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != dispatch.OK && ended.Result != dispatch.NotSent {
+		if ended := testsupport.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != dispatch.OK && ended.Result != dispatch.NotSent {
 			t.Errorf("%+v", ended)
 		}
 	}
-	if id := fakeplatform.Await(t, received, "the first request"); id != strings.Repeat("a", 16) || len(received) > 0 {
+	if id := testsupport.Await(t, received, "the first request"); id != strings.Repeat("a", 16) || len(received) > 0 {
 		t.Errorf("the worker got %s and %d more", id, len(received))
 	}
 }
