--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -42,7 +42,7 @@
 
 	pool        *grpcupstream.Pool
 	router      *router.Router
-	server      *grpcserver.Front
+	server      *grpcserver.Server
 	gossipAgent *agent.Agent     // nil: no gossip
 	adminServer *adminapi.Server // nil: no admin API
 
@@ -103,8 +103,8 @@
 		return err
 	}
 	<-g.followWorkers()
-	g.server, err = grpcserver.Listen(grpcserver.Config{Address: g.cfg.Listen, HTTP2: g.http2Config(), Intake: g.cfg.CallBuilder(),
-		Version: Version, Log: g.logger}, g.router)
+	g.server, err = grpcserver.Listen(grpcserver.Config{Address: g.cfg.Listen, HTTP2: g.http2Config(), CallBuilder: g.cfg.CallBuilder(),
+		Version: Version, Logger: g.logger}, g.router)
 	if err != nil {
 		return err
 	}
