--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -43,7 +43,10 @@
 	newHandler := func(*http2.Conn) http2.Handler { return connHandler{s} }
 	var err error
 	s.http2Server, err = http2.Listen("tcp", cfg.Address, cfg.HTTP2, newHandler)
-	return s, err
+	if err != nil {
+		return nil, err
+	}
+	return s, nil
 }
 
 // Addr returns the address that the server listens on.
