--- /dev/null
+++ b/internal/scenario/golden_test.go
@@ -0,0 +1,118 @@
+package scenario
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares bytes with a file under testdata.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs; got\n%s", path, got)
+	}
+}
+
+// fill sets every field to a value of its own, in the order of declaration, so that the goldens name no Go field.
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch v.Kind() {
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text %d", *n))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int:
+		v.SetInt(int64(*n))
+	case reflect.Uint64:
+		v.SetUint(uint64(*n))
+	case reflect.Float64:
+		v.SetFloat(float64(*n) + 0.25)
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			fill(v.Index(i), n)
+		}
+	case reflect.Array:
+		for i := range v.Len() {
+			fill(v.Index(i), n)
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), n)
+		}
+	default:
+		panic("no value for " + v.Type().String())
+	}
+}
+
+func TestGoldenReport(t *testing.T) {
+	var r Report
+	n := 0
+	fill(reflect.ValueOf(&r).Elem(), &n)
+	raw, err := json.MarshalIndent(&r, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "report.json", append(raw, '\n'))
+	path := filepath.Join(t.TempDir(), "report.json")
+	if err := r.Save(path); err != nil {
+		t.Fatal(err)
+	}
+	saved, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(saved, append(raw, '\n')) {
+		t.Errorf("saved:\n%s", saved)
+	}
+	var text bytes.Buffer
+	if err := r.Print(&text); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "report.txt", text.Bytes())
+}
+
+// TestGoldenScenarioFile reads a file with every key: each value must reach the field that it always reached, by
+// the order of the fields, and be written back under the same key.
+func TestGoldenScenarioFile(t *testing.T) {
+	raw, err := os.ReadFile("testdata/every-key.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := Parse("every-key.json", raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	back, err := json.MarshalIndent(s, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(append(back, '\n'), raw) {
+		t.Errorf("written back:\n%s", back)
+	}
+	gossip := *s.Gossip
+	flat := *s
+	flat.Gossip = nil
+	golden(t, "every-key.txt", fmt.Appendf(nil, "%v\n%v\n", flat, gossip))
+}
