--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -146,7 +146,7 @@
 		path = oip.StreamInfer
 	}
 	now := c.log.Now()
-	c.log.Add(invariants.Record{At: now, Kind: invariants.Asked, Call: call, Request: r.ID, Class: r.Class, Router: c.router,
+	c.log.Add(invariants.Record{At: now, Kind: invariants.CallSent, Call: call, Request: r.ID, Class: r.Class, Router: c.router,
 		Deadline: now + deadline})
 	x.asked = true
 	// The answer is waited for a while beyond the deadline, so that a late one is seen to be late.
@@ -188,7 +188,7 @@
 	over := x.over
 	x.mu.Unlock()
 	if !over && x.asked {
-		x.c.log.Add(invariants.Record{Kind: invariants.Left, Call: x.call, Class: x.req.Class, Router: x.c.router})
+		x.c.log.Add(invariants.Record{Kind: invariants.CallAbandoned, Call: x.call, Class: x.req.Class, Router: x.c.router})
 	}
 }
 
@@ -222,7 +222,7 @@
 	case r.Status.Code == grpc.OK:
 		r.Answer = invariants.Served
 	case r.Status.Code == grpc.Unavailable && told && r.Pushback >= 0:
-		r.Answer = invariants.Refused
+		r.Answer = invariants.Rejected
 	default:
 		r.Answer = invariants.Failed
 	}
@@ -232,7 +232,7 @@
 	if r.Answer == invariants.Served && cut {
 		r.Answer, r.Status = invariants.Failed, grpc.Status{Code: grpc.Internal, Message: "answer ends within a message"}
 	}
-	x.c.log.Add(invariants.Record{Kind: invariants.Answered, Call: x.call, Request: x.req.ID, Class: x.req.Class,
+	x.c.log.Add(invariants.Record{Kind: invariants.FinalAnswer, Call: x.call, Request: x.req.ID, Class: x.req.Class,
 		Router: x.c.router, Answer: r.Answer})
 	x.end(r)
 }
--- a/internal/fake/fakeplatform/client.go
+++ b/internal/fake/fakeplatform/client.go
@@ -21,7 +21,7 @@
 // Call makes one call and returns the answer's status, 0 for none, and its body.
 func (c *Client) Call(id, class, function string, deadline time.Duration) (int, string) {
 	began := c.Log.Now()
-	c.Log.Add(invariants.Record{Kind: invariants.Asked, Call: id, Request: id, Class: class, Router: "r", Deadline: began + deadline})
+	c.Log.Add(invariants.Record{Kind: invariants.CallSent, Call: id, Request: id, Class: class, Router: "r", Deadline: began + deadline})
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", c.Base+"/call/"+function+"/call", strings.NewReader(id))
@@ -48,8 +48,8 @@
 	case 200:
 		answer = invariants.Served
 	case 429, 503:
-		answer = invariants.Refused
+		answer = invariants.Rejected
 	}
-	c.Log.Add(invariants.Record{Kind: invariants.Answered, Call: id, Request: id, Class: class, Router: "r", Answer: answer})
+	c.Log.Add(invariants.Record{Kind: invariants.FinalAnswer, Call: id, Request: id, Class: class, Router: "r", Answer: answer})
 	return resp.StatusCode, string(body)
 }
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -157,11 +157,11 @@
 		default:
 		}
 		if w.Log != nil && r.Verb == "exec" {
-			w.Log.Add(invariants.Record{Kind: invariants.Got, Router: "r", Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
+			w.Log.Add(invariants.Record{Kind: invariants.AttemptReceived, Router: "r", Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
 		}
 		if w.Log != nil && r.Verb == "ensure" {
 			n, _ := strconv.Atoi(r.Fields["slots_up"])
-			w.Log.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.ID, Copies: n, Router: "r"})
+			w.Log.Add(invariants.Record{Kind: invariants.LoadCommandReceived, Worker: w.ID, Copies: n, Router: "r"})
 		}
 		if w.Act != nil {
 			w.Act(r)
@@ -204,7 +204,7 @@
 	w.keys[key] = true
 	w.mu.Unlock()
 	if w.Log != nil && !again {
-		w.Log.Add(invariants.Record{Kind: invariants.Ran, Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
+		w.Log.Add(invariants.Record{Kind: invariants.RunStarted, Call: r.ID, Request: r.Body, Class: r.Fields["cls"], Worker: w.ID})
 	}
 }
 
--- a/internal/fake/fakeworker/serve.go
+++ b/internal/fake/fakeworker/serve.go
@@ -149,7 +149,7 @@
 			return
 		}
 		if !w.draining {
-			w.record(invariants.Record{Kind: invariants.Ready, Worker: w.cfg.ID, Router: r.router})
+			w.record(invariants.Record{Kind: invariants.WorkerReady, Worker: w.cfg.ID, Router: r.router})
 		}
 		r.unary(&inference.ServerReadyResponse{Ready: !w.draining}, w.report(nil))
 	case oip.Index:
@@ -207,7 +207,7 @@
 func (r *reply) load(m *inference.RepositoryModelLoadRequest) {
 	w := r.w
 	copies := int(m.Parameters[oip.ParamCopies].GetInt64Param())
-	w.record(invariants.Record{Kind: invariants.Ordered, Router: r.router, Worker: w.cfg.ID, Request: m.ModelName, Copies: copies})
+	w.record(invariants.Record{Kind: invariants.LoadCommandReceived, Router: r.router, Worker: w.cfg.ID, Request: m.ModelName, Copies: copies})
 	switch {
 	case w.faults.Hang || w.fallen:
 		return
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -168,7 +168,7 @@
 	if !cold {
 		w.started = w.started.Add(-time.Hour)
 	} else if w.cfg.Log != nil {
-		w.cfg.Log.Add(invariants.Record{Kind: invariants.Started, Worker: w.cfg.ID})
+		w.cfg.Log.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.cfg.ID})
 	}
 	return nil
 }
@@ -215,7 +215,7 @@
 	if goAway {
 		server.Warn()
 		for _, r := range told {
-			w.record(invariants.Record{Kind: invariants.Said, Worker: w.cfg.ID, Router: r})
+			w.record(invariants.Record{Kind: invariants.WorkerDraining, Worker: w.cfg.ID, Router: r})
 		}
 	}
 }
@@ -326,7 +326,7 @@
 	can := w.cfg.FallMultiple * w.capacity() * float64(w.cfg.Cores) * w.cfg.Speed * w.cfg.FallSpan.Seconds()
 	if now.Sub(w.started) > w.cfg.FallSpan && sum > 1.3*can+0.5 {
 		w.fallen = true
-		w.record(invariants.Record{Kind: invariants.Fell, Worker: w.cfg.ID})
+		w.record(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.cfg.ID})
 	}
 }
 
@@ -346,7 +346,7 @@
 
 // arrive takes a call. w.mu is held.
 func (w *Worker) arrive(j *job) {
-	w.record(invariants.Record{Kind: invariants.Got, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
+	w.record(invariants.Record{Kind: invariants.AttemptReceived, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
 		Worker: w.cfg.ID})
 	w.pressed(j.class)
 	w.jobs[j] = struct{}{}
@@ -642,7 +642,7 @@
 		return
 	}
 	j.began = true
-	w.record(invariants.Record{Kind: invariants.Ran, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
+	w.record(invariants.Record{Kind: invariants.RunStarted, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
 		Worker: w.cfg.ID})
 	if w.faults.DieStarted[j.class] {
 		go w.Kill()
--- a/internal/grpcgateway/hard_test.go
+++ b/internal/grpcgateway/hard_test.go
@@ -37,7 +37,7 @@
 }
 
 // seen counts the records of a kind for a call.
-func (r *rig) seen(k invariants.Kind, call string) (n int) {
+func (r *rig) seen(k invariants.RecordKind, call string) (n int) {
 	for _, x := range r.log.Records() {
 		if x.Kind == k && x.Call == call {
 			n++
@@ -74,7 +74,7 @@
 			if c := status.Code(err); c == codes.OK || c == codes.Unavailable {
 				t.Errorf("%d messages, then %v: it may have run, so it may not look harmless to repeat", n, err)
 			}
-			if sent, ran := r.seen(invariants.Got, "a1"), r.seen(invariants.Ran, "a1"); sent != 1 || ran != 1 {
+			if sent, ran := r.seen(invariants.AttemptReceived, "a1"), r.seen(invariants.RunStarted, "a1"); sent != 1 || ran != 1 {
 				t.Errorf("sent %d times, ran %d times", sent, ran)
 			}
 			if name == "mid-stream" && n != 2 {
@@ -118,8 +118,8 @@
 			if _, err := r.infer(within(t, 5*time.Second), ask("award", id, 2, 1, 1)); err != nil {
 				t.Fatal(err)
 			}
-			if r.seen(invariants.Ran, id) != 1 {
-				t.Errorf("%s ran %d times", id, r.seen(invariants.Ran, id))
+			if r.seen(invariants.RunStarted, id) != 1 {
+				t.Errorf("%s ran %d times", id, r.seen(invariants.RunStarted, id))
 			}
 		}
 	})
@@ -132,8 +132,8 @@
 			if _, err := r.infer(within(t, 5*time.Second), ask("award", id, 2, 1, 1)); err != nil {
 				t.Fatal(err)
 			}
-			if r.seen(invariants.Ran, id) != 1 {
-				t.Errorf("%s ran %d times", id, r.seen(invariants.Ran, id))
+			if r.seen(invariants.RunStarted, id) != 1 {
+				t.Errorf("%s ran %d times", id, r.seen(invariants.RunStarted, id))
 			}
 		}
 	})
@@ -207,7 +207,7 @@
 				}
 			}
 			for _, x := range r.log.Records() {
-				if (x.Kind == invariants.Got || x.Kind == invariants.Ordered) && x.Worker == victim.ID() && x.At > told+390*time.Millisecond {
+				if (x.Kind == invariants.AttemptReceived || x.Kind == invariants.LoadCommandReceived) && x.Worker == victim.ID() && x.At > told+390*time.Millisecond {
 					t.Errorf("%s sent to the draining worker %v after it was told", x.Call, x.At-told)
 				}
 			}
@@ -279,11 +279,11 @@
 	stages := map[string]struct {
 		set  func(*rig)
 		work int64
-		when invariants.Kind
+		when invariants.RecordKind
 	}{
-		"load wait": {func(r *rig) {}, 5, invariants.Got},
-		"at work":   {func(r *rig) { r.warm("quote") }, 600, invariants.Ran},
-		"silence":   {func(r *rig) { r.all(func(f *fakeworker.Faults) { f.Hang = true }) }, 5, invariants.Got},
+		"load wait": {func(r *rig) {}, 5, invariants.AttemptReceived},
+		"at work":   {func(r *rig) { r.warm("quote") }, 600, invariants.RunStarted},
+		"silence":   {func(r *rig) { r.all(func(f *fakeworker.Faults) { f.Hang = true }) }, 5, invariants.AttemptReceived},
 	}
 	for name, st := range stages {
 		for _, how := range []string{"cancel", "deadline", "disconnect"} {
@@ -322,7 +322,7 @@
 				if name != "silence" {
 					eventually(t, "the workers dropped it", func() bool { return r.workers[0].Held()+r.workers[1].Held() == 0 })
 				}
-				if r.seen(invariants.Ran, "l1") > 1 {
+				if r.seen(invariants.RunStarted, "l1") > 1 {
 					t.Error("it ran twice")
 				}
 			})
@@ -489,7 +489,7 @@
 		t.Logf("served %d, refused %d, failed %d", served.Load(), refused.Load(), failed.Load())
 		ran := map[string]int{}
 		for _, x := range r.log.Records() {
-			if x.Kind == invariants.Ran && x.Class != "quote" {
+			if x.Kind == invariants.RunStarted && x.Class != "quote" {
 				if ran[x.Request]++; ran[x.Request] > 1 {
 					t.Errorf("%s %s ran twice", x.Class, x.Request)
 				}
--- a/internal/httprouter/node_test.go
+++ b/internal/httprouter/node_test.go
@@ -126,17 +126,17 @@
 	return served
 }
 
-// site is what the checker is told; its slack is wide, as a loaded machine may stand between a send and its record.
-func (f *fleet) site() invariants.Site {
-	return invariants.Site{Classes: map[string]invariants.Class{"safe": {Effect: "safe", All: true, Work: 5 * time.Millisecond},
-		"keyed": {Effect: "keyed", Work: 5 * time.Millisecond}, "unsafe": {Effect: "unsafe", Work: 5 * time.Millisecond}},
-		AnswerGrace: 2 * time.Second, DrainGrace: 500 * time.Millisecond, LoadSpan: 5 * time.Second, LoadFree: 4, LoadShare: 0.1,
-		Slack: time.Second}
+// settings are those of the checker; the recording delay is long, as a loaded machine may stand between a send and its record.
+func (f *fleet) settings() invariants.Settings {
+	return invariants.Settings{Classes: map[string]invariants.Class{"safe": {Idempotency: "safe", RetryHarmless: true, MeanWork: 5 * time.Millisecond},
+		"keyed": {Idempotency: "keyed", MeanWork: 5 * time.Millisecond}, "unsafe": {Idempotency: "unsafe", MeanWork: 5 * time.Millisecond}},
+		ResponseGrace: 2 * time.Second, DrainGrace: 500 * time.Millisecond, LoadRateWindow: 5 * time.Second, LoadRateBurst: 4, LoadRateRatio: 0.1,
+		RecordingDelay: time.Second}
 }
 
 func (f *fleet) kept() {
 	f.t.Helper()
-	for _, b := range invariants.Check(f.site(), f.log.Records()) {
+	for _, b := range invariants.Check(f.settings(), f.log.Records()) {
 		f.t.Error(b)
 	}
 }
@@ -172,7 +172,7 @@
 
 	// a drains. Its process goes on, so that what is still sent there shows.
 	f.tell("a " + f.workers[0].Addr() + " leaving")
-	f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
+	f.log.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: "r", Worker: "a", Unavailable: true})
 	f.calls(20)
 
 	// a has gone, and d comes at its address.
@@ -219,7 +219,7 @@
 	f.node.Move(next)
 	f.channel = to
 	f.tell("c " + f.workers[2].Addr() + " leaving")
-	f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "c", Off: true})
+	f.log.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: "r", Worker: "c", Unavailable: true})
 	f.calls(10)
 	f.kept()
 }
@@ -273,24 +273,24 @@
 		t.Run(about, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &breaker{rule: rule}, nil })
-			site := f.site()
+			settings := f.settings()
 			switch rule {
 			case 1:
-				site.AnswerGrace = 0
+				settings.ResponseGrace = 0
 				f.client.Call(fmt.Sprintf("%016x", 1<<20), "safe", fmt.Sprintf("%016x", 1), 200*time.Millisecond)
 			case 3:
-				f.log.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: "a", Off: true})
-				site.DrainGrace, site.Slack = 0, 0
+				f.log.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: "r", Worker: "a", Unavailable: true})
+				settings.DrainGrace, settings.RecordingDelay = 0, 0
 			case 4:
-				f.log.Add(invariants.Record{Kind: invariants.Started, Worker: "a"})
-				site.ColdFor, site.ColdShare, site.FallMultiple, site.FallSpan = time.Hour, 0.2, 3, 1500*time.Millisecond
-				site.Capacity = map[string]float64{"a": 0.001}
+				f.log.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: "a"})
+				settings.SlowStartDuration, settings.SlowStartShare, settings.OverloadMultiple, settings.OverloadWindow = time.Hour, 0.2, 3, 1500*time.Millisecond
+				settings.Capacity = map[string]float64{"a": 0.001}
 			}
 			if rule != 1 {
 				f.calls(20)
 			}
-			found := invariants.Check(site, f.log.Records())
-			if !slices.ContainsFunc(found, func(b invariants.Breach) bool { return b.Rule == rule }) {
+			found := invariants.Check(settings, f.log.Records())
+			if !slices.ContainsFunc(found, func(b invariants.Violation) bool { return b.Rule == rule }) {
 				t.Errorf("rule %d broken on purpose, and found %v", rule, found)
 			}
 		})
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -7,95 +7,230 @@
 
 const ms = time.Millisecond
 
-func site() Site {
-	return Site{Classes: map[string]Class{"quote": {Effect: "safe", All: true, Work: 100 * ms},
-		"renew": {Effect: "keyed", Work: 100 * ms}, "points": {Effect: "unsafe", Work: 100 * ms}},
-		AnswerGrace: 50 * ms, DrainGrace: 500 * ms, Capacity: map[string]float64{"w": 2}, ColdShare: 0.2,
-		ColdFor: 10 * time.Second, FallMultiple: 2, FallSpan: time.Second, LoadSpan: 5 * time.Second, LoadFree: 2,
-		LoadShare: 0.1, Slack: 50 * ms}
+func testSettings() Settings {
+	return Settings{
+		Classes: map[string]Class{
+			"quote":  {Idempotency: Idempotent, RetryHarmless: true, MeanWork: 100 * ms},
+			"renew":  {Idempotency: IdempotentByKey, MeanWork: 100 * ms},
+			"points": {Idempotency: NonIdempotent, MeanWork: 100 * ms},
+		},
+		ResponseGrace:     50 * ms,
+		DrainGrace:        500 * ms,
+		Capacity:          map[string]float64{"w": 2},
+		SlowStartShare:    0.2,
+		SlowStartDuration: 10 * time.Second,
+		OverloadMultiple:  2,
+		OverloadWindow:    time.Second,
+		LoadRateWindow:    5 * time.Second,
+		LoadRateBurst:     2,
+		LoadRateRatio:     0.1,
+		RecordingDelay:    50 * ms,
+	}
+}
+
+func callSent(at time.Duration, call, class string) Record {
+	return Record{At: at, Kind: CallSent, Call: call, Request: call, Class: class, Router: "r", Deadline: at + 1000*ms}
 }
 
-func asked(at time.Duration, call, class string) Record {
-	return Record{At: at, Kind: Asked, Call: call, Request: call, Class: class, Router: "r", Deadline: at + 1000*ms}
+func finalAnswer(at time.Duration, call, class string, answer Answer) Record {
+	return Record{At: at, Kind: FinalAnswer, Call: call, Request: call, Class: class, Router: "r", Answer: answer}
 }
 
-func answered(at time.Duration, call, class string, a Answer) Record {
-	return Record{At: at, Kind: Answered, Call: call, Request: call, Class: class, Router: "r", Answer: a}
+func atWorker(at time.Duration, kind RecordKind, call, class, worker string) Record {
+	return Record{At: at, Kind: kind, Call: call, Request: call, Class: class, Router: "r", Worker: worker}
 }
 
-func at(at time.Duration, k Kind, call, class, worker string) Record {
-	return Record{At: at, Kind: k, Call: call, Request: call, Class: class, Router: "r", Worker: worker}
+func endpointNotified(at time.Duration, unavailable bool) Record {
+	return Record{At: at, Kind: EndpointNotified, Router: "r", Worker: "w", Unavailable: unavailable}
 }
 
-func told(t time.Duration, off bool) Record {
-	return Record{At: t, Kind: Told, Router: "r", Worker: "w", Off: off}
+func loadCommand(at time.Duration) Record {
+	return Record{At: at, Kind: LoadCommandReceived, Router: "r", Worker: "w", Copies: 1}
 }
 
-func order(t time.Duration) Record {
-	return Record{At: t, Kind: Ordered, Router: "r", Worker: "w", Copies: 1}
+// slowStart is a worker's start and so many attempts at it within the overload window. At 0.4 cores, a multiple of 2
+// and a window of 1 s, with one call of 0.1 s on top, nine calls fit.
+func slowStart(attempts int) []Record {
+	records := []Record{
+		{At: 1 * ms, Kind: WorkerStarted, Worker: "w"},
+		callSent(2*ms, "x", "quote"),
+		finalAnswer(3*ms, "x", "quote", Served),
+	}
+	for i := range attempts {
+		records = append(records, atWorker(time.Duration(10+i)*ms, AttemptReceived, "-", "quote", "w"))
+	}
+	return records
 }
 
-// TestEachRule holds, for each rule, records that break it beside their nearest that don't.
-func TestEachRule(t *testing.T) {
-	cold := func(n int) (out []Record) {
-		out = []Record{{At: 1 * ms, Kind: Started, Worker: "w"}, asked(2*ms, "x", "quote"), answered(3*ms, "x", "quote", Served)}
-		for i := range n { // 0.4 cores x 2 x 1 s, and one call of 0.1 s: nine calls fit
-			out = append(out, at(time.Duration(10+i)*ms, Got, "-", "quote", "w"))
-		}
-		return out
+// loadCommands is so many calls and then so many load commands, all within the window.
+func loadCommands(calls, commands int) []Record {
+	var records []Record
+	for i := range calls {
+		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
+		records = append(records, callSent(time.Duration(100+i)*ms, id, "quote"),
+			finalAnswer(time.Duration(200+i)*ms, id, "quote", Served))
 	}
-	loads := func(calls, orders int) (out []Record) {
-		for i := range calls {
-			id := string(rune('a'+i%26)) + string(rune('a'+i/26))
-			out = append(out, asked(time.Duration(100+i)*ms, id, "quote"), answered(time.Duration(200+i)*ms, id, "quote", Served))
-		}
-		for i := range orders {
-			out = append(out, order(time.Duration(400+i)*ms))
-		}
-		return out
+	for i := range commands {
+		records = append(records, loadCommand(time.Duration(400+i)*ms))
 	}
-	for _, c := range []struct {
-		name  string
-		rule  int // 0: kept
-		space []Record
-	}{
-		{"answered once", 0, []Record{asked(1*ms, "a", "quote"), answered(9*ms, "a", "quote", Served)}},
-		{"never answered", 1, []Record{asked(1*ms, "a", "quote")}},
-		{"answered twice", 1, []Record{asked(1*ms, "a", "quote"), answered(9*ms, "a", "quote", Served), answered(10*ms, "a", "quote", Refused)}},
-		{"answered late", 1, []Record{asked(1*ms, "a", "quote"), answered(1100*ms, "a", "quote", Served)}},
-		{"within the grace", 0, []Record{asked(1*ms, "a", "quote"), answered(1040*ms, "a", "quote", Served)}},
-		{"the client left", 0, []Record{asked(1*ms, "a", "quote"), {At: 50 * ms, Kind: Left, Call: "a"}}},
-		{"the router was killed", 0, []Record{asked(1*ms, "a", "quote"), {At: 50 * ms, Kind: RouterDown, Router: "r"}}},
-		{"another router was killed", 1, []Record{asked(1*ms, "a", "quote"), {At: 50 * ms, Kind: RouterDown, Router: "s"}}},
-		{"killed before it was asked", 1, []Record{{At: 1 * ms, Kind: RouterDown, Router: "r"}, asked(5*ms, "a", "quote")}},
-		{"sent after its answer", 1, []Record{asked(1*ms, "a", "quote"), answered(9*ms, "a", "quote", Refused), at(200*ms, Got, "a", "quote", "w")}},
-		{"safe, ran twice", 0, []Record{asked(1*ms, "a", "quote"), at(2*ms, Ran, "a", "quote", "v"), at(3*ms, Ran, "a", "quote", "w"), answered(9*ms, "a", "quote", Served)}},
-		{"unsafe, ran twice", 2, []Record{asked(1*ms, "a", "points"), at(2*ms, Ran, "a", "points", "v"), at(3*ms, Ran, "a", "points", "w"), answered(9*ms, "a", "points", Served)}},
-		{"keyed, ran twice", 2, []Record{asked(1*ms, "a", "renew"), at(2*ms, Ran, "a", "renew", "v"), at(3*ms, Ran, "a", "renew", "w"), answered(9*ms, "a", "renew", Served)}},
-		{"unsafe, refused though it ran", 2, []Record{asked(1*ms, "a", "points"), at(2*ms, Ran, "a", "points", "v"), answered(9*ms, "a", "points", Refused)}},
-		{"unsafe, failed though it ran", 0, []Record{asked(1*ms, "a", "points"), at(2*ms, Ran, "a", "points", "v"), answered(9*ms, "a", "points", Failed)}},
-		{"sent within the drain's grace", 0, []Record{told(1*ms, true), at(500*ms, Got, "-", "quote", "w")}},
-		{"sent after it", 3, []Record{told(1*ms, true), at(600*ms, Got, "-", "quote", "w")}},
-		{"ordered after it", 3, []Record{told(1*ms, true), asked(500*ms, "a", "quote"), answered(501*ms, "a", "quote", Served), order(600 * ms)}},
-		{"asked only", 0, []Record{told(1*ms, true), {At: 600 * ms, Kind: Ordered, Router: "r", Worker: "w"}}},
-		{"told on again", 0, []Record{told(1*ms, true), told(300*ms, false), at(900*ms, Got, "-", "quote", "w")}},
-		{"its own word", 3, []Record{{At: 1 * ms, Kind: Said, Router: "r", Worker: "w"}, at(600*ms, Got, "-", "quote", "w")}},
-		{"ready again", 0, []Record{{At: 1 * ms, Kind: Said, Router: "r", Worker: "w"}, {At: 200 * ms, Kind: Ready, Router: "r", Worker: "w"}, at(600*ms, Got, "-", "quote", "w")}},
-		{"ready, but listed as draining", 3, []Record{told(1*ms, true), {At: 200 * ms, Kind: Ready, Router: "r", Worker: "w"}, at(600*ms, Got, "-", "quote", "w")}},
-		{"told to another router", 0, []Record{{At: 1 * ms, Kind: Told, Router: "s", Worker: "w", Off: true}, at(600*ms, Got, "-", "quote", "w")}},
-		{"a cold worker's part", 0, cold(9)},
-		{"beyond it", 4, cold(10)},
-		{"fell over", 4, []Record{{At: 5 * ms, Kind: Fell, Worker: "w"}}},
-		{"loads within the ration", 0, loads(20, 4)},
-		{"one beyond it", 5, loads(20, 5)},
-	} {
-		got := Check(site(), c.space)
-		rule := 0
-		for _, b := range got {
-			rule = b.Rule
-		}
-		if rule != c.rule || len(got) > 1 {
-			t.Errorf("%s: %v, want a breach of rule %d", c.name, got, c.rule)
-		}
+	return records
+}
+
+// ruleCase is a sequence of records and the one rule that they violate.
+type ruleCase struct {
+	name    string
+	rule    int // 0: satisfied
+	records []Record
+}
+
+// testRule checks records that violate a rule beside the nearest ones that don't.
+func testRule(t *testing.T, cases []ruleCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			violations := Check(testSettings(), c.records)
+			rule := 0
+			for _, v := range violations {
+				rule = v.Rule
+			}
+			if rule != c.rule || len(violations) > 1 {
+				t.Errorf("%v, want one violation of rule %d", violations, c.rule)
+			}
+		})
 	}
 }
+
+func TestFinalAnswerRule(t *testing.T) {
+	testRule(t, []ruleCase{
+		{"answered once", 0, []Record{callSent(1*ms, "a", "quote"), finalAnswer(9*ms, "a", "quote", Served)}},
+		{"never answered", RuleFinalAnswer, []Record{callSent(1*ms, "a", "quote")}},
+		{"answered twice", RuleFinalAnswer, []Record{
+			callSent(1*ms, "a", "quote"),
+			finalAnswer(9*ms, "a", "quote", Served),
+			finalAnswer(10*ms, "a", "quote", Rejected),
+		}},
+		{"answered late", RuleFinalAnswer, []Record{
+			callSent(1*ms, "a", "quote"),
+			finalAnswer(1100*ms, "a", "quote", Served),
+		}},
+		{"answered within the response grace", 0, []Record{
+			callSent(1*ms, "a", "quote"),
+			finalAnswer(1040*ms, "a", "quote", Served),
+		}},
+		{"the client abandoned it", 0, []Record{
+			callSent(1*ms, "a", "quote"),
+			{At: 50 * ms, Kind: CallAbandoned, Call: "a"},
+		}},
+		{"the router was killed", 0, []Record{
+			callSent(1*ms, "a", "quote"),
+			{At: 50 * ms, Kind: RouterKilled, Router: "r"},
+		}},
+		{"another router was killed", RuleFinalAnswer, []Record{
+			callSent(1*ms, "a", "quote"),
+			{At: 50 * ms, Kind: RouterKilled, Router: "s"},
+		}},
+		{"router killed before the call", RuleFinalAnswer, []Record{
+			{At: 1 * ms, Kind: RouterKilled, Router: "r"},
+			callSent(5*ms, "a", "quote"),
+		}},
+		{"forwarded after its answer", RuleFinalAnswer, []Record{
+			callSent(1*ms, "a", "quote"),
+			finalAnswer(9*ms, "a", "quote", Rejected),
+			atWorker(200*ms, AttemptReceived, "a", "quote", "w"),
+		}},
+	})
+}
+
+func TestSideEffectRule(t *testing.T) {
+	testRule(t, []ruleCase{
+		{"idempotent, ran twice", 0, []Record{
+			callSent(1*ms, "a", "quote"),
+			atWorker(2*ms, RunStarted, "a", "quote", "v"),
+			atWorker(3*ms, RunStarted, "a", "quote", "w"),
+			finalAnswer(9*ms, "a", "quote", Served),
+		}},
+		{"non-idempotent, ran twice", RuleSideEffect, []Record{
+			callSent(1*ms, "a", "points"),
+			atWorker(2*ms, RunStarted, "a", "points", "v"),
+			atWorker(3*ms, RunStarted, "a", "points", "w"),
+			finalAnswer(9*ms, "a", "points", Served),
+		}},
+		{"idempotent by key, ran twice", RuleSideEffect, []Record{
+			callSent(1*ms, "a", "renew"),
+			atWorker(2*ms, RunStarted, "a", "renew", "v"),
+			atWorker(3*ms, RunStarted, "a", "renew", "w"),
+			finalAnswer(9*ms, "a", "renew", Served),
+		}},
+		{"non-idempotent, rejected though it ran", RuleSideEffect, []Record{
+			callSent(1*ms, "a", "points"),
+			atWorker(2*ms, RunStarted, "a", "points", "v"),
+			finalAnswer(9*ms, "a", "points", Rejected),
+		}},
+		{"non-idempotent, failed though it ran", 0, []Record{
+			callSent(1*ms, "a", "points"),
+			atWorker(2*ms, RunStarted, "a", "points", "v"),
+			finalAnswer(9*ms, "a", "points", Failed),
+		}},
+	})
+}
+
+func TestDrainRule(t *testing.T) {
+	testRule(t, []ruleCase{
+		{"sent within the drain grace", 0, []Record{
+			endpointNotified(1*ms, true),
+			atWorker(500*ms, AttemptReceived, "-", "quote", "w"),
+		}},
+		{"sent after the drain grace", RuleDrain, []Record{
+			endpointNotified(1*ms, true),
+			atWorker(600*ms, AttemptReceived, "-", "quote", "w"),
+		}},
+		{"load command after the drain grace", RuleDrain, []Record{
+			endpointNotified(1*ms, true),
+			callSent(500*ms, "a", "quote"),
+			finalAnswer(501*ms, "a", "quote", Served),
+			loadCommand(600 * ms),
+		}},
+		{"query after the drain grace", 0, []Record{
+			endpointNotified(1*ms, true),
+			{At: 600 * ms, Kind: LoadCommandReceived, Router: "r", Worker: "w"},
+		}},
+		{"active again", 0, []Record{
+			endpointNotified(1*ms, true),
+			endpointNotified(300*ms, false),
+			atWorker(900*ms, AttemptReceived, "-", "quote", "w"),
+		}},
+		{"worker's own report", RuleDrain, []Record{
+			{At: 1 * ms, Kind: WorkerDraining, Router: "r", Worker: "w"},
+			atWorker(600*ms, AttemptReceived, "-", "quote", "w"),
+		}},
+		{"ready again by its own report", 0, []Record{
+			{At: 1 * ms, Kind: WorkerDraining, Router: "r", Worker: "w"},
+			{At: 200 * ms, Kind: WorkerReady, Router: "r", Worker: "w"},
+			atWorker(600*ms, AttemptReceived, "-", "quote", "w"),
+		}},
+		{"ready, but listed as draining", RuleDrain, []Record{
+			endpointNotified(1*ms, true),
+			{At: 200 * ms, Kind: WorkerReady, Router: "r", Worker: "w"},
+			atWorker(600*ms, AttemptReceived, "-", "quote", "w"),
+		}},
+		{"another router was notified", 0, []Record{
+			{At: 1 * ms, Kind: EndpointNotified, Router: "s", Worker: "w", Unavailable: true},
+			atWorker(600*ms, AttemptReceived, "-", "quote", "w"),
+		}},
+	})
+}
+
+func TestSlowStartRule(t *testing.T) {
+	testRule(t, []ruleCase{
+		{"slow start within the limit", 0, slowStart(9)},
+		{"slow start beyond the limit", RuleSlowStart, slowStart(10)},
+		{"overloaded at start", RuleSlowStart, []Record{{At: 5 * ms, Kind: WorkerOverloaded, Worker: "w"}}},
+	})
+}
+
+func TestLoadRateRule(t *testing.T) {
+	testRule(t, []ruleCase{
+		{"load commands within the limit", 0, loadCommands(20, 4)},
+		{"one load command beyond the limit", RuleLoadRate, loadCommands(20, 5)},
+	})
+}
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -1,5 +1,3 @@
-// Package invariants checks the gateway's five rules from outside: on what clients, workers and the list recorded
-// at their own ends of the sockets. It never asks a router.
 package invariants
 
 import (
@@ -7,78 +5,78 @@
 	"time"
 )
 
-// Kind is what a record tells.
-type Kind int
+// RecordKind says what happened.
+type RecordKind int
 
 // The kinds of record.
 const (
-	Asked      Kind = iota // a client sent a try
-	Answered               // it got a final answer from a router
-	Left                   // it gave up, cancelled, or lost its router; nothing is owed any more
-	Got                    // a worker received an attempt
-	Ran                    // and began to run it
-	Ordered                // a worker received a load order of Copies copies
-	Told                   // the list told a router of a worker's state
-	Said                   // a worker told a router that it drains,
-	Ready                  // and that it is ready
-	Started                // a worker's process began
-	Fell                   // a cold worker fell over
-	RouterDown             // a router was killed; what it held is its clients' to repeat
+	CallSent            RecordKind = iota // a client sent a call to a router
+	FinalAnswer                           // the client got a final answer from the router
+	CallAbandoned                         // the client gave up, cancelled, or lost its router; no answer is due any more
+	AttemptReceived                       // a worker received an attempt of a call
+	RunStarted                            // a worker began to run an attempt
+	LoadCommandReceived                   // a worker received a load command for Copies copies
+	EndpointNotified                      // the endpoint list reported a worker's state to a router
+	WorkerDraining                        // a worker reported to a router that it drains
+	WorkerReady                           // a worker reported to a router that it is ready
+	WorkerStarted                         // a worker's process started
+	WorkerOverloaded                      // a worker failed under load while it warmed up
+	RouterKilled                          // a router was killed; its clients have to repeat the calls that it held
 )
 
 // Answer is a final answer as a client sees it.
 type Answer int
 
-// The answers.
+// The final answers.
 const (
 	Served Answer = iota
-	Refused
+	Rejected
 	Failed
 )
 
-func (a Answer) String() string { return [...]string{"served", "refused", "failed"}[a] }
+func (a Answer) String() string { return [...]string{"served", "rejected", "failed"}[a] }
 
-// Record is one thing that happened at a socket.
+// Record is one thing that happened at a socket. Only the fields that its kind needs are set.
 type Record struct {
-	At       time.Duration
-	Kind     Kind
-	Call     string // the try: unique
-	Request  string // what the try is for: the same for a client's repeats
-	Class    string
-	Router   string
-	Worker   string
-	Answer   Answer
-	Deadline time.Duration // of Asked: when the client gives up
-	Copies   int
-	Off      bool // of Told: draining or gone
+	At          time.Duration // since the start of the log
+	Kind        RecordKind
+	Call        string // unique; a client's retry is another call
+	Request     string // the same for all calls by which a client repeats one request
+	Class       string
+	Router      string
+	Worker      string
+	Answer      Answer
+	Deadline    time.Duration // of CallSent: when the client gives up
+	Copies      int           // of LoadCommandReceived; 0: the state is asked for, nothing is to be loaded
+	Unavailable bool          // of EndpointNotified: draining or removed
 }
 
 // Log collects records. It may be used from any goroutine.
 type Log struct {
-	begin time.Time
-	mu    sync.Mutex
-	list  []Record
+	startedAt time.Time
+	mu        sync.Mutex
+	records   []Record
 }
 
-// NewLog returns an empty Log whose clock begins now.
-func NewLog() *Log { return &Log{begin: time.Now()} }
+// NewLog returns an empty Log whose clock starts now.
+func NewLog() *Log { return &Log{startedAt: time.Now()} }
 
-// Now is the log's time.
-func (l *Log) Now() time.Duration { return time.Since(l.begin) }
+// Now is the time since the start of the log.
+func (l *Log) Now() time.Duration { return time.Since(l.startedAt) }
 
-// Add records something at the present time, or at r.At where that is set.
+// Add appends a record. Where r.At is 0 the present time is set.
 func (l *Log) Add(r Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.At == 0 {
-		r.At = time.Since(l.begin)
+		r.At = time.Since(l.startedAt)
 	}
-	l.list = append(l.list, r)
+	l.records = append(l.records, r)
 }
 
 // Records returns what was recorded so far, in the order of recording. The slice is the caller's.
 func (l *Log) Records() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Record(nil), l.list...)
+	return append([]Record(nil), l.records...)
 }
--- /dev/null
+++ b/internal/invariants/slow_start.go
@@ -0,0 +1,66 @@
+package invariants
+
+import "time"
+
+// arrival is an attempt that reached a worker.
+type arrival struct {
+	at   time.Duration
+	work float64 // seconds on a core of speed 1
+}
+
+// workerStart is a worker's latest start and what arrived since.
+type workerStart struct {
+	at       time.Duration
+	arrivals []arrival
+	reported bool // at most one violation for each start
+}
+
+// checkSlowStart checks rule 4: the work that reaches a worker within any overload window while it warms up stays
+// under the overload multiple of what it can do in that time. One largest call of each router is allowed on top, as
+// routers decide independently.
+func (c *checker) checkSlowStart() {
+	if c.settings.SlowStartDuration == 0 || c.settings.OverloadWindow == 0 {
+		return
+	}
+	starts := map[string]*workerStart{}
+	routers := map[string]bool{}
+	largestCall := 0.0
+	for _, class := range c.settings.Classes {
+		largestCall = max(largestCall, class.MeanWork.Seconds())
+	}
+	for _, r := range c.records {
+		switch r.Kind {
+		case CallSent:
+			routers[r.Router] = true
+		case WorkerStarted:
+			starts[r.Worker] = &workerStart{at: r.At}
+		case WorkerOverloaded:
+			c.report(RuleSlowStart, r.At, "worker %s failed under load while it warmed up", r.Worker)
+		case AttemptReceived:
+			start := starts[r.Worker]
+			if start == nil || r.At-start.at > c.settings.SlowStartDuration || start.reported {
+				continue
+			}
+			start.arrivals = append(start.arrivals, arrival{r.At, c.settings.Classes[r.Class].MeanWork.Seconds()})
+			c.checkWindow(r, start, largestCall*float64(len(routers)))
+		}
+	}
+}
+
+// checkWindow compares the work of the overload window that ends with r with the worker's present capacity.
+func (c *checker) checkWindow(r Record, start *workerStart, allowance float64) {
+	s := c.settings
+	age := float64(r.At - start.at)
+	share := s.SlowStartShare + (1-s.SlowStartShare)*age/float64(s.SlowStartDuration)
+	limit := s.OverloadMultiple*share*s.Capacity[r.Worker]*s.OverloadWindow.Seconds() + allowance
+	sum := 0.0
+	for i := len(start.arrivals) - 1; i >= 0 && start.arrivals[i].at > r.At-s.OverloadWindow; i-- {
+		sum += start.arrivals[i].work
+	}
+	if sum <= limit {
+		return
+	}
+	start.reported = true
+	c.report(RuleSlowStart, r.At, "worker %s got %.2f s of work within %v while it warmed up, at most %.2f s", r.Worker, sum,
+		s.OverloadWindow, limit)
+}
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -333,7 +333,7 @@
 	last := map[[2]string]float64{}
 	for _, x := range records {
 		for _, s := range list {
-			if x.Kind == invariants.Got && x.Worker == s.worker && x.At >= s.from && x.At < s.till {
+			if x.Kind == invariants.AttemptReceived && x.Worker == s.worker && x.At >= s.from && x.At < s.till {
 				d := (x.At - s.from).Seconds()
 				at = append(at, d)
 				last[[2]string{x.Router, x.Worker}] = d
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -62,7 +62,7 @@
 		k.inAim++
 	case r.Answer == invariants.Served:
 		k.late++
-	case r.Answer == invariants.Refused:
+	case r.Answer == invariants.Rejected:
 		k.refused++
 	default:
 		k.failed++
@@ -145,16 +145,17 @@
 	Gossip   *GossipReport `json:"gossip,omitempty"`
 }
 
-func (r *Rig) site() invariants.Site {
+func (r *Rig) site() invariants.Settings {
 	s := r.script
-	site := invariants.Site{Classes: map[string]invariants.Class{}, AnswerGrace: 250 * time.Millisecond,
-		DrainGrace: s.Rules.DrainGrace.D(), Capacity: map[string]float64{}, ColdShare: s.Rules.ColdShare,
-		ColdFor: s.Rules.ColdFor.D(), FallMultiple: s.Rules.FallMultiple, FallSpan: s.Rules.FallSpan.D(),
-		LoadSpan: s.Rules.LoadSpan.D(), LoadFree: s.Rules.LoadFree, LoadShare: s.Rules.LoadShare,
-		Slack: 250 * time.Millisecond}
+	site := invariants.Settings{Classes: map[string]invariants.Class{}, ResponseGrace: 250 * time.Millisecond,
+		DrainGrace: s.Rules.DrainGrace.D(), Capacity: map[string]float64{}, SlowStartShare: s.Rules.ColdShare,
+		SlowStartDuration: s.Rules.ColdFor.D(), OverloadMultiple: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallSpan.D(),
+		LoadRateWindow: s.Rules.LoadSpan.D(), LoadRateBurst: s.Rules.LoadFree, LoadRateRatio: s.Rules.LoadShare,
+		RecordingDelay: 250 * time.Millisecond}
 	for _, c := range s.Classes {
-		site.Classes[c.Name] = invariants.Class{Effect: c.Effect, All: c.Effect == "safe" || c.Scope == "all",
-			Work: time.Duration(c.WorkMS * float64(time.Millisecond))}
+		site.Classes[c.Name] = invariants.Class{Idempotency: invariants.Idempotency(c.Effect),
+			RetryHarmless: c.Effect == "safe" || c.Scope == "all",
+			MeanWork:      time.Duration(c.WorkMS * float64(time.Millisecond))}
 	}
 	for _, m := range r.members {
 		site.Capacity[m.w.ID()] = m.capacity
@@ -183,9 +184,9 @@
 	}
 	for _, x := range records {
 		switch {
-		case x.Kind == invariants.Got:
+		case x.Kind == invariants.AttemptReceived:
 			out.Attempts++
-		case x.Kind == invariants.Ordered && x.Copies > 0:
+		case x.Kind == invariants.LoadCommandReceived && x.Copies > 0:
 			out.Orders++
 		}
 	}
@@ -238,7 +239,7 @@
 		if n > 0 {
 			verdict = fmt.Sprintf("BROKEN %d times", n)
 		}
-		fmt.Fprintf(w, "rule %d  %-30s %s\n", i+1, invariants.Names[i+1], verdict)
+		fmt.Fprintf(w, "rule %d  %-30s %s\n", i+1, invariants.RuleNames[i+1], verdict)
 	}
 	for i, b := range r.Breaches {
 		if i == 10 {
--- a/internal/scenario/rig.go
+++ b/internal/scenario/rig.go
@@ -305,7 +305,7 @@
 	sl.mu.Lock()
 	sl.name = name
 	for id, on := range sl.told { // a new life is told by the list that it finds
-		r.log.Add(invariants.Record{Kind: invariants.Told, Router: name, Worker: id, Off: !on})
+		r.log.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: name, Worker: id, Unavailable: !on})
 	}
 	sl.mu.Unlock()
 	o := grpcgateway.Options{Log: r.opt.Log, Decider: r.opt.Decider,
@@ -380,7 +380,7 @@
 	}
 	for id, on := range sl.told {
 		if was := on; now[id] != was {
-			r.log.Add(invariants.Record{Kind: invariants.Told, Router: sl.name, Worker: id, Off: !now[id]})
+			r.log.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: sl.name, Worker: id, Unavailable: !now[id]})
 		}
 		if _, ok := now[id]; !ok {
 			now[id] = false
@@ -505,7 +505,7 @@
 	cl := to.client
 	to.mu.Unlock()
 	cl.Call(q, fmt.Sprintf("%s.%d", q.ID, n), deadline, func(res fakeclient.Result) {
-		retry := !res.Answered && (c.Effect == "safe") || res.Answered && res.Answer == invariants.Refused ||
+		retry := !res.Answered && (c.Effect == "safe") || res.Answered && res.Answer == invariants.Rejected ||
 			res.Answered && res.Answer == invariants.Failed && res.Pushback >= 0 && c.Effect == "safe"
 		wait := max(res.Pushback, r.script.Traffic.Backoff.D()<<n)
 		if retry && n < r.script.Traffic.Retries && time.Since(asked)+wait < c.Deadline.D()-10*time.Millisecond {
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -250,7 +250,7 @@
 			if r.party != nil {
 				r.party.retire(g)
 			}
-			r.log.Add(invariants.Record{Kind: invariants.RouterDown, Router: name})
+			r.log.Add(invariants.Record{Kind: invariants.RouterKilled, Router: name})
 			g.Kill()
 			c.Close()
 			if err := r.launch(sl); err != nil {
