--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -181,16 +181,16 @@
 }
 
 func (c standinCmd) Run(ctx context.Context) error {
-	store, cell := fakeworker.NewStore(50, 100), fakeworker.NewCell()
+	store, cell := fakeworker.NewStore(50, 100), fakeworker.NewDeduplicator()
 	var list config.WorkerList
 	models := map[string]fakeworker.Model{}
 	for _, m := range c.Model {
-		models[m] = fakeworker.Model{Name: m, Class: "quote", MemoryMB: 200, Lanes: 2, Load: 300 * time.Millisecond}
+		models[m] = fakeworker.Model{Name: m, Class: "quote", MemoryMB: 200, ConcurrencyPerInstance: 2, LoadTime: 300 * time.Millisecond}
 	}
 	for i := range c.Workers {
-		w, err := fakeworker.Start(fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 100,
-			LoadsAtOnce: 4, IdleKeep: 10 * time.Second, LoadsOnMiss: true, GrowsCopies: true, Store: store, Cell: cell,
-			Seed: uint64(i), Models: models, ServerMetrics: true, DefaultLoad: 300 * time.Millisecond})
+		w, err := fakeworker.Start(fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 4, Speed: 1, MemoryMB: 4000, QueueLength: 100,
+			ConcurrentLoads: 4, IdleResidency: 10 * time.Second, LoadsOnCacheMiss: true, AddsCopies: true, Store: store, Deduplicator: cell,
+			Seed: uint64(i), Models: models, ReportsLoad: true, DefaultLoadTime: 300 * time.Millisecond})
 		if err != nil {
 			return err
 		}
--- a/cmd/topazfront/main.go
+++ b/cmd/topazfront/main.go
@@ -149,11 +149,11 @@
 			return err
 		}
 		fmt.Printf("%-12s %v s, %d routers, %d workers, %v calls/s: %s\n", n, s.Length, s.Routers, s.Fleet.Workers,
-			s.Traffic.Rate, s.About)
+			s.Traffic.CallsPerSecond, s.Description)
 	}
 	fmt.Println("\nkinds of trouble:")
-	for _, k := range scenario.KindNames() {
-		fmt.Printf("  %-16s %s\n", k, scenario.Kinds[k])
+	for _, k := range scenario.FaultKindNames() {
+		fmt.Printf("  %-16s %s\n", k, scenario.FaultDescription(k))
 	}
 	return nil
 }
@@ -180,18 +180,18 @@
 		s.Gossip = nil
 	}
 	if c.Calm {
-		s.Trouble = nil
+		s.Faults = nil
 	}
 	var reports []*scenario.Report
 	broken := false
 	for _, policy := range c.Policy {
 		o := options(ctx, p, c.Quietly)
 		if policy == "random" {
-			o.Decider = func(s dispatch.Settings, seed uint64) (router.Dispatcher, error) {
+			o.NewDispatcher = func(s dispatch.Settings, seed uint64) (router.Dispatcher, error) {
 				return baseline.NewRandom(s, seed), nil
 			}
 		}
-		r, err := scenario.Play(s, o)
+		r, err := scenario.Run(s, o)
 		if err != nil {
 			return err
 		}
@@ -205,7 +205,7 @@
 		}
 		fmt.Println()
 		reports = append(reports, r)
-		broken = broken || policy == "module" && !r.Kept()
+		broken = broken || policy == "module" && !r.RulesSatisfied()
 	}
 	if c.Report != "" {
 		if len(reports) == 1 {
@@ -226,7 +226,7 @@
 func options(ctx context.Context, p *program, quietly bool) scenario.Options {
 	o := scenario.Options{Stop: ctx.Done()}
 	if p.LogLevel != "" {
-		o.Log = p.logger("info", "text")
+		o.Logger = p.logger("info", "text")
 	}
 	if !quietly {
 		o.Progress = live(os.Stderr)
@@ -261,13 +261,13 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d routers, %d workers, %v calls a second for %v s on loopback\n", s.About, s.Routers,
-		s.Fleet.Workers, s.Traffic.Rate, s.Length)
-	for _, t := range s.Trouble {
-		fmt.Printf("  from %4v s  %-10s %s\n", t.At, t.Kind, scenario.Kinds[t.Kind])
+	fmt.Printf("%s: %d routers, %d workers, %v calls a second for %v s on loopback\n", s.Description, s.Routers,
+		s.Fleet.Workers, s.Traffic.CallsPerSecond, s.Length)
+	for _, t := range s.Faults {
+		fmt.Printf("  from %4v s  %-10s %s\n", t.Start, t.Kind, scenario.FaultDescription(t.Kind))
 	}
 	o := options(ctx, p, false)
-	r, err := scenario.Play(s, o)
+	r, err := scenario.Run(s, o)
 	if err != nil {
 		return err
 	}
@@ -281,7 +281,7 @@
 			return err
 		}
 	}
-	if !r.Kept() {
+	if !r.RulesSatisfied() {
 		return errQuiet
 	}
 	if c.Hold {
@@ -296,16 +296,16 @@
 	if err != nil {
 		return err
 	}
-	s.Trouble, s.Length, s.Traffic.Rate = nil, 600, 1
+	s.Faults, s.Length, s.Traffic.CallsPerSecond = nil, 600, 1
 	o.Progress = nil
-	o.Begun = func(r *scenario.Rig) {
+	o.Started = func(r *scenario.Harness) {
 		fmt.Fprintln(w, "\nrunning on, with a call a second; stop with Ctrl-C (it ends by itself after ten minutes)")
 		for _, a := range r.Addresses() {
 			fmt.Fprintf(w, "  topazfront call --address %s --model quote-0 --stream\n", a)
 		}
 	}
 	began := time.Now()
-	if _, err = scenario.Play(s, o); err == nil {
+	if _, err = scenario.Run(s, o); err == nil {
 		fmt.Fprintf(w, "stopped after %v\n", time.Since(began).Round(time.Second))
 	}
 	return err
--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -27,10 +27,10 @@
 	Model    string
 	Class    string
 	Work     time.Duration // true work, which the gateway is not told
-	Hint     time.Duration // what it is told; 0: nothing
+	WorkHint     time.Duration // what it is told; 0: nothing
 	Streamed bool
 	Messages int
-	Bytes    int // of each message
+	BytesPerMessage    int // of each message
 }
 
 // Result is how a call ended.
@@ -38,18 +38,18 @@
 	Answer   invariants.Answer
 	Answered bool // false: no final answer came, as the connection broke or the time was up
 	Status   grpc.Status
-	Pushback time.Duration // advice to stay away; negative: not to repeat
+	RetryAfter time.Duration // advice to stay away; negative: not to repeat
 	Messages int
 	Bytes    int
-	Took     time.Duration
-	First    time.Duration // to the first message; 0: none came
+	Duration     time.Duration
+	TimeToFirstMessage    time.Duration // to the first message; 0: none came
 }
 
 // Client is a program's connection to one router.
 type Client struct {
 	addr, router string
-	log          *invariants.Log
-	cfg          http2.Config
+	records          *invariants.Log
+	config          http2.Config
 
 	mu   sync.Mutex
 	conn *http2.Conn
@@ -57,7 +57,7 @@
 
 // New returns a client of the router that listens at an address. It connects with its first call.
 func New(addr, router string, log *invariants.Log, cfg http2.Config) *Client {
-	return &Client{addr: addr, router: router, log: log, cfg: cfg}
+	return &Client{addr: addr, router: router, records: log, config: cfg}
 }
 
 // Router is the name of the router that it calls.
@@ -67,12 +67,12 @@
 func (c *Client) Open(*http2.Stream) http2.Receiver { return nil }
 
 // GoAway implements http2.Handler.
-func (c *Client) GoAway(conn *http2.Conn, _ http2.ErrCode) { c.forget(conn) }
+func (c *Client) GoAway(conn *http2.Conn, _ http2.ErrCode) { c.dropConn(conn) }
 
 // Lost implements http2.Handler.
-func (c *Client) Lost(conn *http2.Conn, _ error) { c.forget(conn) }
+func (c *Client) Lost(conn *http2.Conn, _ error) { c.dropConn(conn) }
 
-func (c *Client) forget(conn *http2.Conn) {
+func (c *Client) dropConn(conn *http2.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == conn {
@@ -97,7 +97,7 @@
 	if c.conn != nil {
 		return c.conn, nil
 	}
-	conn, err := http2.Dial("tcp", c.addr, time.Second, c.cfg, c)
+	conn, err := http2.Dial("tcp", c.addr, time.Second, c.config, c)
 	if err == nil {
 		c.conn = conn
 	}
@@ -105,7 +105,7 @@
 }
 
 // Message builds a request's message.
-func Message(r Request, call string) ([]byte, error) {
+func encodeRequest(r Request, call string) ([]byte, error) {
 	text := func(s string) *inference.InferParameter {
 		return &inference.InferParameter{ParameterChoice: &inference.InferParameter_StringParam{StringParam: s}}
 	}
@@ -114,9 +114,9 @@
 	}
 	m := &inference.ModelInferRequest{ModelName: r.Model, Id: call, Parameters: map[string]*inference.InferParameter{
 		fakeworker.ParamRequest: text(r.ID), oip.ParamKey: text(r.ID), fakeworker.ParamWorkMS: number(r.Work.Seconds() * 1000),
-		fakeworker.ParamMessages: number(float64(r.Messages)), fakeworker.ParamBytes: number(float64(r.Bytes))}}
-	if r.Hint > 0 {
-		m.Parameters[oip.ParamWorkMS] = number(r.Hint.Seconds() * 1000)
+		fakeworker.ParamMessages: number(float64(r.Messages)), fakeworker.ParamBytes: number(float64(r.BytesPerMessage))}}
+	if r.WorkHint > 0 {
+		m.Parameters[oip.ParamWorkMS] = number(r.WorkHint.Seconds() * 1000)
 	}
 	raw, err := proto.Marshal(m)
 	if err != nil {
@@ -128,16 +128,16 @@
 // Call sends one try and returns at once; done is told, once, how it ended. The returned function leaves the
 // call.
 func (c *Client) Call(r Request, call string, deadline time.Duration, done func(Result)) (leave func()) {
-	x := &exchange{c: c, call: call, req: r, began: time.Now(), done: done, count: grpc.Counter{}}
+	x := &pendingCall{client: c, id: call, request: r, startedAt: time.Now(), done: done, counter: grpc.Counter{}}
 	fail := func(reason string) func() {
-		x.end(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: reason}})
+		x.finish(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: reason}})
 		return func() {}
 	}
 	conn, err := c.connect()
 	if err != nil {
 		return fail(err.Error())
 	}
-	body, err := Message(r, call)
+	body, err := encodeRequest(r, call)
 	if err != nil {
 		return fail(err.Error())
 	}
@@ -145,62 +145,62 @@
 	if r.Streamed {
 		path = oip.StreamInfer
 	}
-	now := c.log.Now()
-	c.log.Add(invariants.Record{At: now, Kind: invariants.CallSent, Call: call, Request: r.ID, Class: r.Class, Router: c.router,
+	now := c.records.Now()
+	c.records.Add(invariants.Record{At: now, Kind: invariants.CallSent, Call: call, Request: r.ID, Class: r.Class, Router: c.router,
 		Deadline: now + deadline})
-	x.asked = true
+	x.recorded = true
 	// The answer is waited for a while beyond the deadline, so that a late one is seen to be late.
 	x.timer = time.AfterFunc(deadline+time.Second, func() {
-		x.end(Result{Status: grpc.Status{Code: grpc.DeadlineExceeded, Message: "no answer in time"}})
+		x.finish(Result{Status: grpc.Status{Code: grpc.DeadlineExceeded, Message: "no answer in time"}})
 	})
 	s, err := conn.Open(x, grpc.Head(c.addr, path, deadline), body, true)
 	if err != nil {
-		x.left()
-		x.end(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
+		x.recordAbandoned()
+		x.finish(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
 		return func() {}
 	}
 	return func() {
-		x.left()
+		x.recordAbandoned()
 		s.Reset(http2.Cancel)
-		x.end(Result{Status: grpc.Status{Code: grpc.Canceled}})
+		x.finish(Result{Status: grpc.Status{Code: grpc.Canceled}})
 	}
 }
 
 // exchange is one call under way.
-type exchange struct {
-	c     *Client
-	call  string
-	req   Request
-	began time.Time
+type pendingCall struct {
+	client     *Client
+	id  string
+	request   Request
+	startedAt time.Time
 	done  func(Result)
-	asked bool
+	recorded bool
 	timer *time.Timer
 
 	mu    sync.Mutex
-	count grpc.Counter
-	first time.Duration
+	counter grpc.Counter
+	timeToFirstMessage time.Duration
 	bytes int
-	over  bool
+	ended  bool
 }
 
-func (x *exchange) left() {
+func (x *pendingCall) recordAbandoned() {
 	x.mu.Lock()
-	over := x.over
+	over := x.ended
 	x.mu.Unlock()
-	if !over && x.asked {
-		x.c.log.Add(invariants.Record{Kind: invariants.CallAbandoned, Call: x.call, Class: x.req.Class, Router: x.c.router})
+	if !over && x.recorded {
+		x.client.records.Add(invariants.Record{Kind: invariants.CallAbandoned, Call: x.id, Class: x.request.Class, Router: x.client.router})
 	}
 }
 
-func (x *exchange) end(r Result) {
+func (x *pendingCall) finish(r Result) {
 	x.mu.Lock()
-	if x.over {
+	if x.ended {
 		x.mu.Unlock()
 		return
 	}
-	x.over = true
-	r.Messages, r.Bytes, r.First = x.count.Messages, x.bytes, x.first
-	r.Took = time.Since(x.began)
+	x.ended = true
+	r.Messages, r.Bytes, r.TimeToFirstMessage = x.counter.Messages, x.bytes, x.timeToFirstMessage
+	r.Duration = time.Since(x.startedAt)
 	x.mu.Unlock()
 	if x.timer != nil {
 		x.timer.Stop()
@@ -209,60 +209,60 @@
 }
 
 // Headers implements http2.Receiver.
-func (x *exchange) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
+func (x *pendingCall) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
 		return
 	}
 	r := Result{Answered: true, Status: grpc.StatusOf(fields)}
 	push, told := grpc.Get(fields, "grpc-retry-pushback-ms")
 	if ms, err := strconv.ParseInt(push, 10, 64); err == nil {
-		r.Pushback = time.Duration(ms) * time.Millisecond
+		r.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
 	switch {
 	case r.Status.Code == grpc.OK:
 		r.Answer = invariants.Served
-	case r.Status.Code == grpc.Unavailable && told && r.Pushback >= 0:
+	case r.Status.Code == grpc.Unavailable && told && r.RetryAfter >= 0:
 		r.Answer = invariants.Rejected
 	default:
 		r.Answer = invariants.Failed
 	}
 	x.mu.Lock()
-	cut := x.count.Partial()
+	cut := x.counter.Partial()
 	x.mu.Unlock()
 	if r.Answer == invariants.Served && cut {
 		r.Answer, r.Status = invariants.Failed, grpc.Status{Code: grpc.Internal, Message: "answer ends within a message"}
 	}
-	x.c.log.Add(invariants.Record{Kind: invariants.FinalAnswer, Call: x.call, Request: x.req.ID, Class: x.req.Class,
-		Router: x.c.router, Answer: r.Answer})
-	x.end(r)
+	x.client.records.Add(invariants.Record{Kind: invariants.FinalAnswer, Call: x.id, Request: x.request.ID, Class: x.request.Class,
+		Router: x.client.router, Answer: r.Answer})
+	x.finish(r)
 }
 
 // Data implements http2.Receiver.
-func (x *exchange) Data(s *http2.Stream, p []byte, end bool) {
+func (x *pendingCall) Data(s *http2.Stream, p []byte, end bool) {
 	s.Consume(len(p))
 	x.mu.Lock()
-	err := x.count.Add(p)
+	err := x.counter.Add(p)
 	x.bytes += len(p)
-	if x.first == 0 && x.count.Messages > 0 {
-		x.first = time.Since(x.began)
+	if x.timeToFirstMessage == 0 && x.counter.Messages > 0 {
+		x.timeToFirstMessage = time.Since(x.startedAt)
 	}
 	x.mu.Unlock()
 	if err != nil || end {
-		x.end(Result{Status: grpc.Status{Code: grpc.Internal, Message: fmt.Sprint("broken answer: ", err)}})
+		x.finish(Result{Status: grpc.Status{Code: grpc.Internal, Message: fmt.Sprint("broken answer: ", err)}})
 	}
 }
 
 // Sent implements http2.Receiver.
-func (x *exchange) Sent(*http2.Stream, int) {}
+func (x *pendingCall) Sent(*http2.Stream, int) {}
 
 // Closed implements http2.Receiver.
-func (x *exchange) Closed(_ *http2.Stream, err error) {
+func (x *pendingCall) Closed(_ *http2.Stream, err error) {
 	if err == nil {
 		return
 	}
 	var se *http2.StreamError
 	if errors.As(err, &se) && se.NeverRan {
-		x.left() // the router never took it
+		x.recordAbandoned() // the router never took it
 	}
-	x.end(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
+	x.finish(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
 }
--- a/internal/fake/fakeworker/serve.go
+++ b/internal/fake/fakeworker/serve.go
@@ -23,52 +23,52 @@
 )
 
 // link is the handler of a router's connection.
-type link struct{ w *Worker }
+type connHandler struct{ worker *Worker }
 
 // Open implements http2.Handler.
-func (l link) Open(s *http2.Stream) http2.Receiver {
-	return &reply{w: l.w, s: s, reader: grpc.Reader{Max: 64 << 20}}
+func (l connHandler) Open(s *http2.Stream) http2.Receiver {
+	return &rpc{worker: l.worker, stream: s, reader: grpc.Reader{Max: 64 << 20}}
 }
 
 // GoAway implements http2.Handler.
-func (l link) GoAway(*http2.Conn, http2.ErrCode) {}
+func (l connHandler) GoAway(*http2.Conn, http2.ErrCode) {}
 
 // Lost implements http2.Handler.
-func (l link) Lost(c *http2.Conn, _ error) {
-	l.w.mu.Lock()
-	delete(l.w.routers, c)
-	l.w.mu.Unlock()
+func (l connHandler) Lost(c *http2.Conn, _ error) {
+	l.worker.mu.Lock()
+	delete(l.worker.routers, c)
+	l.worker.mu.Unlock()
 }
 
 // reply is one stream: it reads a request and carries the answer.
-type reply struct {
-	w      *Worker
-	s      *http2.Stream
+type rpc struct {
+	worker      *Worker
+	stream      *http2.Stream
 	path   string
 	router string
-	enc    string
+	encoding    string
 	reader grpc.Reader
 	body   []byte
 	job    *job
-	begun  bool
+	headersSent  bool
 }
 
 // Headers implements http2.Receiver.
-func (r *reply) Headers(s *http2.Stream, fields []hpack.Field, end bool) {
+func (r *rpc) Headers(s *http2.Stream, fields []hpack.Field, end bool) {
 	if r.path != "" {
 		return
 	}
 	r.path, _ = grpc.Get(fields, ":path")
 	r.router, _ = grpc.Get(fields, grpcupstream.RouterField)
-	r.enc, _ = grpc.Get(fields, "grpc-encoding")
-	r.w.mu.Lock()
-	first := r.w.routers[s.Conn()] == ""
-	r.w.routers[s.Conn()] = r.router
-	refuse, wait := r.w.faults.RefuseNew, time.Duration(0)
+	r.encoding, _ = grpc.Get(fields, "grpc-encoding")
+	r.worker.mu.Lock()
+	first := r.worker.routers[s.Conn()] == ""
+	r.worker.routers[s.Conn()] = r.router
+	refuse, wait := r.worker.faults.RefuseStreams, time.Duration(0)
 	if first {
-		wait = r.w.faults.Handshake
+		wait = r.worker.faults.HandshakeDelay
 	}
-	r.w.mu.Unlock()
+	r.worker.mu.Unlock()
 	if refuse {
 		s.Reset(http2.RefusedStream)
 		return
@@ -77,12 +77,12 @@
 		time.Sleep(wait) // the reading goroutine of this connection is held: its handshake is slow
 	}
 	if end {
-		r.whole()
+		r.handle()
 	}
 }
 
 // Data implements http2.Receiver.
-func (r *reply) Data(s *http2.Stream, p []byte, end bool) {
+func (r *rpc) Data(s *http2.Stream, p []byte, end bool) {
 	s.Consume(len(p))
 	for len(p) > 0 {
 		m, rest, err := r.reader.Next(p)
@@ -91,7 +91,7 @@
 			return
 		}
 		if m != nil && r.body == nil {
-			b, err := grpc.Body(m, r.enc, 64<<20)
+			b, err := grpc.Body(m, r.encoding, 64<<20)
 			if err != nil {
 				s.Reset(http2.ProtocolError)
 				return
@@ -101,28 +101,28 @@
 		p = rest
 	}
 	if end {
-		r.whole()
+		r.handle()
 	}
 }
 
 // Sent implements http2.Receiver.
-func (r *reply) Sent(*http2.Stream, int) {}
+func (r *rpc) Sent(*http2.Stream, int) {}
 
 // Closed implements http2.Receiver.
-func (r *reply) Closed(_ *http2.Stream, err error) {
+func (r *rpc) Closed(_ *http2.Stream, err error) {
 	if err == nil {
 		return
 	}
-	r.w.mu.Lock()
-	defer r.w.mu.Unlock()
+	r.worker.mu.Lock()
+	defer r.worker.mu.Unlock()
 	if r.job != nil {
-		r.w.cancel(r.job)
+		r.worker.cancel(r.job)
 	}
 }
 
 // whole acts on a request that is whole.
-func (r *reply) whole() {
-	w := r.w
+func (r *rpc) handle() {
+	w := r.worker
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.down {
@@ -132,53 +132,53 @@
 	case oip.Infer, oip.StreamInfer:
 		var m inference.ModelInferRequest
 		if err := proto.Unmarshal(r.body, &m); err != nil || m.ModelName == "" {
-			r.end(ending{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
+			r.finish(outcome{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
 			return
 		}
-		r.job = jobOf(&m, r)
-		w.arrive(r.job)
+		r.job = newJob(&m, r)
+		w.accept(r.job)
 	case oip.Load:
 		var m inference.RepositoryModelLoadRequest
 		if err := proto.Unmarshal(r.body, &m); err != nil {
-			r.end(ending{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
+			r.finish(outcome{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
 			return
 		}
-		r.load(&m)
+		r.handleLoad(&m)
 	case oip.ServerReady:
-		if w.faults.Hang || w.fallen {
+		if w.faults.Hang || w.overloaded {
 			return
 		}
 		if !w.draining {
-			w.record(invariants.Record{Kind: invariants.WorkerReady, Worker: w.cfg.ID, Router: r.router})
+			w.record(invariants.Record{Kind: invariants.WorkerReady, Worker: w.config.ID, Router: r.router})
 		}
-		r.unary(&inference.ServerReadyResponse{Ready: !w.draining}, w.report(nil))
+		r.respond(&inference.ServerReadyResponse{Ready: !w.draining}, w.loadReport(nil))
 	case oip.Index:
 		out := &inference.RepositoryIndexResponse{}
 		for name, at := range w.models {
-			if at.loaded() > 0 {
+			if at.loadedCopies() > 0 {
 				out.Models = append(out.Models, &inference.RepositoryIndexResponse_ModelIndex{Name: name, State: "READY"})
 			}
 		}
-		r.unary(out, oip.NoReport)
+		r.respond(out, oip.NoReport)
 	case oip.Unload:
 		var m inference.RepositoryModelUnloadRequest
 		if proto.Unmarshal(r.body, &m) == nil && w.models[m.ModelName] != nil {
 			at := w.models[m.ModelName]
-			for _, c := range append([]*copyOf(nil), at.copies...) {
+			for _, c := range append([]*modelCopy(nil), at.copies...) {
 				if c.loaded && c.running == 0 {
 					at.unload(c)
 				}
 			}
 		}
-		r.unary(&inference.RepositoryModelUnloadResponse{}, oip.NoReport)
+		r.respond(&inference.RepositoryModelUnloadResponse{}, oip.NoReport)
 	case oip.ServerLive:
-		r.unary(&inference.ServerLiveResponse{Live: true}, oip.NoReport)
+		r.respond(&inference.ServerLiveResponse{Live: true}, oip.NoReport)
 	default:
-		r.end(ending{status: grpc.Status{Code: grpc.Unimplemented, Message: "no call " + r.path}}, oip.NoReport)
+		r.finish(outcome{status: grpc.Status{Code: grpc.Unimplemented, Message: "no call " + r.path}}, oip.NoReport)
 	}
 }
 
-func jobOf(m *inference.ModelInferRequest, r *reply) *job {
+func newJob(m *inference.ModelInferRequest, r *rpc) *job {
 	number := func(name string, or float64) float64 {
 		switch v := m.Parameters[name].GetParameterChoice().(type) {
 		case *inference.InferParameter_Int64Param:
@@ -188,78 +188,78 @@
 		}
 		return or
 	}
-	j := &job{call: m.Id, request: m.Parameters[ParamRequest].GetStringParam(), router: r.router, reply: r,
-		class: m.Parameters[oip.ParamClass].GetStringParam(), key: m.Parameters[oip.ParamKey].GetStringParam(),
-		model: Model{Name: m.ModelName, MemoryMB: number(oip.ParamMemoryMB, 100), Lanes: int(number(oip.ParamLanes, 1)),
-			Load: time.Duration(number(oip.ParamLoadMS, 0) * float64(time.Millisecond))},
+	j := &job{callID: m.Id, requestID: m.Parameters[ParamRequest].GetStringParam(), router: r.router, stream: r,
+		class: m.Parameters[oip.ParamClass].GetStringParam(), idempotencyKey: m.Parameters[oip.ParamKey].GetStringParam(),
+		model: Model{Name: m.ModelName, MemoryMB: number(oip.ParamMemoryMB, 100), ConcurrencyPerInstance: int(number(oip.ParamLanes, 1)),
+			LoadTime: time.Duration(number(oip.ParamLoadMS, 0) * float64(time.Millisecond))},
 		work:     time.Duration(number(ParamWorkMS, 1) * float64(time.Millisecond)),
-		streamed: r.path == oip.StreamInfer, messages: int(number(ParamMessages, 1)), bytes: int(number(ParamBytes, 16))}
+		streamed: r.path == oip.StreamInfer, messageCount: int(number(ParamMessages, 1)), messageBytes: int(number(ParamBytes, 16))}
 	if m.ModelVersion != "" {
 		j.model.Name += "@" + m.ModelVersion
 	}
 	if j.class == "" {
-		j.class = r.w.cfg.Models[j.model.Name].Class
+		j.class = r.worker.config.Models[j.model.Name].Class
 	}
 	return j
 }
 
 // load acts on a load order.
-func (r *reply) load(m *inference.RepositoryModelLoadRequest) {
-	w := r.w
+func (r *rpc) handleLoad(m *inference.RepositoryModelLoadRequest) {
+	w := r.worker
 	copies := int(m.Parameters[oip.ParamCopies].GetInt64Param())
-	w.record(invariants.Record{Kind: invariants.LoadCommandReceived, Router: r.router, Worker: w.cfg.ID, Request: m.ModelName, Copies: copies})
+	w.record(invariants.Record{Kind: invariants.LoadCommandReceived, Router: r.router, Worker: w.config.ID, Request: m.ModelName, Copies: copies})
 	switch {
-	case w.faults.Hang || w.fallen:
+	case w.faults.Hang || w.overloaded:
 		return
 	case w.draining && copies > 0:
-		r.end(drains, w.report(nil))
+		r.finish(workerDraining, w.loadReport(nil))
 		return
 	}
 	name := m.ModelName
 	if v := m.Parameters["version"].GetStringParam(); v != "" {
 		name += "@" + v
 	}
-	at := w.model(Model{Name: name, MemoryMB: 100, Lanes: 1})
-	w.order(at.Model, copies, func(ok bool, n int, err error) {
-		report := w.report(nil)
+	at := w.modelState(Model{Name: name, MemoryMB: 100, ConcurrencyPerInstance: 1})
+	w.ensureCopies(at.Model, copies, func(ok bool, n int, err error) {
+		report := w.loadReport(nil)
 		report.Copies = float64(n)
 		switch {
 		case ok:
-			r.unary(&inference.RepositoryModelLoadResponse{}, report)
+			r.respond(&inference.RepositoryModelLoadResponse{}, report)
 		case err != nil:
-			r.end(loadFail, report)
+			r.finish(loadFailed, report)
 		default:
-			r.end(full, report)
+			r.finish(workerFull, report)
 		}
 	})
 }
 
-func (r *reply) unary(m proto.Message, report oip.Report) {
+func (r *rpc) respond(m proto.Message, report oip.Report) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
-		r.end(ending{status: grpc.Status{Code: grpc.Internal, Message: err.Error()}}, report)
+		r.finish(outcome{status: grpc.Status{Code: grpc.Internal, Message: err.Error()}}, report)
 		return
 	}
-	r.write(raw)
-	r.end(ending{}, report)
+	r.writeMessage(raw)
+	r.finish(outcome{}, report)
 }
 
-func (r *reply) write(raw []byte) {
-	if !r.begun {
-		r.begun = true
-		_ = r.s.WriteHeaders([]hpack.Field{{Name: ":status", Value: "200"},
+func (r *rpc) writeMessage(raw []byte) {
+	if !r.headersSent {
+		r.headersSent = true
+		_ = r.stream.WriteHeaders([]hpack.Field{{Name: ":status", Value: "200"},
 			{Name: "content-type", Value: "application/grpc"}}, false)
 	}
-	_, _ = r.s.Write(append(grpc.AppendPrefix(make([]byte, 0, len(raw)+grpc.PrefixLen), len(raw), false), raw...), false)
+	_, _ = r.stream.Write(append(grpc.AppendPrefix(make([]byte, 0, len(raw)+grpc.PrefixLen), len(raw), false), raw...), false)
 }
 
 // message sends one message of an inference's answer.
-func (r *reply) message(j *job, n int) {
+func (r *rpc) sendInferResponse(j *job, n int) {
 	if j.cancelled {
 		return
 	}
-	in := &inference.ModelInferResponse{ModelName: j.model.Name, Id: j.call,
-		RawOutputContents: [][]byte{make([]byte, max(j.bytes, 0))},
+	in := &inference.ModelInferResponse{ModelName: j.model.Name, Id: j.callID,
+		RawOutputContents: [][]byte{make([]byte, max(j.messageBytes, 0))},
 		Parameters: map[string]*inference.InferParameter{"sequence": {
 			ParameterChoice: &inference.InferParameter_Int64Param{Int64Param: int64(n)}}}}
 	var m proto.Message = in
@@ -270,11 +270,11 @@
 	if err != nil {
 		return
 	}
-	r.write(raw)
+	r.writeMessage(raw)
 }
 
 // end sends the trailers.
-func (r *reply) end(e ending, report oip.Report) {
+func (r *rpc) finish(e outcome, report oip.Report) {
 	fields := e.status.Trailer()
 	if e.admission != "" {
 		fields = append(fields, hpack.Field{Name: oip.AdmissionField, Value: e.admission})
@@ -282,10 +282,10 @@
 	if report != oip.NoReport {
 		fields = append(fields, report.Field())
 	}
-	if r.begun {
-		_ = r.s.WriteTrailers(fields)
+	if r.headersSent {
+		_ = r.stream.WriteTrailers(fields)
 		return
 	}
-	_ = r.s.WriteHeaders(append([]hpack.Field{{Name: ":status", Value: "200"},
+	_ = r.stream.WriteHeaders(append([]hpack.Field{{Name: ":status", Value: "200"},
 		{Name: "content-type", Value: "application/grpc"}}, fields...), true)
 }
--- a/internal/fake/fakeworker/store.go
+++ b/internal/fake/fakeworker/store.go
@@ -12,14 +12,14 @@
 	mu      sync.Mutex
 	rate    float64
 	limit   int
-	inHand  int
-	downTil time.Time
+	inFlight  int
+	pausedUntil time.Time
 	fetches int
-	refused int
+	rejected int
 }
 
 // ErrStore tells that the store turned a fetch away.
-var ErrStore = errors.New("store is full")
+var ErrStoreFull = errors.New("store is full")
 
 // NewStore returns a store; limit bounds the fetches in hand.
 func NewStore(rate float64, limit int) *Store { return &Store{rate: rate, limit: limit} }
@@ -28,65 +28,65 @@
 func (s *Store) Fetch(alone time.Duration, done func(error)) {
 	s.mu.Lock()
 	s.fetches++
-	if s.inHand >= s.limit {
-		s.refused++
+	if s.inFlight >= s.limit {
+		s.rejected++
 		s.mu.Unlock()
-		time.AfterFunc(5*time.Millisecond, func() { done(ErrStore) })
+		time.AfterFunc(5*time.Millisecond, func() { done(ErrStoreFull) })
 		return
 	}
-	s.inHand++
-	crowd := max(float64(s.inHand)/(s.rate*max(alone.Seconds(), 0.01)), 1)
+	s.inFlight++
+	crowd := max(float64(s.inFlight)/(s.rate*max(alone.Seconds(), 0.01)), 1)
 	took := time.Duration(float64(alone) * crowd)
-	if wait := time.Until(s.downTil); wait > 0 {
+	if wait := time.Until(s.pausedUntil); wait > 0 {
 		took += wait
 	}
 	s.mu.Unlock()
 	time.AfterFunc(took, func() {
 		s.mu.Lock()
-		s.inHand--
+		s.inFlight--
 		s.mu.Unlock()
 		done(nil)
 	})
 }
 
 // Stop has the store stand still for a while.
-func (s *Store) Stop(d time.Duration) {
+func (s *Store) Pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.downTil = time.Now().Add(d)
+	s.pausedUntil = time.Now().Add(d)
 }
 
 // Fetches tells how many fetches were asked for, and how many were turned away.
-func (s *Store) Fetches() (asked, refused int) {
+func (s *Store) Totals() (asked, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fetches, s.refused
+	return s.fetches, s.rejected
 }
 
 // Cell is the workers that drop each other's repeats of keyed calls.
-type Cell struct {
+type Deduplicator struct {
 	mu   sync.Mutex
-	seen map[string]time.Time
+	seenAt map[string]time.Time
 }
 
 // NewCell returns a cell that has seen nothing.
-func NewCell() *Cell { return &Cell{seen: map[string]time.Time{}} }
+func NewDeduplicator() *Deduplicator { return &Deduplicator{seenAt: map[string]time.Time{}} }
 
 // first tells whether a key is new within the window, and notes it.
-func (c *Cell) first(key string, window time.Duration) bool {
+func (c *Deduplicator) isFirst(key string, window time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if at, ok := c.seen[key]; ok && now.Sub(at) < window {
+	if at, ok := c.seenAt[key]; ok && now.Sub(at) < window {
 		return false
 	}
-	if len(c.seen) > 10000 {
-		for k, at := range c.seen {
+	if len(c.seenAt) > 10000 {
+		for k, at := range c.seenAt {
 			if now.Sub(at) > window {
-				delete(c.seen, k)
+				delete(c.seenAt, k)
 			}
 		}
 	}
-	c.seen[key] = now
+	c.seenAt[key] = now
 	return true
 }
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -22,26 +22,26 @@
 	Cores         int
 	Speed         float64 // of a core; 1 is the yardstick
 	MemoryMB      float64
-	Queue         int // calls that may wait
-	LoadsAtOnce   int
-	IdleKeep      time.Duration
-	LoadsOnMiss   bool // a model that is not loaded is loaded while the call waits
-	GrowsCopies   bool // starts another copy by itself when all lanes are taken
-	StopsWork     bool // a cancelled call's work stops
-	ColdShare     float64
-	ColdFor       time.Duration
-	FallMultiple  float64
-	FallSpan      time.Duration
-	KeyedFor      time.Duration // how long repeats of a keyed call are dropped
-	Keyed         map[string]bool
+	QueueLength         int // calls that may wait
+	ConcurrentLoads   int
+	IdleResidency      time.Duration
+	LoadsOnCacheMiss   bool // a model that is not loaded is loaded while the call waits
+	AddsCopies   bool // starts another copy by itself when all lanes are taken
+	StopsCancelledWork     bool // a cancelled call's work stops
+	SlowStartShare     float64
+	SlowStartDuration       time.Duration
+	OverloadMultiple  float64
+	OverloadWindow      time.Duration
+	DeduplicationWindow      time.Duration // how long repeats of a keyed call are dropped
+	DeduplicatedClasses         map[string]bool
 	Store         *Store
-	Cell          *Cell
+	Deduplicator          *Deduplicator
 	Log           *invariants.Log
 	Seed          uint64
-	Cold          bool // starts cold; one of long ago does not
-	ClassWork     map[string]time.Duration
-	DefaultLoad   time.Duration
-	ServerMetrics bool             // answers bring a load report
+	ColdStart          bool // starts cold; one of long ago does not
+	MeanWorkByClass     map[string]time.Duration
+	DefaultLoadTime   time.Duration
+	ReportsLoad bool             // answers bring a load report
 	Models        map[string]Model // what the worker knows of models by itself
 }
 
@@ -50,81 +50,81 @@
 	Name     string
 	Class    string
 	MemoryMB float64
-	Lanes    int
-	Load     time.Duration
+	ConcurrencyPerInstance    int
+	LoadTime     time.Duration
 }
 
 // copyOf is one loaded, or loading, copy of a model.
-type copyOf struct {
+type modelCopy struct {
 	loaded  bool
 	running int
-	idle    time.Time // since when nothing runs on it
-	void    bool      // of an old release: goes when it is idle
+	idleSince    time.Time // since when nothing runs on it
+	outdated    bool      // of an old release: goes when it is idle
 }
 
 // models is a model at this worker.
-type modelAt struct {
+type modelState struct {
 	Model
-	copies  []*copyOf
-	waiting []*job
-	orders  []*order
-	image   bool // the store's bytes are on the disk
+	copies  []*modelCopy
+	pending []*job
+	loadCommands  []*loadCommand
+	imageCached   bool // the store's bytes are on the disk
 }
 
 // order is a load order that waits for its copies.
-type order struct {
-	want int
+type loadCommand struct {
+	copies int
 	done func(ok bool, copies int, err error)
 }
 
 // job is one call at the worker.
 type job struct {
-	call, request, class, router string
+	callID, requestID, class, router string
 	model                        Model
 	work                         time.Duration
-	key                          string
+	idempotencyKey                          string
 	streamed                     bool
-	messages, bytes              int
-	reply                        *reply
-
-	m         *modelAt
-	on        *copyOf
-	company   int
-	warmth    int
-	began     bool
+	messageCount, messageBytes              int
+	stream                        *rpc
+
+	state         *modelState
+	assigned        *modelCopy
+	concurrent   int
+	cacheStatus    int
+	started     bool
 	cancelled bool
-	gone      bool // finished
+	finished      bool // finished
 	timer     *time.Timer
 }
 
 // Worker is one running stand-in.
 type Worker struct {
-	cfg Config
+	config Config
 
 	mu       sync.Mutex
 	server   *http2.Server
 	addr     string
 	rng      *rand.Rand
-	models   map[string]*modelAt
+	models   map[string]*modelState
 	jobs     map[*job]struct{}
-	ready    []*job // have a lane, wait for a core
+	runnable    []*job // have a lane, wait for a core
 	running  int
 	loading  int
-	backlog  []func() // loads that wait their turn
-	started  time.Time
-	life     int // counts starts; timers of an earlier life do nothing
+	pendingLoads  []func() // loads that wait their turn
+	startedAt  time.Time
+	incarnation     int // counts starts; timers of an earlier life do nothing
 	down     bool
-	fallen   bool
+	overloaded   bool
 	draining bool
-	arrivals []arrived // while cold
+	arrivals []arrival // while cold
 	faults   Faults
-	pausedTo time.Time
+	pausedUntil time.Time
 	routers  map[*http2.Conn]string
 	served   int
-	shares   map[string][]time.Time // arrivals by class, for the throttle
+	recentArrivals   map[string][]time.Time // arrivals by class, for the throttle
 }
 
-type arrived struct {
+type arrival struct {
 	at   time.Time
 	work float64
 }
@@ -132,62 +132,62 @@
 // Faults are what may be wrong with a worker.
 type Faults struct {
 	Hang        bool               // takes calls and answers none
-	Slow        float64            // work takes this many times as long; 0: as usual
-	FailClass   map[string]bool    // these classes get errors
-	Throttle    map[string]float64 // these classes are turned away above so many a second,
-	ThrottleLag time.Duration      // after this long
-	Handshake   time.Duration      // a new connection's first call waits this long
-	DieAfter    map[string]int     // a call of these classes kills the worker after so many messages
-	DieStarted  map[string]bool    // a call of these classes kills the worker as it begins to run
-	RefuseNew   bool               // streams are refused with REFUSED_STREAM
-	LoadFails   bool               // loads fail
+	Slowdown        float64            // work takes this many times as long; 0: as usual
+	FailingClasses   map[string]bool    // these classes get errors
+	ThrottledClasses    map[string]float64 // these classes are turned away above so many a second,
+	ThrottleDelay time.Duration      // after this long
+	HandshakeDelay   time.Duration      // a new connection's first call waits this long
+	DieAfterMessages    map[string]int     // a call of these classes kills the worker after so many messages
+	DieOnStart  map[string]bool    // a call of these classes kills the worker as it begins to run
+	RefuseStreams   bool               // streams are refused with REFUSED_STREAM
+	FailLoads   bool               // loads fail
 }
 
 // Start opens the worker's listener on a loopback port, or again on the port it had.
 func Start(cfg Config) (*Worker, error) {
-	w := &Worker{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), addr: "127.0.0.1:0"}
-	return w, w.start(cfg.Cold)
+	w := &Worker{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), addr: "127.0.0.1:0"}
+	return w, w.start(cfg.ColdStart)
 }
 
 func (w *Worker) start(cold bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	server, err := http2.Listen("tcp", w.addr, http2.Config{MaxStreams: 10000}, func(c *http2.Conn) http2.Handler {
-		return link{w}
+		return connHandler{w}
 	})
 	if err != nil {
-		return fmt.Errorf("worker %s: %w", w.cfg.ID, err)
+		return fmt.Errorf("worker %s: %w", w.config.ID, err)
 	}
 	w.server, w.addr = server, server.Addr().String()
-	w.life++
-	w.down, w.fallen, w.draining = false, false, false
-	w.models, w.jobs, w.ready, w.backlog = map[string]*modelAt{}, map[*job]struct{}{}, nil, nil
+	w.incarnation++
+	w.down, w.overloaded, w.draining = false, false, false
+	w.models, w.jobs, w.runnable, w.pendingLoads = map[string]*modelState{}, map[*job]struct{}{}, nil, nil
 	w.running, w.loading, w.arrivals = 0, 0, nil
-	w.routers, w.shares = map[*http2.Conn]string{}, map[string][]time.Time{}
-	w.started = time.Now()
+	w.routers, w.recentArrivals = map[*http2.Conn]string{}, map[string][]time.Time{}
+	w.startedAt = time.Now()
 	if !cold {
-		w.started = w.started.Add(-time.Hour)
-	} else if w.cfg.Log != nil {
-		w.cfg.Log.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.cfg.ID})
+		w.startedAt = w.startedAt.Add(-time.Hour)
+	} else if w.config.Log != nil {
+		w.config.Log.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.config.ID})
 	}
 	return nil
 }
 
 // ID is the worker's name.
-func (w *Worker) ID() string { return w.cfg.ID }
+func (w *Worker) ID() string { return w.config.ID }
 
 // Addr is where it listens.
 func (w *Worker) Addr() string { return w.addr }
 
 // Started is when its process last began.
-func (w *Worker) Started() time.Time {
+func (w *Worker) StartedAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.started
+	return w.startedAt
 }
 
 // Set changes the worker's faults.
-func (w *Worker) Set(change func(*Faults)) {
+func (w *Worker) ChangeFaults(change func(*Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.faults)
@@ -197,7 +197,7 @@
 func (w *Worker) Pause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pausedTo = time.Now().Add(d)
+	w.pausedUntil = time.Now().Add(d)
 }
 
 // Drain has the worker take nothing new; what it has goes on. With goAway it tells so on its connections.
@@ -215,7 +215,7 @@
 	if goAway {
 		server.Warn()
 		for _, r := range told {
-			w.record(invariants.Record{Kind: invariants.WorkerDraining, Worker: w.cfg.ID, Router: r})
+			w.record(invariants.Record{Kind: invariants.WorkerDraining, Worker: w.config.ID, Router: r})
 		}
 	}
 }
@@ -235,7 +235,7 @@
 		return
 	}
 	w.down = true
-	w.life++
+	w.incarnation++
 	server := w.server
 	w.mu.Unlock()
 	server.Close()
@@ -245,18 +245,18 @@
 func (w *Worker) Restart() error { return w.start(true) }
 
 // Void makes copies and images of some models void, as a release does: those at work go when they are done.
-func (w *Worker) Void(model func(string) bool) {
+func (w *Worker) Invalidate(model func(string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, m := range w.models {
 		if !model(name) {
 			continue
 		}
-		m.image = false
+		m.imageCached = false
 		kept := m.copies[:0]
 		for _, c := range m.copies {
 			if c.running > 0 || !c.loaded {
-				c.void = c.loaded
+				c.outdated = c.loaded
 				kept = append(kept, c)
 			}
 		}
@@ -272,7 +272,7 @@
 }
 
 // Held tells how many calls the worker holds, and Served how many it has answered.
-func (w *Worker) Held() int {
+func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.jobs)
@@ -286,17 +286,17 @@
 }
 
 func (w *Worker) record(r invariants.Record) {
-	if w.cfg.Log != nil {
-		w.cfg.Log.Add(r)
+	if w.config.Log != nil {
+		w.config.Log.Add(r)
 	}
 }
 
 // after runs f later in the same life.
 func (w *Worker) after(d time.Duration, f func()) *time.Timer {
-	life := w.life
+	life := w.incarnation
 	return time.AfterFunc(d, func() {
 		w.mu.Lock()
-		if w.life == life && !w.down {
+		if w.incarnation == life && !w.down {
 			f()
 		}
 		w.mu.Unlock()
@@ -304,148 +304,148 @@
 }
 
 // capacity is the present share of full capacity.
-func (w *Worker) capacity() float64 {
-	if w.cfg.ColdFor == 0 {
+func (w *Worker) capacityShare() float64 {
+	if w.config.SlowStartDuration == 0 {
 		return 1
 	}
-	age := float64(time.Since(w.started)) / float64(w.cfg.ColdFor)
-	return min(w.cfg.ColdShare+(1-w.cfg.ColdShare)*age, 1)
+	age := float64(time.Since(w.startedAt)) / float64(w.config.SlowStartDuration)
+	return min(w.config.SlowStartShare+(1-w.config.SlowStartShare)*age, 1)
 }
 
 // pressed counts what reaches a cold worker, and has it fall over when it is too much for too long.
-func (w *Worker) pressed(class string) {
-	if w.cfg.FallSpan == 0 || w.capacity() >= 1 || w.fallen {
+func (w *Worker) checkOverload(class string) {
+	if w.config.OverloadWindow == 0 || w.capacityShare() >= 1 || w.overloaded {
 		return
 	}
 	now := time.Now()
-	w.arrivals = append(w.arrivals, arrived{now, w.cfg.ClassWork[class].Seconds()})
+	w.arrivals = append(w.arrivals, arrival{now, w.config.MeanWorkByClass[class].Seconds()})
 	sum := 0.0
-	for i := len(w.arrivals) - 1; i >= 0 && now.Sub(w.arrivals[i].at) < w.cfg.FallSpan; i-- {
+	for i := len(w.arrivals) - 1; i >= 0 && now.Sub(w.arrivals[i].at) < w.config.OverloadWindow; i-- {
 		sum += w.arrivals[i].work
 	}
-	can := w.cfg.FallMultiple * w.capacity() * float64(w.cfg.Cores) * w.cfg.Speed * w.cfg.FallSpan.Seconds()
-	if now.Sub(w.started) > w.cfg.FallSpan && sum > 1.3*can+0.5 {
-		w.fallen = true
-		w.record(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.cfg.ID})
+	can := w.config.OverloadMultiple * w.capacityShare() * float64(w.config.Cores) * w.config.Speed * w.config.OverloadWindow.Seconds()
+	if now.Sub(w.startedAt) > w.config.OverloadWindow && sum > 1.3*can+0.5 {
+		w.overloaded = true
+		w.record(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.config.ID})
 	}
 }
 
 // full is how the worker turns a call away.
 var (
-	full     = ending{grpc.Status{Code: grpc.ResourceExhausted, Message: "worker is full"}, oip.AdmissionFull}
-	drains   = ending{grpc.Status{Code: grpc.Unavailable, Message: "worker drains"}, oip.AdmissionDraining}
-	missing  = ending{grpc.Status{Code: grpc.NotFound, Message: "model is not loaded"}, oip.AdmissionMissing}
-	loadFail = ending{grpc.Status{Code: grpc.Internal, Message: "load failed"}, ""}
-	broken   = ending{grpc.Status{Code: grpc.Internal, Message: "class fails here"}, ""}
+	workerFull     = outcome{grpc.Status{Code: grpc.ResourceExhausted, Message: "worker is full"}, oip.AdmissionFull}
+	workerDraining   = outcome{grpc.Status{Code: grpc.Unavailable, Message: "worker drains"}, oip.AdmissionDraining}
+	modelNotLoaded  = outcome{grpc.Status{Code: grpc.NotFound, Message: "model is not loaded"}, oip.AdmissionMissing}
+	loadFailed = outcome{grpc.Status{Code: grpc.Internal, Message: "load failed"}, ""}
+	classFailing   = outcome{grpc.Status{Code: grpc.Internal, Message: "class fails here"}, ""}
 )
 
-type ending struct {
+type outcome struct {
 	status    grpc.Status
 	admission string
 }
 
 // arrive takes a call. w.mu is held.
-func (w *Worker) arrive(j *job) {
-	w.record(invariants.Record{Kind: invariants.AttemptReceived, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
-		Worker: w.cfg.ID})
-	w.pressed(j.class)
+func (w *Worker) accept(j *job) {
+	w.record(invariants.Record{Kind: invariants.AttemptReceived, Call: j.callID, Request: j.requestID, Class: j.class, Router: j.router,
+		Worker: w.config.ID})
+	w.checkOverload(j.class)
 	w.jobs[j] = struct{}{}
 	switch {
-	case w.fallen || w.faults.Hang: // silence
+	case w.overloaded || w.faults.Hang: // silence
 		return
 	case w.draining:
-		w.finish(j, drains)
+		w.finish(j, workerDraining)
 		return
-	case w.faults.FailClass[j.class]:
-		w.after(5*time.Millisecond, func() { w.finish(j, broken) })
+	case w.faults.FailingClasses[j.class]:
+		w.after(5*time.Millisecond, func() { w.finish(j, classFailing) })
 		return
 	case w.throttled(j.class):
-		w.after(w.faults.ThrottleLag, func() { w.finish(j, full) })
+		w.after(w.faults.ThrottleDelay, func() { w.finish(j, workerFull) })
 		return
 	}
-	m := w.model(j.model)
-	j.m, j.company = m, len(m.waiting)
+	m := w.modelState(j.model)
+	j.state, j.concurrent = m, len(m.pending)
 	loaded, coming := false, false
 	for _, c := range m.copies {
-		j.company += c.running
-		loaded = loaded || c.loaded && !c.void
+		j.concurrent += c.running
+		loaded = loaded || c.loaded && !c.outdated
 		coming = coming || !c.loaded
 	}
-	j.warmth = 1
+	j.cacheStatus = 1
 	switch {
 	case loaded:
 	case coming:
-		j.warmth = 3
-	case !w.cfg.LoadsOnMiss:
-		w.finish(j, missing)
+		j.cacheStatus = 3
+	case !w.config.LoadsOnCacheMiss:
+		w.finish(j, modelNotLoaded)
 		return
-	case !w.begin(m):
-		w.finish(j, full)
+	case !w.startLoad(m):
+		w.finish(j, workerFull)
 		return
 	default:
-		j.warmth = 2
+		j.cacheStatus = 2
 	}
-	m.waiting = append(m.waiting, j)
-	w.lanes(m)
-	if n := w.waits(); n > w.cfg.Queue && j.on == nil {
-		w.forget(j)
-		w.finish(j, full)
+	m.pending = append(m.pending, j)
+	w.assignCopies(m)
+	if n := w.queueLength(); n > w.config.QueueLength && j.assigned == nil {
+		w.removePending(j)
+		w.finish(j, workerFull)
 	}
 }
 
 func (w *Worker) throttled(class string) bool {
-	rate, ok := w.faults.Throttle[class]
+	rate, ok := w.faults.ThrottledClasses[class]
 	if !ok {
 		return false
 	}
 	now := time.Now()
-	recent := w.shares[class]
+	recent := w.recentArrivals[class]
 	for len(recent) > 0 && now.Sub(recent[0]) > time.Second {
 		recent = recent[1:]
 	}
 	if float64(len(recent)) >= rate {
-		w.shares[class] = recent
+		w.recentArrivals[class] = recent
 		return true
 	}
-	w.shares[class] = append(recent, now)
+	w.recentArrivals[class] = append(recent, now)
 	return false
 }
 
 // model finds or makes the worker's book of a model.
-func (w *Worker) model(m Model) *modelAt {
+func (w *Worker) modelState(m Model) *modelState {
 	at := w.models[m.Name]
 	if at == nil {
-		if known, ok := w.cfg.Models[m.Name]; ok {
+		if known, ok := w.config.Models[m.Name]; ok {
 			m = known
 		}
-		at = &modelAt{Model: m}
+		at = &modelState{Model: m}
 		w.models[m.Name] = at
 	}
 	return at
 }
 
-func (w *Worker) waits() (n int) {
+func (w *Worker) queueLength() (n int) {
 	for _, m := range w.models {
-		n += len(m.waiting)
+		n += len(m.pending)
 	}
-	return n + len(w.ready)
+	return n + len(w.runnable)
 }
 
 // room makes room for a copy by unloading idle ones, the one idle longest first.
-func (w *Worker) room(need float64) bool {
+func (w *Worker) freeMemory(need float64) bool {
 	for {
 		used := 0.0
-		var oldest *copyOf
-		var of *modelAt
+		var oldest *modelCopy
+		var of *modelState
 		for _, m := range w.models {
 			used += float64(len(m.copies)) * m.MemoryMB
 			for _, c := range m.copies {
-				if c.loaded && c.running == 0 && (oldest == nil || c.idle.Before(oldest.idle)) {
+				if c.loaded && c.running == 0 && (oldest == nil || c.idleSince.Before(oldest.idleSince)) {
 					oldest, of = c, m
 				}
 			}
 		}
-		if used+need <= w.cfg.MemoryMB {
+		if used+need <= w.config.MemoryMB {
 			return true
 		}
 		if oldest == nil {
@@ -455,7 +455,7 @@
 	}
 }
 
-func (m *modelAt) unload(c *copyOf) {
+func (m *modelState) unload(c *modelCopy) {
 	for i, o := range m.copies {
 		if o == c {
 			m.copies = append(m.copies[:i], m.copies[i+1:]...)
@@ -465,15 +465,15 @@
 }
 
 // begin starts a load, now or when its turn comes.
-func (w *Worker) begin(m *modelAt) bool {
-	if len(w.backlog) >= 2*w.cfg.LoadsAtOnce || !w.room(m.MemoryMB) {
+func (w *Worker) startLoad(m *modelState) bool {
+	if len(w.pendingLoads) >= 2*w.config.ConcurrentLoads || !w.freeMemory(m.MemoryMB) {
 		return false
 	}
-	c := &copyOf{}
+	c := &modelCopy{}
 	m.copies = append(m.copies, c)
-	run := func() { w.load(m, c) }
-	if w.loading >= w.cfg.LoadsAtOnce {
-		w.backlog = append(w.backlog, run)
+	run := func() { w.runLoad(m, c) }
+	if w.loading >= w.config.ConcurrentLoads {
+		w.pendingLoads = append(w.pendingLoads, run)
 		return true
 	}
 	run()
@@ -481,41 +481,41 @@
 }
 
 // load fetches a copy, unless its image is here, and starts it.
-func (w *Worker) load(m *modelAt, c *copyOf) {
+func (w *Worker) runLoad(m *modelState, c *modelCopy) {
 	w.loading++
-	took := m.Load
+	took := m.LoadTime
 	if took == 0 {
-		took = w.cfg.DefaultLoad
+		took = w.config.DefaultLoadTime
 	}
 	took = time.Duration(float64(took) * math.Exp(0.2*w.rng.NormFloat64()))
 	fetch, start := took*7/10, took*3/10
-	life := w.life
-	fails := w.faults.LoadFails
+	life := w.incarnation
+	fails := w.faults.FailLoads
 	finished := func(err error) {
 		w.loading--
-		if len(w.backlog) > 0 {
-			next := w.backlog[0]
-			w.backlog = w.backlog[1:]
+		if len(w.pendingLoads) > 0 {
+			next := w.pendingLoads[0]
+			w.pendingLoads = w.pendingLoads[1:]
 			next()
 		}
 		if err != nil || fails {
 			m.unload(c)
-			w.loadFailed(m)
+			w.failPending(m)
 			return
 		}
-		c.loaded, c.idle, m.image = true, time.Now(), true
-		w.linger(m, c)
-		w.lanes(m)
-		w.ordersDone(m)
+		c.loaded, c.idleSince, m.imageCached = true, time.Now(), true
+		w.unloadWhenIdle(m, c)
+		w.assignCopies(m)
+		w.completeLoadCommands(m)
 	}
-	if m.image || w.cfg.Store == nil {
+	if m.imageCached || w.config.Store == nil {
 		w.after(start, func() { finished(nil) })
 		return
 	}
-	w.cfg.Store.Fetch(fetch, func(err error) {
+	w.config.Store.Fetch(fetch, func(err error) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life != life || w.down {
+		if w.incarnation != life || w.down {
 			return
 		}
 		if err != nil {
@@ -527,28 +527,28 @@
 }
 
 // loadFailed ends what waited for a load with no copy left to serve it.
-func (w *Worker) loadFailed(m *modelAt) {
+func (w *Worker) failPending(m *modelState) {
 	if len(m.copies) > 0 {
 		return
 	}
-	waiting := m.waiting
-	m.waiting = nil
+	waiting := m.pending
+	m.pending = nil
 	for _, j := range waiting {
-		j.warmth = 4
-		w.finish(j, loadFail)
+		j.cacheStatus = 4
+		w.finish(j, loadFailed)
 	}
-	orders := m.orders
-	m.orders = nil
+	orders := m.loadCommands
+	m.loadCommands = nil
 	for _, o := range orders {
-		o.done(false, 0, ErrStore)
+		o.done(false, 0, ErrStoreFull)
 	}
 }
 
 // linger unloads a copy that has lain idle for long.
-func (w *Worker) linger(m *modelAt, c *copyOf) {
-	w.after(w.cfg.IdleKeep, func() {
-		if c.running > 0 || time.Since(c.idle) < w.cfg.IdleKeep-time.Millisecond {
-			w.linger(m, c)
+func (w *Worker) unloadWhenIdle(m *modelState, c *modelCopy) {
+	w.after(w.config.IdleResidency, func() {
+		if c.running > 0 || time.Since(c.idleSince) < w.config.IdleResidency-time.Millisecond {
+			w.unloadWhenIdle(m, c)
 			return
 		}
 		m.unload(c)
@@ -556,224 +556,224 @@
 }
 
 // Order has the worker hold copies of a model. done is called once they stand or it is clear that they won't.
-func (w *Worker) order(m Model, want int, done func(ok bool, copies int, err error)) {
-	at := w.model(m)
-	loaded := at.loaded()
+func (w *Worker) ensureCopies(m Model, want int, done func(ok bool, copies int, err error)) {
+	at := w.modelState(m)
+	loaded := at.loadedCopies()
 	if want == 0 || loaded >= want {
 		for _, c := range at.copies {
 			if c.running == 0 {
-				c.idle = time.Now()
+				c.idleSince = time.Now()
 			}
 		}
 		done(true, loaded, nil)
 		return
 	}
 	for len(at.copies) < want {
-		if !w.begin(at) {
+		if !w.startLoad(at) {
 			done(false, loaded, nil)
 			return
 		}
 	}
-	at.orders = append(at.orders, &order{want: want, done: done})
+	at.loadCommands = append(at.loadCommands, &loadCommand{copies: want, done: done})
 }
 
-func (m *modelAt) loaded() (n int) {
+func (m *modelState) loadedCopies() (n int) {
 	for _, c := range m.copies {
-		if c.loaded && !c.void {
+		if c.loaded && !c.outdated {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *Worker) ordersDone(m *modelAt) {
-	n := m.loaded()
-	left := m.orders[:0]
-	for _, o := range m.orders {
-		if n >= o.want {
+func (w *Worker) completeLoadCommands(m *modelState) {
+	n := m.loadedCopies()
+	left := m.loadCommands[:0]
+	for _, o := range m.loadCommands {
+		if n >= o.copies {
 			o.done(true, n, nil)
 		} else {
 			left = append(left, o)
 		}
 	}
-	m.orders = left
+	m.loadCommands = left
 }
 
 // lanes gives waiting calls the free lanes of loaded copies.
-func (w *Worker) lanes(m *modelAt) {
-	defer w.cores()
-	for len(m.waiting) > 0 {
-		var free *copyOf
+func (w *Worker) assignCopies(m *modelState) {
+	defer w.assignCores()
+	for len(m.pending) > 0 {
+		var free *modelCopy
 		coming := false
 		for _, c := range m.copies {
-			if c.loaded && !c.void && c.running < max(m.Lanes, 1) && (free == nil || c.running < free.running) {
+			if c.loaded && !c.outdated && c.running < max(m.ConcurrencyPerInstance, 1) && (free == nil || c.running < free.running) {
 				free = c
 			}
 			coming = coming || !c.loaded
 		}
 		if free == nil {
-			if !coming && (w.cfg.GrowsCopies && len(m.waiting) > 0 || m.loaded() == 0) {
-				w.begin(m)
+			if !coming && (w.config.AddsCopies && len(m.pending) > 0 || m.loadedCopies() == 0) {
+				w.startLoad(m)
 			}
 			return
 		}
-		j := m.waiting[0]
-		m.waiting = m.waiting[1:]
+		j := m.pending[0]
+		m.pending = m.pending[1:]
 		free.running++
-		j.on = free
-		w.ready = append(w.ready, j)
+		j.assigned = free
+		w.runnable = append(w.runnable, j)
 	}
 }
 
 // cores begins the calls that have a lane, as cores come free.
-func (w *Worker) cores() {
-	for w.running < w.cfg.Cores && len(w.ready) > 0 {
-		j := w.ready[0]
-		w.ready = w.ready[1:]
+func (w *Worker) assignCores() {
+	for w.running < w.config.Cores && len(w.runnable) > 0 {
+		j := w.runnable[0]
+		w.runnable = w.runnable[1:]
 		w.running++
 		w.run(j)
 	}
 }
 
 func (w *Worker) run(j *job) {
-	if j.key != "" && w.cfg.Keyed[j.class] && w.cfg.Cell != nil && !w.cfg.Cell.first(j.key, w.cfg.KeyedFor) {
-		j.began = true
-		w.after(time.Millisecond, func() { w.ran(j) }) // a repeat: answered, not run again
+	if j.idempotencyKey != "" && w.config.DeduplicatedClasses[j.class] && w.config.Deduplicator != nil && !w.config.Deduplicator.isFirst(j.idempotencyKey, w.config.DeduplicationWindow) {
+		j.started = true
+		w.after(time.Millisecond, func() { w.complete(j) }) // a repeat: answered, not run again
 		return
 	}
-	j.began = true
-	w.record(invariants.Record{Kind: invariants.RunStarted, Call: j.call, Request: j.request, Class: j.class, Router: j.router,
-		Worker: w.cfg.ID})
-	if w.faults.DieStarted[j.class] {
+	j.started = true
+	w.record(invariants.Record{Kind: invariants.RunStarted, Call: j.callID, Request: j.requestID, Class: j.class, Router: j.router,
+		Worker: w.config.ID})
+	if w.faults.DieOnStart[j.class] {
 		go w.Kill()
 		return
 	}
-	slow := max(w.faults.Slow, 1)
-	took := time.Duration(float64(j.work) * slow / (w.cfg.Speed * max(w.capacity(), 0.05)))
-	if wait := time.Until(w.pausedTo); wait > 0 {
+	slow := max(w.faults.Slowdown, 1)
+	took := time.Duration(float64(j.work) * slow / (w.config.Speed * max(w.capacityShare(), 0.05)))
+	if wait := time.Until(w.pausedUntil); wait > 0 {
 		took += wait
 	}
-	if !j.streamed || j.messages <= 0 {
-		j.timer = w.after(took, func() { w.ran(j) })
+	if !j.streamed || j.messageCount <= 0 {
+		j.timer = w.after(took, func() { w.complete(j) })
 		return
 	}
-	step := took / time.Duration(j.messages)
+	step := took / time.Duration(j.messageCount)
 	var next func(n int)
 	next = func(n int) {
-		if j.gone {
+		if j.finished {
 			w.release(j)
 			return
 		}
-		if die, ok := w.faults.DieAfter[j.class]; ok && n == die {
+		if die, ok := w.faults.DieAfterMessages[j.class]; ok && n == die {
 			go w.Kill()
 			return
 		}
-		if n == j.messages {
-			w.ran(j)
+		if n == j.messageCount {
+			w.complete(j)
 			return
 		}
-		j.reply.message(j, n)
+		j.stream.sendInferResponse(j, n)
 		j.timer = w.after(step, func() { next(n + 1) })
 	}
 	j.timer = w.after(step, func() { next(0) })
 }
 
 // ran ends a call's run with a result.
-func (w *Worker) ran(j *job) {
-	if !j.gone {
-		if !j.streamed || j.messages <= 0 {
-			j.reply.message(j, 0)
+func (w *Worker) complete(j *job) {
+	if !j.finished {
+		if !j.streamed || j.messageCount <= 0 {
+			j.stream.sendInferResponse(j, 0)
 		}
 		w.served++
-		w.finish(j, ending{})
+		w.finish(j, outcome{})
 	}
 	w.release(j)
 }
 
 // release gives back a run's core and lane.
 func (w *Worker) release(j *job) {
-	if j.on == nil {
+	if j.assigned == nil {
 		return
 	}
 	w.running--
-	j.on.running--
-	j.on.idle = time.Now()
-	if j.on.void && j.on.running == 0 {
-		j.m.unload(j.on)
+	j.assigned.running--
+	j.assigned.idleSince = time.Now()
+	if j.assigned.outdated && j.assigned.running == 0 {
+		j.state.unload(j.assigned)
 	}
-	on := j.on
-	j.on = nil
-	if on.running == 0 && !on.void {
-		w.linger(j.m, on)
+	on := j.assigned
+	j.assigned = nil
+	if on.running == 0 && !on.outdated {
+		w.unloadWhenIdle(j.state, on)
 	}
-	w.lanes(j.m)
-	w.cores()
+	w.assignCopies(j.state)
+	w.assignCores()
 }
 
 // finish answers a call; one that was cancelled has no reader any more.
-func (w *Worker) finish(j *job, e ending) {
-	if j.gone {
+func (w *Worker) finish(j *job, e outcome) {
+	if j.finished {
 		return
 	}
-	j.gone = true
+	j.finished = true
 	delete(w.jobs, j)
 	if !j.cancelled {
-		j.reply.end(e, w.report(j))
+		j.stream.finish(e, w.loadReport(j))
 	}
 }
 
 // cancel takes a client's leaving: what waits is dropped, what runs goes on unless the worker stops work.
 func (w *Worker) cancel(j *job) {
 	j.cancelled = true
-	if j.gone {
+	if j.finished {
 		return
 	}
-	if !j.began {
-		w.forget(j)
-		w.finish(j, ending{})
+	if !j.started {
+		w.removePending(j)
+		w.finish(j, outcome{})
 		return
 	}
-	if w.cfg.StopsWork && j.on != nil {
+	if w.config.StopsCancelledWork && j.assigned != nil {
 		if j.timer != nil {
 			j.timer.Stop()
 		}
-		w.finish(j, ending{})
+		w.finish(j, outcome{})
 		w.release(j)
 	}
 }
 
 // forget takes a waiting call out of its queue.
-func (w *Worker) forget(j *job) {
-	if j.m == nil {
+func (w *Worker) removePending(j *job) {
+	if j.state == nil {
 		return
 	}
-	for i, o := range j.m.waiting {
+	for i, o := range j.state.pending {
 		if o == j {
-			j.m.waiting = append(j.m.waiting[:i], j.m.waiting[i+1:]...)
+			j.state.pending = append(j.state.pending[:i], j.state.pending[i+1:]...)
 			return
 		}
 	}
-	for i, o := range w.ready {
+	for i, o := range w.runnable {
 		if o == j {
-			w.ready = append(w.ready[:i], w.ready[i+1:]...)
-			j.on.running--
-			j.on = nil
+			w.runnable = append(w.runnable[:i], w.runnable[i+1:]...)
+			j.assigned.running--
+			j.assigned = nil
 			return
 		}
 	}
 }
 
-func (w *Worker) report(j *job) oip.Report {
+func (w *Worker) loadReport(j *job) oip.Report {
 	r := oip.NoReport
-	if !w.cfg.ServerMetrics {
+	if !w.config.ReportsLoad {
 		return r
 	}
-	r.InFlight, r.Queue = float64(len(w.jobs)), float64(w.waits())
-	r.Loading = float64(w.loading + len(w.backlog))
+	r.InFlight, r.Queue = float64(len(w.jobs)), float64(w.queueLength())
+	r.Loading = float64(w.loading + len(w.pendingLoads))
 	if j != nil {
-		r.Company, r.Warmth = float64(j.company), j.warmth
-		if j.m != nil {
-			r.Copies = float64(j.m.loaded())
+		r.Company, r.Warmth = float64(j.concurrent), j.cacheStatus
+		if j.state != nil {
+			r.Copies = float64(j.state.loadedCopies())
 		}
 	}
 	return r
--- a/internal/grpcgateway/gateway_test.go
+++ b/internal/grpcgateway/gateway_test.go
@@ -39,16 +39,16 @@
 func newRig(t *testing.T, n int, change func(*config.Gateway), alter func(*fakeworker.Config)) *rig {
 	t.Helper()
 	r := &rig{t: t, file: filepath.Join(t.TempDir(), "workers.json"), log: invariants.NewLog()}
-	cell, store := fakeworker.NewCell(), fakeworker.NewStore(200, 100)
+	cell, store := fakeworker.NewDeduplicator(), fakeworker.NewStore(200, 100)
 	for i := range n {
-		c := fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 8, Speed: 1, MemoryMB: 4000, Queue: 1000, LoadsAtOnce: 8,
-			IdleKeep: 10 * time.Second, LoadsOnMiss: true, GrowsCopies: true, KeyedFor: 5 * time.Second,
-			Keyed: map[string]bool{"renew": true}, Store: store, Cell: cell, Log: r.log, Seed: uint64(i),
-			DefaultLoad: 20 * time.Millisecond, ServerMetrics: true,
+		c := fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 8, Speed: 1, MemoryMB: 4000, QueueLength: 1000, ConcurrentLoads: 8,
+			IdleResidency: 10 * time.Second, LoadsOnCacheMiss: true, AddsCopies: true, DeduplicationWindow: 5 * time.Second,
+			DeduplicatedClasses: map[string]bool{"renew": true}, Store: store, Deduplicator: cell, Log: r.log, Seed: uint64(i),
+			DefaultLoadTime: 20 * time.Millisecond, ReportsLoad: true,
 			Models: map[string]fakeworker.Model{
-				"quote": {Name: "quote", Class: "quote", MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond},
-				"renew": {Name: "renew", Class: "renew", MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond},
-				"award": {Name: "award", Class: "points", MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond}}}
+				"quote": {Name: "quote", Class: "quote", MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20 * time.Millisecond},
+				"renew": {Name: "renew", Class: "renew", MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20 * time.Millisecond},
+				"award": {Name: "award", Class: "points", MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20 * time.Millisecond}}}
 		if alter != nil {
 			alter(&c)
 		}
--- a/internal/grpcgateway/hard_test.go
+++ b/internal/grpcgateway/hard_test.go
@@ -49,7 +49,7 @@
 // all sets a fault at every worker.
 func (r *rig) all(f func(*fakeworker.Faults)) {
 	for _, w := range r.workers {
-		w.Set(f)
+		w.ChangeFaults(f)
 	}
 }
 
@@ -63,9 +63,9 @@
 
 func TestAwardOnAWorkerThatDiesRunsOnceAndFailsOnce(t *testing.T) {
 	for name, fault := range map[string]func(*fakeworker.Faults){
-		"mid-stream":          func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 2} },
-		"before the response": func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 0} },
-		"as it begins to run": func(f *fakeworker.Faults) { f.DieStarted = map[string]bool{"points": true} },
+		"mid-stream":          func(f *fakeworker.Faults) { f.DieAfterMessages = map[string]int{"points": 2} },
+		"before the response": func(f *fakeworker.Faults) { f.DieAfterMessages = map[string]int{"points": 0} },
+		"as it begins to run": func(f *fakeworker.Faults) { f.DieOnStart = map[string]bool{"points": true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 3, nil, nil)
@@ -89,7 +89,7 @@
 	var once sync.Once
 	first := ""
 	for _, w := range r.workers { // whichever is first kills itself; the others serve
-		w.Set(func(f *fakeworker.Faults) { f.DieStarted = map[string]bool{"quote": true} })
+		w.ChangeFaults(func(f *fakeworker.Faults) { f.DieOnStart = map[string]bool{"quote": true} })
 		go func() {
 			for !w.Down() {
 				time.Sleep(time.Millisecond)
@@ -99,7 +99,7 @@
 			}
 			once.Do(func() {
 				first = w.ID()
-				r.all(func(f *fakeworker.Faults) { f.DieStarted = nil })
+				r.all(func(f *fakeworker.Faults) { f.DieOnStart = nil })
 			})
 		}()
 	}
@@ -125,8 +125,8 @@
 	})
 	t.Run("REFUSED_STREAM", func(t *testing.T) {
 		r := newRig(t, 3, nil, nil)
-		r.workers[0].Set(func(f *fakeworker.Faults) { f.RefuseNew = true })
-		r.workers[1].Set(func(f *fakeworker.Faults) { f.RefuseNew = true })
+		r.workers[0].ChangeFaults(func(f *fakeworker.Faults) { f.RefuseStreams = true })
+		r.workers[1].ChangeFaults(func(f *fakeworker.Faults) { f.RefuseStreams = true })
 		for i := range 6 {
 			id := fmt.Sprint("a", i)
 			if _, err := r.infer(within(t, 5*time.Second), ask("award", id, 2, 1, 1)); err != nil {
@@ -172,11 +172,11 @@
 			}
 			var victim *fakeworker.Worker
 			for _, w := range r.workers {
-				if victim == nil || w.Held() > victim.Held() {
+				if victim == nil || w.InFlight() > victim.InFlight() {
 					victim = w
 				}
 			}
-			if victim.Held() == 0 {
+			if victim.InFlight() == 0 {
 				t.Fatal("no worker holds a stream")
 			}
 			list := func() {
@@ -289,10 +289,10 @@
 		for _, how := range []string{"cancel", "deadline", "disconnect"} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				r := newRig(t, 2, nil, func(c *fakeworker.Config) {
-					c.StopsWork = true
+					c.StopsCancelledWork = true
 					if name == "load wait" {
 						m := c.Models["quote"]
-						m.Load = 2 * time.Second
+						m.LoadTime = 2 * time.Second
 						c.Models["quote"] = m
 					}
 				})
@@ -320,7 +320,7 @@
 				}
 				eventually(t, "the router forgot the call", func() bool { return r.g.Router().Stats().Open == 0 })
 				if name != "silence" {
-					eventually(t, "the workers dropped it", func() bool { return r.workers[0].Held()+r.workers[1].Held() == 0 })
+					eventually(t, "the workers dropped it", func() bool { return r.workers[0].InFlight()+r.workers[1].InFlight() == 0 })
 				}
 				if r.seen(invariants.RunStarted, "l1") > 1 {
 					t.Error("it ran twice")
@@ -332,13 +332,13 @@
 
 // TestDeadlineOfAStreamUnderWay: the client's deadline ends a stream that has begun, and the worker's with it.
 func TestDeadlineOfAStreamUnderWay(t *testing.T) {
-	r := newRig(t, 1, nil, func(c *fakeworker.Config) { c.StopsWork = true })
+	r := newRig(t, 1, nil, func(c *fakeworker.Config) { c.StopsCancelledWork = true })
 	r.warm("quote")
 	n, _, err := r.stream(within(t, 500*time.Millisecond), ask("quote", "long", 5000, 100, 10), nil)
 	if status.Code(err) != codes.DeadlineExceeded || n == 0 {
 		t.Fatalf("%d messages, %v", n, err)
 	}
-	eventually(t, "the worker's stream ended", func() bool { return r.workers[0].Held() == 0 })
+	eventually(t, "the worker's stream ended", func() bool { return r.workers[0].InFlight() == 0 })
 	eventually(t, "the router forgot the call", func() bool { return r.g.Router().Stats().Open == 0 })
 }
 
@@ -455,7 +455,7 @@
 			for i := range c.Classes {
 				c.Classes[i].Aim, c.Classes[i].Deadline, c.Classes[i].Window = 15000, 20000, 20000
 			}
-		}, func(c *fakeworker.Config) { c.Cores = 32; c.KeyedFor = 20 * time.Second })
+		}, func(c *fakeworker.Config) { c.Cores = 32; c.DeduplicationWindow = 20 * time.Second })
 		for _, m := range []string{"quote", "renew", "award"} {
 			r.warm(m)
 		}
@@ -480,8 +480,8 @@
 		eventually(t, "all are in hand", func() bool { return r.g.Router().Stats().Calls >= 500 })
 		r.workers[0].Kill()
 		r.workers[1].Drain(true)
-		r.workers[2].Set(func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 3} })
-		r.workers[3].Set(func(f *fakeworker.Faults) { f.FailClass = map[string]bool{"renew": true} })
+		r.workers[2].ChangeFaults(func(f *fakeworker.Faults) { f.DieAfterMessages = map[string]int{"points": 3} })
+		r.workers[3].ChangeFaults(func(f *fakeworker.Faults) { f.FailingClasses = map[string]bool{"renew": true} })
 		wg.Wait()
 		if got := served.Load() + refused.Load() + failed.Load(); got != 500 {
 			t.Errorf("%d answers", got)
--- /dev/null
+++ b/internal/scenario/faults.go
@@ -0,0 +1,268 @@
+package scenario
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+)
+
+// pauseInterval is how often a pauses fault stops its workers.
+const pauseInterval = time.Second
+
+// throttleDelay is how long a throttled worker takes to reject a call.
+const throttleDelay = 100 * time.Millisecond
+
+// faultKind is one kind of fault. inject starts it and returns what ends it, or nil if it ends by itself.
+type faultKind struct {
+	description string // with what share and magnitude mean
+	inject      func(h *Harness, f Fault, class string) (end func())
+}
+
+// faultKinds are the kinds of fault by their names in scenario files.
+var faultKinds = map[string]faultKind{
+	"balancer_roll": {"a share of the routers is killed and restarted, one after another within the time",
+		func(h *Harness, f Fault, _ string) func() { h.restartRouters(f); return nil }},
+	"burst": {"traffic is magnitude times the usual",
+		func(h *Harness, f Fault, _ string) func() {
+			return override(h, &h.trafficMultiple, max(f.Magnitude, 0.1))
+		}},
+	"class_fail": {"a share of the workers answers the class with errors", (*Harness).injectClassFailure},
+	"discovery_stale": {"the endpoint list comes magnitude seconds later than usual",
+		func(h *Harness, f Fault, _ string) func() {
+			return override(h, &h.extraListDelay, seconds(f.Magnitude))
+		}},
+	"flush": {"a share of the models is released anew: their copies and cached images become outdated", (*Harness).injectRelease},
+	"goaway": {"a share of the workers reports that it drains, on its connections only, for the time",
+		(*Harness).injectConnectionDrain},
+	"handshake_slow": {"new connections to a share of the workers wait magnitude seconds before their first call",
+		(*Harness).injectSlowHandshake},
+	"hang":       {"a share of the workers accepts calls and answers none", (*Harness).injectHang},
+	"heavy_tail": {"a share of the class's calls has magnitude times the usual work", (*Harness).injectHeavyTail},
+	"hot_key": {"a share of the calls goes to one model of each class that was not called before",
+		func(h *Harness, f Fault, _ string) func() { return override(h, &h.newModelShare, f.Share) }},
+	"mid_stream": {"a share of the workers dies at the class's next streamed answer, after magnitude messages",
+		(*Harness).injectDeathMidStream},
+	"neighbour": {"other programs crowd a share of the workers: work takes magnitude times as long",
+		(*Harness).injectSlowdown},
+	"pauses": {"a share of the workers stands still for magnitude seconds, every second", (*Harness).injectPauses},
+	"preempt": {"a share of the workers is listed as draining and dies magnitude seconds later; replacements start cold",
+		func(h *Harness, f Fault, _ string) func() { h.preemptWorkers(f); return nil }},
+	"shift": {"a share of the traffic moves to one router, for good",
+		func(h *Harness, f Fault, _ string) func() { override(h, &h.firstRouterShare, f.Share); return nil }},
+	"slow": {"a share of the workers runs magnitude times slower", (*Harness).injectSlowdown},
+	"store_stop": {"the store stands still",
+		func(h *Harness, f Fault, _ string) func() { h.store.Pause(f.Length.Duration()); return nil }},
+	"throttle": {"a share of the workers rejects calls of the class above magnitude a second", (*Harness).injectThrottle},
+	"vanish": {"a share of the workers dies without notice, and starts again cold when the time is over",
+		(*Harness).injectDeath},
+}
+
+// FaultKindNames lists the kinds of fault in alphabetical order.
+func FaultKindNames() []string { return slices.Sorted(maps.Keys(faultKinds)) }
+
+// FaultDescription says what a kind of fault does, with what its share and magnitude mean; empty: there is none.
+func FaultDescription(kind string) string { return faultKinds[kind].description }
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// startFault injects a fault and schedules its end.
+func (h *Harness) startFault(f Fault) {
+	h.options.Logger.Info("fault injected", "kind", f.Kind, "share", f.Share, "magnitude", f.Magnitude, "class", f.Class)
+	h.mu.Lock()
+	h.activeFaults[f.Kind]++
+	h.mu.Unlock()
+	end := h.injectFault(f)
+	h.after(f.Length.Duration(), func() {
+		if end != nil {
+			end()
+		}
+		h.mu.Lock()
+		h.activeFaults[f.Kind]--
+		h.mu.Unlock()
+	})
+}
+
+// injectFault returns what ends the fault, or nil.
+func (h *Harness) injectFault(f Fault) (end func()) {
+	kind, ok := faultKinds[f.Kind]
+	if !ok {
+		return nil
+	}
+	class := f.Class
+	if class == "" {
+		class = h.scenario.Classes[0].Name
+	}
+	return kind.inject(h, f, class)
+}
+
+// override changes a value of the harness and returns what restores it.
+func override[T any](h *Harness, value *T, to T) func() {
+	h.mu.Lock()
+	old := *value
+	*value = to
+	h.mu.Unlock()
+	return func() {
+		h.mu.Lock()
+		*value = old
+		h.mu.Unlock()
+	}
+}
+
+// injectWorkerFault switches a fault of a random share of the workers on and returns what switches it off.
+func (h *Harness) injectWorkerFault(share float64, on, off func(*fakeworker.Faults)) func() {
+	return changeFaults(h.randomWorkers(share), on, off)
+}
+
+func changeFaults(workers []*fleetWorker, on, off func(*fakeworker.Faults)) func() {
+	for _, w := range workers {
+		w.worker.ChangeFaults(on)
+	}
+	return func() {
+		for _, w := range workers {
+			w.worker.ChangeFaults(off)
+		}
+	}
+}
+
+func (h *Harness) injectHeavyTail(f Fault, class string) func() {
+	h.mu.Lock()
+	h.heavyTails[class] = f
+	h.mu.Unlock()
+	return func() {
+		h.mu.Lock()
+		delete(h.heavyTails, class)
+		h.mu.Unlock()
+	}
+}
+
+func (h *Harness) injectHang(f Fault, _ string) func() {
+	workers := h.randomWorkers(f.Share)
+	now := h.records.Now()
+	h.mu.Lock()
+	for _, w := range workers {
+		h.hangs = append(h.hangs, hang{w.worker.ID(), now, now + f.Length.Duration()})
+	}
+	h.mu.Unlock()
+	return changeFaults(workers, func(f *fakeworker.Faults) { f.Hang = true }, func(f *fakeworker.Faults) { f.Hang = false })
+}
+
+func (h *Harness) injectSlowdown(f Fault, _ string) func() {
+	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.Slowdown = f.Magnitude },
+		func(faults *fakeworker.Faults) { faults.Slowdown = 0 })
+}
+
+func (h *Harness) injectClassFailure(f Fault, class string) func() {
+	return h.injectWorkerFault(f.Share,
+		func(faults *fakeworker.Faults) { faults.FailingClasses = map[string]bool{class: true} },
+		func(faults *fakeworker.Faults) { faults.FailingClasses = nil })
+}
+
+func (h *Harness) injectThrottle(f Fault, class string) func() {
+	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) {
+		faults.ThrottledClasses, faults.ThrottleDelay = map[string]float64{class: f.Magnitude}, throttleDelay
+	}, func(faults *fakeworker.Faults) { faults.ThrottledClasses = nil })
+}
+
+func (h *Harness) injectSlowHandshake(f Fault, _ string) func() {
+	delay := seconds(f.Magnitude)
+	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.HandshakeDelay = delay },
+		func(faults *fakeworker.Faults) { faults.HandshakeDelay = 0 })
+}
+
+// injectRelease makes copies and images of some models outdated. Classes are taken in the scenario's order, so that a
+// seed draws the same models each time.
+func (h *Harness) injectRelease(f Fault, _ string) func() {
+	h.mu.Lock()
+	released := map[string]bool{}
+	for _, c := range h.scenario.Classes {
+		for i := range c.ModelCount {
+			released[modelName(c.Name, i)] = h.rng.Float64() < f.Share
+		}
+	}
+	workers := slices.Clone(h.workers)
+	h.mu.Unlock()
+	for _, w := range workers {
+		w.worker.Invalidate(func(name string) bool { return released[name] })
+	}
+	return nil
+}
+
+func (h *Harness) injectPauses(f Fault, _ string) func() {
+	workers := h.randomWorkers(f.Share)
+	pause := seconds(f.Magnitude)
+	for at := time.Duration(0); at < f.Length.Duration(); at += pauseInterval {
+		h.after(at, func() {
+			for _, w := range workers {
+				w.worker.Pause(pause)
+			}
+		})
+	}
+	return nil
+}
+
+func (h *Harness) injectDeath(f Fault, _ string) func() {
+	workers := h.randomWorkers(f.Share)
+	killAll(workers)
+	return func() { h.restartWorkers(workers) }
+}
+
+func killAll(workers []*fleetWorker) {
+	for _, w := range workers {
+		w.worker.Kill()
+	}
+}
+
+func (h *Harness) injectDeathMidStream(f Fault, class string) func() {
+	workers := h.randomWorkers(f.Share)
+	end := changeFaults(workers,
+		func(faults *fakeworker.Faults) { faults.DieAfterMessages = map[string]int{class: int(f.Magnitude)} },
+		func(faults *fakeworker.Faults) { faults.DieAfterMessages = nil })
+	return func() {
+		end()
+		h.restartWorkers(workers)
+	}
+}
+
+func (h *Harness) injectConnectionDrain(f Fault, _ string) func() {
+	workers := h.randomWorkers(f.Share)
+	for _, w := range workers {
+		w.worker.Drain(true)
+	}
+	return func() {
+		for _, w := range workers {
+			w.worker.Resume()
+		}
+	}
+}
+
+// preemptWorkers takes workers away: they are listed as draining, die after the notice, and are replaced by new ones
+// that start cold.
+func (h *Harness) preemptWorkers(f Fault) {
+	workers := h.randomWorkers(f.Share)
+	h.mu.Lock()
+	for _, w := range workers {
+		w.entry.State = stateDraining
+	}
+	h.mu.Unlock()
+	for _, w := range workers {
+		w.worker.Drain(false)
+	}
+	h.publishEndpoints()
+	notice := seconds(f.Magnitude)
+	h.after(notice, func() { killAll(workers) })
+	h.after(notice+f.Length.Duration()/2, func() { h.startReplacements(len(workers)) })
+}
+
+func (h *Harness) startReplacements(n int) {
+	for range n {
+		h.mu.Lock()
+		place := h.workersStarted
+		h.mu.Unlock()
+		if err := h.startWorker(place, true); err != nil {
+			h.options.Logger.Error("replacement worker not started", "error", err)
+		}
+	}
+	h.publishEndpoints()
+}
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -8,345 +8,153 @@
 	"net"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
-	"time"
 
 	"github.com/topazfront/topazfront/internal/config"
 	"github.com/topazfront/topazfront/internal/fake/fakepeer"
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 	"github.com/topazfront/topazfront/internal/grpcgateway"
-	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// party is the gossip of a day: keys, the network between the routers, and who spoils it.
-type party struct {
-	set     *Gossip
-	dir     string
-	seed    uint64
-	net     *fakepeer.Net
-	meters  []*fakepeer.Meter
-	forgers []*fakepeer.Forger
-	liars   []*fakepeer.Liar
-	stop    chan struct{}
-	wg      sync.WaitGroup
+const (
+	firstKey  = "k1"
+	secondKey = "k2" // after the rotation
 
-	mu      sync.Mutex
-	keyName string
-	addrs   []string // by slot
-	conns   []*fakepeer.Conn
-	gone    agent.Dropped // of lives that ended
-}
+	gossipPreset    = "local"
+	loopbackAddress = "127.0.0.1:0"
+	maxSeeds        = 3
+	membersFile     = "members.json"
 
-// keyOf is a member's key of a name, made from the day's seed: stand-ins only.
-func (p *party) keyOf(id, name string) ed25519.PrivateKey {
-	seed := sha256.Sum256(fmt.Appendf(nil, "%d %s %s", p.seed, id, name))
-	return ed25519.NewKeyFromSeed(seed[:])
-}
+	// verificationTimeoutMS is how long a router waits for a suspected worker, in milliseconds.
+	verificationTimeoutMS = 400
+)
+
+// gossipCluster is the gossip between a scenario's routers: keys, the network with its faults, and the attackers.
+//
+// It owns the goroutines of forgers and liars, which stopAttackers ends and waits for.
+type gossipCluster struct {
+	settings *Gossip
+	dir      string // of key files and the file of members
+	seed     uint64
+	network  *fakepeer.Net
+	meters   []*fakepeer.Meter // by router
+	forgers  []*fakepeer.Forger
+	liars    []*fakepeer.Liar
+	stop     chan struct{}
+	wg       sync.WaitGroup
 
-func slotID(i int) string { return fmt.Sprintf("r%d", i) }
+	mu      sync.Mutex
+	addrs   []string         // by router; empty: not started yet
+	conns   []*fakepeer.Conn // by router
+	dropped agent.Dropped    // by incarnations that ended
+}
 
-func newParty(s *Script, dir string) (*party, error) {
-	p := &party{set: s.Gossip, dir: dir, seed: s.Seed, net: fakepeer.NewNet(s.Seed), keyName: "k1",
+func newGossipCluster(s *Scenario, dir string) (*gossipCluster, error) {
+	c := &gossipCluster{settings: s.Gossip, dir: dir, seed: s.Seed, network: fakepeer.NewNet(s.Seed),
 		addrs: make([]string, s.Routers), conns: make([]*fakepeer.Conn, s.Routers), stop: make(chan struct{})}
-	p.net.Set(fakepeer.Faults{Loss: s.Gossip.Loss})
-	c := p.agent(&config.Gossip{Preset: "local", Bytes: s.Gossip.Bytes}, "")
+	c.network.Set(fakepeer.Faults{Loss: s.Gossip.PacketLoss})
+	limits := c.agentConfig(&config.Gossip{Preset: gossipPreset, Bytes: s.Gossip.BytesPerSecond}, "").Gossip
 	for i := range s.Routers {
-		p.meters = append(p.meters, &fakepeer.Meter{Rate: c.Gossip.BytesPerSecond, Burst: c.Gossip.BurstBytes,
-			PerSec: c.Gossip.MessagesPerSec, Count: c.Gossip.BurstMessages})
-		if err := p.writeKey(i, "k1"); err != nil {
+		c.meters = append(c.meters, &fakepeer.Meter{Rate: limits.BytesPerSecond, Burst: limits.BurstBytes,
+			PerSec: limits.MessagesPerSec, Count: limits.BurstMessages})
+		if err := c.writeKey(i, firstKey); err != nil {
 			return nil, err
 		}
 	}
-	return p, p.writeMembers(s.Routers, "k1")
+	return c, c.writeMembers(s.Routers, firstKey)
 }
 
-func (p *party) agent(g *config.Gossip, id string) agent.Config { return g.Agent(id, p.seed) }
+func (c *gossipCluster) agentConfig(g *config.Gossip, id string) agent.Config {
+	return g.Agent(id, c.seed)
+}
 
-func (p *party) liarID(i int) string { return fmt.Sprintf("liar%d", i) }
+func routerID(i int) string { return fmt.Sprintf("r%d", i) }
 
-// writeMembers writes the file of admitted members with keys of these names each.
-func (p *party) writeMembers(routers int, names ...string) error {
-	var l config.MemberList
+// privateKey makes a member's key of a name from the scenario's seed, as such keys protect nothing.
+func (c *gossipCluster) privateKey(id, name string) ed25519.PrivateKey {
+	seed := sha256.Sum256(fmt.Appendf(nil, "%d %s %s", c.seed, id, name))
+	return ed25519.NewKeyFromSeed(seed[:])
+}
+
+func (c *gossipCluster) membersPath() string { return filepath.Join(c.dir, membersFile) }
+
+// writeMembers writes the file of admitted members, routers and liars, with the keys of these names for each.
+func (c *gossipCluster) writeMembers(routers int, keyNames ...string) error {
+	var list config.MemberList
 	add := func(id string) {
-		m := config.MemberLine{ID: id}
-		for _, n := range names {
-			pub, _ := p.keyOf(id, n).Public().(ed25519.PublicKey)
-			m.Keys = append(m.Keys, config.KeyLine{ID: n, Public: base64.StdEncoding.EncodeToString(pub)})
+		member := config.MemberLine{ID: id}
+		for _, name := range keyNames {
+			public, _ := c.privateKey(id, name).Public().(ed25519.PublicKey)
+			member.Keys = append(member.Keys, config.KeyLine{ID: name, Public: base64.StdEncoding.EncodeToString(public)})
 		}
-		l.Members = append(l.Members, m)
+		list.Members = append(list.Members, member)
 	}
 	for i := range routers {
-		add(slotID(i))
+		add(routerID(i))
 	}
-	for i := range p.set.Liars {
-		add(p.liarID(i))
+	for i := range c.settings.Liars {
+		add(liarID(i))
 	}
-	return config.WriteFile(filepath.Join(p.dir, "members.json"), l)
+	return config.WriteFile(c.membersPath(), list)
 }
 
-func (p *party) keyFile(i int) string { return filepath.Join(p.dir, fmt.Sprintf("key-%d.pem", i)) }
+func (c *gossipCluster) keyPath(i int) string {
+	return filepath.Join(c.dir, fmt.Sprintf("key-%d.pem", i))
+}
 
-func (p *party) writeKey(i int, name string) error {
-	raw, err := config.FormatKey(agent.Key{Name: name, Private: p.keyOf(slotID(i), name)})
+// writeKey replaces a router's key file in one step.
+func (c *gossipCluster) writeKey(i int, name string) error {
+	raw, err := config.FormatKey(agent.Key{Name: name, Private: c.privateKey(routerID(i), name)})
 	if err != nil {
 		return err
 	}
-	tmp := p.keyFile(i) + ".new"
-	if err := os.WriteFile(tmp, raw, 0o600); err != nil {
+	temporary := c.keyPath(i) + ".new"
+	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(tmp, p.keyFile(i))
+	return os.Rename(temporary, c.keyPath(i))
 }
 
-// settings are one router's.
-func (p *party) settings(i int) *config.Gossip {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	g := &config.Gossip{ID: slotID(i), Listen: "127.0.0.1:0", Preset: "local", Bytes: p.set.Bytes, LookTimeout: 400,
-		Members: filepath.Join(p.dir, "members.json"), Key: p.keyFile(i)}
-	if p.addrs[i] != "" {
-		g.Listen = p.addrs[i] // a later life is found where the earlier was
+// routerSettings are the gossip settings of a router's next incarnation.
+func (c *gossipCluster) routerSettings(i int) *config.Gossip {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	g := &config.Gossip{ID: routerID(i), Listen: loopbackAddress, Preset: gossipPreset, Bytes: c.settings.BytesPerSecond,
+		LookTimeout: verificationTimeoutMS, Members: c.membersPath(), Key: c.keyPath(i)}
+	if c.addrs[i] != "" {
+		g.Listen = c.addrs[i] // a later incarnation is found where the earlier one was
 	}
-	for _, a := range p.addrs {
-		if a != "" && a != p.addrs[i] && len(g.Seeds) < 3 {
-			g.Seeds = append(g.Seeds, a)
+	for _, addr := range c.addrs {
+		if addr != "" && addr != c.addrs[i] && len(g.Seeds) < maxSeeds {
+			g.Seeds = append(g.Seeds, addr)
 		}
 	}
 	return g
 }
 
-// hooks stand between one router and its sockets.
-func (p *party) hooks(i int) agent.Hooks {
-	m := p.meters[i]
-	return agent.Hooks{Packets: func(c net.PacketConn) net.PacketConn {
-		w := p.net.Wrap(c, m)
-		p.mu.Lock()
-		p.conns[i] = w
-		p.mu.Unlock()
-		return w
-	}, Stream: func(_ string, n int) bool { m.Add(n); return true }}
+// hooks put the network and the router's meter between its agent and its sockets.
+func (c *gossipCluster) hooks(i int) agent.Hooks {
+	meter := c.meters[i]
+	return agent.Hooks{Packets: func(socket net.PacketConn) net.PacketConn {
+		conn := c.network.Wrap(socket, meter)
+		c.mu.Lock()
+		c.conns[i] = conn
+		c.mu.Unlock()
+		return conn
+	}, Stream: func(_ string, n int) bool { meter.Add(n); return true }}
 }
 
-// joined notes where a router's life listens.
-func (p *party) joined(i int, g *grpcgateway.Gateway) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.addrs[i] = g.Peers().Addr()
+// routerStarted notes where a router's incarnation listens.
+func (c *gossipCluster) routerStarted(i int, gateway *grpcgateway.Gateway) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addrs[i] = gateway.Peers().Addr()
 }
 
-// retire keeps what a life counted that is about to end.
-func (p *party) retire(g *grpcgateway.Gateway) {
-	d := g.Peers().Status().Dropped
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.gone = p.gone.Add(d)
-}
-
-// begin starts those who spoil it, once all routers are up.
-func (p *party) begin(r *Rig) error {
-	var names, keyIDs []string
-	for i := range r.routers {
-		names, keyIDs = append(names, slotID(i)), append(keyIDs, "k1")
-	}
-	p.mu.Lock()
-	addrs := slices.Clone(p.addrs)
-	p.mu.Unlock()
-	for i := range p.set.Forgers {
-		f, err := fakepeer.NewForger(p.seed+uint64(i), names, keyIDs)
-		if err != nil {
-			return err
-		}
-		p.forgers = append(p.forgers, f)
-		p.wg.Go(func() {
-			t := time.NewTicker(time.Duration(float64(time.Second) * float64(len(addrs)) / max(p.set.Forged, 1)))
-			defer t.Stop()
-			for {
-				select {
-				case <-p.stop:
-					return
-				case <-t.C:
-					f.Send(addrs, 1)
-				}
-			}
-		})
-	}
-	l := r.lines()
-	starts := l.Starts()
-	for i := range p.set.Liars {
-		id := p.liarID(i)
-		c := p.agent(&config.Gossip{Listen: "127.0.0.1:0", Preset: "local", Seeds: addrs[:min(3, len(addrs))]}, id)
-		c.Key = agent.Key{Name: "k1", Private: p.keyOf(id, "k1")}
-		raw, err := os.ReadFile(filepath.Join(p.dir, "members.json"))
-		if err != nil {
-			return err
-		}
-		m, err := config.ParseMembers("members.json", raw)
-		if err != nil {
-			return err
-		}
-		c.Members = m
-		liar, err := fakepeer.NewLiar(c)
-		if err != nil {
-			return err
-		}
-		liar.Accuse(starts)
-		p.liars = append(p.liars, liar)
-		p.wg.Go(func() { // in turn it calls them all silent, and all back: the dead, the drained, the fresh
-			t := time.NewTicker(1500 * time.Millisecond)
-			defer t.Stop()
-			for {
-				select {
-				case <-p.stop:
-					return
-				case <-t.C:
-				}
-				l := r.lines()
-				now := l.Starts()
-				for id := range now {
-					liar.Praise(id)
-				}
-				liar.Accuse(now)
-			}
-		})
-	}
-	if p.set.Mute > 0 {
-		r.later(p.set.MuteAt.D(), func() {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			for _, c := range p.conns[len(p.conns)-p.set.Mute:] {
-				c.Mute()
-			}
-		})
-	}
-	if at := p.set.ExchKey.D(); at > 0 {
-		note := func(err error) {
-			if err != nil {
-				r.opt.Log.Error("key not exchanged", "error", err)
-			}
-		}
-		r.later(at, func() { note(p.writeMembers(len(r.routers), "k1", "k2")) })
-		r.later(at+1500*time.Millisecond, func() {
-			for i := range r.routers {
-				note(p.writeKey(i, "k2"))
-			}
-			p.mu.Lock()
-			p.keyName = "k2"
-			p.mu.Unlock()
-		})
-		r.later(at+4*time.Second, func() { note(p.writeMembers(len(r.routers), "k2")) })
-	}
-	return nil
-}
-
-func (p *party) end() {
-	select {
-	case <-p.stop:
-		return
-	default:
-	}
-	close(p.stop)
-	p.wg.Wait()
-	for _, f := range p.forgers {
-		f.Close()
-	}
-	for _, l := range p.liars {
-		l.Close()
-	}
-}
-
-// GossipReport is what a day's gossip came to.
-type GossipReport struct {
-	Cap       float64       `json:"cap_bytes_per_s"`
-	Most      float64       `json:"most_bytes_per_s"` // of a router, at its socket, over the day
-	Mean      float64       `json:"mean_bytes_per_s"`
-	Over      int           `json:"times_over_cap"`
-	Forged    int           `json:"forged_sent"`
-	Dropped   agent.Dropped `json:"dropped"`
-	Claims    uint64        `json:"claims"`
-	Looks     uint64        `json:"looks"`
-	Silent    uint64        `json:"found_silent"`
-	WellFound uint64        `json:"looks_that_found_a_worker_well"`
-	LeastLive int           `json:"least_live_seen"`
-	LiarMean  float64       `json:"mean_weight_of_a_liar"`
-	Keys      []string      `json:"keys_in_use"`
-}
-
-// report asks the routers, which must still run. It stops the forgers first and lets what is under way come.
-func (p *party) report(r *Rig) *GossipReport {
-	p.end()
-	out := &GossipReport{Cap: p.meters[0].Rate, LeastLive: 1 << 30, Dropped: p.gone}
-	for _, f := range p.forgers {
-		out.Forged += f.Sent
-	}
-	sum := func() (d agent.Dropped) {
-		d = p.gone
-		for _, sl := range r.routers {
-			d = d.Add(sl.g.Peers().Status().Dropped)
-		}
-		return d
-	}
-	for range 50 {
-		if out.Dropped = sum(); out.Dropped.Packets() >= uint64(out.Forged) {
-			break
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
-	for i, sl := range r.routers {
-		s := sl.g.Peers().Status()
-		_, _, rate, over := p.meters[i].Totals()
-		out.Most, out.Mean, out.Over = max(out.Most, rate), out.Mean+rate/float64(len(r.routers)), out.Over+over
-		out.Claims, out.Looks = out.Claims+s.Judge.Claims, out.Looks+s.Judge.Looks
-		out.Silent, out.WellFound = out.Silent+s.Judge.Silent, out.WellFound+s.Judge.Contradicted
-		out.LeastLive = min(out.LeastLive, s.Live)
-		if !slices.Contains(out.Keys, s.Key) {
-			out.Keys = append(out.Keys, s.Key)
-		}
-		for _, m := range sl.g.Peers().Peers() {
-			if len(m.ID) > 4 && m.ID[:4] == "liar" {
-				out.LiarMean += m.Weight / float64(len(r.routers)*len(p.liars))
-			}
-		}
-	}
-	return out
-}
-
-// Silence is what was sent to workers while they were silent.
-type Silence struct {
-	Workers  int     `json:"workers"`
-	Attempts int     `json:"attempts"`
-	P50      float64 `json:"p50_s"`  // from the beginning of the silence,
-	P95      float64 `json:"p95_s"`  // over those attempts
-	Stop     float64 `json:"stop_s"` // mean over routers of their last attempt at one, of those that sent any
-}
-
-// silent is a worker's silence.
-type silent struct {
-	worker string
-	from   time.Duration
-	till   time.Duration
-}
-
-func silence(list []silent, records []invariants.Record) *Silence {
-	out := &Silence{Workers: len(list)}
-	var at []float64
-	last := map[[2]string]float64{}
-	for _, x := range records {
-		for _, s := range list {
-			if x.Kind == invariants.AttemptReceived && x.Worker == s.worker && x.At >= s.from && x.At < s.till {
-				d := (x.At - s.from).Seconds()
-				at = append(at, d)
-				last[[2]string{x.Router, x.Worker}] = d
-			}
-		}
-	}
-	if out.Attempts = len(at); out.Attempts == 0 {
-		return out
-	}
-	slices.Sort(at)
-	out.P50, out.P95 = at[len(at)/2], at[len(at)*95/100]
-	for _, d := range last {
-		out.Stop += d / float64(len(last))
-	}
-	return out
+// routerStopping keeps the counters of an incarnation that is about to end.
+func (c *gossipCluster) routerStopping(gateway *grpcgateway.Gateway) {
+	dropped := gateway.Peers().Status().Dropped
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dropped = c.dropped.Add(dropped)
 }
--- /dev/null
+++ b/internal/scenario/gossip_report.go
@@ -0,0 +1,80 @@
+package scenario
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/gossip/agent"
+)
+
+// Forged packets that are still under way at the end are waited for, so often and so long.
+const (
+	forgedPolls        = 50
+	forgedPollInterval = 20 * time.Millisecond
+)
+
+// GossipReport is the gossip's figures. Bytes are counted at a router's socket, over the whole scenario.
+type GossipReport struct {
+	CapBytesPerSecond  float64       `json:"cap_bytes_per_s"`
+	MaxBytesPerSecond  float64       `json:"most_bytes_per_s"` // of any router
+	MeanBytesPerSecond float64       `json:"mean_bytes_per_s"` // over the routers
+	TimesOverCap       int           `json:"times_over_cap"`
+	ForgedSent         int           `json:"forged_sent"`
+	Dropped            agent.Dropped `json:"dropped"`
+	Claims             uint64        `json:"claims"`
+	Verifications      uint64        `json:"looks"` // of workers, after a quorum of suspicions
+	ConfirmedSilent    uint64        `json:"found_silent"`
+	Contradicted       uint64        `json:"looks_that_found_a_worker_well"`
+	MinLiveMembers     int           `json:"least_live_seen"`
+	MeanLiarWeight     float64       `json:"mean_weight_of_a_liar"`
+	KeysInUse          []string      `json:"keys_in_use"`
+}
+
+// report reads the routers' counters; the routers must still run. It stops the attackers first and waits until the
+// packets under way have arrived.
+func (c *gossipCluster) report(h *Harness) *GossipReport {
+	c.stopAttackers()
+	report := &GossipReport{CapBytesPerSecond: c.meters[0].Rate, MinLiveMembers: math.MaxInt32}
+	for _, forger := range c.forgers {
+		report.ForgedSent += forger.Sent
+	}
+	report.Dropped = c.waitForForged(h, uint64(report.ForgedSent))
+	for i, slot := range h.routers {
+		peers := slot.gateway.Peers()
+		status := peers.Status()
+		_, _, rate, timesOver := c.meters[i].Totals()
+		report.MaxBytesPerSecond = max(report.MaxBytesPerSecond, rate)
+		report.MeanBytesPerSecond += rate / float64(len(h.routers))
+		report.TimesOverCap += timesOver
+		report.Claims += status.Judge.Claims
+		report.Verifications += status.Judge.Looks
+		report.ConfirmedSilent += status.Judge.Silent
+		report.Contradicted += status.Judge.Contradicted
+		report.MinLiveMembers = min(report.MinLiveMembers, status.Live)
+		if !slices.Contains(report.KeysInUse, status.Key) {
+			report.KeysInUse = append(report.KeysInUse, status.Key)
+		}
+		for _, peer := range peers.Peers() {
+			if isLiar(peer.ID) {
+				report.MeanLiarWeight += peer.Weight / float64(len(h.routers)*len(c.liars))
+			}
+		}
+	}
+	return report
+}
+
+// waitForForged returns what was dropped, once that is as much as was forged or after a while.
+func (c *gossipCluster) waitForForged(h *Harness, forged uint64) (dropped agent.Dropped) {
+	for range forgedPolls {
+		dropped = c.dropped
+		for _, slot := range h.routers {
+			dropped = dropped.Add(slot.gateway.Peers().Status().Dropped)
+		}
+		if dropped.Packets() >= forged {
+			break
+		}
+		time.Sleep(forgedPollInterval)
+	}
+	return dropped
+}
--- /dev/null
+++ b/internal/scenario/harness.go
@@ -0,0 +1,246 @@
+package scenario
+
+import (
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/router"
+)
+
+// answerWait is how long requests that are pending at the end are waited for, beyond the longest deadline.
+const answerWait = 3 * time.Second
+
+// Options are how a scenario is run.
+type Options struct {
+	Dir            string // for endpoint lists and keys; empty: a temporary folder
+	Logger         *slog.Logger
+	NewDispatcher  func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: the module's own
+	Progress       func(Progress)                                             // called four times a second, from one goroutine
+	Started        func(*Harness)                                             // called once all routers and workers run
+	Stop           <-chan struct{}                                            // ends the traffic early
+	ChangeSettings func(*config.Gateway)                                      // changes the routers' settings before their start
+}
+
+// Harness is a scenario while it runs: workers, routers and clients on loopback.
+//
+// It owns the goroutine that watches the workers, which Run waits for, and timers (see after), which do nothing once
+// the scenario has ended.
+type Harness struct {
+	scenario   *Scenario
+	options    Options
+	dir        string
+	records    *invariants.Log
+	store      *fakeworker.Store
+	routers    []*routerSlot
+	models     map[string]fakeworker.Model
+	statistics *statistics
+	gossip     *gossipCluster // nil: no gossip
+
+	mu               sync.Mutex
+	rng              *rand.Rand // for faults and for the endpoint list's delays
+	workers          []*fleetWorker
+	workersStarted   int
+	deduplicators    map[int]*fakeworker.Deduplicator // by cell
+	listVersion      int
+	extraListDelay   time.Duration // on top of the scenario's notification delay
+	trafficMultiple  float64       // of the scenario's call rate
+	firstRouterShare float64       // of the traffic that goes to the first router in any case
+	newModelShare    float64       // of the calls that go to models nobody called before
+	heavyTails       map[string]Fault
+	activeFaults     map[string]int // by kind
+	hangs            []hang         // of the workers, for the report
+	stopped          bool
+}
+
+// Run runs a scenario to its end and reports. It returns an error if a worker, a router or the gossip does not start.
+func Run(s *Scenario, o Options) (*Report, error) {
+	if o.Logger == nil {
+		o.Logger = slog.New(slog.DiscardHandler)
+	}
+	h := newHarness(s, o)
+	if h.dir == "" {
+		dir, err := os.MkdirTemp("", "topazfront-scenario-")
+		if err != nil {
+			return nil, err
+		}
+		defer func() { _ = os.RemoveAll(dir) }()
+		h.dir = dir
+	}
+	defer h.close()
+	for i := range s.Fleet.Workers {
+		if err := h.startWorker(i, false); err != nil {
+			return nil, err
+		}
+	}
+	if s.Gossip != nil {
+		var err error
+		if h.gossip, err = newGossipCluster(s, h.dir); err != nil {
+			return nil, err
+		}
+		defer h.gossip.stopAttackers()
+	}
+	if err := h.startRouters(); err != nil {
+		return nil, err
+	}
+	if o.Started != nil {
+		o.Started(h)
+	}
+	h.play()
+	return h.finish(), nil
+}
+
+func newHarness(s *Scenario, o Options) *Harness {
+	return &Harness{
+		scenario:        s,
+		options:         o,
+		dir:             o.Dir,
+		records:         invariants.NewLog(),
+		store:           fakeworker.NewStore(s.Store.FetchesPerSecond, s.Store.MaxInFlight),
+		models:          models(s),
+		statistics:      newStatistics(s),
+		rng:             rand.New(rand.NewPCG(s.Seed, randomFaults)),
+		deduplicators:   map[int]*fakeworker.Deduplicator{},
+		trafficMultiple: 1,
+		heavyTails:      map[string]Fault{},
+		activeFaults:    map[string]int{},
+	}
+}
+
+// Streams of random numbers drawn from a scenario's seed.
+const (
+	randomFaults = 1 + iota
+	randomArrivals
+	randomChoices
+	randomModels
+	randomWork
+	randomClasses
+)
+
+// models are those of every class, and one more of each that is called only while a hot_key fault lasts.
+func models(s *Scenario) map[string]fakeworker.Model {
+	all := map[string]fakeworker.Model{}
+	for _, c := range s.Classes {
+		for i := range c.ModelCount + 1 {
+			name := modelName(c.Name, i)
+			if i == c.ModelCount {
+				name = newModelName(c.Name)
+			}
+			all[name] = fakeworker.Model{Name: name, Class: c.Name, MemoryMB: c.MemoryMB,
+				ConcurrencyPerInstance: c.ConcurrencyPerInstance, LoadTime: c.LoadTime.Duration()}
+		}
+	}
+	return all
+}
+
+func modelName(class string, i int) string { return fmt.Sprintf("%s-%d", class, i) }
+
+func newModelName(class string) string { return class + "-new" }
+
+// startRouters starts the routers one after another, and the gossip's attackers once all run.
+func (h *Harness) startRouters() error {
+	for i := range h.scenario.Routers {
+		slot := &routerSlot{
+			index:         i,
+			endpointsFile: filepath.Join(h.dir, fmt.Sprintf("workers-%d.json", i)),
+			notified:      map[string]bool{},
+		}
+		h.routers = append(h.routers, slot)
+		h.deliverEndpoints(slot, h.listVersion, h.endpointList())
+		if err := h.startRouter(slot); err != nil {
+			return err
+		}
+	}
+	if h.gossip != nil {
+		return h.gossip.start(h)
+	}
+	return nil
+}
+
+// play schedules the faults, generates the traffic, and returns once no request is pending any more.
+func (h *Harness) play() {
+	startedAt := time.Now()
+	for _, f := range h.scenario.Faults {
+		h.after(f.Start.Duration(), func() { h.startFault(f) })
+	}
+	stop := make(chan struct{})
+	var watcher sync.WaitGroup
+	watcher.Go(func() { h.watchWorkers(stop, startedAt) })
+	h.generateTraffic(startedAt)
+	h.setStopped()
+	h.statistics.waitUntilIdle(h.longestDeadline() + answerWait)
+	close(stop)
+	watcher.Wait()
+}
+
+// finish stops the routers and reports. The gossip is reported first, as its figures come from running routers.
+func (h *Harness) finish() *Report {
+	var gossip *GossipReport
+	if h.gossip != nil {
+		gossip = h.gossip.report(h)
+	}
+	for _, slot := range h.routers {
+		slot.gateway.Stop()
+	}
+	report := h.report()
+	report.Gossip = gossip
+	return report
+}
+
+func (h *Harness) longestDeadline() (longest time.Duration) {
+	for _, c := range h.scenario.Classes {
+		longest = max(longest, c.Deadline.Duration())
+	}
+	return longest
+}
+
+// after runs f in a goroutine of its own once d has passed, unless the scenario has ended by then.
+func (h *Harness) after(d time.Duration, f func()) {
+	time.AfterFunc(d, func() {
+		h.mu.Lock()
+		stopped := h.stopped
+		h.mu.Unlock()
+		if !stopped {
+			f()
+		}
+	})
+}
+
+func (h *Harness) setStopped() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.stopped = true
+}
+
+// close kills whatever still runs.
+func (h *Harness) close() {
+	h.setStopped()
+	for _, slot := range h.routers {
+		slot.mu.Lock()
+		client, gateway := slot.client, slot.gateway
+		slot.mu.Unlock()
+		if client != nil {
+			client.Close()
+		}
+		if gateway != nil {
+			gateway.Kill()
+		}
+	}
+	h.mu.Lock()
+	var workers []*fakeworker.Worker
+	for _, w := range h.workers {
+		workers = append(workers, w.worker)
+	}
+	h.mu.Unlock()
+	for _, w := range workers {
+		w.Kill()
+	}
+}
--- /dev/null
+++ b/internal/scenario/routers.go
@@ -0,0 +1,154 @@
+package scenario
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/fake/fakeclient"
+	"github.com/topazfront/topazfront/internal/grpcgateway"
+	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/transport/http2"
+)
+
+const (
+	// routerDrainTimeout bounds a router's shutdown. No call is pending by then, unless a rule is violated.
+	routerDrainTimeout = 2 * time.Second
+	// listCheckMS is how often a router checks the file of its endpoint list, in milliseconds.
+	listCheckMS = 500
+	// answerMarginMS is how long before a deadline a router answers, in milliseconds.
+	answerMarginMS = 50
+)
+
+// routerSlot is the place of one router and its successors after a kill.
+type routerSlot struct {
+	index, incarnations int
+	endpointsFile       string
+
+	mu          sync.Mutex
+	name        string // of the present incarnation
+	gateway     *grpcgateway.Gateway
+	client      *fakeclient.Client
+	listVersion int             // of the endpoint list delivered last
+	notified    map[string]bool // what the list says of each worker: is it active?
+}
+
+// startRouter starts a router's next incarnation.
+func (h *Harness) startRouter(slot *routerSlot) error {
+	slot.incarnations++
+	name := routerID(slot.index)
+	if slot.incarnations > 1 {
+		name = fmt.Sprintf("%s.%d", name, slot.incarnations)
+	}
+	slot.mu.Lock()
+	slot.name = name
+	for id, active := range slot.notified { // a new incarnation is notified by the list that it finds
+		h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: name, Worker: id, Unavailable: !active})
+	}
+	slot.mu.Unlock()
+	options := grpcgateway.Options{Log: h.options.Logger, Decider: h.options.NewDispatcher, Drain: routerDrainTimeout}
+	if h.gossip != nil {
+		options.Gossip = h.gossip.hooks(slot.index)
+	}
+	gateway, err := grpcgateway.Start(h.routerSettings(slot), options)
+	if err != nil {
+		return err
+	}
+	if h.gossip != nil {
+		h.gossip.routerStarted(slot.index, gateway)
+	}
+	client := fakeclient.New(gateway.Addr(), name, h.records, http2.Config{})
+	slot.mu.Lock()
+	slot.gateway, slot.client = gateway, client
+	slot.mu.Unlock()
+	return nil
+}
+
+// routerSettings are those of a router's present incarnation.
+func (h *Harness) routerSettings(slot *routerSlot) *config.Gateway {
+	s, g := h.scenario, config.Defaults()
+	g.Name, g.Listen, g.Routers = slot.name, "127.0.0.1:0", s.Routers
+	g.Seed = s.Seed + uint64(100*slot.index+slot.incarnations)
+	g.Zone = zoneName(slot.index % s.Fleet.Zones)
+	g.Workers.File, g.Workers.AskAfter = slot.endpointsFile, listCheckMS
+	for _, k := range s.Fleet.Kinds {
+		g.Kinds = append(g.Kinds, struct {
+			Name     string  `json:"name"`
+			MemoryMB float64 `json:"memory_mb"`
+		}{k.Name, k.MemoryMB})
+	}
+	for _, c := range s.Classes {
+		g.Classes = append(g.Classes, c.settings())
+	}
+	g.Models = map[string]config.Model{}
+	for name, m := range h.models {
+		g.Models[name] = config.Model{Class: m.Class, MemoryMB: m.MemoryMB, Lanes: m.ConcurrencyPerInstance,
+			Load: config.Millis(m.LoadTime.Milliseconds())}
+	}
+	g.Loading.OnMiss, g.Loading.TellsWarm = s.Fleet.OnCacheMiss, s.Fleet.ReportsCacheStatus
+	g.Loading.IdleKeep = s.Fleet.IdleResidency.millis()
+	g.Reports, g.Limits.AnswerMargin = s.Fleet.LoadReports, answerMarginMS
+	s.Limits.apply(&g)
+	if h.gossip != nil {
+		g.Gossip = h.gossip.routerSettings(slot.index)
+	}
+	if h.options.ChangeSettings != nil {
+		h.options.ChangeSettings(&g)
+	}
+	return &g
+}
+
+func (s Seconds) millis() config.Millis { return config.Millis(s * 1000) }
+
+// settings are a class as routers have it.
+func (c *Class) settings() config.Class {
+	return config.Class{Name: c.Name, Aim: c.LatencyObjective.millis(), Deadline: c.Deadline.millis(),
+		Worth: c.PriorityWeight, LateShare: c.LateValueFraction, Effect: c.Idempotency, Scope: c.DeduplicationScope,
+		Window: c.DeduplicationWindow.millis()}
+}
+
+// apply gives a router the limits that the rules set.
+func (l *Limits) apply(g *config.Gateway) {
+	g.Loading.RationSpan, g.Loading.RationFree = l.LoadRateWindow.millis(), l.LoadRateBurst
+	g.Loading.RationShare = l.LoadRateRatio
+	g.Safety.DrainGrace = l.DrainGrace.millis()
+	g.Safety.ColdShare, g.Safety.ColdFor = l.SlowStartShare, l.SlowStartDuration.millis()
+	g.Safety.FallMultiple, g.Safety.FallSpan = l.OverloadMultiple, l.OverloadWindow.millis()
+}
+
+// Addresses are the routers' gRPC addresses.
+func (h *Harness) Addresses() (addresses []string) {
+	for _, slot := range h.routers {
+		slot.mu.Lock()
+		addresses = append(addresses, slot.gateway.Addr())
+		slot.mu.Unlock()
+	}
+	return addresses
+}
+
+// restartRouters kills some routers one after another and starts each again with nothing but its last endpoint list.
+func (h *Harness) restartRouters(f Fault) {
+	n := max(int(f.Share*float64(len(h.routers))+0.5), 1)
+	h.mu.Lock()
+	order := h.rng.Perm(len(h.routers))[:n]
+	h.mu.Unlock()
+	for k, i := range order {
+		h.after(f.Length.Duration()*time.Duration(k)/time.Duration(n), func() { h.restartRouter(h.routers[i]) })
+	}
+}
+
+func (h *Harness) restartRouter(slot *routerSlot) {
+	slot.mu.Lock()
+	gateway, client, name := slot.gateway, slot.client, slot.name
+	slot.mu.Unlock()
+	if h.gossip != nil {
+		h.gossip.routerStopping(gateway)
+	}
+	h.records.Add(invariants.Record{Kind: invariants.RouterKilled, Router: name})
+	gateway.Kill()
+	client.Close()
+	if err := h.startRouter(slot); err != nil {
+		h.options.Logger.Error("router not restarted", "router", name, "error", err)
+	}
+}
--- /dev/null
+++ b/internal/scenario/workers.go
@@ -0,0 +1,129 @@
+package scenario
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/fake/fakeworker"
+)
+
+// States of an endpoint in the routers' worker lists.
+const (
+	stateActive   = "on"
+	stateDraining = "draining"
+)
+
+// fleetWorker is a worker and its entry in the endpoint list.
+type fleetWorker struct {
+	worker   *fakeworker.Worker
+	entry    config.Worker
+	capacity float64 // in cores of speed 1
+	removed  bool    // from the list, as it was found dead
+}
+
+// startWorker starts a worker; its place in the fleet decides on its kind, cell and zone.
+func (h *Harness) startWorker(place int, coldStart bool) error {
+	fleet := h.scenario.Fleet
+	kind := fleet.Kinds[place%len(fleet.Kinds)]
+	cell := place / fleet.CellSize
+	c := h.workerConfig(kind, cell, coldStart)
+	for _, class := range h.scenario.Classes {
+		if class.Idempotency == idempotentByKey {
+			c.DeduplicatedClasses[class.Name] = true
+			c.DeduplicationWindow = class.DeduplicationWindow.Duration()
+		}
+		c.MeanWorkByClass[class.Name] = class.meanWork()
+	}
+	worker, err := fakeworker.Start(c)
+	if err != nil {
+		return err
+	}
+	w := &fleetWorker{
+		worker:   worker,
+		capacity: float64(kind.Cores) * kind.Speed,
+		entry: config.Worker{ID: c.ID, Address: worker.Addr(), Zone: zoneName(cell % fleet.Zones), Kind: kind.Name, Cell: cell,
+			State: stateActive, Weight: 1},
+	}
+	if coldStart {
+		at := worker.StartedAt()
+		w.entry.Started = &at
+	}
+	h.mu.Lock()
+	h.workers = append(h.workers, w)
+	h.mu.Unlock()
+	return nil
+}
+
+// workerConfig gives the next worker its name and its random seed, and its cell's deduplicator.
+func (h *Harness) workerConfig(kind WorkerKind, cell int, coldStart bool) fakeworker.Config {
+	fleet, limits := h.scenario.Fleet, h.scenario.Limits
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.workersStarted++
+	if h.deduplicators[cell] == nil {
+		h.deduplicators[cell] = fakeworker.NewDeduplicator()
+	}
+	return fakeworker.Config{
+		ID:                  fmt.Sprintf("w%03d", h.workersStarted),
+		Cores:               kind.Cores,
+		Speed:               kind.Speed,
+		MemoryMB:            kind.MemoryMB,
+		QueueLength:         fleet.QueueLength,
+		ConcurrentLoads:     fleet.ConcurrentLoads,
+		IdleResidency:       fleet.IdleResidency.Duration(),
+		LoadsOnCacheMiss:    fleet.OnCacheMiss == "load",
+		AddsCopies:          fleet.AddsCopies,
+		StopsCancelledWork:  fleet.StopsCancelledWork,
+		SlowStartShare:      limits.SlowStartShare,
+		SlowStartDuration:   limits.SlowStartDuration.Duration(),
+		OverloadMultiple:    limits.OverloadMultiple,
+		OverloadWindow:      limits.OverloadWindow.Duration(),
+		DeduplicatedClasses: map[string]bool{},
+		Store:               h.store,
+		Deduplicator:        h.deduplicators[cell],
+		Log:                 h.records,
+		Seed:                h.scenario.Seed + uint64(h.workersStarted),
+		ColdStart:           coldStart,
+		MeanWorkByClass:     map[string]time.Duration{},
+		ReportsLoad:         fleet.LoadReports != "none",
+		Models:              h.models,
+	}
+}
+
+func zoneName(i int) string { return fmt.Sprintf("hall-%c", 'a'+i) }
+
+// randomWorkers draws a share of the workers that are active and run, at least one.
+func (h *Harness) randomWorkers(share float64) (drawn []*fleetWorker) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	var running []*fleetWorker
+	for _, w := range h.workers {
+		if !w.removed && w.entry.State == stateActive && !w.worker.Down() {
+			running = append(running, w)
+		}
+	}
+	n := max(int(share*float64(len(running))+0.5), 1)
+	for _, i := range h.rng.Perm(len(running))[:min(n, len(running))] {
+		drawn = append(drawn, running[i])
+	}
+	return drawn
+}
+
+// restartWorkers starts the dead ones of some workers again, cold and under their old names.
+func (h *Harness) restartWorkers(workers []*fleetWorker) {
+	for _, w := range workers {
+		if !w.worker.Down() {
+			continue
+		}
+		if err := w.worker.Restart(); err != nil {
+			h.options.Logger.Error("worker not restarted", "worker", w.worker.ID(), "error", err)
+			continue
+		}
+		at := w.worker.StartedAt()
+		h.mu.Lock()
+		w.entry.Started, w.removed = &at, false
+		h.mu.Unlock()
+	}
+	h.publishEndpoints()
+}
