--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -23,33 +23,33 @@
 
 // Request is one thing that a client wants done; a try of it is a call.
 type Request struct {
-	ID       string // the same for all its tries
-	Model    string
-	Class    string
-	Work     time.Duration // true work, which the gateway is not told
-	WorkHint     time.Duration // what it is told; 0: nothing
-	Streamed bool
-	Messages int
-	BytesPerMessage    int // of each message
+	ID              string // the same for all its tries
+	Model           string
+	Class           string
+	Work            time.Duration // true work, which the gateway is not told
+	WorkHint        time.Duration // what it is told; 0: nothing
+	Streamed        bool
+	Messages        int
+	BytesPerMessage int // of each message
 }
 
 // Result is how a call ended.
 type Result struct {
-	Answer   invariants.Answer
-	Answered bool // false: no final answer came, as the connection broke or the time was up
-	Status   grpc.Status
-	RetryAfter time.Duration // advice to stay away; negative: not to repeat
-	Messages int
-	Bytes    int
-	Duration     time.Duration
-	TimeToFirstMessage    time.Duration // to the first message; 0: none came
+	Answer             invariants.Answer
+	Answered           bool // false: no final answer came, as the connection broke or the time was up
+	Status             grpc.Status
+	RetryAfter         time.Duration // advice to stay away; negative: not to repeat
+	Messages           int
+	Bytes              int
+	Duration           time.Duration
+	TimeToFirstMessage time.Duration // to the first message; 0: none came
 }
 
 // Client is a program's connection to one router.
 type Client struct {
 	addr, router string
-	records          *invariants.Log
-	config          http2.Config
+	records      *invariants.Log
+	config       http2.Config
 
 	mu   sync.Mutex
 	conn *http2.Conn
@@ -113,7 +113,7 @@
 		return &inference.InferParameter{ParameterChoice: &inference.InferParameter_DoubleParam{DoubleParam: f}}
 	}
 	m := &inference.ModelInferRequest{ModelName: r.Model, Id: call, Parameters: map[string]*inference.InferParameter{
-		fakeworker.ParamRequest: text(r.ID), oip.ParamKey: text(r.ID), fakeworker.ParamWorkMS: number(r.Work.Seconds() * 1000),
+		fakeworker.ParamRequest: text(r.ID), oip.ParamIdempotencyKey: text(r.ID), fakeworker.ParamWorkMS: number(r.Work.Seconds() * 1000),
 		fakeworker.ParamMessages: number(float64(r.Messages)), fakeworker.ParamBytes: number(float64(r.BytesPerMessage))}}
 	if r.WorkHint > 0 {
 		m.Parameters[oip.ParamWorkMS] = number(r.WorkHint.Seconds() * 1000)
@@ -168,19 +168,19 @@
 
 // exchange is one call under way.
 type pendingCall struct {
-	client     *Client
-	id  string
+	client    *Client
+	id        string
 	request   Request
 	startedAt time.Time
-	done  func(Result)
-	recorded bool
-	timer *time.Timer
+	done      func(Result)
+	recorded  bool
+	timer     *time.Timer
 
-	mu    sync.Mutex
-	counter grpc.Counter
+	mu                 sync.Mutex
+	counter            grpc.Counter
 	timeToFirstMessage time.Duration
-	bytes int
-	ended  bool
+	bytes              int
+	ended              bool
 }
 
 func (x *pendingCall) recordAbandoned() {
--- a/internal/fake/fakeworker/serve.go
+++ b/internal/fake/fakeworker/serve.go
@@ -44,13 +44,13 @@
 type rpc struct {
 	worker      *Worker
 	stream      *http2.Stream
-	path   string
-	router string
+	path        string
+	router      string
 	encoding    string
-	reader grpc.Reader
-	body   []byte
-	job    *job
-	headersSent  bool
+	reader      grpc.Reader
+	body        []byte
+	job         *job
+	headersSent bool
 }
 
 // Headers implements http2.Receiver.
@@ -132,7 +132,7 @@
 	case oip.Infer, oip.StreamInfer:
 		var m inference.ModelInferRequest
 		if err := proto.Unmarshal(r.body, &m); err != nil || m.ModelName == "" {
-			r.finish(outcome{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
+			r.finish(outcome{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoLoadReport)
 			return
 		}
 		r.job = newJob(&m, r)
@@ -140,7 +140,7 @@
 	case oip.Load:
 		var m inference.RepositoryModelLoadRequest
 		if err := proto.Unmarshal(r.body, &m); err != nil {
-			r.finish(outcome{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoReport)
+			r.finish(outcome{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}, oip.NoLoadReport)
 			return
 		}
 		r.handleLoad(&m)
@@ -159,7 +159,7 @@
 				out.Models = append(out.Models, &inference.RepositoryIndexResponse_ModelIndex{Name: name, State: "READY"})
 			}
 		}
-		r.respond(out, oip.NoReport)
+		r.respond(out, oip.NoLoadReport)
 	case oip.Unload:
 		var m inference.RepositoryModelUnloadRequest
 		if proto.Unmarshal(r.body, &m) == nil && w.models[m.ModelName] != nil {
@@ -170,11 +170,11 @@
 				}
 			}
 		}
-		r.respond(&inference.RepositoryModelUnloadResponse{}, oip.NoReport)
+		r.respond(&inference.RepositoryModelUnloadResponse{}, oip.NoLoadReport)
 	case oip.ServerLive:
-		r.respond(&inference.ServerLiveResponse{Live: true}, oip.NoReport)
+		r.respond(&inference.ServerLiveResponse{Live: true}, oip.NoLoadReport)
 	default:
-		r.finish(outcome{status: grpc.Status{Code: grpc.Unimplemented, Message: "no call " + r.path}}, oip.NoReport)
+		r.finish(outcome{status: grpc.Status{Code: grpc.Unimplemented, Message: "no call " + r.path}}, oip.NoLoadReport)
 	}
 }
 
@@ -189,8 +189,8 @@
 		return or
 	}
 	j := &job{callID: m.Id, requestID: m.Parameters[ParamRequest].GetStringParam(), router: r.router, stream: r,
-		class: m.Parameters[oip.ParamClass].GetStringParam(), idempotencyKey: m.Parameters[oip.ParamKey].GetStringParam(),
-		model: Model{Name: m.ModelName, MemoryMB: number(oip.ParamMemoryMB, 100), ConcurrencyPerInstance: int(number(oip.ParamLanes, 1)),
+		class: m.Parameters[oip.ParamClass].GetStringParam(), idempotencyKey: m.Parameters[oip.ParamIdempotencyKey].GetStringParam(),
+		model: Model{Name: m.ModelName, MemoryMB: number(oip.ParamMemoryMB, 100), ConcurrencyPerInstance: int(number(oip.ParamConcurrency, 1)),
 			LoadTime: time.Duration(number(oip.ParamLoadMS, 0) * float64(time.Millisecond))},
 		work:     time.Duration(number(ParamWorkMS, 1) * float64(time.Millisecond)),
 		streamed: r.path == oip.StreamInfer, messageCount: int(number(ParamMessages, 1)), messageBytes: int(number(ParamBytes, 16))}
@@ -234,7 +234,7 @@
 	})
 }
 
-func (r *rpc) respond(m proto.Message, report oip.Report) {
+func (r *rpc) respond(m proto.Message, report oip.LoadReport) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
 		r.finish(outcome{status: grpc.Status{Code: grpc.Internal, Message: err.Error()}}, report)
@@ -274,13 +274,13 @@
 }
 
 // end sends the trailers.
-func (r *rpc) finish(e outcome, report oip.Report) {
+func (r *rpc) finish(e outcome, report oip.LoadReport) {
 	fields := e.status.Trailer()
 	if e.admission != "" {
 		fields = append(fields, hpack.Field{Name: oip.AdmissionField, Value: e.admission})
 	}
-	if report != oip.NoReport {
-		fields = append(fields, report.Field())
+	if report != oip.NoLoadReport {
+		fields = append(fields, report.Trailer())
 	}
 	if r.headersSent {
 		_ = r.stream.WriteTrailers(fields)
--- a/internal/fake/fakeworker/store.go
+++ b/internal/fake/fakeworker/store.go
@@ -9,13 +9,13 @@
 // Store is the one store that all workers fetch plug-ins from. It serves Rate fetches a second at full pace,
 // slows down with what it has in hand, and turns fetches away beyond a limit.
 type Store struct {
-	mu      sync.Mutex
-	rate    float64
-	limit   int
-	inFlight  int
+	mu          sync.Mutex
+	rate        float64
+	limit       int
+	inFlight    int
 	pausedUntil time.Time
-	fetches int
-	rejected int
+	fetches     int
+	rejected    int
 }
 
 // ErrStore tells that the store turned a fetch away.
@@ -65,7 +65,7 @@
 
 // Cell is the workers that drop each other's repeats of keyed calls.
 type Deduplicator struct {
-	mu   sync.Mutex
+	mu     sync.Mutex
 	seenAt map[string]time.Time
 }
 
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -18,110 +18,110 @@
 
 // Config is what a worker is like.
 type Config struct {
-	ID            string
-	Cores         int
-	Speed         float64 // of a core; 1 is the yardstick
-	MemoryMB      float64
+	ID                  string
+	Cores               int
+	Speed               float64 // of a core; 1 is the yardstick
+	MemoryMB            float64
 	QueueLength         int // calls that may wait
-	ConcurrentLoads   int
-	IdleResidency      time.Duration
-	LoadsOnCacheMiss   bool // a model that is not loaded is loaded while the call waits
-	AddsCopies   bool // starts another copy by itself when all lanes are taken
-	StopsCancelledWork     bool // a cancelled call's work stops
-	SlowStartShare     float64
-	SlowStartDuration       time.Duration
-	OverloadMultiple  float64
+	ConcurrentLoads     int
+	IdleResidency       time.Duration
+	LoadsOnCacheMiss    bool // a model that is not loaded is loaded while the call waits
+	AddsCopies          bool // starts another copy by itself when all lanes are taken
+	StopsCancelledWork  bool // a cancelled call's work stops
+	SlowStartShare      float64
+	SlowStartDuration   time.Duration
+	OverloadMultiple    float64
 	OverloadWindow      time.Duration
-	DeduplicationWindow      time.Duration // how long repeats of a keyed call are dropped
-	DeduplicatedClasses         map[string]bool
-	Store         *Store
-	Deduplicator          *Deduplicator
-	Log           *invariants.Log
-	Seed          uint64
-	ColdStart          bool // starts cold; one of long ago does not
+	DeduplicationWindow time.Duration // how long repeats of a keyed call are dropped
+	DeduplicatedClasses map[string]bool
+	Store               *Store
+	Deduplicator        *Deduplicator
+	Log                 *invariants.Log
+	Seed                uint64
+	ColdStart           bool // starts cold; one of long ago does not
 	MeanWorkByClass     map[string]time.Duration
-	DefaultLoadTime   time.Duration
-	ReportsLoad bool             // answers bring a load report
-	Models        map[string]Model // what the worker knows of models by itself
+	DefaultLoadTime     time.Duration
+	ReportsLoad         bool             // answers bring a load report
+	Models              map[string]Model // what the worker knows of models by itself
 }
 
 // Model is a model as the worker's own settings, or else a call, has it.
 type Model struct {
-	Name     string
-	Class    string
-	MemoryMB float64
-	ConcurrencyPerInstance    int
-	LoadTime     time.Duration
+	Name                   string
+	Class                  string
+	MemoryMB               float64
+	ConcurrencyPerInstance int
+	LoadTime               time.Duration
 }
 
 // copyOf is one loaded, or loading, copy of a model.
 type modelCopy struct {
-	loaded  bool
-	running int
-	idleSince    time.Time // since when nothing runs on it
-	outdated    bool      // of an old release: goes when it is idle
+	loaded    bool
+	running   int
+	idleSince time.Time // since when nothing runs on it
+	outdated  bool      // of an old release: goes when it is idle
 }
 
 // models is a model at this worker.
 type modelState struct {
 	Model
-	copies  []*modelCopy
-	pending []*job
-	loadCommands  []*loadCommand
-	imageCached   bool // the store's bytes are on the disk
+	copies       []*modelCopy
+	pending      []*job
+	loadCommands []*loadCommand
+	imageCached  bool // the store's bytes are on the disk
 }
 
 // order is a load order that waits for its copies.
 type loadCommand struct {
 	copies int
-	done func(ok bool, copies int, err error)
+	done   func(ok bool, copies int, err error)
 }
 
 // job is one call at the worker.
 type job struct {
 	callID, requestID, class, router string
-	model                        Model
-	work                         time.Duration
-	idempotencyKey                          string
-	streamed                     bool
-	messageCount, messageBytes              int
-	stream                        *rpc
-
-	state         *modelState
-	assigned        *modelCopy
-	concurrent   int
-	cacheStatus    int
+	model                            Model
+	work                             time.Duration
+	idempotencyKey                   string
+	streamed                         bool
+	messageCount, messageBytes       int
+	stream                           *rpc
+
+	state       *modelState
+	assigned    *modelCopy
+	concurrent  int
+	cacheStatus int
 	started     bool
-	cancelled bool
-	finished      bool // finished
-	timer     *time.Timer
+	cancelled   bool
+	finished    bool // finished
+	timer       *time.Timer
 }
 
 // Worker is one running stand-in.
 type Worker struct {
 	config Config
 
-	mu       sync.Mutex
-	server   *http2.Server
-	addr     string
-	rng      *rand.Rand
-	models   map[string]*modelState
-	jobs     map[*job]struct{}
-	runnable    []*job // have a lane, wait for a core
-	running  int
-	loading  int
-	pendingLoads  []func() // loads that wait their turn
-	startedAt  time.Time
-	incarnation     int // counts starts; timers of an earlier life do nothing
-	down     bool
-	overloaded   bool
-	draining bool
-	arrivals []arrival // while cold
-	faults   Faults
-	pausedUntil time.Time
-	routers  map[*http2.Conn]string
-	served   int
-	recentArrivals   map[string][]time.Time // arrivals by class, for the throttle
+	mu             sync.Mutex
+	server         *http2.Server
+	addr           string
+	rng            *rand.Rand
+	models         map[string]*modelState
+	jobs           map[*job]struct{}
+	runnable       []*job // have a lane, wait for a core
+	running        int
+	loading        int
+	pendingLoads   []func() // loads that wait their turn
+	startedAt      time.Time
+	incarnation    int // counts starts; timers of an earlier life do nothing
+	down           bool
+	overloaded     bool
+	draining       bool
+	arrivals       []arrival // while cold
+	faults         Faults
+	pausedUntil    time.Time
+	routers        map[*http2.Conn]string
+	served         int
+	recentArrivals map[string][]time.Time // arrivals by class, for the throttle
 }
 
 type arrival struct {
@@ -131,16 +131,16 @@
 
 // Faults are what may be wrong with a worker.
 type Faults struct {
-	Hang        bool               // takes calls and answers none
-	Slowdown        float64            // work takes this many times as long; 0: as usual
+	Hang             bool               // takes calls and answers none
+	Slowdown         float64            // work takes this many times as long; 0: as usual
 	FailingClasses   map[string]bool    // these classes get errors
-	ThrottledClasses    map[string]float64 // these classes are turned away above so many a second,
-	ThrottleDelay time.Duration      // after this long
+	ThrottledClasses map[string]float64 // these classes are turned away above so many a second,
+	ThrottleDelay    time.Duration      // after this long
 	HandshakeDelay   time.Duration      // a new connection's first call waits this long
-	DieAfterMessages    map[string]int     // a call of these classes kills the worker after so many messages
-	DieOnStart  map[string]bool    // a call of these classes kills the worker as it begins to run
-	RefuseStreams   bool               // streams are refused with REFUSED_STREAM
-	FailLoads   bool               // loads fail
+	DieAfterMessages map[string]int     // a call of these classes kills the worker after so many messages
+	DieOnStart       map[string]bool    // a call of these classes kills the worker as it begins to run
+	RefuseStreams    bool               // streams are refused with REFUSED_STREAM
+	FailLoads        bool               // loads fail
 }
 
 // Start opens the worker's listener on a loopback port, or again on the port it had.
@@ -333,9 +333,9 @@
 // full is how the worker turns a call away.
 var (
 	workerFull     = outcome{grpc.Status{Code: grpc.ResourceExhausted, Message: "worker is full"}, oip.AdmissionFull}
-	workerDraining   = outcome{grpc.Status{Code: grpc.Unavailable, Message: "worker drains"}, oip.AdmissionDraining}
-	modelNotLoaded  = outcome{grpc.Status{Code: grpc.NotFound, Message: "model is not loaded"}, oip.AdmissionMissing}
-	loadFailed = outcome{grpc.Status{Code: grpc.Internal, Message: "load failed"}, ""}
+	workerDraining = outcome{grpc.Status{Code: grpc.Unavailable, Message: "worker drains"}, oip.AdmissionDraining}
+	modelNotLoaded = outcome{grpc.Status{Code: grpc.NotFound, Message: "model is not loaded"}, oip.AdmissionNotResident}
+	loadFailed     = outcome{grpc.Status{Code: grpc.Internal, Message: "load failed"}, ""}
 	classFailing   = outcome{grpc.Status{Code: grpc.Internal, Message: "class fails here"}, ""}
 )
 
@@ -763,15 +763,15 @@
 	}
 }
 
-func (w *Worker) loadReport(j *job) oip.Report {
-	r := oip.NoReport
+func (w *Worker) loadReport(j *job) oip.LoadReport {
+	r := oip.NoLoadReport
 	if !w.config.ReportsLoad {
 		return r
 	}
-	r.InFlight, r.Queue = float64(len(w.jobs)), float64(w.queueLength())
+	r.InFlight, r.Queued = float64(len(w.jobs)), float64(w.queueLength())
 	r.Loading = float64(w.loading + len(w.pendingLoads))
 	if j != nil {
-		r.Company, r.Warmth = float64(j.concurrent), j.cacheStatus
+		r.FunctionInFlight, r.CacheStatus = float64(j.concurrent), j.cacheStatus
 		if j.state != nil {
 			r.Copies = float64(j.state.loadedCopies())
 		}
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -53,10 +53,10 @@
 	c := &gossipCluster{settings: s.Gossip, dir: dir, seed: s.Seed, network: fakepeer.NewNet(s.Seed),
 		addrs: make([]string, s.Routers), conns: make([]*fakepeer.Conn, s.Routers), stop: make(chan struct{})}
 	c.network.Set(fakepeer.Faults{Loss: s.Gossip.PacketLoss})
-	limits := c.agentConfig(&config.Gossip{Preset: gossipPreset, Bytes: s.Gossip.BytesPerSecond}, "").Gossip
+	limits := c.agentConfig(&config.Gossip{Preset: gossipPreset, BytesPerSecond: s.Gossip.BytesPerSecond}, "").Gossip
 	for i := range s.Routers {
 		c.meters = append(c.meters, &fakepeer.Meter{Rate: limits.BytesPerSecond, Burst: limits.BurstBytes,
-			PerSec: limits.MessagesPerSec, Count: limits.BurstMessages})
+			PerSec: limits.MessagesPerSecond, Count: limits.BurstMessages})
 		if err := c.writeKey(i, firstKey); err != nil {
 			return nil, err
 		}
@@ -65,7 +65,7 @@
 }
 
 func (c *gossipCluster) agentConfig(g *config.Gossip, id string) agent.Config {
-	return g.Agent(id, c.seed)
+	return g.AgentConfig(id, c.seed)
 }
 
 func routerID(i int) string { return fmt.Sprintf("r%d", i) }
@@ -82,10 +82,10 @@
 func (c *gossipCluster) writeMembers(routers int, keyNames ...string) error {
 	var list config.MemberList
 	add := func(id string) {
-		member := config.MemberLine{ID: id}
+		member := config.Member{ID: id}
 		for _, name := range keyNames {
 			public, _ := c.privateKey(id, name).Public().(ed25519.PublicKey)
-			member.Keys = append(member.Keys, config.KeyLine{ID: name, Public: base64.StdEncoding.EncodeToString(public)})
+			member.Keys = append(member.Keys, config.MemberKey{ID: name, PublicKey: base64.StdEncoding.EncodeToString(public)})
 		}
 		list.Members = append(list.Members, member)
 	}
@@ -95,7 +95,7 @@
 	for i := range c.settings.Liars {
 		add(liarID(i))
 	}
-	return config.WriteFile(c.membersPath(), list)
+	return config.WriteJSON(c.membersPath(), list)
 }
 
 func (c *gossipCluster) keyPath(i int) string {
@@ -119,8 +119,8 @@
 func (c *gossipCluster) routerSettings(i int) *config.Gossip {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := &config.Gossip{ID: routerID(i), Listen: loopbackAddress, Preset: gossipPreset, Bytes: c.settings.BytesPerSecond,
-		LookTimeout: verificationTimeoutMS, Members: c.membersPath(), Key: c.keyPath(i)}
+	g := &config.Gossip{ID: routerID(i), Listen: loopbackAddress, Preset: gossipPreset, BytesPerSecond: c.settings.BytesPerSecond,
+		VerificationTimeout: verificationTimeoutMS, MembersFile: c.membersPath(), KeyFile: c.keyPath(i)}
 	if c.addrs[i] != "" {
 		g.Listen = c.addrs[i] // a later incarnation is found where the earlier one was
 	}
@@ -135,25 +135,25 @@
 // hooks put the network and the router's meter between its agent and its sockets.
 func (c *gossipCluster) hooks(i int) agent.Hooks {
 	meter := c.meters[i]
-	return agent.Hooks{Packets: func(socket net.PacketConn) net.PacketConn {
+	return agent.Hooks{WrapPacketConn: func(socket net.PacketConn) net.PacketConn {
 		conn := c.network.Wrap(socket, meter)
 		c.mu.Lock()
 		c.conns[i] = conn
 		c.mu.Unlock()
 		return conn
-	}, Stream: func(_ string, n int) bool { meter.Add(n); return true }}
+	}, AllowStream: func(_ string, n int) bool { meter.Add(n); return true }}
 }
 
 // routerStarted notes where a router's incarnation listens.
 func (c *gossipCluster) routerStarted(i int, gateway *grpcgateway.Gateway) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addrs[i] = gateway.Peers().Addr()
+	c.addrs[i] = gateway.GossipAgent().Addr()
 }
 
 // routerStopping keeps the counters of an incarnation that is about to end.
 func (c *gossipCluster) routerStopping(gateway *grpcgateway.Gateway) {
-	dropped := gateway.Peers().Status().Dropped
+	dropped := gateway.GossipAgent().Status().Dropped
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropped = c.dropped.Add(dropped)
--- a/internal/scenario/gossip_attackers.go
+++ b/internal/scenario/gossip_attackers.go
@@ -38,7 +38,7 @@
 		}
 	}
 	list := h.endpointList()
-	started := list.Starts()
+	started := list.StartTimes()
 	for i := range c.settings.Liars {
 		if err := c.startLiar(h, i, addrs, started); err != nil {
 			return err
@@ -92,7 +92,7 @@
 	c.wg.Go(func() {
 		c.repeat(liarInterval, func() {
 			list := h.endpointList()
-			now := list.Starts()
+			now := list.StartTimes()
 			for id := range now {
 				liar.Praise(id)
 			}
--- a/internal/scenario/gossip_report.go
+++ b/internal/scenario/gossip_report.go
@@ -41,21 +41,21 @@
 	}
 	report.Dropped = c.waitForForged(h, uint64(report.ForgedSent))
 	for i, slot := range h.routers {
-		peers := slot.gateway.Peers()
-		status := peers.Status()
+		gossipAgent := slot.gateway.GossipAgent()
+		status := gossipAgent.Status()
 		_, _, rate, timesOver := c.meters[i].Totals()
 		report.MaxBytesPerSecond = max(report.MaxBytesPerSecond, rate)
 		report.MeanBytesPerSecond += rate / float64(len(h.routers))
 		report.TimesOverCap += timesOver
-		report.Claims += status.Judge.Claims
-		report.Verifications += status.Judge.Looks
-		report.ConfirmedSilent += status.Judge.Silent
-		report.Contradicted += status.Judge.Contradicted
+		report.Claims += status.Quorum.Claims
+		report.Verifications += status.Quorum.Checks
+		report.ConfirmedSilent += status.Quorum.ConfirmedSilent
+		report.Contradicted += status.Quorum.Contradicted
 		report.MinLiveMembers = min(report.MinLiveMembers, status.Live)
 		if !slices.Contains(report.KeysInUse, status.Key) {
 			report.KeysInUse = append(report.KeysInUse, status.Key)
 		}
-		for _, peer := range peers.Peers() {
+		for _, peer := range gossipAgent.Peers() {
 			if isLiar(peer.ID) {
 				report.MeanLiarWeight += peer.Weight / float64(len(h.routers)*len(c.liars))
 			}
@@ -69,9 +69,9 @@
 	for range forgedPolls {
 		dropped = c.dropped
 		for _, slot := range h.routers {
-			dropped = dropped.Add(slot.gateway.Peers().Status().Dropped)
+			dropped = dropped.Add(slot.gateway.GossipAgent().Status().Dropped)
 		}
-		if dropped.Packets() >= forged {
+		if dropped.TotalPackets() >= forged {
 			break
 		}
 		time.Sleep(forgedPollInterval)
--- a/internal/scenario/print.go
+++ b/internal/scenario/print.go
@@ -68,7 +68,7 @@
 	if g := r.Gossip; g != nil {
 		fmt.Fprintf(text, "gossip: %.0f bytes/s a router, %.0f at most, limit %.0f, exceeded %d times; forged %d, dropped %d; "+
 			"%d claims, %d verifications, %d confirmed a silent worker, %d found a healthy one\n", g.MeanBytesPerSecond,
-			g.MaxBytesPerSecond, g.CapBytesPerSecond, g.TimesOverCap, g.ForgedSent, g.Dropped.Packets(), g.Claims,
+			g.MaxBytesPerSecond, g.CapBytesPerSecond, g.TimesOverCap, g.ForgedSent, g.Dropped.TotalPackets(), g.Claims,
 			g.Verifications, g.ConfirmedSilent, g.Contradicted)
 	}
 	if r.Hangs != nil || r.Gossip != nil {
--- a/internal/scenario/routers.go
+++ b/internal/scenario/routers.go
@@ -17,8 +17,8 @@
 	routerDrainTimeout = 2 * time.Second
 	// listCheckMS is how often a router checks the file of its endpoint list, in milliseconds.
 	listCheckMS = 500
-	// answerMarginMS is how long before a deadline a router answers, in milliseconds.
-	answerMarginMS = 50
+	// responseMarginMS is how long before a deadline a router answers, in milliseconds.
+	responseMarginMS = 50
 )
 
 // routerSlot is the place of one router and its successors after a kill.
@@ -47,9 +47,10 @@
 		h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: name, Worker: id, Unavailable: !active})
 	}
 	slot.mu.Unlock()
-	options := grpcgateway.Options{Log: h.options.Logger, Decider: h.options.NewDispatcher, Drain: routerDrainTimeout}
+	options := grpcgateway.Options{Logger: h.options.Logger, NewDispatcher: h.options.NewDispatcher,
+		DrainTimeout: routerDrainTimeout}
 	if h.gossip != nil {
-		options.Gossip = h.gossip.hooks(slot.index)
+		options.GossipHooks = h.gossip.hooks(slot.index)
 	}
 	gateway, err := grpcgateway.Start(h.routerSettings(slot), options)
 	if err != nil {
@@ -71,24 +72,21 @@
 	g.Name, g.Listen, g.Routers = slot.name, "127.0.0.1:0", s.Routers
 	g.Seed = s.Seed + uint64(100*slot.index+slot.incarnations)
 	g.Zone = zoneName(slot.index % s.Fleet.Zones)
-	g.Workers.File, g.Workers.AskAfter = slot.endpointsFile, listCheckMS
+	g.Workers.File, g.Workers.CheckInterval = slot.endpointsFile, listCheckMS
 	for _, k := range s.Fleet.Kinds {
-		g.Kinds = append(g.Kinds, struct {
-			Name     string  `json:"name"`
-			MemoryMB float64 `json:"memory_mb"`
-		}{k.Name, k.MemoryMB})
+		g.WorkerKinds = append(g.WorkerKinds, config.WorkerKind{Name: k.Name, MemoryMB: k.MemoryMB})
 	}
 	for _, c := range s.Classes {
 		g.Classes = append(g.Classes, c.settings())
 	}
 	g.Models = map[string]config.Model{}
 	for name, m := range h.models {
-		g.Models[name] = config.Model{Class: m.Class, MemoryMB: m.MemoryMB, Lanes: m.ConcurrencyPerInstance,
-			Load: config.Millis(m.LoadTime.Milliseconds())}
+		g.Models[name] = config.Model{Class: m.Class, MemoryMB: m.MemoryMB,
+			ConcurrencyPerInstance: m.ConcurrencyPerInstance, LoadTime: config.Milliseconds(m.LoadTime.Milliseconds())}
 	}
-	g.Loading.OnMiss, g.Loading.TellsWarm = s.Fleet.OnCacheMiss, s.Fleet.ReportsCacheStatus
-	g.Loading.IdleKeep = s.Fleet.IdleResidency.millis()
-	g.Reports, g.Limits.AnswerMargin = s.Fleet.LoadReports, answerMarginMS
+	g.Loading.OnCacheMiss, g.Loading.CacheStatusReported = s.Fleet.OnCacheMiss, s.Fleet.ReportsCacheStatus
+	g.Loading.IdleResidency = s.Fleet.IdleResidency.milliseconds()
+	g.LoadReports, g.Limits.ResponseMargin = s.Fleet.LoadReports, responseMarginMS
 	s.Limits.apply(&g)
 	if h.gossip != nil {
 		g.Gossip = h.gossip.routerSettings(slot.index)
@@ -99,22 +97,29 @@
 	return &g
 }
 
-func (s Seconds) millis() config.Millis { return config.Millis(s * 1000) }
+func (s Seconds) milliseconds() config.Milliseconds { return config.Milliseconds(s * 1000) }
 
 // settings are a class as routers have it.
 func (c *Class) settings() config.Class {
-	return config.Class{Name: c.Name, Aim: c.LatencyObjective.millis(), Deadline: c.Deadline.millis(),
-		Worth: c.PriorityWeight, LateShare: c.LateValueFraction, Effect: c.Idempotency, Scope: c.DeduplicationScope,
-		Window: c.DeduplicationWindow.millis()}
+	return config.Class{
+		Name:                c.Name,
+		LatencyObjective:    c.LatencyObjective.milliseconds(),
+		Deadline:            c.Deadline.milliseconds(),
+		PriorityWeight:      c.PriorityWeight,
+		LateValueFraction:   c.LateValueFraction,
+		Idempotency:         c.Idempotency,
+		DeduplicationScope:  c.DeduplicationScope,
+		DeduplicationWindow: c.DeduplicationWindow.milliseconds(),
+	}
 }
 
 // apply gives a router the limits that the rules set.
 func (l *Limits) apply(g *config.Gateway) {
-	g.Loading.RationSpan, g.Loading.RationFree = l.LoadRateWindow.millis(), l.LoadRateBurst
-	g.Loading.RationShare = l.LoadRateRatio
-	g.Safety.DrainGrace = l.DrainGrace.millis()
-	g.Safety.ColdShare, g.Safety.ColdFor = l.SlowStartShare, l.SlowStartDuration.millis()
-	g.Safety.FallMultiple, g.Safety.FallSpan = l.OverloadMultiple, l.OverloadWindow.millis()
+	g.Loading.RateWindow, g.Loading.RateBurst = l.LoadRateWindow.milliseconds(), l.LoadRateBurst
+	g.Loading.RateRatio = l.LoadRateRatio
+	g.Safety.DrainGrace = l.DrainGrace.milliseconds()
+	g.Safety.SlowStartShare, g.Safety.SlowStartDuration = l.SlowStartShare, l.SlowStartDuration.milliseconds()
+	g.Safety.OverloadMultiple, g.Safety.OverloadWindow = l.OverloadMultiple, l.OverloadWindow.milliseconds()
 }
 
 // Addresses are the routers' gRPC addresses.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -187,8 +187,8 @@
 	}
 	// Beyond the forged packets, copies of honest ones are dropped, none of which arrives twice here, and those with
 	// the old key.
-	dropped, forged := g.Dropped.Packets(), uint64(g.ForgedSent)
-	if dropped < forged || dropped-g.Dropped.UnknownKey-g.Dropped.Limited > forged {
+	dropped, forged := g.Dropped.TotalPackets(), uint64(g.ForgedSent)
+	if dropped < forged || dropped-g.Dropped.UnknownKey-g.Dropped.RateLimited > forged {
 		t.Errorf("%d forged, dropped %+v", forged, g.Dropped)
 	}
 	if g.MeanLiarWeight > 0.8 {
--- a/internal/scenario/workers.go
+++ b/internal/scenario/workers.go
@@ -47,7 +47,7 @@
 	}
 	if coldStart {
 		at := worker.StartedAt()
-		w.entry.Started = &at
+		w.entry.StartedAt = &at
 	}
 	h.mu.Lock()
 	h.workers = append(h.workers, w)
@@ -122,7 +122,7 @@
 		}
 		at := w.worker.StartedAt()
 		h.mu.Lock()
-		w.entry.Started, w.removed = &at, false
+		w.entry.StartedAt, w.removed = &at, false
 		h.mu.Unlock()
 	}
 	h.publishEndpoints()
