--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -2,21 +2,16 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/topazfront/topazfront/internal/config"
-	"github.com/topazfront/topazfront/internal/fake/fakeworker"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
@@ -32,32 +27,22 @@
 	Stream  bool              `help:"Ask for a streamed answer (ModelStreamInfer)."`
 	Timeout time.Duration     `default:"5s" help:"Give up after this long."`
 	Param   map[string]string `help:"Request parameters, as name=value; numbers are sent as numbers."`
-	Request string            `type:"existingfile" help:"A whole ModelInferRequest as JSON; the flags above go over it."`
+	Request string            `type:"existingfile" help:"A whole ModelInferRequest as JSON; the flags above take precedence."`
 }
 
+// answerDelay is how long an answer is waited for beyond the deadline that the gateway was given.
+const answerDelay = time.Second
+
+// maxMessage bounds a message of the answer, in bytes.
+const maxMessage = 1 << 30
+
+// Run makes the call and returns once its answer has ended.
 func (c callCmd) Run(ctx context.Context) error {
-	m := &inference.ModelInferRequest{}
-	if c.Request != "" {
-		raw, err := os.ReadFile(c.Request)
-		if err != nil {
-			return err
-		}
-		if err := protojson.Unmarshal(raw, m); err != nil {
-			return fmt.Errorf("%s: %w", c.Request, err)
-		}
-	}
-	m.ModelName, m.ModelVersion, m.Id = c.Model, c.Version, c.ID
-	if m.Parameters == nil {
-		m.Parameters = map[string]*inference.InferParameter{}
-	}
-	for k, v := range c.Param {
-		if f, err := strconv.ParseFloat(v, 64); err == nil {
-			m.Parameters[k] = &inference.InferParameter{ParameterChoice: &inference.InferParameter_DoubleParam{DoubleParam: f}}
-		} else {
-			m.Parameters[k] = &inference.InferParameter{ParameterChoice: &inference.InferParameter_StringParam{StringParam: v}}
-		}
+	request, err := c.request()
+	if err != nil {
+		return err
 	}
-	raw, err := proto.Marshal(m)
+	raw, err := proto.Marshal(request)
 	if err != nil {
 		return err
 	}
@@ -65,15 +50,15 @@
 	if c.Stream {
 		path = oip.StreamInfer
 	}
-	p := &printer{stream: c.Stream, reader: grpc.Reader{Max: 1 << 30}, done: make(chan error, 1)}
+	p := &answerPrinter{stream: c.Stream, reader: grpc.Reader{Max: maxMessage}, done: make(chan error, 1)}
 	conn, err := http2.Dial("tcp", c.Address, c.Timeout, http2.Config{}, p)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	s, err := conn.Open(p, append(grpc.Head(c.Address, path, c.Timeout),
-		hpack.Field{Name: "grpc-accept-encoding", Value: grpc.Encodings}),
-		append(grpc.AppendPrefix(nil, len(raw), false), raw...), true)
+	head := append(grpc.Head(c.Address, path, c.Timeout), hpack.Field{Name: "grpc-accept-encoding", Value: grpc.Encodings})
+	body := append(grpc.AppendPrefix(nil, len(raw), false), raw...)
+	stream, err := conn.Open(p, head, body, true)
 	if err != nil {
 		return err
 	}
@@ -81,58 +66,87 @@
 	case err := <-p.done:
 		return err
 	case <-ctx.Done():
-		s.Reset(http2.Cancel)
+		stream.Reset(http2.Cancel)
 		return ctx.Err()
-	case <-time.After(c.Timeout + time.Second):
-		s.Reset(http2.Cancel)
+	case <-time.After(c.Timeout + answerDelay):
+		stream.Reset(http2.Cancel)
 		return errors.New("no answer in time")
 	}
 }
 
-// printer prints an answer as it comes.
-type printer struct {
+// request is the file's message, if there is one, with the flags' values in place of its own.
+func (c callCmd) request() (*inference.ModelInferRequest, error) {
+	m := &inference.ModelInferRequest{}
+	if c.Request != "" {
+		raw, err := os.ReadFile(c.Request)
+		if err != nil {
+			return nil, err
+		}
+		if err := protojson.Unmarshal(raw, m); err != nil {
+			return nil, fmt.Errorf("%s: %w", c.Request, err)
+		}
+	}
+	m.ModelName, m.ModelVersion, m.Id = c.Model, c.Version, c.ID
+	if m.Parameters == nil {
+		m.Parameters = map[string]*inference.InferParameter{}
+	}
+	for name, value := range c.Param {
+		m.Parameters[name] = parameter(value)
+	}
+	return m, nil
+}
+
+func parameter(value string) *inference.InferParameter {
+	if number, err := strconv.ParseFloat(value, 64); err == nil {
+		return &inference.InferParameter{ParameterChoice: &inference.InferParameter_DoubleParam{DoubleParam: number}}
+	}
+	return &inference.InferParameter{ParameterChoice: &inference.InferParameter_StringParam{StringParam: value}}
+}
+
+// answerPrinter prints an answer's messages as they come. The connection's reading goroutine calls it.
+type answerPrinter struct {
 	stream   bool
 	reader   grpc.Reader
 	encoding string
-	done     chan error
+	done     chan error // gets the result, once
 	once     sync.Once
 }
 
-func (p *printer) end(err error) { p.once.Do(func() { p.done <- err }) }
+func (p *answerPrinter) finish(err error) { p.once.Do(func() { p.done <- err }) }
 
 // Open implements http2.Handler.
-func (p *printer) Open(*http2.Stream) http2.Receiver { return nil }
+func (p *answerPrinter) Open(*http2.Stream) http2.Receiver { return nil }
 
 // GoAway implements http2.Handler.
-func (p *printer) GoAway(*http2.Conn, http2.ErrCode) {}
+func (p *answerPrinter) GoAway(*http2.Conn, http2.ErrCode) {}
 
 // Lost implements http2.Handler.
-func (p *printer) Lost(_ *http2.Conn, err error) { p.end(err) }
+func (p *answerPrinter) Lost(_ *http2.Conn, err error) { p.finish(err) }
 
 // Headers implements http2.Receiver.
-func (p *printer) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
+func (p *answerPrinter) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
 		p.encoding, _ = grpc.Get(fields, "grpc-encoding")
 		return
 	}
-	st := grpc.StatusOf(fields)
-	if st.Code == grpc.OK {
-		p.end(nil)
+	status := grpc.StatusOf(fields)
+	if status.Code == grpc.OK {
+		p.finish(nil)
 		return
 	}
-	if ms, ok := grpc.Get(fields, "grpc-retry-pushback-ms"); ok && st.Code == grpc.Unavailable {
-		st.Message += "; come back in " + ms + " ms"
+	if ms, ok := grpc.Get(fields, "grpc-retry-pushback-ms"); ok && status.Code == grpc.Unavailable {
+		status.Message += "; retry after " + ms + " ms"
 	}
-	p.end(st)
+	p.finish(status)
 }
 
 // Data implements http2.Receiver.
-func (p *printer) Data(s *http2.Stream, b []byte, _ bool) {
+func (p *answerPrinter) Data(s *http2.Stream, b []byte, _ bool) {
 	s.Consume(len(b))
 	for len(b) > 0 {
 		m, rest, err := p.reader.Next(b)
 		if err != nil {
-			p.end(err)
+			p.finish(err)
 			return
 		}
 		if m != nil {
@@ -142,8 +156,8 @@
 	}
 }
 
-func (p *printer) print(m []byte) {
-	body, err := grpc.Body(m, p.encoding, 1<<30)
+func (p *answerPrinter) print(m []byte) {
+	body, err := grpc.Body(m, p.encoding, maxMessage)
 	var out proto.Message = &inference.ModelInferResponse{}
 	if p.stream {
 		out = &inference.ModelStreamInferResponse{}
@@ -152,69 +166,23 @@
 		err = proto.Unmarshal(body, out)
 	}
 	if err != nil {
-		p.end(err)
+		p.finish(err)
 		return
 	}
 	raw, err := protojson.Marshal(out)
 	if err != nil {
-		p.end(err)
+		p.finish(err)
 		return
 	}
 	fmt.Println(string(raw))
 }
 
 // Sent implements http2.Receiver.
-func (p *printer) Sent(*http2.Stream, int) {}
+func (p *answerPrinter) Sent(*http2.Stream, int) {}
 
 // Closed implements http2.Receiver.
-func (p *printer) Closed(_ *http2.Stream, err error) {
-	if err != nil {
-		p.end(err)
-	}
-}
-
-type standinCmd struct {
-	Workers int      `default:"3" help:"How many."`
-	Dir     string   `default:"." type:"existingdir" help:"Where the list of workers and a gateway's settings are written."`
-	Model   []string `default:"quote,award" help:"Models that they know."`
-	Listen  string   `default:"127.0.0.1:9000" help:"Address that the written settings give the gateway."`
-}
-
-func (c standinCmd) Run(ctx context.Context) error {
-	store, cell := fakeworker.NewStore(50, 100), fakeworker.NewDeduplicator()
-	var list config.WorkerList
-	models := map[string]fakeworker.Model{}
-	for _, m := range c.Model {
-		models[m] = fakeworker.Model{Name: m, Class: "quote", MemoryMB: 200, ConcurrencyPerInstance: 2, LoadTime: 300 * time.Millisecond}
-	}
-	for i := range c.Workers {
-		w, err := fakeworker.Start(fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 4, Speed: 1, MemoryMB: 4000, QueueLength: 100,
-			ConcurrentLoads: 4, IdleResidency: 10 * time.Second, LoadsOnCacheMiss: true, AddsCopies: true, Store: store, Deduplicator: cell,
-			Seed: uint64(i), Models: models, ReportsLoad: true, DefaultLoadTime: 300 * time.Millisecond})
-		if err != nil {
-			return err
-		}
-		defer w.Kill()
-		list.Workers = append(list.Workers, config.Worker{ID: w.ID(), Address: w.Addr(), Kind: "box", State: "on"})
-		fmt.Printf("worker %s on %s, models %s\n", w.ID(), w.Addr(), strings.Join(c.Model, ", "))
-	}
-	if err := config.WriteWorkers(filepath.Join(c.Dir, "workers.json"), list); err != nil {
-		return err
-	}
-	settings := map[string]any{"listen": c.Listen, "workers": map[string]any{"file": "workers.json"},
-		"kinds":         []any{map[string]any{"name": "box", "memory_mb": 4000}},
-		"classes":       []any{map[string]any{"name": "quote", "aim_ms": 1000, "deadline_ms": 3000, "worth": 1, "effect": "safe"}},
-		"default_model": map[string]any{"class": "quote", "memory_mb": 200, "lanes": 2, "load_ms": 300}}
-	raw, err := json.MarshalIndent(settings, "", "  ")
+func (p *answerPrinter) Closed(_ *http2.Stream, err error) {
 	if err != nil {
-		return err
-	}
-	file := filepath.Join(c.Dir, "gateway.json")
-	if err := os.WriteFile(file, append(raw, '\n'), 0o644); err != nil {
-		return err
+		p.finish(err)
 	}
-	fmt.Printf("now: topazfront serve --config %s\nthen: topazfront call --address %s --model %s --stream --param %s=5\n",
-		file, c.Listen, c.Model[0], fakeworker.ParamMessages)
-	<-ctx.Done()
-	return nil
 }
--- /dev/null
+++ b/cmd/topazfront/gossip_keygen.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"crypto/ed25519"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"os"
+
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
+)
+
+type gossipKeygenCmd struct {
+	ID   string `required:"" help:"Router that the key is for."`
+	Key  string `required:"" help:"Name of the key, such as its month."`
+	File string `required:"" type:"path" help:"Where the private key goes; a file that exists is not replaced unless asked for."`
+
+	Overwrite bool `aliases:"over" help:"Replace a file that exists, in one step."`
+}
+
+// Run writes the private key and prints the public one.
+func (c *gossipKeygenCmd) Run() error {
+	public, private, err := ed25519.GenerateKey(nil)
+	if err != nil {
+		return err
+	}
+	raw, err := config.FormatKey(agent.Key{Name: c.Key, Private: private})
+	if err != nil {
+		return err
+	}
+	if _, err := config.ParseKey(c.File, raw); err != nil { // a name that could not be read back
+		return err
+	}
+	if _, err := os.Stat(c.File); err == nil && !c.Overwrite {
+		return fmt.Errorf("%s exists already; --overwrite replaces it", c.File)
+	}
+	temporary := c.File + ".new"
+	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
+		return err
+	}
+	if err := os.Rename(temporary, c.File); err != nil {
+		return err
+	}
+	line, err := json.Marshal(config.Member{ID: c.ID, Keys: []config.MemberKey{{ID: c.Key,
+		PublicKey: base64.StdEncoding.EncodeToString(public)}}})
+	if err != nil {
+		return err
+	}
+	fmt.Println(string(line))
+	return nil
+}
--- /dev/null
+++ b/cmd/topazfront/gossip_simulate.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime/debug"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/gossip/gossipsim"
+)
+
+type gossipSimulateCmd struct {
+	Members []int         `default:"50,500" help:"Numbers of routers to simulate."`
+	Seeds   int           `default:"1" help:"Seeds for each."`
+	Steady  time.Duration `default:"20s" help:"Simulated time over which traffic is measured."`
+	After   time.Duration `default:"60s" help:"Simulated time for which a death is followed."`
+	Out     string        `type:"path" help:"Folder for the plots (SVG) and the figures (JSON)."`
+}
+
+// gcPercent keeps the heap small: thousands of members that each know thousands would not fit otherwise.
+const gcPercent = 40
+
+// warmUp is the simulated time before traffic is measured.
+const warmUp = 10 * time.Second
+
+// conditions are the networks that each size is simulated on.
+var conditions = []gossipsim.Trial{{}, {Loss: 0.05}, {SlowShare: 0.1}}
+
+// Run simulates each size under each condition and prints a line for each seed.
+func (c *gossipSimulateCmd) Run(ctx context.Context) error {
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
+	var results []gossipsim.Result
+	fmt.Println("                     bytes/s msgs/s   peak   update spread   reached   death seen by  wrongly  suspicions    wall")
+	fmt.Println("routers  loss  slow                             50%     99%            first     99%     dead   a minute       s")
+	for _, members := range c.Members {
+		for _, trial := range conditions {
+			for seed := range c.Seeds {
+				if ctx.Err() != nil {
+					return ctx.Err()
+				}
+				trial.Members, trial.Seed, trial.WarmUp = members, uint64(seed+1), warmUp
+				trial.Steady, trial.FollowDeath = c.Steady, c.After
+				result := trial.Run()
+				printResult(result)
+				results = append(results, result)
+				if err := c.save(results); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	return nil
+}
+
+func printResult(r gossipsim.Result) {
+	fmt.Printf("%7d  %4.2f  %4.2f  %7.0f  %5.1f %6.0f %7.3f %7.3f  %7.3f  %6.1f  %6.1f  %7d  %10.1f  %6.1f\n", r.Members,
+		r.Loss, r.SlowShare, r.BytesPerSecond, r.MessagesPerSecond, r.PeakBytesPerSecond, r.SpreadTo50, r.SpreadTo99,
+		r.Reached, r.FirstDeath, r.DeathTo99, r.FalseDeaths, r.SuspicionsPerMemberMinute, r.WallSeconds)
+}
+
+// save writes figures and plots after each trial, as the large ones take long.
+func (c *gossipSimulateCmd) save(results []gossipsim.Result) error {
+	if c.Out == "" {
+		return nil
+	}
+	if err := os.MkdirAll(c.Out, 0o755); err != nil {
+		return err
+	}
+	if err := config.WriteJSON(filepath.Join(c.Out, "gossip.json"), results); err != nil {
+		return err
+	}
+	return gossipsim.WritePlots(c.Out, results)
+}
--- a/cmd/topazfront/main_test.go
+++ b/cmd/topazfront/main_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"os"
+	"reflect"
 	"testing"
 
 	"github.com/alecthomas/kong"
@@ -39,8 +40,9 @@
 	}
 }
 
-// TestCommandLinesOfThePages parses each command line that a page for operators, the README or a script names.
-func TestCommandLinesOfThePages(t *testing.T) {
+// TestCommandLinesParse parses each command line that a page for operators, the README or a script names, also by the
+// names that commands and flags had before.
+func TestCommandLinesParse(t *testing.T) {
 	dir := t.TempDir()
 	file := dir + "/settings.json"
 	if err := os.WriteFile(file, []byte("{}"), 0o600); err != nil {
@@ -54,7 +56,12 @@
 		{"demo, held", []string{"demo", "--hold"}},
 		{"serve", []string{"serve", "--config", file}},
 		{"node", []string{"node", "--config", file}},
-		{"standin", []string{"standin", "--workers", "3", "--dir", dir}},
+		{"fake-worker", []string{"fake-worker", "--workers", "3", "--dir", dir}},
+		{"fake-worker by its old name", []string{"standin", "--workers", "3", "--dir", dir}},
+		{"scenario list", []string{"scenario", "list"}},
+		{"scenario run", []string{"scenario", "run", "bad-day", "--report", "out.json", "--seed", "3"}},
+		{"scenario run, policies", []string{"scenario", "run", "bad-day", "--policy", "module,random"}},
+		{"scenario run, gossip", []string{"scenario", "run", "peers", "--gossip", "off", "--no-faults", "--quiet"}},
 		{"day list", []string{"day", "list"}},
 		{"day run", []string{"day", "run", "bad-day", "--report", "out.json"}},
 		{"day run, policies", []string{"day", "run", "bad-day", "--policy", "module,random"}},
@@ -64,6 +71,7 @@
 		{"call", []string{"call", "--address", "127.0.0.1:1", "--model", "quote", "--stream", "--param", "sim_messages=5"}},
 		{"gossip status", []string{"gossip", "status", "--socket", file}},
 		{"gossip keygen", []string{"gossip", "keygen", "--id", "r0", "--key", "k1", "--file", file, "--over"}},
+		{"gossip keygen, new flag", []string{"gossip", "keygen", "--id", "r0", "--key", "k1", "--file", file, "--overwrite"}},
 		{"gossip simulate", []string{"gossip", "simulate", "--members", "50", "--seeds", "1"}},
 		{"version", []string{"version"}},
 	} {
@@ -74,3 +82,39 @@
 		})
 	}
 }
+
+// TestOldNamesSetTheSameFlags parses the old and the new spelling of what was renamed and compares the results.
+func TestOldNamesSetTheSameFlags(t *testing.T) {
+	dir := t.TempDir()
+	for _, c := range []struct {
+		name     string
+		old, new []string
+	}{
+		{"standin", []string{"standin", "--workers", "7", "--dir", dir}, []string{"fake-worker", "--workers", "7", "--dir", dir}},
+		{"day list", []string{"day", "list"}, []string{"scenario", "list"}},
+		{"day run", []string{"day", "run", "peers", "--seed", "3", "--calm", "--quietly"},
+			[]string{"scenario", "run", "peers", "--seed", "3", "--no-faults", "--quiet"}},
+		{"gossip keygen", []string{"gossip", "keygen", "--id", "r0", "--key", "k1", "--file", dir, "--over"},
+			[]string{"gossip", "keygen", "--id", "r0", "--key", "k1", "--file", dir, "--overwrite"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			parse := func(args []string) (program, string) {
+				var p program
+				k, err := kong.New(&p, kong.Name("topazfront"))
+				if err != nil {
+					t.Fatal(err)
+				}
+				ctx, err := k.Parse(args)
+				if err != nil {
+					t.Fatal(err)
+				}
+				return p, ctx.Selected().Path()
+			}
+			oldProgram, oldCommand := parse(c.old)
+			newProgram, newCommand := parse(c.new)
+			if !reflect.DeepEqual(oldProgram, newProgram) || oldCommand != newCommand {
+				t.Errorf("%s %+v\n%s %+v", oldCommand, oldProgram, newCommand, newProgram)
+			}
+		})
+	}
+}
