--- a/internal/fake/fakeworker/store.go
+++ b/internal/fake/fakeworker/store.go
@@ -6,8 +6,16 @@
 	"time"
 )
 
-// Store is the one store that all workers fetch plug-ins from. It serves Rate fetches a second at full pace,
-// slows down with what it has in hand, and turns fetches away beyond a limit.
+const (
+	rejectDelay  = 5 * time.Millisecond // of a fetch that the store rejects
+	minFetchTime = 0.01                 // seconds; bounds how much a crowd slows short fetches down
+)
+
+// ErrStoreFull says that the store rejected a fetch, as too many are in flight.
+var ErrStoreFull = errors.New("fakeworker: store is full")
+
+// Store is the one store that all workers fetch models from. It completes a given rate of fetches at full speed, slows
+// down with what is in flight, and rejects fetches beyond a limit. It may be used from any goroutine.
 type Store struct {
 	mu          sync.Mutex
 	rate        float64
@@ -18,30 +26,28 @@
 	rejected    int
 }
 
-// ErrStore tells that the store turned a fetch away.
-var ErrStoreFull = errors.New("store is full")
-
-// NewStore returns a store; limit bounds the fetches in hand.
+// NewStore returns a store of a rate in fetches a second; limit bounds the fetches in flight.
 func NewStore(rate float64, limit int) *Store { return &Store{rate: rate, limit: limit} }
 
-// Fetch begins a fetch that would take so long alone; done is called with the result when it is over.
+// Fetch starts a fetch that takes alone if nothing else is in flight. done is called with the result, in a goroutine of
+// its own: nil or ErrStoreFull.
 func (s *Store) Fetch(alone time.Duration, done func(error)) {
 	s.mu.Lock()
 	s.fetches++
 	if s.inFlight >= s.limit {
 		s.rejected++
 		s.mu.Unlock()
-		time.AfterFunc(5*time.Millisecond, func() { done(ErrStoreFull) })
+		time.AfterFunc(rejectDelay, func() { done(ErrStoreFull) })
 		return
 	}
 	s.inFlight++
-	crowd := max(float64(s.inFlight)/(s.rate*max(alone.Seconds(), 0.01)), 1)
-	took := time.Duration(float64(alone) * crowd)
-	if wait := time.Until(s.pausedUntil); wait > 0 {
-		took += wait
+	slowdown := max(float64(s.inFlight)/(s.rate*max(alone.Seconds(), minFetchTime)), 1)
+	fetchTime := time.Duration(float64(alone) * slowdown)
+	if pause := time.Until(s.pausedUntil); pause > 0 {
+		fetchTime += pause
 	}
 	s.mu.Unlock()
-	time.AfterFunc(took, func() {
+	time.AfterFunc(fetchTime, func() {
 		s.mu.Lock()
 		s.inFlight--
 		s.mu.Unlock()
@@ -49,44 +55,16 @@
 	})
 }
 
-// Stop has the store stand still for a while.
+// Pause makes fetches that start within d wait until it is over.
 func (s *Store) Pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pausedUntil = time.Now().Add(d)
 }
 
-// Fetches tells how many fetches were asked for, and how many were turned away.
-func (s *Store) Totals() (asked, refused int) {
+// Totals is how many fetches were asked for, and how many of them were rejected.
+func (s *Store) Totals() (fetches, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fetches, s.rejected
 }
-
-// Cell is the workers that drop each other's repeats of keyed calls.
-type Deduplicator struct {
-	mu     sync.Mutex
-	seenAt map[string]time.Time
-}
-
-// NewCell returns a cell that has seen nothing.
-func NewDeduplicator() *Deduplicator { return &Deduplicator{seenAt: map[string]time.Time{}} }
-
-// first tells whether a key is new within the window, and notes it.
-func (c *Deduplicator) isFirst(key string, window time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := time.Now()
-	if at, ok := c.seenAt[key]; ok && now.Sub(at) < window {
-		return false
-	}
-	if len(c.seenAt) > 10000 {
-		for k, at := range c.seenAt {
-			if now.Sub(at) > window {
-				delete(c.seenAt, k)
-			}
-		}
-	}
-	c.seenAt[key] = now
-	return true
-}
