--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -8,6 +8,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // formatList formats an endpoint list as "id@address, id@address drains".
@@ -36,30 +37,30 @@
 func constantRouterTime(time.Time) time.Duration { return 1 }
 
 // startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
-// respond is the server's Answer. The channel returned has each further list, formatted.
-func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.Channel, *Watcher, chan string) {
+// respond is the server's Respond. The channel returned has each further list, formatted.
+func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
 	return startWatcherWithWait(t, 200*time.Millisecond, respond)
 }
 
 func startWatcherWithWait(t *testing.T, pollWait time.Duration, respond func(int, string) (string, bool),
-) (*fakeplatform.Channel, *Watcher, chan string) {
+) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
-	server, err := fakeplatform.StartChannel(fakeplatform.Nodes(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
+	server, err := fakeplatform.StartDiscoveryServer(fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.Answer = respond
+	server.Respond = respond
 	lists := make(chan string, 64)
 	watcher, err := Start(Config{Address: server.Addr(), ConnectTimeout: 5 * time.Second, PollWait: pollWait,
 		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
 		RouterTime: constantRouterTime, OnUpdate: func(workers []endpoints.Worker) { lists <- formatList(workers) },
-	}, parseResponse(t, server.Known()))
+	}, parseResponse(t, server.AllEvents()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { watcher.Close(); server.Stop() })
-	if got := fakeplatform.Await(t, lists, "the initial list"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
+	if got := testsupport.Await(t, lists, "the initial list"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
 		t.Fatalf("initial list: %s", got)
 	}
 	return server, watcher, lists
--- a/internal/upstream/grpcupstream/harness_test.go
+++ b/internal/upstream/grpcupstream/harness_test.go
@@ -84,7 +84,7 @@
 }
 
 func (c *testClient) Finish(f router.FinalAnswer) {
-	status, _ := grpcserver.Told(f)
+	status, _ := grpcserver.FinalStatus(f)
 	c.status <- status
 }
 
