--- a/internal/fake/fakeworker/deduplicator.go
+++ b/internal/fake/fakeworker/deduplicator.go
@@ -18,7 +18,7 @@
 // NewDeduplicator returns a deduplicator that has seen no key.
 func NewDeduplicator() *Deduplicator { return &Deduplicator{seenAt: map[string]time.Time{}} }
 
-// isFirst tells whether a key was not seen within the window, and notes it then.
+// isFirst reports whether a key was not seen within the window, and notes it then.
 func (d *Deduplicator) isFirst(key string, window time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fake/fakeworker/faults.go
+++ b/internal/fake/fakeworker/faults.go
@@ -61,7 +61,7 @@
 	w.draining = false
 }
 
-// throttled tells whether a call of a class is to be rejected, and counts it otherwise. w.mu is held.
+// throttled reports whether a call of a class is to be rejected, and counts it otherwise. w.mu is held.
 func (w *Worker) throttled(class string) bool {
 	rate, ok := w.faults.ThrottledClasses[class]
 	if !ok {
--- a/internal/fake/fakeworker/handlers.go
+++ b/internal/fake/fakeworker/handlers.go
@@ -12,7 +12,7 @@
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 )
 
-// Parameters by which a client tells a fake worker what a call truly is. The gateway passes them through.
+// Parameters by which a client describes the true call to a fake worker. The gateway passes them through.
 const (
 	ParamRequest  = "sim_request"  // string: the request's name, the same for all calls that repeat it
 	ParamWorkMS   = "sim_work_ms"  // double: true work on a core of speed 1
--- a/internal/fake/fakeworker/jobs.go
+++ b/internal/fake/fakeworker/jobs.go
@@ -59,7 +59,7 @@
 	timer       *time.Timer // of the work
 }
 
-// multipleMessages tells whether the answer is a stream of messages over the time of the work.
+// multipleMessages reports whether the answer is a stream of messages over the time of the work.
 func (j *job) multipleMessages() bool { return j.streamed && j.messageCount > 0 }
 
 // accept takes a call into the worker's queue, or ends it. w.mu is held.
@@ -181,7 +181,7 @@
 	j.timer = w.after(interval, func() { w.sendMessage(j, 0, interval) })
 }
 
-// isRepeat tells whether the call is answered without work, as its deduplicator has seen its key. w.mu is held.
+// isRepeat reports whether the call is answered without work, as its deduplicator has seen its key. w.mu is held.
 func (w *Worker) isRepeat(j *job) bool {
 	return j.idempotencyKey != "" && w.config.DeduplicatedClasses[j.class] && w.config.Deduplicator != nil &&
 		!w.config.Deduplicator.isFirst(j.idempotencyKey, w.config.DeduplicationWindow)
--- a/internal/fake/fakeworker/rpc.go
+++ b/internal/fake/fakeworker/rpc.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// noteRouter notes whose connection it is. It tells whether the stream is refused, and by how long the connection's
+// noteRouter notes whose connection it is. It reports whether the stream is refused, and by how long the connection's
 // first call is delayed.
 func (r *rpc) noteRouter(conn *http2.Conn) (refused bool, delay time.Duration) {
 	w := r.worker
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -129,7 +129,7 @@
 	server.Close()
 }
 
-// Down tells whether the worker has been killed.
+// Down reports whether the worker has been killed.
 func (w *Worker) Down() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/scenario/endpoints.go
+++ b/internal/scenario/endpoints.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// removeDeadWorkers tells whether it removed any, whether the scenario has ended, and which faults are active.
+// removeDeadWorkers reports whether it removed any, whether the scenario has ended, and which faults are active.
 func (h *Harness) removeDeadWorkers(startedAt time.Time) (removed, stopped bool, progress Progress) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -55,7 +55,7 @@
 	P99          float64 `json:"p99_s"`
 }
 
-// RulesSatisfied tells whether no rule was violated.
+// RulesSatisfied reports whether no rule was violated.
 func (r *Report) RulesSatisfied() bool { return r.ViolationsByRule == [5]int{} }
 
 // Save writes the report as JSON.
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -129,7 +129,7 @@
 	})
 }
 
-// mayRetry tells whether a client repeats a call: after a rejection always, after a failure or no answer only where
+// mayRetry reports whether a client repeats a call: after a rejection always, after a failure or no answer only where
 // that does no harm and the router did not forbid it.
 func mayRetry(c *Class, result fakeclient.Result) bool {
 	switch {
