--- a/internal/fake/fakepeer/forger.go
+++ b/internal/fake/fakepeer/forger.go
@@ -7,140 +7,132 @@
 	"net"
 	"time"
 
-	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/gossip"
-	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// Forger sends what no router may take: packets under the names of others, by a key that is not theirs or with
-// bytes changed, cut ones, old versions, ones too large. It holds no admitted key.
+const (
+	// randomForgeries is the stream of random numbers, within a forger's seed, of its packets.
+	randomForgeries = 9
+
+	// forgedIncarnation is newer than any that a member has, so that a forgery, if accepted, would win.
+	forgedIncarnation = 1 << 61
+
+	// excessBytes makes a packet larger than any that is accepted.
+	excessBytes = 1500
+
+	// unknownVersion is no version of the packet format.
+	unknownVersion = 9
+
+	// floodPackets is how many packets a flood repeats.
+	floodPackets = 32
+)
+
+// Forger sends what no router may accept: packets under the names of others, signed with a key that is not theirs, or
+// with changed bytes, truncated, of another version, or too large. It has no admitted key. It is not safe for use from
+// several goroutines.
 type Forger struct {
-	Names  []string // of admitted members, to forge
-	KeyIDs []string
-	Worker string                               // that it calls silent,
-	Of     uint64                               // in that life
-	Stolen func(name string) ed25519.PrivateKey // nil, or the members' own keys: what it sends is then no forgery
-
-	conn net.PacketConn
-	rng  *rand.Rand
-	keys *gossip.Keyring
-	own  ed25519.PrivateKey
-	Sent int
+	Names             []string // of the members whose packets it forges
+	KeyNames          []string // of their keys
+	Worker            string   // that it reports as silent,
+	WorkerIncarnation uint64
+	StolenKey         func(name string) ed25519.PrivateKey // the members' own keys, with which its packets are valid; nil: none
+	Sent              int                                  // packets so far
+
+	conn       net.PacketConn
+	rng        *rand.Rand
+	privateKey ed25519.PrivateKey
 }
 
-// NewForger opens a forger's socket.
-func NewForger(seed uint64, names, keyIDs []string) (*Forger, error) {
+// NewForger opens a forger's socket on loopback.
+func NewForger(seed uint64, names, keyNames []string) (*Forger, error) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	own := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{byte(seed), 0xf0}, 16))
-	return &Forger{Names: names, KeyIDs: keyIDs, conn: conn, rng: rand.New(rand.NewPCG(seed, 9)), own: own,
-		Worker: "w001"}, nil
+	return &Forger{
+		Names:      names,
+		KeyNames:   keyNames,
+		Worker:     "w001",
+		conn:       conn,
+		rng:        rand.New(rand.NewPCG(seed, randomForgeries)),
+		privateKey: ed25519.NewKeyFromSeed(bytes.Repeat([]byte{byte(seed), 0xf0}, ed25519.SeedSize/2)),
+	}, nil
 }
 
-// Addr is its own address.
+// Addr is the address of the forger's socket.
 func (f *Forger) Addr() string { return f.conn.LocalAddr().String() }
 
-// Close closes its socket.
+// Close closes the forger's socket.
 func (f *Forger) Close() { _ = f.conn.Close() }
 
-// Packet makes one forgery.
+// Packet returns a forged packet, or nil if it cannot be made.
 func (f *Forger) Packet() []byte {
 	i := f.rng.IntN(len(f.Names))
-	own := f.own
-	if f.Stolen != nil {
-		own = f.Stolen(f.Names[i])
+	name, key := f.Names[i], f.privateKey
+	if f.StolenKey != nil {
+		key = f.StolenKey(name)
 	}
-	k := gossip.NewKeyring(f.KeyIDs[i], own, uint64(time.Now().UnixNano()))
-	s := gossip.Statement{Kind: gossip.WorkerSilent, Signer: f.Names[i], Incarnation: 1 << 61, Seq: 1, Subject: f.Worker, SubjectIncarnation: f.Of}
-	k.SignStatement(&s)
-	alive := gossip.Statement{Kind: gossip.MemberAlive, Signer: f.Names[i], Incarnation: 1 << 61, Seq: 2, Text: f.Addr()}
-	k.SignStatement(&alive)
-	p, err := k.Seal(gossip.Message{Kind: gossip.Push, From: f.Names[i], Addr: f.Addr(), Incarnation: 1 << 61,
-		Statements: []gossip.Statement{s, alive}})
+	keyring := gossip.NewKeyring(f.KeyNames[i], key, uint64(time.Now().UnixNano()))
+	silent := gossip.Statement{Kind: gossip.WorkerSilent, Signer: name, Incarnation: forgedIncarnation, Seq: 1,
+		Subject: f.Worker, SubjectIncarnation: f.WorkerIncarnation}
+	keyring.SignStatement(&silent)
+	alive := gossip.Statement{Kind: gossip.MemberAlive, Signer: name, Incarnation: forgedIncarnation, Seq: 2, Text: f.Addr()}
+	keyring.SignStatement(&alive)
+	packet, err := keyring.Seal(gossip.Message{Kind: gossip.Push, From: name, Addr: f.Addr(), Incarnation: forgedIncarnation,
+		Statements: []gossip.Statement{silent, alive}})
 	if err != nil {
 		return nil
 	}
+	return f.damage(packet)
+}
+
+// damage makes two thirds of the packets invalid in one more way than their key.
+func (f *Forger) damage(packet []byte) []byte {
 	switch f.rng.IntN(6) {
-	case 0: // cut
-		p = p[:f.rng.IntN(len(p))]
-	case 1: // a byte changed
-		p[f.rng.IntN(len(p))] ^= byte(1 + f.rng.IntN(255))
+	case 0: // truncated
+		packet = packet[:f.rng.IntN(len(packet))]
+	case 1: // one byte changed
+		packet[f.rng.IntN(len(packet))] ^= byte(1 + f.rng.IntN(255))
 	case 2: // too large
-		p = append(p, make([]byte, 1500)...)
+		packet = append(packet, make([]byte, excessBytes)...)
 	case 3: // another version
-		p[1+int(p[0])+ed25519.SignatureSize] = 9
+		packet[1+int(packet[0])+ed25519.SignatureSize] = unknownVersion
 	}
-	return p
+	return packet
 }
 
-// Send sends forgeries to each address.
-func (f *Forger) Send(to []string, each int) {
+// Send sends so many packets to each address.
+func (f *Forger) Send(addrs []string, each int) {
 	for range each {
-		for _, a := range to {
-			addr, err := net.ResolveUDPAddr("udp", a)
-			if err != nil {
-				continue
-			}
-			if _, err := f.conn.WriteTo(f.Packet(), addr); err == nil {
-				f.Sent++
+		for _, addr := range addrs {
+			if to, err := net.ResolveUDPAddr("udp", addr); err == nil {
+				f.write(f.Packet(), to)
 			}
 		}
 	}
 }
 
-// Flood sends a few forgeries over and over, as fast as the socket takes them.
-func (f *Forger) Flood(to []string, each int) {
-	var made [32][]byte
-	for i := range made {
-		made[i] = f.Packet()
+// Flood sends so many packets to each address as fast as the socket takes them. It repeats a few packets, as signing
+// would slow it down. It stands here and not in the test that uses it because receivers limit packets by their source,
+// which must be the forger's own socket.
+func (f *Forger) Flood(addrs []string, each int) {
+	var packets [floodPackets][]byte
+	for i := range packets {
+		packets[i] = f.Packet()
 	}
-	for _, a := range to {
-		addr, err := net.ResolveUDPAddr("udp", a)
+	for _, addr := range addrs {
+		to, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
 			continue
 		}
 		for i := range each {
-			if _, err := f.conn.WriteTo(made[i%len(made)], addr); err == nil {
-				f.Sent++
-			}
+			f.write(packets[i%len(packets)], to)
 		}
 	}
 }
 
-// Liar is an admitted member that takes part as others do, and lies of workers. It never looks.
-type Liar struct {
-	*agent.Agent
-}
-
-// NewLiar starts a liar.
-func NewLiar(c agent.Config) (*Liar, error) {
-	a, err := agent.Start(c, blind{})
-	if err != nil {
-		return nil, err
-	}
-	return &Liar{a}, nil
-}
-
-// Accuse has it call workers silent, again and again.
-func (l *Liar) Accuse(started map[string]uint64) {
-	l.SetWorkers(started)
-	for id := range started {
-		l.ReportSuspicion(dispatch.ReportSuspicion{Worker: id})
+func (f *Forger) write(packet []byte, to net.Addr) {
+	if _, err := f.conn.WriteTo(packet, to); err == nil {
+		f.Sent++
 	}
 }
-
-// Praise has it say that a worker is back which it called silent.
-func (l *Liar) Praise(worker string) { l.ReportAlive(worker) }
-
-// blind is a router that sees nothing.
-type blind struct{}
-
-// Look implements peers.Router.
-func (blind) VerifyWorker(_ string, _, _ time.Duration, done func(alive, void bool)) {
-	done(false, true)
-}
-
-// Peers implements peers.Router.
-func (blind) ApplyGossip(dispatch.GossipUpdate) {}
--- a/internal/gossip/agent/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -69,7 +69,7 @@
 // cluster is agents over real sockets, with a faulty network between them.
 type cluster struct {
 	t       *testing.T
-	net     *fakepeer.Net
+	net     *fakepeer.Network
 	ids     []string
 	agents  []*agent.Agent
 	routers []*fakeRouter
@@ -114,7 +114,7 @@
 			},
 			AllowStream: func(to string, bytes int) bool {
 				meter.Add(bytes)
-				return c.net.Open(ownAddr, to) // a partition cuts streams too
+				return c.net.Reachable(ownAddr, to) // a partition cuts streams too
 			},
 		},
 	}
@@ -122,12 +122,12 @@
 
 func newCluster(t *testing.T, n int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, net: fakepeer.NewNet(1)}
+	c := &cluster{t: t, net: fakepeer.NewNetwork(1)}
 	cfg := fastConfig()
 	for i := range n {
 		c.ids = append(c.ids, fmt.Sprintf("r%d", i))
-		c.meters = append(c.meters, &fakepeer.Meter{Rate: cfg.BytesPerSecond, Burst: cfg.BurstBytes, PerSec: cfg.MessagesPerSecond,
-			Count: cfg.BurstMessages})
+		c.meters = append(c.meters, &fakepeer.Meter{BytesPerSecond: cfg.BytesPerSecond, BurstBytes: cfg.BurstBytes, MessagesPerSecond: cfg.MessagesPerSecond,
+			BurstMessages: cfg.BurstMessages})
 	}
 	for i := range n {
 		r := &fakeRouter{deadWorkers: map[string]bool{}, notify: make(chan struct{}, 1)}
@@ -199,7 +199,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(l.Close)
-		l.Accuse(map[string]uint64{"w1": 5, "w2": 6})
+		l.ReportSilent(map[string]uint64{"w1": 5, "w2": 6})
 		return l
 	}
 	claims := func() (n uint64) {
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	f.Worker, f.Of = "w1", 5
+	f.Worker, f.WorkerIncarnation = "w1", 5
 	dropped := func() (n uint64) {
 		for _, a := range c.agents {
 			n += a.Status().Dropped.TotalPackets()
@@ -287,7 +287,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	f.Worker, f.Of, f.Stolen = "w1", 5, func(name string) ed25519.PrivateKey { return privateKey(name, "k1") }
+	f.Worker, f.WorkerIncarnation, f.StolenKey = "w1", 5, func(name string) ed25519.PrivateKey { return privateKey(name, "k1") }
 	before := c.agents[2].Status()
 	f.Send(c.addrs[2:], 60)
 	c.waitFor("them to be read", func() bool { // a third of them are whole
@@ -299,7 +299,7 @@
 // TestReplayedPacketsAreDropped: a packet that arrives a second time is dropped.
 func TestReplayedPacketsAreDropped(t *testing.T) {
 	c := newCluster(t, 2)
-	c.net.Set(fakepeer.Faults{Twice: 1, Most: 5 * time.Millisecond})
+	c.net.SetFaults(fakepeer.Faults{DuplicationRate: 1, MaxDelay: 5 * time.Millisecond})
 	c.waitFor("duplicates to be dropped", func() bool { return c.agents[0].Status().Dropped.Replayed > 5 })
 	if n := c.agents[0].Status().Live; n != 2 {
 		t.Errorf("%d live", n)
@@ -310,7 +310,7 @@
 // afterwards.
 func TestKeyReplacedInService(t *testing.T) {
 	c := newCluster(t, 4)
-	c.net.Set(fakepeer.Faults{Loss: 0.1, Most: 3 * time.Millisecond})
+	c.net.SetFaults(fakepeer.Faults{LossRate: 0.1, MaxDelay: 3 * time.Millisecond})
 	both, next := admittedKeys(c.ids, "k1", "k2"), admittedKeys(c.ids, "k2")
 	for _, a := range c.agents {
 		a.SetMembers(both)
@@ -352,7 +352,7 @@
 	for _, a := range c.addrs[:3] {
 		side[a] = true
 	}
-	c.net.Set(fakepeer.Faults{Cut: func(from, to string) bool { return side[from] != side[to] }})
+	c.net.SetFaults(fakepeer.Faults{Partitioned: func(from, to string) bool { return side[from] != side[to] }})
 	c.waitFor("the sides to lose each other", func() bool {
 		return !slices.ContainsFunc(c.agents, func(a *agent.Agent) bool { return a.Status().Live > 3 })
 	})
@@ -370,7 +370,7 @@
 		}
 		r.mu.Unlock()
 	}
-	c.net.Set(fakepeer.Faults{})
+	c.net.SetFaults(fakepeer.Faults{})
 	c.waitFor("the partition to heal", func() bool {
 		return !slices.ContainsFunc(c.agents, func(a *agent.Agent) bool { return a.Status().Live < 6 })
 	})
--- a/internal/gossip/agent/compare_test.go
+++ b/internal/gossip/agent/compare_test.go
@@ -151,7 +151,7 @@
 
 func measureAgents(t *testing.T) {
 	deaths := &deathLog{dead: map[string][]time.Time{}}
-	network := fakepeer.NewNet(0)
+	network := fakepeer.NewNetwork(0)
 	var meters []*fakepeer.Meter
 	var agents []*agent.Agent
 	var ids, addrs []string
--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -183,11 +183,6 @@
 	heap.Push(&nw.queue, e)
 }
 
-// Inject delivers a message to a core now, whoever sent it.
-func (nw *Network) Inject(to int, m gossip.Message) {
-	nw.Step(to, nw.wantedPart(to, m))
-}
-
 // wantedPart removes the statements that the core does not want, as its caller would.
 func (nw *Network) wantedPart(to int, m gossip.Message) gossip.MessageReceived {
 	var wanted []gossip.Statement
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -180,6 +180,11 @@
 	}
 }
 
+// inject delivers a message to a core now, whoever sent it.
+func inject(network *Network, to int, m gossip.Message) {
+	network.Step(to, network.wantedPart(to, m))
+}
+
 // TestBudgetHoldsUnderFlood: one core is flooded with all that asks for answers, and stays within its budget.
 func TestBudgetHoldsUnderFlood(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 10, 8)
@@ -187,7 +192,7 @@
 	network.Run(10 * time.Second)
 	begin, base := network.Now, network.Sent[0]
 	for i := range 20000 {
-		network.Inject(0, gossip.Message{Kind: gossip.MessageKind(i % 5), WantAlive: true, From: MemberID(1 + i%9), Addr: MemberID(1 + i%9), Incarnation: 100,
+		inject(network, 0, gossip.Message{Kind: gossip.MessageKind(i % 5), WantAlive: true, From: MemberID(1 + i%9), Addr: MemberID(1 + i%9), Incarnation: 100,
 			ProbeSeq: uint64(i), Target: MemberID(i % 10)})
 		if i%100 == 0 {
 			network.Run(50 * time.Millisecond)
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -36,7 +36,7 @@
 	settings *Gossip
 	dir      string // of key files and the file of members
 	seed     uint64
-	network  *fakepeer.Net
+	network  *fakepeer.Network
 	meters   []*fakepeer.Meter // by router
 	forgers  []*fakepeer.Forger
 	liars    []*fakepeer.Liar
@@ -50,13 +50,13 @@
 }
 
 func newGossipCluster(s *Scenario, dir string) (*gossipCluster, error) {
-	c := &gossipCluster{settings: s.Gossip, dir: dir, seed: s.Seed, network: fakepeer.NewNet(s.Seed),
+	c := &gossipCluster{settings: s.Gossip, dir: dir, seed: s.Seed, network: fakepeer.NewNetwork(s.Seed),
 		addrs: make([]string, s.Routers), conns: make([]*fakepeer.Conn, s.Routers), stop: make(chan struct{})}
-	c.network.Set(fakepeer.Faults{Loss: s.Gossip.PacketLoss})
+	c.network.SetFaults(fakepeer.Faults{LossRate: s.Gossip.PacketLoss})
 	limits := c.agentConfig(&config.Gossip{Preset: gossipPreset, BytesPerSecond: s.Gossip.BytesPerSecond}, "").Gossip
 	for i := range s.Routers {
-		c.meters = append(c.meters, &fakepeer.Meter{Rate: limits.BytesPerSecond, Burst: limits.BurstBytes,
-			PerSec: limits.MessagesPerSecond, Count: limits.BurstMessages})
+		c.meters = append(c.meters, &fakepeer.Meter{BytesPerSecond: limits.BytesPerSecond, BurstBytes: limits.BurstBytes,
+			MessagesPerSecond: limits.MessagesPerSecond, BurstMessages: limits.BurstMessages})
 		if err := c.writeKey(i, firstKey); err != nil {
 			return nil, err
 		}
--- a/internal/scenario/gossip_attackers.go
+++ b/internal/scenario/gossip_attackers.go
@@ -87,16 +87,16 @@
 	if err != nil {
 		return err
 	}
-	liar.Accuse(started)
+	liar.ReportSilent(started)
 	c.liars = append(c.liars, liar)
 	c.wg.Go(func() {
 		c.repeat(liarInterval, func() {
 			list := h.endpointList()
 			now := list.StartTimes()
 			for id := range now {
-				liar.Praise(id)
+				liar.WithdrawReport(id)
 			}
-			liar.Accuse(now)
+			liar.ReportSilent(now)
 		})
 	})
 	return nil
--- a/internal/scenario/gossip_report.go
+++ b/internal/scenario/gossip_report.go
@@ -35,7 +35,7 @@
 // packets under way have arrived.
 func (c *gossipCluster) report(h *Harness) *GossipReport {
 	c.stopAttackers()
-	report := &GossipReport{CapBytesPerSecond: c.meters[0].Rate, MinLiveMembers: math.MaxInt32}
+	report := &GossipReport{CapBytesPerSecond: c.meters[0].BytesPerSecond, MinLiveMembers: math.MaxInt32}
 	for _, forger := range c.forgers {
 		report.ForgedSent += forger.Sent
 	}
