--- a/internal/fake/fakeplatform/client.go
+++ b/internal/fake/fakeplatform/client.go
@@ -25,7 +25,7 @@
 // response.
 func (c *Client) Call(id, class, function string, deadline time.Duration) (status int, body string) {
 	started := c.Records.Now()
-	c.Records.Add(invariants.Record{Kind: invariants.Asked, Call: id, Request: id, Class: class, Router: routerName, Deadline: started + deadline})
+	c.Records.Add(invariants.Record{Kind: invariants.CallSent, Call: id, Request: id, Class: class, Router: routerName, Deadline: started + deadline})
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+responseGrace)
 	defer cancel()
 	request, err := c.newRequest(ctx, id, class, function, deadline)
@@ -41,7 +41,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	c.Records.Add(invariants.Record{Kind: invariants.Answered, Call: id, Request: id, Class: class, Router: routerName,
+	c.Records.Add(invariants.Record{Kind: invariants.FinalAnswer, Call: id, Request: id, Class: class, Router: routerName,
 		Answer: answerOf(response.StatusCode)})
 	return response.StatusCode, string(raw)
 }
@@ -66,7 +66,7 @@
 	case http.StatusOK:
 		return invariants.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return invariants.Refused
+		return invariants.Rejected
 	default:
 		return invariants.Failed
 	}
--- a/internal/fake/fakeplatform/golden_test.go
+++ b/internal/fake/fakeplatform/golden_test.go
@@ -102,9 +102,9 @@
 		r.At = 0
 		got = append(got, fmt.Sprintf("%+v", r))
 	}
-	received := fmt.Sprintf("{At:0s Kind:%d Call:%s Request:body Class:c Router:r Worker:w Answer:served Deadline:0s Copies:0 Off:false}", invariants.Got, testID)
-	ran := fmt.Sprintf("{At:0s Kind:%d Call:%s Request:body Class:c Router: Worker:w Answer:served Deadline:0s Copies:0 Off:false}", invariants.Ran, testID)
-	loaded := fmt.Sprintf("{At:0s Kind:%d Call: Request: Class: Router:r Worker:w Answer:served Deadline:0s Copies:2 Off:false}", invariants.Ordered)
+	received := fmt.Sprintf("{At:0s Kind:%d Call:%s Request:body Class:c Router:r Worker:w Answer:served Deadline:0s Copies:0 Unavailable:false}", invariants.AttemptReceived, testID)
+	ran := fmt.Sprintf("{At:0s Kind:%d Call:%s Request:body Class:c Router: Worker:w Answer:served Deadline:0s Copies:0 Unavailable:false}", invariants.RunStarted, testID)
+	loaded := fmt.Sprintf("{At:0s Kind:%d Call: Request: Class: Router:r Worker:w Answer:served Deadline:0s Copies:2 Unavailable:false}", invariants.LoadCommandReceived)
 	if want := []string{received, ran, received, loaded}; strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
@@ -163,7 +163,7 @@
 
 // TestGoldenClientRequest holds the request of a client and what it records for each status.
 func TestGoldenClientRequest(t *testing.T) {
-	for status, want := range map[int]invariants.Answer{200: invariants.Served, 429: invariants.Refused, 503: invariants.Refused,
+	for status, want := range map[int]invariants.Answer{200: invariants.Served, 429: invariants.Rejected, 503: invariants.Rejected,
 		500: invariants.Failed, 502: invariants.Failed, 504: invariants.Failed} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			var got string
@@ -187,7 +187,7 @@
 				t.Errorf("got  %s\nwant %s", got, want)
 			}
 			records := client.Records.Records()
-			if len(records) != 2 || records[0].Kind != invariants.Asked || records[1].Kind != invariants.Answered || records[1].Answer != want {
+			if len(records) != 2 || records[0].Kind != invariants.CallSent || records[1].Kind != invariants.FinalAnswer || records[1].Answer != want {
 				t.Errorf("%+v", records)
 			}
 		})
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -162,11 +162,11 @@
 	}
 	switch request.Command {
 	case execCommand:
-		w.Records.Add(invariants.Record{Kind: invariants.Got, Router: routerName, Call: request.ID, Request: request.Body,
+		w.Records.Add(invariants.Record{Kind: invariants.AttemptReceived, Router: routerName, Call: request.ID, Request: request.Body,
 			Class: request.Fields[classField], Worker: w.ID})
 	case ensureCommand:
 		copies, _ := strconv.Atoi(request.Fields[copiesField])
-		w.Records.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.ID, Copies: copies, Router: routerName})
+		w.Records.Add(invariants.Record{Kind: invariants.LoadCommandReceived, Worker: w.ID, Copies: copies, Router: routerName})
 	}
 }
 
@@ -210,6 +210,6 @@
 	w.executedKeys[key] = true
 	w.mu.Unlock()
 	if w.Records != nil && !repeated {
-		w.Records.Add(invariants.Record{Kind: invariants.Ran, Call: r.ID, Request: r.Body, Class: r.Fields[classField], Worker: w.ID})
+		w.Records.Add(invariants.Record{Kind: invariants.RunStarted, Call: r.ID, Request: r.Body, Class: r.Fields[classField], Worker: w.ID})
 	}
 }
--- a/internal/fake/fakeworker/store.go
+++ b/internal/fake/fakeworker/store.go
@@ -6,87 +6,65 @@
 	"time"
 )
 
-// Store is the one store that all workers fetch plug-ins from. It serves Rate fetches a second at full pace,
-// slows down with what it has in hand, and turns fetches away beyond a limit.
+const (
+	rejectDelay  = 5 * time.Millisecond // of a fetch that the store rejects
+	minFetchTime = 0.01                 // seconds; bounds how much a crowd slows short fetches down
+)
+
+// ErrStoreFull says that the store rejected a fetch, as too many are in flight.
+var ErrStoreFull = errors.New("fakeworker: store is full")
+
+// Store is the one store that all workers fetch models from. It completes a given rate of fetches at full speed, slows
+// down with what is in flight, and rejects fetches beyond a limit. It may be used from any goroutine.
 type Store struct {
-	mu      sync.Mutex
-	rate    float64
-	limit   int
-	inHand  int
-	downTil time.Time
-	fetches int
-	refused int
+	mu          sync.Mutex
+	rate        float64
+	limit       int
+	inFlight    int
+	pausedUntil time.Time
+	fetches     int
+	rejected    int
 }
 
-// ErrStore tells that the store turned a fetch away.
-var ErrStore = errors.New("store is full")
-
-// NewStore returns a store; limit bounds the fetches in hand.
+// NewStore returns a store of a rate in fetches a second; limit bounds the fetches in flight.
 func NewStore(rate float64, limit int) *Store { return &Store{rate: rate, limit: limit} }
 
-// Fetch begins a fetch that would take so long alone; done is called with the result when it is over.
+// Fetch starts a fetch that takes alone if nothing else is in flight. done is called with the result, in a goroutine of
+// its own: nil or ErrStoreFull.
 func (s *Store) Fetch(alone time.Duration, done func(error)) {
 	s.mu.Lock()
 	s.fetches++
-	if s.inHand >= s.limit {
-		s.refused++
+	if s.inFlight >= s.limit {
+		s.rejected++
 		s.mu.Unlock()
-		time.AfterFunc(5*time.Millisecond, func() { done(ErrStore) })
+		time.AfterFunc(rejectDelay, func() { done(ErrStoreFull) })
 		return
 	}
-	s.inHand++
-	crowd := max(float64(s.inHand)/(s.rate*max(alone.Seconds(), 0.01)), 1)
-	took := time.Duration(float64(alone) * crowd)
-	if wait := time.Until(s.downTil); wait > 0 {
-		took += wait
+	s.inFlight++
+	slowdown := max(float64(s.inFlight)/(s.rate*max(alone.Seconds(), minFetchTime)), 1)
+	fetchTime := time.Duration(float64(alone) * slowdown)
+	if pause := time.Until(s.pausedUntil); pause > 0 {
+		fetchTime += pause
 	}
 	s.mu.Unlock()
-	time.AfterFunc(took, func() {
+	time.AfterFunc(fetchTime, func() {
 		s.mu.Lock()
-		s.inHand--
+		s.inFlight--
 		s.mu.Unlock()
 		done(nil)
 	})
 }
 
-// Stop has the store stand still for a while.
-func (s *Store) Stop(d time.Duration) {
+// Pause makes fetches that start within d wait until it is over.
+func (s *Store) Pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.downTil = time.Now().Add(d)
+	s.pausedUntil = time.Now().Add(d)
 }
 
-// Fetches tells how many fetches were asked for, and how many were turned away.
-func (s *Store) Fetches() (asked, refused int) {
+// Totals is how many fetches were asked for, and how many of them were rejected.
+func (s *Store) Totals() (fetches, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fetches, s.refused
-}
-
-// Cell is the workers that drop each other's repeats of keyed calls.
-type Cell struct {
-	mu   sync.Mutex
-	seen map[string]time.Time
-}
-
-// NewCell returns a cell that has seen nothing.
-func NewCell() *Cell { return &Cell{seen: map[string]time.Time{}} }
-
-// first tells whether a key is new within the window, and notes it.
-func (c *Cell) first(key string, window time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := time.Now()
-	if at, ok := c.seen[key]; ok && now.Sub(at) < window {
-		return false
-	}
-	if len(c.seen) > 10000 {
-		for k, at := range c.seen {
-			if now.Sub(at) > window {
-				delete(c.seen, k)
-			}
-		}
-	}
-	c.seen[key] = now
-	return true
+	return s.fetches, s.rejected
 }
--- a/internal/grpcgateway/client_test.go
+++ b/internal/grpcgateway/client_test.go
@@ -76,23 +76,23 @@
 	prepare      func(*harness)
 	changeWorker func(*fakeworker.Config)
 	workMS       int64
-	reached      invariants.Kind // recorded when the call is at this stage
-	workerHangs  bool            // the worker never drops the call
+	reached      invariants.RecordKind // recorded when the call is at this stage
+	workerHangs  bool                  // the worker never drops the call
 }
 
 var callStages = []callStage{
-	{name: "load wait", prepare: func(*harness) {}, workMS: 5, reached: invariants.Got,
+	{name: "load wait", prepare: func(*harness) {}, workMS: 5, reached: invariants.AttemptReceived,
 		changeWorker: func(c *fakeworker.Config) {
-			c.StopsWork = true
+			c.StopsCancelledWork = true
 			slow := c.Models["quote"]
-			slow.Load = 2 * time.Second
+			slow.LoadTime = 2 * time.Second
 			c.Models["quote"] = slow
 		}},
-	{name: "at work", prepare: func(h *harness) { h.loadModel("quote") }, workMS: 600, reached: invariants.Ran,
-		changeWorker: func(c *fakeworker.Config) { c.StopsWork = true }},
-	{name: "worker hangs", workMS: 5, reached: invariants.Got, workerHangs: true,
+	{name: "at work", prepare: func(h *harness) { h.loadModel("quote") }, workMS: 600, reached: invariants.RunStarted,
+		changeWorker: func(c *fakeworker.Config) { c.StopsCancelledWork = true }},
+	{name: "worker hangs", workMS: 5, reached: invariants.AttemptReceived, workerHangs: true,
 		prepare:      func(h *harness) { h.setFaults(func(f *fakeworker.Faults) { f.Hang = true }) },
-		changeWorker: func(c *fakeworker.Config) { c.StopsWork = true }},
+		changeWorker: func(c *fakeworker.Config) { c.StopsCancelledWork = true }},
 }
 
 // The ways in which a client leaves a call.
@@ -139,21 +139,21 @@
 	}
 	waitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
 	if !s.workerHangs {
-		waitUntil(t, "the workers dropped it", func() bool { return h.workers[0].Held()+h.workers[1].Held() == 0 })
+		waitUntil(t, "the workers dropped it", func() bool { return h.workers[0].InFlight()+h.workers[1].InFlight() == 0 })
 	}
-	if h.records(invariants.Ran, "l1") > 1 {
+	if h.records(invariants.RunStarted, "l1") > 1 {
 		t.Error("it ran twice")
 	}
 }
 
 // TestDeadlineEndsOpenStream: the client's deadline ends a stream that has begun, and the worker's with it.
 func TestDeadlineEndsOpenStream(t *testing.T) {
-	h := newHarness(t, 1, nil, func(c *fakeworker.Config) { c.StopsWork = true })
+	h := newHarness(t, 1, nil, func(c *fakeworker.Config) { c.StopsCancelledWork = true })
 	h.loadModel("quote")
 	messages, _, err := h.streamInfer(timeoutContext(t, 500*time.Millisecond), newRequest("quote", "long", 5000, 100, 10), nil)
 	if status.Code(err) != codes.DeadlineExceeded || messages == 0 {
 		t.Fatalf("%d messages, %v", messages, err)
 	}
-	waitUntil(t, "the worker's stream ended", func() bool { return h.workers[0].Held() == 0 })
+	waitUntil(t, "the worker's stream ended", func() bool { return h.workers[0].InFlight() == 0 })
 	waitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
 }
--- a/internal/grpcgateway/faults_test.go
+++ b/internal/grpcgateway/faults_test.go
@@ -27,7 +27,7 @@
 				class := &c.Classes[i]
 				class.LatencyObjective, class.Deadline, class.DeduplicationWindow = 15000, 20000, 20000
 			}
-		}, func(c *fakeworker.Config) { c.Cores = 32; c.KeyedFor = 20 * time.Second })
+		}, func(c *fakeworker.Config) { c.Cores = 32; c.DeduplicationWindow = 20 * time.Second })
 		models := []string{"quote", "renew", "award"}
 		for _, model := range models {
 			h.loadModel(model)
@@ -48,8 +48,8 @@
 		waitUntil(t, "all calls were accepted", func() bool { return h.stats().Calls >= 500 })
 		h.workers[0].Kill()
 		h.workers[1].Drain(true)
-		h.workers[2].Set(func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 3} })
-		h.workers[3].Set(func(f *fakeworker.Faults) { f.FailClass = map[string]bool{"renew": true} })
+		h.workers[2].ChangeFaults(func(f *fakeworker.Faults) { f.DieAfterMessages = map[string]int{"points": 3} })
+		h.workers[3].ChangeFaults(func(f *fakeworker.Faults) { f.FailingClasses = map[string]bool{"renew": true} })
 		wg.Wait()
 		served, rejected, failed := outcomes.served.Load(), outcomes.rejected.Load(), outcomes.failed.Load()
 		if total := served + rejected + failed; total != 500 {
@@ -84,7 +84,7 @@
 	h.t.Helper()
 	runs := map[string]int{}
 	for _, r := range h.log.Records() {
-		if r.Kind == invariants.Ran && r.Class != idempotentClass {
+		if r.Kind == invariants.RunStarted && r.Class != idempotentClass {
 			if runs[r.Request]++; runs[r.Request] > 1 {
 				h.t.Errorf("%s %s ran twice", r.Class, r.Request)
 			}
--- a/internal/grpcgateway/harness_test.go
+++ b/internal/grpcgateway/harness_test.go
@@ -62,14 +62,14 @@
 
 func (h *harness) startWorkers(count int, change func(*fakeworker.Config)) {
 	h.t.Helper()
-	cell, store := fakeworker.NewCell(), fakeworker.NewStore(200, 100)
+	cell, store := fakeworker.NewDeduplicator(), fakeworker.NewStore(200, 100)
 	for i := range count {
-		c := fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 8, Speed: 1, MemoryMB: 4000, Queue: 1000, LoadsAtOnce: 8,
-			IdleKeep: 10 * time.Second, LoadsOnMiss: true, GrowsCopies: true, KeyedFor: 5 * time.Second,
-			Keyed: map[string]bool{"renew": true}, Store: store, Cell: cell, Log: h.log, Seed: uint64(i),
-			DefaultLoad: 20 * time.Millisecond, ServerMetrics: true, Models: map[string]fakeworker.Model{}}
+		c := fakeworker.Config{ID: fmt.Sprintf("w%d", i), Cores: 8, Speed: 1, MemoryMB: 4000, QueueLength: 1000, ConcurrentLoads: 8,
+			IdleResidency: 10 * time.Second, LoadsOnCacheMiss: true, AddsCopies: true, DeduplicationWindow: 5 * time.Second,
+			DeduplicatedClasses: map[string]bool{"renew": true}, Store: store, Deduplicator: cell, Log: h.log, Seed: uint64(i),
+			DefaultLoadTime: 20 * time.Millisecond, ReportsLoad: true, Models: map[string]fakeworker.Model{}}
 		for model, class := range testModels {
-			c.Models[model] = fakeworker.Model{Name: model, Class: class, MemoryMB: 100, Lanes: 4, Load: 20 * time.Millisecond}
+			c.Models[model] = fakeworker.Model{Name: model, Class: class, MemoryMB: 100, ConcurrencyPerInstance: 4, LoadTime: 20 * time.Millisecond}
 		}
 		if change != nil {
 			change(&c)
@@ -114,7 +114,7 @@
 func (h *harness) stats() router.Stats { return h.gateway.router.Stats() }
 
 // records counts the records of a kind for a call.
-func (h *harness) records(kind invariants.Kind, call string) (count int) {
+func (h *harness) records(kind invariants.RecordKind, call string) (count int) {
 	for _, r := range h.log.Records() {
 		if r.Kind == kind && r.Call == call {
 			count++
@@ -126,7 +126,7 @@
 // setFaults changes the faults of every worker.
 func (h *harness) setFaults(change func(*fakeworker.Faults)) {
 	for _, w := range h.workers {
-		w.Set(change)
+		w.ChangeFaults(change)
 	}
 }
 
--- a/internal/grpcgateway/worker_drain_test.go
+++ b/internal/grpcgateway/worker_drain_test.go
@@ -78,11 +78,11 @@
 	h.t.Helper()
 	var busiest *fakeworker.Worker
 	for _, w := range h.workers {
-		if busiest == nil || w.Held() > busiest.Held() {
+		if busiest == nil || w.InFlight() > busiest.InFlight() {
 			busiest = w
 		}
 	}
-	if busiest.Held() == 0 {
+	if busiest.InFlight() == 0 {
 		h.t.Fatal("no worker has a stream")
 	}
 	return busiest
@@ -103,7 +103,7 @@
 func (h *harness) expectNothingSent(worker *fakeworker.Worker, since, grace time.Duration) {
 	h.t.Helper()
 	for _, r := range h.log.Records() {
-		if (r.Kind == invariants.Got || r.Kind == invariants.Ordered) && r.Worker == worker.ID() && r.At > since+grace {
+		if (r.Kind == invariants.AttemptReceived || r.Kind == invariants.LoadCommandReceived) && r.Worker == worker.ID() && r.At > since+grace {
 			h.t.Errorf("%s was sent to the draining worker %v after the announcement", r.Call, r.At-since)
 		}
 	}
--- a/internal/grpcgateway/worker_failure_test.go
+++ b/internal/grpcgateway/worker_failure_test.go
@@ -16,9 +16,9 @@
 func TestNonIdempotentCallIsNotRetriedAfterWorkerCrash(t *testing.T) {
 	const midStream = "mid-stream"
 	for name, fault := range map[string]func(*fakeworker.Faults){
-		midStream:             func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 2} },
-		"before the response": func(f *fakeworker.Faults) { f.DieAfter = map[string]int{"points": 0} },
-		"as it begins to run": func(f *fakeworker.Faults) { f.DieStarted = map[string]bool{"points": true} },
+		midStream:             func(f *fakeworker.Faults) { f.DieAfterMessages = map[string]int{"points": 2} },
+		"before the response": func(f *fakeworker.Faults) { f.DieAfterMessages = map[string]int{"points": 0} },
+		"as it begins to run": func(f *fakeworker.Faults) { f.DieOnStart = map[string]bool{"points": true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 3, nil, nil)
@@ -27,7 +27,7 @@
 			if code := status.Code(err); code == codes.OK || code == codes.Unavailable {
 				t.Errorf("%d messages, then %v: the call may have run, so its status must not invite a retry", messages, err)
 			}
-			if received, ran := h.records(invariants.Got, "a1"), h.records(invariants.Ran, "a1"); received != 1 || ran != 1 {
+			if received, ran := h.records(invariants.AttemptReceived, "a1"), h.records(invariants.RunStarted, "a1"); received != 1 || ran != 1 {
 				t.Errorf("received %d times, ran %d times", received, ran)
 			}
 			if name == midStream && messages != 2 {
@@ -42,7 +42,7 @@
 	var once sync.Once
 	firstCrashed := ""
 	for _, worker := range h.workers { // whichever is first crashes; the others serve
-		worker.Set(func(f *fakeworker.Faults) { f.DieStarted = map[string]bool{"quote": true} })
+		worker.ChangeFaults(func(f *fakeworker.Faults) { f.DieOnStart = map[string]bool{"quote": true} })
 		go func() { // ends with the test
 			for !worker.Down() {
 				time.Sleep(time.Millisecond)
@@ -52,7 +52,7 @@
 			}
 			once.Do(func() {
 				firstCrashed = worker.ID()
-				h.setFaults(func(f *fakeworker.Faults) { f.DieStarted = nil })
+				h.setFaults(func(f *fakeworker.Faults) { f.DieOnStart = nil })
 			})
 		}()
 	}
@@ -66,7 +66,7 @@
 	for name, disable := range map[string]func(*fakeworker.Worker){
 		"connection refused": func(w *fakeworker.Worker) { w.Kill() },
 		"REFUSED_STREAM": func(w *fakeworker.Worker) {
-			w.Set(func(f *fakeworker.Faults) { f.RefuseNew = true })
+			w.ChangeFaults(func(f *fakeworker.Faults) { f.RefuseStreams = true })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 				if _, err := h.infer(timeoutContext(t, 5*time.Second), newRequest("award", id, 2, 1, 1)); err != nil {
 					t.Fatal(err)
 				}
-				if ran := h.records(invariants.Ran, id); ran != 1 {
+				if ran := h.records(invariants.RunStarted, id); ran != 1 {
 					t.Errorf("%s ran %d times", id, ran)
 				}
 			}
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -171,16 +171,16 @@
 }
 
 // invariantSettings are the checker's. Its slack is wide, as a loaded machine may delay a record after its send.
-func (h *harness) invariantSettings() invariants.Site {
-	return invariants.Site{Classes: map[string]invariants.Class{"safe": {Effect: "safe", All: true, Work: 5 * time.Millisecond},
-		"keyed": {Effect: "keyed", Work: 5 * time.Millisecond}, "unsafe": {Effect: "unsafe", Work: 5 * time.Millisecond}},
-		AnswerGrace: 2 * time.Second, DrainGrace: 500 * time.Millisecond, LoadSpan: 5 * time.Second, LoadFree: 4, LoadShare: 0.1,
-		Slack: time.Second}
+func (h *harness) invariantSettings() invariants.Settings {
+	return invariants.Settings{Classes: map[string]invariants.Class{"safe": {Idempotency: "safe", RetryHarmless: true, MeanWork: 5 * time.Millisecond},
+		"keyed": {Idempotency: "keyed", MeanWork: 5 * time.Millisecond}, "unsafe": {Idempotency: "unsafe", MeanWork: 5 * time.Millisecond}},
+		ResponseGrace: 2 * time.Second, DrainGrace: 500 * time.Millisecond, LoadRateWindow: 5 * time.Second, LoadRateBurst: 4, LoadRateRatio: 0.1,
+		RecordingDelay: time.Second}
 }
 
 // recordDrain records that the router knows that a worker drains.
 func (h *harness) recordDrain(worker string) {
-	h.records.Add(invariants.Record{Kind: invariants.Told, Router: "r", Worker: worker, Off: true})
+	h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: "r", Worker: worker, Unavailable: true})
 }
 
 // requireInvariants fails the test for each violation in the records so far.
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -140,21 +140,21 @@
 			site := h.invariantSettings()
 			switch rule {
 			case 1:
-				site.AnswerGrace = 0
+				site.ResponseGrace = 0
 				h.client.Call(hexID(1<<20), "safe", hexID(1), 200*time.Millisecond)
 			case 3:
 				h.recordDrain("a")
-				site.DrainGrace, site.Slack = 0, 0
+				site.DrainGrace, site.RecordingDelay = 0, 0
 			case 4:
-				h.records.Add(invariants.Record{Kind: invariants.Started, Worker: "a"})
-				site.ColdFor, site.ColdShare, site.FallMultiple, site.FallSpan = time.Hour, 0.2, 3, 1500*time.Millisecond
+				h.records.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: "a"})
+				site.SlowStartDuration, site.SlowStartShare, site.OverloadMultiple, site.OverloadWindow = time.Hour, 0.2, 3, 1500*time.Millisecond
 				site.Capacity = map[string]float64{"a": 0.001}
 			}
 			if rule != 1 {
 				h.calls(20)
 			}
 			violations := invariants.Check(site, h.records.Records())
-			if !slices.ContainsFunc(violations, func(v invariants.Breach) bool { return v.Rule == rule }) {
+			if !slices.ContainsFunc(violations, func(v invariants.Violation) bool { return v.Rule == rule }) {
 				t.Errorf("rule %d violated on purpose, and found %v", rule, violations)
 			}
 		})
