--- /dev/null
+++ b/internal/transport/grpc/golden_test.go
@@ -0,0 +1,74 @@
+package grpc
+
+import (
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/transport/hpack"
+)
+
+var update = flag.Bool("update", false, "write the golden file anew")
+
+// TestGolden holds the bytes of request headers, status trailers, timeouts and message prefixes.
+func TestGolden(t *testing.T) {
+	var got strings.Builder
+	text := func(fields []hpack.Field) string {
+		var pairs []string
+		for _, f := range fields {
+			pairs = append(pairs, fmt.Sprintf("%s=%q", f.Name, f.Value))
+		}
+		return strings.Join(pairs, " ")
+	}
+	encoder := hpack.NewEncoder()
+	record := func(name string, fields []hpack.Field) {
+		block := encoder.Begin(nil)
+		for _, f := range fields {
+			block = encoder.Append(block, f)
+		}
+		fmt.Fprintf(&got, "%s: %s %x\n", name, text(fields), block)
+	}
+	for range 2 { // the second time by the dynamic table
+		record("request headers", Head("worker", "/inference.GRPCInferenceService/ModelInfer", 1500*time.Millisecond))
+		for code := OK; code <= Unauthenticated+1; code++ {
+			record("trailers", Status{Code: code}.Trailer())
+			record("trailers", Status{Code: code, Message: "50% of α\n"}.Trailer())
+		}
+		record("trailers", Status{Code: 4000000000}.Trailer())
+	}
+	for _, fields := range [][]hpack.Field{nil, {{Name: "grpc-status", Value: "x"}},
+		{{Name: "grpc-status", Value: "14"}, {Name: "grpc-message", Value: "a%21%zz"}}} {
+		fmt.Fprintf(&got, "status of %s: %q\n", text(fields), StatusOf(fields).Error())
+	}
+	for _, status := range []string{"200", "400", "401", "403", "404", "429", "500", "502", "503", "504"} {
+		fmt.Fprintf(&got, "status of HTTP %s: %q\n", status, StatusOfHTTP(status).Error())
+	}
+	for _, d := range []time.Duration{-1, 0, 1, 99999999, 1e8, 1234567 * time.Millisecond, 400 * time.Hour, math.MaxInt64} {
+		fmt.Fprintf(&got, "timeout of %d ns: %s\n", d, FormatTimeout(d))
+	}
+	fmt.Fprintf(&got, "prefixes: %x %x\n", AppendPrefix(nil, 258, false), AppendPrefix(nil, 1<<24, true))
+	fmt.Fprintf(&got, "binary: %s %s\n", EncodeBin([]byte{0, 255, 128}), EncodeBin([]byte("a")))
+	fmt.Fprintf(&got, "errors: %v; %v; %v; %v\n", ErrTimeout, ErrTooLarge, ErrFlag, ErrCut)
+
+	path := filepath.Join("testdata", "golden", "grpc.txt")
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("bytes differ from %s\ngot\n%swant\n%s", path, got.String(), want)
+	}
+}
