--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -106,8 +106,8 @@
 // GoAway implements http2.Handler.
 func (p *printer) GoAway(*http2.Conn, http2.ErrCode) {}
 
-// Lost implements http2.Handler.
-func (p *printer) Lost(_ *http2.Conn, err error) { p.end(err) }
+// ConnClosed implements http2.Handler.
+func (p *printer) ConnClosed(_ *http2.Conn, err error) { p.end(err) }
 
 // Headers implements http2.Receiver.
 func (p *printer) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -69,8 +69,8 @@
 // GoAway implements http2.Handler.
 func (c *Client) GoAway(conn *http2.Conn, _ http2.ErrCode) { c.forget(conn) }
 
-// Lost implements http2.Handler.
-func (c *Client) Lost(conn *http2.Conn, _ error) { c.forget(conn) }
+// ConnClosed implements http2.Handler.
+func (c *Client) ConnClosed(conn *http2.Conn, _ error) { c.forget(conn) }
 
 func (c *Client) forget(conn *http2.Conn) {
 	c.mu.Lock()
@@ -261,7 +261,7 @@
 		return
 	}
 	var se *http2.StreamError
-	if errors.As(err, &se) && se.NeverRan {
+	if errors.As(err, &se) && se.Unprocessed {
 		x.left() // the router never took it
 	}
 	x.end(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
--- a/internal/fake/fakeworker/serve.go
+++ b/internal/fake/fakeworker/serve.go
@@ -33,8 +33,8 @@
 // GoAway implements http2.Handler.
 func (l link) GoAway(*http2.Conn, http2.ErrCode) {}
 
-// Lost implements http2.Handler.
-func (l link) Lost(c *http2.Conn, _ error) {
+// ConnClosed implements http2.Handler.
+func (l link) ConnClosed(c *http2.Conn, _ error) {
 	l.w.mu.Lock()
 	delete(l.w.routers, c)
 	l.w.mu.Unlock()
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -152,7 +152,7 @@
 func (w *Worker) start(cold bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	server, err := http2.Listen("tcp", w.addr, http2.Config{MaxStreams: 10000}, func(c *http2.Conn) http2.Handler {
+	server, err := http2.Listen("tcp", w.addr, http2.Config{MaxConcurrentStreams: 10000}, func(c *http2.Conn) http2.Handler {
 		return link{w}
 	})
 	if err != nil {
@@ -213,7 +213,7 @@
 	}
 	w.mu.Unlock()
 	if goAway {
-		server.Warn()
+		server.DrainConns()
 		for _, r := range told {
 			w.record(invariants.Record{Kind: invariants.Said, Worker: w.cfg.ID, Router: r})
 		}
--- a/internal/grpcgateway/compare_test.go
+++ b/internal/grpcgateway/compare_test.go
@@ -58,7 +58,7 @@
 	switch role {
 	case "workers":
 		for range compareWorkers {
-			s, err := http2.Listen("tcp", "127.0.0.1:0", http2.Config{MaxStreams: 100000}, func(*http2.Conn) http2.Handler { return quick{} })
+			s, err := http2.Listen("tcp", "127.0.0.1:0", http2.Config{MaxConcurrentStreams: 100000}, func(*http2.Conn) http2.Handler { return quick{} })
 			if err != nil {
 				panic(err)
 			}
@@ -105,7 +105,7 @@
 	return &quickCall{reader: own.Reader{Max: 1 << 24}}
 }
 func (quick) GoAway(*http2.Conn, http2.ErrCode)  {}
-func (quick) Lost(*http2.Conn, error)            {}
+func (quick) ConnClosed(*http2.Conn, error)            {}
 func (q *quickCall) Sent(*http2.Stream, int)     {}
 func (q *quickCall) Closed(*http2.Stream, error) {}
 func (q *quickCall) Headers(_ *http2.Stream, f []hpack.Field, _ bool) {
@@ -279,7 +279,7 @@
 }
 func (quickConns) Open(*http2.Stream) http2.Receiver { return nil }
 func (quickConns) GoAway(*http2.Conn, http2.ErrCode) {}
-func (quickConns) Lost(*http2.Conn, error)           {}
+func (quickConns) ConnClosed(*http2.Conn, error)           {}
 
 type quickConns struct{}
 
--- a/internal/grpcgateway/forward_test.go
+++ b/internal/grpcgateway/forward_test.go
@@ -32,7 +32,7 @@
 	return &pour{s: s, reader: own.Reader{Max: 1 << 20}}
 }
 func (s *spout) GoAway(*http2.Conn, http2.ErrCode)         {}
-func (s *spout) Lost(*http2.Conn, error)                   {}
+func (s *spout) ConnClosed(*http2.Conn, error)                   {}
 func (p *pour) Headers(*http2.Stream, []hpack.Field, bool) {}
 func (p *pour) Closed(*http2.Stream, error)                {}
 func (p *pour) Sent(st *http2.Stream, _ int)               { p.fill(st) }
@@ -68,7 +68,7 @@
 
 func (g *gulp) Open(*http2.Stream) http2.Receiver { return nil }
 func (g *gulp) GoAway(*http2.Conn, http2.ErrCode) {}
-func (g *gulp) Lost(*http2.Conn, error)           {}
+func (g *gulp) ConnClosed(*http2.Conn, error)           {}
 func (g *gulp) Sent(*http2.Stream, int)           {}
 func (g *gulp) Closed(_ *http2.Stream, err error) {
 	if err != nil {
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -51,7 +51,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	log := o.Log.With("router", cfg.Name)
-	h2 := http2.Config{MaxStreams: cfg.Limits.Streams, StreamWindow: cfg.Limits.StreamWindow}
+	h2 := http2.Config{MaxConcurrentStreams: cfg.Limits.Streams, StreamWindow: cfg.Limits.StreamWindow}
 	g := &Gateway{cfg: cfg, log: log, stop: make(chan struct{}), drain: o.Drain}
 	if g.drain == 0 {
 		g.drain = time.Minute
--- a/internal/server/grpcserver/front.go
+++ b/internal/server/grpcserver/front.go
@@ -72,10 +72,10 @@
 }
 
 // Conns tells how many clients are connected.
-func (f *Front) Conns() int { return f.server.Conns() }
+func (f *Front) Conns() int { return f.server.NumConns() }
 
 // Streams tells how many streams are open, those whose last answer is still on its way included.
-func (f *Front) Streams() int { return f.server.Streams() }
+func (f *Front) Streams() int { return f.server.NumStreams() }
 
 // Close ends the listener and all connections.
 func (f *Front) Close() { f.server.Close() }
@@ -101,8 +101,8 @@
 // GoAway implements http2.Handler.
 func (l link) GoAway(*http2.Conn, http2.ErrCode) {}
 
-// Lost implements http2.Handler.
-func (l link) Lost(c *http2.Conn, err error) {
+// ConnClosed implements http2.Handler.
+func (l link) ConnClosed(c *http2.Conn, err error) {
 	l.f.cfg.Log.Debug("client connection ended", "client", c.RemoteAddr(), "reason", err)
 }
 
--- a/internal/server/grpcserver/front_test.go
+++ b/internal/server/grpcserver/front_test.go
@@ -64,7 +64,7 @@
 
 func (r *reader) Open(*http2.Stream) http2.Receiver { return nil }
 func (r *reader) GoAway(*http2.Conn, http2.ErrCode) {}
-func (r *reader) Lost(*http2.Conn, error)           {}
+func (r *reader) ConnClosed(*http2.Conn, error)           {}
 func (r *reader) Sent(*http2.Stream, int)           {}
 func (r *reader) Headers(_ *http2.Stream, f []hpack.Field, end bool) {
 	if !end {
--- a/internal/transport/http2/frame.go
+++ b/internal/transport/http2/frame.go
@@ -19,18 +19,18 @@
 	frameData frameType = iota
 	frameHeaders
 	framePriority
-	frameReset
+	frameRSTStream
 	frameSettings
-	framePush
+	framePushPromise
 	framePing
 	frameGoAway
-	frameWindow
+	frameWindowUpdate
 	frameContinuation
 )
 
 // The flags of frames.
 const (
-	flagEnd        = 0x1 // END_STREAM
+	flagEndStream        = 0x1 // END_STREAM
 	flagAck        = 0x1 // of SETTINGS and PING
 	flagEndHeaders = 0x4
 	flagPadded     = 0x8
@@ -58,13 +58,13 @@
 	HTTP11Required
 )
 
-var codeNames = [...]string{"NO_ERROR", "PROTOCOL_ERROR", "INTERNAL_ERROR", "FLOW_CONTROL_ERROR",
+var errCodeNames = [...]string{"NO_ERROR", "PROTOCOL_ERROR", "INTERNAL_ERROR", "FLOW_CONTROL_ERROR",
 	"SETTINGS_TIMEOUT", "STREAM_CLOSED", "FRAME_SIZE_ERROR", "REFUSED_STREAM", "CANCEL", "COMPRESSION_ERROR",
 	"CONNECT_ERROR", "ENHANCE_YOUR_CALM", "INADEQUATE_SECURITY", "HTTP_1_1_REQUIRED"}
 
 func (c ErrCode) String() string {
-	if int(c) < len(codeNames) {
-		return codeNames[c]
+	if int(c) < len(errCodeNames) {
+		return errCodeNames[c]
 	}
 	return fmt.Sprintf("code %d", uint32(c))
 }
@@ -92,14 +92,14 @@
 	Code     ErrCode
 	Reason   string
 	Remote   bool // the peer reset it
-	Lost     bool // the connection was lost with the stream on it
-	NeverRan bool // the peer promises that it did not process it (RFC 9113, sections 6.8 and 8.7)
+	ConnLost     bool // the connection was lost with the stream on it
+	Unprocessed bool // the peer promises that it did not process it (RFC 9113, sections 6.8 and 8.7)
 }
 
 func (e *StreamError) Error() string {
 	who := "stream error"
 	switch {
-	case e.Lost:
+	case e.ConnLost:
 		who = "connection lost"
 	case e.Remote:
 		who = "reset by peer"
@@ -108,41 +108,41 @@
 }
 
 const (
-	preface         = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-	headerLen       = 9
-	initialWindow   = 65535
-	minFrame        = 16384
-	maxWindow       = 1<<31 - 1
-	defaultStreams  = 100 // what a client assumes until the peer's SETTINGS came
-	settingTable    = 1
-	settingPush     = 2
-	settingStreams  = 3
-	settingWindow   = 4
-	settingFrame    = 5
-	settingListSize = 6
+	clientPreface         = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
+	frameHeaderLen       = 9
+	defaultWindowSize   = 65535
+	minMaxFrameSize        = 16384
+	maxWindowSize       = 1<<31 - 1
+	assumedMaxStreams  = 100 // what a client assumes until the peer's SETTINGS came
+	settingHeaderTableSize    = 1
+	settingEnablePush     = 2
+	settingMaxConcurrentStreams  = 3
+	settingInitialWindowSize   = 4
+	settingMaxFrameSize    = 5
+	settingMaxHeaderListSize = 6
 )
 
 // header is a frame's first nine bytes.
-type header struct {
+type frameHeader struct {
 	length int
 	typ    frameType
 	flags  uint8
-	stream uint32
+	streamID uint32
 }
 
 // parseHeader reads a frame header; b holds nine bytes or more.
-func parseHeader(b []byte) header {
-	return header{
+func parseFrameHeader(b []byte) frameHeader {
+	return frameHeader{
 		length: int(b[0])<<16 | int(b[1])<<8 | int(b[2]),
 		typ:    frameType(b[3]),
 		flags:  b[4],
-		stream: binary.BigEndian.Uint32(b[5:]) & maxWindow, // the reserved bit is ignored
+		streamID: binary.BigEndian.Uint32(b[5:]) & maxWindowSize, // the reserved bit is ignored
 	}
 }
 
-func appendHeader(dst []byte, h header) []byte {
+func appendFrameHeader(dst []byte, h frameHeader) []byte {
 	return append(dst, byte(h.length>>16), byte(h.length>>8), byte(h.length), byte(h.typ), h.flags,
-		byte(h.stream>>24), byte(h.stream>>16), byte(h.stream>>8), byte(h.stream))
+		byte(h.streamID>>24), byte(h.streamID>>16), byte(h.streamID>>8), byte(h.streamID))
 }
 
 func appendUint32(dst []byte, n uint32) []byte { return binary.BigEndian.AppendUint32(dst, n) }
@@ -152,9 +152,9 @@
 	value uint32
 }
 
-func appendSettings(dst []byte, list []setting) []byte {
-	dst = appendHeader(dst, header{length: 6 * len(list), typ: frameSettings})
-	for _, s := range list {
+func appendSettings(dst []byte, settings []setting) []byte {
+	dst = appendFrameHeader(dst, frameHeader{length: 6 * len(settings), typ: frameSettings})
+	for _, s := range settings {
 		dst = binary.BigEndian.AppendUint16(dst, s.id)
 		dst = appendUint32(dst, s.value)
 	}
@@ -162,16 +162,16 @@
 }
 
 // unpad strips the padding of DATA and HEADERS (RFC 9113, section 6.1).
-func unpad(h header, p []byte) ([]byte, error) {
+func stripPadding(h frameHeader, payload []byte) ([]byte, error) {
 	if h.flags&flagPadded == 0 {
-		return p, nil
+		return payload, nil
 	}
-	if len(p) == 0 {
+	if len(payload) == 0 {
 		return nil, connError(FrameSizeError, "padded frame without a pad length")
 	}
-	pad := int(p[0])
-	if p = p[1:]; pad > len(p) {
-		return nil, connError(ProtocolError, "padding of %d bytes in a frame of %d", pad, h.length)
+	padLength := int(payload[0])
+	if payload = payload[1:]; padLength > len(payload) {
+		return nil, connError(ProtocolError, "padding of %d bytes in a frame of %d", padLength, h.length)
 	}
-	return p[:len(p)-pad], nil
+	return payload[:len(payload)-padLength], nil
 }
--- a/internal/transport/http2/golden_test.go
+++ b/internal/transport/http2/golden_test.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -79,9 +80,9 @@
 func (tr *transcript) readToEnd() {
 	tr.t.Helper()
 	for {
-		switch err := tr.readFrame(); err {
-		case nil:
-		case io.EOF:
+		switch err := tr.readFrame(); {
+		case err == nil:
+		case errors.Is(err, io.EOF):
 			tr.text.WriteString("closed\n")
 			return
 		default:
@@ -147,7 +148,7 @@
 // postBlock is a header block: POST, http, /.
 var postBlock = []byte{0x83, 0x86, 0x84}
 
-var goldenConfig = http2.Config{MaxStreams: 7, StreamWindow: 40000, ConnWindow: 70000, MaxHeaderList: 32 << 10}
+var goldenConfig = http2.Config{MaxConcurrentStreams: 7, StreamWindow: 40000, ConnWindow: 70000, MaxHeaderListSize: 32 << 10}
 
 // goldenReceiver answers a request by headers, the length of its body and trailers. A header field tells it
 // to do something else.
@@ -159,7 +160,7 @@
 
 func (*goldenReceiver) Open(*http2.Stream) http2.Receiver { return &goldenReceiver{} }
 func (*goldenReceiver) GoAway(*http2.Conn, http2.ErrCode) {}
-func (*goldenReceiver) Lost(*http2.Conn, error)           {}
+func (*goldenReceiver) ConnClosed(*http2.Conn, error)           {}
 func (*goldenReceiver) Sent(*http2.Stream, int)           {}
 func (*goldenReceiver) Closed(*http2.Stream, error)       {}
 func (r *goldenReceiver) Headers(s *http2.Stream, fields []hpack.Field, end bool) {
--- a/internal/transport/http2/http2_test.go
+++ b/internal/transport/http2/http2_test.go
@@ -35,7 +35,7 @@
 	return e
 }
 func (e *echo) GoAway(*Conn, ErrCode) {}
-func (e *echo) Lost(*Conn, error)     {}
+func (e *echo) ConnClosed(*Conn, error)     {}
 func (e *echo) Headers(s *Stream, f []hpack.Field, end bool) {
 	_ = s.WriteHeaders([]hpack.Field{{Name: ":status", Value: "200"}}, false)
 	if end {
@@ -94,7 +94,7 @@
 	r.fr.AllowIllegalWrites = true
 	r.enc = peerhpack.NewEncoder(&r.buf)
 	if greet {
-		r.bytes([]byte(preface))
+		r.bytes([]byte(clientPreface))
 		if err := r.fr.WriteSettings(); err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 
 // frame is any frame at all.
 func frame(typ frameType, flags uint8, stream uint32, payload ...byte) []byte {
-	return append(appendHeader(nil, header{len(payload), typ, flags, stream}), payload...)
+	return append(appendFrameHeader(nil, frameHeader{len(payload), typ, flags, stream}), payload...)
 }
 
 func u32(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
@@ -177,7 +177,7 @@
 // TestHostileBytes sends what a peer must not send; each is answered by the code that RFC 9113 names, and
 // others are served meanwhile.
 func TestHostileBytes(t *testing.T) {
-	tight := Config{Glitches: 100, GlitchRate: 1, MaxStreams: 10}
+	tight := Config{GlitchBurst: 100, GlitchRate: 1, MaxConcurrentStreams: 10}
 	open := func(r *raw) { r.headers(1, false, r.request()) }
 	cases := []struct {
 		name   string
@@ -186,7 +186,7 @@
 		stream uint32 // reset alone; 0: the connection ends
 	}{
 		{"not HTTP/2", func(r *raw) { r.bytes([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) }, ProtocolError, 0},
-		{"no SETTINGS first", func(r *raw) { r.bytes([]byte(preface)); r.bytes(frame(framePing, 0, 0, make([]byte, 8)...)) }, ProtocolError, 0},
+		{"no SETTINGS first", func(r *raw) { r.bytes([]byte(clientPreface)); r.bytes(frame(framePing, 0, 0, make([]byte, 8)...)) }, ProtocolError, 0},
 		{"frame too large", func(r *raw) { r.bytes([]byte{0x00, 0x40, 0x01, 0, 0, 0, 0, 0, 1}) }, FrameSizeError, 0},
 		{"DATA on stream 0", func(r *raw) { r.bytes(frame(frameData, 0, 0, 1)) }, ProtocolError, 0},
 		{"DATA on an idle stream", func(r *raw) { r.bytes(frame(frameData, 0, 5, 1)) }, ProtocolError, 0},
@@ -234,16 +234,16 @@
 		{"rapid resets", func(r *raw) {
 			for i := range uint32(300) {
 				r.headers(2*i+1, true, r.request())
-				r.bytes(frame(frameReset, 0, 2*i+1, u32(8)...))
+				r.bytes(frame(frameRSTStream, 0, 2*i+1, u32(8)...))
 			}
 		}, EnhanceYourCalm, 0},
-		{"RST_STREAM on an idle stream", func(r *raw) { r.bytes(frame(frameReset, 0, 7, u32(8)...)) }, ProtocolError, 0},
-		{"RST_STREAM of 3 bytes", func(r *raw) { open(r); r.bytes(frame(frameReset, 0, 1, 0, 0, 0)) }, FrameSizeError, 0},
-		{"window of the connection overflows", func(r *raw) { r.bytes(frame(frameWindow, 0, 0, u32(maxWindow)...)) }, FlowControlError, 0},
-		{"WINDOW_UPDATE of 0", func(r *raw) { r.bytes(frame(frameWindow, 0, 0, u32(0)...)) }, ProtocolError, 0},
-		{"WINDOW_UPDATE on an idle stream", func(r *raw) { r.bytes(frame(frameWindow, 0, 9, u32(1)...)) }, ProtocolError, 0},
-		{"WINDOW_UPDATE of 5 bytes", func(r *raw) { r.bytes(frame(frameWindow, 0, 0, 0, 0, 0, 1, 0)) }, FrameSizeError, 0},
-		{"PUSH_PROMISE", func(r *raw) { r.bytes(frame(framePush, 4, 1, u32(2)...)) }, ProtocolError, 0},
+		{"RST_STREAM on an idle stream", func(r *raw) { r.bytes(frame(frameRSTStream, 0, 7, u32(8)...)) }, ProtocolError, 0},
+		{"RST_STREAM of 3 bytes", func(r *raw) { open(r); r.bytes(frame(frameRSTStream, 0, 1, 0, 0, 0)) }, FrameSizeError, 0},
+		{"window of the connection overflows", func(r *raw) { r.bytes(frame(frameWindowUpdate, 0, 0, u32(maxWindowSize)...)) }, FlowControlError, 0},
+		{"WINDOW_UPDATE of 0", func(r *raw) { r.bytes(frame(frameWindowUpdate, 0, 0, u32(0)...)) }, ProtocolError, 0},
+		{"WINDOW_UPDATE on an idle stream", func(r *raw) { r.bytes(frame(frameWindowUpdate, 0, 9, u32(1)...)) }, ProtocolError, 0},
+		{"WINDOW_UPDATE of 5 bytes", func(r *raw) { r.bytes(frame(frameWindowUpdate, 0, 0, 0, 0, 0, 1, 0)) }, FrameSizeError, 0},
+		{"PUSH_PROMISE", func(r *raw) { r.bytes(frame(framePushPromise, 4, 1, u32(2)...)) }, ProtocolError, 0},
 		{"GOAWAY of 4 bytes", func(r *raw) { r.bytes(frame(frameGoAway, 0, 0, u32(0)...)) }, FrameSizeError, 0},
 		{"PRIORITY of 4 bytes", func(r *raw) { r.bytes(frame(framePriority, 0, 1, u32(0)...)) }, ProtocolError, 0},
 		{"a stream that depends on itself", func(r *raw) { r.bytes(frame(frameHeaders, 4|flagPriority, 1, append(u32(1), 0, 0x82)...)) }, ProtocolError, 0},
@@ -258,7 +258,7 @@
 				r.bytes(frame(99, 0, 0))
 			}
 		}, EnhanceYourCalm, 0},
-		{"window of a stream overflows", func(r *raw) { open(r); r.bytes(frame(frameWindow, 0, 1, u32(maxWindow)...)) }, FlowControlError, 1},
+		{"window of a stream overflows", func(r *raw) { open(r); r.bytes(frame(frameWindowUpdate, 0, 1, u32(maxWindowSize)...)) }, FlowControlError, 1},
 		{"DATA behind the end", func(r *raw) {
 			r.headers(1, true, r.request())
 			r.bytes(frame(frameData, 0, 1, 1))
@@ -310,7 +310,7 @@
 
 // TestPeerThatAsksAndNeverReads guards against answers that pile up.
 func TestPeerThatAsksAndNeverReads(t *testing.T) {
-	s, _ := serve(t, Config{MaxControl: 64 << 10, Glitches: 1e9, GlitchRate: 1, WriteTimeout: time.Second})
+	s, _ := serve(t, Config{MaxControlBytes: 64 << 10, GlitchBurst: 1e9, GlitchRate: 1, WriteTimeout: time.Second})
 	r := dialRaw(t, s, true)
 	ping := bytes.Repeat(frame(framePing, 0, 0, make([]byte, 8)...), 1000)
 	ended := false
@@ -367,7 +367,7 @@
 func newConns() *conns                        { return &conns{make(chan ErrCode, 4), make(chan error, 4)} }
 func (*conns) Open(*Stream) Receiver          { return nil }
 func (c *conns) GoAway(_ *Conn, code ErrCode) { c.away <- code }
-func (c *conns) Lost(_ *Conn, err error)      { c.lost <- err }
+func (c *conns) ConnClosed(_ *Conn, err error)      { c.lost <- err }
 
 var requestFields = []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/x"}}
 
@@ -395,8 +395,8 @@
 
 // TestBothEnds echoes bodies of many sizes over one connection at once: larger than windows, frames and buffers.
 func TestBothEnds(t *testing.T) {
-	s, _ := serve(t, Config{StreamWindow: 30000, ConnWindow: 80000, SendBuffer: 20000})
-	c, _ := dialOurs(t, s, Config{StreamWindow: 40000, SendBuffer: 10000})
+	s, _ := serve(t, Config{StreamWindow: 30000, ConnWindow: 80000, SendBufferSize: 20000})
+	c, _ := dialOurs(t, s, Config{StreamWindow: 40000, SendBufferSize: 10000})
 	var wg sync.WaitGroup
 	for i, n := range []int{0, 1, 16384, 16385, 65535, 65536, 200000, 1 << 20, 5 << 20} {
 		body := bytes.Repeat([]byte{byte(i + 1)}, n)
@@ -414,7 +414,7 @@
 		})
 	}
 	wg.Wait()
-	if n := c.Streams(); n != 0 {
+	if n := c.NumStreams(); n != 0 {
 		t.Errorf("%d streams left", n)
 	}
 }
@@ -469,7 +469,7 @@
 	if code := wait(t, h.away, "GOAWAY"); code != NoError {
 		t.Fatalf("GOAWAY with %v", code)
 	}
-	if _, err := c.Open(newClient(), requestFields, nil, true); !errors.Is(err, ErrAway) {
+	if _, err := c.Open(newClient(), requestFields, nil, true); !errors.Is(err, ErrGoAway) {
 		t.Errorf("a stream after GOAWAY: %v", err)
 	}
 	if _, err := st.Write([]byte(" and last"), true); err != nil {
@@ -494,7 +494,7 @@
 			return
 		}
 		fr := peer.NewFramer(nc, nc)
-		_, _ = io.ReadFull(nc, make([]byte, len(preface)))
+		_, _ = io.ReadFull(nc, make([]byte, len(clientPreface)))
 		_ = fr.WriteSettings()
 		for {
 			f, err := fr.ReadFrame()
@@ -523,7 +523,7 @@
 	}
 	for i, want := range []struct{ never, lost bool }{{true, false}, {false, true}, {true, false}} {
 		var se *StreamError
-		if err := wait(t, rs[i].ended, "an end"); !errors.As(err, &se) || se.NeverRan != want.never || se.Lost != want.lost {
+		if err := wait(t, rs[i].ended, "an end"); !errors.As(err, &se) || se.Unprocessed != want.never || se.ConnLost != want.lost {
 			t.Errorf("stream %d: %v, want never ran %v, lost %v", 2*i+1, err, want.never, want.lost)
 		}
 	}
@@ -531,7 +531,7 @@
 
 // TestLargeHeadersAreSplit sends a header list over several CONTINUATION frames.
 func TestLargeHeadersAreSplit(t *testing.T) {
-	s, _ := serve(t, Config{MaxHeaderList: 1 << 20, MaxHeaderBlock: 1 << 20})
+	s, _ := serve(t, Config{MaxHeaderListSize: 1 << 20, MaxHeaderBlockSize: 1 << 20})
 	c, _ := dialOurs(t, s, Config{})
 	fields := append([]hpack.Field(nil), requestFields...)
 	for i := range 60 {
@@ -612,7 +612,7 @@
 		r := newClient()
 		if _, err := bad.Open(r, requestFields, []byte("panic"), true); err == nil {
 			var se *StreamError
-			if err := wait(t, r.ended, "the end"); !errors.As(err, &se) || !se.Lost {
+			if err := wait(t, r.ended, "the end"); !errors.As(err, &se) || !se.ConnLost {
 				t.Errorf("the call that panicked: %v", err)
 			}
 		}
@@ -632,27 +632,27 @@
 	f.Add(frame(frameSettings, 0, 0))
 	f.Add(append(frame(frameSettings, 0, 0), frame(frameHeaders, 5, 1, 0x83, 0x86, 0x84)...))
 	f.Add(append(append(frame(frameSettings, 0, 0), frame(frameHeaders, 4, 1, 0x83, 0x86, 0x84)...), frame(frameData, 1, 1, 1, 2, 3)...))
-	f.Add(append(frame(frameSettings, 0, 0), frame(frameWindow, 0, 0, u32(maxWindow)...)...))
+	f.Add(append(frame(frameSettings, 0, 0), frame(frameWindowUpdate, 0, 0, u32(maxWindowSize)...)...))
 	f.Add(append(frame(frameSettings, 0, 0), frame(frameGoAway, 0, 0, append(u32(0), u32(0)...)...)...))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := &Conn{cfg: Config{MaxStreams: 50}.filled(), handler: &echo{}, dec: hpack.NewDecoder(4096, 16<<10), enc: hpack.NewEncoder(),
-			glitches: 1000, glitchAt: time.Now(), streams: map[uint32]*Stream{}, reset: map[uint32]bool{}, nextID: 2,
-			sendWindow: initialWindow, recvWindow: 1 << 20, peerWindow: initialWindow, peerFrame: minFrame, peerMax: 100,
-			begun: true, pinged: map[[8]byte]func(){}, flushing: true} // flushing: nothing is written
-		for len(data) >= headerLen {
-			h := parseHeader(data)
-			data = data[headerLen:]
-			h.length = min(h.length, len(data), minFrame)
-			if err := c.handle(h, data[:h.length]); err != nil {
+		c := &Conn{cfg: Config{MaxConcurrentStreams: 50}.withDefaults(), handler: &echo{}, decoder: hpack.NewDecoder(4096, 16<<10), encoder: hpack.NewEncoder(),
+			glitchTokens: 1000, glitchTokensAt: time.Now(), streams: map[uint32]*Stream{}, resetStreams: map[uint32]bool{}, nextStreamID: 2,
+			sendWindow: defaultWindowSize, recvWindow: 1 << 20, peerInitialWindow: defaultWindowSize, peerMaxFrameSize: minMaxFrameSize, peerMaxStreams: 100,
+			prefaceReceived: true, pendingPings: map[[8]byte]func(){}, flushing: true} // flushing: nothing is written
+		for len(data) >= frameHeaderLen {
+			h := parseFrameHeader(data)
+			data = data[frameHeaderLen:]
+			h.length = min(h.length, len(data), minMaxFrameSize)
+			if err := c.handleFrame(h, data[:h.length]); err != nil {
 				break
 			}
 			data = data[h.length:]
 		}
-		if len(c.streams) > 50 || c.opened != len(c.streams) {
-			t.Fatalf("%d streams, counted %d", len(c.streams), c.opened)
+		if len(c.streams) > 50 || c.numPeerStreams != len(c.streams) {
+			t.Fatalf("%d streams, counted %d", len(c.streams), c.numPeerStreams)
 		}
-		if len(c.reset) > 600 {
-			t.Fatalf("%d reset streams remembered", len(c.reset))
+		if len(c.resetStreams) > 600 {
+			t.Fatalf("%d reset streams remembered", len(c.resetStreams))
 		}
 	})
 }
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -15,13 +15,13 @@
 // Server accepts connections on one listener.
 type Server struct {
 	cfg     Config
-	handler func(*Conn) Handler
-	ln      *listen.Listener
-	loop    netpoll.EventLoop
+	newHandler func(*Conn) Handler
+	listener      *listen.Listener
+	eventLoop    netpoll.EventLoop
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
-	done  bool
+	draining  bool
 }
 
 type connKey struct{}
@@ -33,15 +33,15 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{cfg: cfg, handler: handler, ln: ln, conns: map[*Conn]struct{}{}}
-	s.loop, err = netpoll.NewEventLoop(
+	s := &Server{cfg: cfg, newHandler: handler, listener: ln, conns: map[*Conn]struct{}{}}
+	s.eventLoop, err = netpoll.NewEventLoop(
 		func(ctx context.Context, _ netpoll.Connection) error {
 			c, _ := ctx.Value(connKey{}).(*Conn)
-			return c.read()
+			return c.readFrames()
 		},
 		netpoll.WithOnPrepare(func(nc netpoll.Connection) context.Context {
 			c := newConn(nc, s.cfg, nil, false)
-			c.handler = tracked{s.handler(c), s}
+			c.handler = trackedHandler{s.newHandler(c), s}
 			s.mu.Lock()
 			s.conns[c] = struct{}{}
 			s.mu.Unlock()
@@ -50,16 +50,16 @@
 		netpoll.WithOnConnect(func(ctx context.Context, nc netpoll.Connection) context.Context {
 			c, _ := ctx.Value(connKey{}).(*Conn)
 			_ = nc.AddCloseCallback(func(netpoll.Connection) error {
-				c.lost(errors.New("connection closed by peer"))
+				c.terminate(errors.New("connection closed by peer"))
 				return nil
 			})
 			if !nc.IsActive() { // it was closed before the callback stood
-				c.lost(errors.New("connection closed by peer"))
+				c.terminate(errors.New("connection closed by peer"))
 				return ctx
 			}
-			c.start()
+			c.flushPreface()
 			s.mu.Lock()
-			draining := s.done
+			draining := s.draining
 			s.mu.Unlock()
 			if draining { // it was accepted before the drain began, or while it was told
 				c.Shutdown()
@@ -71,43 +71,43 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	ln.Serve(s.loop)
+	ln.Serve(s.eventLoop)
 	return s, nil
 }
 
 // tracked takes a lost connection out of its server's book.
-type tracked struct {
+type trackedHandler struct {
 	Handler
-	s *Server
+	server *Server
 }
 
-func (t tracked) Lost(c *Conn, err error) {
-	t.s.mu.Lock()
-	delete(t.s.conns, c)
-	t.s.mu.Unlock()
-	t.Handler.Lost(c, err)
+func (t trackedHandler) ConnClosed(c *Conn, err error) {
+	t.server.mu.Lock()
+	delete(t.server.conns, c)
+	t.server.mu.Unlock()
+	t.Handler.ConnClosed(c, err)
 }
 
 // Addr is the address that the server listens on.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Conns tells how many connections are open.
-func (s *Server) Conns() int {
+func (s *Server) NumConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // Streams tells how many streams are open on all connections.
-func (s *Server) Streams() int {
+func (s *Server) NumStreams() int {
 	n := 0
-	for _, c := range s.all() {
-		n += c.Streams()
+	for _, c := range s.openConns() {
+		n += c.NumStreams()
 	}
 	return n
 }
 
-func (s *Server) all() []*Conn {
+func (s *Server) openConns() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*Conn, 0, len(s.conns))
@@ -120,15 +120,15 @@
 // Drain stops accepting and asks every connection to end when its streams have. It returns at once.
 func (s *Server) Drain() {
 	s.mu.Lock()
-	s.done = true
+	s.draining = true
 	s.mu.Unlock()
-	s.Warn()
+	s.DrainConns()
 }
 
 // Warn tells every connection's peer that no further streams are taken, as Drain does, but goes on accepting
 // connections.
-func (s *Server) Warn() {
-	for _, c := range s.all() {
+func (s *Server) DrainConns() {
+	for _, c := range s.openConns() {
 		c.Shutdown()
 	}
 }
@@ -136,13 +136,13 @@
 // Close ends the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.done = true
+	s.draining = true
 	s.mu.Unlock()
-	for _, c := range s.all() {
+	for _, c := range s.openConns() {
 		c.Close()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = s.loop.Shutdown(ctx)
-	_ = s.ln.Close()
+	_ = s.eventLoop.Shutdown(ctx)
+	_ = s.listener.Close()
 }
--- a/internal/transport/http2/stream.go
+++ b/internal/transport/http2/stream.go
@@ -25,48 +25,48 @@
 
 // Stream is one exchange on a connection. Its methods may be called from any goroutine.
 type Stream struct {
-	c    *Conn
+	conn    *Conn
 	id   uint32
-	recv Receiver
+	receiver Receiver
 
 	// Guarded by c.mu.
 	sendWindow, recvWindow      int64
-	credit, unconsumed          int64
-	queue                       []byte // written, not yet framed; from at on
-	at                          int
+	recvCredit, unconsumed          int64
+	sendBuffer                       []byte // written, not yet framed; from at on
+	sendOffset                          int
 	trailers                    []hpack.Field
 	endQueued                   bool
-	queued                      bool // in c.waiting
-	sentEnd, gotEnd, gotHeaders bool
-	interim                     bool // the last headers were informational
+	inSendQueue                      bool // in c.waiting
+	endSent, endReceived, headersReceived bool
+	informational                     bool // the last headers were informational
 	closed                      bool
 }
 
 // Errors of opening and writing.
 var (
 	ErrClosed    = errors.New("http2: stream or connection is closed")
-	ErrNoStreams = errors.New("http2: the peer takes no more streams for now")
-	ErrAway      = errors.New("http2: the connection takes no further streams")
+	ErrTooManyStreams = errors.New("http2: the peer takes no more streams for now")
+	ErrGoAway      = errors.New("http2: the connection takes no further streams")
 )
 
 // ID is the stream's number on its connection.
 func (s *Stream) ID() uint32 { return s.id }
 
 // Conn is the stream's connection.
-func (s *Stream) Conn() *Conn { return s.c }
+func (s *Stream) Conn() *Conn { return s.conn }
 
 // Room tells how many more streams this end may open now; 0 too when the connection takes no more.
-func (c *Conn) Room() int {
+func (c *Conn) AvailableStreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead || c.closing || c.away || c.draining || c.nextID > maxWindow-2 {
+	if c.closed || c.closeAfterFlush || c.goAwayReceived || c.draining || c.nextStreamID > maxWindowSize-2 {
 		return 0
 	}
-	return max(int(min(c.peerMax, 1<<20))-c.mine, 0)
+	return max(int(min(c.peerMaxStreams, 1<<20))-c.numLocalStreams, 0)
 }
 
 // Streams tells how many streams are open.
-func (c *Conn) Streams() int {
+func (c *Conn) NumStreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams)
@@ -78,39 +78,39 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.dead || c.closing:
+	case c.closed || c.closeAfterFlush:
 		return nil, ErrClosed
-	case c.away || c.draining || c.nextID > maxWindow-2:
-		return nil, ErrAway
-	case c.mine >= int(min(c.peerMax, 1<<20)):
-		return nil, ErrNoStreams
+	case c.goAwayReceived || c.draining || c.nextStreamID > maxWindowSize-2:
+		return nil, ErrGoAway
+	case c.numLocalStreams >= int(min(c.peerMaxStreams, 1<<20)):
+		return nil, ErrTooManyStreams
 	}
-	s := &Stream{c: c, id: c.nextID, recv: recv, sendWindow: c.peerWindow,
+	s := &Stream{conn: c, id: c.nextStreamID, receiver: recv, sendWindow: c.peerInitialWindow,
 		recvWindow: int64(c.cfg.StreamWindow)}
-	c.nextID += 2
-	c.mine++
+	c.nextStreamID += 2
+	c.numLocalStreams++
 	c.streams[s.id] = s
-	s.putHeaders(fields, end && len(body) == 0)
+	s.appendHeaderBlock(fields, end && len(body) == 0)
 	if len(body) > 0 {
-		s.write(body, end)
+		s.sendOrQueue(body, end)
 	}
-	c.kick()
+	c.scheduleFlush()
 	return s, nil
 }
 
 // WriteHeaders sends a server's response headers; end makes them trailers-only.
 func (s *Stream) WriteHeaders(fields []hpack.Field, end bool) error {
-	s.c.mu.Lock()
-	if s.closed || s.sentEnd {
-		s.c.mu.Unlock()
+	s.conn.mu.Lock()
+	if s.closed || s.endSent {
+		s.conn.mu.Unlock()
 		return ErrClosed
 	}
-	s.putHeaders(fields, end)
-	s.c.kick()
-	done := s.finished()
-	s.c.mu.Unlock()
+	s.appendHeaderBlock(fields, end)
+	s.conn.scheduleFlush()
+	done := s.removeIfFinished()
+	s.conn.mu.Unlock()
 	if done {
-		s.recv.Closed(s, nil)
+		s.receiver.Closed(s, nil)
 	}
 	return nil
 }
@@ -118,38 +118,38 @@
 // Write sends bytes, and the stream's end if end is set. It returns how many are on their way; the rest are
 // queued, and [Receiver.Sent] tells when they leave. The caller bounds what it has queued.
 func (s *Stream) Write(p []byte, end bool) (int, error) {
-	s.c.mu.Lock()
-	if s.closed || s.sentEnd || s.endQueued {
-		s.c.mu.Unlock()
+	s.conn.mu.Lock()
+	if s.closed || s.endSent || s.endQueued {
+		s.conn.mu.Unlock()
 		return 0, ErrClosed
 	}
-	n := s.write(p, end)
-	s.c.kick()
-	done := s.finished()
-	s.c.mu.Unlock()
+	n := s.sendOrQueue(p, end)
+	s.conn.scheduleFlush()
+	done := s.removeIfFinished()
+	s.conn.mu.Unlock()
 	if done {
-		s.recv.Closed(s, nil)
+		s.receiver.Closed(s, nil)
 	}
 	return n, nil
 }
 
 // WriteTrailers ends the stream with trailers, behind all that is queued.
 func (s *Stream) WriteTrailers(fields []hpack.Field) error {
-	s.c.mu.Lock()
-	if s.closed || s.sentEnd || s.endQueued {
-		s.c.mu.Unlock()
+	s.conn.mu.Lock()
+	if s.closed || s.endSent || s.endQueued {
+		s.conn.mu.Unlock()
 		return ErrClosed
 	}
 	s.trailers, s.endQueued = fields, true
-	if !s.queued {
-		s.emit(s.c.peerFrame)
-		s.enqueue()
+	if !s.inSendQueue {
+		s.sendQueued(s.conn.peerMaxFrameSize)
+		s.joinSendQueue()
 	}
-	s.c.kick()
-	done := s.finished()
-	s.c.mu.Unlock()
+	s.conn.scheduleFlush()
+	done := s.removeIfFinished()
+	s.conn.mu.Unlock()
 	if done {
-		s.recv.Closed(s, nil)
+		s.receiver.Closed(s, nil)
 	}
 	return nil
 }
@@ -159,194 +159,194 @@
 	if n <= 0 {
 		return
 	}
-	s.c.mu.Lock()
-	took := min(int64(n), s.unconsumed)
-	s.unconsumed -= took
-	s.grant(took)
-	s.c.mu.Unlock()
+	s.conn.mu.Lock()
+	consumed := min(int64(n), s.unconsumed)
+	s.unconsumed -= consumed
+	s.returnWindow(consumed)
+	s.conn.mu.Unlock()
 }
 
 // Reset ends the stream at once with a code. Closed is not called for it. On a stream that is over it does
 // nothing.
 func (s *Stream) Reset(code ErrCode) {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
+	s.conn.mu.Lock()
+	defer s.conn.mu.Unlock()
 	if s.closed {
 		return
 	}
-	s.c.putReset(s.id, code)
-	s.drop()
+	s.conn.queueRSTStream(s.id, code)
+	s.remove()
 }
 
 // grant returns consumed bytes to the stream's window, a half window at a time. c.mu is held.
-func (s *Stream) grant(n int64) {
-	if s.closed || s.gotEnd || n == 0 {
+func (s *Stream) returnWindow(n int64) {
+	if s.closed || s.endReceived || n == 0 {
 		return
 	}
-	if s.credit += n; s.credit >= int64(s.c.cfg.StreamWindow)/2 {
-		s.c.out = appendHeader(s.c.out, header{length: 4, typ: frameWindow, stream: s.id})
-		s.c.out = appendUint32(s.c.out, uint32(s.credit))
-		s.recvWindow += s.credit
-		s.credit = 0
-		s.c.kick()
+	if s.recvCredit += n; s.recvCredit >= int64(s.conn.cfg.StreamWindow)/2 {
+		s.conn.writeBuffer = appendFrameHeader(s.conn.writeBuffer, frameHeader{length: 4, typ: frameWindowUpdate, streamID: s.id})
+		s.conn.writeBuffer = appendUint32(s.conn.writeBuffer, uint32(s.recvCredit))
+		s.recvWindow += s.recvCredit
+		s.recvCredit = 0
+		s.conn.scheduleFlush()
 	}
 }
 
 // write frames what may go now and queues the rest. c.mu is held.
-func (s *Stream) write(p []byte, end bool) int {
+func (s *Stream) sendOrQueue(p []byte, end bool) int {
 	s.endQueued = end
-	if s.queued || s.at < len(s.queue) {
-		if s.at > len(s.queue)/2 { // the part already framed is not kept
-			s.queue, s.at = s.queue[:copy(s.queue, s.queue[s.at:])], 0
+	if s.inSendQueue || s.sendOffset < len(s.sendBuffer) {
+		if s.sendOffset > len(s.sendBuffer)/2 { // the part already framed is not kept
+			s.sendBuffer, s.sendOffset = s.sendBuffer[:copy(s.sendBuffer, s.sendBuffer[s.sendOffset:])], 0
 		}
-		s.queue = append(s.queue, p...)
-		s.enqueue()
+		s.sendBuffer = append(s.sendBuffer, p...)
+		s.joinSendQueue()
 		return 0
 	}
-	whole := p
+	all := p
 	for {
-		n := s.allowed(len(p))
+		n := s.sendQuota(len(p))
 		if n < len(p) && n == 0 || len(p) == 0 && !end {
 			break
 		}
 		last := end && n == len(p)
-		s.putData(p[:n], last)
+		s.appendDataFrame(p[:n], last)
 		if p = p[n:]; len(p) == 0 {
-			s.sentEnd = s.sentEnd || last
-			return len(whole)
+			s.endSent = s.endSent || last
+			return len(all)
 		}
 	}
-	s.queue, s.at = append(s.queue[:0], p...), 0
-	s.enqueue()
-	return len(whole) - len(p)
+	s.sendBuffer, s.sendOffset = append(s.sendBuffer[:0], p...), 0
+	s.joinSendQueue()
+	return len(all) - len(p)
 }
 
 // allowed is how many of n bytes may be framed now.
-func (s *Stream) allowed(n int) int {
-	c := s.c
-	room := min(int64(n), s.sendWindow, c.sendWindow, int64(c.peerFrame))
-	if len(c.out) >= c.cfg.SendBuffer {
-		room = 0
+func (s *Stream) sendQuota(n int) int {
+	c := s.conn
+	quota := min(int64(n), s.sendWindow, c.sendWindow, int64(c.peerMaxFrameSize))
+	if len(c.writeBuffer) >= c.cfg.SendBufferSize {
+		quota = 0
 	}
-	return int(max(room, 0))
+	return int(max(quota, 0))
 }
 
-func (s *Stream) putData(p []byte, end bool) {
-	h := header{length: len(p), typ: frameData, stream: s.id}
+func (s *Stream) appendDataFrame(p []byte, end bool) {
+	h := frameHeader{length: len(p), typ: frameData, streamID: s.id}
 	if end {
-		h.flags = flagEnd
+		h.flags = flagEndStream
 	}
-	s.c.out = append(appendHeader(s.c.out, h), p...)
+	s.conn.writeBuffer = append(appendFrameHeader(s.conn.writeBuffer, h), p...)
 	s.sendWindow -= int64(len(p))
-	s.c.sendWindow -= int64(len(p))
+	s.conn.sendWindow -= int64(len(p))
 }
 
 // emit frames up to limit queued bytes, and the end when nothing is left. c.mu is held.
-func (s *Stream) emit(limit int) int {
+func (s *Stream) sendQueued(limit int) int {
 	n := 0
-	if left := len(s.queue) - s.at; left > 0 {
-		n = s.allowed(min(left, limit))
+	if left := len(s.sendBuffer) - s.sendOffset; left > 0 {
+		n = s.sendQuota(min(left, limit))
 		if n == 0 {
 			return 0
 		}
 		last := s.endQueued && n == left && s.trailers == nil
-		s.putData(s.queue[s.at:s.at+n], last)
-		s.sentEnd = s.sentEnd || last
-		if s.at += n; s.at == len(s.queue) {
-			s.queue, s.at = s.queue[:0], 0
+		s.appendDataFrame(s.sendBuffer[s.sendOffset:s.sendOffset+n], last)
+		s.endSent = s.endSent || last
+		if s.sendOffset += n; s.sendOffset == len(s.sendBuffer) {
+			s.sendBuffer, s.sendOffset = s.sendBuffer[:0], 0
 		}
 	}
-	if len(s.queue) == 0 && s.endQueued && !s.sentEnd {
+	if len(s.sendBuffer) == 0 && s.endQueued && !s.endSent {
 		if s.trailers != nil {
-			s.putHeaders(s.trailers, true)
+			s.appendHeaderBlock(s.trailers, true)
 		} else {
-			s.putData(nil, true)
-			s.sentEnd = true
+			s.appendDataFrame(nil, true)
+			s.endSent = true
 		}
 	}
 	return n
 }
 
-func (s *Stream) drained() bool { return len(s.queue) == 0 && (!s.endQueued || s.sentEnd) }
+func (s *Stream) allSent() bool { return len(s.sendBuffer) == 0 && (!s.endQueued || s.endSent) }
 
 // enqueue puts a stream with something left in the connection's turn. c.mu is held.
-func (s *Stream) enqueue() {
-	if !s.queued && !s.drained() {
-		s.queued = true
-		s.c.waiting = append(s.c.waiting, s)
+func (s *Stream) joinSendQueue() {
+	if !s.inSendQueue && !s.allSent() {
+		s.inSendQueue = true
+		s.conn.sendQueue = append(s.conn.sendQueue, s)
 	}
 }
 
 // putHeaders queues a header block, split as the peer's frame size asks. c.mu is held.
-func (s *Stream) putHeaders(fields []hpack.Field, end bool) {
-	c := s.c
-	start := len(c.out)
-	c.out = appendHeader(c.out, header{typ: frameHeaders, stream: s.id})
-	c.out = c.enc.Begin(c.out)
+func (s *Stream) appendHeaderBlock(fields []hpack.Field, end bool) {
+	c := s.conn
+	start := len(c.writeBuffer)
+	c.writeBuffer = appendFrameHeader(c.writeBuffer, frameHeader{typ: frameHeaders, streamID: s.id})
+	c.writeBuffer = c.encoder.Begin(c.writeBuffer)
 	for _, f := range fields {
-		c.out = c.enc.Append(c.out, f)
+		c.writeBuffer = c.encoder.Append(c.writeBuffer, f)
 	}
-	h := header{length: len(c.out) - start - headerLen, typ: frameHeaders, flags: flagEndHeaders, stream: s.id}
+	h := frameHeader{length: len(c.writeBuffer) - start - frameHeaderLen, typ: frameHeaders, flags: flagEndHeaders, streamID: s.id}
 	if end {
-		h.flags |= flagEnd
-		s.sentEnd = true
+		h.flags |= flagEndStream
+		s.endSent = true
 	}
-	if h.length > c.peerFrame {
-		block := append([]byte(nil), c.out[start+headerLen:]...)
-		c.out = c.out[:start]
+	if h.length > c.peerMaxFrameSize {
+		block := append([]byte(nil), c.writeBuffer[start+frameHeaderLen:]...)
+		c.writeBuffer = c.writeBuffer[:start]
 		h.flags &^= flagEndHeaders
 		for first := true; first || len(block) > 0; first = false {
-			n := min(len(block), c.peerFrame)
+			n := min(len(block), c.peerMaxFrameSize)
 			if h.length = n; n == len(block) {
 				h.flags |= flagEndHeaders
 			}
-			c.out = append(appendHeader(c.out, h), block[:n]...)
+			c.writeBuffer = append(appendFrameHeader(c.writeBuffer, h), block[:n]...)
 			block = block[n:]
 			h.typ, h.flags = frameContinuation, 0
 		}
 		return
 	}
-	appendHeader(c.out[start:start], h)
+	appendFrameHeader(c.writeBuffer[start:start], h)
 }
 
 // finished takes a stream that both ends have ended out of the connection; it tells so once. A server that
 // has answered wants no more of the request and says so (RFC 9113, section 8.1). c.mu is held.
-func (s *Stream) finished() bool {
-	if s.closed || !s.sentEnd || !s.gotEnd && s.c.client {
+func (s *Stream) removeIfFinished() bool {
+	if s.closed || !s.endSent || !s.endReceived && s.conn.isClient {
 		return false
 	}
-	if !s.gotEnd {
-		s.c.putReset(s.id, NoError)
+	if !s.endReceived {
+		s.conn.queueRSTStream(s.id, NoError)
 	}
-	s.drop()
+	s.remove()
 	return true
 }
 
 // drop takes a stream out of the connection. c.mu is held.
-func (s *Stream) drop() {
+func (s *Stream) remove() {
 	if s.closed {
 		return
 	}
 	s.closed = true
-	delete(s.c.streams, s.id)
-	if s.c.isPeers(s.id) {
-		s.c.opened--
+	delete(s.conn.streams, s.id)
+	if s.conn.isPeerStream(s.id) {
+		s.conn.numPeerStreams--
 	} else {
-		s.c.mine--
+		s.conn.numLocalStreams--
 	}
-	s.queue, s.trailers = nil, nil
-	s.c.closeIfDone()
+	s.sendBuffer, s.trailers = nil, nil
+	s.conn.closeIfDrained()
 }
 
 // malformed says what makes a request or response malformed (RFC 9113, sections 8.2 and 8.3), or nothing.
-func malformed(fields []hpack.Field, request bool) string {
+func checkHeaders(fields []hpack.Field, request bool) string {
 	var method, scheme, path, status int
 	regular := false
 	for _, f := range fields {
 		if !strings.HasPrefix(f.Name, ":") {
 			regular = true
-			if why := malformedField(f); why != "" {
-				return why
+			if reason := checkField(f); reason != "" {
+				return reason
 			}
 			continue
 		}
@@ -373,19 +373,19 @@
 	return ""
 }
 
-func malformedTrailers(fields []hpack.Field) string {
+func checkTrailers(fields []hpack.Field) string {
 	for _, f := range fields {
 		if strings.HasPrefix(f.Name, ":") {
 			return "pseudo-header field in trailers"
 		}
-		if why := malformedField(f); why != "" {
-			return why
+		if reason := checkField(f); reason != "" {
+			return reason
 		}
 	}
 	return ""
 }
 
-func malformedField(f hpack.Field) string {
+func checkField(f hpack.Field) string {
 	if f.Name == "" {
 		return "empty field name"
 	}
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -37,9 +37,9 @@
 		return verdict{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unavailable, Message: "stream ended early"}}
 	}
 	switch {
-	case se.NeverRan:
+	case se.Unprocessed:
 		return verdict{dispatch.Rejected, grpc.Status{Code: grpc.Unavailable, Message: "worker refused the stream"}}
-	case se.Lost:
+	case se.ConnLost:
 		return verdict{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unknown, Message: "connection to the worker lost"}}
 	default:
 		return verdict{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unknown, Message: "worker's stream ended: " + se.Error()}}
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -117,7 +117,7 @@
 	var best *http2.Conn
 	room := 0
 	for _, c := range w.conns {
-		if r := c.Room(); r > room {
+		if r := c.AvailableStreams(); r > room {
 			best, room = c, r
 		}
 	}
@@ -184,7 +184,7 @@
 			p.do(w.id, x)
 		default:
 			switch err := x.open(c); {
-			case errors.Is(err, http2.ErrNoStreams):
+			case errors.Is(err, http2.ErrTooManyStreams):
 				p.again(w.id, x, err)
 			case err != nil: // a worker that accepts and closes at once is not dialled over and over
 				x.fail(err.Error())
@@ -213,8 +213,8 @@
 	}
 }
 
-// Lost implements http2.Handler.
-func (l *link) Lost(c *http2.Conn, err error) { l.leave(c) }
+// ConnClosed implements http2.Handler.
+func (l *link) ConnClosed(c *http2.Conn, err error) { l.leave(c) }
 
 func (l *link) leave(c *http2.Conn) {
 	l.p.mu.Lock()
