--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -65,14 +65,14 @@
 	if c.Stream {
 		path = oip.StreamInfer
 	}
-	p := &printer{stream: c.Stream, reader: grpc.Reader{Max: 1 << 30}, done: make(chan error, 1)}
+	p := &printer{stream: c.Stream, reader: grpc.MessageReader{MaxSize: 1 << 30}, done: make(chan error, 1)}
 	conn, err := http2.Dial("tcp", c.Address, c.Timeout, http2.Config{}, p)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	s, err := conn.Open(p, append(grpc.Head(c.Address, path, c.Timeout),
-		hpack.Field{Name: "grpc-accept-encoding", Value: grpc.Encodings}),
+	s, err := conn.Open(p, append(grpc.RequestHeaders(c.Address, path, c.Timeout),
+		hpack.Field{Name: "grpc-accept-encoding", Value: grpc.AcceptedEncodings}),
 		append(grpc.AppendPrefix(nil, len(raw), false), raw...), true)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 // printer prints an answer as it comes.
 type printer struct {
 	stream   bool
-	reader   grpc.Reader
+	reader   grpc.MessageReader
 	encoding string
 	done     chan error
 	once     sync.Once
@@ -112,15 +112,15 @@
 // Headers implements http2.Receiver.
 func (p *printer) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
-		p.encoding, _ = grpc.Get(fields, "grpc-encoding")
+		p.encoding, _ = grpc.FieldValue(fields, "grpc-encoding")
 		return
 	}
-	st := grpc.StatusOf(fields)
+	st := grpc.StatusFromTrailers(fields)
 	if st.Code == grpc.OK {
 		p.end(nil)
 		return
 	}
-	if ms, ok := grpc.Get(fields, "grpc-retry-pushback-ms"); ok && st.Code == grpc.Unavailable {
+	if ms, ok := grpc.FieldValue(fields, "grpc-retry-pushback-ms"); ok && st.Code == grpc.Unavailable {
 		st.Message += "; come back in " + ms + " ms"
 	}
 	p.end(st)
@@ -143,7 +143,7 @@
 }
 
 func (p *printer) print(m []byte) {
-	body, err := grpc.Body(m, p.encoding, 1<<30)
+	body, err := grpc.MessageBody(m, p.encoding, 1<<30)
 	var out proto.Message = &inference.ModelInferResponse{}
 	if p.stream {
 		out = &inference.ModelStreamInferResponse{}
--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -128,7 +128,7 @@
 // Call sends one try and returns at once; done is told, once, how it ended. The returned function leaves the
 // call.
 func (c *Client) Call(r Request, call string, deadline time.Duration, done func(Result)) (leave func()) {
-	x := &exchange{c: c, call: call, req: r, began: time.Now(), done: done, count: grpc.Counter{}}
+	x := &exchange{c: c, call: call, req: r, began: time.Now(), done: done, count: grpc.MessageCounter{}}
 	fail := func(reason string) func() {
 		x.end(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: reason}})
 		return func() {}
@@ -153,7 +153,7 @@
 	x.timer = time.AfterFunc(deadline+time.Second, func() {
 		x.end(Result{Status: grpc.Status{Code: grpc.DeadlineExceeded, Message: "no answer in time"}})
 	})
-	s, err := conn.Open(x, grpc.Head(c.addr, path, deadline), body, true)
+	s, err := conn.Open(x, grpc.RequestHeaders(c.addr, path, deadline), body, true)
 	if err != nil {
 		x.left()
 		x.end(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
@@ -177,7 +177,7 @@
 	timer *time.Timer
 
 	mu    sync.Mutex
-	count grpc.Counter
+	count grpc.MessageCounter
 	first time.Duration
 	bytes int
 	over  bool
@@ -213,8 +213,8 @@
 	if !end {
 		return
 	}
-	r := Result{Answered: true, Status: grpc.StatusOf(fields)}
-	push, told := grpc.Get(fields, "grpc-retry-pushback-ms")
+	r := Result{Answered: true, Status: grpc.StatusFromTrailers(fields)}
+	push, told := grpc.FieldValue(fields, "grpc-retry-pushback-ms")
 	if ms, err := strconv.ParseInt(push, 10, 64); err == nil {
 		r.Pushback = time.Duration(ms) * time.Millisecond
 	}
--- a/internal/fake/fakeworker/serve.go
+++ b/internal/fake/fakeworker/serve.go
@@ -27,7 +27,7 @@
 
 // Open implements http2.Handler.
 func (l link) Open(s *http2.Stream) http2.Receiver {
-	return &reply{w: l.w, s: s, reader: grpc.Reader{Max: 64 << 20}}
+	return &reply{w: l.w, s: s, reader: grpc.MessageReader{MaxSize: 64 << 20}}
 }
 
 // GoAway implements http2.Handler.
@@ -47,7 +47,7 @@
 	path   string
 	router string
 	enc    string
-	reader grpc.Reader
+	reader grpc.MessageReader
 	body   []byte
 	job    *job
 	begun  bool
@@ -58,9 +58,9 @@
 	if r.path != "" {
 		return
 	}
-	r.path, _ = grpc.Get(fields, ":path")
-	r.router, _ = grpc.Get(fields, grpcupstream.RouterField)
-	r.enc, _ = grpc.Get(fields, "grpc-encoding")
+	r.path, _ = grpc.FieldValue(fields, ":path")
+	r.router, _ = grpc.FieldValue(fields, grpcupstream.RouterField)
+	r.enc, _ = grpc.FieldValue(fields, "grpc-encoding")
 	r.w.mu.Lock()
 	first := r.w.routers[s.Conn()] == ""
 	r.w.routers[s.Conn()] = r.router
@@ -91,7 +91,7 @@
 			return
 		}
 		if m != nil && r.body == nil {
-			b, err := grpc.Body(m, r.enc, 64<<20)
+			b, err := grpc.MessageBody(m, r.enc, 64<<20)
 			if err != nil {
 				s.Reset(http2.ProtocolError)
 				return
@@ -275,7 +275,7 @@
 
 // end sends the trailers.
 func (r *reply) end(e ending, report oip.Report) {
-	fields := e.status.Trailer()
+	fields := e.status.Trailers()
 	if e.admission != "" {
 		fields = append(fields, hpack.Field{Name: oip.AdmissionField, Value: e.admission})
 	}
--- a/internal/grpcgateway/compare_test.go
+++ b/internal/grpcgateway/compare_test.go
@@ -102,19 +102,19 @@
 type quick struct{}
 
 func (quick) Open(s *http2.Stream) http2.Receiver {
-	return &quickCall{reader: own.Reader{Max: 1 << 24}}
+	return &quickCall{reader: own.MessageReader{MaxSize: 1 << 24}}
 }
 func (quick) GoAway(*http2.Conn, http2.ErrCode)  {}
-func (quick) ConnClosed(*http2.Conn, error)            {}
+func (quick) ConnClosed(*http2.Conn, error)      {}
 func (q *quickCall) Sent(*http2.Stream, int)     {}
 func (q *quickCall) Closed(*http2.Stream, error) {}
 func (q *quickCall) Headers(_ *http2.Stream, f []hpack.Field, _ bool) {
-	q.path, _ = own.Get(f, ":path")
+	q.path, _ = own.FieldValue(f, ":path")
 }
 
 type quickCall struct {
 	path   string
-	reader own.Reader
+	reader own.MessageReader
 }
 
 func (q *quickCall) Data(s *http2.Stream, p []byte, end bool) {
@@ -273,13 +273,13 @@
 func (c *caller) Closed(_ *http2.Stream, err error)      { c.end(err == nil) }
 func (c *caller) Headers(_ *http2.Stream, f []hpack.Field, end bool) {
 	if end {
-		st, _ := own.Get(f, "grpc-status")
+		st, _ := own.FieldValue(f, "grpc-status")
 		c.end(st == "0")
 	}
 }
 func (quickConns) Open(*http2.Stream) http2.Receiver { return nil }
 func (quickConns) GoAway(*http2.Conn, http2.ErrCode) {}
-func (quickConns) ConnClosed(*http2.Conn, error)           {}
+func (quickConns) ConnClosed(*http2.Conn, error)     {}
 
 type quickConns struct{}
 
--- a/internal/grpcgateway/forward_test.go
+++ b/internal/grpcgateway/forward_test.go
@@ -25,14 +25,14 @@
 
 type pour struct {
 	s      *spout
-	reader own.Reader
+	reader own.MessageReader
 }
 
 func (s *spout) Open(*http2.Stream) http2.Receiver {
-	return &pour{s: s, reader: own.Reader{Max: 1 << 20}}
+	return &pour{s: s, reader: own.MessageReader{MaxSize: 1 << 20}}
 }
 func (s *spout) GoAway(*http2.Conn, http2.ErrCode)         {}
-func (s *spout) ConnClosed(*http2.Conn, error)                   {}
+func (s *spout) ConnClosed(*http2.Conn, error)             {}
 func (p *pour) Headers(*http2.Stream, []hpack.Field, bool) {}
 func (p *pour) Closed(*http2.Stream, error)                {}
 func (p *pour) Sent(st *http2.Stream, _ int)               { p.fill(st) }
@@ -62,13 +62,13 @@
 
 // gulp is a client that counts messages.
 type gulp struct {
-	count own.Counter
+	count own.MessageCounter
 	done  chan string
 }
 
 func (g *gulp) Open(*http2.Stream) http2.Receiver { return nil }
 func (g *gulp) GoAway(*http2.Conn, http2.ErrCode) {}
-func (g *gulp) ConnClosed(*http2.Conn, error)           {}
+func (g *gulp) ConnClosed(*http2.Conn, error)     {}
 func (g *gulp) Sent(*http2.Stream, int)           {}
 func (g *gulp) Closed(_ *http2.Stream, err error) {
 	if err != nil {
@@ -77,7 +77,7 @@
 }
 func (g *gulp) Headers(_ *http2.Stream, f []hpack.Field, end bool) {
 	if end {
-		st, _ := own.Get(f, "grpc-status")
+		st, _ := own.FieldValue(f, "grpc-status")
 		g.done <- st
 	}
 }
--- a/internal/oip/oip_test.go
+++ b/internal/oip/oip_test.go
@@ -85,13 +85,13 @@
 	if got, err := ReportOf(nil); err != nil || got != NoReport {
 		t.Errorf("none: %+v, %v", got, err)
 	}
-	for _, v := range []string{"!!", grpc.EncodeBin([]byte{0x0a, 0xff})} {
+	for _, v := range []string{"!!", grpc.EncodeBinaryHeader([]byte{0x0a, 0xff})} {
 		if got, err := ReportOf([]hpack.Field{{Name: ReportField, Value: v}}); err == nil || got != NoReport {
 			t.Errorf("%q: %+v, %v", v, got, err)
 		}
 	}
 	odd := &orca.OrcaLoadReport{NamedMetrics: map[string]float64{MetricInFlight: math.Inf(1), MetricQueue: -4, MetricWarmth: 1e30}}
-	got, err := ReportOf([]hpack.Field{{Name: ReportField, Value: grpc.EncodeBin(marshal(t, odd))}})
+	got, err := ReportOf([]hpack.Field{{Name: ReportField, Value: grpc.EncodeBinaryHeader(marshal(t, odd))}})
 	if err != nil || got.InFlight != -1 || got.Queue != -1 || got.Warmth != 4 {
 		t.Errorf("odd numbers: %+v, %v", got, err)
 	}
--- a/internal/oip/report.go
+++ b/internal/oip/report.go
@@ -46,11 +46,11 @@
 // ReportOf reads the report in a call's trailers. Where there is none, or none that can be read, it reports
 // nothing: a worker's account of itself is never a reason to fail a call.
 func ReportOf(trailers []hpack.Field) (Report, error) {
-	v, ok := grpc.Get(trailers, ReportField)
+	v, ok := grpc.FieldValue(trailers, ReportField)
 	if !ok {
 		return NoReport, nil
 	}
-	raw, err := grpc.DecodeBin(v)
+	raw, err := grpc.DecodeBinaryHeader(v)
 	if err != nil {
 		return NoReport, fmt.Errorf("oip: %s: %w", ReportField, err)
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		raw = nil // numbers always marshal
 	}
-	return hpack.Field{Name: ReportField, Value: grpc.EncodeBin(raw)}
+	return hpack.Field{Name: ReportField, Value: grpc.EncodeBinaryHeader(raw)}
 }
 
 // Request is an inference call as a front took it: what passes on to a worker unchanged.
--- a/internal/server/grpcserver/front.go
+++ b/internal/server/grpcserver/front.go
@@ -91,7 +91,7 @@
 
 // Open implements http2.Handler.
 func (l link) Open(s *http2.Stream) http2.Receiver {
-	x := &exchange{f: l.f, s: s, reader: grpc.Reader{Max: l.f.cfg.Intake.MaxBody}}
+	x := &exchange{f: l.f, s: s, reader: grpc.MessageReader{MaxSize: l.f.cfg.Intake.MaxBody}}
 	l.f.mu.Lock()
 	l.f.open[x] = struct{}{}
 	l.f.mu.Unlock()
@@ -118,7 +118,7 @@
 	encoding string
 	accept   string
 	metadata []hpack.Field
-	reader   grpc.Reader
+	reader   grpc.MessageReader
 	message  []byte // a unary request that is whole
 	pending  []byte // of a stream: bytes behind the request in hand, not consumed yet
 	halfDone bool   // the client has sent all
@@ -138,7 +138,7 @@
 		return
 	}
 	x.came = time.Now()
-	x.path, _ = grpc.Get(fields, ":path")
+	x.path, _ = grpc.FieldValue(fields, ":path")
 	var bad *grpc.Status
 	deny := func(code grpc.Code, text string) {
 		if bad == nil {
@@ -152,7 +152,7 @@
 				deny(grpc.Unimplemented, "method "+h.Value)
 			}
 		case "content-type":
-			if !grpc.IsContent(h.Value) {
+			if !grpc.IsContentType(h.Value) {
 				x.over = true
 				x.leave()
 				_ = x.s.WriteHeaders([]hpack.Field{{Name: ":status", Value: "415"}}, true)
@@ -166,13 +166,13 @@
 			x.timeout = max(d, 1)
 		case "grpc-encoding":
 			x.encoding = h.Value
-			if !grpc.Known(h.Value) {
+			if !grpc.IsKnownEncoding(h.Value) {
 				deny(grpc.Unimplemented, "grpc-encoding "+strconv.Quote(h.Value)+" is not known here")
 			}
 		case "grpc-accept-encoding":
 			x.accept = h.Value
 		default:
-			if !grpc.Reserved(h.Name) {
+			if !grpc.IsReservedHeader(h.Name) {
 				x.metadata = append(x.metadata, h)
 			}
 		}
@@ -239,7 +239,7 @@
 }
 
 func messageCode(err error) grpc.Code {
-	if err == grpc.ErrFlag {
+	if err == grpc.ErrCompressedFlag {
 		return grpc.Internal
 	}
 	return grpc.ResourceExhausted
@@ -293,7 +293,7 @@
 
 // request acts on one whole request message.
 func (x *exchange) request(message []byte) {
-	body, err := grpc.Body(message, x.encoding, x.f.cfg.Intake.MaxBody)
+	body, err := grpc.MessageBody(message, x.encoding, x.f.cfg.Intake.MaxBody)
 	if err != nil {
 		x.reply(grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}, nil)
 		return
@@ -463,14 +463,14 @@
 	begun := x.begun
 	x.mu.Unlock()
 	x.leave()
-	fields := append(st.Trailer(), trailers...)
+	fields := append(st.Trailers(), trailers...)
 	if begun {
 		_ = x.s.WriteTrailers(fields)
 		return
 	}
 	head := []hpack.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
 	if st.Code == grpc.Unimplemented {
-		head = append(head, hpack.Field{Name: "grpc-accept-encoding", Value: grpc.Encodings})
+		head = append(head, hpack.Field{Name: "grpc-accept-encoding", Value: grpc.AcceptedEncodings})
 	}
 	_ = x.s.WriteHeaders(append(head, fields...), true)
 }
--- a/internal/server/grpcserver/front_test.go
+++ b/internal/server/grpcserver/front_test.go
@@ -64,7 +64,7 @@
 
 func (r *reader) Open(*http2.Stream) http2.Receiver { return nil }
 func (r *reader) GoAway(*http2.Conn, http2.ErrCode) {}
-func (r *reader) ConnClosed(*http2.Conn, error)           {}
+func (r *reader) ConnClosed(*http2.Conn, error)     {}
 func (r *reader) Sent(*http2.Stream, int)           {}
 func (r *reader) Headers(_ *http2.Stream, f []hpack.Field, end bool) {
 	if !end {
@@ -162,18 +162,18 @@
 		"the server's readiness":     {oip.ServerReady, framed(&inference.ServerReadyRequest{}), nil, grpc.OK},
 	} {
 		r := say(t, f, c.path, c.body, c.more...)
-		if st := grpc.StatusOf(r.trailers); st.Code != c.code {
+		if st := grpc.StatusFromTrailers(r.trailers); st.Code != c.code {
 			t.Errorf("%s: %v, want %v", name, st, c.code)
 		}
-		if v, _ := grpc.Get(r.trailers, "grpc-accept-encoding"); name == "unknown compression" && v != grpc.Encodings {
+		if v, _ := grpc.FieldValue(r.trailers, "grpc-accept-encoding"); name == "unknown compression" && v != grpc.AcceptedEncodings {
 			t.Errorf("%s: told of the encodings %q", name, v)
 		}
-		if v, _ := grpc.Get(r.trailers, "grpc-retry-pushback-ms"); name == "refused by the module" && v != "70" {
+		if v, _ := grpc.FieldValue(r.trailers, "grpc-retry-pushback-ms"); name == "refused by the module" && v != "70" {
 			t.Errorf("%s: pushback %q", name, v)
 		}
 	}
 	r := say(t, f, oip.Infer, ask, field("content-type", "application/json"))
-	if v, _ := grpc.Get(r.trailers, ":status"); v != "415" {
+	if v, _ := grpc.FieldValue(r.trailers, ":status"); v != "415" {
 		t.Errorf("not gRPC: HTTP status %q", v)
 	}
 	if n := f.router.Stats().Open; n != 0 {
@@ -203,7 +203,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the idle stream goes on")
 	}
-	if st := grpc.StatusOf(r.trailers); st.Code != grpc.Unavailable {
+	if st := grpc.StatusFromTrailers(r.trailers); st.Code != grpc.Unavailable {
 		t.Errorf("ended by %v", st)
 	}
 }
@@ -229,7 +229,7 @@
 		"answered, then lost":   {router.FinalAnswer{Attempt: lost}, grpc.Unknown, ""},
 	} {
 		st, tail := Told(c.f)
-		if push, _ := grpc.Get(tail, "grpc-retry-pushback-ms"); st.Code != c.code || push != c.push {
+		if push, _ := grpc.FieldValue(tail, "grpc-retry-pushback-ms"); st.Code != c.code || push != c.push {
 			t.Errorf("%s: %v, pushback %q; want %v, %q", name, st, push, c.code, c.push)
 		}
 	}
--- a/internal/transport/grpc/golden_test.go
+++ b/internal/transport/grpc/golden_test.go
@@ -27,33 +27,33 @@
 	}
 	encoder := hpack.NewEncoder()
 	record := func(name string, fields []hpack.Field) {
-		block := encoder.Begin(nil)
+		block := encoder.BeginBlock(nil)
 		for _, f := range fields {
-			block = encoder.Append(block, f)
+			block = encoder.AppendField(block, f)
 		}
 		fmt.Fprintf(&got, "%s: %s %x\n", name, text(fields), block)
 	}
 	for range 2 { // the second time by the dynamic table
-		record("request headers", Head("worker", "/inference.GRPCInferenceService/ModelInfer", 1500*time.Millisecond))
+		record("request headers", RequestHeaders("worker", "/inference.GRPCInferenceService/ModelInfer", 1500*time.Millisecond))
 		for code := OK; code <= Unauthenticated+1; code++ {
-			record("trailers", Status{Code: code}.Trailer())
-			record("trailers", Status{Code: code, Message: "50% of α\n"}.Trailer())
+			record("trailers", Status{Code: code}.Trailers())
+			record("trailers", Status{Code: code, Message: "50% of α\n"}.Trailers())
 		}
-		record("trailers", Status{Code: 4000000000}.Trailer())
+		record("trailers", Status{Code: 4000000000}.Trailers())
 	}
 	for _, fields := range [][]hpack.Field{nil, {{Name: "grpc-status", Value: "x"}},
 		{{Name: "grpc-status", Value: "14"}, {Name: "grpc-message", Value: "a%21%zz"}}} {
-		fmt.Fprintf(&got, "status of %s: %q\n", text(fields), StatusOf(fields).Error())
+		fmt.Fprintf(&got, "status of %s: %q\n", text(fields), StatusFromTrailers(fields).Error())
 	}
 	for _, status := range []string{"200", "400", "401", "403", "404", "429", "500", "502", "503", "504"} {
-		fmt.Fprintf(&got, "status of HTTP %s: %q\n", status, StatusOfHTTP(status).Error())
+		fmt.Fprintf(&got, "status of HTTP %s: %q\n", status, StatusFromHTTP(status).Error())
 	}
 	for _, d := range []time.Duration{-1, 0, 1, 99999999, 1e8, 1234567 * time.Millisecond, 400 * time.Hour, math.MaxInt64} {
 		fmt.Fprintf(&got, "timeout of %d ns: %s\n", d, FormatTimeout(d))
 	}
 	fmt.Fprintf(&got, "prefixes: %x %x\n", AppendPrefix(nil, 258, false), AppendPrefix(nil, 1<<24, true))
-	fmt.Fprintf(&got, "binary: %s %s\n", EncodeBin([]byte{0, 255, 128}), EncodeBin([]byte("a")))
-	fmt.Fprintf(&got, "errors: %v; %v; %v; %v\n", ErrTimeout, ErrTooLarge, ErrFlag, ErrCut)
+	fmt.Fprintf(&got, "binary: %s %s\n", EncodeBinaryHeader([]byte{0, 255, 128}), EncodeBinaryHeader([]byte("a")))
+	fmt.Fprintf(&got, "errors: %v; %v; %v; %v\n", ErrMalformedTimeout, ErrMessageTooLarge, ErrCompressedFlag, ErrTruncatedMessage)
 
 	path := filepath.Join("testdata", "golden", "grpc.txt")
 	if *update {
--- a/internal/transport/grpc/grpc.go
+++ b/internal/transport/grpc/grpc.go
@@ -57,14 +57,14 @@
 func (s Status) Error() string { return s.Code.String() + ": " + s.Message }
 
 // Head returns the headers that begin a request; left is the time until the caller gives up.
-func Head(authority, path string, left time.Duration) []hpack.Field {
+func RequestHeaders(authority, path string, timeout time.Duration) []hpack.Field {
 	return []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
 		{Name: ":authority", Value: authority}, {Name: "te", Value: "trailers"},
-		{Name: "content-type", Value: "application/grpc"}, {Name: "grpc-timeout", Value: FormatTimeout(left)}}
+		{Name: "content-type", Value: "application/grpc"}, {Name: "grpc-timeout", Value: FormatTimeout(timeout)}}
 }
 
 // Get returns the value of the first field with a name.
-func Get(fields []hpack.Field, name string) (string, bool) {
+func FieldValue(fields []hpack.Field, name string) (string, bool) {
 	for _, f := range fields {
 		if f.Name == name {
 			return f.Value, true
@@ -74,8 +74,8 @@
 }
 
 // StatusOf reads grpc-status and grpc-message of trailers. Trailers without a status are an UNKNOWN error.
-func StatusOf(fields []hpack.Field) Status {
-	v, ok := Get(fields, "grpc-status")
+func StatusFromTrailers(fields []hpack.Field) Status {
+	v, ok := FieldValue(fields, "grpc-status")
 	if !ok {
 		return Status{Unknown, "trailers without grpc-status"}
 	}
@@ -83,12 +83,12 @@
 	if err != nil {
 		return Status{Unknown, fmt.Sprintf("malformed grpc-status %q", v)}
 	}
-	m, _ := Get(fields, "grpc-message")
-	return Status{Code(code), DecodeText(m)}
+	m, _ := FieldValue(fields, "grpc-message")
+	return Status{Code(code), PercentDecode(m)}
 }
 
 // StatusOfHTTP gives the code for a response that is not gRPC, by the specification's table.
-func StatusOfHTTP(status string) Status {
+func StatusFromHTTP(status string) Status {
 	s := Status{Unknown, "HTTP status " + status}
 	switch status {
 	case "400":
@@ -106,15 +106,15 @@
 }
 
 // Trailer returns the fields that tell a status.
-func (s Status) Trailer() []hpack.Field {
-	f := []hpack.Field{{Name: "grpc-status", Value: codeDigits(s.Code)}}
+func (s Status) Trailers() []hpack.Field {
+	f := []hpack.Field{{Name: "grpc-status", Value: formatCode(s.Code)}}
 	if s.Message != "" {
-		f = append(f, hpack.Field{Name: "grpc-message", Value: EncodeText(s.Message)})
+		f = append(f, hpack.Field{Name: "grpc-message", Value: PercentEncode(s.Message)})
 	}
 	return f
 }
 
-func codeDigits(c Code) string {
+func formatCode(c Code) string {
 	if c < 100 {
 		return strconv.Itoa(int(c)) // small numbers are not allocated
 	}
@@ -122,7 +122,7 @@
 }
 
 // EncodeText percent-encodes a message: all but printable ASCII, and the percent sign itself.
-func EncodeText(s string) string {
+func PercentEncode(s string) string {
 	plain := func(b byte) bool { return b >= ' ' && b <= '~' && b != '%' }
 	i := 0
 	for i < len(s) && plain(s[i]) {
@@ -144,7 +144,7 @@
 }
 
 // DecodeText undoes EncodeText. What is not validly encoded stays as it is, as the specification asks.
-func DecodeText(s string) string {
+func PercentDecode(s string) string {
 	if !strings.Contains(s, "%") {
 		return s
 	}
@@ -162,27 +162,27 @@
 	return string(out)
 }
 
-var units = map[byte]time.Duration{'H': time.Hour, 'M': time.Minute, 'S': time.Second, 'm': time.Millisecond,
+var timeoutUnits = map[byte]time.Duration{'H': time.Hour, 'M': time.Minute, 'S': time.Second, 'm': time.Millisecond,
 	'u': time.Microsecond, 'n': time.Nanosecond}
 
 // ErrTimeout tells of a malformed grpc-timeout.
-var ErrTimeout = errors.New("grpc: grpc-timeout is not up to eight digits and a unit")
+var ErrMalformedTimeout = errors.New("grpc: grpc-timeout is not up to eight digits and a unit")
 
 // ParseTimeout reads a grpc-timeout: up to eight digits and a unit. What does not fit a Duration is the longest.
 func ParseTimeout(s string) (time.Duration, error) {
 	if len(s) < 2 || len(s) > 9 {
-		return 0, ErrTimeout
+		return 0, ErrMalformedTimeout
 	}
-	unit, ok := units[s[len(s)-1]]
+	unit, ok := timeoutUnits[s[len(s)-1]]
 	n := int64(0)
 	for _, b := range []byte(s[:len(s)-1]) {
 		if b < '0' || b > '9' {
-			return 0, ErrTimeout
+			return 0, ErrMalformedTimeout
 		}
 		n = n*10 + int64(b-'0')
 	}
 	if !ok {
-		return 0, ErrTimeout
+		return 0, ErrMalformedTimeout
 	}
 	if n > int64(1<<63-1)/int64(unit) {
 		return 1<<63 - 1, nil
@@ -207,7 +207,7 @@
 }
 
 // DecodeBin reads the value of a -bin field: base64, with or without padding.
-func DecodeBin(v string) ([]byte, error) {
+func DecodeBinaryHeader(v string) ([]byte, error) {
 	if len(v)%4 == 0 {
 		return base64.StdEncoding.DecodeString(v)
 	}
@@ -215,16 +215,16 @@
 }
 
 // EncodeBin writes the value of a -bin field.
-func EncodeBin(b []byte) string { return base64.RawStdEncoding.EncodeToString(b) }
+func EncodeBinaryHeader(b []byte) string { return base64.RawStdEncoding.EncodeToString(b) }
 
 // IsContent tells whether a content-type is gRPC's with a message format that passes through here.
-func IsContent(v string) bool {
+func IsContentType(v string) bool {
 	rest, ok := strings.CutPrefix(v, "application/grpc")
 	return ok && (rest == "" || rest == "+proto" || strings.HasPrefix(rest, ";"))
 }
 
 // Reserved tells whether metadata with this name is the protocol's own, so that it is not passed along.
-func Reserved(name string) bool {
+func IsReservedHeader(name string) bool {
 	switch name {
 	case "te", "content-type", "user-agent", "grpc-timeout", "grpc-encoding", "grpc-accept-encoding",
 		"grpc-status", "grpc-message", "grpc-message-type":
--- a/internal/transport/grpc/grpc_test.go
+++ b/internal/transport/grpc/grpc_test.go
@@ -35,15 +35,15 @@
 
 func TestMessages(t *testing.T) {
 	for s, coded := range map[string]string{"plain text": "plain text", "50% of α\n": "50%25 of %CE%B1%0A", "": ""} {
-		if got := EncodeText(s); got != coded {
+		if got := PercentEncode(s); got != coded {
 			t.Errorf("%q became %q", s, got)
 		}
-		if got := DecodeText(coded); got != s {
+		if got := PercentDecode(coded); got != s {
 			t.Errorf("%q was read as %q", coded, got)
 		}
 	}
 	for _, s := range []string{"%", "%4", "%zz", "100%"} { // invalid: kept as it is
-		if got := DecodeText(s); got != s {
+		if got := PercentDecode(s); got != s {
 			t.Errorf("%q was read as %q", s, got)
 		}
 	}
@@ -59,28 +59,28 @@
 		{[]hpack.Field{{Name: "grpc-status", Value: "x"}}, Unknown},
 		{nil, Unknown},
 	} {
-		if got := StatusOf(c.fields); got.Code != c.code {
+		if got := StatusFromTrailers(c.fields); got.Code != c.code {
 			t.Errorf("%v: %v", c.fields, got)
 		}
 	}
-	if got := StatusOf(Status{Internal, "a\tb"}.Trailer()); got != (Status{Internal, "a\tb"}) {
+	if got := StatusFromTrailers(Status{Internal, "a\tb"}.Trailers()); got != (Status{Internal, "a\tb"}) {
 		t.Errorf("%v", got)
 	}
-	if StatusOfHTTP("503").Code != Unavailable || StatusOfHTTP("404").Code != Unimplemented || StatusOfHTTP("200").Code != Unknown {
+	if StatusFromHTTP("503").Code != Unavailable || StatusFromHTTP("404").Code != Unimplemented || StatusFromHTTP("200").Code != Unknown {
 		t.Error("HTTP statuses are mapped otherwise than the specification says")
 	}
 }
 
 func TestBin(t *testing.T) {
 	for _, s := range []string{"", "a", "ab", "abc", "\x00\xff\x80"} {
-		if got, err := DecodeBin(EncodeBin([]byte(s))); err != nil || string(got) != s {
+		if got, err := DecodeBinaryHeader(EncodeBinaryHeader([]byte(s))); err != nil || string(got) != s {
 			t.Errorf("%q: %q, %v", s, got, err)
 		}
 	}
-	if got, err := DecodeBin("YQ=="); err != nil || string(got) != "a" {
+	if got, err := DecodeBinaryHeader("YQ=="); err != nil || string(got) != "a" {
 		t.Errorf("padded: %q, %v", got, err)
 	}
-	if _, err := DecodeBin("!!!"); err == nil {
+	if _, err := DecodeBinaryHeader("!!!"); err == nil {
 		t.Error("not base64, and taken")
 	}
 }
@@ -97,7 +97,7 @@
 			want = append(want, whole)
 			stream = append(stream, whole...)
 		}
-		r, c := Reader{Max: 2000}, Counter{}
+		r, c := MessageReader{MaxSize: 2000}, MessageCounter{}
 		var got [][]byte
 		for len(stream) > 0 {
 			n := min(1+rng.IntN(50), len(stream))
@@ -129,19 +129,19 @@
 }
 
 func TestBadMessages(t *testing.T) {
-	r := Reader{Max: 10}
-	if _, _, err := r.Next([]byte{0, 0, 0, 0, 11}); !errors.Is(err, ErrTooLarge) {
+	r := MessageReader{MaxSize: 10}
+	if _, _, err := r.Next([]byte{0, 0, 0, 0, 11}); !errors.Is(err, ErrMessageTooLarge) {
 		t.Errorf("too large: %v", err)
 	}
-	r = Reader{Max: 10}
-	if _, _, err := r.Next([]byte{2, 0, 0, 0, 1, 1}); !errors.Is(err, ErrFlag) {
+	r = MessageReader{MaxSize: 10}
+	if _, _, err := r.Next([]byte{2, 0, 0, 0, 1, 1}); !errors.Is(err, ErrCompressedFlag) {
 		t.Errorf("bad flag: %v", err)
 	}
-	c := Counter{}
-	if err := c.Add([]byte{7, 0, 0, 0, 1}); !errors.Is(err, ErrFlag) {
+	c := MessageCounter{}
+	if err := c.Add([]byte{7, 0, 0, 0, 1}); !errors.Is(err, ErrCompressedFlag) {
 		t.Errorf("bad flag, counted: %v", err)
 	}
-	r = Reader{Max: 10}
+	r = MessageReader{MaxSize: 10}
 	if m, _, err := r.Next([]byte{0, 0, 0, 0, 5, 1, 2}); m != nil || err != nil || !r.Partial() {
 		t.Errorf("a cut message: %v, %v", m, err)
 	}
@@ -153,17 +153,17 @@
 	if err != nil || len(m) > 500 {
 		t.Fatalf("%d bytes, %v", len(m), err)
 	}
-	if got, err := Body(m, "gzip", 1<<20); err != nil || !bytes.Equal(got, body) {
+	if got, err := MessageBody(m, "gzip", 1<<20); err != nil || !bytes.Equal(got, body) {
 		t.Fatalf("%d bytes, %v", len(got), err)
 	}
 	// A small message that unpacks to a large one is not unpacked further than the bound.
-	if _, err := Body(m, "gzip", 1000); !errors.Is(err, ErrTooLarge) {
+	if _, err := MessageBody(m, "gzip", 1000); !errors.Is(err, ErrMessageTooLarge) {
 		t.Errorf("a bomb: %v", err)
 	}
-	if _, err := Body(m, "identity", 1<<20); err == nil {
+	if _, err := MessageBody(m, "identity", 1<<20); err == nil {
 		t.Error("compressed without an encoding, and taken")
 	}
-	if _, err := Body(m[:30], "gzip", 1<<20); err == nil {
+	if _, err := MessageBody(m[:30], "gzip", 1<<20); err == nil {
 		t.Error("cut gzip was taken")
 	}
 }
@@ -173,7 +173,7 @@
 	f.Add([]byte{0, 0, 0, 0, 0}, 1)
 	f.Fuzz(func(t *testing.T, data []byte, step int) {
 		step = max(step%64, 1)
-		r, c := Reader{Max: 1 << 16}, Counter{}
+		r, c := MessageReader{MaxSize: 1 << 16}, MessageCounter{}
 		messages, bytesOut := 0, 0
 		for rest := data; len(rest) > 0; {
 			p := rest[:min(step, len(rest))]
@@ -182,7 +182,7 @@
 			for len(p) > 0 {
 				m, left, err := r.Next(p)
 				if err != nil {
-					if errors.Is(err, ErrFlag) != errors.Is(counted, ErrFlag) && counted != nil {
+					if errors.Is(err, ErrCompressedFlag) != errors.Is(counted, ErrCompressedFlag) && counted != nil {
 						t.Fatalf("reader says %v, counter %v", err, counted)
 					}
 					return
@@ -208,7 +208,7 @@
 
 func BenchmarkReaderWhole(b *testing.B) {
 	m := append(AppendPrefix(nil, 1000, false), make([]byte, 1000)...)
-	r := Reader{Max: 1 << 20}
+	r := MessageReader{MaxSize: 1 << 20}
 	b.ReportAllocs()
 	for b.Loop() {
 		if got, _, err := r.Next(m); err != nil || got == nil {
@@ -219,7 +219,7 @@
 
 func BenchmarkCounter(b *testing.B) {
 	m := append(AppendPrefix(nil, 1000, false), make([]byte, 1000)...)
-	c := Counter{}
+	c := MessageCounter{}
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := c.Add(m); err != nil {
--- a/internal/transport/hpack/hpack.go
+++ b/internal/transport/hpack/hpack.go
@@ -18,25 +18,25 @@
 func (f Field) Size() int { return len(f.Name) + len(f.Value) + 32 }
 
 // DefaultTable is the size of the dynamic table that both ends start with, in bytes.
-const DefaultTable = 4096
+const DefaultTableSize = 4096
 
 // table is a dynamic table: a ring with the newest entry last.
-type table struct {
-	entries   []Field // oldest first
-	size, max int
+type dynamicTable struct {
+	entries       []Field // oldest first
+	size, maxSize int
 }
 
-func (t *table) add(f Field) (evicted int) {
+func (t *dynamicTable) add(f Field) (evicted int) {
 	f.Sensitive = false
 	t.entries = append(t.entries, f)
 	t.size += f.Size()
-	return t.shrink()
+	return t.evict()
 }
 
 // shrink evicts the oldest entries until the table fits. An entry larger than the table empties it, which is
 // no error (RFC 7541, section 4.4).
-func (t *table) shrink() (evicted int) {
-	for t.size > t.max && evicted < len(t.entries) {
+func (t *dynamicTable) evict() (evicted int) {
+	for t.size > t.maxSize && evicted < len(t.entries) {
 		t.size -= t.entries[evicted].Size()
 		evicted++
 	}
@@ -50,121 +50,121 @@
 
 // at returns the entry with an index of the joint space: the static table from 1, the newest dynamic entry
 // after it.
-func (t *table) at(i uint64) (Field, bool) {
+func (t *dynamicTable) lookup(i uint64) (Field, bool) {
 	switch n := uint64(len(t.entries)); {
-	case i == 0 || i > uint64(len(static))+n:
+	case i == 0 || i > uint64(len(staticTable))+n:
 		return Field{}, false
-	case i <= uint64(len(static)):
-		return static[i-1], true
+	case i <= uint64(len(staticTable)):
+		return staticTable[i-1], true
 	default:
-		return t.entries[n-(i-uint64(len(static)))], true
+		return t.entries[n-(i-uint64(len(staticTable)))], true
 	}
 }
 
 // Errors of a block. Each is a COMPRESSION_ERROR of the connection, as the two ends' tables no longer agree,
 // but for ErrTooLarge, after which the state is whole.
 var (
-	ErrTruncated = errors.New("hpack: block ends within a field")
-	ErrIndex     = errors.New("hpack: index outside the tables")
-	ErrInteger   = errors.New("hpack: integer too large")
-	ErrUpdate    = errors.New("hpack: table size update larger than allowed, or behind a field")
-	ErrTooLarge  = errors.New("hpack: header list larger than allowed")
+	ErrTruncated          = errors.New("hpack: block ends within a field")
+	ErrInvalidIndex       = errors.New("hpack: index outside the tables")
+	ErrIntegerOverflow    = errors.New("hpack: integer too large")
+	ErrTableSizeUpdate    = errors.New("hpack: table size update larger than allowed, or behind a field")
+	ErrHeaderListTooLarge = errors.New("hpack: header list larger than allowed")
 )
 
 // Decoder reads header blocks.
 type Decoder struct {
-	table   table
-	allowed int // most that the peer may set the table to: our SETTINGS_HEADER_TABLE_SIZE
-	maxList int
-	scratch []byte
+	table         dynamicTable
+	maxTableSize  int // most that the peer may set the table to: our SETTINGS_HEADER_TABLE_SIZE
+	maxListSize   int
+	huffmanBuffer []byte
 }
 
 // NewDecoder returns a Decoder whose table may have up to maxTable bytes and whose lists up to maxList, both
 // counted as [Field.Size] does.
-func NewDecoder(maxTable, maxList int) *Decoder {
-	return &Decoder{table: table{max: min(maxTable, DefaultTable)}, allowed: maxTable, maxList: maxList}
+func NewDecoder(maxTableSize, maxListSize int) *Decoder {
+	return &Decoder{table: dynamicTable{maxSize: min(maxTableSize, DefaultTableSize)}, maxTableSize: maxTableSize, maxListSize: maxListSize}
 }
 
 // Decode appends the fields of one whole block to dst. On ErrTooLarge the block was read to its end, so
 // that the next one can be read, but the fields beyond the bound are left out.
 func (d *Decoder) Decode(dst []Field, block []byte) ([]Field, error) {
-	list, began, tooLarge := 0, false, false
+	listSize, sawField, tooLarge := 0, false, false
 	for len(block) > 0 {
 		b := block[0]
 		if b&0xe0 == 0x20 { // 6.3 dynamic table size update
-			n, rest, err := integer(block, 5)
+			n, rest, err := readInteger(block, 5)
 			if err != nil {
 				return dst, err
 			}
-			if began || n > uint64(d.allowed) {
-				return dst, ErrUpdate
+			if sawField || n > uint64(d.maxTableSize) {
+				return dst, ErrTableSizeUpdate
 			}
-			d.table.max = int(n)
-			d.table.shrink()
+			d.table.maxSize = int(n)
+			d.table.evict()
 			block = rest
 			continue
 		}
-		began = true
+		sawField = true
 		var f Field
 		var err error
 		switch {
 		case b&0x80 != 0: // 6.1 indexed field
 			var i uint64
-			if i, block, err = integer(block, 7); err != nil {
+			if i, block, err = readInteger(block, 7); err != nil {
 				return dst, err
 			}
 			var ok bool
-			if f, ok = d.table.at(i); !ok {
-				return dst, fmt.Errorf("%w: %d", ErrIndex, i)
+			if f, ok = d.table.lookup(i); !ok {
+				return dst, fmt.Errorf("%w: %d", ErrInvalidIndex, i)
 			}
 		case b&0xc0 == 0x40: // 6.2.1 literal with incremental indexing
-			if f, block, err = d.literal(block, 6); err != nil {
+			if f, block, err = d.readLiteral(block, 6); err != nil {
 				return dst, err
 			}
 			d.table.add(f)
 		default: // 6.2.2 and 6.2.3, literal without indexing or never indexed
-			if f, block, err = d.literal(block, 4); err != nil {
+			if f, block, err = d.readLiteral(block, 4); err != nil {
 				return dst, err
 			}
 			f.Sensitive = b&0x10 != 0
 		}
-		if list += f.Size(); list > d.maxList {
+		if listSize += f.Size(); listSize > d.maxListSize {
 			tooLarge = true // guards against a bomb: many references to one large entry
 			continue
 		}
 		dst = append(dst, f)
 	}
 	if tooLarge {
-		return dst, ErrTooLarge
+		return dst, ErrHeaderListTooLarge
 	}
 	return dst, nil
 }
 
-func (d *Decoder) literal(block []byte, prefix uint8) (Field, []byte, error) {
-	i, block, err := integer(block, prefix)
+func (d *Decoder) readLiteral(block []byte, prefixBits uint8) (Field, []byte, error) {
+	i, block, err := readInteger(block, prefixBits)
 	if err != nil {
 		return Field{}, nil, err
 	}
 	var f Field
 	if i > 0 {
-		named, ok := d.table.at(i)
+		named, ok := d.table.lookup(i)
 		if !ok {
-			return Field{}, nil, fmt.Errorf("%w: %d", ErrIndex, i)
+			return Field{}, nil, fmt.Errorf("%w: %d", ErrInvalidIndex, i)
 		}
 		f.Name = named.Name
-	} else if f.Name, block, err = d.text(block); err != nil {
+	} else if f.Name, block, err = d.readString(block); err != nil {
 		return Field{}, nil, err
 	}
-	f.Value, block, err = d.text(block)
+	f.Value, block, err = d.readString(block)
 	return f, block, err
 }
 
-func (d *Decoder) text(block []byte) (string, []byte, error) {
+func (d *Decoder) readString(block []byte) (string, []byte, error) {
 	if len(block) == 0 {
 		return "", nil, ErrTruncated
 	}
-	coded := block[0]&0x80 != 0
-	n, rest, err := integer(block, 7)
+	huffmanCoded := block[0]&0x80 != 0
+	n, rest, err := readInteger(block, 7)
 	if err != nil {
 		return "", nil, err
 	}
@@ -172,28 +172,28 @@
 		return "", nil, ErrTruncated
 	}
 	raw, rest := rest[:n], rest[n:]
-	if !coded {
+	if !huffmanCoded {
 		return string(raw), rest, nil
 	}
-	if d.scratch, err = appendHuffman(d.scratch[:0], raw); err != nil {
+	if d.huffmanBuffer, err = appendHuffmanDecoded(d.huffmanBuffer[:0], raw); err != nil {
 		return "", nil, err
 	}
-	return string(d.scratch), rest, nil
+	return string(d.huffmanBuffer), rest, nil
 }
 
 // integer reads an integer with a prefix of so many bits (RFC 7541, section 5.1).
-func integer(b []byte, prefix uint8) (uint64, []byte, error) {
+func readInteger(b []byte, prefixBits uint8) (uint64, []byte, error) {
 	if len(b) == 0 {
 		return 0, nil, ErrTruncated
 	}
-	limit := uint64(1)<<prefix - 1
+	limit := uint64(1)<<prefixBits - 1
 	n := uint64(b[0]) & limit
 	if n < limit {
 		return n, b[1:], nil
 	}
 	for i, shift := 1, 0; i < len(b); i, shift = i+1, shift+7 {
 		if shift > 28 {
-			return 0, nil, ErrInteger
+			return 0, nil, ErrIntegerOverflow
 		}
 		n += uint64(b[i]&0x7f) << shift
 		if b[i]&0x80 == 0 {
@@ -203,8 +203,8 @@
 	return 0, nil, ErrTruncated
 }
 
-func appendInteger(dst []byte, first byte, prefix uint8, n uint64) []byte {
-	limit := uint64(1)<<prefix - 1
+func appendInteger(dst []byte, first byte, prefixBits uint8, n uint64) []byte {
+	limit := uint64(1)<<prefixBits - 1
 	if n < limit {
 		return append(dst, first|byte(n))
 	}
@@ -215,21 +215,21 @@
 	return append(dst, byte(n))
 }
 
-func appendText(dst []byte, s string) []byte {
-	if n := huffmanLen(s); n < len(s) {
-		return encodeHuffman(appendInteger(dst, 0x80, 7, uint64(n)), s)
+func appendString(dst []byte, s string) []byte {
+	if n := huffmanEncodedLen(s); n < len(s) {
+		return appendHuffmanEncoded(appendInteger(dst, 0x80, 7, uint64(n)), s)
 	}
 	return append(appendInteger(dst, 0, 7, uint64(len(s))), s...)
 }
 
 // pair is a field's name and value as a key of an index.
-type pair struct{ name, value string }
+type nameValue struct{ name, value string }
 
 // staticPairs and staticNames find the lowest index of the static table.
-var staticPairs, staticNames = func() (map[pair]uint64, map[string]uint64) {
-	pairs, names := map[pair]uint64{}, map[string]uint64{}
-	for i, f := range static {
-		pairs[pair{f.Name, f.Value}] = uint64(i + 1)
+var staticIndexByField, staticIndexByName = func() (map[nameValue]uint64, map[string]uint64) {
+	pairs, names := map[nameValue]uint64{}, map[string]uint64{}
+	for i, f := range staticTable {
+		pairs[nameValue{f.Name, f.Value}] = uint64(i + 1)
 		if names[f.Name] == 0 {
 			names[f.Name] = uint64(i + 1)
 		}
@@ -239,93 +239,93 @@
 
 // Encoder writes header blocks.
 type Encoder struct {
-	table  table
-	added  uint64          // entries added so far; entry number n is the n-th
-	pairs  map[pair]uint64 // number of the newest entry with that pair
-	resize bool
-	least  int // smallest size set since the last block
+	table             dynamicTable
+	inserted          uint64               // entries added so far; entry number n is the n-th
+	insertionByField  map[nameValue]uint64 // number of the newest entry with that pair
+	sizeUpdatePending bool
+	smallestSize      int // smallest size set since the last block
 }
 
 // NewEncoder returns an Encoder with a table of the default size.
 func NewEncoder() *Encoder {
-	return &Encoder{table: table{max: DefaultTable}, pairs: map[pair]uint64{}}
+	return &Encoder{table: dynamicTable{maxSize: DefaultTableSize}, insertionByField: map[nameValue]uint64{}}
 }
 
 // SetTable follows the peer's SETTINGS_HEADER_TABLE_SIZE, in bytes. The next block tells the peer.
-func (e *Encoder) SetTable(n int) {
+func (e *Encoder) SetMaxTableSize(n int) {
 	n = min(n, 1<<16) // a larger table would be the peer's to pay for, but ours to keep
-	if n == e.table.max {
+	if n == e.table.maxSize {
 		return
 	}
-	if !e.resize || n < e.least {
-		e.least = n
+	if !e.sizeUpdatePending || n < e.smallestSize {
+		e.smallestSize = n
 	}
-	e.resize = true
-	e.table.max = n
-	e.drop(e.table.shrink())
+	e.sizeUpdatePending = true
+	e.table.maxSize = n
+	e.forgetEvicted(e.table.evict())
 }
 
 // drop forgets the index entries of evicted fields, which were the oldest.
-func (e *Encoder) drop(evicted int) {
+func (e *Encoder) forgetEvicted(evicted int) {
 	if evicted == 0 {
 		return
 	}
-	oldest := e.added - uint64(len(e.table.entries)) + 1
-	for k, n := range e.pairs {
-		if n < oldest {
-			delete(e.pairs, k)
+	oldest := e.inserted - uint64(len(e.table.entries)) + 1
+	for field, insertion := range e.insertionByField {
+		if insertion < oldest {
+			delete(e.insertionByField, field)
 		}
 	}
 }
 
 // Begin appends what must stand at the head of a block: table size updates that are due.
-func (e *Encoder) Begin(dst []byte) []byte {
-	if !e.resize {
+func (e *Encoder) BeginBlock(dst []byte) []byte {
+	if !e.sizeUpdatePending {
 		return dst
 	}
-	e.resize = false
-	if e.least < e.table.max {
+	e.sizeUpdatePending = false
+	if e.smallestSize < e.table.maxSize {
 		// The smallest size must be told first (RFC 7541, section 4.2). Some decoders take a second update
 		// only with their table empty, so it is emptied: 0 is told in place of the smallest.
 		dst = appendInteger(dst, 0x20, 5, 0)
 		e.table.entries, e.table.size = nil, 0
-		clear(e.pairs)
+		clear(e.insertionByField)
 	}
-	return appendInteger(dst, 0x20, 5, uint64(e.table.max))
+	return appendInteger(dst, 0x20, 5, uint64(e.table.maxSize))
 }
 
 // Append appends one field. Fields marked Sensitive, and values that hardly repeat, are not indexed.
-func (e *Encoder) Append(dst []byte, f Field) []byte {
-	k := pair{f.Name, f.Value}
+func (e *Encoder) AppendField(dst []byte, f Field) []byte {
+	key := nameValue{f.Name, f.Value}
 	if !f.Sensitive {
-		if i := staticPairs[k]; i > 0 {
+		if i := staticIndexByField[key]; i > 0 {
 			return appendInteger(dst, 0x80, 7, i)
 		}
-		if n, ok := e.pairs[k]; ok {
-			return appendInteger(dst, 0x80, 7, uint64(len(static))+e.added-n+1)
+		if n, ok := e.insertionByField[key]; ok {
+			return appendInteger(dst, 0x80, 7, uint64(len(staticTable))+e.inserted-n+1)
 		}
 	}
-	name := staticNames[f.Name]
+	nameIndex := staticIndexByName[f.Name]
 	switch {
 	case f.Sensitive:
-		dst = appendInteger(dst, 0x10, 4, name)
-	case fleeting(f) || f.Size() > e.table.max/4:
-		dst = appendInteger(dst, 0, 4, name)
+		dst = appendInteger(dst, 0x10, 4, nameIndex)
+	case variesByCall(f) || f.Size() > e.table.maxSize/4:
+		dst = appendInteger(dst, 0, 4, nameIndex)
 	default:
-		dst = appendInteger(dst, 0x40, 6, name)
-		e.added++
-		e.pairs[k] = e.added
-		e.drop(e.table.add(f))
+		dst = appendInteger(dst, 0x40, 6, nameIndex)
+		e.inserted++
+		e.insertionByField[key] = e.inserted
+		e.forgetEvicted(e.table.add(f))
 	}
-	if name == 0 {
-		dst = appendText(dst, f.Name)
+	if nameIndex == 0 {
+		dst = appendString(dst, f.Name)
 	}
-	return appendText(dst, f.Value)
+	return appendString(dst, f.Value)
 }
 
 // fleeting tells of fields whose values differ from call to call; in the table they would push out those
 // that repeat.
-func fleeting(f Field) bool {
+func variesByCall(f Field) bool {
 	switch f.Name {
 	case "grpc-timeout", "grpc-message", "content-length", "endpoint-load-metrics-bin", "idempotency-key",
 		"grpc-retry-pushback-ms", "topazfront-call":
--- a/internal/transport/hpack/hpack_test.go
+++ b/internal/transport/hpack/hpack_test.go
@@ -23,7 +23,7 @@
 // TestExamplesOfTheRFC reads RFC 7541, Appendix C.4 and C.6: Huffman coded requests and responses that share
 // a dynamic table.
 func TestExamplesOfTheRFC(t *testing.T) {
-	d := NewDecoder(DefaultTable, 1<<16)
+	d := NewDecoder(DefaultTableSize, 1<<16)
 	for i, c := range []struct{ block, last string }{
 		{"8286 8441 8cf1 e3c2 e5f2 3a6b a0ab 90f4 ff", ":authority=www.example.com"},
 		{"8286 84be 5886 a8eb 1064 9cbf", "cache-control=no-cache"},
@@ -40,8 +40,8 @@
 	if n := len(d.table.entries); n != 3 || d.table.size != 164 {
 		t.Errorf("table holds %d entries of %d bytes, want 3 of 164", n, d.table.size)
 	}
-	d = NewDecoder(DefaultTable, 1<<16)
-	d.table.max = 256
+	d = NewDecoder(DefaultTableSize, 1<<16)
+	d.table.maxSize = 256
 	for _, block := range []string{
 		"4882 6402 5885 aec3 771a 4b61 96d0 7abe 9410 54d4 44a8 2005 9504 0b81 66e0 82a6 2d1b ff6e 919d 29ad 1718 63c7 8f0b 97c8 e9ae 82ae 43d3",
 		"4883 640e ffc1 c0bf",
@@ -58,17 +58,17 @@
 
 func TestErrors(t *testing.T) {
 	for block, want := range map[string]error{
-		"80":                     ErrIndex,     // index 0
-		"ff80 01":                ErrIndex,     // far outside
-		"40":                     ErrTruncated, // no name
-		"4003 6162":              ErrTruncated, // name cut
-		"7fff ffff ffff ffff 7f": ErrInteger,
-		"823f e11f":              ErrUpdate, // an update behind a field
-		"3fe2 1f":                ErrUpdate, // 4097 bytes
-		"4081 00 00":             errHuffman,
-		"4084 ffff ffff 00":      errHuffman, // EOS
+		"80":                     ErrInvalidIndex, // index 0
+		"ff80 01":                ErrInvalidIndex, // far outside
+		"40":                     ErrTruncated,    // no name
+		"4003 6162":              ErrTruncated,    // name cut
+		"7fff ffff ffff ffff 7f": ErrIntegerOverflow,
+		"823f e11f":              ErrTableSizeUpdate, // an update behind a field
+		"3fe2 1f":                ErrTableSizeUpdate, // 4097 bytes
+		"4081 00 00":             errInvalidHuffman,
+		"4084 ffff ffff 00":      errInvalidHuffman, // EOS
 	} {
-		if _, err := NewDecoder(DefaultTable, 1<<16).Decode(nil, unhex(t, block)); !errors.Is(err, want) {
+		if _, err := NewDecoder(DefaultTableSize, 1<<16).Decode(nil, unhex(t, block)); !errors.Is(err, want) {
 			t.Errorf("%s: %v, want %v", block, err, want)
 		}
 	}
@@ -76,13 +76,13 @@
 
 // TestBomb guards against a block of references to one large entry: little on the wire, much in memory.
 func TestBomb(t *testing.T) {
-	d := NewDecoder(DefaultTable, 16<<10)
-	block := NewEncoder().Append(nil, Field{Name: "big", Value: strings.Repeat("v", 900)})
+	d := NewDecoder(DefaultTableSize, 16<<10)
+	block := NewEncoder().AppendField(nil, Field{Name: "big", Value: strings.Repeat("v", 900)})
 	for range 10000 {
 		block = append(block, 0xbe) // the newest entry
 	}
 	f, err := d.Decode(nil, block)
-	if !errors.Is(err, ErrTooLarge) || len(f) > 20 {
+	if !errors.Is(err, ErrHeaderListTooLarge) || len(f) > 20 {
 		t.Fatalf("%d fields, %v", len(f), err)
 	}
 	if f, err = d.Decode(nil, []byte{0xbe}); err != nil || f[0].Name != "big" {
@@ -95,7 +95,7 @@
 		f := Field{Name: fmt.Sprintf("x-%d", rng.IntN(30)), Value: strings.Repeat(string(rune(33+rng.IntN(90))), rng.IntN(60)),
 			Sensitive: rng.IntN(10) == 0}
 		if rng.IntN(3) == 0 {
-			f = static[rng.IntN(len(static))]
+			f = staticTable[rng.IntN(len(staticTable))]
 		}
 		out = append(out, f)
 	}
@@ -107,21 +107,21 @@
 func TestAgainstAnIndependentPeer(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		ours, theirs := NewEncoder(), peer.NewDecoder(DefaultTable, nil)
+		ours, theirs := NewEncoder(), peer.NewDecoder(DefaultTableSize, nil)
 		theirs.SetAllowedMaxDynamicTableSize(1 << 16)
 		var buf bytes.Buffer
-		back, mine := peer.NewEncoder(&buf), NewDecoder(DefaultTable, 1<<20)
+		back, mine := peer.NewEncoder(&buf), NewDecoder(DefaultTableSize, 1<<20)
 		for range 200 {
 			if rng.IntN(20) == 0 {
-				ours.SetTable(rng.IntN(8000))
-				ours.SetTable(rng.IntN(8000))
-				back.SetMaxDynamicTableSize(uint32(rng.IntN(DefaultTable + 1)))
+				ours.SetMaxTableSize(rng.IntN(8000))
+				ours.SetMaxTableSize(rng.IntN(8000))
+				back.SetMaxDynamicTableSize(uint32(rng.IntN(DefaultTableSize + 1)))
 			}
 			fields := randomFields(rng)
-			block := ours.Begin(nil)
+			block := ours.BeginBlock(nil)
 			buf.Reset()
 			for _, f := range fields {
-				block = ours.Append(block, f)
+				block = ours.AppendField(block, f)
 				if err := back.WriteField(peer.HeaderField{Name: f.Name, Value: f.Value, Sensitive: f.Sensitive}); err != nil {
 					t.Fatal(err)
 				}
@@ -152,8 +152,8 @@
 	f.Add(unhex(f, "3fe11f20408825a849e95ba97d7f8925a849e95bb8e8b4bf"))
 	f.Add(unhex(f, "488264025885aec3771a4b61"))
 	f.Fuzz(func(t *testing.T, block []byte) {
-		got, err := NewDecoder(DefaultTable, 1<<20).Decode(nil, block)
-		want, theirs := peer.NewDecoder(DefaultTable, nil).DecodeFull(block)
+		got, err := NewDecoder(DefaultTableSize, 1<<20).Decode(nil, block)
+		want, theirs := peer.NewDecoder(DefaultTableSize, nil).DecodeFull(block)
 		if err != nil || theirs != nil {
 			return // the peer allows integers that ours bounds, ours an update that it refuses
 		}
@@ -169,7 +169,7 @@
 }
 
 func BenchmarkDecodeRequest(b *testing.B) {
-	enc, dec := NewEncoder(), NewDecoder(DefaultTable, 1<<16)
+	enc, dec := NewEncoder(), NewDecoder(DefaultTableSize, 1<<16)
 	fields := []Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"},
 		{Name: ":path", Value: "/inference.GRPCInferenceService/ModelInfer"}, {Name: ":authority", Value: "worker"},
 		{Name: "te", Value: "trailers"}, {Name: "content-type", Value: "application/grpc"},
@@ -178,7 +178,7 @@
 	for range 2 {
 		block = block[:0]
 		for _, f := range fields {
-			block = enc.Append(block, f)
+			block = enc.AppendField(block, f)
 		}
 		if _, err := dec.Decode(nil, block); err != nil {
 			b.Fatal(err)
@@ -202,7 +202,7 @@
 	for b.Loop() {
 		block := out[:0]
 		for _, f := range fields {
-			block = enc.Append(block, f)
+			block = enc.AppendField(block, f)
 		}
 	}
 }
--- a/internal/transport/hpack/huffman.go
+++ b/internal/transport/hpack/huffman.go
@@ -5,32 +5,32 @@
 	"sync"
 )
 
-var errHuffman = errors.New("hpack: invalid Huffman code")
+var errInvalidHuffman = errors.New("hpack: invalid Huffman code")
 
 // step is what four more bits do to a decoder in some state: the next state, and a symbol where one ends.
-type step struct {
-	next   int16 // -1: the code is not in the table
-	sym    uint8
-	emits  bool
-	accept bool // the padding so far is a prefix of EOS and shorter than a byte
+type huffmanTransition struct {
+	next        int16 // -1: the code is not in the table
+	symbol      uint8
+	emitsSymbol bool
+	validEnd    bool // the padding so far is a prefix of EOS and shorter than a byte
 }
 
-type huffman struct {
-	code  [257]uint32
-	steps [][16]step
+type huffmanCode struct {
+	codes       [257]uint32
+	transitions [][16]huffmanTransition
 }
 
 // machine builds the decoder once: a state is an inner node of the code's tree, and a state's row says what
 // each half byte leads to. The shortest code has five bits, so four bits end one symbol at the most.
-var machine = sync.OnceValue(func() *huffman {
-	h := &huffman{}
+var huffmanTables = sync.OnceValue(func() *huffmanCode {
+	h := &huffmanCode{}
 	code, n := uint32(0), uint8(0)
 	for length := uint8(1); length <= 30; length++ {
-		for sym, l := range codeLen {
+		for sym, l := range huffmanCodeLen {
 			if l == length {
 				code <<= length - n
 				n = length
-				h.code[sym] = code
+				h.codes[sym] = code
 				code++
 			}
 		}
@@ -38,10 +38,10 @@
 	type node struct{ kids [2]int16 } // >= 0: a node; < 0: the symbol -1-kid
 	const none = int16(-1000)
 	tree := []node{{kids: [2]int16{none, none}}}
-	for sym, l := range codeLen {
+	for sym, l := range huffmanCodeLen {
 		at := int16(0)
 		for bit := int(l) - 1; bit >= 0; bit-- {
-			b := h.code[sym] >> bit & 1
+			b := h.codes[sym] >> bit & 1
 			if bit == 0 {
 				tree[at].kids[b] = int16(-1 - sym)
 				break
@@ -58,10 +58,10 @@
 		at = tree[at].kids[1]
 		padding[at] = true
 	}
-	h.steps = make([][16]step, len(tree))
+	h.transitions = make([][16]huffmanTransition, len(tree))
 	for state := range tree {
 		for nibble := range 16 {
-			s, at := step{}, int16(state)
+			s, at := huffmanTransition{}, int16(state)
 			for bit := 3; bit >= 0; bit-- {
 				kid := tree[at].kids[nibble>>bit&1]
 				if kid >= 0 {
@@ -72,11 +72,11 @@
 					at = -1
 					break
 				} else {
-					s.sym, s.emits, at = uint8(sym), true, 0
+					s.symbol, s.emitsSymbol, at = uint8(sym), true, 0
 				}
 			}
-			s.next, s.accept = at, padding[at]
-			h.steps[state][nibble] = s
+			s.next, s.validEnd = at, padding[at]
+			h.transitions[state][nibble] = s
 		}
 	}
 	return h
@@ -84,50 +84,50 @@
 
 // appendHuffman appends the symbols that src codes. Padding must be a prefix of EOS of under eight bits
 // (RFC 7541, section 5.2).
-func appendHuffman(dst, src []byte) ([]byte, error) {
-	h := machine()
-	state, accept := int16(0), true
+func appendHuffmanDecoded(dst, src []byte) ([]byte, error) {
+	h := huffmanTables()
+	state, validEnd := int16(0), true
 	for _, b := range src {
 		for _, nibble := range [2]byte{b >> 4, b & 15} {
-			s := &h.steps[state][nibble]
+			s := &h.transitions[state][nibble]
 			if s.next < 0 {
-				return dst, errHuffman
+				return dst, errInvalidHuffman
 			}
-			if s.emits {
-				dst = append(dst, s.sym)
+			if s.emitsSymbol {
+				dst = append(dst, s.symbol)
 			}
-			state, accept = s.next, s.accept
+			state, validEnd = s.next, s.validEnd
 		}
 	}
-	if !accept {
-		return dst, errHuffman
+	if !validEnd {
+		return dst, errInvalidHuffman
 	}
 	return dst, nil
 }
 
 // huffmanLen is the length in bytes of s when coded.
-func huffmanLen(s string) int {
+func huffmanEncodedLen(s string) int {
 	bits := 0
 	for i := range len(s) {
-		bits += int(codeLen[s[i]])
+		bits += int(huffmanCodeLen[s[i]])
 	}
 	return (bits + 7) / 8
 }
 
 // encodeHuffman appends s coded, padded with ones.
-func encodeHuffman(dst []byte, s string) []byte {
-	h := machine()
-	acc, n := uint64(0), uint8(0)
+func appendHuffmanEncoded(dst []byte, s string) []byte {
+	h := huffmanTables()
+	bits, bitCount := uint64(0), uint8(0)
 	for i := range len(s) {
-		l := codeLen[s[i]]
-		acc = acc<<l | uint64(h.code[s[i]])
-		for n += l; n >= 8; {
-			n -= 8
-			dst = append(dst, byte(acc>>n))
+		l := huffmanCodeLen[s[i]]
+		bits = bits<<l | uint64(h.codes[s[i]])
+		for bitCount += l; bitCount >= 8; {
+			bitCount -= 8
+			dst = append(dst, byte(bits>>bitCount))
 		}
 	}
-	if n > 0 {
-		dst = append(dst, byte(acc<<(8-n))|byte(1<<(8-n)-1))
+	if bitCount > 0 {
+		dst = append(dst, byte(bits<<(8-bitCount))|byte(1<<(8-bitCount)-1))
 	}
 	return dst
 }
--- a/internal/transport/hpack/tables.go
+++ b/internal/transport/hpack/tables.go
@@ -1,7 +1,7 @@
 package hpack
 
 // static is the static table of RFC 7541, Appendix A. Index 1 is static[0].
-var static = [...]Field{
+var staticTable = [...]Field{
 	{Name: ":authority"}, {Name: ":method", Value: "GET"}, {Name: ":method", Value: "POST"},
 	{Name: ":path", Value: "/"}, {Name: ":path", Value: "/index.html"}, {Name: ":scheme", Value: "http"},
 	{Name: ":scheme", Value: "https"}, {Name: ":status", Value: "200"}, {Name: ":status", Value: "204"},
@@ -23,7 +23,7 @@
 
 // codeLen holds the lengths in bits of the Huffman code of RFC 7541, Appendix B. The code is canonical, so
 // the lengths give the codes; symbol 256 (EOS) is thirty ones.
-var codeLen = [257]uint8{
+var huffmanCodeLen = [257]uint8{
 	13, 23, 28, 28, 28, 28, 28, 28, 28, 24, 30, 28, 28, 30, 28, 28,
 	28, 28, 28, 28, 28, 28, 30, 28, 28, 28, 28, 28, 28, 28, 28, 28,
 	6, 10, 10, 12, 13, 6, 8, 11, 10, 10, 8, 11, 8, 6, 6, 6,
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -17,34 +17,34 @@
 
 // Config bounds a connection. Zero fields take the values of [Defaults].
 type Config struct {
-	MaxConcurrentStreams     uint32        // streams that the peer may have open at once
-	StreamWindow   uint32        // bytes that the peer may send ahead on a stream,
-	ConnWindow     uint32        // and on all streams together
-	MaxFrameSize       uint32        // largest frame payload taken
-	MaxHeaderListSize  int           // largest header list taken, counted as hpack.Field.Size does
-	MaxHeaderBlockSize int           // largest coded header block taken, over all its frames
-	SendBufferSize     int           // bytes of DATA that may wait for the socket; more waits in its stream
-	MaxControlBytes     int           // bytes of other frames that may wait for a peer that does not read
-	GlitchBurst       float64       // odd but legal frames in a burst (resets, pings, settings, empty frames),
-	GlitchRate     float64       // and a second, before the connection is ended
+	MaxConcurrentStreams uint32        // streams that the peer may have open at once
+	StreamWindow         uint32        // bytes that the peer may send ahead on a stream,
+	ConnWindow           uint32        // and on all streams together
+	MaxFrameSize         uint32        // largest frame payload taken
+	MaxHeaderListSize    int           // largest header list taken, counted as hpack.Field.Size does
+	MaxHeaderBlockSize   int           // largest coded header block taken, over all its frames
+	SendBufferSize       int           // bytes of DATA that may wait for the socket; more waits in its stream
+	MaxControlBytes      int           // bytes of other frames that may wait for a peer that does not read
+	GlitchBurst          float64       // odd but legal frames in a burst (resets, pings, settings, empty frames),
+	GlitchRate           float64       // and a second, before the connection is ended
 	FrameReadTimeout     time.Duration // a frame that began must be whole by then
-	WriteTimeout   time.Duration // the socket must take what is written by then
+	WriteTimeout         time.Duration // the socket must take what is written by then
 }
 
 // Defaults are the bounds in service.
 var DefaultConfig = Config{
-	MaxConcurrentStreams:     1000,
-	StreamWindow:   256 << 10,
-	ConnWindow:     4 << 20,
-	MaxFrameSize:       minMaxFrameSize,
-	MaxHeaderListSize:  16 << 10,
-	MaxHeaderBlockSize: 32 << 10,
-	SendBufferSize:     256 << 10,
-	MaxControlBytes:     1 << 20,
-	GlitchBurst:       2000,
-	GlitchRate:     500,
+	MaxConcurrentStreams: 1000,
+	StreamWindow:         256 << 10,
+	ConnWindow:           4 << 20,
+	MaxFrameSize:         minMaxFrameSize,
+	MaxHeaderListSize:    16 << 10,
+	MaxHeaderBlockSize:   32 << 10,
+	SendBufferSize:       256 << 10,
+	MaxControlBytes:      1 << 20,
+	GlitchBurst:          2000,
+	GlitchRate:           500,
 	FrameReadTimeout:     20 * time.Second,
-	WriteTimeout:   30 * time.Second,
+	WriteTimeout:         30 * time.Second,
 }
 
 func (c Config) withDefaults() Config {
@@ -95,55 +95,55 @@
 
 // Conn is one end of a connection.
 type Conn struct {
-	cfg     Config
-	netConn      netpoll.Connection
-	handler Handler
-	isClient  bool
+	cfg      Config
+	netConn  netpoll.Connection
+	handler  Handler
+	isClient bool
 
 	// Of the reading goroutine.
-	decoder        *hpack.Decoder
-	fieldBuffer     []hpack.Field
-	headerBlock      []byte // a header block that CONTINUATION frames add to
-	headerBlockStart    frameHeader // the HEADERS frame that began it
+	decoder            *hpack.Decoder
+	fieldBuffer        []hpack.Field
+	headerBlock        []byte      // a header block that CONTINUATION frames add to
+	headerBlockStart   frameHeader // the HEADERS frame that began it
 	expectContinuation bool
-	prefaceReceived      bool // the preface has come
-	settingsReceived    bool // the peer's first SETTINGS have come
-	glitchTokens   float64
-	glitchTokensAt   time.Time
+	prefaceReceived    bool // the preface has come
+	settingsReceived   bool // the peer's first SETTINGS have come
+	glitchTokens       float64
+	glitchTokensAt     time.Time
 
-	mu         sync.Mutex
-	encoder        *hpack.Encoder
+	mu                       sync.Mutex
+	encoder                  *hpack.Encoder
 	writeBuffer, spareBuffer []byte // waiting for the socket; the buffer written last
-	queuedControl    int    // bytes of frames other than DATA and HEADERS in out
-	flushing   bool
-	flushDeferred    bool // the reading goroutine will flush when it is done
-	closeAfterFlush    bool // close once out is written
-	closed       bool
-	streams    map[uint32]*Stream
-	resetStreams      map[uint32]bool // streams that this end reset lately: what is in flight on them is ignored
-	resetOrder []uint32
-	nextStreamID     uint32
-	lastPeerStreamID   uint32 // highest stream that the peer opened
-	numPeerStreams     int    // streams of the peer's that are open
-	numLocalStreams       int    // streams of this end's that are open
-	sendQueue    []*Stream
-	sendWindow int64
-	recvWindow int64 // what the peer may still send,
-	recvCredit     int64 // and what was consumed but not yet granted again
-	peerInitialWindow int64
-	peerMaxFrameSize  int
-	peerMaxStreams    uint32 // streams that the peer lets this end have open
-	goAwayReceived       bool   // the peer sent GOAWAY
-	draining   bool   // this end sent GOAWAY
-	finalGoAwaySent  bool   // and the peer has seen it: streams beyond the last one are refused
-	pendingPings     map[[8]byte]func()
-	err        error
+	queuedControl            int    // bytes of frames other than DATA and HEADERS in out
+	flushing                 bool
+	flushDeferred            bool // the reading goroutine will flush when it is done
+	closeAfterFlush          bool // close once out is written
+	closed                   bool
+	streams                  map[uint32]*Stream
+	resetStreams             map[uint32]bool // streams that this end reset lately: what is in flight on them is ignored
+	resetOrder               []uint32
+	nextStreamID             uint32
+	lastPeerStreamID         uint32 // highest stream that the peer opened
+	numPeerStreams           int    // streams of the peer's that are open
+	numLocalStreams          int    // streams of this end's that are open
+	sendQueue                []*Stream
+	sendWindow               int64
+	recvWindow               int64 // what the peer may still send,
+	recvCredit               int64 // and what was consumed but not yet granted again
+	peerInitialWindow        int64
+	peerMaxFrameSize         int
+	peerMaxStreams           uint32 // streams that the peer lets this end have open
+	goAwayReceived           bool   // the peer sent GOAWAY
+	draining                 bool   // this end sent GOAWAY
+	finalGoAwaySent          bool   // and the peer has seen it: streams beyond the last one are refused
+	pendingPings             map[[8]byte]func()
+	err                      error
 }
 
 func newConn(nc netpoll.Connection, cfg Config, h Handler, client bool) *Conn {
 	cfg = cfg.withDefaults()
 	c := &Conn{cfg: cfg, netConn: nc, handler: h, isClient: client,
-		decoder: hpack.NewDecoder(hpack.DefaultTable, cfg.MaxHeaderListSize), encoder: hpack.NewEncoder(),
+		decoder: hpack.NewDecoder(hpack.DefaultTableSize, cfg.MaxHeaderListSize), encoder: hpack.NewEncoder(),
 		glitchTokens: cfg.GlitchBurst, glitchTokensAt: time.Now(),
 		streams: map[uint32]*Stream{}, resetStreams: map[uint32]bool{}, nextStreamID: 2,
 		sendWindow: defaultWindowSize, recvWindow: int64(cfg.ConnWindow), peerInitialWindow: defaultWindowSize,
@@ -478,7 +478,7 @@
 func (c *Conn) handleHeaderBlock(h frameHeader, block []byte) error {
 	fields, err := c.decoder.Decode(c.fieldBuffer[:0], block)
 	c.fieldBuffer = fields
-	tooLarge := errors.Is(err, hpack.ErrTooLarge)
+	tooLarge := errors.Is(err, hpack.ErrHeaderListTooLarge)
 	if err != nil && !tooLarge {
 		return connError(CompressionError, "%v", err)
 	}
@@ -548,7 +548,7 @@
 	case s.endReceived:
 		reason = "HEADERS behind the end of the stream"
 	case tooLarge:
-		reason = hpack.ErrTooLarge.Error()
+		reason = hpack.ErrHeaderListTooLarge.Error()
 	case trailers && !end:
 		reason = "trailers that do not end the stream"
 	case trailers:
@@ -626,7 +626,7 @@
 		v := binary.BigEndian.Uint32(payload[2:])
 		switch binary.BigEndian.Uint16(payload) {
 		case settingHeaderTableSize:
-			c.encoder.SetTable(int(min(v, 1<<30)))
+			c.encoder.SetMaxTableSize(int(min(v, 1<<30)))
 		case settingEnablePush:
 			if v > 1 || v == 1 && c.isClient {
 				return connError(ProtocolError, "SETTINGS_ENABLE_PUSH of %d", v)
@@ -817,8 +817,8 @@
 
 // sent tells a stream's owner how much of what it wrote has left its queue.
 type sendEvent struct {
-	stream    *Stream
-	n    int
+	stream   *Stream
+	n        int
 	finished bool
 }
 
--- a/internal/transport/http2/frame.go
+++ b/internal/transport/http2/frame.go
@@ -30,7 +30,7 @@
 
 // The flags of frames.
 const (
-	flagEndStream        = 0x1 // END_STREAM
+	flagEndStream  = 0x1 // END_STREAM
 	flagAck        = 0x1 // of SETTINGS and PING
 	flagEndHeaders = 0x4
 	flagPadded     = 0x8
@@ -89,10 +89,10 @@
 
 // StreamError tells how a stream ended early.
 type StreamError struct {
-	Code     ErrCode
-	Reason   string
-	Remote   bool // the peer reset it
-	ConnLost     bool // the connection was lost with the stream on it
+	Code        ErrCode
+	Reason      string
+	Remote      bool // the peer reset it
+	ConnLost    bool // the connection was lost with the stream on it
 	Unprocessed bool // the peer promises that it did not process it (RFC 9113, sections 6.8 and 8.7)
 }
 
@@ -108,34 +108,34 @@
 }
 
 const (
-	clientPreface         = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-	frameHeaderLen       = 9
-	defaultWindowSize   = 65535
-	minMaxFrameSize        = 16384
-	maxWindowSize       = 1<<31 - 1
-	assumedMaxStreams  = 100 // what a client assumes until the peer's SETTINGS came
-	settingHeaderTableSize    = 1
-	settingEnablePush     = 2
-	settingMaxConcurrentStreams  = 3
-	settingInitialWindowSize   = 4
-	settingMaxFrameSize    = 5
-	settingMaxHeaderListSize = 6
+	clientPreface               = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
+	frameHeaderLen              = 9
+	defaultWindowSize           = 65535
+	minMaxFrameSize             = 16384
+	maxWindowSize               = 1<<31 - 1
+	assumedMaxStreams           = 100 // what a client assumes until the peer's SETTINGS came
+	settingHeaderTableSize      = 1
+	settingEnablePush           = 2
+	settingMaxConcurrentStreams = 3
+	settingInitialWindowSize    = 4
+	settingMaxFrameSize         = 5
+	settingMaxHeaderListSize    = 6
 )
 
 // header is a frame's first nine bytes.
 type frameHeader struct {
-	length int
-	typ    frameType
-	flags  uint8
+	length   int
+	typ      frameType
+	flags    uint8
 	streamID uint32
 }
 
 // parseHeader reads a frame header; b holds nine bytes or more.
 func parseFrameHeader(b []byte) frameHeader {
 	return frameHeader{
-		length: int(b[0])<<16 | int(b[1])<<8 | int(b[2]),
-		typ:    frameType(b[3]),
-		flags:  b[4],
+		length:   int(b[0])<<16 | int(b[1])<<8 | int(b[2]),
+		typ:      frameType(b[3]),
+		flags:    b[4],
 		streamID: binary.BigEndian.Uint32(b[5:]) & maxWindowSize, // the reserved bit is ignored
 	}
 }
--- a/internal/transport/http2/golden_test.go
+++ b/internal/transport/http2/golden_test.go
@@ -160,7 +160,7 @@
 
 func (*goldenReceiver) Open(*http2.Stream) http2.Receiver { return &goldenReceiver{} }
 func (*goldenReceiver) GoAway(*http2.Conn, http2.ErrCode) {}
-func (*goldenReceiver) ConnClosed(*http2.Conn, error)           {}
+func (*goldenReceiver) ConnClosed(*http2.Conn, error)     {}
 func (*goldenReceiver) Sent(*http2.Stream, int)           {}
 func (*goldenReceiver) Closed(*http2.Stream, error)       {}
 func (r *goldenReceiver) Headers(s *http2.Stream, fields []hpack.Field, end bool) {
--- a/internal/transport/http2/http2_test.go
+++ b/internal/transport/http2/http2_test.go
@@ -34,8 +34,8 @@
 	e.streams = append(e.streams, s)
 	return e
 }
-func (e *echo) GoAway(*Conn, ErrCode) {}
-func (e *echo) ConnClosed(*Conn, error)     {}
+func (e *echo) GoAway(*Conn, ErrCode)   {}
+func (e *echo) ConnClosed(*Conn, error) {}
 func (e *echo) Headers(s *Stream, f []hpack.Field, end bool) {
 	_ = s.WriteHeaders([]hpack.Field{{Name: ":status", Value: "200"}}, false)
 	if end {
@@ -364,10 +364,10 @@
 	lost chan error
 }
 
-func newConns() *conns                        { return &conns{make(chan ErrCode, 4), make(chan error, 4)} }
-func (*conns) Open(*Stream) Receiver          { return nil }
-func (c *conns) GoAway(_ *Conn, code ErrCode) { c.away <- code }
-func (c *conns) ConnClosed(_ *Conn, err error)      { c.lost <- err }
+func newConns() *conns                         { return &conns{make(chan ErrCode, 4), make(chan error, 4)} }
+func (*conns) Open(*Stream) Receiver           { return nil }
+func (c *conns) GoAway(_ *Conn, code ErrCode)  { c.away <- code }
+func (c *conns) ConnClosed(_ *Conn, err error) { c.lost <- err }
 
 var requestFields = []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/x"}}
 
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -14,14 +14,14 @@
 
 // Server accepts connections on one listener.
 type Server struct {
-	cfg     Config
+	cfg        Config
 	newHandler func(*Conn) Handler
-	listener      *listen.Listener
-	eventLoop    netpoll.EventLoop
+	listener   *listen.Listener
+	eventLoop  netpoll.EventLoop
 
-	mu    sync.Mutex
-	conns map[*Conn]struct{}
-	draining  bool
+	mu       sync.Mutex
+	conns    map[*Conn]struct{}
+	draining bool
 }
 
 type connKey struct{}
--- a/internal/transport/http2/stream.go
+++ b/internal/transport/http2/stream.go
@@ -25,28 +25,28 @@
 
 // Stream is one exchange on a connection. Its methods may be called from any goroutine.
 type Stream struct {
-	conn    *Conn
-	id   uint32
+	conn     *Conn
+	id       uint32
 	receiver Receiver
 
 	// Guarded by c.mu.
-	sendWindow, recvWindow      int64
-	recvCredit, unconsumed          int64
-	sendBuffer                       []byte // written, not yet framed; from at on
-	sendOffset                          int
-	trailers                    []hpack.Field
-	endQueued                   bool
-	inSendQueue                      bool // in c.waiting
+	sendWindow, recvWindow                int64
+	recvCredit, unconsumed                int64
+	sendBuffer                            []byte // written, not yet framed; from at on
+	sendOffset                            int
+	trailers                              []hpack.Field
+	endQueued                             bool
+	inSendQueue                           bool // in c.waiting
 	endSent, endReceived, headersReceived bool
-	informational                     bool // the last headers were informational
-	closed                      bool
+	informational                         bool // the last headers were informational
+	closed                                bool
 }
 
 // Errors of opening and writing.
 var (
-	ErrClosed    = errors.New("http2: stream or connection is closed")
+	ErrClosed         = errors.New("http2: stream or connection is closed")
 	ErrTooManyStreams = errors.New("http2: the peer takes no more streams for now")
-	ErrGoAway      = errors.New("http2: the connection takes no further streams")
+	ErrGoAway         = errors.New("http2: the connection takes no further streams")
 )
 
 // ID is the stream's number on its connection.
@@ -282,9 +282,9 @@
 	c := s.conn
 	start := len(c.writeBuffer)
 	c.writeBuffer = appendFrameHeader(c.writeBuffer, frameHeader{typ: frameHeaders, streamID: s.id})
-	c.writeBuffer = c.encoder.Begin(c.writeBuffer)
+	c.writeBuffer = c.encoder.BeginBlock(c.writeBuffer)
 	for _, f := range fields {
-		c.writeBuffer = c.encoder.Append(c.writeBuffer, f)
+		c.writeBuffer = c.encoder.AppendField(c.writeBuffer, f)
 	}
 	h := frameHeader{length: len(c.writeBuffer) - start - frameHeaderLen, typ: frameHeaders, flags: flagEndHeaders, streamID: s.id}
 	if end {
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -30,7 +30,7 @@
 	metadata []hpack.Field
 	started  bool // response headers have come
 	badHTTP  *verdict
-	counter  grpc.Counter
+	counter  grpc.MessageCounter
 	held     []byte
 	ahead    int // bytes whose window was given back before the client took them
 	client   router.Client
@@ -93,9 +93,9 @@
 	a.mu.Lock()
 	if !a.started {
 		a.started = true
-		if status, _ := grpc.Get(fields, ":status"); status != "200" {
-			a.badHTTP = &verdict{dispatch.Errored, grpc.StatusOfHTTP(status)}
-		} else if ct, _ := grpc.Get(fields, "content-type"); !grpc.IsContent(ct) {
+		if status, _ := grpc.FieldValue(fields, ":status"); status != "200" {
+			a.badHTTP = &verdict{dispatch.Errored, grpc.StatusFromHTTP(status)}
+		} else if ct, _ := grpc.FieldValue(fields, "content-type"); !grpc.IsContentType(ct) {
 			a.badHTTP = &verdict{dispatch.Errored, grpc.Status{Code: grpc.Unknown,
 				Message: "worker's answer has content-type " + strconv.Quote(ct)}}
 		}
@@ -123,7 +123,7 @@
 func passed(fields []hpack.Field, encoding bool) []hpack.Field {
 	var out []hpack.Field
 	for _, f := range fields {
-		if encoding && f.Name == "grpc-encoding" || !grpc.Reserved(f.Name) && f.Name != oip.ReportField &&
+		if encoding && f.Name == "grpc-encoding" || !grpc.IsReservedHeader(f.Name) && f.Name != oip.ReportField &&
 			f.Name != oip.AdmissionField {
 			out = append(out, f)
 		}
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -29,7 +29,7 @@
 	mu     sync.Mutex
 	stream *http2.Stream
 	timer  *time.Timer
-	reader grpc.Reader
+	reader grpc.MessageReader
 	answer []byte
 	count  int
 	over   bool
@@ -43,7 +43,7 @@
 		return
 	}
 	x := &control{p: p, path: path, until: time.Now().Add(limit), done: done,
-		body: append(grpc.AppendPrefix(nil, len(raw), false), raw...), reader: grpc.Reader{Max: maxControl}}
+		body: append(grpc.AppendPrefix(nil, len(raw), false), raw...), reader: grpc.MessageReader{MaxSize: maxControl}}
 	x.timer = time.AfterFunc(limit, func() {
 		x.mu.Lock()
 		s := x.stream
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -65,11 +65,11 @@
 // ofTrailers judges a response that came to its end. messages counts the whole messages before it, broken
 // tells of a cut one.
 func ofTrailers(trailers []hpack.Field, messages int, broken, streamed bool) (got verdict, drains bool) {
-	if _, ok := grpc.Get(trailers, "grpc-status"); !ok {
+	if _, ok := grpc.FieldValue(trailers, "grpc-status"); !ok {
 		return verdict{dispatch.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}}, false
 	}
-	st := grpc.StatusOf(trailers)
-	admission, _ := grpc.Get(trailers, oip.AdmissionField)
+	st := grpc.StatusFromTrailers(trailers)
+	admission, _ := grpc.FieldValue(trailers, oip.AdmissionField)
 	switch {
 	case st.Code == grpc.OK && (broken || !streamed && messages != 1):
 		return verdict{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken"}}, false
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -414,7 +414,7 @@
 	if o := get(t, p.outcomes, "the outcome"); o.Result != dispatch.OK || p.started != 1 {
 		t.Errorf("streamed: %+v, started %d", o, p.started)
 	}
-	var c grpc.Counter
+	var c grpc.MessageCounter
 	if err := c.Add(a.bytes.Bytes()); err != nil || c.Messages != 3 || a.began != 1 {
 		t.Errorf("streamed: %d messages, %v, begun %d times", c.Messages, err, a.began)
 	}
@@ -435,7 +435,7 @@
 
 // mustBin is the report's bytes; grpc-go codes -bin fields itself.
 func mustBin(r oip.Report) []byte {
-	b, err := grpc.DecodeBin(r.Field().Value)
+	b, err := grpc.DecodeBinaryHeader(r.Field().Value)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -255,5 +255,5 @@
 
 // head is what every request to a worker begins with.
 func (p *Pool) head(path string, left time.Duration) []hpack.Field {
-	return append(grpc.Head("worker", path, left), hpack.Field{Name: RouterField, Value: p.cfg.Router})
+	return append(grpc.RequestHeaders("worker", path, left), hpack.Field{Name: RouterField, Value: p.cfg.Router})
 }
