--- a/internal/transport/http2/frame.go
+++ b/internal/transport/http2/frame.go
@@ -1,16 +1,9 @@
-// Package http2 is HTTP/2 (RFC 9113) for the gateway's own use: both ends of a connection over netpoll, with
-// frames, header blocks, streams and flow control in both directions. Server push and priorities are left
-// out, as gRPC needs neither.
-//
-// A [Conn] reads on one goroutine at a time, on which it calls the [Receiver] of each stream; it writes from
-// a buffer that any goroutine may fill and one goroutine at a time empties. Bytes handed to a Receiver are
-// the connection's and good until the call returns; bytes handed to Write are copied before it returns.
 package http2
 
-import (
-	"encoding/binary"
-	"fmt"
-)
+import "encoding/binary"
+
+// clientPreface is what a client sends first (RFC 9113, section 3.4).
+const clientPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 
 // frameType is a frame's type (RFC 9113, section 6).
 type frameType uint8
@@ -30,113 +23,48 @@
 
 // The flags of frames.
 const (
-	flagEndStream  = 0x1 // END_STREAM
+	flagEndStream  = 0x1
 	flagAck        = 0x1 // of SETTINGS and PING
 	flagEndHeaders = 0x4
 	flagPadded     = 0x8
 	flagPriority   = 0x20
 )
 
-// ErrCode is an error code of RST_STREAM and GOAWAY (RFC 9113, section 7).
-type ErrCode uint32
-
-// The error codes.
+// Lengths in bytes of frames and of their fixed parts (RFC 9113, sections 4 and 6).
 const (
-	NoError ErrCode = iota
-	ProtocolError
-	InternalError
-	FlowControlError
-	SettingsTimeout
-	StreamClosed
-	FrameSizeError
-	RefusedStream
-	Cancel
-	CompressionError
-	ConnectError
-	EnhanceYourCalm
-	InadequateSecurity
-	HTTP11Required
+	frameHeaderLen  = 9
+	priorityLen     = 5
+	rstStreamLen    = 4
+	settingLen      = 6
+	pingLen         = 8
+	goAwayMinLen    = 8
+	windowUpdateLen = 4
 )
 
-var errCodeNames = [...]string{"NO_ERROR", "PROTOCOL_ERROR", "INTERNAL_ERROR", "FLOW_CONTROL_ERROR",
-	"SETTINGS_TIMEOUT", "STREAM_CLOSED", "FRAME_SIZE_ERROR", "REFUSED_STREAM", "CANCEL", "COMPRESSION_ERROR",
-	"CONNECT_ERROR", "ENHANCE_YOUR_CALM", "INADEQUATE_SECURITY", "HTTP_1_1_REQUIRED"}
-
-func (c ErrCode) String() string {
-	if int(c) < len(errCodeNames) {
-		return errCodeNames[c]
-	}
-	return fmt.Sprintf("code %d", uint32(c))
-}
-
-// ConnError ends a connection: the peer is told by GOAWAY.
-type ConnError struct {
-	Code   ErrCode
-	Reason string
-	Remote bool // the peer's word, rather than ours
-}
-
-func (e *ConnError) Error() string {
-	if e.Remote {
-		return fmt.Sprintf("http2: peer ended the connection: %v: %s", e.Code, e.Reason)
-	}
-	return fmt.Sprintf("http2: connection error %v: %s", e.Code, e.Reason)
-}
-
-func connError(code ErrCode, format string, args ...any) error {
-	return &ConnError{Code: code, Reason: fmt.Sprintf(format, args...)}
-}
-
-// StreamError tells how a stream ended early.
-type StreamError struct {
-	Code        ErrCode
-	Reason      string
-	Remote      bool // the peer reset it
-	ConnLost    bool // the connection was lost with the stream on it
-	Unprocessed bool // the peer promises that it did not process it (RFC 9113, sections 6.8 and 8.7)
-}
-
-func (e *StreamError) Error() string {
-	who := "stream error"
-	switch {
-	case e.ConnLost:
-		who = "connection lost"
-	case e.Remote:
-		who = "reset by peer"
-	}
-	return fmt.Sprintf("http2: %s: %v: %s", who, e.Code, e.Reason)
-}
-
+// Limits and defaults of the protocol.
 const (
-	clientPreface               = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-	frameHeaderLen              = 9
-	defaultWindowSize           = 65535
-	minMaxFrameSize             = 16384
-	maxWindowSize               = 1<<31 - 1
-	assumedMaxStreams           = 100 // what a client assumes until the peer's SETTINGS came
-	settingHeaderTableSize      = 1
-	settingEnablePush           = 2
-	settingMaxConcurrentStreams = 3
-	settingInitialWindowSize    = 4
-	settingMaxFrameSize         = 5
-	settingMaxHeaderListSize    = 6
+	defaultWindowSize = 65535
+	maxWindowSize     = 1<<31 - 1
+	minMaxFrameSize   = 16384
+	maxMaxFrameSize   = 1<<24 - 1
+	maxStreamID       = 1<<31 - 1 // also the mask of a stream ID, above which lies the reserved bit
 )
 
-// header is a frame's first nine bytes.
+// frameHeader is the header of a frame (RFC 9113, section 4.1).
 type frameHeader struct {
-	length   int
+	length   int // of the payload
 	typ      frameType
 	flags    uint8
 	streamID uint32
 }
 
-// parseHeader reads a frame header; b holds nine bytes or more.
+// parseFrameHeader reads a frame header; b has at least frameHeaderLen bytes.
 func parseFrameHeader(b []byte) frameHeader {
 	return frameHeader{
 		length:   int(b[0])<<16 | int(b[1])<<8 | int(b[2]),
 		typ:      frameType(b[3]),
 		flags:    b[4],
-		streamID: binary.BigEndian.Uint32(b[5:]) & maxWindowSize, // the reserved bit is ignored
+		streamID: binary.BigEndian.Uint32(b[5:]) & maxStreamID, // the reserved bit is ignored
 	}
 }
 
@@ -147,21 +75,32 @@
 
 func appendUint32(dst []byte, n uint32) []byte { return binary.BigEndian.AppendUint32(dst, n) }
 
-type setting struct {
-	id    uint16
-	value uint32
+func appendRSTStream(dst []byte, streamID uint32, code ErrCode) []byte {
+	dst = appendFrameHeader(dst, frameHeader{length: rstStreamLen, typ: frameRSTStream, streamID: streamID})
+	return appendUint32(dst, uint32(code))
 }
 
-func appendSettings(dst []byte, settings []setting) []byte {
-	dst = appendFrameHeader(dst, frameHeader{length: 6 * len(settings), typ: frameSettings})
-	for _, s := range settings {
-		dst = binary.BigEndian.AppendUint16(dst, s.id)
-		dst = appendUint32(dst, s.value)
-	}
-	return dst
+// appendWindowUpdate appends WINDOW_UPDATE; stream 0 is the connection.
+func appendWindowUpdate(dst []byte, streamID, increment uint32) []byte {
+	dst = appendFrameHeader(dst, frameHeader{length: windowUpdateLen, typ: frameWindowUpdate, streamID: streamID})
+	return appendUint32(dst, increment)
+}
+
+// appendPing appends PING; data has pingLen bytes.
+func appendPing(dst []byte, flags uint8, data []byte) []byte {
+	dst = appendFrameHeader(dst, frameHeader{length: pingLen, typ: framePing, flags: flags})
+	return append(dst, data...)
+}
+
+// appendGoAway appends GOAWAY with the reason as its debug data.
+func appendGoAway(dst []byte, lastStreamID uint32, code ErrCode, reason string) []byte {
+	dst = appendFrameHeader(dst, frameHeader{length: goAwayMinLen + len(reason), typ: frameGoAway})
+	dst = appendUint32(dst, lastStreamID)
+	dst = appendUint32(dst, uint32(code))
+	return append(dst, reason...)
 }
 
-// unpad strips the padding of DATA and HEADERS (RFC 9113, section 6.1).
+// stripPadding returns the payload of DATA or HEADERS without its padding (RFC 9113, section 6.1).
 func stripPadding(h frameHeader, payload []byte) ([]byte, error) {
 	if h.flags&flagPadded == 0 {
 		return payload, nil
--- /dev/null
+++ b/internal/transport/http2/lifecycle.go
@@ -0,0 +1,140 @@
+package http2
+
+import (
+	"encoding/binary"
+	"errors"
+)
+
+// drainReason is the debug data of the GOAWAY frames of a graceful shutdown.
+const drainReason = "draining"
+
+// drainPing is the data of the PING that follows the first GOAWAY of a graceful shutdown.
+var drainPing = [pingLen]byte{'d', 'r', 'a', 'i', 'n'}
+
+// fail ends the connection by an error: with GOAWAY for one of ours, at once for one of reading.
+func (c *Conn) fail(err error) {
+	var connErr *ConnError
+	if !errors.As(err, &connErr) {
+		c.terminate(err)
+		_ = c.netConn.Close()
+		return
+	}
+	c.mu.Lock()
+	if c.closed || c.closeAfterFlush {
+		c.mu.Unlock()
+		return
+	}
+	c.writeBuffer = appendGoAway(c.writeBuffer, c.lastPeerStreamID, connErr.Code, connErr.Reason)
+	c.closeAfterFlush, c.err = true, err
+	c.scheduleFlush()
+	c.mu.Unlock()
+}
+
+// terminate closes all streams and then reports the connection's end, once. Every connection ends by it. The
+// first error that ended the connection is reported.
+func (c *Conn) terminate(err error) {
+	c.mu.Lock()
+	if c.closed {
+		c.mu.Unlock()
+		return
+	}
+	c.closed = true
+	if c.err == nil {
+		c.err = err
+	}
+	reason := "connection lost"
+	if c.err != nil {
+		reason = c.err.Error()
+	}
+	streams := make([]*Stream, 0, len(c.streams))
+	for _, s := range c.streams {
+		s.remove()
+		streams = append(streams, s)
+	}
+	c.writeBuffer, c.sendQueue = nil, nil
+	err = c.err
+	c.mu.Unlock()
+	for _, s := range streams {
+		s.receiver.Closed(s, &StreamError{Code: InternalError, Reason: reason, ConnLost: true})
+	}
+	c.handler.ConnClosed(c, err)
+}
+
+// Close ends the connection at once, and the streams on it.
+func (c *Conn) Close() {
+	c.terminate(errClosedLocal)
+	_ = c.netConn.Close()
+}
+
+// Shutdown starts a graceful shutdown: no further streams are accepted or opened, and the connection is closed
+// when those open have ended. A server first sends GOAWAY without a last stream, so that what the peer has
+// sent meanwhile is still served, and the final one when the peer has acknowledged a PING behind it (RFC 9113,
+// section 6.8). It returns at once.
+func (c *Conn) Shutdown() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.draining || c.closed || c.closeAfterFlush {
+		return
+	}
+	c.draining = true
+	if c.isClient {
+		c.closeIfDrained()
+		return
+	}
+	c.writeBuffer = appendGoAway(c.writeBuffer, maxStreamID, NoError, drainReason)
+	c.pendingPings[drainPing] = c.sendFinalGoAway
+	c.writeBuffer = appendPing(c.writeBuffer, 0, drainPing[:])
+	c.scheduleFlush()
+}
+
+// sendFinalGoAway is called when the peer has seen the first GOAWAY: whatever it opens from now on was opened
+// with knowledge of it, and is ignored.
+func (c *Conn) sendFinalGoAway() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || c.closeAfterFlush {
+		return
+	}
+	c.finalGoAwaySent = true
+	c.writeBuffer = appendGoAway(c.writeBuffer, c.lastPeerStreamID, NoError, drainReason)
+	c.closeIfDrained()
+	c.scheduleFlush()
+}
+
+// closeIfDrained closes a draining connection without streams. c.mu is held.
+func (c *Conn) closeIfDrained() {
+	drained := c.isClient && (c.draining || c.goAwayReceived) || c.finalGoAwaySent
+	if drained && len(c.streams) == 0 && !c.closeAfterFlush {
+		c.closeAfterFlush = true
+		c.scheduleFlush()
+	}
+}
+
+func (c *Conn) handleGoAway(h frameHeader, payload []byte) error {
+	if h.streamID != 0 {
+		return connError(ProtocolError, "GOAWAY on stream %d", h.streamID)
+	}
+	if h.length < goAwayMinLen {
+		return connError(FrameSizeError, "GOAWAY of %d bytes", h.length)
+	}
+	lastStreamID, code := binary.BigEndian.Uint32(payload)&maxStreamID, ErrCode(binary.BigEndian.Uint32(payload[4:]))
+	c.mu.Lock()
+	c.goAwayReceived = true
+	var unprocessed []*Stream
+	for id, s := range c.streams {
+		if !c.isPeerStream(id) && id > lastStreamID {
+			s.remove()
+			unprocessed = append(unprocessed, s)
+		}
+	}
+	c.mu.Unlock()
+	c.handler.GoAway(c, code)
+	for _, s := range unprocessed {
+		s.receiver.Closed(s, &StreamError{Code: code, Reason: "beyond the last stream of GOAWAY", Remote: true,
+			Unprocessed: true})
+	}
+	c.mu.Lock()
+	c.closeIfDrained()
+	c.mu.Unlock()
+	return c.countGlitch("GOAWAY frames")
+}
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"time"
@@ -12,6 +11,9 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
+// closeTimeout is how long Server.Close waits for the event loop to end.
+const closeTimeout = time.Second
+
 // Server accepts connections on one listener.
 type Server struct {
 	cfg        Config
@@ -24,63 +26,71 @@
 	draining bool
 }
 
+// connKey is the context key of a netpoll connection's *Conn.
 type connKey struct{}
 
-// Listen opens a listener, on "tcp" or "unix", and serves it until Close. handler is asked for each
-// connection's Handler before its first frame.
-func Listen(network, addr string, cfg Config, handler func(*Conn) Handler) (*Server, error) {
-	ln, err := listen.On(network, addr)
+// Listen opens a listener, on "tcp" or "unix", and serves it until Close. newHandler returns the Handler of a
+// connection before its first frame.
+func Listen(network, addr string, cfg Config, newHandler func(*Conn) Handler) (*Server, error) {
+	listener, err := listen.On(network, addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{cfg: cfg, newHandler: handler, listener: ln, conns: map[*Conn]struct{}{}}
-	s.eventLoop, err = netpoll.NewEventLoop(
-		func(ctx context.Context, _ netpoll.Connection) error {
-			c, _ := ctx.Value(connKey{}).(*Conn)
-			return c.readFrames()
-		},
-		netpoll.WithOnPrepare(func(nc netpoll.Connection) context.Context {
-			c := newConn(nc, s.cfg, nil, false)
-			c.handler = trackedHandler{s.newHandler(c), s}
-			s.mu.Lock()
-			s.conns[c] = struct{}{}
-			s.mu.Unlock()
-			return context.WithValue(context.Background(), connKey{}, c)
-		}),
-		netpoll.WithOnConnect(func(ctx context.Context, nc netpoll.Connection) context.Context {
-			c, _ := ctx.Value(connKey{}).(*Conn)
-			_ = nc.AddCloseCallback(func(netpoll.Connection) error {
-				c.terminate(errors.New("connection closed by peer"))
-				return nil
-			})
-			if !nc.IsActive() { // it was closed before the callback stood
-				c.terminate(errors.New("connection closed by peer"))
-				return ctx
-			}
-			c.flushPreface()
-			s.mu.Lock()
-			draining := s.draining
-			s.mu.Unlock()
-			if draining { // it was accepted before the drain began, or while it was told
-				c.Shutdown()
-			}
-			return ctx
-		}),
-	)
+	s := &Server{cfg: cfg, newHandler: newHandler, listener: listener, conns: map[*Conn]struct{}{}}
+	s.eventLoop, err = netpoll.NewEventLoop(s.onRequest, netpoll.WithOnPrepare(s.onPrepare),
+		netpoll.WithOnConnect(s.onConnect))
 	if err != nil {
-		_ = ln.Close()
+		_ = listener.Close()
 		return nil, err
 	}
-	ln.Serve(s.eventLoop)
+	listener.Serve(s.eventLoop)
 	return s, nil
 }
 
-// tracked takes a lost connection out of its server's book.
+// onPrepare is called by netpoll for an accepted connection before any other callback.
+func (s *Server) onPrepare(netConn netpoll.Connection) context.Context {
+	c := newConn(netConn, s.cfg, nil, false)
+	c.handler = trackedHandler{s.newHandler(c), s}
+	s.mu.Lock()
+	s.conns[c] = struct{}{}
+	s.mu.Unlock()
+	return context.WithValue(context.Background(), connKey{}, c)
+}
+
+// onConnect is called by netpoll before the first bytes of a connection are handled.
+func (s *Server) onConnect(ctx context.Context, netConn netpoll.Connection) context.Context {
+	c, _ := ctx.Value(connKey{}).(*Conn)
+	_ = netConn.AddCloseCallback(func(netpoll.Connection) error {
+		c.terminate(errClosedByPeer)
+		return nil
+	})
+	if !netConn.IsActive() { // it was closed before the callback was registered
+		c.terminate(errClosedByPeer)
+		return ctx
+	}
+	c.flushPreface()
+	s.mu.Lock()
+	draining := s.draining
+	s.mu.Unlock()
+	if draining { // it was accepted before the drain began, or while the other connections were notified
+		c.Shutdown()
+	}
+	return ctx
+}
+
+// onRequest is called by netpoll when bytes of a connection wait.
+func (s *Server) onRequest(ctx context.Context, _ netpoll.Connection) error {
+	c, _ := ctx.Value(connKey{}).(*Conn)
+	return c.readFrames()
+}
+
+// trackedHandler removes a closed connection from its server.
 type trackedHandler struct {
 	Handler
 	server *Server
 }
 
+// ConnClosed implements Handler.
 func (t trackedHandler) ConnClosed(c *Conn, err error) {
 	t.server.mu.Lock()
 	delete(t.server.conns, c)
@@ -88,17 +98,17 @@
 	t.Handler.ConnClosed(c, err)
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Conns tells how many connections are open.
+// NumConns returns how many connections are open.
 func (s *Server) NumConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Streams tells how many streams are open on all connections.
+// NumStreams returns how many streams are open on all connections.
 func (s *Server) NumStreams() int {
 	n := 0
 	for _, c := range s.openConns() {
@@ -110,14 +120,15 @@
 func (s *Server) openConns() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]*Conn, 0, len(s.conns))
+	conns := make([]*Conn, 0, len(s.conns))
 	for c := range s.conns {
-		list = append(list, c)
+		conns = append(conns, c)
 	}
-	return list
+	return conns
 }
 
-// Drain stops accepting and asks every connection to end when its streams have. It returns at once.
+// Drain starts a graceful shutdown of every connection, and of each that is accepted from now on. It returns
+// at once.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -125,8 +136,7 @@
 	s.DrainConns()
 }
 
-// Warn tells every connection's peer that no further streams are taken, as Drain does, but goes on accepting
-// connections.
+// DrainConns starts a graceful shutdown of every open connection. Connections accepted later are served.
 func (s *Server) DrainConns() {
 	for _, c := range s.openConns() {
 		c.Shutdown()
@@ -141,7 +151,7 @@
 	for _, c := range s.openConns() {
 		c.Close()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = s.eventLoop.Shutdown(ctx)
 	_ = s.listener.Close()
