--- /dev/null
+++ b/internal/transport/http2/lifecycle_test.go
@@ -0,0 +1,176 @@
+package http2
+
+import (
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	peer "golang.org/x/net/http2"
+)
+
+// TestDrainServesOpenStreams drains a server with a stream open; what was begun is completed, and no further
+// stream is opened.
+func TestDrainServesOpenStreams(t *testing.T) {
+	s, _ := startServer(t, Config{})
+	c, h := dialServer(t, s, Config{})
+	r := newRecordingReceiver()
+	stream, err := c.Open(r, requestFields, nil, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := stream.Write([]byte("first"), false); err != nil {
+		t.Fatal(err)
+	}
+	s.Drain()
+	if code := receive(t, h.goAway, "GOAWAY"); code != NoError {
+		t.Fatalf("GOAWAY with %v", code)
+	}
+	if _, err := c.Open(newRecordingReceiver(), requestFields, nil, true); !errors.Is(err, ErrGoAway) {
+		t.Errorf("a stream after GOAWAY: %v", err)
+	}
+	if _, err := stream.Write([]byte(" and last"), true); err != nil {
+		t.Fatal(err)
+	}
+	if err := receive(t, r.ended, "the end"); err != nil || r.body.String() != "first and last" {
+		t.Fatalf("%q, %v", r.body.String(), err)
+	}
+	_ = receive(t, h.closed, "the connection's end")
+}
+
+// serveGoAway accepts one connection, waits for stream 5, and then sends GOAWAY with 3 as the last stream, resets
+// stream 1 as refused, and closes. It ends when the connection does.
+func serveGoAway(listener net.Listener) {
+	netConn, err := listener.Accept()
+	if err != nil {
+		return
+	}
+	framer := peer.NewFramer(netConn, netConn)
+	_, _ = io.ReadFull(netConn, make([]byte, len(clientPreface)))
+	_ = framer.WriteSettings()
+	for {
+		f, err := framer.ReadFrame()
+		if err != nil {
+			return
+		}
+		if h, ok := f.(*peer.HeadersFrame); ok && h.StreamID == 5 {
+			_ = framer.WriteGoAway(3, peer.ErrCodeNo, nil)
+			_ = framer.WriteRSTStream(1, peer.ErrCodeRefusedStream)
+			_ = netConn.Close()
+		}
+	}
+}
+
+// TestGoAwayUnprocessedStreams: streams above the last one of GOAWAY, and those refused, were not processed; the
+// others may have been.
+func TestGoAwayUnprocessedStreams(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	go serveGoAway(listener)
+	c, err := Dial("tcp", listener.Addr().String(), time.Second, Config{}, newRecordingHandler())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	var receivers [3]*recordingReceiver
+	for i := range receivers {
+		receivers[i] = newRecordingReceiver()
+		if _, err := c.Open(receivers[i], requestFields, nil, true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i, want := range []struct{ unprocessed, connLost bool }{{true, false}, {false, true}, {true, false}} {
+		var streamErr *StreamError
+		err := receive(t, receivers[i].ended, "the end of a stream")
+		if !errors.As(err, &streamErr) || streamErr.Unprocessed != want.unprocessed || streamErr.ConnLost != want.connLost {
+			t.Errorf("stream %d: %v, want unprocessed %v, connection lost %v", 2*i+1, err, want.unprocessed, want.connLost)
+		}
+	}
+}
+
+// TestCloseListenerKeepsOtherConnections guards against file descriptors that are closed twice: while listeners
+// are opened and closed, the connections of another server, which get the same descriptor numbers, stay open.
+func TestCloseListenerKeepsOtherConnections(t *testing.T) {
+	s, _ := startServer(t, Config{})
+	stop := make(chan struct{})
+	var wg sync.WaitGroup
+	for range 3 {
+		wg.Go(func() {
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				other, err := Listen("tcp", "127.0.0.1:0", Config{}, func(*Conn) Handler { return &echoHandler{} })
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				other.Close()
+				other.Close()
+			}
+		})
+	}
+	for range 100 {
+		c, _ := dialServer(t, s, Config{})
+		for range 5 {
+			r := newRecordingReceiver()
+			if _, err := c.Open(r, requestFields, []byte("hello"), true); err != nil {
+				t.Fatal(err)
+			}
+			if err := receive(t, r.ended, "the end"); err != nil || r.body.String() != "hello" {
+				t.Fatalf("%q, %v", r.body.String(), err)
+			}
+		}
+		c.Close()
+	}
+	close(stop)
+	wg.Wait()
+}
+
+// panicHandler panics on a request whose body is "panic".
+type panicHandler struct{ echoHandler }
+
+func (h *panicHandler) Open(*Stream) Receiver { return h }
+
+func (h *panicHandler) Data(s *Stream, p []byte, end bool) {
+	if string(p) == "panic" {
+		panic("a fault of the program")
+	}
+	h.echoHandler.Data(s, p, end)
+}
+
+// TestPanicClosesOnlyItsConnection guards against a connection that hangs, or a process that exits, when a handler
+// panics.
+func TestPanicClosesOnlyItsConnection(t *testing.T) {
+	s, err := Listen("tcp", "127.0.0.1:0", Config{}, func(*Conn) Handler { return &panicHandler{} })
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	good, _ := dialServer(t, s, Config{})
+	bad, h := dialServer(t, s, Config{})
+	for range 3 {
+		r := newRecordingReceiver()
+		if _, err := bad.Open(r, requestFields, []byte("panic"), true); err == nil {
+			var streamErr *StreamError
+			if err := receive(t, r.ended, "the end"); !errors.As(err, &streamErr) || !streamErr.ConnLost {
+				t.Errorf("the call that panicked: %v", err)
+			}
+		}
+		r = newRecordingReceiver()
+		if _, err := good.Open(r, requestFields, []byte("fine"), true); err != nil {
+			t.Fatal(err)
+		}
+		if err := receive(t, r.ended, "the end"); err != nil || r.body.String() != "fine" {
+			t.Errorf("another connection: %q, %v", r.body.String(), err)
+		}
+	}
+	_ = receive(t, h.closed, "the connection's end")
+}
