--- a/internal/transport/hpack/hpack_test.go
+++ b/internal/transport/hpack/hpack_test.go
@@ -12,7 +12,8 @@
 	peer "golang.org/x/net/http2/hpack"
 )
 
-func unhex(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, s string) []byte {
+	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
 		t.Fatal(err)
@@ -20,16 +21,21 @@
 	return b
 }
 
-// TestExamplesOfTheRFC reads RFC 7541, Appendix C.4 and C.6: Huffman coded requests and responses that share
-// a dynamic table.
-func TestExamplesOfTheRFC(t *testing.T) {
+// TestRFC7541Examples decodes RFC 7541, Appendix C.4 and C.6: Huffman coded requests and responses that share a
+// dynamic table.
+func TestRFC7541Examples(t *testing.T) {
+	t.Run("C.4 requests", decodeRequestExamples)
+	t.Run("C.6 responses with eviction", decodeResponseExamples)
+}
+
+func decodeRequestExamples(t *testing.T) {
 	d := NewDecoder(DefaultTableSize, 1<<16)
 	for i, c := range []struct{ block, last string }{
 		{"8286 8441 8cf1 e3c2 e5f2 3a6b a0ab 90f4 ff", ":authority=www.example.com"},
 		{"8286 84be 5886 a8eb 1064 9cbf", "cache-control=no-cache"},
 		{"8287 85bf 4088 25a8 49e9 5ba9 7d7f 8925 a849 e95b b8e8 b4bf", "custom-key=custom-value"},
 	} {
-		f, err := d.Decode(nil, unhex(t, c.block))
+		f, err := d.Decode(nil, decodeHex(t, c.block))
 		if err != nil {
 			t.Fatalf("block %d: %v", i, err)
 		}
@@ -40,14 +46,17 @@
 	if n := len(d.table.entries); n != 3 || d.table.size != 164 {
 		t.Errorf("table holds %d entries of %d bytes, want 3 of 164", n, d.table.size)
 	}
-	d = NewDecoder(DefaultTableSize, 1<<16)
+}
+
+func decodeResponseExamples(t *testing.T) {
+	d := NewDecoder(DefaultTableSize, 1<<16)
 	d.table.maxSize = 256
 	for _, block := range []string{
 		"4882 6402 5885 aec3 771a 4b61 96d0 7abe 9410 54d4 44a8 2005 9504 0b81 66e0 82a6 2d1b ff6e 919d 29ad 1718 63c7 8f0b 97c8 e9ae 82ae 43d3",
 		"4883 640e ffc1 c0bf",
 		"88c1 6196 d07a be94 1054 d444 a820 0595 040b 8166 e084 a62d 1bff c05a 839b d9ab 77ad 94e7 821d d7f2 e6c7 b335 dfdf cd5b 3960 d5af 2708 7f36 72c1 ab27 0fb5 291f 9587 3160 65c0 03ed 4ee5 b106 3d50 07",
 	} {
-		if _, err := d.Decode(nil, unhex(t, block)); err != nil {
+		if _, err := d.Decode(nil, decodeHex(t, block)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -56,26 +65,32 @@
 	}
 }
 
-func TestErrors(t *testing.T) {
-	for block, want := range map[string]error{
-		"80":                     ErrInvalidIndex, // index 0
-		"ff80 01":                ErrInvalidIndex, // far outside
-		"40":                     ErrTruncated,    // no name
-		"4003 6162":              ErrTruncated,    // name cut
-		"7fff ffff ffff ffff 7f": ErrIntegerOverflow,
-		"823f e11f":              ErrTableSizeUpdate, // an update behind a field
-		"3fe2 1f":                ErrTableSizeUpdate, // 4097 bytes
-		"4081 00 00":             errInvalidHuffman,
-		"4084 ffff ffff 00":      errInvalidHuffman, // EOS
+func TestDecodeErrors(t *testing.T) {
+	for _, c := range []struct {
+		name, block string
+		want        error
+	}{
+		{"index 0", "80", ErrInvalidIndex},
+		{"index far outside the tables", "ff80 01", ErrInvalidIndex},
+		{"no name", "40", ErrTruncated},
+		{"truncated name", "4003 6162", ErrTruncated},
+		{"integer too large", "7fff ffff ffff ffff 7f", ErrIntegerOverflow},
+		{"table size update behind a field", "823f e11f", ErrTableSizeUpdate},
+		{"table size update of 4097 bytes", "3fe2 1f", ErrTableSizeUpdate},
+		{"invalid padding", "4081 00 00", errInvalidHuffman},
+		{"EOS", "4084 ffff ffff 00", errInvalidHuffman},
 	} {
-		if _, err := NewDecoder(DefaultTableSize, 1<<16).Decode(nil, unhex(t, block)); !errors.Is(err, want) {
-			t.Errorf("%s: %v, want %v", block, err, want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := NewDecoder(DefaultTableSize, 1<<16).Decode(nil, decodeHex(t, c.block)); !errors.Is(err, c.want) {
+				t.Errorf("%s: %v, want %v", c.block, err, c.want)
+			}
+		})
 	}
 }
 
-// TestBomb guards against a block of references to one large entry: little on the wire, much in memory.
-func TestBomb(t *testing.T) {
+// TestDecodeLimitsHeaderList guards against a block of references to one large entry: few bytes on the wire, many in
+// memory.
+func TestDecodeLimitsHeaderList(t *testing.T) {
 	d := NewDecoder(DefaultTableSize, 16<<10)
 	block := NewEncoder().AppendField(nil, Field{Name: "big", Value: strings.Repeat("v", 900)})
 	for range 10000 {
@@ -90,72 +105,93 @@
 	}
 }
 
-func randomFields(rng *rand.Rand) (out []Field) {
+func randomFields(rng *rand.Rand) (fields []Field) {
 	for range 1 + rng.IntN(12) {
 		f := Field{Name: fmt.Sprintf("x-%d", rng.IntN(30)), Value: strings.Repeat(string(rune(33+rng.IntN(90))), rng.IntN(60)),
 			Sensitive: rng.IntN(10) == 0}
 		if rng.IntN(3) == 0 {
 			f = staticTable[rng.IntN(len(staticTable))]
 		}
-		out = append(out, f)
+		fields = append(fields, f)
+	}
+	return fields
+}
+
+// codecPair is a connection in both directions with golang.org/x/net's codec at the other end.
+type codecPair struct {
+	encoder     *Encoder
+	decoder     *Decoder
+	peerEncoder *peer.Encoder
+	peerDecoder *peer.Decoder
+	peerBlock   bytes.Buffer // what peerEncoder wrote
+}
+
+func newCodecPair() *codecPair {
+	p := &codecPair{encoder: NewEncoder(), decoder: NewDecoder(DefaultTableSize, 1<<20),
+		peerDecoder: peer.NewDecoder(DefaultTableSize, nil)}
+	p.peerDecoder.SetAllowedMaxDynamicTableSize(1 << 16)
+	p.peerEncoder = peer.NewEncoder(&p.peerBlock)
+	return p
+}
+
+// exchange has each end decode the fields that the other encoded.
+func (p *codecPair) exchange(t *testing.T, fields []Field) {
+	t.Helper()
+	block := p.encoder.BeginBlock(nil)
+	p.peerBlock.Reset()
+	for _, f := range fields {
+		block = p.encoder.AppendField(block, f)
+		if err := p.peerEncoder.WriteField(peer.HeaderField{Name: f.Name, Value: f.Value, Sensitive: f.Sensitive}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	byPeer, err := p.peerDecoder.DecodeFull(block)
+	if err != nil {
+		t.Fatalf("the peer can't decode our block: %v", err)
+	}
+	decoded, err := p.decoder.Decode(nil, p.peerBlock.Bytes())
+	if err != nil {
+		t.Fatalf("the peer's block can't be decoded: %v", err)
+	}
+	if len(byPeer) != len(fields) || len(decoded) != len(fields) {
+		t.Fatalf("%d and %d fields, want %d", len(byPeer), len(decoded), len(fields))
+	}
+	for i, f := range fields {
+		if byPeer[i].Name != f.Name || byPeer[i].Value != f.Value || decoded[i].Name != f.Name || decoded[i].Value != f.Value {
+			t.Fatalf("field %d: %v and %v, want %v", i, byPeer[i], decoded[i], f)
+		}
 	}
-	return out
 }
 
-// TestAgainstAnIndependentPeer has golang.org/x/net's coder read what ours writes, and the other way round,
-// over long connections with table sizes that change.
-func TestAgainstAnIndependentPeer(t *testing.T) {
+// TestInteroperability has golang.org/x/net's codec decode what ours encodes, and the other way round, over long
+// connections with table sizes that change.
+func TestInteroperability(t *testing.T) {
 	for seed := range uint64(30) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		ours, theirs := NewEncoder(), peer.NewDecoder(DefaultTableSize, nil)
-		theirs.SetAllowedMaxDynamicTableSize(1 << 16)
-		var buf bytes.Buffer
-		back, mine := peer.NewEncoder(&buf), NewDecoder(DefaultTableSize, 1<<20)
-		for range 200 {
-			if rng.IntN(20) == 0 {
-				ours.SetMaxTableSize(rng.IntN(8000))
-				ours.SetMaxTableSize(rng.IntN(8000))
-				back.SetMaxDynamicTableSize(uint32(rng.IntN(DefaultTableSize + 1)))
-			}
-			fields := randomFields(rng)
-			block := ours.BeginBlock(nil)
-			buf.Reset()
-			for _, f := range fields {
-				block = ours.AppendField(block, f)
-				if err := back.WriteField(peer.HeaderField{Name: f.Name, Value: f.Value, Sensitive: f.Sensitive}); err != nil {
-					t.Fatal(err)
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 1))
+			p := newCodecPair()
+			for range 200 {
+				if rng.IntN(20) == 0 {
+					p.encoder.SetMaxTableSize(rng.IntN(8000))
+					p.encoder.SetMaxTableSize(rng.IntN(8000))
+					p.peerEncoder.SetMaxDynamicTableSize(uint32(rng.IntN(DefaultTableSize + 1)))
 				}
+				p.exchange(t, randomFields(rng))
 			}
-			got, err := theirs.DecodeFull(block)
-			if err != nil {
-				t.Fatalf("seed %d: peer can't read ours: %v", seed, err)
-			}
-			again, err := mine.Decode(nil, buf.Bytes())
-			if err != nil {
-				t.Fatalf("seed %d: ours can't read the peer's: %v", seed, err)
-			}
-			if len(got) != len(fields) || len(again) != len(fields) {
-				t.Fatalf("seed %d: %d and %d fields, want %d", seed, len(got), len(again), len(fields))
-			}
-			for i, f := range fields {
-				if got[i].Name != f.Name || got[i].Value != f.Value || again[i].Name != f.Name || again[i].Value != f.Value {
-					t.Fatalf("seed %d: field %d: %v and %v, want %v", seed, i, got[i], again[i], f)
-				}
-			}
-		}
+		})
 	}
 }
 
-// FuzzDecode compares with the independent decoder: whatever both accept must be the same fields.
+// FuzzDecode compares with an independent decoder: a block that both accept must decode to the same fields.
 func FuzzDecode(f *testing.F) {
-	f.Add(unhex(f, "828684418cf1e3c2e5f23a6ba0ab90f4ff"))
-	f.Add(unhex(f, "3fe11f20408825a849e95ba97d7f8925a849e95bb8e8b4bf"))
-	f.Add(unhex(f, "488264025885aec3771a4b61"))
+	f.Add(decodeHex(f, "828684418cf1e3c2e5f23a6ba0ab90f4ff"))
+	f.Add(decodeHex(f, "3fe11f20408825a849e95ba97d7f8925a849e95bb8e8b4bf"))
+	f.Add(decodeHex(f, "488264025885aec3771a4b61"))
 	f.Fuzz(func(t *testing.T, block []byte) {
 		got, err := NewDecoder(DefaultTableSize, 1<<20).Decode(nil, block)
-		want, theirs := peer.NewDecoder(DefaultTableSize, nil).DecodeFull(block)
-		if err != nil || theirs != nil {
-			return // the peer allows integers that ours bounds, ours an update that it refuses
+		want, peerErr := peer.NewDecoder(DefaultTableSize, nil).DecodeFull(block)
+		if err != nil || peerErr != nil {
+			return // the peer accepts integers that ours limits, ours an update that the peer rejects
 		}
 		if len(got) != len(want) {
 			t.Fatalf("%d fields, the peer reads %d", len(got), len(want))
--- a/internal/transport/hpack/huffman.go
+++ b/internal/transport/hpack/huffman.go
@@ -1,102 +1,135 @@
 package hpack
 
-import (
-	"errors"
-	"sync"
-)
+import "sync"
 
-var errInvalidHuffman = errors.New("hpack: invalid Huffman code")
+const (
+	huffmanEOS        = 256 // the symbol that never occurs; its first bits are the padding
+	maxHuffmanCodeLen = 30  // bits
+	maxPaddingLen     = 7   // bits
+)
 
-// step is what four more bits do to a decoder in some state: the next state, and a symbol where one ends.
+// huffmanTransition is what four more bits do to the decoder in some state: the next state, and the symbol that
+// ends within the bits, if one does. The shortest code has five bits, so at most one symbol ends.
 type huffmanTransition struct {
-	next        int16 // -1: the code is not in the table
+	next        int16 // invalidState if no code begins with the bits
 	symbol      uint8
 	emitsSymbol bool
-	validEnd    bool // the padding so far is a prefix of EOS and shorter than a byte
+	validEnd    bool // the bits since the last symbol are padding: a prefix of EOS shorter than a byte
 }
 
+// invalidState is the state after bits that begin no code.
+const invalidState = -1
+
+// huffmanCode holds the code of each symbol, and the decoder: the transitions of each state by the next four
+// bits. State 0 is the beginning of a symbol.
 type huffmanCode struct {
 	codes       [257]uint32
 	transitions [][16]huffmanTransition
 }
 
-// machine builds the decoder once: a state is an inner node of the code's tree, and a state's row says what
-// each half byte leads to. The shortest code has five bits, so four bits end one symbol at the most.
+// huffmanTables builds the tables on first use.
 var huffmanTables = sync.OnceValue(func() *huffmanCode {
-	h := &huffmanCode{}
-	code, n := uint32(0), uint8(0)
-	for length := uint8(1); length <= 30; length++ {
-		for sym, l := range huffmanCodeLen {
-			if l == length {
-				code <<= length - n
-				n = length
-				h.codes[sym] = code
-				code++
-			}
+	codes := canonicalCodes()
+	tree := buildTree(&codes)
+	padding := paddingNodes(tree)
+	transitions := make([][16]huffmanTransition, len(tree))
+	for state := range tree {
+		for nibble := range transitions[state] {
+			transitions[state][nibble] = tree.transition(int16(state), nibble, padding)
 		}
 	}
-	type node struct{ kids [2]int16 } // >= 0: a node; < 0: the symbol -1-kid
-	const none = int16(-1000)
-	tree := []node{{kids: [2]int16{none, none}}}
-	for sym, l := range huffmanCodeLen {
-		at := int16(0)
-		for bit := int(l) - 1; bit >= 0; bit-- {
-			b := h.codes[sym] >> bit & 1
-			if bit == 0 {
-				tree[at].kids[b] = int16(-1 - sym)
-				break
+	return &huffmanCode{codes: codes, transitions: transitions}
+})
+
+// canonicalCodes returns the codes that follow from huffmanCodeLen: shorter codes first, then by symbol.
+func canonicalCodes() (codes [257]uint32) {
+	code, codeLen := uint32(0), uint8(0)
+	for length := uint8(1); length <= maxHuffmanCodeLen; length++ {
+		for symbol, l := range huffmanCodeLen {
+			if l != length {
+				continue
 			}
-			if tree[at].kids[b] == none {
-				tree = append(tree, node{kids: [2]int16{none, none}})
-				tree[at].kids[b] = int16(len(tree) - 1)
+			code <<= length - codeLen
+			codeLen = length
+			codes[symbol] = code
+			code++
+		}
+	}
+	return codes
+}
+
+// huffmanNode is an inner node of the code's tree. Each child is a node's number, or -1-symbol, or noChild.
+type huffmanNode struct{ children [2]int16 }
+
+const noChild = int16(-1000)
+
+// huffmanTree is the code's tree; node 0 is its root.
+type huffmanTree []huffmanNode
+
+func buildTree(codes *[257]uint32) huffmanTree {
+	emptyNode := huffmanNode{children: [2]int16{noChild, noChild}}
+	tree := huffmanTree{emptyNode}
+	for symbol, l := range huffmanCodeLen {
+		node := int16(0)
+		for shift := int(l) - 1; shift > 0; shift-- {
+			bit := codes[symbol] >> shift & 1
+			if tree[node].children[bit] == noChild {
+				tree = append(tree, emptyNode)
+				tree[node].children[bit] = int16(len(tree) - 1)
 			}
-			at = tree[at].kids[b]
+			node = tree[node].children[bit]
 		}
+		tree[node].children[codes[symbol]&1] = int16(-1 - symbol)
 	}
-	padding := map[int16]bool{0: true} // nodes that under eight ones lead to
-	for at, i := int16(0), 0; i < 7; i++ {
-		at = tree[at].kids[1]
-		padding[at] = true
+	return tree
+}
+
+// paddingNodes returns the nodes at which a string may end: those that at most seven ones lead to.
+func paddingNodes(tree huffmanTree) map[int16]bool {
+	padding := map[int16]bool{0: true}
+	node := int16(0)
+	for range maxPaddingLen {
+		node = tree[node].children[1]
+		padding[node] = true
 	}
-	h.transitions = make([][16]huffmanTransition, len(tree))
-	for state := range tree {
-		for nibble := range 16 {
-			s, at := huffmanTransition{}, int16(state)
-			for bit := 3; bit >= 0; bit-- {
-				kid := tree[at].kids[nibble>>bit&1]
-				if kid >= 0 {
-					at = kid
-					continue
-				}
-				if sym := -1 - kid; kid == none || sym == 256 {
-					at = -1
-					break
-				} else {
-					s.symbol, s.emitsSymbol, at = uint8(sym), true, 0
-				}
-			}
-			s.next, s.validEnd = at, padding[at]
-			h.transitions[state][nibble] = s
+	return padding
+}
+
+// transition follows four bits from a node.
+func (tree huffmanTree) transition(node int16, nibble int, padding map[int16]bool) huffmanTransition {
+	t := huffmanTransition{}
+	for shift := 3; shift >= 0; shift-- {
+		child := tree[node].children[nibble>>shift&1]
+		if child >= 0 {
+			node = child
+			continue
+		}
+		symbol := -1 - child
+		if child == noChild || symbol == huffmanEOS {
+			node = invalidState
+			break
 		}
+		t.symbol, t.emitsSymbol, node = uint8(symbol), true, 0
 	}
-	return h
-})
+	t.next, t.validEnd = node, padding[node]
+	return t
+}
 
-// appendHuffman appends the symbols that src codes. Padding must be a prefix of EOS of under eight bits
-// (RFC 7541, section 5.2).
+// appendHuffmanDecoded appends the string that src encodes. Its padding must be a prefix of EOS shorter than a
+// byte (RFC 7541, section 5.2).
 func appendHuffmanDecoded(dst, src []byte) ([]byte, error) {
 	h := huffmanTables()
 	state, validEnd := int16(0), true
 	for _, b := range src {
 		for _, nibble := range [2]byte{b >> 4, b & 15} {
-			s := &h.transitions[state][nibble]
-			if s.next < 0 {
+			t := &h.transitions[state][nibble]
+			if t.next == invalidState {
 				return dst, errInvalidHuffman
 			}
-			if s.emitsSymbol {
-				dst = append(dst, s.symbol)
+			if t.emitsSymbol {
+				dst = append(dst, t.symbol)
 			}
-			state, validEnd = s.next, s.validEnd
+			state, validEnd = t.next, t.validEnd
 		}
 	}
 	if !validEnd {
@@ -105,7 +138,7 @@
 	return dst, nil
 }
 
-// huffmanLen is the length in bytes of s when coded.
+// huffmanEncodedLen returns the length of s in bytes when encoded.
 func huffmanEncodedLen(s string) int {
 	bits := 0
 	for i := range len(s) {
@@ -114,7 +147,7 @@
 	return (bits + 7) / 8
 }
 
-// encodeHuffman appends s coded, padded with ones.
+// appendHuffmanEncoded appends s encoded, padded with ones.
 func appendHuffmanEncoded(dst []byte, s string) []byte {
 	h := huffmanTables()
 	bits, bitCount := uint64(0), uint8(0)
