--- a/internal/server/grpcserver/front_test.go
+++ b/internal/server/grpcserver/front_test.go
@@ -124,10 +124,7 @@
 func TestOddRequests(t *testing.T) {
 	f := listen(t)
 	ask := framed(&inference.ModelInferRequest{ModelName: "m"})
-	zipped, err := grpc.Compress(make([]byte, 100000))
-	if err != nil {
-		t.Fatal(err)
-	}
+	zipped := compressMessage(t, make([]byte, 100000))
 	field := func(n, v string) hpack.Field { return hpack.Field{Name: n, Value: v} }
 	for name, c := range map[string]struct {
 		path string
--- /dev/null
+++ b/internal/transport/grpc/compression.go
@@ -0,0 +1,54 @@
+package grpc
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"sync"
+
+	"github.com/klauspost/compress/gzip"
+)
+
+// The message encodings.
+const (
+	encodingIdentity = "identity"
+	encodingGzip     = "gzip"
+)
+
+// AcceptedEncodings are the message encodings that this package decodes, as grpc-accept-encoding lists them.
+const AcceptedEncodings = encodingIdentity + "," + encodingGzip
+
+// IsKnownEncoding reports whether this package decodes a grpc-encoding; "" is the absence of the field.
+func IsKnownEncoding(encoding string) bool {
+	return encoding == "" || encoding == encodingIdentity || encoding == encodingGzip
+}
+
+// gzipReaders holds *gzip.Reader.
+var gzipReaders = sync.Pool{New: func() any { return new(gzip.Reader) }}
+
+// MessageBody returns the uncompressed bytes of a message with its prefix: a slice of it, or new bytes where it
+// was compressed. A compressed message may expand to limit bytes; beyond it the error is ErrMessageTooLarge.
+func MessageBody(message []byte, encoding string, limit int) ([]byte, error) {
+	if len(message) < PrefixLen {
+		return nil, ErrTruncatedMessage
+	}
+	if message[0] == 0 {
+		return message[PrefixLen:], nil
+	}
+	if encoding != encodingGzip {
+		return nil, fmt.Errorf("grpc: compressed message with grpc-encoding %q", encoding)
+	}
+	reader, _ := gzipReaders.Get().(*gzip.Reader)
+	defer gzipReaders.Put(reader)
+	if err := reader.Reset(bytes.NewReader(message[PrefixLen:])); err != nil {
+		return nil, fmt.Errorf("grpc: gzip: %w", err)
+	}
+	body, err := io.ReadAll(io.LimitReader(reader, int64(limit)+1))
+	if err != nil {
+		return nil, fmt.Errorf("grpc: gzip: %w", err)
+	}
+	if len(body) > limit { // guards against a small message that expands to a large one
+		return nil, fmt.Errorf("%w: over %d bytes unpacked", ErrMessageTooLarge, limit)
+	}
+	return body, nil
+}
