--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -32,7 +32,7 @@
 // Listen opens a listener, on "tcp" or "unix", and serves it until Close. newHandler returns the Handler of a
 // connection before its first frame.
 func Listen(network, addr string, cfg Config, newHandler func(*Conn) Handler) (*Server, error) {
-	listener, err := listen.On(network, addr)
+	listener, err := listen.Open(network, addr)
 	if err != nil {
 		return nil, err
 	}
