--- a/internal/transport/http2/errors.go
+++ b/internal/transport/http2/errors.go
@@ -68,7 +68,7 @@
 	return &ConnError{Code: code, Reason: fmt.Sprintf(format, args...)}
 }
 
-// StreamError says why a stream ended before both ends finished it.
+// StreamError is the reason why a stream ended before both ends finished it.
 type StreamError struct {
 	Code        ErrCode
 	Reason      string
--- a/internal/transport/http2/flowcontrol_test.go
+++ b/internal/transport/http2/flowcontrol_test.go
@@ -95,7 +95,7 @@
 		rejected = err != nil
 	}
 	if !rejected {
-		t.Error("pings were taken for 15 s from a peer that reads nothing")
+		t.Error("pings were accepted for 15 s from a peer that reads nothing")
 	}
 	checkServes(t, s)
 }
--- a/internal/transport/http2/protocol_errors_test.go
+++ b/internal/transport/http2/protocol_errors_test.go
@@ -14,13 +14,17 @@
 	stream uint32 // the stream that is reset; 0: the connection is ended
 }
 
-// framingErrors are violations of sections 3.4, 4 and 6.1.
-var framingErrors = []protocolErrorCase{
+// prefaceErrors are violations of section 3.4. Their bytes are the first on the connection.
+var prefaceErrors = []protocolErrorCase{
 	{"not HTTP/2", func(r *rawClient) { r.write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) }, ProtocolError, 0},
 	{"no SETTINGS first", func(r *rawClient) {
 		r.write([]byte(clientPreface))
 		r.write(encodeFrame(framePing, 0, 0, make([]byte, 8)...))
 	}, ProtocolError, 0},
+}
+
+// framingErrors are violations of sections 4 and 6.1.
+var framingErrors = []protocolErrorCase{
 	{"frame too large", func(r *rawClient) { r.write([]byte{0x00, 0x40, 0x01, 0, 0, 0, 0, 0, 1}) }, FrameSizeError, 0},
 	{"DATA on stream 0", func(r *rawClient) { r.write(encodeFrame(frameData, 0, 0, 1)) }, ProtocolError, 0},
 	{"DATA on an idle stream", func(r *rawClient) { r.write(encodeFrame(frameData, 0, 5, 1)) }, ProtocolError, 0},
@@ -32,11 +36,11 @@
 var headerErrors = []protocolErrorCase{
 	{"HEADERS on stream 0", func(r *rawClient) { r.write(encodeFrame(frameHeaders, 4, 0, 0x82)) }, ProtocolError, 0},
 	{"HEADERS on an even stream", func(r *rawClient) { r.writeHeaders(2, true, r.requestBlock()) }, ProtocolError, 0},
-	{"streams that go back", func(r *rawClient) {
+	{"HEADERS on a lower stream", func(r *rawClient) {
 		r.writeHeaders(5, true, r.requestBlock())
 		r.writeHeaders(3, true, r.requestBlock())
 	}, StreamClosed, 0},
-	{"broken HPACK", func(r *rawClient) { r.write(encodeFrame(frameHeaders, 4, 1, 0x80)) }, CompressionError, 0},
+	{"invalid HPACK index", func(r *rawClient) { r.write(encodeFrame(frameHeaders, 4, 1, 0x80)) }, CompressionError, 0},
 	{"interrupted header block", func(r *rawClient) {
 		r.write(encodeFrame(frameHeaders, 0, 1, 0x82))
 		r.write(encodeFrame(framePing, 0, 0, make([]byte, 8)...))
@@ -49,12 +53,12 @@
 
 // settingsErrors are violations of section 6.5.
 var settingsErrors = []protocolErrorCase{
-	{"SETTINGS of an odd length", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 1, 2, 3)) }, FrameSizeError, 0},
+	{"SETTINGS of 3 bytes", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 1, 2, 3)) }, FrameSizeError, 0},
 	{"SETTINGS on a stream", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 1)) }, ProtocolError, 0},
 	{"SETTINGS acknowledged with a payload", func(r *rawClient) { r.write(encodeFrame(frameSettings, 1, 0, make([]byte, 6)...)) }, FrameSizeError, 0},
 	{"initial window too large", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff)) }, FlowControlError, 0},
 	{"frame size too small", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 0, 5, 0, 0, 0, 1)) }, ProtocolError, 0},
-	{"push of 2", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 0, 2, 0, 0, 0, 2)) }, ProtocolError, 0},
+	{"SETTINGS_ENABLE_PUSH of 2", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 0, 2, 0, 0, 0, 2)) }, ProtocolError, 0},
 }
 
 // controlFrameErrors are violations of sections 6.3, 6.4, 6.6, 6.7, 6.8 and 6.9.
@@ -72,7 +76,7 @@
 	{"PRIORITY of 4 bytes", func(r *rawClient) { r.write(encodeFrame(framePriority, 0, 1, encodeUint32(0)...)) }, ProtocolError, 0},
 }
 
-// floods are frames that are legal one by one.
+// floods are frames that are legal, each by itself.
 var floods = []protocolErrorCase{
 	{"CONTINUATION flood", func(r *rawClient) {
 		r.write(encodeFrame(frameHeaders, 0, 1, 0x82))
@@ -121,20 +125,20 @@
 		r.openStream()
 		r.write(encodeFrame(frameWindowUpdate, 0, 1, encodeUint32(maxWindowSize)...))
 	}, FlowControlError, 1},
-	{"DATA behind the end", func(r *rawClient) {
+	{"DATA after END_STREAM", func(r *rawClient) {
 		r.writeHeaders(1, true, r.requestBlock())
 		r.write(encodeFrame(frameData, 0, 1, 1))
 	}, StreamClosed, 1},
 	{"upper-case field", func(r *rawClient) { r.writeHeaders(1, true, r.requestBlock("Bad", "x")) }, ProtocolError, 1},
 	{"connection field", func(r *rawClient) { r.writeHeaders(1, true, r.requestBlock("connection", "close")) }, ProtocolError, 1},
-	{"no path", func(r *rawClient) { r.write(encodeFrame(frameHeaders, 5, 1, 0x83, 0x86)) }, ProtocolError, 1},
-	{"pseudo-header behind a field", func(r *rawClient) { r.writeHeaders(1, true, r.requestBlock("a", "b", ":path", "/y")) }, ProtocolError, 1},
+	{"no :path", func(r *rawClient) { r.write(encodeFrame(frameHeaders, 5, 1, 0x83, 0x86)) }, ProtocolError, 1},
+	{"pseudo-header field after a regular one", func(r *rawClient) { r.writeHeaders(1, true, r.requestBlock("a", "b", ":path", "/y")) }, ProtocolError, 1},
 	{"line break in a value", func(r *rawClient) { r.writeHeaders(1, true, r.requestBlock("a", "b\r\nc")) }, ProtocolError, 1},
 	{"header list too large", func(r *rawClient) {
 		r.writeHeaders(1, true, r.requestBlock("a", strings.Repeat("0", 14000), "b", strings.Repeat("0", 7000)))
 	}, EnhanceYourCalm, 1},
-	{"trailers that do not end", func(r *rawClient) { r.openStream(); r.writeHeaders(1, false, r.requestBlock()) }, ProtocolError, 1},
-	{"a stream too many", func(r *rawClient) {
+	{"trailers without END_STREAM", func(r *rawClient) { r.openStream(); r.writeHeaders(1, false, r.requestBlock()) }, ProtocolError, 1},
+	{"too many streams", func(r *rawClient) {
 		for i := range uint32(11) {
 			r.writeHeaders(2*i+1, false, r.requestBlock())
 		}
@@ -145,16 +149,21 @@
 // clients are served meanwhile.
 func TestProtocolErrors(t *testing.T) {
 	s, _ := startServer(t, Config{GlitchBurst: 100, GlitchRate: 1, MaxConcurrentStreams: 10})
-	cases := slices.Concat(framingErrors, headerErrors, settingsErrors, controlFrameErrors, floods, streamErrors)
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			r := dialRawClient(t, s, c.name != "not HTTP/2" && c.name != "no SETTINGS first")
-			c.send(r)
-			code, goAway := r.readError(c.stream)
-			if code != c.code || goAway != (c.stream == 0) {
-				t.Errorf("answered by %v (connection ended: %v), want %v", code, goAway, c.code)
-			}
-			checkServes(t, s)
-		})
+	for _, c := range prefaceErrors {
+		t.Run(c.name, func(t *testing.T) { c.check(t, s, dialRawClient(t, s, false)) })
+	}
+	for _, c := range slices.Concat(framingErrors, headerErrors, settingsErrors, controlFrameErrors, floods, streamErrors) {
+		t.Run(c.name, func(t *testing.T) { c.check(t, s, dialRawClient(t, s, true)) })
+	}
+}
+
+// check sends the case's bytes, and then makes sure that another client is served.
+func (c protocolErrorCase) check(t *testing.T, s *Server, r *rawClient) {
+	t.Helper()
+	c.send(r)
+	code, goAway := r.readError(c.stream)
+	if code != c.code || goAway != (c.stream == 0) {
+		t.Errorf("answered by %v (connection ended: %v), want %v", code, goAway, c.code)
 	}
+	checkServes(t, s)
 }
--- a/internal/transport/http2/write.go
+++ b/internal/transport/http2/write.go
@@ -50,7 +50,7 @@
 			_ = c.netConn.Close()
 			return
 		}
-		if cap(buffer) > 2*c.cfg.SendBufferSize { // grown by an exception, not to be kept
+		if cap(buffer) > 2*c.cfg.SendBufferSize { // grown beyond its usual size; its memory is released
 			buffer = nil
 		}
 		c.mu.Lock()
@@ -119,7 +119,7 @@
 func (s *Stream) sendOrQueue(p []byte, end bool) int {
 	s.endQueued = end
 	if s.inSendQueue || s.sendOffset < len(s.sendBuffer) {
-		s.queueBehind(p)
+		s.appendToSendBuffer(p)
 		return 0
 	}
 	total := len(p)
@@ -140,8 +140,8 @@
 	return total - len(p)
 }
 
-// queueBehind queues bytes behind those that wait already. c.mu is held.
-func (s *Stream) queueBehind(p []byte) {
+// appendToSendBuffer queues bytes after those that wait already. c.mu is held.
+func (s *Stream) appendToSendBuffer(p []byte) {
 	if s.sendOffset > len(s.sendBuffer)/2 { // drop what has been framed
 		s.sendBuffer, s.sendOffset = s.sendBuffer[:copy(s.sendBuffer, s.sendBuffer[s.sendOffset:])], 0
 	}
