--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -50,13 +50,13 @@
 	if c.Stream {
 		path = oip.StreamInfer
 	}
-	p := &answerPrinter{stream: c.Stream, reader: grpc.Reader{Max: maxMessage}, done: make(chan error, 1)}
+	p := &answerPrinter{stream: c.Stream, reader: grpc.MessageReader{MaxSize: maxMessage}, done: make(chan error, 1)}
 	conn, err := http2.Dial("tcp", c.Address, c.Timeout, http2.Config{}, p)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	head := append(grpc.Head(c.Address, path, c.Timeout), hpack.Field{Name: "grpc-accept-encoding", Value: grpc.Encodings})
+	head := append(grpc.RequestHeaders(c.Address, path, c.Timeout), hpack.Field{Name: "grpc-accept-encoding", Value: grpc.AcceptedEncodings})
 	body := append(grpc.AppendPrefix(nil, len(raw), false), raw...)
 	stream, err := conn.Open(p, head, body, true)
 	if err != nil {
@@ -106,7 +106,7 @@
 // answerPrinter prints an answer's messages as they come. The connection's reading goroutine calls it.
 type answerPrinter struct {
 	stream   bool
-	reader   grpc.Reader
+	reader   grpc.MessageReader
 	encoding string
 	done     chan error // gets the result, once
 	once     sync.Once
@@ -120,21 +120,21 @@
 // GoAway implements http2.Handler.
 func (p *answerPrinter) GoAway(*http2.Conn, http2.ErrCode) {}
 
-// Lost implements http2.Handler.
-func (p *answerPrinter) Lost(_ *http2.Conn, err error) { p.finish(err) }
+// ConnClosed implements http2.Handler.
+func (p *answerPrinter) ConnClosed(_ *http2.Conn, err error) { p.finish(err) }
 
 // Headers implements http2.Receiver.
 func (p *answerPrinter) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
-		p.encoding, _ = grpc.Get(fields, "grpc-encoding")
+		p.encoding, _ = grpc.FieldValue(fields, "grpc-encoding")
 		return
 	}
-	status := grpc.StatusOf(fields)
+	status := grpc.StatusFromTrailers(fields)
 	if status.Code == grpc.OK {
 		p.finish(nil)
 		return
 	}
-	if ms, ok := grpc.Get(fields, "grpc-retry-pushback-ms"); ok && status.Code == grpc.Unavailable {
+	if ms, ok := grpc.FieldValue(fields, "grpc-retry-pushback-ms"); ok && status.Code == grpc.Unavailable {
 		status.Message += "; retry after " + ms + " ms"
 	}
 	p.finish(status)
@@ -157,7 +157,7 @@
 }
 
 func (p *answerPrinter) print(m []byte) {
-	body, err := grpc.Body(m, p.encoding, maxMessage)
+	body, err := grpc.MessageBody(m, p.encoding, maxMessage)
 	var out proto.Message = &inference.ModelInferResponse{}
 	if p.stream {
 		out = &inference.ModelStreamInferResponse{}
--- a/internal/fake/fakeclient/call.go
+++ b/internal/fake/fakeclient/call.go
@@ -25,7 +25,7 @@
 	timer     *time.Timer // nil: not sent yet
 
 	mu                 sync.Mutex
-	counter            grpc.Counter
+	counter            grpc.MessageCounter
 	bytes              int
 	timeToFirstMessage time.Duration
 	ended              bool
@@ -78,8 +78,8 @@
 
 // resultOf reads an answer's trailers. A router rejects a call by the status Unavailable with a Retry-After.
 func resultOf(trailers []hpack.Field) Result {
-	r := Result{Answered: true, Status: grpc.StatusOf(trailers)}
-	retryAfter, hasRetryAfter := grpc.Get(trailers, "grpc-retry-pushback-ms")
+	r := Result{Answered: true, Status: grpc.StatusFromTrailers(trailers)}
+	retryAfter, hasRetryAfter := grpc.FieldValue(trailers, "grpc-retry-pushback-ms")
 	if ms, err := strconv.ParseInt(retryAfter, 10, 64); err == nil {
 		r.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	var streamError *http2.StreamError
-	if errors.As(err, &streamError) && streamError.NeverRan {
+	if errors.As(err, &streamError) && streamError.Unprocessed {
 		p.recordAbandoned() // the router never accepted it
 	}
 	p.finish(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -69,8 +69,8 @@
 // GoAway implements http2.Handler.
 func (c *Client) GoAway(conn *http2.Conn, _ http2.ErrCode) { c.dropConn(conn) }
 
-// Lost implements http2.Handler.
-func (c *Client) Lost(conn *http2.Conn, _ error) { c.dropConn(conn) }
+// ConnClosed implements http2.Handler.
+func (c *Client) ConnClosed(conn *http2.Conn, _ error) { c.dropConn(conn) }
 
 // dropConn makes further calls use another connection; calls under way keep theirs.
 func (c *Client) dropConn(conn *http2.Conn) {
@@ -132,7 +132,7 @@
 	call.timer = time.AfterFunc(deadline+lateAnswerWait, func() {
 		call.finish(Result{Status: grpc.Status{Code: grpc.DeadlineExceeded, Message: "no answer in time"}})
 	})
-	stream, err := conn.Open(call, grpc.Head(c.addr, path, deadline), body, true)
+	stream, err := conn.Open(call, grpc.RequestHeaders(c.addr, path, deadline), body, true)
 	if err != nil {
 		call.recordAbandoned()
 		return fail(err)
--- a/internal/fake/fakeworker/faults.go
+++ b/internal/fake/fakeworker/faults.go
@@ -47,7 +47,7 @@
 	}
 	w.mu.Unlock()
 	if goAway {
-		server.Warn()
+		server.DrainConns()
 		for _, router := range notified {
 			w.record(invariants.Record{Kind: invariants.WorkerDraining, Worker: w.config.ID, Router: router})
 		}
--- a/internal/fake/fakeworker/rpc.go
+++ b/internal/fake/fakeworker/rpc.go
@@ -23,14 +23,14 @@
 
 // Open implements http2.Handler.
 func (h connHandler) Open(s *http2.Stream) http2.Receiver {
-	return &rpc{worker: h.worker, stream: s, reader: grpc.Reader{Max: maxRequestBytes}}
+	return &rpc{worker: h.worker, stream: s, reader: grpc.MessageReader{MaxSize: maxRequestBytes}}
 }
 
 // GoAway implements http2.Handler.
 func (h connHandler) GoAway(*http2.Conn, http2.ErrCode) {}
 
-// Lost implements http2.Handler.
-func (h connHandler) Lost(c *http2.Conn, _ error) {
+// ConnClosed implements http2.Handler.
+func (h connHandler) ConnClosed(c *http2.Conn, _ error) {
 	h.worker.mu.Lock()
 	delete(h.worker.routers, c)
 	h.worker.mu.Unlock()
@@ -43,7 +43,7 @@
 	path        string
 	router      string
 	encoding    string
-	reader      grpc.Reader
+	reader      grpc.MessageReader
 	body        []byte // of the request, once it is complete
 	job         *job   // of an inference call; guarded by the worker's mu
 	headersSent bool
@@ -54,9 +54,9 @@
 	if r.path != "" {
 		return
 	}
-	r.path, _ = grpc.Get(fields, ":path")
-	r.router, _ = grpc.Get(fields, grpcupstream.RouterField)
-	r.encoding, _ = grpc.Get(fields, "grpc-encoding")
+	r.path, _ = grpc.FieldValue(fields, ":path")
+	r.router, _ = grpc.FieldValue(fields, grpcupstream.RouterField)
+	r.encoding, _ = grpc.FieldValue(fields, "grpc-encoding")
 	refused, delay := r.noteRouter(s.Conn())
 	if refused {
 		s.Reset(http2.RefusedStream)
@@ -93,7 +93,7 @@
 			return
 		}
 		if message != nil && r.body == nil {
-			body, err := grpc.Body(message, r.encoding, maxRequestBytes)
+			body, err := grpc.MessageBody(message, r.encoding, maxRequestBytes)
 			if err != nil {
 				s.Reset(http2.ProtocolError)
 				return
@@ -167,7 +167,7 @@
 
 // finish ends the response with its trailers.
 func (r *rpc) finish(o outcome, report oip.LoadReport) {
-	fields := o.status.Trailer()
+	fields := o.status.Trailers()
 	if o.admission != "" {
 		fields = append(fields, hpack.Field{Name: oip.AdmissionField, Value: o.admission})
 	}
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -94,7 +94,7 @@
 func (w *Worker) start(cold bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	server, err := http2.Listen("tcp", w.addr, http2.Config{MaxStreams: maxStreams}, func(*http2.Conn) http2.Handler {
+	server, err := http2.Listen("tcp", w.addr, http2.Config{MaxConcurrentStreams: maxStreams}, func(*http2.Conn) http2.Handler {
 		return connHandler{w}
 	})
 	if err != nil {
--- a/internal/grpcgateway/forward_bench_test.go
+++ b/internal/grpcgateway/forward_bench_test.go
@@ -25,14 +25,14 @@
 // floodedStream is a stream at a floodingWorker.
 type floodedStream struct {
 	worker *floodingWorker
-	reader grpc.Reader
+	reader grpc.MessageReader
 }
 
 func (w *floodingWorker) Open(*http2.Stream) http2.Receiver {
-	return &floodedStream{worker: w, reader: grpc.Reader{Max: 1 << 20}}
+	return &floodedStream{worker: w, reader: grpc.MessageReader{MaxSize: 1 << 20}}
 }
 func (w *floodingWorker) GoAway(*http2.Conn, http2.ErrCode) {}
-func (w *floodingWorker) Lost(*http2.Conn, error)           {}
+func (w *floodingWorker) ConnClosed(*http2.Conn, error)     {}
 
 func (s *floodedStream) Headers(*http2.Stream, []hpack.Field, bool) {}
 func (s *floodedStream) Closed(*http2.Stream, error)                {}
@@ -63,13 +63,13 @@
 
 // countingClient counts messages, and sends the stream's status, or its error, to done.
 type countingClient struct {
-	counter grpc.Counter
+	counter grpc.MessageCounter
 	done    chan string
 }
 
 func (c *countingClient) Open(*http2.Stream) http2.Receiver { return nil }
 func (c *countingClient) GoAway(*http2.Conn, http2.ErrCode) {}
-func (c *countingClient) Lost(*http2.Conn, error)           {}
+func (c *countingClient) ConnClosed(*http2.Conn, error)     {}
 func (c *countingClient) Sent(*http2.Stream, int)           {}
 func (c *countingClient) Closed(_ *http2.Stream, err error) {
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 func (c *countingClient) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if end {
-		status, _ := grpc.Get(fields, "grpc-status")
+		status, _ := grpc.FieldValue(fields, "grpc-status")
 		c.done <- status
 	}
 }
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -113,7 +113,7 @@
 
 // http2Config returns what the server's and the workers' connections have in common.
 func (g *Gateway) http2Config() http2.Config {
-	return http2.Config{MaxStreams: g.cfg.Limits.MaxStreams, StreamWindow: g.cfg.Limits.StreamWindowBytes}
+	return http2.Config{MaxConcurrentStreams: g.cfg.Limits.MaxStreams, StreamWindow: g.cfg.Limits.StreamWindowBytes}
 }
 
 // followWorkers hands the worker list to the router, and to gossip, now and after each change, until stopFollowing is
--- a/internal/grpcgateway/proxy_comparison_children_test.go
+++ b/internal/grpcgateway/proxy_comparison_children_test.go
@@ -75,7 +75,7 @@
 // serveInstantWorkers starts the workers and prints their addresses.
 func serveInstantWorkers() {
 	for range comparisonWorkers {
-		server, err := http2.Listen("tcp", "127.0.0.1:0", http2.Config{MaxStreams: comparisonStreams},
+		server, err := http2.Listen("tcp", "127.0.0.1:0", http2.Config{MaxConcurrentStreams: comparisonStreams},
 			func(*http2.Conn) http2.Handler { return instantWorker{} })
 		if err != nil {
 			panic(err)
@@ -114,21 +114,21 @@
 type instantWorker struct{}
 
 func (instantWorker) Open(*http2.Stream) http2.Receiver {
-	return &instantCall{reader: wire.Reader{Max: 1 << 24}}
+	return &instantCall{reader: wire.MessageReader{MaxSize: 1 << 24}}
 }
 func (instantWorker) GoAway(*http2.Conn, http2.ErrCode) {}
-func (instantWorker) Lost(*http2.Conn, error)           {}
+func (instantWorker) ConnClosed(*http2.Conn, error)     {}
 
 // instantCall is one call at an instantWorker.
 type instantCall struct {
 	path   string
-	reader wire.Reader
+	reader wire.MessageReader
 }
 
 func (c *instantCall) Sent(*http2.Stream, int)     {}
 func (c *instantCall) Closed(*http2.Stream, error) {}
 func (c *instantCall) Headers(_ *http2.Stream, fields []hpack.Field, _ bool) {
-	c.path, _ = wire.Get(fields, ":path")
+	c.path, _ = wire.FieldValue(fields, ":path")
 }
 
 func (c *instantCall) Data(stream *http2.Stream, data []byte, _ bool) {
--- a/internal/grpcgateway/proxy_comparison_test.go
+++ b/internal/grpcgateway/proxy_comparison_test.go
@@ -180,7 +180,7 @@
 
 func (loadConn) Open(*http2.Stream) http2.Receiver { return nil }
 func (loadConn) GoAway(*http2.Conn, http2.ErrCode) {}
-func (loadConn) Lost(*http2.Conn, error)           {}
+func (loadConn) ConnClosed(*http2.Conn, error)     {}
 
 // loadCall is one call of a load. It calls done once, and allocates next to nothing, so that the client costs little.
 type loadCall struct {
@@ -195,7 +195,7 @@
 func (c *loadCall) Closed(_ *http2.Stream, err error)              { c.end(err == nil) }
 func (c *loadCall) Headers(_ *http2.Stream, f []hpack.Field, end bool) {
 	if end {
-		status, _ := grpc.Get(f, "grpc-status")
+		status, _ := grpc.FieldValue(f, "grpc-status")
 		c.end(status == "0")
 	}
 }
--- a/internal/oip/loadreport.go
+++ b/internal/oip/loadreport.go
@@ -43,11 +43,11 @@
 // ParseLoadReport reads the load report in the trailers of a call. It returns NoLoadReport if there is none, and with an error
 // if there is one that cannot be read: a worker's report is never a reason to fail a call. Metrics out of bounds are ignored.
 func ParseLoadReport(trailers []hpack.Field) (LoadReport, error) {
-	value, ok := grpc.Get(trailers, LoadReportField)
+	value, ok := grpc.FieldValue(trailers, LoadReportField)
 	if !ok {
 		return NoLoadReport, nil
 	}
-	serialized, err := grpc.DecodeBin(value)
+	serialized, err := grpc.DecodeBinaryHeader(value)
 	if err != nil {
 		return NoLoadReport, fmt.Errorf("oip: %s: %w", LoadReportField, err)
 	}
@@ -82,5 +82,5 @@
 	if err != nil {
 		serialized = nil // numbers always marshal
 	}
-	return hpack.Field{Name: LoadReportField, Value: grpc.EncodeBin(serialized)}
+	return hpack.Field{Name: LoadReportField, Value: grpc.EncodeBinaryHeader(serialized)}
 }
--- a/internal/oip/loadreport_test.go
+++ b/internal/oip/loadreport_test.go
@@ -19,7 +19,7 @@
 	if got, err := ParseLoadReport(nil); err != nil || got != NoLoadReport {
 		t.Errorf("no report: %+v, %v", got, err)
 	}
-	for name, value := range map[string]string{"not base64": "!!", "not a protobuf message": grpc.EncodeBin([]byte{0x0a, 0xff})} {
+	for name, value := range map[string]string{"not base64": "!!", "not a protobuf message": grpc.EncodeBinaryHeader([]byte{0x0a, 0xff})} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := ParseLoadReport([]hpack.Field{{Name: LoadReportField, Value: value}}); err == nil || got != NoLoadReport {
 				t.Errorf("%q: %+v, %v", value, got, err)
@@ -27,7 +27,7 @@
 		})
 	}
 	outOfBounds := &orca.OrcaLoadReport{NamedMetrics: map[string]float64{MetricInFlight: math.Inf(1), MetricQueued: -4, MetricCacheStatus: 1e30}}
-	got, err := ParseLoadReport([]hpack.Field{{Name: LoadReportField, Value: grpc.EncodeBin(marshal(t, outOfBounds))}})
+	got, err := ParseLoadReport([]hpack.Field{{Name: LoadReportField, Value: grpc.EncodeBinaryHeader(marshal(t, outOfBounds))}})
 	if err != nil || got.InFlight != -1 || got.Queued != -1 || got.CacheStatus != 4 {
 		t.Errorf("out of bounds: %+v, %v", got, err)
 	}
--- a/internal/server/grpcserver/finalstatus_test.go
+++ b/internal/server/grpcserver/finalstatus_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			status, trailers := FinalStatus(c.answer)
-			if pushback, _ := grpc.Get(trailers, retryPushbackField); status.Code != c.code || pushback != c.pushback {
+			if pushback, _ := grpc.FieldValue(trailers, retryPushbackField); status.Code != c.code || pushback != c.pushback {
 				t.Errorf("%v, %s %q; want %v, %q", status, retryPushbackField, pushback, c.code, c.pushback)
 			}
 		})
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -96,7 +96,7 @@
 
 func (r *responseReader) Open(*http2.Stream) http2.Receiver { return nil }
 func (r *responseReader) GoAway(*http2.Conn, http2.ErrCode) {}
-func (r *responseReader) Lost(*http2.Conn, error)           {}
+func (r *responseReader) ConnClosed(*http2.Conn, error)     {}
 func (r *responseReader) Sent(*http2.Stream, int)           {}
 func (r *responseReader) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
@@ -190,11 +190,7 @@
 // gzipBomb returns a compressed message within the server's limit, whose content exceeds it.
 func gzipBomb(t *testing.T) []byte {
 	t.Helper()
-	message, err := grpc.Compress(make([]byte, 100000))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return message
+	return compressMessage(t, make([]byte, 100000))
 }
 
 // requestField returns a list of one header field.
--- a/internal/server/grpcserver/header.go
+++ b/internal/server/grpcserver/header.go
@@ -20,7 +20,7 @@
 			rejection = &grpc.Status{Code: code, Message: message}
 		}
 	}
-	s.path, _ = grpc.Get(fields, ":path")
+	s.path, _ = grpc.FieldValue(fields, ":path")
 	for _, field := range fields {
 		switch field.Name {
 		case ":method":
@@ -28,7 +28,7 @@
 				reject(grpc.Unimplemented, "method "+field.Value)
 			}
 		case "content-type":
-			if !grpc.IsContent(field.Value) {
+			if !grpc.IsContentType(field.Value) {
 				return nil, false
 			}
 		case "grpc-timeout":
@@ -39,13 +39,13 @@
 			s.timeout = max(timeout, minTimeout)
 		case "grpc-encoding":
 			s.encoding = field.Value
-			if !grpc.Known(field.Value) {
+			if !grpc.IsKnownEncoding(field.Value) {
 				reject(grpc.Unimplemented, "grpc-encoding "+strconv.Quote(field.Value)+" is not known here")
 			}
 		case "grpc-accept-encoding":
 			s.acceptEncoding = field.Value
 		default:
-			if !grpc.Reserved(field.Name) {
+			if !grpc.IsReservedHeader(field.Name) {
 				s.metadata = append(s.metadata, field)
 			}
 		}
--- a/internal/server/grpcserver/request.go
+++ b/internal/server/grpcserver/request.go
@@ -66,7 +66,7 @@
 
 // readErrorCode returns the status code for an error of the reader of messages.
 func readErrorCode(err error) grpc.Code {
-	if errors.Is(err, grpc.ErrFlag) {
+	if errors.Is(err, grpc.ErrCompressedFlag) {
 		return grpc.Internal
 	}
 	return grpc.ResourceExhausted
@@ -121,7 +121,7 @@
 
 // serveRequest serves one complete request message, given with its gRPC prefix.
 func (s *stream) serveRequest(message []byte) {
-	body, err := grpc.Body(message, s.encoding, s.server.cfg.CallBuilder.MaxMessageBytes)
+	body, err := grpc.MessageBody(message, s.encoding, s.server.cfg.CallBuilder.MaxMessageBytes)
 	switch {
 	case err != nil:
 		s.completeRequest(grpc.Status{Code: grpc.InvalidArgument, Message: err.Error()}, nil)
--- a/internal/server/grpcserver/response.go
+++ b/internal/server/grpcserver/response.go
@@ -66,14 +66,14 @@
 	headerSent := s.headerSent
 	s.mu.Unlock()
 	s.server.removeStream(s)
-	fields := append(status.Trailer(), trailers...)
+	fields := append(status.Trailers(), trailers...)
 	if headerSent {
 		_ = s.http2Stream.WriteTrailers(fields)
 		return
 	}
 	header := responseHeader()
 	if status.Code == grpc.Unimplemented {
-		header = append(header, hpack.Field{Name: "grpc-accept-encoding", Value: grpc.Encodings})
+		header = append(header, hpack.Field{Name: "grpc-accept-encoding", Value: grpc.AcceptedEncodings})
 	}
 	_ = s.http2Stream.WriteHeaders(append(header, fields...), true)
 }
--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -53,10 +53,10 @@
 func (s *Server) Addr() string { return s.http2Server.Addr().String() }
 
 // Connections returns how many clients are connected.
-func (s *Server) Connections() int { return s.http2Server.Conns() }
+func (s *Server) Connections() int { return s.http2Server.NumConns() }
 
 // Streams returns how many streams are open, those included whose last response bytes are still to be sent.
-func (s *Server) Streams() int { return s.http2Server.Streams() }
+func (s *Server) Streams() int { return s.http2Server.NumStreams() }
 
 func (s *Server) addStream(added *stream) {
 	s.mu.Lock()
@@ -75,7 +75,7 @@
 
 // Open implements http2.Handler.
 func (h connHandler) Open(http2Stream *http2.Stream) http2.Receiver {
-	s := &stream{server: h.server, http2Stream: http2Stream, messageReader: grpc.Reader{Max: h.server.cfg.CallBuilder.MaxMessageBytes}}
+	s := &stream{server: h.server, http2Stream: http2Stream, messageReader: grpc.MessageReader{MaxSize: h.server.cfg.CallBuilder.MaxMessageBytes}}
 	h.server.addStream(s)
 	return s
 }
@@ -83,7 +83,7 @@
 // GoAway implements http2.Handler.
 func (h connHandler) GoAway(*http2.Conn, http2.ErrCode) {}
 
-// Lost implements http2.Handler.
-func (h connHandler) Lost(c *http2.Conn, err error) {
+// ConnClosed implements http2.Handler.
+func (h connHandler) ConnClosed(c *http2.Conn, err error) {
 	h.server.cfg.Logger.Debug("client connection ended", "client", c.RemoteAddr(), "reason", err)
 }
--- a/internal/server/grpcserver/server_test.go
+++ b/internal/server/grpcserver/server_test.go
@@ -47,20 +47,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := roundTrip(t, s, c.path, c.request, c.fields...)
-			if status := grpc.StatusOf(response.trailers); status.Code != c.code {
+			if status := grpc.StatusFromTrailers(response.trailers); status.Code != c.code {
 				t.Errorf("%v, want %v", status, c.code)
 			}
-			if v, _ := grpc.Get(response.trailers, "grpc-accept-encoding"); name == "unknown encoding" && v != grpc.Encodings {
+			if v, _ := grpc.FieldValue(response.trailers, "grpc-accept-encoding"); name == "unknown encoding" && v != grpc.AcceptedEncodings {
 				t.Errorf("grpc-accept-encoding %q", v)
 			}
-			if v, _ := grpc.Get(response.trailers, retryPushbackField); name == "rejected by the dispatcher" && v != "70" {
+			if v, _ := grpc.FieldValue(response.trailers, retryPushbackField); name == "rejected by the dispatcher" && v != "70" {
 				t.Errorf("%s %q", retryPushbackField, v)
 			}
 		})
 	}
 	t.Run("content type is not gRPC", func(t *testing.T) {
 		response := roundTrip(t, s, oip.Infer, request, requestField("content-type", "application/json")...)
-		if v, _ := grpc.Get(response.trailers, ":status"); v != "415" {
+		if v, _ := grpc.FieldValue(response.trailers, ":status"); v != "415" {
 			t.Errorf("HTTP status %q", v)
 		}
 	})
--- a/internal/server/grpcserver/shutdown_test.go
+++ b/internal/server/grpcserver/shutdown_test.go
@@ -14,7 +14,7 @@
 	waitForStream(s)
 	s.Drain()
 	response.wait(t)
-	if status := grpc.StatusOf(response.trailers); status.Code != grpc.Unavailable {
+	if status := grpc.StatusFromTrailers(response.trailers); status.Code != grpc.Unavailable {
 		t.Errorf("ended with %v", status)
 	}
 }
--- a/internal/server/grpcserver/stream.go
+++ b/internal/server/grpcserver/stream.go
@@ -24,7 +24,7 @@
 	metadata       []hpack.Field // of the client, for the worker
 
 	mu              sync.Mutex // guards what follows
-	messageReader   grpc.Reader
+	messageReader   grpc.MessageReader
 	unaryRequest    []byte // the complete request message of a unary call; nil: not received yet
 	unconsumed      []byte // of a ModelStreamInfer: what came behind the request in flight
 	halfClosed      bool   // the client has sent everything
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"time"
@@ -12,123 +11,134 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
+// closeTimeout is how long Server.Close waits for the event loop to end.
+const closeTimeout = time.Second
+
 // Server accepts connections on one listener.
 type Server struct {
-	cfg     Config
-	handler func(*Conn) Handler
-	ln      *listen.Listener
-	loop    netpoll.EventLoop
-
-	mu    sync.Mutex
-	conns map[*Conn]struct{}
-	done  bool
+	cfg        Config
+	newHandler func(*Conn) Handler
+	listener   *listen.Listener
+	eventLoop  netpoll.EventLoop
+
+	mu       sync.Mutex
+	conns    map[*Conn]struct{}
+	draining bool
 }
 
+// connKey is the context key of a netpoll connection's *Conn.
 type connKey struct{}
 
-// Listen opens a listener, on "tcp" or "unix", and serves it until Close. handler is asked for each
-// connection's Handler before its first frame.
-func Listen(network, addr string, cfg Config, handler func(*Conn) Handler) (*Server, error) {
-	ln, err := listen.Open(network, addr)
+// Listen opens a listener, on "tcp" or "unix", and serves it until Close. newHandler returns the Handler of a
+// connection before its first frame.
+func Listen(network, addr string, cfg Config, newHandler func(*Conn) Handler) (*Server, error) {
+	listener, err := listen.Open(network, addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{cfg: cfg, handler: handler, ln: ln, conns: map[*Conn]struct{}{}}
-	s.loop, err = netpoll.NewEventLoop(
-		func(ctx context.Context, _ netpoll.Connection) error {
-			c, _ := ctx.Value(connKey{}).(*Conn)
-			return c.read()
-		},
-		netpoll.WithOnPrepare(func(nc netpoll.Connection) context.Context {
-			c := newConn(nc, s.cfg, nil, false)
-			c.handler = tracked{s.handler(c), s}
-			s.mu.Lock()
-			s.conns[c] = struct{}{}
-			s.mu.Unlock()
-			return context.WithValue(context.Background(), connKey{}, c)
-		}),
-		netpoll.WithOnConnect(func(ctx context.Context, nc netpoll.Connection) context.Context {
-			c, _ := ctx.Value(connKey{}).(*Conn)
-			_ = nc.AddCloseCallback(func(netpoll.Connection) error {
-				c.lost(errors.New("connection closed by peer"))
-				return nil
-			})
-			if !nc.IsActive() { // it was closed before the callback stood
-				c.lost(errors.New("connection closed by peer"))
-				return ctx
-			}
-			c.start()
-			s.mu.Lock()
-			draining := s.done
-			s.mu.Unlock()
-			if draining { // it was accepted before the drain began, or while it was told
-				c.Shutdown()
-			}
-			return ctx
-		}),
-	)
+	s := &Server{cfg: cfg, newHandler: newHandler, listener: listener, conns: map[*Conn]struct{}{}}
+	s.eventLoop, err = netpoll.NewEventLoop(s.onRequest, netpoll.WithOnPrepare(s.onPrepare),
+		netpoll.WithOnConnect(s.onConnect))
 	if err != nil {
-		_ = ln.Close()
+		_ = listener.Close()
 		return nil, err
 	}
-	ln.Serve(s.loop)
+	listener.Serve(s.eventLoop)
 	return s, nil
 }
 
-// tracked takes a lost connection out of its server's book.
-type tracked struct {
+// onPrepare is called by netpoll for an accepted connection before any other callback.
+func (s *Server) onPrepare(netConn netpoll.Connection) context.Context {
+	c := newConn(netConn, s.cfg, nil, false)
+	c.handler = trackedHandler{s.newHandler(c), s}
+	s.mu.Lock()
+	s.conns[c] = struct{}{}
+	s.mu.Unlock()
+	return context.WithValue(context.Background(), connKey{}, c)
+}
+
+// onConnect is called by netpoll before the first bytes of a connection are handled.
+func (s *Server) onConnect(ctx context.Context, netConn netpoll.Connection) context.Context {
+	c, _ := ctx.Value(connKey{}).(*Conn)
+	_ = netConn.AddCloseCallback(func(netpoll.Connection) error {
+		c.terminate(errClosedByPeer)
+		return nil
+	})
+	if !netConn.IsActive() { // it was closed before the callback was registered
+		c.terminate(errClosedByPeer)
+		return ctx
+	}
+	c.flushPreface()
+	s.mu.Lock()
+	draining := s.draining
+	s.mu.Unlock()
+	if draining { // it was accepted before the drain began, or while the other connections were notified
+		c.Shutdown()
+	}
+	return ctx
+}
+
+// onRequest is called by netpoll when bytes of a connection wait.
+func (s *Server) onRequest(ctx context.Context, _ netpoll.Connection) error {
+	c, _ := ctx.Value(connKey{}).(*Conn)
+	return c.readFrames()
+}
+
+// trackedHandler removes a closed connection from its server.
+type trackedHandler struct {
 	Handler
-	s *Server
+	server *Server
 }
 
-func (t tracked) Lost(c *Conn, err error) {
-	t.s.mu.Lock()
-	delete(t.s.conns, c)
-	t.s.mu.Unlock()
-	t.Handler.Lost(c, err)
+// ConnClosed implements Handler.
+func (t trackedHandler) ConnClosed(c *Conn, err error) {
+	t.server.mu.Lock()
+	delete(t.server.conns, c)
+	t.server.mu.Unlock()
+	t.Handler.ConnClosed(c, err)
 }
 
-// Addr is the address that the server listens on.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Conns tells how many connections are open.
-func (s *Server) Conns() int {
+// NumConns returns how many connections are open.
+func (s *Server) NumConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Streams tells how many streams are open on all connections.
-func (s *Server) Streams() int {
+// NumStreams returns how many streams are open on all connections.
+func (s *Server) NumStreams() int {
 	n := 0
-	for _, c := range s.all() {
-		n += c.Streams()
+	for _, c := range s.openConns() {
+		n += c.NumStreams()
 	}
 	return n
 }
 
-func (s *Server) all() []*Conn {
+func (s *Server) openConns() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]*Conn, 0, len(s.conns))
+	conns := make([]*Conn, 0, len(s.conns))
 	for c := range s.conns {
-		list = append(list, c)
+		conns = append(conns, c)
 	}
-	return list
+	return conns
 }
 
-// Drain stops accepting and asks every connection to end when its streams have. It returns at once.
+// Drain starts a graceful shutdown of every connection, and of each that is accepted from now on. It returns
+// at once.
 func (s *Server) Drain() {
 	s.mu.Lock()
-	s.done = true
+	s.draining = true
 	s.mu.Unlock()
-	s.Warn()
+	s.DrainConns()
 }
 
-// Warn tells every connection's peer that no further streams are taken, as Drain does, but goes on accepting
-// connections.
-func (s *Server) Warn() {
-	for _, c := range s.all() {
+// DrainConns starts a graceful shutdown of every open connection. Connections accepted later are served.
+func (s *Server) DrainConns() {
+	for _, c := range s.openConns() {
 		c.Shutdown()
 	}
 }
@@ -136,13 +146,13 @@
 // Close ends the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.done = true
+	s.draining = true
 	s.mu.Unlock()
-	for _, c := range s.all() {
+	for _, c := range s.openConns() {
 		c.Close()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = s.loop.Shutdown(ctx)
-	_ = s.ln.Close()
+	_ = s.eventLoop.Shutdown(ctx)
+	_ = s.listener.Close()
 }
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -30,7 +30,7 @@
 	metadata        []hpack.Field // of the response headers, for the client
 	headersReceived bool
 	invalidResponse *outcome // not gRPC or not HTTP status 200; nil otherwise
-	counter         grpc.Counter
+	counter         grpc.MessageCounter
 	buffered        []byte        // response bytes that no client has received
 	earlyCredit     int           // bytes that were credited to the stream's window before the client consumed them
 	client          router.Client // nil until ForwardTo
@@ -113,9 +113,9 @@
 	a.mu.Lock()
 	if !a.headersReceived {
 		a.headersReceived = true
-		if status, _ := grpc.Get(fields, ":status"); status != "200" {
-			a.invalidResponse = &outcome{dispatch.Errored, grpc.StatusOfHTTP(status)}
-		} else if contentType, _ := grpc.Get(fields, "content-type"); !grpc.IsContent(contentType) {
+		if status, _ := grpc.FieldValue(fields, ":status"); status != "200" {
+			a.invalidResponse = &outcome{dispatch.Errored, grpc.StatusFromHTTP(status)}
+		} else if contentType, _ := grpc.FieldValue(fields, "content-type"); !grpc.IsContentType(contentType) {
 			a.invalidResponse = &outcome{dispatch.Errored, grpc.Status{Code: grpc.Unknown,
 				Message: "worker's answer has content-type " + strconv.Quote(contentType)}}
 		}
@@ -147,7 +147,7 @@
 func forwardedMetadata(fields []hpack.Field, includeEncoding bool) []hpack.Field {
 	var out []hpack.Field
 	for _, f := range fields {
-		if includeEncoding && f.Name == "grpc-encoding" || !grpc.Reserved(f.Name) && f.Name != oip.LoadReportField &&
+		if includeEncoding && f.Name == "grpc-encoding" || !grpc.IsReservedHeader(f.Name) && f.Name != oip.LoadReportField &&
 			f.Name != oip.AdmissionField {
 			out = append(out, f)
 		}
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -27,7 +27,7 @@
 	var best *http2.Conn
 	freeStreams := 0
 	for _, c := range w.conns {
-		if r := c.Room(); r > freeStreams {
+		if r := c.AvailableStreams(); r > freeStreams {
 			best, freeStreams = c, r
 		}
 	}
@@ -96,7 +96,7 @@
 			p.startStream(w.id, call)
 		default:
 			switch err := call.openStream(c); {
-			case errors.Is(err, http2.ErrNoStreams):
+			case errors.Is(err, http2.ErrTooManyStreams):
 				p.waitForConn(w.id, call, err)
 			case err != nil: // no redial: a worker may accept and close at once, again and again
 				call.fail(err.Error())
@@ -125,8 +125,8 @@
 	}
 }
 
-// Lost implements http2.Handler.
-func (h *connHandler) Lost(c *http2.Conn, err error) { h.removeConn(c) }
+// ConnClosed implements http2.Handler.
+func (h *connHandler) ConnClosed(c *http2.Conn, err error) { h.removeConn(c) }
 
 // removeConn removes the connection from the worker's list. If dial has not added it yet, noNewStreams keeps it out.
 func (h *connHandler) removeConn(c *http2.Conn) {
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -29,7 +29,7 @@
 	mu       sync.Mutex
 	stream   *http2.Stream // nil until it is opened
 	timer    *time.Timer
-	reader   grpc.Reader
+	reader   grpc.MessageReader
 	response []byte // the last message received, without its prefix
 	messages int    // received
 	ended    bool
@@ -44,7 +44,7 @@
 		return
 	}
 	call := &controlCall{pool: p, path: path, deadline: time.Now().Add(limit), done: done,
-		body: append(grpc.AppendPrefix(nil, len(encoded), false), encoded...), reader: grpc.Reader{Max: maxControlResponse}}
+		body: append(grpc.AppendPrefix(nil, len(encoded), false), encoded...), reader: grpc.MessageReader{MaxSize: maxControlResponse}}
 	call.timer = time.AfterFunc(limit, func() {
 		call.mu.Lock()
 		stream := call.stream
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -43,9 +43,9 @@
 		return outcome{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unavailable, Message: "stream ended early"}}
 	}
 	switch {
-	case streamErr.NeverRan:
+	case streamErr.Unprocessed:
 		return outcome{dispatch.Rejected, grpc.Status{Code: grpc.Unavailable, Message: "worker refused the stream"}}
-	case streamErr.Lost:
+	case streamErr.ConnLost:
 		return outcome{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unknown, Message: "connection to the worker lost"}}
 	default:
 		return outcome{dispatch.ConnectionReset, grpc.Status{Code: grpc.Unknown, Message: "worker's stream ended: " + streamErr.Error()}}
@@ -65,11 +65,11 @@
 // classifyTrailers classifies a response by its trailers. messages is the number of complete messages before them, and
 // truncated reports that an incomplete one followed.
 func classifyTrailers(trailers []hpack.Field, messages int, truncated, streamed bool) (result outcome, workerDraining bool) {
-	if _, ok := grpc.Get(trailers, "grpc-status"); !ok {
+	if _, ok := grpc.FieldValue(trailers, "grpc-status"); !ok {
 		return outcome{dispatch.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}}, false
 	}
-	status := grpc.StatusOf(trailers)
-	admission, _ := grpc.Get(trailers, oip.AdmissionField)
+	status := grpc.StatusFromTrailers(trailers)
+	admission, _ := grpc.FieldValue(trailers, oip.AdmissionField)
 	switch {
 	case status.Code == grpc.OK && (truncated || !streamed && messages != 1):
 		return outcome{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken"}}, false
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -114,5 +114,5 @@
 
 // requestHeaders returns the headers that every request to a worker begins with; left is what remains of its deadline.
 func (p *Pool) requestHeaders(path string, left time.Duration) []hpack.Field {
-	return append(grpc.Head("worker", path, left), hpack.Field{Name: RouterField, Value: p.config.RouterName})
+	return append(grpc.RequestHeaders("worker", path, left), hpack.Field{Name: RouterField, Value: p.config.RouterName})
 }
--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -40,7 +40,7 @@
 	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.OK || dispatcher.started != 1 {
 		t.Errorf("streamed: %+v, started %d", ended, dispatcher.started)
 	}
-	var counter grpc.Counter
+	var counter grpc.MessageCounter
 	if err := counter.Add(client.bytes.Bytes()); err != nil || counter.Messages != 3 || client.starts != 1 {
 		t.Errorf("streamed: %d messages, %v, started %d times", counter.Messages, err, client.starts)
 	}
@@ -101,7 +101,7 @@
 
 // encodeReport returns the serialized report without base64: grpc-go encodes -bin fields itself.
 func encodeReport(r oip.LoadReport) []byte {
-	b, err := grpc.DecodeBin(r.Trailer().Value)
+	b, err := grpc.DecodeBinaryHeader(r.Trailer().Value)
 	if err != nil {
 		panic(err)
 	}
