--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -90,6 +90,11 @@
 }
 
 func (d *violatingDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
+	for _, event := range events { // an update may come behind the first request, in the same Step
+		if update, ok := event.(dispatch.EndpointUpdate); ok {
+			d.workers = update.Endpoints
+		}
+	}
 	for _, event := range events {
 		switch event := event.(type) {
 		case dispatch.TimerFired:
@@ -97,8 +102,6 @@
 				actions = append(actions, dispatch.RejectRequest{ID: id})
 			}
 			d.overdue = nil
-		case dispatch.EndpointUpdate:
-			d.workers = event.Endpoints
 		case dispatch.AttemptEnded: // the next worker is tried where nothing ran
 			if d.counter++; event.Result == dispatch.NotSent && !event.Final {
 				worker := d.workers[d.counter%len(d.workers)].ID
