--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -4,49 +4,17 @@
 	"bytes"
 	"encoding/base64"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
 	"path/filepath"
 	"reflect"
 	"slices"
-	"sort"
-	"strconv"
-	"strings"
 	"testing"
 	"time"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// compareGolden compares bytes with a file under testdata/golden.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
 
-// readGolden reads an input under testdata/golden.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
+	"github.com/topazfront/topazfront/internal/testsupport/golden"
+)
 
 // indentedJSON marshals a value as the golden files hold it.
 func indentedJSON(t *testing.T, value any) []byte {
@@ -58,50 +26,15 @@
 	return append(raw, '\n')
 }
 
-// plainValue writes a value as numbers and strings in the order of its fields, without any Go name, so that
-// renaming a type or field leaves the text as it is.
-func plainValue(v reflect.Value) string {
-	parts := []string{}
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			parts = append(parts, plainValue(v.Field(i)))
-		}
-		return "(" + strings.Join(parts, " ") + ")"
-	case reflect.Slice:
-		for i := range v.Len() {
-			parts = append(parts, plainValue(v.Index(i)))
-		}
-		return "[" + strings.Join(parts, " ") + "]"
-	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			parts = append(parts, plainValue(key)+": "+plainValue(v.MapIndex(key)))
-		}
-		sort.Strings(parts)
-		return "{" + strings.Join(parts, " ") + "}"
-	case reflect.String:
-		return strconv.Quote(v.String())
-	case reflect.Bool:
-		return strconv.FormatBool(v.Bool())
-	case reflect.Float64:
-		return strconv.FormatFloat(v.Float(), 'g', -1, 64)
-	case reflect.Uint8, reflect.Uint64:
-		return strconv.FormatUint(v.Uint(), 10)
-	case reflect.Int, reflect.Int64:
-		return strconv.FormatInt(v.Int(), 10)
-	}
-	return "unsupported " + v.Kind().String()
-}
-
 // TestGoldenGateway holds what is read from a file with every key, each of another value, and what the file's
 // settings become for the dispatcher, the servers and the gossip agent.
 func TestGoldenGateway(t *testing.T) {
-	g, err := Parse("gateway.json", readGolden(t, "gateway.json"))
+	g, err := Parse("gateway.json", golden.Read(t, "gateway.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "gateway.out", indentedJSON(t, g))
-	compareGolden(t, "settings.out", []byte(plainValue(reflect.ValueOf(g.DispatchSettings()))+"\n"))
+	golden.Compare(t, "gateway.out", indentedJSON(t, g))
+	golden.Compare(t, "settings.out", []byte(golden.PlainValue(g.DispatchSettings())+"\n"))
 
 	var calls bytes.Buffer
 	builder := g.CallBuilder()
@@ -115,17 +48,17 @@
 		fmt.Fprintln(&calls, name, builder.Deadlines[name])
 	}
 	fmt.Fprintln(&calls, builder.ResponseMargin, builder.MaxMessageBytes)
-	compareGolden(t, "calls.out", calls.Bytes())
+	golden.Compare(t, "calls.out", calls.Bytes())
 
 	a := g.Gossip.AgentConfig(g.Name, g.Seed)
-	compareGolden(t, "agent.out", fmt.Appendln(nil, a.ID, a.Listen, a.Advertise, a.Seeds, a.Gossip.BytesPerSecond,
+	golden.Compare(t, "agent.out", fmt.Appendln(nil, a.ID, a.Listen, a.Advertise, a.Seeds, a.Gossip.BytesPerSecond,
 		a.Gossip.BurstBytes, a.Gossip.MessagesPerSecond, a.Gossip.BurstMessages, a.Gossip.ProbeInterval, a.Gossip.EvidenceLifetime,
 		a.Quorum.ClaimLifetime, a.CheckTimeout, a.Seed))
 }
 
 // TestGoldenGatewayHasEveryKey guards the golden input: a key that is added to the settings is added there too.
 func TestGoldenGatewayHasEveryKey(t *testing.T) {
-	g, err := Parse("gateway.json", readGolden(t, "gateway.json"))
+	g, err := Parse("gateway.json", golden.Read(t, "gateway.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,20 +84,20 @@
 
 // TestGoldenDefaults holds the settings that a file without them gets.
 func TestGoldenDefaults(t *testing.T) {
-	compareGolden(t, "defaults.out", indentedJSON(t, Defaults()))
+	golden.Compare(t, "defaults.out", indentedJSON(t, Defaults()))
 }
 
 // TestGoldenWorkers holds what is read from a worker list with every key, and how it is written.
 func TestGoldenWorkers(t *testing.T) {
-	raw := readGolden(t, "workers.json")
+	raw := golden.Read(t, "workers.json")
 	list, err := ParseWorkers("workers.json", raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	origin := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	endpoints := list.Endpoints(func(at time.Time) time.Duration { return at.Sub(origin) })
-	compareGolden(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", plainValue(reflect.ValueOf(endpoints)),
-		plainValue(reflect.ValueOf(list.StartTimes()))))
+	golden.Compare(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", golden.PlainValue(endpoints),
+		golden.PlainValue(list.StartTimes())))
 	path := filepath.Join(t.TempDir(), "workers.json")
 	if err := WriteWorkers(path, *list); err != nil {
 		t.Fatal(err)
@@ -180,7 +113,7 @@
 
 // TestGoldenMembers holds what is read from a file of admitted routers, and how it is written.
 func TestGoldenMembers(t *testing.T) {
-	raw := readGolden(t, "members.json")
+	raw := golden.Read(t, "members.json")
 	members, err := ParseMembers("members.json", raw)
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +124,7 @@
 			fmt.Fprintln(&out, id, key, base64.StdEncoding.EncodeToString(members[id][key]))
 		}
 	}
-	compareGolden(t, "members.out", out.Bytes())
+	golden.Compare(t, "members.out", out.Bytes())
 	var list MemberList
 	if err := json.Unmarshal(raw, &list); err != nil {
 		t.Fatal(err)
@@ -210,7 +143,7 @@
 				t.Fatal(err)
 			}
 			removeTexts(doc)
-			compareGolden(t, name+"_schema.out", indentedJSON(t, doc))
+			golden.Compare(t, name+"_schema.out", indentedJSON(t, doc))
 		})
 	}
 }
--- a/internal/grpcgateway/admin_golden_test.go
+++ b/internal/grpcgateway/admin_golden_test.go
@@ -5,7 +5,6 @@
 	"crypto/ed25519"
 	"encoding/base64"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -21,28 +20,9 @@
 	"github.com/topazfront/topazfront/internal/gossip"
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// compareGolden compares bytes with a file under testdata/golden.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // fill sets every field of a value, each number and text to the next of a sequence.
 func fill(v reflect.Value, next *int) {
 	*next++
@@ -96,7 +76,7 @@
 		}
 		fmt.Fprintf(&out, "%s %s\n", c.method, raw)
 	}
-	compareGolden(t, "admin_replies.out", out.Bytes())
+	golden.Compare(t, "admin_replies.out", out.Bytes())
 }
 
 // topKeys describes a reply by its kind and, where it is an object, its keys.
@@ -145,7 +125,7 @@
 				}
 				fmt.Fprintln(&out, method, topKeys(raw))
 			}
-			compareGolden(t, "admin_methods_"+name+".out", out.Bytes())
+			golden.Compare(t, "admin_methods_"+name+".out", out.Bytes())
 		})
 	}
 }
--- a/internal/scenario/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -3,33 +3,14 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares bytes with a file under testdata.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs; got\n%s", path, got)
-	}
-}
+	"github.com/topazfront/topazfront/internal/testsupport/golden"
+)
 
 // fill sets every field to a value of its own, in the order of declaration, so that the goldens name no Go field.
 func fill(v reflect.Value, n *int) {
@@ -74,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "report.json", append(raw, '\n'))
+	golden.Compare(t, "report.json", append(raw, '\n'))
 	path := filepath.Join(t.TempDir(), "report.json")
 	if err := r.Save(path); err != nil {
 		t.Fatal(err)
@@ -90,13 +71,13 @@
 	if err := r.Print(&text); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "report.txt", text.Bytes())
+	golden.Compare(t, "report.txt", text.Bytes())
 }
 
 // TestGoldenScenarioFile reads a file with every key: each value must reach the field that it always reached, by
 // the order of the fields, and be written back under the same key.
 func TestGoldenScenarioFile(t *testing.T) {
-	raw, err := os.ReadFile("testdata/every-key.json")
+	raw, err := os.ReadFile("testdata/golden/every-key.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,5 +95,5 @@
 	gossip := *s.Gossip
 	flat := *s
 	flat.Gossip = nil
-	golden(t, "every-key.txt", fmt.Appendf(nil, "%v\n%v\n", flat, gossip))
+	golden.Compare(t, "every-key.txt", fmt.Appendf(nil, "%v\n%v\n", flat, gossip))
 }
--- /dev/null
+++ b/internal/testsupport/golden/golden.go
@@ -0,0 +1,90 @@
+// Package golden helps tests that hold bytes or decoded values by a file recorded before.
+package golden
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"sort"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// Compare compares bytes with the file of that name under testdata/golden. With the test flag -update it writes the
+// file first.
+func Compare(t testing.TB, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// Read returns an input under testdata/golden.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// PlainValue writes a value as numbers and strings in the order of its fields, without any Go name, so that renaming a
+// type or field leaves the text as it is.
+func PlainValue(v any) string { return plainValue(reflect.ValueOf(v)) }
+
+func plainValue(v reflect.Value) string {
+	parts := []string{}
+	switch v.Kind() {
+	case reflect.Interface, reflect.Pointer:
+		if v.IsNil() {
+			return "nil"
+		}
+		return plainValue(v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			parts = append(parts, plainValue(v.Field(i)))
+		}
+		return "(" + strings.Join(parts, " ") + ")"
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			parts = append(parts, plainValue(v.Index(i)))
+		}
+		return "[" + strings.Join(parts, " ") + "]"
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			parts = append(parts, plainValue(key)+": "+plainValue(v.MapIndex(key)))
+		}
+		sort.Strings(parts)
+		return "{" + strings.Join(parts, " ") + "}"
+	case reflect.String:
+		return strconv.Quote(v.String())
+	case reflect.Bool:
+		return strconv.FormatBool(v.Bool())
+	case reflect.Float32, reflect.Float64:
+		return strconv.FormatFloat(v.Float(), 'g', -1, 64)
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		return strconv.FormatUint(v.Uint(), 10)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		return strconv.FormatInt(v.Int(), 10)
+	}
+	return "unsupported " + v.Kind().String()
+}
--- a/internal/transport/grpc/golden_test.go
+++ b/internal/transport/grpc/golden_test.go
@@ -1,20 +1,16 @@
 package grpc
 
 import (
-	"flag"
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/testsupport/golden"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
-
 // TestGolden holds the bytes of request headers, status trailers, timeouts and message prefixes.
 func TestGolden(t *testing.T) {
 	var got strings.Builder
@@ -55,20 +51,5 @@
 	fmt.Fprintf(&got, "binary: %s %s\n", EncodeBinaryHeader([]byte{0, 255, 128}), EncodeBinaryHeader([]byte("a")))
 	fmt.Fprintf(&got, "errors: %v; %v; %v; %v\n", ErrMalformedTimeout, ErrMessageTooLarge, ErrCompressedFlag, ErrTruncatedMessage)
 
-	path := filepath.Join("testdata", "golden", "grpc.txt")
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("bytes differ from %s\ngot\n%swant\n%s", path, got.String(), want)
-	}
+	golden.Compare(t, "grpc.txt", []byte(got.String()))
 }
--- a/internal/transport/http2/golden_test.go
+++ b/internal/transport/http2/golden_test.go
@@ -5,22 +5,18 @@
 	"encoding/binary"
 	"encoding/hex"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/testsupport/golden"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 const (
 	clientPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 	// frameHeaderBytes is the length of a frame header (RFC 9113, section 4.1).
@@ -108,27 +104,6 @@
 	return nil
 }
 
-// compareGolden holds a transcript to the file that was recorded first.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".txt")
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("bytes on the wire differ from %s\ngot\n%swant\n%s", path, got, want)
-	}
-}
-
 // rawFrame encodes a frame without the package under test. typ and flags are those of RFC 9113, section 6.
 func rawFrame(typ, flags byte, stream uint32, payload ...byte) []byte {
 	n := len(payload)
@@ -250,7 +225,7 @@
 	tr.readFrames(1)
 	tr.step("WINDOW_UPDATE of 100", rawFrame(8, 0, 15, 0, 0, 0, 100))
 	tr.readToEnd()
-	compareGolden(t, "server", tr.text.String())
+	golden.Compare(t, "server.txt", []byte(tr.text.String()))
 }
 
 // TestGoldenConnectionErrors holds the GOAWAY frames, with their debug data, that end a connection.
@@ -309,7 +284,7 @@
 		tr.readToEnd()
 		text.WriteString(tr.text.String())
 	}
-	compareGolden(t, "connection_errors", text.String())
+	golden.Compare(t, "connection_errors.txt", []byte(text.String()))
 }
 
 // TestGoldenStreamErrors holds the RST_STREAM frames that end one stream. The PING behind each shows where
@@ -343,7 +318,7 @@
 		tr.readFrames(tc.frames)
 		text.WriteString(tr.text.String())
 	}
-	compareGolden(t, "stream_errors", text.String())
+	golden.Compare(t, "stream_errors.txt", []byte(text.String()))
 }
 
 // TestGoldenClient holds the bytes that a client writes, its connection preface first.
@@ -407,5 +382,5 @@
 	tr.readFrames(1)
 	tr.step("DATA on an idle stream", rawFrame(0, 0, 99, 1))
 	tr.readToEnd()
-	compareGolden(t, "client", tr.text.String())
+	golden.Compare(t, "client.txt", []byte(tr.text.String()))
 }
