--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -18,7 +18,7 @@
 	requestsPerWorker   = 3.0              // a rate covers at least this many requests for each worker
 	idleFunctionTTL     = 2 * time.Minute  // a function without requests for so long is forgotten,
 	unservedFunctionTTL = 10 * time.Second // and one that was never served sooner: anyone may make up names
-	slowThreshold       = 1.0              // slowness from which other routers are told
+	slowThreshold       = 1.0              // slowness from which a worker is reported
 	suspectedCapacity   = 0.01             // capacity factor of a suspected worker
 	maxSpeedFactor      = 1.5              // most that a fast worker's capacity is raised by
 	negligible          = 1e-9             // demand or capacity that counts as none
--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -246,24 +246,6 @@
 	nw.Now = end
 }
 
-// AliveRange counts the members that each running core takes for alive, and returns the least and the most.
-func (nw *Network) AliveRange() (least, most int) {
-	least = 1 << 30
-	for _, core := range nw.Cores {
-		if core == nil {
-			continue
-		}
-		n := 0
-		for _, m := range core.Members() {
-			if m.State == gossip.Alive {
-				n++
-			}
-		}
-		least, most = min(least, n), max(most, n)
-	}
-	return least, most
-}
-
 // totals sums the traffic of all cores, and the suspicions of those that run.
 func (nw *Network) totals() (sum Traffic, suspicions uint64) {
 	for i, sent := range nw.Sent {
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -249,3 +249,21 @@
 		t.Errorf("%+v", a)
 	}
 }
+
+// AliveRange counts the members that each running core takes for alive, and returns the least and the most.
+func (nw *Network) AliveRange() (least, most int) {
+	least = 1 << 30
+	for _, core := range nw.Cores {
+		if core == nil {
+			continue
+		}
+		n := 0
+		for _, m := range core.Members() {
+			if m.State == gossip.Alive {
+				n++
+			}
+		}
+		least, most = min(least, n), max(most, n)
+	}
+	return least, most
+}
