--- a/dispatch/bookkeeping.go
+++ b/dispatch/bookkeeping.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"cmp"
 	"maps"
 	"math"
 	"slices"
@@ -87,6 +88,13 @@
 	return f
 }
 
+// recordRequest counts a request and notes what it says of the function.
+func (f *function) recordRequest(e Request) {
+	f.requestCount++
+	f.memoryMB, f.loadTime = max(e.MemoryMB, 1), e.LoadTime
+	f.concurrency = float64(max(e.ConcurrencyPerInstance, 1))
+}
+
 // openAttempt returns an attempt that has not ended, or nil.
 func (d *Dispatcher) openAttempt(id RequestID, number int) *attempt {
 	r := d.requests[id]
@@ -113,6 +121,17 @@
 	}
 }
 
+// indexActiveWorkers makes the list of active workers anew, sorted by id so that it never depends on a map's order.
+func (d *Dispatcher) indexActiveWorkers() {
+	d.activeWorkers = d.activeWorkers[:0:0]
+	for _, w := range d.workers {
+		if w.State == EndpointActive {
+			d.activeWorkers = append(d.activeWorkers, w)
+		}
+	}
+	slices.SortFunc(d.activeWorkers, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
+}
+
 // newWorker returns a worker of which nothing is known.
 func (d *Dispatcher) newWorker() *worker {
 	limit := initialLimit / float64(d.settings.Routers)
@@ -201,19 +220,6 @@
 	return seconds(math.Exp(d.logLoadTime))
 }
 
-// closeRequest ends a request: its attempts still in flight are cancelled.
-func (d *Dispatcher) closeRequest(r *request) {
-	if r.inFlight == 0 {
-		delete(d.requests, r.ID)
-	}
-	for _, a := range r.attempts {
-		if !r.done && d.settings.CancelAllowed && !a.ended {
-			d.emit(CancelAttempt{ID: r.ID, Attempt: a.number})
-		}
-	}
-	r.done = true
-}
-
 // missesObjective reports whether a request can no longer be served within its latency objective.
 func (d *Dispatcher) missesObjective(r *request) bool {
 	return d.now-r.acceptedAt+r.expectedRunTime() > r.class.LatencyObjective
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -1,10 +1,5 @@
 package dispatch
 
-import (
-	"cmp"
-	"slices"
-)
-
 // This file follows the endpoint list: Dispatcher.workers and activeWorkers.
 
 // updateEndpoints takes a snapshot or a change of the endpoint list.
@@ -17,16 +12,12 @@
 		listed[e.ID] = true
 		d.updateEndpoint(e)
 	}
-	d.activeWorkers = d.activeWorkers[:0:0]
 	for id, w := range d.workers {
 		if update.Snapshot && !update.SubscriptionLost && !listed[id] {
 			w.State = EndpointRemoved
 		}
-		if w.State == EndpointActive {
-			d.activeWorkers = append(d.activeWorkers, w)
-		}
 	}
-	slices.SortFunc(d.activeWorkers, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
+	d.indexActiveWorkers()
 	d.removeEndpoints()
 	d.endpointsVersion++
 	d.fleetShare = float64(max(len(d.activeWorkers), 1)) / float64(d.settings.Routers)
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -29,9 +29,7 @@
 	}
 	f := d.functionNamed(e.Function, logRunTime, r.workUnit)
 	r.function, f.lastClass, f.lastRequestAt = f, c, d.now
-	f.requestCount++
-	f.memoryMB, f.loadTime = max(e.MemoryMB, 1), e.LoadTime
-	f.concurrency = float64(max(e.ConcurrencyPerInstance, 1))
+	f.recordRequest(e)
 	f.meanWorkUnit += runTimeSmoothing * (r.workUnit - f.meanWorkUnit)
 	if d.settings.LoadRateWindow > 0 {
 		d.requestTimes = append(d.requestTimes, d.now)
@@ -229,6 +227,19 @@
 	}
 }
 
+// closeRequest ends a request: its attempts still in flight are cancelled.
+func (d *Dispatcher) closeRequest(r *request) {
+	if r.inFlight == 0 {
+		delete(d.requests, r.ID)
+	}
+	for _, a := range r.attempts {
+		if !r.done && d.settings.CancelAllowed && !a.ended {
+			d.emit(CancelAttempt{ID: r.ID, Attempt: a.number})
+		}
+	}
+	r.done = true
+}
+
 // finishUnserved gives a final answer that is not a response; all of these pass here. It is a rejection where
 // a retry by the client is harmless, and a failure elsewhere.
 func (d *Dispatcher) finishUnserved(r *request) {
