--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -5,8 +5,6 @@
 	"math"
 	"slices"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
 )
 
 // This file assigns demand to workers: demand, assignment, remainingCapacity, and the rates.
@@ -24,19 +22,6 @@
 	negligible          = 1e-9             // demand or capacity that counts as none
 )
 
-// rankWorkers orders the active workers for a function by rendezvous hashing, the same way at every router.
-func (d *Dispatcher) rankWorkers(f *function) []*worker {
-	if f.rankedVersion == d.endpointsVersion && f.ranked != nil {
-		return f.ranked
-	}
-	for _, w := range d.activeWorkers {
-		w.hashScore = xxhash.Sum64String(f.key + "\x00" + w.ID)
-	}
-	f.ranked, f.rankedVersion = slices.Clone(d.activeWorkers), d.endpointsVersion
-	slices.SortStableFunc(f.ranked, func(a, b *worker) int { return cmp.Compare(b.hashScore, a.hashScore) })
-	return f.ranked
-}
-
 // rebalance measures the rates of the interval that ends, forgets idle functions and assigns capacity anew.
 func (d *Dispatcher) rebalance() {
 	interval := (d.now - d.lastRebalance).Seconds()
@@ -61,6 +46,9 @@
 		delete(d.functions, f.key)
 		return true
 	})
+	for _, f := range d.functionsInOrder {
+		d.expirePlacements(f)
+	}
 	d.expireRateWindow()
 	d.assignCapacity()
 }
@@ -112,8 +100,9 @@
 func (d *Dispatcher) assignWorkers(f *function) {
 	unassigned := f.demand
 	f.assignment = f.assignment[:0]
-	for _, w := range d.rankWorkers(f) {
-		if unassigned <= negligible {
+	for i := 0; unassigned > negligible; i++ {
+		w := d.rankedWorker(f, i)
+		if w == nil {
 			return
 		}
 		taken := min(unassigned, w.remainingCapacity)
--- a/dispatch/assignment_test.go
+++ b/dispatch/assignment_test.go
@@ -29,12 +29,12 @@
 	h := newHarness(t, testSettings(), "w1", "w2", "w3")
 	functionOf := func(key string, memoryMB float64) *function {
 		return &function{key: key, memoryMB: memoryMB, concurrency: 1, meanWorkUnit: 1, requestRate: 1, served: true,
-			placements: map[string]*placement{}}
+			placements: map[*worker]*placement{}}
 	}
 	light, heavy := functionOf("light", 1), functionOf("heavy", 9)
 	h.dispatcher.functionsInOrder = []*function{heavy, light}
 	h.dispatcher.assignCapacity()
-	if len(light.assignment) != 1 || light.assignment[0].worker != light.ranked[0] {
+	if len(light.assignment) != 1 || light.assignment[0].worker != h.dispatcher.rankedWorker(light, 0) {
 		t.Errorf("light function assigned to %v, want its first-ranked worker alone", light.assignment)
 	}
 	if len(heavy.assignment) != 3 {
@@ -78,7 +78,7 @@
 	for _, h := range g.routers[1:] {
 		for key, f := range h.dispatcher.functions {
 			other := first.functions[key]
-			if other != nil && h.dispatcher.rankWorkers(f)[0].ID != first.rankWorkers(other)[0].ID {
+			if other != nil && h.dispatcher.rankedWorker(f, 0).ID != first.rankedWorker(other, 0).ID {
 				t.Fatalf("%s: first-ranked worker differs between routers", key)
 			}
 		}
--- a/dispatch/bookkeeping.go
+++ b/dispatch/bookkeeping.go
@@ -1,8 +1,6 @@
 package dispatch
 
 import (
-	"cmp"
-	"maps"
 	"math"
 	"slices"
 	"time"
@@ -57,16 +55,40 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended || a.mayHaveRun })
 }
 
-// placementOn returns the placement of f on w.
-func (f *function) placementOn(w *worker) *placement {
-	p := f.placements[w.ID]
+// placementOn returns what is known of f on w, which may be nothing.
+func (f *function) placementOn(w *worker) placement {
+	if p := f.placements[w]; p != nil {
+		return *p
+	}
+	return placement{}
+}
+
+// ensurePlacement returns the placement of f on w and makes it if there is none.
+func (f *function) ensurePlacement(w *worker) *placement {
+	p := f.placements[w]
 	if p == nil {
 		p = &placement{}
-		f.placements[w.ID] = p
+		f.placements[w] = p
 	}
 	return p
 }
 
+// expirePlacements drops the placements of f that no longer tell anything.
+func (d *Dispatcher) expirePlacements(f *function) {
+	for w, p := range f.placements {
+		if d.isExpired(p) {
+			delete(f.placements, w)
+		}
+	}
+}
+
+// isExpired reports whether a placement tells no more than none would.
+func (d *Dispatcher) isExpired(p *placement) bool {
+	inUse := p.inFlight > 0 || p.loadCommandedAt > 0 || len(p.awaitingLoad) > 0
+	backingOff := p.loadFailures > 0 && d.now < p.loadBackoffUntil+idleFunctionTTL
+	return !inUse && !backingOff && d.now >= p.residentUntil
+}
+
 // classNamed returns a class of the settings, or one of which nothing may be assumed.
 func (d *Dispatcher) classNamed(name string) *class {
 	c := d.classes[name]
@@ -81,7 +103,7 @@
 func (d *Dispatcher) functionNamed(key string, logRunTime, workUnit float64) *function {
 	f := d.functions[key]
 	if f == nil {
-		f = &function{key: key, logRunTime: logRunTime, meanWorkUnit: workUnit, placements: map[string]*placement{}}
+		f = &function{key: key, logRunTime: logRunTime, meanWorkUnit: workUnit, placements: map[*worker]*placement{}}
 		d.functions[key] = f
 		d.functionsInOrder = append(d.functionsInOrder, f)
 	}
@@ -104,14 +126,26 @@
 	return r.attempts[number]
 }
 
-// suspectedWorkers counts the active workers that are suspected.
-func (d *Dispatcher) suspectedWorkers() (n int) {
+// recountSuspectedWorkers counts the active workers that are suspected.
+func (d *Dispatcher) recountSuspectedWorkers() {
+	d.suspectedCount = 0
 	for _, w := range d.activeWorkers {
 		if w.suspected {
-			n++
+			d.suspectedCount++
 		}
 	}
-	return n
+}
+
+// setSuspected sets whether w is suspected.
+func (d *Dispatcher) setSuspected(w *worker, suspected bool) {
+	if w.active && w.suspected != suspected {
+		if suspected {
+			d.suspectedCount++
+		} else {
+			d.suspectedCount--
+		}
+	}
+	w.suspected = suspected
 }
 
 // reportSuspicion emits a suspicion where the settings want it.
@@ -121,37 +155,39 @@
 	}
 }
 
-// indexActiveWorkers makes the list of active workers anew, sorted by id so that it never depends on a map's order.
-func (d *Dispatcher) indexActiveWorkers() {
-	d.activeWorkers = d.activeWorkers[:0:0]
-	for _, w := range d.workers {
-		if w.State == EndpointActive {
-			d.activeWorkers = append(d.activeWorkers, w)
-		}
-	}
-	slices.SortFunc(d.activeWorkers, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
-}
-
 // newWorker returns a worker of which nothing is known.
 func (d *Dispatcher) newWorker() *worker {
 	limit := initialLimit / float64(d.settings.Routers)
-	return &worker{concurrencyLimit: limit, ejections: map[*class]ejection{}}
+	return &worker{concurrencyLimit: limit}
+}
+
+// ensureEjections returns the ejections of w and makes the map if there is none.
+func (w *worker) ensureEjections() map[*class]ejection {
+	if w.ejections == nil {
+		w.ejections = map[*class]ejection{}
+	}
+	return w.ejections
 }
 
 // forgetWorkers drops what is known of workers, and moves the requests that wait for one to the pending ones.
-func (d *Dispatcher) forgetWorkers(removed map[string]bool) {
-	for _, id := range slices.Sorted(maps.Keys(removed)) {
-		d.pending = append(d.pending, d.workers[id].awaitingReport...)
+func (d *Dispatcher) forgetWorkers(forgotten []*worker) {
+	if len(forgotten) == 0 {
+		return
+	}
+	for _, w := range forgotten {
+		d.pending = append(d.pending, w.awaitingReport...)
 		for _, f := range d.functionsInOrder {
-			if p := f.placements[id]; p != nil {
+			if p := f.placements[w]; p != nil {
 				d.pending = append(d.pending, p.awaitingLoad...)
-				delete(f.placements, id)
+				delete(f.placements, w)
 			}
 		}
-		delete(d.workers, id)
+		w.forgotten = true
+		delete(d.workers, w.ID)
+		delete(d.removedWorkers, w.ID)
 	}
 	for _, f := range d.functionsInOrder {
-		f.assignment = slices.DeleteFunc(f.assignment, func(s workerShare) bool { return removed[s.worker.ID] })
+		f.assignment = slices.DeleteFunc(f.assignment, func(s workerShare) bool { return s.worker.forgotten })
 	}
 }
 
@@ -171,7 +207,7 @@
 	a.request.attempts = append(a.request.attempts, a)
 	a.request.needsAttempt = false
 	a.request.inFlight++
-	a.request.function.placementOn(a.worker).inFlight++
+	a.request.function.ensurePlacement(a.worker).inFlight++
 	a.worker.attempts = append(a.worker.attempts, a)
 	a.worker.inFlight += a.weight
 	d.inFlight += a.weight
@@ -179,7 +215,7 @@
 
 // removeAttempt counts an ended attempt as no longer in flight, but for its weight.
 func (d *Dispatcher) removeAttempt(a *attempt) {
-	p := a.request.function.placementOn(a.worker)
+	p := a.request.function.ensurePlacement(a.worker)
 	a.request.inFlight, p.inFlight = a.request.inFlight-1, max(p.inFlight-1, 0)
 	a.worker.removeAttempt(a)
 }
@@ -194,16 +230,20 @@
 // resetWorker forgets what is known of a worker but its attempts in flight.
 func (d *Dispatcher) resetWorker(w *worker) {
 	for _, f := range d.functionsInOrder {
-		delete(f.placements, w.ID)
+		delete(f.placements, w)
 	}
-	attempts, inFlight := w.attempts, w.inFlight
-	*w = *d.newWorker()
-	w.attempts, w.inFlight, w.lastHeard = attempts, inFlight, d.now
+	fresh := d.newWorker()
+	fresh.attempts = w.attempts
+	fresh.inFlight = w.inFlight
+	fresh.active = w.active
+	fresh.lastHeard = d.now
+	*w = *fresh
 }
 
 // suspect holds w to be unresponsive until it is heard.
 func (d *Dispatcher) suspect(w *worker) {
-	w.suspected, w.lastChecked = true, d.now
+	d.setSuspected(w, true)
+	w.lastChecked = d.now
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID})
 }
 
@@ -234,7 +274,8 @@
 
 // heard notes that w has responded.
 func (d *Dispatcher) heard(w *worker) {
-	w.lastHeard, w.suspected = d.now, false
+	w.lastHeard = d.now
+	d.setSuspected(w, false)
 }
 
 // removeAttempt takes a out of the attempts in flight at its worker.
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -97,7 +97,7 @@
 // majoritySuspected reports whether half of the fleet looks unresponsive: then the fault is in the store, the
 // endpoint list or this router's own view, and passing workers over would only overload the others.
 func (d *Dispatcher) majoritySuspected() bool {
-	return 2*d.suspectedWorkers() > len(d.activeWorkers)
+	return 2*d.suspectedCount > len(d.activeWorkers)
 }
 
 // applyGossip takes what other routers reported. It ends no suspicion and raises no share: the routers that
@@ -134,13 +134,15 @@
 // request's own.
 func (d *Dispatcher) ejectClass(w *worker, c *class) {
 	count := w.ejections[c].count
-	w.ejections[c] = ejection{until: d.now + d.backoffWithJitter(ejectionBase, count), count: count + 1}
+	w.ensureEjections()[c] = ejection{until: d.now + d.backoffWithJitter(ejectionBase, count), count: count + 1}
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID, Class: c.Name})
 }
 
 // forgiveClass shortens the next ejection of a class, and ends a row of timeouts, after a response.
 func (d *Dispatcher) forgiveClass(w *worker, c *class) {
-	w.ejections[c] = ejection{until: w.ejections[c].until, count: max(w.ejections[c].count-1, 0)}
+	if e, known := w.ejections[c]; known {
+		w.ejections[c] = ejection{until: e.until, count: max(e.count-1, 0)}
+	}
 }
 
 // overdueAt is when an attempt is overdue.
@@ -166,7 +168,7 @@
 	}
 	a.countedAsTimeout = true
 	e.consecutiveTimeouts++
-	w.ejections[r.class] = e
+	w.ensureEjections()[r.class] = e
 	if e.consecutiveTimeouts >= timeoutsToEject {
 		d.ejectClass(w, r.class)
 		d.retryOverdue(w, r.class)
--- a/dispatch/loading.go
+++ b/dispatch/loading.go
@@ -20,7 +20,7 @@
 }
 
 // loadOverdue reports whether a load command should long have had its result.
-func (d *Dispatcher) loadOverdue(f *function, p *placement) bool {
+func (d *Dispatcher) loadOverdue(f *function, p placement) bool {
 	return p.loadCommandedAt > 0 && d.now-p.loadCommandedAt > d.loadOverdueAfter(f)
 }
 
@@ -28,17 +28,17 @@
 // backoff after a failed load, to the bound of commands in flight, and to the fraction of the rate limit
 // given; and it sends none to a worker that attempts may not go to. It reports whether a load is in progress.
 func (d *Dispatcher) commandLoad(f *function, w *worker, limitFraction float64) bool {
-	p := f.placementOn(w)
-	if p.loadCommandedAt > 0 {
+	if f.placementOn(w).loadCommandedAt > 0 {
 		return true
 	}
 	if !d.settings.LoadCommandsAllowed || w.State != EndpointActive {
 		return false
 	}
-	if w.pendingLoads >= maxPendingLoads || d.now < p.loadBackoffUntil || !d.takeLoadPermit(limitFraction) {
+	backingOff := d.now < f.placementOn(w).loadBackoffUntil
+	if w.pendingLoads >= maxPendingLoads || backingOff || !d.takeLoadPermit(limitFraction) {
 		return false
 	}
-	p.loadCommandedAt = d.now
+	f.ensurePlacement(w).loadCommandedAt = d.now
 	w.pendingLoads++
 	d.emit(LoadFunction{Worker: w.ID, Function: f.key, Copies: 1})
 	return true
@@ -68,7 +68,7 @@
 	if w == nil || f == nil || f.placementOn(w).loadCommandedAt == 0 {
 		return // forgotten, or commanded before the worker was restarted
 	}
-	p := f.placementOn(w)
+	p := f.ensurePlacement(w)
 	w.pendingLoads, p.loadCommandedAt = max(w.pendingLoads-1, 0), 0
 	if e.Result == OK || e.Copies > 0 {
 		if e.Duration > minMeasuredLoad {
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -55,7 +55,7 @@
 			d.pending = append(d.pending, r)
 		}
 	case d.loadInProgress(r.function, w):
-		d.awaitLoad(r, r.function.placementOn(w))
+		d.awaitLoad(r, r.function.ensurePlacement(w))
 	case d.wantsLoadReport(r, w):
 		d.awaitLoadReport(r, w)
 	default:
@@ -175,7 +175,7 @@
 // recordAttempt learns from the end of an attempt.
 func (d *Dispatcher) recordAttempt(a *attempt, e AttemptEnded) {
 	r, w := a.request, a.worker
-	p := r.function.placementOn(w)
+	p := r.function.ensurePlacement(w)
 	d.removeAttempt(a)
 	weight := a.weight
 	d.releaseConcurrency(a)
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -21,6 +21,7 @@
 	return func(yield func(*worker) bool) {
 		for i := range f.assignment {
 			s := &f.assignment[i]
+			s.worker.chosenIn = d.selections
 			s.choiceKey = (float64(f.placementOn(s.worker).inFlight) + d.random.ExpFloat64()) / s.share
 		}
 		byKey := func(a, b workerShare) int { return cmp.Compare(a.choiceKey, b.choiceKey) }
@@ -30,8 +31,12 @@
 				return
 			}
 		}
-		for _, w := range d.rankWorkers(f) {
-			assigned := slices.ContainsFunc(f.assignment, func(s workerShare) bool { return s.worker == w })
+		for i := 0; ; i++ {
+			w := d.rankedWorker(f, i)
+			if w == nil {
+				return
+			}
+			assigned := w.chosenIn == d.selections
 			if !assigned && !yield(w) {
 				return
 			}
@@ -47,6 +52,7 @@
 // does, the first is sent a load command and the second serves: an assignment that moves or grows makes no
 // request wait for a load.
 func (d *Dispatcher) selectWorker(r *request) *worker {
+	d.selections++
 	s := selection{request: r, majoritySuspected: d.majoritySuspected()}
 	s.avoidOverloaded = d.random.Float64() < max(d.residentChance, 1/d.fleetShare)
 	for w := range d.candidates(r.function) {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -20,16 +20,22 @@
 	timers   timers
 	timerDue time.Duration // of the SetTimer in force; 0: none
 
-	workers          map[string]*worker
-	activeWorkers    []*worker // those that attempts may go to, sorted by id
-	endpointsVersion int       // counts the changes of activeWorkers
+	workers         map[string]*worker
+	activeWorkers   []*worker          // those that attempts may go to, sorted by id
+	suspectedCount  int                // of activeWorkers
+	removedWorkers  map[string]*worker // those that the endpoint list no longer has, until they are forgotten
+	changedWorkers  []*worker          // those whose state changed in the endpoint update under way
+	endpointUpdates int                // counts the endpoint updates
+	hashInput       []byte             // scratch space of rendezvousScore
+
 	memoryByKind     map[string]float64
 	classes          map[string]*class
 	functions        map[string]*function
 	functionsInOrder []*function // in the order of their first requests
 
-	requests map[RequestID]*request
-	pending  []*request // those that wait for a worker to become available
+	requests   map[RequestID]*request
+	pending    []*request // those that wait for a worker to become available
+	selections int        // counts the calls of selectWorker
 
 	// The two sliding windows of the load rate limit.
 	requestTimes     []time.Duration
@@ -60,7 +66,10 @@
 type worker struct {
 	Endpoint
 	memoryMB  float64 // of its kind
-	hashScore uint64  // in the ranking that is being made
+	active    bool    // it stands in Dispatcher.activeWorkers
+	forgotten bool    // it is no longer in Dispatcher.workers
+	listedIn  int     // the endpoint update that last listed it, see Dispatcher.endpointUpdates
+	chosenIn  int     // the selection whose assigned candidates it was last among, see Dispatcher.selections
 
 	lastHeard   time.Duration // last response of any kind
 	lastChecked time.Duration // last health check sent because of a suspicion
@@ -107,10 +116,9 @@
 	meanWorkUnit float64 // seconds
 	demand       float64 // memory, in MB, that this router's requests need
 
-	ranked        []*worker // activeWorkers in the order of the rendezvous hash
-	rankedVersion int       // the endpointsVersion that ranked belongs to
-	assignment    []workerShare
-	placements    map[string]*placement // by worker
+	ranking    ranking
+	assignment []workerShare
+	placements map[*worker]*placement // only where something is resident, in flight or backing off
 }
 
 // workerShare is the share of a function's demand that is assigned to a worker.
@@ -200,6 +208,7 @@
 		settings:         s,
 		random:           rand.New(rand.NewPCG(seed, 0)),
 		workers:          map[string]*worker{},
+		removedWorkers:   map[string]*worker{},
 		memoryByKind:     map[string]float64{},
 		classes:          map[string]*class{},
 		functions:        map[string]*function{},
