--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -12,11 +12,15 @@
 const (
 	loadReportTTL   = 300 * time.Millisecond // a load report is current for so long
 	overloadedRatio = 1.5                    // multiple of the mean report at which a worker is passed over
+
+	// maxRankedCandidates bounds how far down its ranking a function looks for a worker. Behind it, only the workers
+	// that hold the function are looked at. It binds in fleets of more workers than this.
+	maxRankedCandidates = 128
 )
 
 // candidates yields the workers for a function in the order of choice: first those that it is assigned to,
 // the fewest own attempts in flight per share first, with a draw in proportion to the shares where there are
-// hardly any; then the others down the ranking.
+// hardly any; then the first of the others down the ranking, and those behind them that hold the function.
 func (d *Dispatcher) candidates(f *function) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for i := range f.assignment {
@@ -31,17 +35,40 @@
 				return
 			}
 		}
-		for i := 0; ; i++ {
+		for i := range maxRankedCandidates {
 			w := d.rankedWorker(f, i)
 			if w == nil {
 				return
 			}
 			assigned := w.chosenIn == d.selections
+			w.chosenIn = d.selections
 			if !assigned && !yield(w) {
 				return
 			}
 		}
+		for _, w := range d.residentBehind(f) {
+			if !yield(w) {
+				return
+			}
+		}
+	}
+}
+
+// residentBehind returns the active workers that hold f and are not among the candidates of the selection under way, in
+// the order of the ranking.
+func (d *Dispatcher) residentBehind(f *function) []*worker {
+	var entries []rankedWorker
+	for w, p := range f.placements {
+		if w.State == EndpointActive && w.chosenIn != d.selections && d.now < p.residentUntil {
+			entries = append(entries, rankedWorker{d.rendezvousScore(f, w), w})
+		}
+	}
+	slices.SortFunc(entries, compareRanks)
+	workers := make([]*worker, len(entries))
+	for i, entry := range entries {
+		workers[i] = entry.worker
 	}
+	return workers
 }
 
 // selectWorker chooses where a request goes; nil: nowhere for now. A suspected worker and one where an
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -71,15 +71,18 @@
 	return min(max(fraction, minSlowStartFraction), 1)
 }
 
-// slowStartAllows refills a worker's token bucket and reports whether it has tokens, if it is warming up. The
+// slowStartAllows reports whether a worker may be sent an attempt. If it is warming up, this refills its token bucket first. The
 // bucket keeps this router's part of what such a worker can take: the fair share of the work that this router
 // has served, which no overload raises, times the fraction of its capacity that the worker surely has.
 func (d *Dispatcher) slowStartAllows(w *worker) bool {
+	if !w.warmingUp {
+		return true
+	}
 	rate := d.slowStartFraction(w) * d.workRate / float64(max(len(d.activeWorkers), 1))
 	refilled := w.slowStartTokens + rate*(d.now-w.tokensUpdatedAt).Seconds()
 	w.slowStartTokens = min(refilled, rate*d.settings.OverloadWindow.Seconds())
 	w.tokensUpdatedAt = d.now
-	return !w.warmingUp || w.slowStartTokens > 0
+	return w.slowStartTokens > 0
 }
 
 // resetSlowStartTokens empties the bucket of a worker that begins or ends its slow start. One of many routers
