--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -18,12 +18,13 @@
 
 	// Under the pool's lock.
 	inFlight        map[string]*exchange // written and not answered, by id
-	usedIDs         map[string]int64     // ids that were written to it, until this Unix time in seconds
-	idsExpiredAt    time.Time            // when usedIDs was last cleaned
-	queue           []*exchange          // to be written, in order
-	writing         bool                 // a goroutine runs writeLoop
-	partialResponse bool                 // a response has begun and is not complete
-	draining        bool                 // accepts no new exchange; closed once nothing is in flight
+	openedAt        time.Time
+	usedIDs         map[string]time.Duration // ids that were written to it, until this time since openedAt
+	idsExpiredAt    time.Time                // when usedIDs was last cleaned
+	queue           []*exchange              // to be written, in order
+	writing         bool                     // a goroutine runs writeLoop
+	partialResponse bool                     // a response has begun and is not complete
+	draining        bool                     // accepts no new exchange; closed once nothing is in flight
 	closed          bool
 	lastReadAt      time.Time
 	lastUsedAt      time.Time
@@ -97,6 +98,11 @@
 // maxUsedIDs bounds the ids that a connection remembers; a connection with more drains, and a new one takes its place.
 const maxUsedIDs = 4096
 
+// rememberID notes that an id was written to the connection.
+func (c *conn) rememberID(id string, now time.Time) {
+	c.usedIDs[id] = now.Sub(c.openedAt) + usedIDRetention
+}
+
 // expireUsedIDs forgets ids for which no late response can come any more, and drains the connection if it remembers too
 // many.
 func (c *conn) expireUsedIDs(now time.Time) {
@@ -107,8 +113,9 @@
 		return
 	}
 	c.idsExpiredAt = now
+	age := now.Sub(c.openedAt) // by the monotonic clock: a step of the wall clock must neither forget ids nor keep them
 	for id, until := range c.usedIDs {
-		if until < now.Unix() && c.inFlight[id] == nil {
+		if until < age && c.inFlight[id] == nil {
 			delete(c.usedIDs, id)
 		}
 	}
--- a/internal/upstream/respupstream/conn_test.go
+++ b/internal/upstream/respupstream/conn_test.go
@@ -62,17 +62,32 @@
 	t.Errorf("idle connections were not closed: %+v", h.pool.Stats())
 }
 
-// TestUsedIDsExpire: expired ids are forgotten unless in flight, and a connection that remembers too many drains.
+// TestUsedIDsExpire: expired ids are forgotten unless in flight, whatever the wall clock shows by then, and a connection
+// that remembers too many drains.
 func TestUsedIDsExpire(t *testing.T) {
-	c := &conn{inFlight: map[string]*exchange{"open": {}}, usedIDs: map[string]int64{"old": 1, "open": 1, "new": 1 << 40}, worker: &worker{}}
-	c.expireUsedIDs(time.Now())
-	if len(c.usedIDs) != 2 || c.usedIDs["old"] != 0 {
-		t.Errorf("%v", c.usedIDs)
-	}
-	for i := range maxUsedIDs {
-		c.usedIDs[fmt.Sprint(i)] = 1 << 40
-	}
-	if c.expireUsedIDs(time.Now()); !c.draining {
-		t.Error("a connection that remembers too many ids does not drain")
+	openedAt := time.Now()
+	for _, step := range []time.Duration{0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
+			c := &conn{inFlight: map[string]*exchange{"open": {}}, usedIDs: map[string]time.Duration{}, worker: &worker{}, openedAt: openedAt}
+			c.rememberID("old", openedAt)
+			c.rememberID("open", openedAt)
+			c.rememberID("new", openedAt.Add(3*time.Second))
+			for _, check := range []struct {
+				at   time.Duration
+				want int
+			}{{usedIDRetention - time.Second, 3}, {usedIDRetention + 2*time.Second, 2}, {usedIDRetention + time.Hour, 1}} {
+				c.idsExpiredAt = time.Time{}
+				c.expireUsedIDs(testsupport.StepWallClock(t, openedAt.Add(check.at), step))
+				if len(c.usedIDs) != check.want || c.usedIDs["open"] == 0 {
+					t.Errorf("after %v: %v are remembered, want %d", check.at, c.usedIDs, check.want)
+				}
+			}
+			for i := range maxUsedIDs {
+				c.rememberID(fmt.Sprint(i), openedAt)
+			}
+			if c.expireUsedIDs(openedAt); !c.draining {
+				t.Error("a connection that remembers too many ids does not drain")
+			}
+		})
 	}
 }
--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -76,7 +76,8 @@
 		netConn:    netConn,
 		reader:     resp.NewReader(resp.Limits{Items: maxResponseItems, Bytes: p.config.MaxResponseBytes}),
 		inFlight:   map[string]*exchange{},
-		usedIDs:    map[string]int64{},
+		usedIDs:    map[string]time.Duration{},
+		openedAt:   time.Now(),
 		lastReadAt: time.Now(),
 		lastUsedAt: time.Now(),
 	}
--- a/internal/upstream/respupstream/write.go
+++ b/internal/upstream/respupstream/write.go
@@ -52,7 +52,7 @@
 		if x.kind != kindCancel {
 			x.writtenAt = now
 			c.inFlight[x.id] = x
-			c.usedIDs[x.id] = now.Add(usedIDRetention).Unix()
+			c.rememberID(x.id, now)
 			p.stats.Written++
 		}
 		p.mu.Unlock()
