--- a/internal/config/follow.go
+++ b/internal/config/follow.go
@@ -8,8 +8,8 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// pollInterval is how often a file is read without a file event: events may be lost when many come at once.
-const pollInterval = time.Second
+// PollInterval is how often a file is read without a file event: events may be lost when many come at once.
+const PollInterval = time.Second
 
 // follower reads one file for as long as FollowFile runs, in its caller's goroutine.
 type follower struct {
@@ -36,7 +36,7 @@
 	}
 	f := &follower{path: path, apply: apply, reject: reject}
 	f.read()
-	ticker := time.NewTicker(pollInterval)
+	ticker := time.NewTicker(PollInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,7 +13,9 @@
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // indentedJSON marshals a value as the golden files hold it.
@@ -87,6 +89,15 @@
 	golden.Compare(t, "defaults.out", indentedJSON(t, Defaults()))
 }
 
+// utcClock is a router's clock that shows 0 at the start of December 2026, and the year's end by now.
+type utcClock struct{}
+
+func (utcClock) Clock() time.Duration { return 31 * 24 * time.Hour }
+
+func (utcClock) At(moment wallclock.Time) time.Duration {
+	return moment.Sub(wallclock.FromTime(time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)))
+}
+
 // TestGoldenWorkers holds what is read from a worker list with every key, and how it is written.
 func TestGoldenWorkers(t *testing.T) {
 	raw := golden.Read(t, "workers.json")
@@ -94,9 +105,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	origin := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
-	endpoints := list.Endpoints(func(at time.Time) time.Duration { return at.Sub(origin) })
-	golden.Compare(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", golden.PlainValue(endpoints),
+	workers := list.Endpoints(endpoints.NewStartTimes(utcClock{}))
+	golden.Compare(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", golden.PlainValue(workers),
 		golden.PlainValue(list.StartTimes())))
 	path := filepath.Join(t.TempDir(), "workers.json")
 	if err := WriteWorkers(path, *list); err != nil {
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
 const validGateway = `{"listen": "127.0.0.1:9000", "workers": {"file": "w.json"},
@@ -76,7 +77,7 @@
 			}
 		}
 		if list, err := ParseWorkers("w", raw); err == nil {
-			list.Endpoints(func(time.Time) time.Duration { return 0 })
+			list.Endpoints(endpoints.NewStartTimes(utcClock{}))
 		}
 	})
 }
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -7,6 +7,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // Worker is one entry of the worker list.
@@ -49,17 +50,20 @@
 	return &list, nil
 }
 
-// Endpoints converts the list for the router. routerTime converts a time of day to the router's clock.
-func (l *WorkerList) Endpoints(routerTime func(time.Time) time.Duration) []endpoints.Worker {
+// Endpoints converts the list for the router. starts is the one with which the lists before it were converted.
+func (l *WorkerList) Endpoints(starts *endpoints.StartTimes) []endpoints.Worker {
+	listed := make(map[string]bool, len(l.Workers))
 	workers := make([]endpoints.Worker, 0, len(l.Workers))
 	for _, w := range l.Workers {
 		endpoint := dispatch.Endpoint{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: endpointStates[w.State],
 			Weight: w.Weight}
 		if w.StartedAt != nil {
-			endpoint.StartedAt = routerTime(*w.StartedAt)
+			endpoint.StartedAt = starts.Convert(w.ID, wallclock.FromTime(*w.StartedAt))
 		}
 		workers = append(workers, endpoints.Worker{Endpoint: endpoint, Address: w.Address})
+		listed[w.ID] = true
 	}
+	starts.Retain(func(id string) bool { return listed[id] })
 	return workers
 }
 
@@ -69,7 +73,7 @@
 	for _, w := range l.Workers {
 		starts[w.ID] = 0
 		if w.StartedAt != nil {
-			starts[w.ID] = uint64(max(w.StartedAt.UnixMilli(), 0))
+			starts[w.ID] = wallclock.FromTime(*w.StartedAt).UnixMilli()
 		}
 	}
 	return starts
--- a/internal/config/workers_test.go
+++ b/internal/config/workers_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
 const validWorkers = `{"workers": [{"id": "w1", "address": "127.0.0.1:1", "kind": "box", "cell": 2, "state": "draining",
@@ -16,8 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	workers := list.Endpoints(func(time.Time) time.Duration { return 7 })
-	if len(workers) != 2 || workers[0].State != dispatch.EndpointDraining || workers[0].StartedAt != 7 ||
+	workers := list.Endpoints(endpoints.NewStartTimes(utcClock{}))
+	if len(workers) != 2 || workers[0].State != dispatch.EndpointDraining || workers[0].StartedAt != 8*time.Hour ||
 		workers[0].Cell != 2 || workers[1].State != dispatch.EndpointActive {
 		t.Errorf("%+v", workers)
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // TestGoldenPollRequest holds the bytes of a long poll. The protocol has no acknowledgement of its own: the revision in
@@ -39,7 +40,7 @@
 	}()
 	watcher, err := Start(Config{Address: listener.Addr().String(), ConnectTimeout: 5 * time.Second,
 		PollWait: 1500 * time.Millisecond, ResponseGrace: time.Second, MaxRetryDelay: time.Second, MaxResponseBytes: 1 << 16,
-		RouterTime: func(time.Time) time.Duration { return 0 }, OnUpdate: func([]endpoints.Worker) {},
+		RouterClock: zeroClock{}, OnUpdate: func([]endpoints.Worker) {},
 	}, parseResponse(t, `{"cursor":41,"cmds":[]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +65,7 @@
 	if _, err := list.Apply(parseResponse(t, string(input))); err != nil {
 		t.Fatal(err)
 	}
-	routerTime := func(moment time.Time) time.Duration { return time.Duration(moment.UnixMilli()) }
+	routerTime := func(_ string, startedAt wallclock.Time) time.Duration { return time.Duration(startedAt.UnixMilli()) }
 	text := strconv.FormatInt(list.revision, 10) + "\n"
 	for _, worker := range list.Workers(routerTime) {
 		text += golden.PlainValue(worker) + "\n"
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -9,6 +9,7 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // formatList formats an endpoint list as "id@address, id@address drains".
@@ -33,8 +34,14 @@
 	return response
 }
 
-// constantRouterTime is a RouterTime for tests that don't look at start times.
-func constantRouterTime(time.Time) time.Duration { return 1 }
+// constantRouterTime converts start times for tests that don't look at them.
+func constantRouterTime(string, wallclock.Time) time.Duration { return 1 }
+
+// zeroClock is a RouterClock for tests that don't look at start times.
+type zeroClock struct{}
+
+func (zeroClock) Clock() time.Duration            { return 0 }
+func (zeroClock) At(wallclock.Time) time.Duration { return 0 }
 
 // startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
 // respond is the server's Respond. The channel returned has each further list, formatted.
@@ -54,7 +61,7 @@
 	lists := make(chan string, 64)
 	watcher, err := Start(Config{Address: server.Addr(), ConnectTimeout: 5 * time.Second, PollWait: pollWait,
 		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
-		RouterTime: constantRouterTime, OnUpdate: func(workers []endpoints.Worker) { lists <- formatList(workers) },
+		RouterClock: zeroClock{}, OnUpdate: func(workers []endpoints.Worker) { lists <- formatList(workers) },
 	}, parseResponse(t, server.AllEvents()))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,6 +8,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // maxEndpoints bounds the list: further endpoints are ignored, so that a faulty server can't exhaust the memory.
@@ -75,14 +76,20 @@
 	}
 }
 
-// Workers returns the list ordered by ID. routerTime converts a moment to the router's clock.
-func (l *endpointList) Workers(routerTime func(time.Time) time.Duration) []endpoints.Worker {
+// contains reports whether an endpoint is in the list.
+func (l *endpointList) contains(id string) bool {
+	_, ok := l.byID[id]
+	return ok
+}
+
+// Workers returns the list ordered by ID. routerTime converts the start time of an endpoint to the router's clock.
+func (l *endpointList) Workers(routerTime func(id string, startedAt wallclock.Time) time.Duration) []endpoints.Worker {
 	workers := make([]endpoints.Worker, 0, len(l.byID))
 	for _, e := range l.byID {
 		worker := endpoints.Worker{Address: e.Address, Endpoint: dispatch.Endpoint{ID: e.ID, Zone: e.Zone, Kind: e.Kind,
 			Cell: e.Cell, State: endpointStates[e.State], Weight: e.Weight}}
 		if e.StartedUnixMilli > 0 {
-			worker.StartedAt = routerTime(time.UnixMilli(e.StartedUnixMilli))
+			worker.StartedAt = routerTime(e.ID, wallclock.FromUnixMilli(e.StartedUnixMilli))
 		}
 		workers = append(workers, worker)
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,7 +23,7 @@
 	ResponseGrace    time.Duration                    // how long beyond PollWait a response may take
 	MaxRetryDelay    time.Duration                    // longest delay between polls while they fail
 	MaxResponseBytes int                              // longest body of a response
-	RouterTime       func(time.Time) time.Duration    // converts a moment to the router's clock
+	RouterClock      endpoints.RouterClock            // the router's clock, to which start times are converted
 	OnUpdate         func(workers []endpoints.Worker) // called with each new list, never concurrently
 	Logger           *slog.Logger                     // nil discards
 }
@@ -81,11 +81,13 @@
 	if revision := *initial.Revision; revision > list.revision {
 		list.revision = revision
 	}
-	cfg.OnUpdate(list.Workers(cfg.RouterTime))
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{cfg: cfg, address: cfg.Address, cancel: cancel, done: make(chan struct{})}
+	starts := endpoints.NewStartTimes(cfg.RouterClock)
+	w.publish(list, starts)
+	starts.ListCurrent(cfg.RouterClock.Clock())
 	w.stats.Revision = list.revision
-	go w.run(ctx, list)
+	go w.run(ctx, list, starts)
 	return w, nil
 }
 
@@ -129,8 +131,14 @@
 	}
 }
 
+// publish passes the list to OnUpdate.
+func (w *Watcher) publish(list *endpointList, starts *endpoints.StartTimes) {
+	w.cfg.OnUpdate(list.Workers(starts.Convert))
+	starts.Retain(list.contains)
+}
+
 // run polls until ctx is done.
-func (w *Watcher) run(ctx context.Context, list *endpointList) {
+func (w *Watcher) run(ctx context.Context, list *endpointList, starts *endpoints.StartTimes) {
 	defer close(w.done)
 	consecutiveFailures := 0
 	for ctx.Err() == nil {
@@ -140,7 +148,10 @@
 			changed, err = w.poll(conn, list)
 		}
 		if changed {
-			w.cfg.OnUpdate(list.Workers(w.cfg.RouterTime))
+			w.publish(list, starts)
+		}
+		if err == nil || errors.Is(err, errPrematureResponse) {
+			starts.ListCurrent(w.cfg.RouterClock.Clock())
 		}
 		if err == nil {
 			consecutiveFailures = 0
--- /dev/null
+++ b/internal/endpoints/starttimes.go
@@ -0,0 +1,63 @@
+package endpoints
+
+import (
+	"maps"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/wallclock"
+)
+
+// RouterClock is a router's own clock, which is monotonic.
+type RouterClock interface {
+	Clock() time.Duration
+	At(moment wallclock.Time) time.Duration // what Clock shows at that moment if the wall clock is right
+}
+
+// StartTimes converts the start times of an endpoint list, which are wall times, to the router's clock. The wall clock
+// of this host or of the list's may be wrong, since before the router's start or by a step in mid-run, and a worker in
+// slow start that is taken for a warm one gets too much. What is sure without the wall clock goes first:
+//
+//   - no start lies in the future;
+//   - a worker that the list names for the first time, or with another start time, has started since the list was last
+//     current. Of the first list nothing of the kind is known;
+//   - a start that was converted stays as it is.
+//
+// A StartTimes is not safe for concurrent use.
+type StartTimes struct {
+	clock     RouterClock
+	known     map[string]convertedStart // by worker
+	currentAt time.Duration             // when the list was last current; 0 before the first
+}
+
+type convertedStart struct {
+	wallTime   wallclock.Time
+	routerTime time.Duration
+}
+
+// NewStartTimes returns a StartTimes that knows of no list.
+func NewStartTimes(clock RouterClock) *StartTimes {
+	return &StartTimes{clock: clock, known: map[string]convertedStart{}}
+}
+
+// Convert returns when a worker of the list started, by the router's clock.
+func (s *StartTimes) Convert(worker string, startedAt wallclock.Time) time.Duration {
+	earliest := s.currentAt
+	if known, ok := s.known[worker]; ok {
+		if known.wallTime == startedAt {
+			return known.routerTime
+		}
+		earliest = max(earliest, known.routerTime+1) // a restart is later than the start before it
+	}
+	routerTime := max(min(s.clock.At(startedAt), s.clock.Clock()), earliest)
+	s.known[worker] = convertedStart{wallTime: startedAt, routerTime: routerTime}
+	return routerTime
+}
+
+// ListCurrent notes that all workers which had started by then are in the list that was converted. Times that are
+// earlier than one given before change nothing.
+func (s *StartTimes) ListCurrent(at time.Duration) { s.currentAt = max(s.currentAt, at) }
+
+// Retain forgets the workers that are not in the list any more.
+func (s *StartTimes) Retain(listed func(worker string) bool) {
+	maps.DeleteFunc(s.known, func(worker string, _ convertedStart) bool { return !listed(worker) })
+}
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -121,9 +121,14 @@
 func (g *Gateway) followWorkers() <-chan struct{} {
 	firstRead := make(chan struct{})
 	var once sync.Once
+	starts, first := endpoints.NewStartTimes(g.router), true
 	apply := func(list *config.WorkerList) {
+		if !first { // a poll ago the file was as it had been
+			starts.ListCurrent(g.router.Clock() - config.PollInterval)
+		}
+		first = false
 		g.logger.Info("worker list applied", "workers", len(list.Workers))
-		g.router.SetEndpoints(list.Endpoints(g.router.At))
+		g.router.SetEndpoints(list.Endpoints(starts))
 		if g.gossipAgent != nil {
 			g.gossipAgent.SetWorkers(list.StartTimes())
 		}
--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -15,6 +15,7 @@
 	"github.com/topazfront/topazfront/internal/server/httpserver"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 	"github.com/topazfront/topazfront/internal/upstream/respupstream"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // Timeouts of the parts. They guard resources: none decides where a call is sent.
@@ -43,6 +44,7 @@
 type Options struct {
 	Logger        *slog.Logger                                               // nil discards
 	NewDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: dispatch.New; the number is the seed
+	WallClock     wallclock.Clock                                            // nil: the system's
 }
 
 // Server is one running router: the HTTP server, the dispatcher's loop, the RESP upstream and the endpoint watcher.
@@ -64,7 +66,7 @@
 	}
 	s := &Server{cfg: cfg, logger: options.Logger.With("router", cfg.Name)}
 	budget := cfg.Budget()
-	if err := s.startRouter(budget, options.NewDispatcher); err != nil {
+	if err := s.startRouter(budget, options); err != nil {
 		return nil, err
 	}
 	err := s.startWatcher()
@@ -81,7 +83,7 @@
 }
 
 // startRouter starts the upstream and the router. Neither is left running on an error.
-func (s *Server) startRouter(budget Budget, newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)) error {
+func (s *Server) startRouter(budget Budget, options Options) error {
 	limits := s.cfg.Limits
 	s.upstream = respupstream.New(respupstream.Config{
 		ConnectTimeout:     limits.ConnectTimeout,
@@ -102,7 +104,8 @@
 		LoadTimeout:        limits.LoadTimeout,
 		HealthCheckTimeout: limits.ConnectTimeout,
 		Endpoints:          endpoints.Settings{CheckInterval: workerCheckInterval},
-		NewDispatcher:      newDispatcher,
+		NewDispatcher:      options.NewDispatcher,
+		WallClock:          options.WallClock,
 		Logger:             s.logger,
 	}, s.upstream)
 	if err != nil {
@@ -121,7 +124,7 @@
 		ResponseGrace:    pollResponseGrace,
 		MaxRetryDelay:    maxPollRetryDelay,
 		MaxResponseBytes: maxPollResponseBytes,
-		RouterTime:       s.router.At,
+		RouterClock:      s.router,
 		OnUpdate:         s.router.SetEndpoints,
 		Logger:           s.logger,
 	}, s.cfg.InitialEndpoints)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -7,12 +7,14 @@
 import (
 	"context"
 	"log/slog"
+	"math"
 	"sync"
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/timingwheel"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 const (
@@ -33,6 +35,7 @@
 	HealthCheckTimeout time.Duration
 	Endpoints          endpoints.Settings
 	NewDispatcher      func(dispatch.Settings, uint64) (Dispatcher, error) // nil: dispatch.New; baselines replace it
+	WallClock          wallclock.Clock                                     // nil: the system's
 	Logger             *slog.Logger                                        // nil: no log
 
 	// Observer, unless nil, is called by the loop after each Step, before the actions are carried out.
@@ -49,8 +52,9 @@
 type Router struct {
 	cfg       Config
 	upstream  Upstream
-	startedAt time.Time
-	debug     bool // debug lines are logged for each attempt and load
+	startedAt time.Time      // by the monotonic clock
+	wallStart wallclock.Time // the same moment by the wall clock
+	debug     bool           // debug lines are logged for each attempt and load
 
 	mu      sync.Mutex
 	queue   []func()      // work for the loop, in the order in which it was posted
@@ -86,6 +90,9 @@
 	if cfg.NewDispatcher == nil {
 		cfg.NewDispatcher = func(s dispatch.Settings, seed uint64) (Dispatcher, error) { return dispatch.New(s, seed) }
 	}
+	if cfg.WallClock == nil {
+		cfg.WallClock = wallclock.System
+	}
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
@@ -97,6 +104,7 @@
 		cfg:                  cfg,
 		upstream:             upstream,
 		startedAt:            time.Now(),
+		wallStart:            cfg.WallClock.Now(),
 		debug:                cfg.Logger.Enabled(context.Background(), slog.LevelDebug),
 		wakeUp:               make(chan struct{}, 1),
 		loopEnded:            make(chan struct{}),
@@ -115,8 +123,13 @@
 // Clock returns the time on the router's clock.
 func (r *Router) Clock() time.Duration { return epoch + time.Since(r.startedAt) }
 
-// At converts a time to the router's clock. A time before the clock's zero becomes 0, which stands for long ago.
-func (r *Router) At(t time.Time) time.Duration { return max(epoch+t.Sub(r.startedAt), 0) }
+// At converts a wall time to the router's clock, as if the wall clock had run on since the router's start without a step.
+// It is wrong by what the wall clock was wrong at that moment; endpoints.StartTimes corrects what can't be right. A time
+// before the clock's zero becomes 0, which stands for long ago.
+func (r *Router) At(moment wallclock.Time) time.Duration {
+	sinceStart := min(moment.Sub(r.wallStart), math.MaxInt64-epoch)
+	return max(epoch+sinceStart, 0)
+}
 
 // post queues f to be run by the loop. It reports whether the loop still takes work; if not, f is never run.
 func (r *Router) post(f func()) bool {
--- a/internal/upstream/respupstream/conn_test.go
+++ b/internal/upstream/respupstream/conn_test.go
@@ -66,7 +66,7 @@
 // that remembers too many drains.
 func TestUsedIDsExpire(t *testing.T) {
 	openedAt := time.Now()
-	for _, step := range []time.Duration{0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
+	for _, step := range testsupport.WallClockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			c := &conn{inFlight: map[string]*exchange{"open": {}}, usedIDs: map[string]time.Duration{}, worker: &worker{}, openedAt: openedAt}
 			c.rememberID("old", openedAt)
