--- a/internal/fake/fakepeer/forger.go
+++ b/internal/fake/fakepeer/forger.go
@@ -5,9 +5,9 @@
 	"crypto/ed25519"
 	"math/rand/v2"
 	"net"
-	"time"
 
 	"github.com/topazfront/topazfront/internal/gossip"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 const (
@@ -72,7 +72,7 @@
 	if f.StolenKey != nil {
 		key = f.StolenKey(name)
 	}
-	keyring := gossip.NewKeyring(f.KeyNames[i], key, uint64(time.Now().UnixNano()))
+	keyring := gossip.NewKeyring(f.KeyNames[i], key, wallclock.System.Now().UnixNano())
 	silent := gossip.Statement{Kind: gossip.WorkerSilent, Signer: name, Incarnation: forgedIncarnation, Seq: 1,
 		Subject: f.Worker, SubjectIncarnation: f.WorkerIncarnation}
 	keyring.SignStatement(&silent)
--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -9,6 +9,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/gossip"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 const (
@@ -58,6 +59,9 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
+	if cfg.WallClock == nil {
+		cfg.WallClock = wallclock.System
+	}
 	a := &Agent{
 		cfg:       cfg,
 		logger:    cfg.Logger,
@@ -71,7 +75,7 @@
 	}
 	incarnation := cfg.Incarnation
 	if incarnation == 0 {
-		incarnation = uint64(a.startedAt.UnixNano())
+		incarnation = cfg.WallClock.Now().UnixNano()
 	}
 	a.keys = gossip.NewKeyring(cfg.Key.Name, cfg.Key.Private, incarnation)
 	var err error
--- a/internal/gossip/agent/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -14,6 +14,8 @@
 	"github.com/topazfront/topazfront/internal/fake/fakepeer"
 	"github.com/topazfront/topazfront/internal/gossip"
 	"github.com/topazfront/topazfront/internal/gossip/agent"
+	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // fakeRouter is a router to which the workers in deadWorkers give no sign of life.
@@ -376,8 +378,16 @@
 	})
 }
 
-// TestRestartWithClockSetBack: a member with a lower incarnation is notified of its earlier one and known again.
-func TestRestartWithClockSetBack(t *testing.T) {
+// TestRestartWithSteppedWallClock: a member that restarts after a step of its wall clock, also to one that has no date, is
+// known again under a later incarnation. One with a lower incarnation is notified of its earlier one.
+func TestRestartWithSteppedWallClock(t *testing.T) {
+	toStartOf1970 := wallclock.FromUnixMilli(0).Sub(wallclock.System.Now())
+	for _, step := range append(slices.Clone(testsupport.WallClockSteps), toStartOf1970) {
+		t.Run(step.Round(time.Second).String(), func(t *testing.T) { testRestartWithSteppedWallClock(t, step) })
+	}
+}
+
+func testRestartWithSteppedWallClock(t *testing.T, step time.Duration) {
 	c := newCluster(t, 3)
 	incarnation := func() (n uint64) {
 		for _, p := range c.agents[0].Peers() {
@@ -390,7 +400,9 @@
 	before := incarnation()
 	c.agents[2].Close()
 	cfg := c.config(2)
-	cfg.Listen, cfg.Incarnation = c.addrs[2], 1000
+	var clock testsupport.WallClock
+	clock.Step(step)
+	cfg.Listen, cfg.WallClock = c.addrs[2], &clock
 	a, err := agent.Start(cfg, c.routers[2])
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gossip/agent/config.go
+++ b/internal/gossip/agent/config.go
@@ -8,6 +8,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/gossip"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 // Config holds the settings of an agent.
@@ -20,9 +21,10 @@
 	Quorum       gossip.SuspicionQuorumConfig
 	Limiter      gossip.PacketLimiterConfig
 	Collector    gossip.EvidenceCollectorConfig
-	CheckTimeout time.Duration // of a check of a worker
-	Seed         uint64        // of the random draws
-	Incarnation  uint64        // 0: the start time in nanoseconds
+	CheckTimeout time.Duration   // of a check of a worker
+	Seed         uint64          // of the random draws
+	Incarnation  uint64          // 0: the start time in nanoseconds
+	WallClock    wallclock.Clock // has the start time; nil: the system's
 	Key          Key
 	Members      Members
 	Logger       *slog.Logger // nil: nothing is logged
