--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -43,6 +43,26 @@
 func (zeroClock) Clock() time.Duration            { return 0 }
 func (zeroClock) At(wallclock.Time) time.Duration { return 0 }
 
+// initialEndpoints is the event of a snapshot of the endpoints a and b.
+var initialEndpoints = fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active")
+
+func startServer(t *testing.T, events ...string) *fakeplatform.DiscoveryServer {
+	t.Helper()
+	server, err := fakeplatform.StartDiscoveryServer(events...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(server.Stop)
+	return server
+}
+
+// watcherConfig is a configuration with short times.
+func watcherConfig(address string, onUpdate func([]endpoints.Worker)) Config {
+	return Config{Address: address, ConnectTimeout: 5 * time.Second, PollWait: 200 * time.Millisecond,
+		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
+		RouterClock: zeroClock{}, OnUpdate: onUpdate}
+}
+
 // startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
 // respond is the server's Respond. The channel returned has each further list, formatted.
 func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
@@ -53,20 +73,16 @@
 func startWatcherWithWait(t *testing.T, pollWait time.Duration, respond func(int, string) (string, bool),
 ) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
-	server, err := fakeplatform.StartDiscoveryServer(fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	server := startServer(t, initialEndpoints)
 	server.Respond = respond
 	lists := make(chan string, 64)
-	watcher, err := Start(Config{Address: server.Addr(), ConnectTimeout: 5 * time.Second, PollWait: pollWait,
-		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
-		RouterClock: zeroClock{}, OnUpdate: func(workers []endpoints.Worker) { lists <- formatList(workers) },
-	}, parseResponse(t, server.AllEvents()))
+	cfg := watcherConfig(server.Addr(), func(workers []endpoints.Worker) { lists <- formatList(workers) })
+	cfg.PollWait = pollWait
+	watcher, err := Start(cfg, parseResponse(t, server.AllEvents()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { watcher.Close(); server.Stop() })
+	t.Cleanup(watcher.Close)
 	if got := testsupport.Await(t, lists, "the initial list"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
 		t.Fatalf("initial list: %s", got)
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -26,6 +26,8 @@
 	RouterClock      endpoints.RouterClock            // the router's clock, to which start times are converted
 	OnUpdate         func(workers []endpoints.Worker) // called with each new list, never concurrently
 	Logger           *slog.Logger                     // nil discards
+
+	dial func(address string, cfg Config) (*connection, error) // nil: dial; tests replace it
 }
 
 // The delay before the second of consecutive retries is retryBaseDelay << 2; it doubles with each further one, up to
@@ -64,7 +66,7 @@
 	Revision       int64  // of the last event applied
 	Polls          uint64 // requests written or attempted
 	Events         uint64 // revisions applied
-	FailedPolls    uint64 // including connects that failed and polls that were interrupted
+	FailedPolls    uint64 // including connects that failed, not polls that were interrupted
 	AddressChanges uint64
 }
 
@@ -74,6 +76,9 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
+	if cfg.dial == nil {
+		cfg.dial = dial
+	}
 	list := newEndpointList()
 	if _, err := list.Apply(initial); err != nil {
 		return nil, err
@@ -142,7 +147,7 @@
 	defer close(w.done)
 	consecutiveFailures := 0
 	for ctx.Err() == nil {
-		address, conn, err := w.connect()
+		address, conn, err := w.connect(ctx)
 		var changed bool
 		if err == nil {
 			changed, err = w.poll(conn, list)
@@ -160,7 +165,7 @@
 		if conn != nil {
 			conn.close(err)
 		}
-		if addressChanged := w.recordFailure(address); addressChanged || errors.Is(err, errInterrupted) {
+		if interrupted := w.recordFailure(ctx, address, err); interrupted {
 			continue
 		}
 		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", list.revision, "error", err)
@@ -171,8 +176,8 @@
 }
 
 // connect returns the open connection to the current address, and establishes one where there is none. conn is nil on
-// an error.
-func (w *Watcher) connect() (address string, conn *connection, err error) {
+// an error. It is errInterrupted where the address changed or the Watcher was closed while the connection came up.
+func (w *Watcher) connect(ctx context.Context) (address string, conn *connection, err error) {
 	w.mu.Lock()
 	address, conn = w.address, w.conn
 	w.mu.Unlock()
@@ -182,24 +187,34 @@
 	if conn != nil {
 		conn.close(errInterrupted)
 	}
-	conn, err = dial(address, w.cfg)
+	conn, err = w.cfg.dial(address, w.cfg)
 	if err != nil {
 		return address, nil, err
 	}
 	w.mu.Lock()
-	w.conn = conn
+	interrupted := w.address != address || ctx.Err() != nil
+	if !interrupted {
+		w.conn = conn
+	}
 	w.mu.Unlock()
+	if interrupted {
+		conn.close(errInterrupted)
+		return address, nil, errInterrupted
+	}
 	return address, conn, nil
 }
 
-// recordFailure forgets the connection after a failed poll and reports whether the address has changed since the poll
-// was started.
-func (w *Watcher) recordFailure(polledAddress string) (addressChanged bool) {
+// recordFailure forgets the connection after a poll that ended with an error. It reports whether the poll was interrupted
+// by a change of the address or by Close, which is no failure.
+func (w *Watcher) recordFailure(ctx context.Context, polledAddress string, err error) (interrupted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.conn = nil
-	w.stats.FailedPolls++
-	return w.address != polledAddress
+	interrupted = w.address != polledAddress || ctx.Err() != nil || errors.Is(err, errInterrupted)
+	if !interrupted {
+		w.stats.FailedPolls++
+	}
+	return interrupted
 }
 
 // waitBeforeRetry delays the next poll by exponential backoff with jitter. The first retry after a success is immediate.
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
@@ -119,8 +120,47 @@
 	if got := testsupport.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
 		t.Errorf("list %s", got)
 	}
-	if stats := watcher.Stats(); stats.Revision != 3 || stats.AddressChanges != 1 {
-		t.Errorf("%+v", stats)
+	if stats := watcher.Stats(); stats.Revision != 3 || stats.AddressChanges != 1 || stats.FailedPolls != 0 {
+		t.Errorf("%+v, want no failed poll", stats)
+	}
+}
+
+// TestInterruptionDuringDial checks that a change of the address, or Close, that comes while a connection is being
+// established leads to no poll on it, and that neither counts as a failure.
+func TestInterruptionDuringDial(t *testing.T) {
+	for name, closed := range map[string]bool{"address changed": false, "closed": true} {
+		t.Run(name, func(t *testing.T) {
+			oldServer, newServer := startServer(t, initialEndpoints), startServer(t, initialEndpoints)
+			dialing, dialed := make(chan struct{}), make(chan struct{})
+			cfg := watcherConfig(oldServer.Addr(), func([]endpoints.Worker) {})
+			cfg.dial = func(address string, cfg Config) (*connection, error) {
+				if address == oldServer.Addr() {
+					dialing <- struct{}{}
+					<-dialed
+				}
+				return dial(address, cfg)
+			}
+			watcher, err := Start(cfg, parseResponse(t, oldServer.AllEvents()))
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(watcher.Close)
+			testsupport.Await(t, dialing, "a connect to the old address")
+			if closed {
+				watcher.cancel() // as Close does first
+			} else {
+				watcher.SetAddress(newServer.Addr())
+			}
+			dialed <- struct{}{}
+			if closed {
+				testsupport.Await(t, watcher.done, "the end of the watch")
+			} else {
+				testsupport.Await(t, newServer.Polls(), "a poll at the new address")
+			}
+			if stats := watcher.Stats(); len(oldServer.Polls()) > 0 || stats.FailedPolls != 0 {
+				t.Errorf("%d polls at the old address, %+v", len(oldServer.Polls()), stats)
+			}
+		})
 	}
 }
 
