--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -32,7 +32,8 @@
 	reader  *http1.Reader // used by netpoll's callbacks for the connection only
 
 	mu       sync.Mutex
-	closeErr error // set once closed
+	closeErr error           // set once closed
+	notify   chan<- struct{} // gets a value for each result; nil: nobody wants to know
 	results  chan pollResult
 }
 
@@ -58,18 +59,25 @@
 	return c, nil
 }
 
-// roundTrip writes a request and waits for its response, at most for timeout.
-func (c *connection) roundTrip(request []byte, timeout time.Duration) (*http1.Message, error) {
+// roundTrip writes a request and waits for its response, at most for timeout. Meanwhile it passes on the responses to
+// late polls.
+func (c *connection) roundTrip(request []byte, timeout time.Duration, late *latePolls, onLate func(*http1.Message)) (*http1.Message, error) {
 	if _, err := c.conn.Write(request); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	select {
-	case result := <-c.results:
-		return result.message, result.err
-	case <-timer.C:
-		return nil, errResponseTimeout
+	for {
+		select {
+		case result := <-c.results:
+			return result.message, result.err
+		case <-late.arrived:
+			for _, message := range late.take() {
+				onLate(message)
+			}
+		case <-timer.C:
+			return nil, errResponseTimeout
+		}
 	}
 }
 
@@ -116,6 +124,28 @@
 	case c.results <- result:
 	default:
 	}
+	c.mu.Lock()
+	notify := c.notify
+	c.mu.Unlock()
+	signal(notify)
+}
+
+// notifyResult has each further result signalled to a channel, and one that is there already.
+func (c *connection) notifyResult(to chan<- struct{}) {
+	c.mu.Lock()
+	c.notify = to
+	c.mu.Unlock()
+	if len(c.results) > 0 {
+		signal(to)
+	}
+}
+
+// signal sends to a channel with a buffer of one, unless it is nil or its buffer is full.
+func signal(to chan<- struct{}) {
+	select {
+	case to <- struct{}{}:
+	default:
+	}
 }
 
 func (c *connection) isClosed() bool {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
 // Config configures a Watcher. All fields but Logger are required.
@@ -88,11 +89,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{cfg: cfg, address: cfg.Address, cancel: cancel, done: make(chan struct{})}
-	starts := endpoints.NewStartTimes(cfg.RouterClock)
-	w.publish(list, starts)
-	starts.ListCurrent(cfg.RouterClock.Clock())
+	view := endpointView{list: list, starts: endpoints.NewStartTimes(cfg.RouterClock)}
+	w.publish(view)
+	view.starts.ListCurrent(cfg.RouterClock.Clock())
 	w.stats.Revision = list.revision
-	go w.run(ctx, list, starts)
+	go w.run(ctx, view)
 	return w, nil
 }
 
@@ -136,39 +137,48 @@
 	}
 }
 
+// endpointView is the endpoint list with the start times of its workers.
+type endpointView struct {
+	list   *endpointList
+	starts *endpoints.StartTimes
+}
+
 // publish passes the list to OnUpdate.
-func (w *Watcher) publish(list *endpointList, starts *endpoints.StartTimes) {
-	w.cfg.OnUpdate(list.Workers(starts.Convert))
-	starts.Retain(list.contains)
+func (w *Watcher) publish(view endpointView) {
+	w.cfg.OnUpdate(view.list.Workers(view.starts.Convert))
+	view.starts.Retain(view.list.contains)
 }
 
 // run polls until ctx is done.
-func (w *Watcher) run(ctx context.Context, list *endpointList, starts *endpoints.StartTimes) {
+func (w *Watcher) run(ctx context.Context, view endpointView) {
 	defer close(w.done)
+	late := newLatePolls()
+	defer late.close()
 	consecutiveFailures := 0
 	for ctx.Err() == nil {
 		address, conn, err := w.connect(ctx)
-		var changed bool
 		if err == nil {
-			changed, err = w.poll(conn, list)
-		}
-		if changed {
-			w.publish(list, starts)
-		}
-		if err == nil || errors.Is(err, errPrematureResponse) {
-			starts.ListCurrent(w.cfg.RouterClock.Clock())
+			err = w.poll(conn, view, late)
 		}
 		if err == nil {
 			consecutiveFailures = 0
 			continue
 		}
+		interrupted := w.recordFailure(ctx, address, err)
+		switch {
+		case interrupted:
+			late.close()
+		case errors.Is(err, errResponseTimeout):
+			late.add(conn)
+			conn = nil
+		}
 		if conn != nil {
 			conn.close(err)
 		}
-		if interrupted := w.recordFailure(ctx, address, err); interrupted {
+		if interrupted {
 			continue
 		}
-		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", list.revision, "error", err)
+		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", view.list.revision, "error", err)
 		consecutiveFailures++
 		w.waitBeforeRetry(ctx, consecutiveFailures)
 	}
@@ -229,39 +239,57 @@
 	}
 }
 
-// poll sends one request and applies its response. changed may be true along with an error.
-func (w *Watcher) poll(conn *connection, list *endpointList) (changed bool, err error) {
+// poll sends one request and applies its response, and those to late polls that come meanwhile.
+func (w *Watcher) poll(conn *connection, view endpointView, late *latePolls) error {
 	w.mu.Lock()
 	w.stats.Polls++
 	w.mu.Unlock()
 	startedAt := time.Now()
-	request := pollRequest(conn.address, list.revision, w.cfg.PollWait)
-	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace)
+	before := view.list.revision
+	request := pollRequest(conn.address, before, w.cfg.PollWait)
+	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace, late, func(message *http1.Message) {
+		if err := w.apply(message, view); err != nil {
+			w.cfg.Logger.Info("late response to an endpoint poll not applied", "error", err)
+		}
+	})
 	if err != nil {
-		return false, err
+		return err
+	}
+	if err := w.apply(message, view); err != nil {
+		return err
+	}
+	if message.Close {
+		conn.close(errClosedAfterResponse)
 	}
+	if view.list.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
+		return errPrematureResponse
+	}
+	return nil
+}
+
+// apply applies a response to the list, and publishes the list if that has changed it.
+func (w *Watcher) apply(message *http1.Message, view endpointView) error {
 	if message.Status != statusOK {
-		return false, fmt.Errorf("discovery: status %d", message.Status)
+		return fmt.Errorf("discovery: status %d", message.Status)
 	}
 	response, err := ParsePollResponse(message.Body)
 	if err != nil {
-		return false, err
+		return err
 	}
-	before := list.revision
-	if changed, err = list.Apply(response); err != nil {
-		return false, err
+	before := view.list.revision
+	changed, err := view.list.Apply(response)
+	if err != nil {
+		return err
 	}
 	w.mu.Lock()
-	w.stats.Revision = list.revision
-	w.stats.Events += uint64(list.revision - before)
+	w.stats.Revision = view.list.revision
+	w.stats.Events += uint64(view.list.revision - before)
 	w.mu.Unlock()
-	if message.Close {
-		conn.close(errClosedAfterResponse)
-	}
-	if list.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
-		return changed, errPrematureResponse
+	if changed {
+		w.publish(view)
 	}
-	return changed, nil
+	view.starts.ListCurrent(w.cfg.RouterClock.Clock())
+	return nil
 }
 
 // pollRequest is the request for the events after a revision. There is no other acknowledgement of an event: polling
