--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -63,6 +63,9 @@
 		RouterClock: zeroClock{}, OnUpdate: onUpdate}
 }
 
+// longPollWait is the PollWait of tests in which no poll may time out, on a busy machine too.
+const longPollWait = 5 * time.Second
+
 // startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
 // respond is the server's Respond. The channel returned has each further list, formatted.
 func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -1,9 +1,13 @@
 package discovery
 
 import (
+	"context"
+	"errors"
+	"fmt"
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
@@ -30,3 +34,93 @@
 		})
 	}
 }
+
+// TestLongOutage has every connect fail for 60 s of the test's own time. The connects stay few, and the first after the
+// outage, no later than the longest delay, resumes from the revision before it.
+func TestLongOutage(t *testing.T) {
+	const outage, maxDelay = time.Minute, 500 * time.Millisecond
+	server := startServer(t, initialEndpoints)
+	lists := make(chan string, 8)
+	cfg := watcherConfig(server.Addr(), func(workers []endpoints.Worker) { lists <- formatList(workers) })
+	cfg.MaxRetryDelay = maxDelay
+	var elapsed time.Duration // of the outage; cfg's functions are called by the watcher's goroutine alone
+	failedConnects, over := 0, make(chan time.Duration, 1)
+	cfg.sleep = func(_ context.Context, d time.Duration) { elapsed += d }
+	cfg.dial = func(address string, cfg Config) (*connection, error) {
+		if elapsed < outage {
+			failedConnects++
+			return nil, errors.New("down")
+		}
+		if len(over) == 0 {
+			over <- elapsed
+			server.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
+		}
+		return dial(address, cfg)
+	}
+	watcher, err := Start(cfg, parseResponse(t, server.AllEvents()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(watcher.Close)
+	testsupport.Await(t, lists, "the initial list")
+	if got := testsupport.Await(t, lists, "the event of the outage"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+		t.Errorf("list %s", got)
+	}
+	if late := testsupport.Await(t, over, "the end") - outage; late > maxDelay {
+		t.Errorf("connected %v after the outage", late)
+	}
+	if most := int(outage/(maxDelay/2)) + 10; failedConnects > most {
+		t.Errorf("%d connects in %v, want at most %d", failedConnects, outage, most)
+	}
+	if revision := testsupport.Await(t, server.Polls(), "a poll"); revision != 1 {
+		t.Errorf("polled from revision %d", revision)
+	}
+}
+
+// TestCrowdedDiscovery has the server turn polls away with an error before it answers one. The event is applied then, and
+// the polls before it are delayed by more each time.
+func TestCrowdedDiscovery(t *testing.T) {
+	const rejected = 12
+	startedAt := time.Now()
+	server, watcher, lists := startWatcher(t, func(poll int, _ string) (string, bool) {
+		if poll > rejected {
+			return "", false
+		}
+		return "HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", false
+	})
+	server.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
+	if got := testsupport.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
+		t.Errorf("list %s", got)
+	}
+	const shortestDelay = 20 * time.Millisecond // of a retry; half of what retryBaseDelay makes of the second failure
+	if elapsed := time.Since(startedAt); elapsed < (rejected-2)*shortestDelay {
+		t.Errorf("%d polls were rejected within %v", rejected, elapsed)
+	}
+	if stats := watcher.Stats(); stats.FailedPolls < rejected || stats.Events != 1 {
+		t.Errorf("%+v", stats)
+	}
+}
+
+// TestAddressChangesInQuickSuccession moves discovery five times at once. The watch ends up at the last address, with
+// every event applied once and none lost, and no poll stays at an earlier one.
+func TestAddressChangesInQuickSuccession(t *testing.T) {
+	const changes = 5
+	_, watcher, lists := startWatcherWithWait(t, longPollWait, nil)
+	events := []string{initialEndpoints}
+	var last *fakeplatform.DiscoveryServer
+	for i := range changes {
+		events = append(events, fakeplatform.EndpointsEvent(false, fmt.Sprintf("w%d 1.1.1.3:1 active", i)))
+		last = startServer(t, events...)
+		watcher.SetAddress(last.Addr())
+	}
+	const want = "a@1.1.1.1:1, b@1.1.1.2:1, w0@1.1.1.3:1, w1@1.1.1.3:1, w2@1.1.1.3:1, w3@1.1.1.3:1, w4@1.1.1.3:1"
+	for got := ""; got != want; {
+		got = testsupport.Await(t, lists, "the last server's list")
+	}
+	for revision := 0; revision != changes+1; {
+		revision = testsupport.Await(t, last.Polls(), "a poll at the last address")
+	}
+	if stats := watcher.Stats(); stats.Events != changes || stats.AddressChanges != changes || stats.FailedPolls != 0 {
+		t.Errorf("%+v", stats)
+	}
+}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -28,7 +28,9 @@
 	OnUpdate         func(workers []endpoints.Worker) // called with each new list, never concurrently
 	Logger           *slog.Logger                     // nil discards
 
-	dial func(address string, cfg Config) (*connection, error) // nil: dial; tests replace it
+	// Tests replace these; nil stands for the functions of the same name.
+	dial  func(address string, cfg Config) (*connection, error)
+	sleep func(ctx context.Context, d time.Duration)
 }
 
 // The delay before the second of consecutive retries is retryBaseDelay << 2; it doubles with each further one, up to
@@ -80,6 +82,9 @@
 	if cfg.dial == nil {
 		cfg.dial = dial
 	}
+	if cfg.sleep == nil {
+		cfg.sleep = sleep
+	}
 	list := newEndpointList()
 	if _, err := list.Apply(initial); err != nil {
 		return nil, err
@@ -233,9 +238,14 @@
 		return
 	}
 	delay := min(w.cfg.MaxRetryDelay, retryBaseDelay<<min(consecutiveFailures, maxRetryShift))
+	w.cfg.sleep(ctx, delay/2+rand.N(delay/2+1))
+}
+
+// sleep returns after d, or when ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(delay/2 + rand.N(delay/2+1)):
+	case <-time.After(d):
 	}
 }
 
