--- a/internal/registry/blobs.go
+++ b/internal/registry/blobs.go
@@ -37,6 +37,7 @@
 		err = closeErr
 	}
 	if err == nil {
+		s.noteStored(content.Digest)
 		err = s.publishBlob(file.Name(), content.Digest)
 	}
 	if err != nil {
--- a/internal/registry/gc.go
+++ b/internal/registry/gc.go
@@ -11,7 +11,8 @@
 
 // CollectGarbage removes content that no version refers to and nobody reads, and returns what it removed or, with
 // dryRun, what it would remove. Content younger than gracePeriod is left alone, since a PushVersion may be about to
-// refer to it.
+// refer to it. Content of before the store was opened counts as old as that: the files' times are by the wall clock,
+// which may have been set since.
 func (s *Store) CollectGarbage(gracePeriod time.Duration, dryRun bool) ([]Digest, error) {
 	referenced := s.referencedDigests()
 	var removed []Digest
@@ -23,8 +24,7 @@
 		if err != nil {
 			return nil // a file of another kind is not for this program to remove
 		}
-		info, err := entry.Info()
-		if err != nil || referenced[digest] || time.Since(info.ModTime()) < gracePeriod {
+		if referenced[digest] || !s.olderThan(digest, gracePeriod) {
 			return nil
 		}
 		ok, err := s.removeUnused(path, digest, dryRun)
@@ -37,6 +37,24 @@
 	return removed, err
 }
 
+// noteStored begins the grace period of a content that is about to be published.
+func (s *Store) noteStored(digest Digest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.storedAt[digest] = time.Now()
+}
+
+// olderThan reports whether a content was stored longer ago than a time.
+func (s *Store) olderThan(digest Digest, gracePeriod time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	storedAt, known := s.storedAt[digest]
+	if !known {
+		storedAt = s.openedAt
+	}
+	return time.Since(storedAt) >= gracePeriod
+}
+
 // referencedDigests returns the contents that versions refer to.
 func (s *Store) referencedDigests() map[Digest]bool {
 	referenced := map[Digest]bool{}
@@ -66,6 +84,7 @@
 	if err := os.Remove(path); err != nil {
 		return false, fmt.Errorf("registry: %w", err)
 	}
+	delete(s.storedAt, digest)
 	return true, nil
 }
 
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -65,11 +65,14 @@
 	options Options
 	db      *bolt.DB
 
+	openedAt time.Time
+
 	mu       sync.RWMutex // guards what follows
 	state    *State
-	readers  map[Digest]int // number of open BlobReaders by content, without zeros
-	changed  chan struct{}  // closed at the next revision, and replaced
-	fatalErr error          // the database is ahead of the state: no commit is accepted any more
+	storedAt map[Digest]time.Time // of contents stored since the store was opened, and not removed since
+	readers  map[Digest]int       // number of open BlobReaders by content, without zeros
+	changed  chan struct{}        // closed at the next revision, and replaced
+	fatalErr error                // the database is ahead of the state: no commit is accepted any more
 }
 
 // OpenStore opens the store in a directory, which is created where it does not exist. Temporary files that a crash
@@ -91,7 +94,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("registry: %s: %w", path, err)
 	}
-	s := &Store{dir: dir, options: options, db: db, readers: map[Digest]int{}, changed: make(chan struct{})}
+	s := &Store{dir: dir, options: options, db: db, openedAt: time.Now(), storedAt: map[Digest]time.Time{},
+		readers: map[Digest]int{}, changed: make(chan struct{})}
 	if err := s.load(); err != nil {
 		_ = db.Close()
 		return nil, err
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"github.com/klauspost/compress/zstd"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 func mustOpenStore(t *testing.T, dir string, options Options) *Store {
@@ -193,3 +195,28 @@
 		t.Error(err)
 	}
 }
+
+// TestCollectGarbageWithSteppedWallClock checks that a step of the wall clock, which makes files look older or younger,
+// neither ends the grace period of a content nor prolongs it.
+func TestCollectGarbageWithSteppedWallClock(t *testing.T) {
+	for _, step := range testsupport.WallClockSteps {
+		t.Run(step.String(), func(t *testing.T) {
+			s := mustOpenStore(t, t.TempDir(), Options{})
+			defer func() { _ = s.Close() }()
+			content, err := s.PutContent(strings.NewReader("pushed soon"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			asIfStepped := time.Now().Add(-step)
+			if err := os.Chtimes(s.blobPath(content.Digest), asIfStepped, asIfStepped); err != nil {
+				t.Fatal(err)
+			}
+			if removed, err := s.CollectGarbage(time.Hour, false); err != nil || len(removed) > 0 {
+				t.Errorf("within the grace period: removed %v, %v", removed, err)
+			}
+			if removed, err := s.CollectGarbage(0, false); err != nil || len(removed) != 1 {
+				t.Errorf("after the grace period: removed %v, %v", removed, err)
+			}
+		})
+	}
+}
