--- a/internal/httprouter/signals_test.go
+++ b/internal/httprouter/signals_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
@@ -125,6 +126,28 @@
 	h.requireInvariants()
 }
 
+// TestConfigurationsInQuickSuccession writes five configurations, each followed by SIGHUP, without a pause. The last one is
+// in force in the end.
+func TestConfigurationsInQuickSuccession(t *testing.T) {
+	first := startDiscovery(t, fakeplatform.EndpointsEvent(true))
+	known := first.AllEvents()
+	router := startRun(t, configJSON(first.Addr(), known))
+	router.waitForLine("msg=serving")
+	var last *fakeplatform.DiscoveryServer
+	for range 5 {
+		last = startDiscovery(t, `"x":1`)
+		router.writeConfig(configJSON(last.Addr(), known))
+		router.sendSIGHUP()
+	}
+	if revision := testsupport.Await(t, last.Polls(), "a poll at the last address"); revision != 1 {
+		t.Errorf("polled from revision %d at the last address", revision)
+	}
+	router.terminate()
+	if err := testsupport.Await(t, router.result, "the end of the router"); err != nil {
+		t.Error(err)
+	}
+}
+
 // requireServedDuringShutdown makes calls over new connections for half the time that new clients are accepted.
 func (h *harness) requireServedDuringShutdown() {
 	h.t.Helper()
