--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -56,9 +56,12 @@
 	return server
 }
 
+// testPollWait is the PollWait of most tests.
+const testPollWait = 200 * time.Millisecond
+
 // watcherConfig is a configuration with short times.
 func watcherConfig(address string, onUpdate func([]endpoints.Worker)) Config {
-	return Config{Address: address, ConnectTimeout: 5 * time.Second, PollWait: 200 * time.Millisecond,
+	return Config{Address: address, ConnectTimeout: 5 * time.Second, PollWait: testPollWait,
 		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
 		RouterClock: zeroClock{}, OnUpdate: onUpdate}
 }
@@ -70,7 +73,7 @@
 // respond is the server's Respond. The channel returned has each further list, formatted.
 func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
-	return startWatcherWithWait(t, 200*time.Millisecond, respond)
+	return startWatcherWithWait(t, testPollWait, respond)
 }
 
 func startWatcherWithWait(t *testing.T, pollWait time.Duration, respond func(int, string) (string, bool),
--- a/internal/discovery/late.go
+++ b/internal/discovery/late.go
@@ -2,7 +2,7 @@
 
 import "github.com/topazfront/topazfront/internal/transport/http1"
 
-// maxLatePolls is how many polls stay pending after their time-out. A silent server and a slow one look the same by
+// maxLatePolls is how many polls stay pending after their time-out, until a later one is answered in time. A silent server and a slow one look the same by
 // then: the first needs another poll, on another connection, and the second needs its time. With two, a response may take
 // three times as long as a poll's time-out.
 const maxLatePolls = 2
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
+	"net"
 	"testing"
 	"time"
 
@@ -124,3 +126,46 @@
 		t.Errorf("%+v", stats)
 	}
 }
+
+// TestSilentPollEndsOnceAnotherIsAnswered checks that a poll that was never answered doesn't hold its connection for good.
+func TestSilentPollEndsOnceAnotherIsAnswered(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	lists, silentEnded := make(chan string, 8), make(chan struct{})
+	go func() {
+		silent, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		answered, err := listener.Accept() // after the time-out of the first poll
+		if err != nil {
+			return
+		}
+		go func() {
+			_, _ = io.Copy(io.Discard, silent)
+			close(silentEnded)
+		}()
+		body := `{"cursor":2,"cmds":[{"cursor":2,` + fakeplatform.EndpointsEvent(true, "c 1.1.1.1:1 active") + `}]}`
+		for request := make([]byte, 1024); ; body = `{"cursor":2,"cmds":[]}` {
+			if _, err := answered.Read(request); err != nil {
+				return
+			}
+			time.Sleep(testPollWait / 2)
+			_, _ = answered.Write([]byte(httpResponse(body)))
+		}
+	}()
+	watcher, err := Start(watcherConfig(listener.Addr().String(), func(workers []endpoints.Worker) { lists <- formatList(workers) }),
+		parseResponse(t, `{"cursor":1,"cmds":[]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(watcher.Close)
+	testsupport.Await(t, lists, "the initial list")
+	if got := testsupport.Await(t, lists, "the event"); got != "c@1.1.1.1:1" {
+		t.Errorf("list %s", got)
+	}
+	testsupport.Await(t, silentEnded, "the end of the silent poll's connection")
+}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -167,6 +167,7 @@
 		}
 		if err == nil {
 			consecutiveFailures = 0
+			late.close() // they asked earlier than the poll that was answered
 			continue
 		}
 		interrupted := w.recordFailure(ctx, address, err)
