--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
 // Config configures a Watcher. All fields but Logger are required.
@@ -23,9 +24,13 @@
 	ResponseGrace    time.Duration                    // how long beyond PollWait a response may take
 	MaxRetryDelay    time.Duration                    // longest delay between polls while they fail
 	MaxResponseBytes int                              // longest body of a response
-	RouterTime       func(time.Time) time.Duration    // converts a moment to the router's clock
+	RouterClock      endpoints.RouterClock            // the router's clock, to which start times are converted
 	OnUpdate         func(workers []endpoints.Worker) // called with each new list, never concurrently
 	Logger           *slog.Logger                     // nil discards
+
+	// Tests replace these; nil stands for the functions of the same name.
+	dial  func(address string, cfg Config) (*connection, error)
+	sleep func(ctx context.Context, d time.Duration)
 }
 
 // The delay before the second of consecutive retries is retryBaseDelay << 2; it doubles with each further one, up to
@@ -64,7 +69,7 @@
 	Revision       int64  // of the last event applied
 	Polls          uint64 // requests written or attempted
 	Events         uint64 // revisions applied
-	FailedPolls    uint64 // including connects that failed and polls that were interrupted
+	FailedPolls    uint64 // including connects that failed, not polls that were interrupted
 	AddressChanges uint64
 }
 
@@ -74,6 +79,12 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
+	if cfg.dial == nil {
+		cfg.dial = dial
+	}
+	if cfg.sleep == nil {
+		cfg.sleep = sleep
+	}
 	list := newEndpointList()
 	if _, err := list.Apply(initial); err != nil {
 		return nil, err
@@ -81,11 +92,13 @@
 	if revision := *initial.Revision; revision > list.revision {
 		list.revision = revision
 	}
-	cfg.OnUpdate(list.Workers(cfg.RouterTime))
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{cfg: cfg, address: cfg.Address, cancel: cancel, done: make(chan struct{})}
+	view := endpointView{list: list, starts: endpoints.NewStartTimes(cfg.RouterClock)}
+	w.publish(view)
+	view.starts.ListCurrent(cfg.RouterClock.Clock())
 	w.stats.Revision = list.revision
-	go w.run(ctx, list)
+	go w.run(ctx, view)
 	return w, nil
 }
 
@@ -129,30 +142,49 @@
 	}
 }
 
+// endpointView is the endpoint list with the start times of its workers.
+type endpointView struct {
+	list   *endpointList
+	starts *endpoints.StartTimes
+}
+
+// publish passes the list to OnUpdate.
+func (w *Watcher) publish(view endpointView) {
+	w.cfg.OnUpdate(view.list.Workers(view.starts.Convert))
+	view.starts.Retain(view.list.contains)
+}
+
 // run polls until ctx is done.
-func (w *Watcher) run(ctx context.Context, list *endpointList) {
+func (w *Watcher) run(ctx context.Context, view endpointView) {
 	defer close(w.done)
+	late := newLatePolls()
+	defer late.close()
 	consecutiveFailures := 0
 	for ctx.Err() == nil {
-		address, conn, err := w.connect()
-		var changed bool
+		address, conn, err := w.connect(ctx)
 		if err == nil {
-			changed, err = w.poll(conn, list)
-		}
-		if changed {
-			w.cfg.OnUpdate(list.Workers(w.cfg.RouterTime))
+			err = w.poll(conn, view, late)
 		}
 		if err == nil {
 			consecutiveFailures = 0
+			late.close() // they asked earlier than the poll that was answered
 			continue
 		}
+		interrupted := w.recordFailure(ctx, address, err)
+		switch {
+		case interrupted:
+			late.close()
+		case errors.Is(err, errResponseTimeout):
+			late.add(conn)
+			conn = nil
+		}
 		if conn != nil {
 			conn.close(err)
 		}
-		if addressChanged := w.recordFailure(address); addressChanged || errors.Is(err, errInterrupted) {
+		if interrupted {
 			continue
 		}
-		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", list.revision, "error", err)
+		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", view.list.revision, "error", err)
 		consecutiveFailures++
 		w.waitBeforeRetry(ctx, consecutiveFailures)
 	}
@@ -160,8 +192,8 @@
 }
 
 // connect returns the open connection to the current address, and establishes one where there is none. conn is nil on
-// an error.
-func (w *Watcher) connect() (address string, conn *connection, err error) {
+// an error. It is errInterrupted where the address changed or the Watcher was closed while the connection came up.
+func (w *Watcher) connect(ctx context.Context) (address string, conn *connection, err error) {
 	w.mu.Lock()
 	address, conn = w.address, w.conn
 	w.mu.Unlock()
@@ -171,24 +203,34 @@
 	if conn != nil {
 		conn.close(errInterrupted)
 	}
-	conn, err = dial(address, w.cfg)
+	conn, err = w.cfg.dial(address, w.cfg)
 	if err != nil {
 		return address, nil, err
 	}
 	w.mu.Lock()
-	w.conn = conn
+	interrupted := w.address != address || ctx.Err() != nil
+	if !interrupted {
+		w.conn = conn
+	}
 	w.mu.Unlock()
+	if interrupted {
+		conn.close(errInterrupted)
+		return address, nil, errInterrupted
+	}
 	return address, conn, nil
 }
 
-// recordFailure forgets the connection after a failed poll and reports whether the address has changed since the poll
-// was started.
-func (w *Watcher) recordFailure(polledAddress string) (addressChanged bool) {
+// recordFailure forgets the connection after a poll that ended with an error. It reports whether the poll was interrupted
+// by a change of the address or by Close, which is no failure.
+func (w *Watcher) recordFailure(ctx context.Context, polledAddress string, err error) (interrupted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.conn = nil
-	w.stats.FailedPolls++
-	return w.address != polledAddress
+	interrupted = w.address != polledAddress || ctx.Err() != nil || errors.Is(err, errInterrupted)
+	if !interrupted {
+		w.stats.FailedPolls++
+	}
+	return interrupted
 }
 
 // waitBeforeRetry delays the next poll by exponential backoff with jitter. The first retry after a success is immediate.
@@ -197,45 +239,68 @@
 		return
 	}
 	delay := min(w.cfg.MaxRetryDelay, retryBaseDelay<<min(consecutiveFailures, maxRetryShift))
+	w.cfg.sleep(ctx, delay/2+rand.N(delay/2+1))
+}
+
+// sleep returns after d, or when ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(delay/2 + rand.N(delay/2+1)):
+	case <-time.After(d):
 	}
 }
 
-// poll sends one request and applies its response. changed may be true along with an error.
-func (w *Watcher) poll(conn *connection, list *endpointList) (changed bool, err error) {
+// poll sends one request and applies its response, and those to late polls that come meanwhile.
+func (w *Watcher) poll(conn *connection, view endpointView, late *latePolls) error {
 	w.mu.Lock()
 	w.stats.Polls++
 	w.mu.Unlock()
 	startedAt := time.Now()
-	request := pollRequest(conn.address, list.revision, w.cfg.PollWait)
-	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace)
+	before := view.list.revision
+	request := pollRequest(conn.address, before, w.cfg.PollWait)
+	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace, late, func(message *http1.Message) {
+		if err := w.apply(message, view); err != nil {
+			w.cfg.Logger.Info("late response to an endpoint poll not applied", "error", err)
+		}
+	})
 	if err != nil {
-		return false, err
+		return err
+	}
+	if err := w.apply(message, view); err != nil {
+		return err
 	}
+	if message.Close {
+		conn.close(errClosedAfterResponse)
+	}
+	if view.list.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
+		return errPrematureResponse
+	}
+	return nil
+}
+
+// apply applies a response to the list, and publishes the list if that has changed it.
+func (w *Watcher) apply(message *http1.Message, view endpointView) error {
 	if message.Status != statusOK {
-		return false, fmt.Errorf("discovery: status %d", message.Status)
+		return fmt.Errorf("discovery: status %d", message.Status)
 	}
 	response, err := ParsePollResponse(message.Body)
 	if err != nil {
-		return false, err
+		return err
 	}
-	before := list.revision
-	if changed, err = list.Apply(response); err != nil {
-		return false, err
+	before := view.list.revision
+	changed, err := view.list.Apply(response)
+	if err != nil {
+		return err
 	}
 	w.mu.Lock()
-	w.stats.Revision = list.revision
-	w.stats.Events += uint64(list.revision - before)
+	w.stats.Revision = view.list.revision
+	w.stats.Events += uint64(view.list.revision - before)
 	w.mu.Unlock()
-	if message.Close {
-		conn.close(errClosedAfterResponse)
-	}
-	if list.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
-		return changed, errPrematureResponse
+	if changed {
+		w.publish(view)
 	}
-	return changed, nil
+	view.starts.ListCurrent(w.cfg.RouterClock.Clock())
+	return nil
 }
 
 // pollRequest is the request for the events after a revision. There is no other acknowledgement of an event: polling
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
@@ -104,7 +105,7 @@
 // TestSetAddressKeepsRevision checks that the poll pending at the old address, which stays open and silent, is abandoned
 // and resumes from the same revision at the new one.
 func TestSetAddressKeepsRevision(t *testing.T) {
-	oldServer, watcher, lists := startWatcher(t, nil)
+	oldServer, watcher, lists := startWatcherWithWait(t, longPollWait, nil)
 	oldServer.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
 	testsupport.Await(t, lists, "the second event")
 	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`, `"x":2`, fakeplatform.EndpointsEvent(false, "d 1.1.1.4:1 active"))
@@ -119,16 +120,55 @@
 	if got := testsupport.Await(t, lists, "the third event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1, d@1.1.1.4:1" {
 		t.Errorf("list %s", got)
 	}
-	if stats := watcher.Stats(); stats.Revision != 3 || stats.AddressChanges != 1 {
-		t.Errorf("%+v", stats)
+	if stats := watcher.Stats(); stats.Revision != 3 || stats.AddressChanges != 1 || stats.FailedPolls != 0 {
+		t.Errorf("%+v, want no failed poll", stats)
+	}
+}
+
+// TestInterruptionDuringDial checks that a change of the address, or Close, that comes while a connection is being
+// established leads to no poll on it, and that neither counts as a failure.
+func TestInterruptionDuringDial(t *testing.T) {
+	for name, closed := range map[string]bool{"address changed": false, "closed": true} {
+		t.Run(name, func(t *testing.T) {
+			oldServer, newServer := startServer(t, initialEndpoints), startServer(t, initialEndpoints)
+			dialing, dialed := make(chan struct{}), make(chan struct{})
+			cfg := watcherConfig(oldServer.Addr(), func([]endpoints.Worker) {})
+			cfg.PollWait = longPollWait
+			cfg.dial = func(address string, cfg Config) (*connection, error) {
+				if address == oldServer.Addr() {
+					dialing <- struct{}{}
+					<-dialed
+				}
+				return dial(address, cfg)
+			}
+			watcher, err := Start(cfg, parseResponse(t, oldServer.AllEvents()))
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(watcher.Close)
+			testsupport.Await(t, dialing, "a connect to the old address")
+			if closed {
+				watcher.cancel() // as Close does first
+			} else {
+				watcher.SetAddress(newServer.Addr())
+			}
+			dialed <- struct{}{}
+			if closed {
+				testsupport.Await(t, watcher.done, "the end of the watch")
+			} else {
+				testsupport.Await(t, newServer.Polls(), "a poll at the new address")
+			}
+			if stats := watcher.Stats(); len(oldServer.Polls()) > 0 || stats.FailedPolls != 0 {
+				t.Errorf("%d polls at the old address, %+v", len(oldServer.Polls()), stats)
+			}
+		})
 	}
 }
 
 // TestPendingPollIsInterrupted checks that a change of the address and Close don't wait until the server answers the poll
 // that it holds.
 func TestPendingPollIsInterrupted(t *testing.T) {
-	const pollWait = 5 * time.Second
-	oldServer, watcher, _ := startWatcherWithWait(t, pollWait, nil)
+	oldServer, watcher, _ := startWatcherWithWait(t, longPollWait, nil)
 	testsupport.Await(t, oldServer.Polls(), "a poll at the old address")
 	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`)
 	if err != nil {
@@ -138,12 +178,12 @@
 	startedAt := time.Now()
 	watcher.SetAddress(newServer.Addr())
 	testsupport.Await(t, newServer.Polls(), "a poll at the new address")
-	if elapsed := time.Since(startedAt); elapsed > pollWait/2 {
+	if elapsed := time.Since(startedAt); elapsed > longPollWait/2 {
 		t.Errorf("polled at the new address after %v", elapsed)
 	}
 	startedAt = time.Now()
 	watcher.Close()
-	if elapsed := time.Since(startedAt); elapsed > pollWait/2 {
+	if elapsed := time.Since(startedAt); elapsed > longPollWait/2 {
 		t.Errorf("closed after %v", elapsed)
 	}
 }
