--- a/cmd/topazfront/gossip_keygen.go
+++ b/cmd/topazfront/gossip_keygen.go
@@ -4,10 +4,13 @@
 	"crypto/ed25519"
 	"encoding/base64"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io/fs"
 	"os"
 
 	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/durable"
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
@@ -32,14 +35,13 @@
 	if _, err := config.ParseKey(c.File, raw); err != nil { // a name that could not be read back
 		return err
 	}
-	if _, err := os.Stat(c.File); err == nil && !c.Overwrite {
+	if _, err := os.Stat(c.File); !errors.Is(err, fs.ErrNotExist) && !c.Overwrite {
+		if err != nil { // it may exist: it is not replaced on a guess
+			return err
+		}
 		return fmt.Errorf("%s exists already; --overwrite replaces it", c.File)
 	}
-	temporary := c.File + ".new"
-	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
-		return err
-	}
-	if err := os.Rename(temporary, c.File); err != nil {
+	if err := durable.ReplaceFile(durable.OS, c.File, raw, 0o600); err != nil {
 		return err
 	}
 	line, err := json.Marshal(config.Member{ID: c.ID, Keys: []config.MemberKey{{ID: c.Key,
