--- a/internal/registry/blob_reader.go
+++ b/internal/registry/blob_reader.go
@@ -42,7 +42,7 @@
 		if errors.Is(err, fs.ErrNotExist) {
 			return nil, fmt.Errorf("%w: content %s", ErrNotFound, content.Digest)
 		}
-		return nil, fmt.Errorf("registry: %w", err)
+		return nil, storageError(err)
 	}
 	r.file = file
 	r.decoder, err = zstd.NewReader(file, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(decoderMaxMemory))
@@ -67,6 +67,10 @@
 	if err == nil {
 		return n, nil
 	}
+	var pathErr *fs.PathError
+	if errors.As(err, &pathErr) { // the disk failed; what is on it may be correct
+		return n, storageError(err)
+	}
 	if !errors.Is(err, io.EOF) {
 		return n, r.corruptError(err.Error())
 	}
--- a/internal/registry/blobs.go
+++ b/internal/registry/blobs.go
@@ -2,13 +2,13 @@
 
 import (
 	"crypto/sha256"
-	"fmt"
 	"hash"
 	"io"
-	"os"
 	"path/filepath"
 
 	"github.com/klauspost/compress/zstd"
+
+	"github.com/topazfront/topazfront/internal/durable"
 )
 
 // blobSuffix ends the name of a content's file, which is compressed with zstd.
@@ -23,32 +23,33 @@
 
 // PutContent stores content compressed and returns its digest and size. It is durable when PutContent returns;
 // content that is stored already is stored again under the same name. Garbage collection may remove it, after a
-// grace period, until a PushVersion refers to it. ErrContentTooLarge rejects content above Options.MaxContentSize.
+// grace period, until a PushVersion refers to it. ErrContentTooLarge rejects content above Options.MaxContentSize; after
+// ErrStorage the content must be stored again before a version can refer to it.
 func (s *Store) PutContent(r io.Reader) (Content, error) {
 	if err := s.failpoint(StepCreateTempFile); err != nil {
 		return Content{}, err
 	}
-	file, err := os.CreateTemp(filepath.Join(s.dir, temporaryDirectory), "put-")
+	file, err := s.options.fileSystem.CreateTemp(filepath.Join(s.dir, temporaryDirectory), "put-")
 	if err != nil {
-		return Content{}, fmt.Errorf("registry: %w", err)
+		return Content{}, storageError(err)
 	}
 	content, err := s.writeBlob(file, r)
-	if closeErr := file.Close(); err == nil {
-		err = closeErr
+	if closeErr := file.Close(); err == nil && closeErr != nil {
+		err = storageError(closeErr)
 	}
 	if err == nil {
 		err = s.publishBlob(file.Name(), content.Digest)
 	}
 	if err != nil {
-		_ = os.Remove(file.Name())
+		_ = s.options.fileSystem.Remove(file.Name())
 		return Content{}, err
 	}
 	return content, nil
 }
 
 // writeBlob compresses r into a file and syncs it.
-func (s *Store) writeBlob(file *os.File, r io.Reader) (Content, error) {
-	encoder, err := zstd.NewWriter(file, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
+func (s *Store) writeBlob(file durable.File, r io.Reader) (Content, error) {
+	encoder, err := zstd.NewWriter(storageWriter{file}, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return Content{}, err
 	}
@@ -63,45 +64,64 @@
 		err = s.failpoint(StepSyncBlob)
 	}
 	if err == nil {
-		err = file.Sync()
+		if syncErr := file.Sync(); syncErr != nil {
+			err = storageError(syncErr)
+		}
 	}
 	content := Content{Size: hasher.size}
 	hasher.hash.Sum(content.Digest[:0])
 	return content, err
 }
 
-// publishBlob gives a finished temporary file its final name. The directories are synced too, since the name is
-// durable only with them.
+// publishBlob gives a finished temporary file its final name. Where that fails the content is undurable until it is
+// stored again.
 func (s *Store) publishBlob(temporaryPath string, digest Digest) error {
 	if err := s.failpoint(StepRenameBlob); err != nil {
 		return err
 	}
-	path := s.blobPath(digest)
-	if err := os.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
-		return fmt.Errorf("registry: %w", err)
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
+	err := s.renameBlob(temporaryPath, s.blobPath(digest))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.undurable[digest] = true
+		return err
+	}
+	delete(s.undurable, digest)
+	return nil
+}
+
+// renameBlob renames a content's file and syncs the directories, since the name is durable only with them.
+func (s *Store) renameBlob(temporaryPath, path string) error {
+	fileSystem := s.options.fileSystem
+	if err := fileSystem.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
+		return storageError(err)
 	}
-	if err := os.Rename(temporaryPath, path); err != nil {
-		return fmt.Errorf("registry: %w", err)
+	if err := fileSystem.Rename(temporaryPath, path); err != nil {
+		return storageError(err)
 	}
 	if err := s.failpoint(StepSyncDirectories); err != nil {
 		return err
 	}
 	for _, dir := range []string{filepath.Dir(path), filepath.Join(s.dir, blobsDirectory)} {
-		if err := syncDirectory(dir); err != nil {
-			return fmt.Errorf("registry: %w", err)
+		if err := fileSystem.SyncDirectory(dir); err != nil {
+			return storageError(err)
 		}
 	}
 	return nil
 }
 
-func syncDirectory(path string) error {
-	dir, err := os.Open(path)
+// storageWriter tells errors of the disk from those of the content's reader.
+type storageWriter struct{ file durable.File }
+
+// Write implements io.Writer.
+func (w storageWriter) Write(p []byte) (int, error) {
+	n, err := w.file.Write(p)
 	if err != nil {
-		return err
+		err = storageError(err)
 	}
-	err = dir.Sync()
-	_ = dir.Close()
-	return err
+	return n, err
 }
 
 // boundedHasher passes what is written on to next and hashes it. It fails with ErrContentTooLarge above its limit.
--- a/internal/registry/database.go
+++ b/internal/registry/database.go
@@ -4,7 +4,11 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
 	"strings"
 
 	bolt "go.etcd.io/bbolt"
@@ -39,12 +43,87 @@
 	versionRecordBytes = sha256.Size + numberSize
 )
 
-// load reads the state from the database, which is initialized where it is empty.
+func (s *Store) databasePath() string { return filepath.Join(s.dir, databaseFile) }
+
+// databaseOptions returns the options with which the database is opened.
+func (s *Store) databaseOptions() *bolt.Options {
+	return &bolt.Options{Timeout: databaseLockTimeout, OpenFile: s.options.openDatabaseFile}
+}
+
+// createDatabase creates the database where there is none, and reports whether it did. It gets its name only when it is
+// whole: a database that a crash cut short could never be opened again.
+func (s *Store) createDatabase() (created bool, err error) {
+	if _, err := os.Stat(s.databasePath()); !errors.Is(err, fs.ErrNotExist) {
+		return false, nil // opening it reports what may be wrong with it
+	}
+	file, err := s.options.fileSystem.CreateTemp(filepath.Join(s.dir, temporaryDirectory), "state-")
+	if err != nil {
+		return false, storageError(err)
+	}
+	_ = file.Close()
+	defer func() { _ = s.options.fileSystem.Remove(file.Name()) }()
+	db, err := bolt.Open(file.Name(), databaseFileMode, s.databaseOptions())
+	if err != nil {
+		return false, storageError(err)
+	}
+	if err := db.Close(); err != nil {
+		return false, storageError(err)
+	}
+	// A link, as a rename would replace the database of another process that was as fast.
+	if err := os.Link(file.Name(), s.databasePath()); err != nil && !errors.Is(err, fs.ErrExist) {
+		return false, storageError(err)
+	}
+	return true, nil
+}
+
+// openDatabase opens the database, which exists.
+func (s *Store) openDatabase() error {
+	db, err := bolt.Open(s.databasePath(), databaseFileMode, s.databaseOptions())
+	if err != nil {
+		return fmt.Errorf("%s: %w", s.databasePath(), storageError(err))
+	}
+	s.db = db
+	return nil
+}
+
+// rewriteMetaPages writes the database's two meta pages again, as they are, and syncs them. A transaction's pages are
+// synced before its meta page; where the sync of that one failed, the system may show the transaction and yet never
+// write it, and the next transaction would overwrite pages of the one before, on which the disk still depends.
+func (s *Store) rewriteMetaPages() error {
+	const metaPages = 2
+	file, err := s.options.openDatabaseFile(s.databasePath(), os.O_RDWR, databaseFileMode)
+	if err != nil {
+		return err
+	}
+	pages := make([]byte, metaPages*s.db.Info().PageSize)
+	if _, err = file.ReadAt(pages, 0); err == nil {
+		_, err = file.WriteAt(pages, 0)
+	}
+	if err == nil {
+		err = file.Sync()
+	}
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
+	}
+	return err
+}
+
+// load initializes the database where it is empty, and reads the state.
 func (s *Store) load() error {
 	if err := s.db.Update(initializeDatabase); err != nil {
-		return fmt.Errorf("registry: %s: %w", s.dir, err)
+		return fmt.Errorf("%s: %w", s.dir, storageError(err))
+	}
+	state, err := s.readState()
+	if err != nil {
+		return err
 	}
-	return s.db.View(func(tx *bolt.Tx) error {
+	s.state = state
+	return nil
+}
+
+// readState reads the state from the database.
+func (s *Store) readState() (state *State, err error) {
+	err = s.db.View(func(tx *bolt.Tx) error {
 		versions, err := readVersions(tx)
 		if err != nil {
 			return err
@@ -57,12 +136,13 @@
 		if record := tx.Bucket(bucketMeta).Get(keyRevision); len(record) == numberSize {
 			number = binary.BigEndian.Uint64(record)
 		}
-		if s.state, err = RestoreState(number, versions, aliases, s.options.MaxRevisions); err != nil {
+		if state, err = RestoreState(number, versions, aliases, s.options.MaxRevisions); err != nil {
 			return err
 		}
-		s.state.recent, err = readRevisions(tx)
+		state.recent, err = readRevisions(tx)
 		return err
 	})
+	return state, err
 }
 
 // initializeDatabase creates missing buckets, and writes the format or checks it.
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -1,6 +1,9 @@
 package registry
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
 // Errors of a State or a Store. They are wrapped with details; compare them with errors.Is.
 var (
@@ -23,4 +26,10 @@
 	ErrCorrupt = errors.New("registry: content is corrupt")
 	// ErrContentTooLarge rejects content of more than Options.MaxContentSize bytes.
 	ErrContentTooLarge = errors.New("registry: plug-in is larger than allowed")
+	// ErrStorage reports that the disk failed or is full; the system's error is wrapped too. The operation can be
+	// repeated once the directory works again.
+	ErrStorage = errors.New("registry: storage failed")
 )
+
+// storageError wraps an error of the file system or of the database.
+func storageError(err error) error { return fmt.Errorf("%w: %w", ErrStorage, err) }
--- a/internal/registry/gc.go
+++ b/internal/registry/gc.go
@@ -1,9 +1,7 @@
 package registry
 
 import (
-	"fmt"
 	"io/fs"
-	"os"
 	"path/filepath"
 	"strings"
 	"time"
@@ -63,9 +61,10 @@
 	if err := s.failpoint(StepRemoveBlob); err != nil {
 		return false, err
 	}
-	if err := os.Remove(path); err != nil {
-		return false, fmt.Errorf("registry: %w", err)
+	if err := s.options.fileSystem.Remove(path); err != nil {
+		return false, storageError(err)
 	}
+	delete(s.undurable, digest)
 	return true, nil
 }
 
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
 	"sync"
 	"time"
 
 	bolt "go.etcd.io/bbolt"
+
+	"github.com/topazfront/topazfront/internal/durable"
 )
 
 const (
@@ -36,6 +37,29 @@
 	// Failpoint is nil, or is called before each step that changes the disk. Its error ends the operation there, as
 	// a crash would. Tests use it.
 	Failpoint func(step Step) error
+
+	fileSystem       durable.FileSystem // of contents; nil: the system's own
+	openDatabaseFile openFileFunc       // nil: os.OpenFile
+}
+
+// openFileFunc has the signature of os.OpenFile.
+type openFileFunc func(path string, flag int, mode os.FileMode) (*os.File, error)
+
+// withDefaults returns the options with the default of each one that is not set.
+func (o Options) withDefaults() Options {
+	if o.MaxRevisions == 0 {
+		o.MaxRevisions = defaultMaxRevisions
+	}
+	if o.MaxContentSize == 0 {
+		o.MaxContentSize = defaultMaxContentSize
+	}
+	if o.fileSystem == nil {
+		o.fileSystem = durable.OS
+	}
+	if o.openDatabaseFile == nil {
+		o.openDatabaseFile = os.OpenFile
+	}
+	return o
 }
 
 // Step names a step of an operation at which Options.Failpoint is called.
@@ -59,56 +83,86 @@
 // database whose commits are durable. A change is acknowledged once it is on disk; after a crash at any step the
 // state is the one before a change or the one after it. One process has a directory open at a time.
 //
+// An operation that fails with ErrStorage can be repeated, and the store goes on once the directory works again. A sync
+// that failed is never taken as made up for by a later one: what it was to make durable is written again before.
+//
 // All methods but Close may be called concurrently.
 type Store struct {
 	dir     string
 	options Options
 	db      *bolt.DB
 
-	mu       sync.RWMutex // guards what follows
-	state    *State
-	readers  map[Digest]int // number of open BlobReaders by content, without zeros
-	changed  chan struct{}  // closed at the next revision, and replaced
-	fatalErr error          // the database is ahead of the state: no commit is accepted any more
+	publishMu sync.Mutex // serializes the renames of contents with the syncs of their directories
+
+	mu            sync.RWMutex // guards what follows
+	state         *State
+	readers       map[Digest]int  // number of open BlobReaders by content, without zeros
+	undurable     map[Digest]bool // contents whose names may not be durable, as a sync failed
+	changed       chan struct{}   // closed at the next revision, and replaced
+	commitUnclear bool            // a commit failed: recoverState reads what became of it
 }
 
 // OpenStore opens the store in a directory, which is created where it does not exist. Temporary files that a crash
 // left behind are removed.
 func OpenStore(dir string, options Options) (*Store, error) {
-	if options.MaxRevisions == 0 {
-		options.MaxRevisions = defaultMaxRevisions
-	}
-	if options.MaxContentSize == 0 {
-		options.MaxContentSize = defaultMaxContentSize
-	}
+	s := &Store{dir: dir, options: options.withDefaults(), readers: map[Digest]int{}, undurable: map[Digest]bool{},
+		changed: make(chan struct{})}
 	for _, name := range []string{blobsDirectory, temporaryDirectory} {
-		if err := os.MkdirAll(filepath.Join(dir, name), directoryMode); err != nil {
-			return nil, fmt.Errorf("registry: %w", err)
+		if err := s.options.fileSystem.MkdirAll(filepath.Join(dir, name), directoryMode); err != nil {
+			return nil, storageError(err)
 		}
 	}
-	path := filepath.Join(dir, databaseFile)
-	db, err := bolt.Open(path, databaseFileMode, &bolt.Options{Timeout: databaseLockTimeout})
+	created, err := s.createDatabase()
 	if err != nil {
-		return nil, fmt.Errorf("registry: %s: %w", path, err)
+		return nil, err
 	}
-	s := &Store{dir: dir, options: options, db: db, readers: map[Digest]int{}, changed: make(chan struct{})}
-	if err := s.load(); err != nil {
-		_ = db.Close()
+	if err := s.openDatabase(); err != nil {
 		return nil, err
 	}
-	if err := s.removeTemporaryFiles(); err != nil {
-		_ = db.Close()
-		return nil, fmt.Errorf("registry: %w", err)
+	if err := s.prepare(); err != nil {
+		if created { // its name may not be durable; nothing was acknowledged in it
+			_ = os.Remove(s.databasePath())
+		}
+		_ = s.db.Close()
+		return nil, err
 	}
 	return s, nil
 }
 
+// prepare makes the names that are there durable, reads the state and removes what a crash left half-written. The
+// database is open, and so no other process changes the directory.
+func (s *Store) prepare() error {
+	if err := s.syncDirectories(); err != nil {
+		return storageError(err)
+	}
+	if err := s.rewriteMetaPages(); err != nil {
+		return storageError(err)
+	}
+	if err := s.load(); err != nil {
+		return err
+	}
+	if err := s.removeTemporaryFiles(); err != nil {
+		return storageError(err)
+	}
+	return nil
+}
+
+// syncDirectories makes the names of the store, of its database and of its directories durable.
+func (s *Store) syncDirectories() error {
+	for _, directory := range []string{filepath.Dir(filepath.Clean(s.dir)), s.dir, filepath.Join(s.dir, blobsDirectory)} {
+		if err := s.options.fileSystem.SyncDirectory(directory); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // removeTemporaryFiles removes what a crash left half-written.
 func (s *Store) removeTemporaryFiles() error {
 	dir := filepath.Join(s.dir, temporaryDirectory)
 	entries, err := os.ReadDir(dir)
 	for _, entry := range entries {
-		err = errors.Join(err, os.Remove(filepath.Join(dir, entry.Name())))
+		err = errors.Join(err, s.options.fileSystem.Remove(filepath.Join(dir, entry.Name())))
 	}
 	return err
 }
