--- a/internal/catalog/core.go
+++ b/internal/catalog/core.go
@@ -192,7 +192,9 @@
 	c.requestPending = false
 	switch {
 	case errors.Is(err, registry.ErrFutureRevision):
-		c.warn("the registry has not reached revision %d: was it restored from a backup?", c.state.Revision())
+		if c.state != nil { // a List gets no such error, but whatever answers it is not trusted to know that
+			c.warn("the registry has not reached revision %d: was it restored from a backup?", c.state.Revision())
+		}
 		c.listNeeded = true
 		c.recordContact()
 	case errors.Is(err, registry.ErrCompacted):
--- a/internal/catalog/core_test.go
+++ b/internal/catalog/core_test.go
@@ -307,3 +307,16 @@
 	}
 	return listing
 }
+
+// TestFirstAnswerIsAnError: whatever error the registry answers first, the core lists again.
+func TestFirstAnswerIsAnError(t *testing.T) {
+	for _, err := range []error{registry.ErrFutureRevision, registry.ErrCompacted, errors.New("other")} {
+		c := New(DefaultConfig)
+		c.Step(0, nil)
+		c.Step(time.Second, []Event{RequestFailed{err}})
+		actions := c.Step(2*time.Second, []Event{ListReceived{listingAt(5, "1")}})
+		if _, count := findAction[Watch](actions); count != 1 {
+			t.Errorf("after %v and a listing: %v", err, actions)
+		}
+	}
+}
