--- a/internal/registry/database.go
+++ b/internal/registry/database.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/json"
@@ -139,7 +140,8 @@
 		if state, err = RestoreState(number, versions, aliases, s.options.MaxRevisions); err != nil {
 			return err
 		}
-		state.recent, err = readRevisions(tx)
+		revisions, err := readRevisions(tx)
+		state.recent = latestInRow(revisions, number, state.maxRecent)
 		return err
 	})
 	return state, err
@@ -206,8 +208,18 @@
 	return revisions, err
 }
 
+// latestInRow returns the revisions at the end that lead to the latest without a gap, maxRevisions of them at the most. A
+// store that was opened with other options may have left older ones, with a gap.
+func latestInRow(revisions []Revision, latest uint64, maxRevisions int) []Revision {
+	first := len(revisions)
+	for want := latest; first > 0 && len(revisions)-first < maxRevisions && revisions[first-1].Number == want; want-- {
+		first--
+	}
+	return revisions[first:]
+}
+
 // writeRevision writes a revision in a transaction: the effect of its changes, then the revision itself, then its
-// number as the latest. The revision that is one too many for Options.MaxRevisions is removed.
+// number as the latest. Those that are too many for Options.MaxRevisions are removed.
 func (s *Store) writeRevision(tx *bolt.Tx, revision *Revision) error {
 	for _, change := range revision.Changes {
 		if err := writeChange(tx, change); err != nil {
@@ -225,12 +237,28 @@
 	if err := revisions.Put(encodeNumber(revision.Number), record); err != nil {
 		return err
 	}
-	if maxRevisions := uint64(s.options.MaxRevisions); revision.Number > maxRevisions {
-		if err := revisions.Delete(encodeNumber(revision.Number - maxRevisions)); err != nil {
+	if err := s.removeOldRevisions(revisions, revision.Number); err != nil {
+		return err
+	}
+	return tx.Bucket(bucketMeta).Put(keyRevision, encodeNumber(revision.Number))
+}
+
+// removeOldRevisions removes what is too old to be kept beside the latest revision.
+func (s *Store) removeOldRevisions(revisions *bolt.Bucket, latest uint64) error {
+	var old [][]byte
+	cursor := revisions.Cursor()
+	for key, _ := cursor.First(); key != nil; key, _ = cursor.Next() {
+		if binary.BigEndian.Uint64(key)+uint64(s.options.MaxRevisions) > latest {
+			break
+		}
+		old = append(old, bytes.Clone(key))
+	}
+	for _, key := range old {
+		if err := revisions.Delete(key); err != nil {
 			return err
 		}
 	}
-	return tx.Bucket(bucketMeta).Put(keyRevision, encodeNumber(revision.Number))
+	return nil
 }
 
 // writeChange writes the effect of one change.
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -33,7 +33,9 @@
 func RestoreState(revision uint64, versions map[VersionRef]Content, aliases map[AliasRef]VersionRef,
 	maxRecent int) (*State, error) {
 	s := NewState(maxRecent)
-	s.revision, s.versions, s.aliases = revision, maps.Clone(versions), maps.Clone(aliases)
+	s.revision = revision
+	maps.Copy(s.versions, versions)
+	maps.Copy(s.aliases, aliases)
 	for alias, target := range s.aliases {
 		if _, ok := s.versions[target]; !ok {
 			return nil, fmt.Errorf("%w: %s points at %s", ErrNotFound, alias, target)
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -198,3 +198,15 @@
 		t.Fatalf("a follower differs at revision %d", leader.revision)
 	}
 }
+
+// TestRestoreStateOfNothing: an empty listing has nil maps; what follows it applies.
+func TestRestoreStateOfNothing(t *testing.T) {
+	s, err := RestoreState(7, nil, nil, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	mustCommit(t, s, pushVersion("q", "1", 1), moveAlias("p", "q", "1"))
+	if s.Revision() != 8 {
+		t.Errorf("revision %d", s.Revision())
+	}
+}
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -193,3 +193,43 @@
 		t.Error(err)
 	}
 }
+
+// TestReopenedWithOtherMaxRevisions: watchers get revisions without a gap, or ErrCompacted, whatever was kept before.
+func TestReopenedWithOtherMaxRevisions(t *testing.T) {
+	dir := t.TempDir()
+	var latest uint64
+	for _, maxRevisions := range []int{10, 2, 10, 1, 3} {
+		s := mustOpenStore(t, dir, Options{MaxRevisions: maxRevisions})
+		for range 4 {
+			if err := pushContent(s, fmt.Sprint(latest), "text"); err != nil {
+				t.Fatal(err)
+			}
+			latest++
+			s.View(checkWithoutGap(t, maxRevisions))
+		}
+		_ = s.Close()
+		s = mustOpenStore(t, dir, Options{MaxRevisions: 10})
+		s.View(checkWithoutGap(t, 10))
+		_ = s.Close()
+	}
+}
+
+// checkWithoutGap returns a check of what every watcher gets, and that no more than that many revisions are kept.
+func checkWithoutGap(t *testing.T, maxRevisions int) func(*State) {
+	return func(state *State) {
+		for after := range state.Revision() {
+			revisions, err := state.RevisionsAfter(after)
+			if errors.Is(err, ErrCompacted) {
+				continue
+			}
+			if err != nil || uint64(len(revisions)) != state.Revision()-after || len(revisions) > maxRevisions {
+				t.Errorf("%d revisions after %d of %d, %v", len(revisions), after, state.Revision(), err)
+			}
+			for i, revision := range revisions {
+				if revision.Number != after+1+uint64(i) {
+					t.Errorf("revision %d stands where %d is due", revision.Number, after+1+uint64(i))
+				}
+			}
+		}
+	}
+}
