--- a/internal/transport/http2/validate.go
+++ b/internal/transport/http2/validate.go
@@ -21,6 +21,9 @@
 		if regular {
 			return "pseudo-header field behind a regular one"
 		}
+		if reason := checkValue(f); reason != "" {
+			return reason
+		}
 		switch {
 		case request && f.Name == ":method":
 			method++
@@ -65,8 +68,8 @@
 			return "invalid byte in a field name"
 		}
 	}
-	if strings.ContainsAny(f.Value, "\x00\r\n") {
-		return "invalid byte in the value of " + f.Name
+	if reason := checkValue(f); reason != "" {
+		return reason
 	}
 	switch f.Name {
 	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
@@ -78,3 +81,11 @@
 	}
 	return ""
 }
+
+// checkValue returns what makes a value malformed, of a pseudo-header field too (RFC 9113, section 8.2.1), or "".
+func checkValue(f hpack.Field) string {
+	if strings.ContainsAny(f.Value, "\x00\r\n") {
+		return "invalid byte in the value of " + f.Name
+	}
+	return ""
+}
