--- a/internal/transport/http2/lifecycle_test.go
+++ b/internal/transport/http2/lifecycle_test.go
@@ -174,3 +174,16 @@
 	}
 	_ = receive(t, h.closed, "the connection's end")
 }
+
+// TestCloseDuringShutdown: the two may end a connection at once. The race detector checks what they share.
+func TestCloseDuringShutdown(t *testing.T) {
+	s, _ := startServer(t, Config{})
+	for range 500 {
+		c, h := dialServer(t, s, Config{})
+		var wg sync.WaitGroup
+		wg.Go(c.Shutdown)
+		wg.Go(c.Close)
+		wg.Wait()
+		_ = receive(t, h.closed, "the connection's end")
+	}
+}
--- a/internal/transport/http2/write.go
+++ b/internal/transport/http2/write.go
@@ -32,11 +32,11 @@
 		events = c.fillWriteBuffer(events[:0])
 		if len(c.writeBuffer) == 0 || c.closed {
 			c.flushing = false
-			closing := c.closeAfterFlush && !c.closed
+			closing, err := c.closeAfterFlush && !c.closed, c.err
 			c.mu.Unlock()
 			notifySent(events)
 			if closing {
-				c.terminate(c.err)
+				c.terminate(err)
 				_ = c.netConn.Close()
 			}
 			return
