--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -116,16 +116,23 @@
 	}
 }
 
-// wait waits for the response's end.
+// wait waits for the whole response.
 func (r *responseReader) wait(t *testing.T) {
+	t.Helper()
+	if err := r.waitForEnd(t); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// waitForEnd waits for the stream's end and returns why it ended without a whole response.
+func (r *responseReader) waitForEnd(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-r.done:
-		if err != nil {
-			t.Fatal(err)
-		}
+		return err
 	case <-time.After(20 * time.Second):
 		t.Fatal("no response")
+		return nil
 	}
 }
 
@@ -143,16 +150,22 @@
 	return append(header, contentType)
 }
 
-// openStream opens a connection and on it a stream, which carries body so far.
-func openStream(t *testing.T, s *Server, header []hpack.Field, body []byte, end bool) *responseReader {
+// dial opens a connection.
+func dial(t *testing.T, s *Server, handler http2.Handler) *http2.Conn {
 	t.Helper()
-	r := newResponseReader()
-	conn, err := http2.Dial("tcp", s.Addr(), time.Second, http2.Config{}, r)
+	conn, err := http2.Dial("tcp", s.Addr(), 5*time.Second, http2.Config{}, handler)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
-	if _, err := conn.Open(r, header, body, end); err != nil {
+	t.Cleanup(conn.Close)
+	return conn
+}
+
+// openStream opens a connection and on it a stream, which carries body so far.
+func openStream(t *testing.T, s *Server, header []hpack.Field, body []byte, end bool) *responseReader {
+	t.Helper()
+	r := newResponseReader()
+	if _, err := dial(t, s, r).Open(r, header, body, end); err != nil {
 		t.Fatal(err)
 	}
 	return r
--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -30,7 +30,7 @@
 	http2Server *http2.Server
 
 	mu       sync.Mutex
-	streams  map[*stream]struct{} // that have not ended
+	streams  map[*stream]struct{} // whose header has been received and that have not ended
 	draining bool
 }
 
@@ -58,10 +58,12 @@
 // Streams returns how many streams are open, those included whose last response bytes are still to be sent.
 func (s *Server) Streams() int { return s.http2Server.NumStreams() }
 
-func (s *Server) addStream(added *stream) {
+// addStream adds a stream that Drain is to end, and reports whether the drain has begun and so has missed it.
+func (s *Server) addStream(added *stream) (draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams[added] = struct{}{}
+	return s.draining
 }
 
 func (s *Server) removeStream(removed *stream) {
@@ -75,9 +77,8 @@
 
 // Open implements http2.Handler.
 func (h connHandler) Open(http2Stream *http2.Stream) http2.Receiver {
-	s := &stream{server: h.server, http2Stream: http2Stream, messageReader: grpc.MessageReader{MaxSize: h.server.cfg.CallBuilder.MaxMessageBytes}}
-	h.server.addStream(s)
-	return s
+	return &stream{server: h.server, http2Stream: http2Stream,
+		messageReader: grpc.MessageReader{MaxSize: h.server.cfg.CallBuilder.MaxMessageBytes}}
 }
 
 // GoAway implements http2.Handler.
--- a/internal/server/grpcserver/stream.go
+++ b/internal/server/grpcserver/stream.go
@@ -46,16 +46,39 @@
 	}
 	s.arrived = time.Now()
 	rejection, isGRPC := s.parseHeader(fields)
+	draining := s.register()
 	switch {
 	case !isGRPC:
-		s.ended = true
-		s.server.removeStream(s)
+		s.markEnded()
 		_ = s.http2Stream.WriteHeaders([]hpack.Field{{Name: ":status", Value: unsupportedMediaType}}, true)
 	case rejection != nil:
 		s.completeRequest(*rejection, nil)
 	case end:
 		s.receive(nil, true)
+	case draining:
+		s.serveNext(nil)
+	}
+}
+
+// register adds the stream to its server, unless it has ended already, and reports whether the server drains. Its header
+// has been read: another goroutine may use the stream from now on.
+func (s *stream) register() (draining bool) {
+	draining = s.server.addStream(s)
+	s.mu.Lock()
+	ended := s.ended
+	s.mu.Unlock()
+	if ended { // the connection was closed meanwhile
+		s.server.removeStream(s)
 	}
+	return draining
+}
+
+// markEnded notes the stream's end.
+func (s *stream) markEnded() {
+	s.mu.Lock()
+	s.ended = true
+	s.mu.Unlock()
+	s.server.removeStream(s)
 }
 
 // Data implements http2.Receiver.
