--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -80,6 +80,9 @@
 	w.connecting--
 	waiting := w.waiting
 	w.waiting = nil
+	if err == nil && !handler.ended {
+		p.open[c] = struct{}{}
+	}
 	stale := p.closed || p.workers[w.id] != w || w.addr != addr
 	if err == nil && !stale && !handler.noNewStreams {
 		w.conns = append(w.conns, c)
@@ -110,6 +113,7 @@
 	pool         *Pool
 	worker       *worker
 	noNewStreams bool // guarded by pool.mu
+	ended        bool // guarded by pool.mu
 }
 
 // Open implements http2.Handler. Servers open no streams to a client.
@@ -126,7 +130,13 @@
 }
 
 // ConnClosed implements http2.Handler.
-func (h *connHandler) ConnClosed(c *http2.Conn, err error) { h.removeConn(c) }
+func (h *connHandler) ConnClosed(c *http2.Conn, err error) {
+	h.removeConn(c)
+	h.pool.mu.Lock()
+	defer h.pool.mu.Unlock()
+	h.ended = true
+	delete(h.pool.open, c)
+}
 
 // removeConn removes the connection from the worker's list. If dial has not added it yet, noNewStreams keeps it out.
 func (h *connHandler) removeConn(c *http2.Conn) {
--- a/internal/upstream/grpcupstream/harness_test.go
+++ b/internal/upstream/grpcupstream/harness_test.go
@@ -90,6 +90,12 @@
 
 // newTestRouter returns a router with one worker, "w", at the address.
 func newTestRouter(t *testing.T, addr string) (*router.Router, *testDispatcher) {
+	t.Helper()
+	r, dispatcher, _ := newTestRouterAndPool(t, addr)
+	return r, dispatcher
+}
+
+func newTestRouterAndPool(t *testing.T, addr string) (*router.Router, *testDispatcher, *Pool) {
 	t.Helper()
 	dispatcher := &testDispatcher{ended: make(chan dispatch.AttemptEnded, 16), draining: make(chan string, 16)}
 	pool := New(Config{RouterName: "r", ConnectTimeout: 300 * time.Millisecond, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
@@ -102,7 +108,7 @@
 	pool.Attach(r)
 	r.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
 	t.Cleanup(func() { r.Kill(); pool.Close() })
-	return r, dispatcher
+	return r, dispatcher, pool
 }
 
 // testMessage returns a message with its gRPC prefix.
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -5,6 +5,8 @@
 
 import (
 	"log/slog"
+	"maps"
+	"slices"
 	"sync"
 	"time"
 
@@ -33,8 +35,9 @@
 	config Config
 	router *router.Router
 
-	mu      sync.Mutex         // guards all below, the workers' fields included
-	workers map[string]*worker // by id
+	mu      sync.Mutex               // guards all below, the workers' fields included
+	workers map[string]*worker       // by id
+	open    map[*http2.Conn]struct{} // that have not ended, those that drain included
 	closed  bool
 }
 
@@ -51,7 +54,7 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Pool{config: cfg, workers: map[string]*worker{}}
+	return &Pool{config: cfg, workers: map[string]*worker{}, open: map[*http2.Conn]struct{}{}}
 }
 
 // Attach sets the router that is notified of how attempts end.
@@ -86,15 +89,11 @@
 	}
 }
 
-// Close closes the connections that may accept new streams, and with them the streams that they have. Connections that
-// drain end by themselves.
+// Close closes all connections, and with them the streams that they have.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	var conns []*http2.Conn
-	for _, w := range p.workers {
-		conns = append(conns, w.conns...)
-	}
+	conns := slices.Collect(maps.Keys(p.open))
 	p.mu.Unlock()
 	for _, c := range conns {
 		c.Close()
--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	peer "golang.org/x/net/http2"
 	peergrpc "google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/metadata"
@@ -138,3 +139,26 @@
 		t.Errorf("%d connections for 10 attempts", n)
 	}
 }
+
+// TestCloseEndsAllStreams: a pool that is closed leaves no stream behind, on connections that drain neither.
+func TestCloseEndsAllStreams(t *testing.T) {
+	for name, drain := range map[string]func(*testing.T, *testDispatcher, *Pool, *scriptedStream){
+		"in use": func(*testing.T, *testDispatcher, *Pool, *scriptedStream) {},
+		"worker drains": func(t *testing.T, dispatcher *testDispatcher, _ *Pool, s *scriptedStream) {
+			_ = s.framer.WriteGoAway(s.id, peer.ErrCodeNo, nil)
+			_ = receive(t, dispatcher.draining, "the drain")
+		},
+		"worker is removed": func(_ *testing.T, _ *testDispatcher, pool *Pool, _ *scriptedStream) { pool.SetEndpoints(nil) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			arrived := make(chan *scriptedStream, 1)
+			r, dispatcher, pool := newTestRouterAndPool(t, startScriptedWorker(t, func(s *scriptedStream) { arrived <- s }))
+			_ = submit(t, r, false, time.Minute)
+			drain(t, dispatcher, pool, receive(t, arrived, "the request"))
+			pool.Close()
+			if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectionReset {
+				t.Errorf("%+v", ended)
+			}
+		})
+	}
+}
