--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -262,6 +262,7 @@
 func (a *Agent) applyMembers(members Members) {
 	a.keys.SetAdmitted(members)
 	admitted := func(id string) bool { return id == a.cfg.ID || members[id] != nil }
+	a.limiter.Retain(admitted)
 	a.coreEvents = append(a.coreEvents, gossip.AdmissionChanged{Admitted: admitted})
 	if own := members[a.cfg.ID][a.keys.OwnKeyName()]; own == nil {
 		a.logger.Warn("own key is not among the admitted ones", "key", a.keys.OwnKeyName())
--- a/internal/gossip/packet_limiter.go
+++ b/internal/gossip/packet_limiter.go
@@ -29,21 +29,27 @@
 
 // PacketLimiter limits how many signatures are verified, as a verification costs thousands of times what sending a
 // forgery does. An address that sent authentic packets of a member has a budget of its own, which no flood from
-// elsewhere uses up; all unknown addresses share one. One address is kept for each member.
+// elsewhere uses up; all unknown addresses share one. One address is kept for each member, and Retain forgets members.
 type PacketLimiter struct {
 	cfg            PacketLimiterConfig
 	unknownSources tokenBucket
-	sources        map[string]*tokenBucket // by address
-	sourceOf       map[string]string       // address by member
+	sources        map[string]*sourceBudget // by address
+	sourceOf       map[string]string        // address by member
 	members        map[string]*tokenBucket
 }
 
+// sourceBudget is the budget of an address, which all members share whose latest packets came from it.
+type sourceBudget struct {
+	bucket  tokenBucket
+	members int
+}
+
 // NewPacketLimiter returns a limiter that knows no address.
 func NewPacketLimiter(cfg PacketLimiterConfig) *PacketLimiter {
 	return &PacketLimiter{
 		cfg:            cfg,
 		unknownSources: tokenBucket{tokens: cfg.ChecksOfUnknown},
-		sources:        map[string]*tokenBucket{},
+		sources:        map[string]*sourceBudget{},
 		sourceOf:       map[string]string{},
 		members:        map[string]*tokenBucket{},
 	}
@@ -51,8 +57,8 @@
 
 // AllowPacket reports whether one more packet from an address may be verified, and counts it if so.
 func (l *PacketLimiter) AllowPacket(now time.Duration, source string) bool {
-	if b := l.sources[source]; b != nil {
-		return b.take(now, l.cfg.ChecksPerSource, l.cfg.ChecksPerSource, 1)
+	if budget := l.sources[source]; budget != nil {
+		return budget.bucket.take(now, l.cfg.ChecksPerSource, l.cfg.ChecksPerSource, 1)
 	}
 	return l.unknownSources.take(now, l.cfg.ChecksOfUnknown, l.cfg.ChecksOfUnknown, 1)
 }
@@ -60,15 +66,42 @@
 // Authenticated records that an authentic packet of a member came from an address. It replaces the member's address
 // from before.
 func (l *PacketLimiter) Authenticated(now time.Duration, source, member string) {
-	if previous, ok := l.sourceOf[member]; ok {
-		if previous == source {
-			return
-		}
-		delete(l.sources, previous)
+	if previous, ok := l.sourceOf[member]; ok && previous == source {
+		return
 	}
+	l.forgetSource(member)
 	l.sourceOf[member] = source
 	if l.sources[source] == nil {
-		l.sources[source] = &tokenBucket{tokens: l.cfg.ChecksPerSource, updatedAt: now}
+		l.sources[source] = &sourceBudget{bucket: tokenBucket{tokens: l.cfg.ChecksPerSource, updatedAt: now}}
+	}
+	l.sources[source].members++
+}
+
+// forgetSource forgets a member's address, and the address's budget if no other member has it.
+func (l *PacketLimiter) forgetSource(member string) {
+	source, ok := l.sourceOf[member]
+	if !ok {
+		return
+	}
+	delete(l.sourceOf, member)
+	if budget := l.sources[source]; budget.members > 1 {
+		budget.members--
+	} else {
+		delete(l.sources, source)
+	}
+}
+
+// Retain forgets all members but those that admitted reports.
+func (l *PacketLimiter) Retain(admitted func(member string) bool) {
+	for member := range l.sourceOf {
+		if !admitted(member) {
+			l.forgetSource(member)
+		}
+	}
+	for member := range l.members {
+		if !admitted(member) {
+			delete(l.members, member)
+		}
 	}
 }
 
--- a/internal/gossip/packet_limiter_test.go
+++ b/internal/gossip/packet_limiter_test.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -36,3 +37,45 @@
 
 // addressName returns one of 676 different names.
 func addressName(i int) string { return "addr" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) }
+
+// TestPacketLimiterKeepsSharedSource: an address that several members' packets came from keeps its budget until the last
+// of them has moved elsewhere.
+func TestPacketLimiterKeepsSharedSource(t *testing.T) {
+	l := NewPacketLimiter(PacketLimiterConfig{ChecksPerSource: 10, ChecksOfUnknown: 0})
+	for _, step := range []struct {
+		source, member string
+		known          []string // addresses that have a budget from then on
+	}{
+		{"x", "a", []string{"x"}},
+		{"y", "b", []string{"x", "y"}},
+		{"x", "b", []string{"x"}}, // b takes over the address of a
+		{"z", "a", []string{"x", "z"}},
+		{"x", "b", []string{"x", "z"}},
+		{"z", "b", []string{"z"}},
+	} {
+		l.Authenticated(0, step.source, step.member)
+		for _, source := range []string{"x", "y", "z"} {
+			if got, want := l.AllowPacket(0, source), slices.Contains(step.known, source); got != want {
+				t.Errorf("%s at %s: a packet from %s is allowed: %v", step.member, step.source, source, got)
+			}
+		}
+	}
+}
+
+// TestPacketLimiterForgetsMembers: the tables hold no more than the members admitted now.
+func TestPacketLimiterForgetsMembers(t *testing.T) {
+	l := NewPacketLimiter(PacketLimiterConfig{ChecksPerSource: 10, ChecksOfUnknown: 10})
+	for i := range 500 {
+		name := addressName(i)
+		l.Retain(func(member string) bool { return member == "stays" || member == name })
+		for _, member := range []string{"stays", name} {
+			l.Authenticated(0, "at "+member, member)
+			l.AllowStatement(0, member)
+		}
+	}
+	for name, n := range map[string]int{"sources": len(l.sources), "sources of members": len(l.sourceOf), "members": len(l.members)} {
+		if n != 2 {
+			t.Errorf("%d %s kept for 2 members", n, name)
+		}
+	}
+}
