--- a/internal/scenario/endpoints.go
+++ b/internal/scenario/endpoints.go
@@ -29,7 +29,7 @@
 	list := h.endpointList()
 	h.mu.Lock()
 	h.listVersion++
-	version, delay := h.listVersion, h.scenario.EndpointList.NotificationDelay.Duration()+h.extraListDelay
+	version, delay := h.listVersion, h.scenario.EndpointList.NotificationDelay.Duration()+h.extraListDelay.value()
 	h.mu.Unlock()
 	for _, slot := range h.routers {
 		h.mu.Lock()
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -97,44 +97,52 @@
 	return kind.inject(h, f, class)
 }
 
-// override changes a value of the harness and returns what restores it.
-func override[T any](h *Harness, value *T, to T) func() {
-	h.mu.Lock()
-	old := *value
-	*value = to
-	h.mu.Unlock()
-	return func() {
-		h.mu.Lock()
-		*value = old
-		h.mu.Unlock()
-	}
+// workerFault sets what a fault changes of a worker's faults. What several change, the one that began last has.
+type workerFault struct{ set func(*fakeworker.Faults) }
+
+// injectWorkerFault begins a fault of a random share of the workers and returns what ends it.
+func (h *Harness) injectWorkerFault(share float64, set func(*fakeworker.Faults)) (end func()) {
+	return h.beginWorkerFault(h.randomWorkers(share), set)
 }
 
-// injectWorkerFault switches a fault of a random share of the workers on and returns what switches it off.
-func (h *Harness) injectWorkerFault(share float64, on, off func(*fakeworker.Faults)) func() {
-	return changeFaults(h.randomWorkers(share), on, off)
+func (h *Harness) beginWorkerFault(workers []*fleetWorker, set func(*fakeworker.Faults)) (end func()) {
+	fault := &workerFault{set}
+	h.changeWorkerFaults(workers, func(active []*workerFault) []*workerFault { return append(active, fault) })
+	return func() {
+		h.changeWorkerFaults(workers, func(active []*workerFault) []*workerFault {
+			return slices.DeleteFunc(active, func(other *workerFault) bool { return other == fault })
+		})
+	}
 }
 
-func changeFaults(workers []*fleetWorker, on, off func(*fakeworker.Faults)) func() {
+// changeWorkerFaults changes the list of each worker's faults and puts what is on it into effect.
+func (h *Harness) changeWorkerFaults(workers []*fleetWorker, change func([]*workerFault) []*workerFault) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for _, w := range workers {
-		w.worker.ChangeFaults(on)
-	}
-	return func() {
-		for _, w := range workers {
-			w.worker.ChangeFaults(off)
-		}
+		w.faults = change(w.faults)
+		w.worker.ChangeFaults(func(faults *fakeworker.Faults) {
+			*faults = fakeworker.Faults{FailingClasses: map[string]bool{}, ThrottledClasses: map[string]float64{},
+				DieAfterMessages: map[string]int{}}
+			for _, fault := range w.faults {
+				fault.set(faults)
+			}
+		})
 	}
 }
 
+// heavyTail multiplies the work of a share of a class's calls.
+type heavyTail struct{ share, multiple float64 }
+
 func (h *Harness) injectHeavyTail(f Fault, class string) func() {
 	h.mu.Lock()
-	h.heavyTails[class] = f
-	h.mu.Unlock()
-	return func() {
-		h.mu.Lock()
-		delete(h.heavyTails, class)
-		h.mu.Unlock()
+	tails := h.heavyTails[class]
+	if tails == nil {
+		tails = &overridden[heavyTail]{}
+		h.heavyTails[class] = tails
 	}
+	h.mu.Unlock()
+	return override(h, tails, heavyTail{f.Share, f.Magnitude})
 }
 
 func (h *Harness) injectHang(f Fault, _ string) func() {
@@ -145,30 +153,26 @@
 		h.hangs = append(h.hangs, hang{w.worker.ID(), now, now + f.Length.Duration()})
 	}
 	h.mu.Unlock()
-	return changeFaults(workers, func(f *fakeworker.Faults) { f.Hang = true }, func(f *fakeworker.Faults) { f.Hang = false })
+	return h.beginWorkerFault(workers, func(faults *fakeworker.Faults) { faults.Hang = true })
 }
 
 func (h *Harness) injectSlowdown(f Fault, _ string) func() {
-	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.Slowdown = f.Magnitude },
-		func(faults *fakeworker.Faults) { faults.Slowdown = 0 })
+	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.Slowdown = f.Magnitude })
 }
 
 func (h *Harness) injectClassFailure(f Fault, class string) func() {
-	return h.injectWorkerFault(f.Share,
-		func(faults *fakeworker.Faults) { faults.FailingClasses = map[string]bool{class: true} },
-		func(faults *fakeworker.Faults) { faults.FailingClasses = nil })
+	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.FailingClasses[class] = true })
 }
 
 func (h *Harness) injectThrottle(f Fault, class string) func() {
 	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) {
-		faults.ThrottledClasses, faults.ThrottleDelay = map[string]float64{class: f.Magnitude}, throttleDelay
-	}, func(faults *fakeworker.Faults) { faults.ThrottledClasses = nil })
+		faults.ThrottledClasses[class], faults.ThrottleDelay = f.Magnitude, throttleDelay
+	})
 }
 
 func (h *Harness) injectSlowHandshake(f Fault, _ string) func() {
 	delay := seconds(f.Magnitude)
-	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.HandshakeDelay = delay },
-		func(faults *fakeworker.Faults) { faults.HandshakeDelay = 0 })
+	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.HandshakeDelay = delay })
 }
 
 // injectRelease makes copies and images of some models outdated. Classes are taken in the scenario's order, so that a
@@ -216,9 +220,9 @@
 
 func (h *Harness) injectDeathMidStream(f Fault, class string) func() {
 	workers := h.randomWorkers(f.Share)
-	end := changeFaults(workers,
-		func(faults *fakeworker.Faults) { faults.DieAfterMessages = map[string]int{class: int(f.Magnitude)} },
-		func(faults *fakeworker.Faults) { faults.DieAfterMessages = nil })
+	end := h.beginWorkerFault(workers, func(faults *fakeworker.Faults) {
+		faults.DieAfterMessages[class] = int(f.Magnitude)
+	})
 	return func() {
 		end()
 		h.restartWorkers(workers)
@@ -227,11 +231,26 @@
 
 func (h *Harness) injectConnectionDrain(f Fault, _ string) func() {
 	workers := h.randomWorkers(f.Share)
+	h.drainWorkers(workers, true)
+	return func() { h.resumeWorkers(workers) }
+}
+
+// drainWorkers makes workers drain. With goAway they report so on their connections.
+func (h *Harness) drainWorkers(workers []*fleetWorker, goAway bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for _, w := range workers {
-		w.worker.Drain(true)
+		w.drains++
+		w.worker.Drain(goAway)
 	}
-	return func() {
-		for _, w := range workers {
+}
+
+// resumeWorkers ends one drain of each worker. A worker resumes when no other fault has it drain.
+func (h *Harness) resumeWorkers(workers []*fleetWorker) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, w := range workers {
+		if w.drains--; w.drains == 0 {
 			w.worker.Resume()
 		}
 	}
@@ -246,9 +265,7 @@
 		w.entry.State = stateDraining
 	}
 	h.mu.Unlock()
-	for _, w := range workers {
-		w.worker.Drain(false)
-	}
+	h.drainWorkers(workers, false)
 	h.publishEndpoints()
 	notice := seconds(f.Magnitude)
 	h.after(notice, func() { killAll(workers) })
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -32,8 +32,8 @@
 
 // Harness is a scenario while it runs: workers, routers and clients on loopback.
 //
-// It owns the goroutine that watches the workers, which Run waits for, and timers (see after), which do nothing once
-// the scenario has ended.
+// It owns the goroutine that watches the workers and timers (see after). Run waits for the goroutine and for the timers
+// that are under way; the others do nothing once the scenario has ended.
 type Harness struct {
 	scenario   *Scenario
 	options    Options
@@ -51,14 +51,15 @@
 	workersStarted   int
 	deduplicators    map[int]*fakeworker.Deduplicator // by cell
 	listVersion      int
-	extraListDelay   time.Duration // on top of the scenario's notification delay
-	trafficMultiple  float64       // of the scenario's call rate
-	firstRouterShare float64       // of the traffic that goes to the first router in any case
-	newModelShare    float64       // of the calls that go to models nobody called before
-	heavyTails       map[string]Fault
+	extraListDelay   overridden[time.Duration] // on top of the scenario's notification delay
+	trafficMultiple  overridden[float64]       // of the scenario's call rate
+	firstRouterShare overridden[float64]       // of the traffic that goes to the first router in any case
+	newModelShare    overridden[float64]       // of the calls that go to models nobody called before
+	heavyTails       map[string]*overridden[heavyTail]
 	activeFaults     map[string]int // by kind
 	hangs            []hang         // of the workers, for the report
 	stopped          bool
+	timers           sync.WaitGroup // functions of after that run; none begins once stopped is set
 }
 
 // Run runs a scenario to its end and reports. It returns an error if a worker, a router or the gossip does not start.
@@ -109,8 +110,8 @@
 		statistics:      newStatistics(s),
 		rng:             rand.New(rand.NewPCG(s.Seed, randomFaults)),
 		deduplicators:   map[int]*fakeworker.Deduplicator{},
-		trafficMultiple: 1,
-		heavyTails:      map[string]Fault{},
+		trafficMultiple: overridden[float64]{usual: 1},
+		heavyTails:      map[string]*overridden[heavyTail]{},
 		activeFaults:    map[string]int{},
 	}
 }
@@ -175,7 +176,7 @@
 	var watcher sync.WaitGroup
 	watcher.Go(func() { h.watchWorkers(stop, startedAt) })
 	h.generateTraffic(startedAt)
-	h.setStopped()
+	h.stopTimers()
 	h.statistics.waitUntilIdle(h.longestDeadline() + answerWait)
 	close(stop)
 	watcher.Wait()
@@ -206,23 +207,28 @@
 func (h *Harness) after(d time.Duration, f func()) {
 	time.AfterFunc(d, func() {
 		h.mu.Lock()
-		stopped := h.stopped
-		h.mu.Unlock()
-		if !stopped {
-			f()
+		if h.stopped {
+			h.mu.Unlock()
+			return
 		}
+		h.timers.Add(1)
+		h.mu.Unlock()
+		defer h.timers.Done()
+		f()
 	})
 }
 
-func (h *Harness) setStopped() {
+// stopTimers lets no further function of after begin, and waits for those that run.
+func (h *Harness) stopTimers() {
 	h.mu.Lock()
-	defer h.mu.Unlock()
 	h.stopped = true
+	h.mu.Unlock()
+	h.timers.Wait()
 }
 
 // close kills whatever still runs.
 func (h *Harness) close() {
-	h.setStopped()
+	h.stopTimers()
 	for _, slot := range h.routers {
 		slot.mu.Lock()
 		client, gateway := slot.client, slot.gateway
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -58,7 +58,8 @@
 	at := time.Duration(0)
 	for n := 0; ; n++ {
 		h.mu.Lock()
-		rate, firstRouterShare, newModelShare := s.Traffic.CallsPerSecond*h.trafficMultiple, h.firstRouterShare, h.newModelShare
+		rate := s.Traffic.CallsPerSecond * h.trafficMultiple.value()
+		firstRouterShare, newModelShare := h.firstRouterShare.value(), h.newModelShare.value()
 		h.mu.Unlock()
 		at += time.Duration(source.gaps.Rand() / rate * float64(time.Second))
 		if at >= s.Length.Duration() {
@@ -96,8 +97,10 @@
 func (h *Harness) drawTail(class string, choices *rand.Rand) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if f, ok := h.heavyTails[class]; ok && choices.Float64() < f.Share {
-		return f.Magnitude
+	if tails := h.heavyTails[class]; tails != nil && len(tails.active) > 0 {
+		if tail := tails.value(); choices.Float64() < tail.share {
+			return tail.multiple
+		}
 	}
 	return 1
 }
--- a/internal/scenario/workers.go
+++ b/internal/scenario/workers.go
@@ -20,6 +20,10 @@
 	entry    config.Worker
 	capacity float64 // in cores of speed 1
 	removed  bool    // from the list, as it was found dead
+
+	// Guarded by the harness's lock.
+	faults []*workerFault // that last, oldest first
+	drains int            // faults because of which the worker drains
 }
 
 // startWorker starts a worker; its place in the fleet decides on its kind, cell and zone.
