--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -45,7 +45,10 @@
 }
 
 // echoUpstream answers each attempt with the message of its request. The client's metadata come back as trailers.
-type echoUpstream struct{ router *router.Router }
+type echoUpstream struct {
+	router *router.Router
+	left   chan time.Duration // what was left of the deadline at the start of an attempt, while there is room
+}
 
 // endedAttempt is an attempt that has ended.
 type endedAttempt struct{}
@@ -53,7 +56,11 @@
 func (endedAttempt) ForwardTo(router.Client) {}
 func (endedAttempt) Cancel()                 {}
 
-func (u *echoUpstream) StartAttempt(token router.AttemptToken, call *router.Call, _ string, _ int, _ time.Duration) router.UpstreamAttempt {
+func (u *echoUpstream) StartAttempt(token router.AttemptToken, call *router.Call, _ string, _ int, left time.Duration) router.UpstreamAttempt {
+	select {
+	case u.left <- left:
+	default:
+	}
 	request, _ := call.Request.(*oip.Request)
 	trailers := append([]hpack.Field{{Name: "worker-trailer", Value: "t"}}, request.Metadata...)
 	u.router.AttemptEnded(token, router.AttemptResult{Result: dispatch.OK, Body: request.Message, Report: router.NoWorkerReport,
@@ -67,7 +74,13 @@
 // startServer starts a server with a router before an echoUpstream.
 func startServer(t *testing.T) *Server {
 	t.Helper()
-	upstream := &echoUpstream{}
+	s, _ := startServerAndUpstream(t)
+	return s
+}
+
+func startServerAndUpstream(t *testing.T) (*Server, *echoUpstream) {
+	t.Helper()
+	upstream := &echoUpstream{left: make(chan time.Duration, 16)}
 	newDispatcher := func(dispatch.Settings, uint64) (router.Dispatcher, error) { return scriptedDispatcher{}, nil }
 	r, err := router.New(router.Config{NewDispatcher: newDispatcher}, upstream)
 	if err != nil {
@@ -82,7 +95,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close(); r.Kill() })
-	return s
+	return s, upstream
 }
 
 // responseReader is the client of one stream. It reads the response.
