--- a/internal/transport/listen/listen.go
+++ b/internal/transport/listen/listen.go
@@ -23,8 +23,6 @@
 	file      *os.File // a copy of the descriptor, which the event loop watches
 	fd        int
 	closeOnce sync.Once
-	started   chan struct{} // closed when the event loop has taken the descriptor
-	startOnce sync.Once
 
 	mu      sync.Mutex
 	reserve *os.File // given up for a moment where the system has no descriptor left
@@ -47,7 +45,7 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	l := &Listener{Listener: ln, file: file, fd: int(file.Fd()), started: make(chan struct{})}
+	l := &Listener{Listener: ln, file: file, fd: int(file.Fd())}
 	if err := syscall.SetNonblock(l.fd, true); err != nil {
 		_ = l.Close()
 		return nil, err
@@ -62,16 +60,27 @@
 // Serve runs an event loop on the listener until the loop's Shutdown. It returns when the loop has taken the
 // descriptor: from then on Shutdown ends the watch before Close gives the descriptor back to the system.
 func (l *Listener) Serve(loop netpoll.EventLoop) {
-	go func() { _ = loop.Serve(l) }()
-	<-l.started
+	served := &servedListener{Listener: l, taken: make(chan struct{})}
+	go func() { _ = loop.Serve(served) }()
+	<-served.taken
 }
 
-// Fd returns the descriptor that the event loop watches. The event loop's call of it ends the wait of Serve.
-func (l *Listener) Fd() int {
-	l.startOnce.Do(func() { close(l.started) })
-	return l.fd
+// servedListener is a Listener as its event loop sees it.
+type servedListener struct {
+	*Listener
+	taken     chan struct{} // closed when the event loop has taken the descriptor
+	takenOnce sync.Once
 }
 
+// Fd returns the descriptor that the event loop watches, and ends the wait of Serve.
+func (l *servedListener) Fd() int {
+	l.takenOnce.Do(func() { close(l.taken) })
+	return l.Listener.Fd()
+}
+
+// Fd returns the descriptor that the event loop watches.
+func (l *Listener) Fd() int { return l.fd }
+
 // Accept returns the next connection, or nil without an error where none waits, or where the system had no descriptor
 // left for it.
 func (l *Listener) Accept() (net.Conn, error) {
--- a/internal/transport/listen/listen_test.go
+++ b/internal/transport/listen/listen_test.go
@@ -15,6 +15,8 @@
 	"time"
 
 	"github.com/cloudwego/netpoll"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // runServerProcess serves with few descriptors: it echoes what it reads until its standard input ends, and then prints
@@ -185,3 +187,53 @@
 		t.Errorf("the event loop has used %s", processorTime)
 	}
 }
+
+// slowEventLoop takes the listener's descriptor only once it is released.
+type slowEventLoop struct {
+	netpoll.EventLoop
+	release chan struct{}
+	fd      chan int
+}
+
+func (l slowEventLoop) Serve(ln net.Listener) error {
+	<-l.release
+	withFd, ok := ln.(netpoll.Listener)
+	if !ok {
+		return errors.New("a listener without a descriptor")
+	}
+	l.fd <- withFd.Fd()
+	return nil
+}
+
+// TestServeWaitsForEventLoop: Serve returns only when the event loop has the descriptor, also where others have read
+// it before. A Close before that would let the loop watch a descriptor that may be another listener's by then.
+func TestServeWaitsForEventLoop(t *testing.T) {
+	for name, readBefore := range map[string]bool{"read before": true, "not read before": false} {
+		t.Run(name, func(t *testing.T) {
+			ln, err := Open("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = ln.Close() }()
+			if readBefore {
+				ln.Fd()
+			}
+			loop := slowEventLoop{release: make(chan struct{}), fd: make(chan int, 1)}
+			returned := make(chan struct{})
+			go func() {
+				ln.Serve(loop)
+				close(returned)
+			}()
+			select {
+			case <-returned:
+				t.Error("Serve has returned before the event loop took the descriptor")
+			case <-time.After(50 * time.Millisecond): // less would only let a fault pass, not fail what is right
+			}
+			close(loop.release)
+			testsupport.Await(t, returned, "the end of Serve")
+			if fd := testsupport.Await(t, loop.fd, "the event loop's descriptor"); fd != ln.Fd() {
+				t.Errorf("the event loop watches descriptor %d, want %d", fd, ln.Fd())
+			}
+		})
+	}
+}
