--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -162,7 +162,7 @@
 		r.fireTimers()
 		r.updateEndpoints()
 		r.step()
-		if r.stopWhenIdle && len(r.calls) == 0 && r.stopIfIdle() {
+		if r.stopWhenIdle && len(r.calls) == 0 && r.closeQueueIfEmpty() {
 			return
 		}
 		timer.Reset(r.sleepDuration())
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -41,19 +41,16 @@
 	<-r.loopEnded
 }
 
-// stopIfIdle closes the queue and runs what was queued until then. If that brought a new call, the queue is opened
-// again. It reports whether the loop is to end.
-func (r *Router) stopIfIdle() bool {
-	for _, f := range r.closeQueue() {
-		f()
-	}
-	if len(r.calls) == 0 {
-		return true
-	}
+// closeQueueIfEmpty makes post refuse further work, unless some is queued that the loop has yet to run. It reports
+// whether the loop is to end. All that was posted is run by then, and all that comes later is refused.
+func (r *Router) closeQueueIfEmpty() bool {
 	r.mu.Lock()
-	r.stopped = false
-	r.mu.Unlock()
-	return false
+	defer r.mu.Unlock()
+	if len(r.queue) > 0 {
+		return false
+	}
+	r.stopped = true
+	return true
 }
 
 // closeQueue makes post refuse further work, and returns the work that was queued until then.
