--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -73,6 +73,8 @@
 	stats           Stats
 
 	stopWhenIdle     bool          // the loop ends once no call is left
+	stopLimitReached bool          // the loop ends after this turn
+	unanswered       int           // calls without a final answer of the dispatcher when the loop was stopped
 	killed           bool          // the loop ends at once
 	shutdownDeadline time.Duration // when every call must have its answer; 0: the router isn't shutting down
 
@@ -162,6 +164,10 @@
 		r.fireTimers()
 		r.updateEndpoints()
 		r.step()
+		if r.stopLimitReached {
+			r.answerRemaining()
+			return
+		}
 		if r.stopWhenIdle && len(r.calls) == 0 && r.closeQueueIfEmpty() {
 			return
 		}
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -16,31 +16,50 @@
 }
 
 // Stop ends the loop once every call has its final answer and no attempt is in flight, and returns when the loop has
-// ended. The servers must have stopped submitting calls. After limit the loop is ended all the same; unanswered is
-// the number of calls that had no final answer then.
+// ended. The servers must have stopped submitting calls. After limit the loop is ended all the same: the calls that
+// the dispatcher has not answered by then, unanswered in number, are answered by answerRemaining.
 func (r *Router) Stop(limit time.Duration) (unanswered int) {
 	r.post(func() { r.stopWhenIdle = true })
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
 	select {
 	case <-r.loopEnded:
-		return 0
-	case <-time.After(limit):
+	case <-timer.C:
+		r.post(func() { r.stopLimitReached = true })
+		<-r.loopEnded
 	}
-	r.Kill()
-	for _, call := range r.calls {
-		if call.state != callDone {
-			unanswered++
-		}
-	}
-	return unanswered
+	return r.unanswered
 }
 
-// Kill ends the loop at once, as a crash of the process would: the calls under way get no answer. It is the last
-// resort of Stop and ends a router whose process fails to start; tests end theirs by it.
+// Kill ends the loop at once, as a crash of the process would: the calls under way get no answer. It ends a router
+// whose process fails to start; tests end theirs by it.
 func (r *Router) Kill() {
 	r.post(func() { r.killed = true })
 	<-r.loopEnded
 }
 
+// answerRemaining closes the queue, runs what was queued until then, and answers each call that has no final answer.
+// One of which no attempt was made is rejected, as Submit refuses those that come later; any other may have run and
+// fails.
+func (r *Router) answerRemaining() {
+	for _, f := range r.closeQueue() {
+		f()
+	}
+	for _, call := range r.calls {
+		switch {
+		case call.state == callDone:
+			continue
+		case len(call.attempts) == 0:
+			call.reject(0)
+			r.stats.Rejected++
+		default:
+			call.fail(r.now)
+			r.stats.Failed++
+		}
+		r.unanswered++
+	}
+}
+
 // closeQueueIfEmpty makes post refuse further work, unless some is queued that the loop has yet to run. It reports
 // whether the loop is to end. All that was posted is run by then, and all that comes later is refused.
 func (r *Router) closeQueueIfEmpty() bool {
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -56,3 +56,63 @@
 		})
 	}
 }
+
+// hungUpstream is an upstream whose workers never answer, not even to a cancellation.
+type hungUpstream struct{}
+
+func (hungUpstream) StartAttempt(AttemptToken, *Call, string, int, time.Duration) UpstreamAttempt {
+	return endedAttempt{}
+}
+func (hungUpstream) LoadFunction(string, string, int, time.Duration, func(LoadResult)) {}
+func (hungUpstream) CheckHealth(string, time.Duration, func(HealthResult))             {}
+func (hungUpstream) SetEndpoints([]endpoints.Worker)                                   {}
+
+// silentDispatcher starts an attempt of each call of testFunction, and answers none.
+type silentDispatcher struct{}
+
+func (silentDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
+	for _, event := range events {
+		if request, ok := event.(dispatch.Request); ok && request.Function == testFunction {
+			actions = append(actions, dispatch.StartAttempt{ID: request.ID, Worker: testWorkers[0]})
+		}
+	}
+	return actions
+}
+
+// TestStopAnswersWhatTheDispatcherLeft: at the limit of Stop every call that was accepted gets its final answer, though
+// the dispatcher gives none and workers hang: one that was tried fails, any other is rejected.
+func TestStopAnswersWhatTheDispatcherLeft(t *testing.T) {
+	newDispatcher := func(dispatch.Settings, uint64) (Dispatcher, error) { return silentDispatcher{}, nil }
+	r, err := New(Config{NewDispatcher: newDispatcher}, hungUpstream{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(r.Kill)
+	submit := func(function string) answerChannel {
+		client := make(answerChannel, 1)
+		if _, ok := r.Submit(&Call{Function: function, RemainingDeadline: time.Hour, Client: client}); !ok {
+			t.Error("a running router refused a call")
+		}
+		return client
+	}
+	want := map[FinalKind]answerChannel{FinalFailed: submit(testFunction), FinalRejected: submit("never tried")}
+	var last answerChannel
+	r.post(func() { // the call comes in the loop's last turn
+		r.stopLimitReached = true
+		last = submit(testFunction)
+	})
+	if unanswered := r.Stop(stopLimit); unanswered != 3 {
+		t.Errorf("%d calls without an answer of the dispatcher, want 3", unanswered)
+	}
+	for kind, client := range want {
+		if answer := testsupport.Await(t, client, "an answer"); answer.Kind != kind {
+			t.Errorf("answer %+v, want kind %v", answer, kind)
+		}
+	}
+	if answer := testsupport.Await(t, last, "the last call's answer"); answer.Kind != FinalRejected {
+		t.Errorf("answer %+v to the last call", answer)
+	}
+	if _, ok := r.Submit(&Call{}); ok {
+		t.Error("a stopped router accepted a call")
+	}
+}
