--- a/internal/httprouter/process.go
+++ b/internal/httprouter/process.go
@@ -24,9 +24,7 @@
 // Run is the main function of the process. It serves by the configuration file at path until ctx is done, which SIGTERM
 // should cause, and then shuts down gracefully. It reloads the file on each SIGHUP, during the shutdown as well.
 func Run(ctx context.Context, path string, logger *slog.Logger) error {
-	sighup := make(chan os.Signal, 4)
-	signal.Notify(sighup, syscall.SIGHUP)
-	defer signal.Stop(sighup)
+	sighup := catchSignals()
 	cfg, err := LoadConfig(path)
 	if err != nil {
 		return err
@@ -42,6 +40,15 @@
 	return nil
 }
 
+// catchSignals returns a channel that gets a value for each SIGHUP. Neither that nor a further SIGTERM ends the process
+// any more, also not while it exits: the signals stay caught after Run.
+func catchSignals() <-chan os.Signal {
+	sighup, sigterm := make(chan os.Signal, 4), make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	signal.Notify(sigterm, syscall.SIGTERM) // never read: the first one ends Run's context
+	return sighup
+}
+
 // applyProcessLimits sets what applies to the whole process, before the first socket is opened.
 func applyProcessLimits(budget Budget, logger *slog.Logger) error {
 	runtime.GOMAXPROCS(budget.MaxProcs)
@@ -50,28 +57,42 @@
 		LoggerOutput: netpollLog{logger}})
 }
 
-// serve handles signals and logs statistics until a shutdown, started when ctx is done, has ended.
+// serve reloads the configuration on signals and logs statistics until a shutdown, started when ctx is done, has ended.
+// It waits for nothing else: a reload that takes its time doesn't hold up the end.
 func (s *Server) serve(ctx context.Context, path string, sighup <-chan os.Signal, logger *slog.Logger) {
+	stopped := make(chan struct{})
+	go s.reloadOnSignal(path, sighup, stopped, logger) // until the end: workers drain during a shutdown, too
+	go s.logStatsUntil(stopped)
+	<-ctx.Done()
+	s.Shutdown()
+	close(stopped)
+}
+
+// reloadOnSignal applies the configuration file at path at each signal, until stopped is closed.
+func (s *Server) reloadOnSignal(path string, sighup <-chan os.Signal, stopped <-chan struct{}, logger *slog.Logger) {
+	for {
+		select {
+		case <-stopped:
+			return
+		case <-sighup:
+		}
+		cfg, err := reloadConfig(path)
+		if err != nil {
+			logger.Warn("configuration reload failed, keeping the previous one", "error", err)
+			continue
+		}
+		s.UpdateConfig(cfg)
+	}
+}
+
+// logStatsUntil logs statistics until stopped is closed.
+func (s *Server) logStatsUntil(stopped <-chan struct{}) {
 	ticker := time.NewTicker(statsInterval)
 	defer ticker.Stop()
-	terminated, stopped := ctx.Done(), make(chan struct{})
 	for {
 		select {
-		case <-terminated: // the file and the endpoint list are followed until the end: workers still drain
-			terminated = nil
-			go func() {
-				s.Shutdown()
-				close(stopped)
-			}()
 		case <-stopped:
 			return
-		case <-sighup:
-			cfg, err := reloadConfig(path)
-			if err != nil {
-				logger.Warn("configuration reload failed, keeping the previous one", "error", err)
-				continue
-			}
-			s.UpdateConfig(cfg)
 		case <-ticker.C:
 			s.logStats()
 		}
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -66,7 +66,8 @@
 	p := &process{t: t, cmd: exec.Command(os.Args[0]), configPath: filepath.Join(t.TempDir(), "config.json"),
 		logLines: make(chan string, 1<<12)}
 	p.writeConfig(config)
-	p.cmd.Env = append(os.Environ(), childConfigVariable+"="+p.configPath)
+	const exitAtOnce = "GORACE=atexit_sleep_ms=0" // the race detector else sleeps for a second at the end
+	p.cmd.Env = append(os.Environ(), childConfigVariable+"="+p.configPath, exitAtOnce)
 	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
