--- a/internal/grpcgateway/shutdown.go
+++ b/internal/grpcgateway/shutdown.go
@@ -19,7 +19,7 @@
 		g.logger.Info("draining", "open_calls", g.router.Stats().Open, "connections", g.server.Connections())
 		g.server.Drain()
 		if unanswered := g.router.Stop(g.drainTimeout); unanswered > 0 {
-			g.logger.Error("gateway stopped with calls that the dispatcher had not answered", "calls", unanswered)
+			g.logger.Error("gateway stopped with calls that had no final response", "calls", unanswered)
 		}
 		g.waitForResponses()
 		close(g.stopFollowing)
