--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -116,3 +116,19 @@
 		t.Error("a stopped router accepted a call")
 	}
 }
+
+// TestStatsEndsWithTheLoop kills a router while Stats waits for the loop's turn.
+func TestStatsEndsWithTheLoop(t *testing.T) {
+	r, _, _ := startRouter(t, false)
+	stats := make(chan Stats, 1)
+	r.post(func() {
+		go func() { stats <- r.Stats() }()
+		for queued := false; !queued; time.Sleep(time.Millisecond) {
+			r.mu.Lock()
+			queued = len(r.queue) > 0
+			r.mu.Unlock()
+		}
+		r.killed = true
+	})
+	testsupport.Await(t, stats, "the statistics of a killed router")
+}
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -24,14 +24,15 @@
 // after Kill.
 func (r *Router) Stats() Stats {
 	reply := make(chan Stats, 1)
-	posted := r.post(func() {
+	r.post(func() {
 		stats := r.stats
 		stats.Open = len(r.calls)
 		reply <- stats
 	})
-	if !posted {
-		<-r.loopEnded
+	select {
+	case stats := <-reply:
+		return stats
+	case <-r.loopEnded: // it may have ended without running what was posted
 		return r.stats
 	}
-	return <-reply
 }
