--- a/internal/httprouter/phases_test.go
+++ b/internal/httprouter/phases_test.go
@@ -315,3 +315,28 @@
 		t.Errorf("shut down within %v, SIGKILL may come after %v", took, sigkill)
 	}
 }
+
+// TestShutdownDespiteHangingDiscovery shuts a router down while its connect to the discovery server hangs.
+func TestShutdownDespiteHangingDiscovery(t *testing.T) {
+	const deadline = 50 * time.Millisecond
+	address, _ := testsupport.ListenWithFullBacklog(t)
+	worker := startWorker(t, &fakeplatform.Worker{ID: "a"})
+	initial := initialSnapshot(fakeplatform.EndpointsEvent(true, "a "+worker.Addr()+" active"))
+	settings := strings.Replace(settingsWithDeadline(deadline), `"connect_timeout":2000000`, `"connect_timeout":20000000`, 1)
+	cfg, err := ParseConfig([]byte(configJSONWith(settings, address, initial)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, err := Start(cfg, Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	stalls := startStallMeter(t)
+	startedAt := time.Now()
+	server.Shutdown()
+	took := time.Since(startedAt)
+	t.Logf("shut down within %v", took)
+	if sigkill := earliestSIGKILL(deadline); took > sigkill+stalls.slack() {
+		t.Errorf("shut down within %v, SIGKILL may come after %v", took, sigkill)
+	}
+}
--- a/internal/upstream/respupstream/dial_test.go
+++ b/internal/upstream/respupstream/dial_test.go
@@ -28,7 +28,7 @@
 
 // TestConnectTimeout: a connect that times out proves that nothing ran, and the worker never receives the request.
 func TestConnectTimeout(t *testing.T) {
-	addr, _ := listenWithFullBacklog(t)
+	addr, _ := testsupport.ListenWithFullBacklog(t)
 	h := newHarness(t, func(c *Config) { c.ConnectTimeout = 50 * time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
@@ -43,7 +43,7 @@
 
 // TestLateConnectionServesWaitingAttempt: the attempt that waited for a slow connect is written and answered.
 func TestLateConnectionServesWaitingAttempt(t *testing.T) {
-	addr, accept := listenWithFullBacklog(t)
+	addr, accept := testsupport.ListenWithFullBacklog(t)
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}})
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
