--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -40,12 +40,12 @@
 		return
 	}
 	c.server.mu.Lock()
-	closed := c.closed
-	if !closed && c.requestCount == number && c.requestID == request.ID {
+	open := !c.closed && c.requestCount == number && c.requestID == request.ID
+	if open {
 		c.cancel = cancel
 	}
 	c.server.mu.Unlock()
-	if closed { // the client left meanwhile; a call that has ended is not affected by its cancellation
+	if !open { // the client left meanwhile; a call that has ended is not affected by its cancellation
 		cancel()
 		c.releaseID(request.ID)
 	}
--- /dev/null
+++ b/internal/server/httpserver/close_test.go
@@ -0,0 +1,150 @@
+package httpserver
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// panickingHandler panics where a request is rejected.
+type panickingHandler struct{ slog.Handler }
+
+func (panickingHandler) Enabled(context.Context, slog.Level) bool { return true }
+
+func (panickingHandler) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == "request rejected" {
+		panic("forced by the test")
+	}
+	return nil
+}
+
+// closeCase is a way in which the server ends a client's connection.
+type closeCase struct {
+	provoke func(t *testing.T, s *Server, cl *client)
+	want    []int // statuses of the responses before the end
+}
+
+func closeCases() map[string]closeCase {
+	invalid := newRequest("abc", "")
+	return map[string]closeCase{
+		"panic": {func(_ *testing.T, _ *Server, cl *client) { cl.send(invalid) }, []int{503}},
+		"panic behind a request": {
+			func(_ *testing.T, _ *Server, cl *client) { cl.send(pingRequest + invalid) }, []int{200, 503}},
+		"abort during a call": {func(t *testing.T, s *Server, cl *client) {
+			sendPending(t, s, cl)
+			serverSide(t, s, cl).abort()
+		}, []int{502}},
+		"abort during a response": {func(t *testing.T, s *Server, cl *client) {
+			waitForAccepted(t, s, 1)
+			c := serverSide(t, s, cl)
+			s.mu.Lock()
+			c.responding = true
+			s.mu.Unlock()
+			c.abort()
+			c.responseWritten(nil, false)
+		}, []int{503}},
+		"flood behind a call": {func(t *testing.T, s *Server, cl *client) {
+			sendPending(t, s, cl)
+			cl.send(strings.Repeat("x", 1<<20))
+		}, []int{502}},
+		"request crosses an idle close": {func(t *testing.T, s *Server, cl *client) {
+			waitForAccepted(t, s, 1)
+			c := serverSide(t, s, cl)
+			s.mu.Lock()
+			c.closed = true
+			s.mu.Unlock()
+			cl.send(newRequest(servedFunction, ""))
+		}, []int{503}},
+		"server closed": {func(t *testing.T, s *Server, cl *client) { sendPending(t, s, cl); s.Close() }, []int{502}},
+		"body beyond its limit": {func(_ *testing.T, _ *Server, cl *client) {
+			cl.send(newRequest(servedFunction, strings.Repeat("x", 8<<20)))
+		}, []int{413}},
+		"rest of a request behind its time-out": {func(t *testing.T, s *Server, cl *client) {
+			request := newRequest(servedFunction, "x")
+			cl.send(request[:40])
+			waitForAccepted(t, s, 1)
+			c := serverSide(t, s, cl)
+			waitUntil(t, s, "half a request", func() bool { return c.requestStarted && !c.reading })
+			s.closeExpired(time.Now().Add(time.Hour))
+			waitUntil(t, s, "the response", func() bool { return !c.lingerUntil.IsZero() })
+			cl.send(request[40:])
+		}, []int{408}},
+	}
+}
+
+// TestCloseAnswersRequest: whatever ends a client's connection, a request that was read, or waits to be read, is answered
+// before, and the answer reaches a client that still sends.
+func TestCloseAnswersRequest(t *testing.T) {
+	for name, c := range closeCases() {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s, upstream := startServer(t, func(c *Config) { c.Logger = slog.New(panickingHandler{}) })
+			cl := dial(t, s)
+			c.provoke(t, s, cl)
+			for _, status := range c.want {
+				cl.expectStatus(status)
+			}
+			cl.expectClosed()
+			upstream.expectForwarded(t, 0)
+			waitForOpenRequests(t, s, 0)
+			waitFor(t, "the end of the connection", func() bool { return s.Stats().Connections == 0 })
+		})
+	}
+}
+
+// TestCloseAnswersInputInSocket: what a client sent before the close and nobody read is answered, and read so that the
+// close doesn't reset the answer away. A client that sent nothing gets no answer, nor does one that has left.
+func TestCloseAnswersInputInSocket(t *testing.T) {
+	s, _ := startServer(t, nil)
+	const answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+	for name, c := range map[string]struct {
+		input      string
+		closeWrite bool
+		want       string
+	}{
+		"nothing":                       {"", false, ""},
+		"request":                       {newRequest(servedFunction, ""), false, answer},
+		"part of a request":             {"POST /", false, answer},
+		"request of a client that left": {newRequest(servedFunction, ""), true, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			conn, client := newUnnotifiedConn(t, s)
+			_, _ = io.WriteString(client, c.input)
+			if c.closeWrite {
+				_ = client.CloseWrite()
+				waitFor(t, "the end of the connection", conn.disconnected)
+			} else if c.input != "" {
+				waitFor(t, "the request", func() bool { return readable(descriptor(conn.netConn)) })
+			}
+			conn.onClosed()
+			if unread := readable(descriptor(conn.netConn)); unread && !c.closeWrite {
+				t.Error("input was left unread")
+			}
+			_ = syscall.Shutdown(descriptor(conn.netConn), syscall.SHUT_WR)
+			if got, err := io.ReadAll(client); string(got) != c.want || err != nil {
+				t.Errorf("got %q, %v, want %q", got, err, c.want)
+			}
+		})
+	}
+}
+
+// sendPending sends a request that is never answered, and waits until it is open.
+func sendPending(t *testing.T, s *Server, cl *client) {
+	t.Helper()
+	cl.send(newRequest(pendingFunction, ""))
+	waitForOpenRequests(t, s, 1)
+}
+
+// waitUntil waits until a condition holds under the server's lock.
+func waitUntil(t *testing.T, s *Server, what string, condition func() bool) {
+	t.Helper()
+	waitFor(t, what, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return condition()
+	})
+}
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -30,11 +30,15 @@
 	requestStarted     bool      // a request has begun and is not complete
 	reading            bool      // what has come is being read
 	requestInFlight    bool      // a request is being handled or its response written
+	responding         bool      // a response is being written, or the last one was
 	closeAfterResponse bool
-	closed             bool
-	requestID          string // in the server's openIDs; empty: none
-	cancel             func() // cancels the call in flight; nil: there is none
-	requestCount       uint64 // so far
+	discarding         bool      // what comes is discarded: the connection ends with the next response
+	lingerUntil        time.Time // the last response was written, and the client may still be sending; zero: not so
+	closed             bool      // nothing that comes is served any more
+	ended              bool      // the event loop has given the connection up
+	requestID          string    // in the server's openIDs; empty: none
+	cancel             func()    // cancels the call in flight; nil: there is none
+	requestCount       uint64    // so far
 }
 
 // disconnected reports whether the client has left. It looks at the socket too: the event loop may not have reported the
@@ -54,6 +58,14 @@
 	return -1
 }
 
+// openDescriptor returns the descriptor of a connection that is being closed, or -1 where it has none.
+func openDescriptor(netConn netpoll.Connection) int {
+	if withFd, ok := netConn.(netpoll.Conn); ok {
+		return withFd.Fd()
+	}
+	return -1
+}
+
 // readable reports whether something waits to be read on a descriptor, the end of the stream included.
 func readable(fd int) bool { return poll(fd, unix.POLLIN)&unix.POLLIN != 0 }
 
@@ -63,28 +75,9 @@
 	return ready
 }
 
-// onClosed handles the close of the connection: a call in flight is cancelled, as its client has left.
-func (c *conn) onClosed() {
-	c.server.mu.Lock()
-	c.closed = true
-	delete(c.server.conns, c)
-	cancel, id := c.cancel, c.requestID
-	c.cancel = nil
-	c.server.mu.Unlock()
-	if cancel != nil {
-		cancel()
-		c.releaseID(id)
-	}
-}
-
 // onReadable reads what has come. netpoll runs it on one goroutine at a time.
 func (c *conn) onReadable() {
-	defer func() {
-		if p := recover(); p != nil {
-			c.server.cfg.Logger.Error("panic on a client connection", "panic", p)
-			_ = c.netConn.Close()
-		}
-	}()
+	defer c.recoverPanic()
 	defer func() {
 		c.server.mu.Lock()
 		c.reading = false
@@ -94,19 +87,21 @@
 	arrived := arrivalTime(c.netConn)
 	for n := r.Len(); n > 0; n = r.Len() {
 		c.server.mu.Lock()
-		closed := c.closed
+		closed, discarding := c.closed, c.discarding
 		c.reading = true
 		c.server.mu.Unlock()
-		if closed {
+		if discarding {
 			_ = r.Skip(n)
 			_ = r.Release()
+			continue
+		}
+		if closed { // onClosed answers what has come
 			_ = c.netConn.Close()
 			return
 		}
 		if err := c.addToReader(r, n); err != nil {
-			// Too much behind a request in flight: there is no place for another response.
-			_ = c.netConn.Close()
-			return
+			c.abort() // too much behind a request in flight: there is no place for another response
+			continue
 		}
 		c.serveNext(arrived)
 	}
@@ -115,11 +110,11 @@
 // addToReader moves at most n received bytes to the reader of requests.
 func (c *conn) addToReader(received netpoll.Reader, n int) error {
 	c.parseMu.Lock()
+	defer c.parseMu.Unlock()
 	p, err := received.Next(min(n, max(c.reader.Available(), 1)))
 	if err == nil {
 		err = c.reader.Add(p)
 	}
-	c.parseMu.Unlock()
 	_ = received.Release()
 	return err
 }
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -1,22 +1,58 @@
 package httpserver
 
 import (
+	"fmt"
+	"io"
+	"net"
 	"syscall"
 	"testing"
 
 	"github.com/cloudwego/netpoll"
 
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// unnotifiedConn is a connection whose event loop has not reported anything yet.
+// unnotifiedConn is a connection whose event loop has not read or reported anything yet.
 type unnotifiedConn struct {
 	netpoll.Connection
 	fd int
 }
 
-func (c unnotifiedConn) Fd() int        { return c.fd }
-func (c unnotifiedConn) IsActive() bool { return true }
+func (c unnotifiedConn) Fd() int                { return c.fd }
+func (c unnotifiedConn) IsActive() bool         { return true }
+func (c unnotifiedConn) Reader() netpoll.Reader { return netpoll.NewLinkBuffer() }
+
+// newUnnotifiedConn returns a connection of a server, and its client.
+func newUnnotifiedConn(t *testing.T, s *Server) (*conn, *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	dialed, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	client, _ := dialed.(*net.TCPConn)
+	tcpConn, _ := accepted.(*net.TCPConn)
+	file, err := tcpConn.File() // a copy of the descriptor
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = tcpConn.Close()
+	t.Cleanup(func() { _, _ = client.Close(), file.Close() })
+	fd := int(file.Fd())
+	if err := syscall.SetNonblock(fd, true); err != nil {
+		t.Fatal(err)
+	}
+	return &conn{server: s, netConn: unnotifiedConn{fd: fd}, reader: http1.NewReader(s.cfg.Limits)}, client
+}
 
 // TestDisconnectedClient: a call's ClientLeft is true as soon as the socket shows it, though the event loop may not have
 // reported it.
@@ -38,18 +74,30 @@
 	waitFor(t, "the end of the connection", call.ClientLeft)
 	close(answer)
 	waitForOpenRequests(t, s, 0)
+}
 
-	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = syscall.Close(fds[0]) }()
-	c := &conn{server: s, netConn: unnotifiedConn{fd: fds[0]}}
-	if c.disconnected() {
-		t.Error("disconnected while it waits")
-	}
-	if _ = syscall.Close(fds[1]); !c.disconnected() {
-		t.Error("not disconnected though the socket shows it")
+// leave holds the ways in which a client leaves.
+var leave = map[string]func(*net.TCPConn){
+	"FIN":        func(client *net.TCPConn) { _ = client.Close() },
+	"RST":        func(client *net.TCPConn) { _, _ = client.SetLinger(0), client.Close() },
+	"half-close": func(client *net.TCPConn) { _ = client.CloseWrite() },
+}
+
+// TestDisconnectedBeforeNotification: the socket shows that the client has left, behind unread input too.
+func TestDisconnectedBeforeNotification(t *testing.T) {
+	s, _ := startServer(t, nil)
+	for name, leave := range leave {
+		for _, input := range []string{"", pingRequest} {
+			t.Run(fmt.Sprintf("%s/%d bytes unread", name, len(input)), func(t *testing.T) {
+				c, client := newUnnotifiedConn(t, s)
+				_, _ = io.WriteString(client, input)
+				if c.disconnected() {
+					t.Error("disconnected while it waits")
+				}
+				leave(client)
+				waitFor(t, "the end of the connection", c.disconnected)
+			})
+		}
 	}
 }
 
--- a/internal/server/httpserver/eviction.go
+++ b/internal/server/httpserver/eviction.go
@@ -16,6 +16,7 @@
 func (s *Server) addConnection(netConn netpoll.Connection) *conn {
 	_ = netConn.SetWriteTimeout(s.cfg.WriteTimeout)
 	c := &conn{server: s, netConn: netConn, lastActivity: time.Now(), reader: http1.NewReader(s.cfg.Limits)}
+	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
 	s.mu.Lock()
 	s.stats.Accepted++
 	var evicted *conn
@@ -37,12 +38,15 @@
 	return c
 }
 
-// evictionCandidate returns the least useful connection: one that has never had a response, the oldest first, then the
+// evictionCandidate returns the least useful connection: one that has had its last response, one that has never had a response, the oldest first, then the
 // one idle longest. It is the added one where all others have a request in flight, or one that has come in part or is
 // not read yet. The server's lock is held.
 func (s *Server) evictionCandidate(added *conn) *conn {
 	candidate := added
 	for c := range s.conns {
+		if !c.lingerUntil.IsZero() {
+			return c
+		}
 		if (candidate == added || c.evictedBefore(candidate)) && !c.closed && !c.requestStarted && !c.hasPendingWork() {
 			candidate = c
 		}
@@ -61,7 +65,8 @@
 // hasPendingWork reports whether a request is in flight, or may have come and was not looked at: then the connection is
 // not closed. The server's lock is held, without which nothing that has come is read.
 func (c *conn) hasPendingWork() bool {
-	return c.requestInFlight || c.reading || readable(descriptor(c.netConn)) || c.netConn.Reader().Len() > 0
+	return c.lingerUntil.IsZero() &&
+		(c.requestInFlight || c.reading || readable(descriptor(c.netConn)) || c.netConn.Reader().Len() > 0)
 }
 
 // sweep closes late and idle connections until the server stops.
@@ -80,10 +85,12 @@
 
 // closeExpired closes the connections that by now are late with a request or have been idle for too long.
 func (s *Server) closeExpired(now time.Time) {
-	var late, idle []*conn
+	var late, idle, lingered []*conn
 	s.mu.Lock()
 	for c := range s.conns {
 		switch wait := now.Sub(c.lastActivity); {
+		case !c.lingerUntil.IsZero() && now.After(c.lingerUntil):
+			lingered = append(lingered, c)
 		case c.closed:
 		case (!c.responded || c.requestStarted) && wait > s.cfg.RequestTimeout:
 			if !c.hasPendingWork() {
@@ -100,6 +107,9 @@
 	for _, c := range idle {
 		c.closeIfIdle()
 	}
+	for _, c := range lingered {
+		_ = c.netConn.Close()
+	}
 }
 
 // closeIfIdle closes the connection, unless a request has come meanwhile.
--- a/internal/server/httpserver/response.go
+++ b/internal/server/httpserver/response.go
@@ -19,7 +19,7 @@
 	}
 	c.server.mu.Lock()
 	c.server.stats.BadRequests++
-	c.closeAfterResponse = true
+	c.closeAfterResponse, c.discarding = true, true
 	c.server.mu.Unlock()
 	c.server.cfg.Logger.Debug("request rejected", "client", c.netConn.RemoteAddr(), "reason", err)
 	c.respond(status, nil, []byte(err.Error()+"\n"))
@@ -32,36 +32,51 @@
 		c.server.mu.Unlock()
 		return
 	}
-	c.requestInFlight, c.closeAfterResponse = true, true
+	c.requestInFlight, c.closeAfterResponse, c.discarding = true, true, true
 	c.server.stats.BadRequests++
 	c.server.mu.Unlock()
 	c.server.cfg.Logger.Debug("client connection rejected", "client", c.netConn.RemoteAddr(), "reason", reason)
 	c.respond(status, nil, []byte(reason+"\n"))
 }
 
-// respond writes a response; the next request is looked for when the client has taken it. It does not block: a client
+// respond writes a response, unless one is being written already; the next request is looked for when the client has taken it. It does not block: a client
 // that doesn't read delays only its own connection, and that for WriteTimeout at most.
 func (c *conn) respond(status int, fields []http1.Field, body []byte) {
 	c.server.mu.Lock()
-	closing, closed := c.closeAfterResponse, c.closed
-	c.server.mu.Unlock()
-	if closed {
+	if c.closed || c.responding {
+		c.server.mu.Unlock()
 		return
 	}
+	c.responding = true
+	closing := c.closeAfterResponse
+	c.server.mu.Unlock()
 	go func() {
+		defer c.recoverPanic()
 		response := make([]byte, 0, responseHeadCapacity+len(body))
 		_, err := c.netConn.Write(http1.AppendResponse(response, status, fields, body, closing))
-		c.server.mu.Lock()
-		c.requestInFlight, c.responded, c.lastActivity = false, true, time.Now()
-		if err != nil || closing {
-			c.closed = true
-		}
-		closed := c.closed
-		c.server.mu.Unlock()
-		if closed {
-			_ = c.netConn.Close()
-			return
-		}
-		c.serveNext(time.Now()) // what came behind the request, if anything
+		c.responseWritten(err, closing)
 	}()
 }
+
+// responseWritten goes on after a response: with the next request, or to the end of the connection.
+func (c *conn) responseWritten(err error, closing bool) {
+	c.server.mu.Lock()
+	c.requestInFlight, c.responded, c.lastActivity = false, true, time.Now()
+	if err != nil || closing {
+		c.closed = true
+	} else {
+		c.responding = false
+	}
+	discarding := c.discarding
+	c.server.mu.Unlock()
+	switch {
+	case err == nil && closing && discarding:
+		c.linger()
+	case err != nil || closing:
+		_ = c.netConn.Close()
+	case discarding: // abort was called while the response was being written
+		c.abort()
+	default:
+		c.serveNext(time.Now()) // what came behind the request, if anything
+	}
+}
--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -90,14 +90,6 @@
 		},
 		netpoll.WithOnPrepare(func(netConn netpoll.Connection) context.Context {
 			return context.WithValue(context.Background(), connContextKey{}, s.addConnection(netConn))
-		}),
-		netpoll.WithOnConnect(func(ctx context.Context, netConn netpoll.Connection) context.Context {
-			c := connFromContext(ctx)
-			_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
-			if !netConn.IsActive() { // it was closed before the callback was added
-				c.onClosed()
-			}
-			return ctx
 		}))
 }
 
