--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -14,6 +14,10 @@
 
 // serveRequest acts on one complete request.
 func (c *conn) serveRequest(m *http1.Message, arrived time.Time) {
+	if c.rejecting {
+		c.abort()
+		return
+	}
 	if m.Method == "GET" && m.Target == "/ping" {
 		c.respond(http1.StatusOK, nil, nil)
 		return
--- a/internal/server/httpserver/close.go
+++ b/internal/server/httpserver/close.go
@@ -78,7 +78,7 @@
 		return
 	}
 	c.closed, c.ended = true, true
-	mayRespond, requestInFlight := !c.responding, c.requestInFlight
+	mayRespond, expected := !c.responding, c.requestInFlight || c.rejecting
 	c.responding = true
 	delete(c.server.conns, c)
 	c.server.mu.Unlock()
@@ -87,7 +87,7 @@
 	if poll(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
 		return
 	}
-	if mayRespond && (requestInFlight || c.hasUnservedInput(fd)) {
+	if mayRespond && (expected || c.hasUnservedInput(fd)) {
 		_, _ = unix.Write(fd, http1.AppendResponse(nil, status, nil, nil, true))
 	}
 	discardInput(fd)
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -32,6 +32,7 @@
 	requestInFlight    bool      // a request is being handled or its response written
 	responding         bool      // a response is being written, or the last one was
 	closeAfterResponse bool
+	rejecting          bool      // there were too many connections: its first request is rejected
 	discarding         bool      // what comes is discarded: the connection ends with the next response
 	lingerUntil        time.Time // the last response was written, and the client may still be sending; zero: not so
 	closed             bool      // nothing that comes is served any more
--- a/internal/server/httpserver/eviction.go
+++ b/internal/server/httpserver/eviction.go
@@ -11,8 +11,12 @@
 // sweepInterval is the time between two looks for connections that are late or idle.
 const sweepInterval = 100 * time.Millisecond
 
-// addConnection registers a new connection. Where there are MaxConnections already, one is evicted, and that is the new
-// one if no other may be.
+// rejectingShare is the share of MaxConnections, as a divisor, that is kept for connections whose first request is only
+// rejected: a close would leave the request of a new connection without an answer.
+const rejectingShare = 16
+
+// addConnection registers a new connection. Where there are as many as may be served, one is evicted; where none may be,
+// the new one only has its first request rejected. At MaxConnections it is rejected before that has come.
 func (s *Server) addConnection(netConn netpoll.Connection) *conn {
 	_ = netConn.SetWriteTimeout(s.cfg.WriteTimeout)
 	c := &conn{server: s, netConn: netConn, lastActivity: time.Now(), reader: http1.NewReader(s.cfg.Limits)}
@@ -20,8 +24,12 @@
 	s.mu.Lock()
 	s.stats.Accepted++
 	var evicted *conn
-	if len(s.conns) >= s.cfg.MaxConnections {
+	if len(s.conns) >= s.cfg.MaxConnections-s.cfg.MaxConnections/rejectingShare {
 		evicted = s.evictionCandidate(c)
+		c.rejecting = evicted == c
+		if c.rejecting && len(s.conns) < s.cfg.MaxConnections {
+			evicted = nil
+		}
 		s.stats.Evicted++
 	}
 	if evicted != c {
--- a/internal/server/httpserver/eviction_test.go
+++ b/internal/server/httpserver/eviction_test.go
@@ -61,6 +61,36 @@
 	}
 }
 
+// TestRequestOnNewConnectionIsRejectedAtLimit: where no connection can be evicted, the first request of a new one is
+// rejected, both below MaxConnections and at it, where no place is left for the new one.
+func TestRequestOnNewConnectionIsRejectedAtLimit(t *testing.T) {
+	const maxConnections = rejectingShare
+	for name, full := range map[string]bool{"place for one more": false, "no place": true} {
+		t.Run(name, func(t *testing.T) {
+			s, upstream := startServer(t, func(c *Config) { c.MaxConnections = maxConnections })
+			for n := range maxConnections - 1 {
+				dial(t, s).send(newRequest(pendingFunction, ""))
+				waitForOpenRequests(t, s, n+1)
+			}
+			if full {
+				half := dial(t, s)
+				waitForAccepted(t, s, maxConnections)
+				half.send("POST")
+				c := serverSide(t, s, half)
+				waitUntil(t, s, "half a request", func() bool { return c.requestStarted })
+			}
+			cl := dial(t, s)
+			cl.send(newRequest(servedFunction, ""))
+			cl.expectStatus(503)
+			cl.waitUntilClosed()
+			if stats := s.Stats(); stats.Connections > maxConnections || stats.OpenRequests != maxConnections-1 {
+				t.Errorf("%+v", stats)
+			}
+			upstream.expectForwarded(t, 0)
+		})
+	}
+}
+
 // TestConnectionWithUnreadRequestIsNotClosed: a request that is not read yet crosses an eviction, the close of an idle
 // connection, and that of a late one. In each case the connection was due before the request came.
 func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -23,7 +23,7 @@
 type Config struct {
 	Address            string
 	Classes            map[string]dispatch.Idempotency
-	MaxConnections     int           // clients connected at once
+	MaxConnections     int           // clients connected at once, those included whose first request is only rejected
 	Limits             http1.Limits  // of a request
 	RequestTimeout     time.Duration // from a connection's start to its first complete request, and from any other's first byte to its last
 	IdleTimeout        time.Duration // a connection without a request is closed after this
@@ -54,7 +54,7 @@
 	OpenRequests int    // that the router has not answered
 	Accepted     uint64 // connections so far
 	BadRequests  uint64 // rejected so far by this server
-	Evicted      uint64 // connections closed so far because there were too many
+	Evicted      uint64 // connections closed or rejected so far because there were too many
 }
 
 // connContextKey is the key of a connection's *conn in netpoll's contexts.
