--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -77,6 +77,7 @@
 		_ = s.listener.Close()
 		return nil, err
 	}
+	s.listener.SetLogger(cfg.Logger)
 	s.listener.Serve(s.eventLoop)
 	s.wg.Go(s.sweep)
 	return s, nil
--- /dev/null
+++ b/internal/transport/listen/accept_test.go
@@ -0,0 +1,108 @@
+package listen
+
+import (
+	"bytes"
+	"log/slog"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// faultyListener is a listener on which a connection waits and accept4 fails a number of times, or until there is a pause.
+type faultyListener struct {
+	*Listener
+	pauses []time.Duration
+	log    bytes.Buffer
+}
+
+func newFaultyListener(t *testing.T, errno syscall.Errno, failures int) *faultyListener {
+	t.Helper()
+	ln, err := Open("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	client, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = client.Close() })
+	l := &faultyListener{Listener: ln}
+	l.SetLogger(slog.New(slog.NewTextHandler(&l.log, nil)))
+	l.sleep = func(d time.Duration) { l.pauses = append(l.pauses, d) }
+	l.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
+		if failures--; failures >= 0 {
+			return -1, nil, errno
+		}
+		return syscall.Accept4(fd, flags)
+	}
+	return l
+}
+
+// acceptWithin calls Accept as the event loop does, and returns after how many calls there was a connection.
+func (l *faultyListener) acceptWithin(t *testing.T, calls int) int {
+	t.Helper()
+	for call := range calls {
+		conn, err := l.Accept()
+		if err != nil {
+			t.Fatalf("call %d hands the event loop the error %v", call, err)
+		}
+		if accepted, ok := conn.(*acceptedConn); ok {
+			_ = syscall.Close(accepted.fd)
+			return call
+		}
+	}
+	t.Fatalf("no connection after %d calls", calls)
+	return calls
+}
+
+// TestAcceptRetriesFaults: whatever accept(2) documents, the connection that waits is accepted once the fault is over; a
+// fault that lasts is answered with a pause for each call, and logged once.
+func TestAcceptRetriesFaults(t *testing.T) {
+	const failures = 50
+	for _, errno := range []syscall.Errno{
+		syscall.EINTR, syscall.ECONNABORTED, // of one call, or one connection
+		syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
+		syscall.EOPNOTSUPP, syscall.ENETUNREACH, // of the network
+		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, // of the system
+		syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT, syscall.ETIMEDOUT, // of various kernels
+		syscall.EMFILE, syscall.ENFILE, // for which each call of Accept makes two of accept4
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			l := newFaultyListener(t, errno, failures)
+			calls := l.acceptWithin(t, failures+1)
+			if len(l.pauses) != calls-1 {
+				t.Errorf("%d pauses in %d calls that failed, want one for each after the first", len(l.pauses), calls)
+			}
+			if lines := strings.Count(l.log.String(), "\n"); lines != 1 {
+				t.Errorf("%d log lines, want 1:\n%s", lines, l.log.String())
+			}
+		})
+	}
+}
+
+// TestAcceptTakesSingleFaultsInStride: one interrupted call or aborted connection costs no pause and no log line.
+func TestAcceptTakesSingleFaultsInStride(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ECONNABORTED} {
+		l := newFaultyListener(t, errno, 1)
+		l.acceptWithin(t, 2)
+		if len(l.pauses) > 0 || l.log.Len() > 0 {
+			t.Errorf("%v: pauses %v, log %q", errno, l.pauses, l.log.String())
+		}
+	}
+}
+
+// TestAcceptAfterClose: once closed, the descriptor's number may be another's, and nothing is accepted from it.
+func TestAcceptAfterClose(t *testing.T) {
+	l := newFaultyListener(t, 0, 0)
+	l.accept4 = func(int, int) (int, syscall.Sockaddr, error) {
+		t.Error("accept4 is called on a closed descriptor")
+		return -1, nil, syscall.EBADF
+	}
+	_ = l.Close()
+	if conn, err := l.Accept(); conn != nil || err != nil {
+		t.Errorf("connection %v, error %v", conn, err)
+	}
+}
--- a/internal/transport/listen/listen.go
+++ b/internal/transport/listen/listen.go
@@ -3,6 +3,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"sync"
@@ -12,9 +13,6 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// shedRetryDelay is how long an event loop rests where no connection could be closed for want of a descriptor.
-const shedRetryDelay = time.Millisecond
-
 // Listener is a listening socket for netpoll's event loop. netpoll's own closes its descriptor twice, within
 // Close and again with each further Close; in between another goroutine may have been given the number, and
 // loses its connection without a sign. This one closes each descriptor once.
@@ -26,9 +24,15 @@
 	started   chan struct{} // closed when the event loop has taken the descriptor
 	startOnce sync.Once
 
+	accept4 accept4Func         // the system call
+	sleep   func(time.Duration) // time.Sleep
+
 	mu      sync.Mutex
+	logger  *slog.Logger
+	closed  bool     // the descriptor may belong to something else by now
 	reserve *os.File // given up for a moment where the system has no descriptor left
 	shed    uint64   // connections closed for want of a descriptor
+	faults  acceptFaults
 }
 
 // Open opens a listener, on "tcp" or "unix". The caller closes it.
@@ -47,7 +51,15 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	l := &Listener{Listener: ln, file: file, fd: int(file.Fd()), started: make(chan struct{})}
+	l := &Listener{
+		Listener: ln,
+		file:     file,
+		fd:       int(file.Fd()),
+		started:  make(chan struct{}),
+		accept4:  syscall.Accept4,
+		sleep:    time.Sleep,
+		logger:   slog.New(slog.DiscardHandler),
+	}
 	if err := syscall.SetNonblock(l.fd, true); err != nil {
 		_ = l.Close()
 		return nil, err
@@ -59,6 +71,13 @@
 	return l, nil
 }
 
+// SetLogger sets the logger for faults of the system while it accepts connections. Without it none is logged.
+func (l *Listener) SetLogger(logger *slog.Logger) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.logger = logger
+}
+
 // Serve runs an event loop on the listener until the loop's Shutdown. It returns when the loop has taken the
 // descriptor: from then on Shutdown ends the watch before Close gives the descriptor back to the system.
 func (l *Listener) Serve(loop netpoll.EventLoop) {
@@ -72,58 +91,6 @@
 	return l.fd
 }
 
-// Accept returns the next connection, or nil without an error where none waits, or where the system had no descriptor
-// left for it.
-func (l *Listener) Accept() (net.Conn, error) {
-	fd, address, err := syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-	switch err {
-	case nil:
-	case syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED:
-		return nil, nil
-	case syscall.EMFILE, syscall.ENFILE:
-		l.shedConnection()
-		return nil, nil
-	default:
-		return nil, err
-	}
-	conn := &acceptedConn{fd: fd, local: l.Addr(), remote: remoteAddr(address)}
-	if _, tcp := conn.remote.(*net.TCPAddr); tcp {
-		_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
-	}
-	return conn, nil
-}
-
-// remoteAddr returns the address of an accepted connection's peer.
-func remoteAddr(address syscall.Sockaddr) net.Addr {
-	switch address := address.(type) {
-	case *syscall.SockaddrInet4:
-		return &net.TCPAddr{IP: append(net.IP(nil), address.Addr[:]...), Port: address.Port}
-	case *syscall.SockaddrInet6:
-		return &net.TCPAddr{IP: append(net.IP(nil), address.Addr[:]...), Port: address.Port}
-	default:
-		return &net.UnixAddr{Net: "unix"}
-	}
-}
-
-// shedConnection closes the connection that has waited longest, where the system has no descriptor left for it. It
-// guards against an event loop that spins on a connection that it can't accept, and against one that stops accepting
-// for a while: a descriptor held in reserve is given up for the connection, which is closed at once.
-func (l *Listener) shedConnection() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.reserve != nil {
-		_ = l.reserve.Close()
-		l.reserve = nil
-	}
-	if fd, _, err := syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC); err == nil {
-		_ = syscall.Close(fd)
-		l.shed++
-	} else if err != syscall.EAGAIN {
-		time.Sleep(shedRetryDelay) // the reserve did not help: other work must free a descriptor
-	}
-	l.reserve, _ = os.Open(os.DevNull)
-}
-
 // Shed returns how many connections were closed because no descriptor was left for them.
 func (l *Listener) Shed() uint64 {
 	l.mu.Lock()
@@ -135,6 +102,7 @@
 func (l *Listener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		l.mu.Lock()
+		l.closed = true
 		if l.reserve != nil {
 			_ = l.reserve.Close()
 		}
@@ -146,19 +114,3 @@
 	})
 	return err
 }
-
-// acceptedConn hands a new connection's descriptor and addresses to netpoll, which reads and writes by itself.
-type acceptedConn struct {
-	net.Conn
-	fd            int
-	local, remote net.Addr
-}
-
-// Fd returns the connection's descriptor.
-func (c *acceptedConn) Fd() int { return c.fd }
-
-// LocalAddr implements net.Conn.
-func (c *acceptedConn) LocalAddr() net.Addr { return c.local }
-
-// RemoteAddr implements net.Conn.
-func (c *acceptedConn) RemoteAddr() net.Addr { return c.remote }
