--- a/internal/transport/listen/poll_test.go
+++ b/internal/transport/listen/poll_test.go
@@ -1,6 +1,7 @@
 package listen
 
 import (
+	"errors"
 	"syscall"
 	"testing"
 
@@ -31,3 +32,27 @@
 	expect("a byte sent, then closed", fds[0], events, unix.POLLIN|unix.POLLOUT|unix.POLLRDHUP|unix.POLLHUP)
 	expect("closed, nothing asked for", fds[0], 0, unix.POLLHUP)
 }
+
+// TestPollIsRepeatedAfterSignal: a call that a signal interrupts says nothing about the descriptor, and other errors are
+// returned.
+func TestPollIsRepeatedAfterSignal(t *testing.T) {
+	defer func() { pollCall = unix.Poll }()
+	for _, test := range []struct {
+		errors []error
+		want   error
+	}{
+		{[]error{unix.EINTR, unix.EINTR, nil}, nil},
+		{[]error{unix.EINTR, unix.ENOMEM}, unix.ENOMEM},
+	} {
+		calls := 0
+		pollCall = func(set []unix.PollFd, _ int) (int, error) {
+			set[0].Revents = unix.POLLIN
+			calls++
+			return 1, test.errors[calls-1]
+		}
+		ready, err := Poll(0, unix.POLLIN)
+		if !errors.Is(err, test.want) || calls != len(test.errors) || (ready == unix.POLLIN) != (test.want == nil) {
+			t.Errorf("%v: ready %#x, error %v after %d calls", test.errors, ready, err, calls)
+		}
+	}
+}
