--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -2,13 +2,11 @@
 
 import (
 	"context"
-	"errors"
 	"syscall"
 	"time"
 
 	"github.com/cloudwego/netpoll"
 
-	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/transport/resp"
 )
 
@@ -54,10 +52,7 @@
 	w.connecting--
 	p.connecting--
 	p.stats.DialFailures++
-	result := dispatch.ConnectFailed
-	if isLocalDialError(err) {
-		result = dispatch.NotSent
-	}
+	result := evidenceOf(callConnect, err).result()
 	waiting := w.waiting
 	w.waiting = nil
 	for _, x := range waiting {
@@ -86,14 +81,3 @@
 	_ = netConn.SetWriteTimeout(p.config.WriteTimeout)
 	return c
 }
-
-// isLocalDialError reports whether a connect failed because this process or host lacked a resource. Such a failure is no
-// evidence against the worker.
-func isLocalDialError(err error) bool {
-	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/upstream/respupstream/dial_test.go
+++ b/internal/upstream/respupstream/dial_test.go
@@ -1,14 +1,10 @@
 package respupstream
 
 import (
-	"net"
-	"os"
 	"syscall"
 	"testing"
 	"time"
 
-	"github.com/cloudwego/netpoll"
-
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
@@ -64,19 +60,22 @@
 	}
 }
 
-// TestLocalDialErrorsAreNotBlamedOnWorker: a connect that fails for want of a local resource must not make the worker
-// suspected.
-func TestLocalDialErrorsAreNotBlamedOnWorker(t *testing.T) {
-	for err, want := range map[error]bool{
-		&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}:         true,
-		&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}: true,
-		netpoll.Exception(syscall.EMFILE, "when dial"):                                      true,
-		&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}:  false,
-		netpoll.Exception(netpoll.ErrDialTimeout, "when dial"):                              false,
+// TestFailedDialEndsWaitingExchange: what waits for the connection ends by the evidence of the connect's error.
+func TestFailedDialEndsWaitingExchange(t *testing.T) {
+	for _, test := range []struct {
+		err  error
+		want dispatch.Result
+	}{
+		{syscall.ENETUNREACH, dispatch.NotSent},
+		{syscall.ECONNREFUSED, dispatch.ConnectFailed},
 	} {
-		t.Run(err.Error(), func(t *testing.T) {
-			if got := isLocalDialError(err); got != want {
-				t.Errorf("isLocalDialError: %v, want %v", got, want)
+		t.Run(test.err.Error(), func(t *testing.T) {
+			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w"})
+			h.waitForEndpoints()
+			x, ended := queueUnwritten(t, h, kindAttempt)
+			h.pool.dialFailed(x.worker, test.err)
+			if result := testsupport.Await(t, ended, "the end"); result != test.want {
+				t.Errorf("result %v, want %v", result, test.want)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/upstream/respupstream/errno.go
@@ -0,0 +1,86 @@
+package respupstream
+
+import (
+	"errors"
+	"syscall"
+
+	"github.com/topazfront/topazfront/dispatch"
+)
+
+// systemCall names the system calls that an exchange depends on.
+type systemCall int
+
+const (
+	callConnect systemCall = iota // socket, epoll_ctl and connect: all that comes before a connection is up
+	callSend                      // sendmsg, where it did not accept the last byte of a message
+	callReceive                   // readv, on a connection that carries messages which were accepted whole
+)
+
+// evidence is what the error of a system call says of the exchange that it was made for.
+type evidence struct {
+	neverRan      bool // no worker can have received the whole message
+	againstWorker bool // the fault is the worker's, or on the way to it, and not this host's
+}
+
+var (
+	localFault    = evidence{neverRan: true}
+	workerFault   = evidence{neverRan: true, againstWorker: true}
+	mayHaveRun    = evidence{againstWorker: true}
+	callEvidences = map[systemCall]struct {
+		byErrno   map[syscall.Errno]evidence
+		otherwise evidence // for time-outs, which have no errno, and for errnos that are not listed
+	}{
+		callConnect: {otherwise: workerFault, byErrno: map[syscall.Errno]evidence{
+			syscall.EACCES:        localFault, // a local firewall rule, or no right to make the socket
+			syscall.EPERM:         localFault, // a local firewall rule
+			syscall.EADDRINUSE:    localFault, // no local port is free
+			syscall.EADDRNOTAVAIL: localFault, // no local port is free
+			syscall.EAGAIN:        localFault, // no local port or routing cache entry is free
+			syscall.EINTR:         localFault,
+			syscall.EMFILE:        localFault,
+			syscall.ENFILE:        localFault,
+			syscall.ENOBUFS:       localFault,
+			syscall.ENOMEM:        localFault,
+			syscall.ENOSPC:        localFault, // epoll_ctl: too many watched descriptors
+			syscall.EAFNOSUPPORT:  localFault,
+			syscall.ENETDOWN:      localFault, // this host's interface
+			syscall.ENETUNREACH:   localFault, // this host has no route to the network
+			syscall.ECONNREFUSED:  workerFault,
+			syscall.ECONNRESET:    workerFault,
+			syscall.ECONNABORTED:  workerFault,
+			syscall.ETIMEDOUT:     workerFault,
+			syscall.EHOSTUNREACH:  workerFault, // the network is there, and the worker's host does not answer in it
+			syscall.EHOSTDOWN:     workerFault,
+		}},
+		// A message without its last byte is no request: the protocol counts an attempt from the moment it has come whole.
+		// A connection that is found broken may have been forgotten while it was idle, which says nothing of the worker: the
+		// connect that follows tells.
+		callSend: {otherwise: localFault},
+		// The worker may have the message whatever ended the connection: a reset, ETIMEDOUT, EHOSTUNREACH or the end of the stream.
+		callReceive: {otherwise: mayHaveRun},
+	}
+)
+
+// evidenceOf returns what the error of a system call says.
+func evidenceOf(call systemCall, err error) evidence {
+	evidences := callEvidences[call]
+	var errno syscall.Errno
+	if errors.As(err, &errno) {
+		if listed, ok := evidences.byErrno[errno]; ok {
+			return listed
+		}
+	}
+	return evidences.otherwise
+}
+
+// result returns the result of an exchange that ends by the fault.
+func (e evidence) result() dispatch.Result {
+	switch {
+	case !e.neverRan:
+		return dispatch.ConnectionReset
+	case e.againstWorker:
+		return dispatch.ConnectFailed
+	default:
+		return dispatch.NotSent
+	}
+}
--- /dev/null
+++ b/internal/upstream/respupstream/errno_test.go
@@ -0,0 +1,53 @@
+package respupstream
+
+import (
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+
+	"github.com/cloudwego/netpoll"
+
+	"github.com/topazfront/topazfront/dispatch"
+)
+
+// TestErrnoEvidence holds, for each system call and errno, what it proves and whom it blames: ConnectFailed proves that
+// nothing ran and counts against the worker, NotSent only the first, ConnectionReset only the second.
+func TestErrnoEvidence(t *testing.T) {
+	timeout := errors.New("i/o timeout")
+	for _, test := range []struct {
+		name   string
+		call   systemCall
+		result dispatch.Result
+		errors []error
+	}{
+		{"connect, a fault of this host", callConnect, dispatch.NotSent, []error{
+			syscall.EACCES, syscall.EPERM, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
+			syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EAFNOSUPPORT,
+			syscall.ENETDOWN, syscall.ENETUNREACH}},
+		{"connect, a fault of the worker", callConnect, dispatch.ConnectFailed, []error{
+			syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+			syscall.EHOSTDOWN, syscall.EPROTO, netpoll.ErrDialTimeout, netpoll.ErrConnClosed, timeout}},
+		{"send of a message that did not come whole", callSend, dispatch.NotSent, []error{
+			syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN,
+			syscall.EHOSTDOWN, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EBADF, timeout}},
+		{"receive after a whole message", callReceive, dispatch.ConnectionReset, []error{
+			syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EHOSTDOWN,
+			syscall.ENOBUFS, syscall.ENOMEM, netpoll.ErrEOF, timeout}},
+	} {
+		for _, err := range test.errors {
+			for form, err := range map[string]error{
+				"bare":      err,
+				"net":       &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)},
+				"exception": netpoll.Exception(err, "when dial"),
+			} {
+				t.Run(test.name+"/"+err.Error()+"/"+form, func(t *testing.T) {
+					if got := evidenceOf(test.call, err).result(); got != test.result {
+						t.Errorf("result %v, want %v", got, test.result)
+					}
+				})
+			}
+		}
+	}
+}
