--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -5,7 +5,6 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/transport/resp"
 )
 
@@ -15,6 +14,7 @@
 	worker  *worker
 	netConn netpoll.Connection
 	reader  *resp.Reader // used by netpoll's goroutine for this connection only
+	socket  socket
 
 	// Under the pool's lock.
 	inFlight        map[string]*exchange // written and not answered, by id
@@ -123,8 +123,15 @@
 	c.close()
 }
 
+// onClosed is netpoll's callback before it closes the descriptor.
+func (c *conn) onClosed() {
+	c.socket.markClosed()
+	c.close()
+}
+
 // close handles the end of the connection, once: exchanges in flight may have run and end as ConnectionReset; queued ones
-// have not and are assigned to other connections. The lock is not held.
+// have not and are assigned to other connections. One that is being written is left to the write loop, which knows how much
+// of it the system accepted. The lock is not held.
 func (c *conn) close() {
 	p := c.pool
 	var callbacks []func()
@@ -139,7 +146,9 @@
 	queue := c.queue
 	c.queue = nil
 	for _, x := range c.inFlight {
-		callbacks = append(callbacks, p.finish(x, dispatch.ConnectionReset, nil))
+		if !x.partlyWritten {
+			callbacks = append(callbacks, p.finish(x, mayHaveRun.result(), nil))
+		}
 	}
 	for _, x := range queue {
 		if x.conn = nil; !x.ended && x.kind != kindCancel {
--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -22,27 +22,32 @@
 		return
 	}
 	c := newConn(p, w, netConn)
+	_ = netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
+	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
+	if !netConn.IsActive() { // it ended before the callbacks were set
+		c.onClosed()
+	}
 	p.mu.Lock()
 	w.connecting--
 	p.connecting--
-	p.conns[c] = struct{}{}
-	w.conns = append(w.conns, c)
-	c.draining = w.removed || p.closed
-	p.mu.Unlock()
-	_ = netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
-	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.close(); return nil })
-	if !netConn.IsActive() { // it ended before the callbacks were set
-		c.close()
-		return
+	poolClosed := p.closed
+	if !c.closed {
+		p.conns[c] = struct{}{}
+		c.draining = w.removed || p.closed
+		if !c.draining {
+			w.conns = append(w.conns, c)
+		}
+		c.takeWaiting()
 	}
 	var callbacks []func()
-	p.mu.Lock()
-	c.takeWaiting()
 	if w.connecting == 0 { // no other connect is in progress: the rest shares the connections there are
 		callbacks = p.reassignWaiting(w)
 	}
 	p.mu.Unlock()
 	runCallbacks(callbacks)
+	if poolClosed { // Close has not seen this connection
+		c.close()
+	}
 }
 
 // dialFailed ends all exchanges that wait for a connection to the worker. Nothing of them was written.
@@ -65,7 +70,9 @@
 
 // newConn returns a connection that is not yet in the pool and has no callbacks set.
 func newConn(p *Pool, w *worker, netConn netpoll.Connection) *conn {
+	fd := netConn.(netpoll.Conn).Fd() // as all connections that netpoll's dialer makes
 	c := &conn{
+		socket:     socket{fd: fd, send: p.config.send},
 		pool:       p,
 		worker:     w,
 		netConn:    netConn,
@@ -75,9 +82,8 @@
 		lastReadAt: time.Now(),
 		lastUsedAt: time.Now(),
 	}
-	if fd, ok := netConn.(netpoll.Conn); ok && p.config.ReceiveBuffer > 0 {
-		_ = syscall.SetsockoptInt(fd.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, p.config.ReceiveBuffer)
+	if p.config.ReceiveBuffer > 0 {
+		_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, p.config.ReceiveBuffer)
 	}
-	_ = netConn.SetWriteTimeout(p.config.WriteTimeout)
 	return c
 }
--- a/internal/upstream/respupstream/evidence.go
+++ b/internal/upstream/respupstream/evidence.go
@@ -12,13 +12,15 @@
 //	not written: the worker drains, was removed or
 //	  replaced, no time is left, the client has left,
 //	  or the attempt was cancelled                       NotSent          yes: nothing was written
-//	the system accepted no byte (reset before)           (another connection, else NotSent)
+//	the system did not accept the last byte: an error    (another         yes: a message counts once it has come whole
+//	  of sendmsg, also after a short write, a time-out   connection,
+//	  or the connection's end                            else NotSent)
 //	status "nothing"                                     NotResident      yes: guaranteed by the worker
 //	status "refused"                                     Rejected         yes: guaranteed by the worker
 //	status "stale"                                       NotSent          yes: guaranteed by the worker
 //	status "ok"                                          OK               ran
 //	status "error"                                       Errored          may have
-//	connection reset or closed, or partly written        ConnectionReset  may have
+//	connection reset or closed after the whole message   ConnectionReset  may have
 //	a malformed, too large or stalled response on the    ConnectionReset  may have: the connection is closed, which
 //	  connection                                                          ends all that was in flight on it
 //	cancelled after it was written                       Cancelled        may have
--- a/internal/upstream/respupstream/exchange.go
+++ b/internal/upstream/respupstream/exchange.go
@@ -28,17 +28,18 @@
 	id             string // on the wire
 	worker         *worker
 	writeBefore    time.Time // not written after it
-	rejectedWrites int       // connections that accepted no byte of it
+	rejectedWrites int       // connections that did not accept it whole
 	createdAt      time.Time
 	call           *router.Call // of an attempt, else nil
 	encode         func(left time.Duration) []byte
 	done           func(dispatch.Result, *response) // called once, without the lock; nil response: none came
 
 	// Under the pool's lock.
-	conn      *conn     // on which it is queued or in flight
-	writtenAt time.Time // zero until the write starts
-	ended     bool
-	timer     *time.Timer // of load commands and health checks
+	conn          *conn     // on which it is queued or in flight
+	writtenAt     time.Time // zero until the write starts
+	partlyWritten bool      // the write has started, and the system has not accepted the whole message
+	ended         bool
+	timer         *time.Timer // of load commands and health checks
 }
 
 // handle implements router.UpstreamAttempt.
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -25,6 +25,8 @@
 	MaxResponseBytes   int           // of all items of one response together
 	ReceiveBuffer      int           // bytes of the socket's receive buffer; 0: the system's default
 	Logger             *slog.Logger  // nil: nothing is logged
+
+	send sendFunc // nil: the system's; tests make it fail
 }
 
 // Pool holds the connections of one router to all workers and implements router.Upstream. One lock guards all of its
@@ -82,6 +84,9 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
+	if cfg.send == nil {
+		cfg.send = sendmsg
+	}
 	p := &Pool{config: cfg, workers: map[string]*worker{}, conns: map[*conn]struct{}{}, stop: make(chan struct{})}
 	go p.sweep()
 	return p
