--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -189,14 +189,24 @@
 	return x, ended
 }
 
-// listenWithoutReading accepts one connection and reads from it, and answers, only once startReading is closed.
-func listenWithoutReading(t *testing.T, startReading <-chan struct{}) (addr string, ids <-chan string) {
+// listenWithoutReading accepts one connection and reads from it, and answers, only once startReading is closed. receiveBuffer is
+// that of the connection in bytes; 0: the system's default.
+func listenWithoutReading(t *testing.T, startReading <-chan struct{}, receiveBuffer int) (addr string, ids <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
+	if receiveBuffer > 0 {
+		rawConn, err := ln.(*net.TCPListener).SyscallConn()
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = rawConn.Control(func(fd uintptr) { // accepted connections inherit it
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
+		})
+	}
 	received := make(chan string, 8)
 	go func() {
 		nc, err := ln.Accept()
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -102,7 +102,7 @@
 func testBlockedWrite(t *testing.T, clientLeaves bool) {
 	t.Helper()
 	startReading := make(chan struct{})
-	addr, received := listenWithoutReading(t, startReading)
+	addr, received := listenWithoutReading(t, startReading, 0)
 	h := newHarness(t, func(c *Config) { c.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
