--- a/internal/upstream/respupstream/send_test.go
+++ b/internal/upstream/respupstream/send_test.go
@@ -230,3 +230,25 @@
 		}
 	})
 }
+
+// TestCancellationThatCannotBeWritten: a worker accepts an attempt and nothing after it. A cancellation must not wait for it
+// longer than others do that are in flight: closing the connection gives the attempt up, too.
+func TestCancellationThatCannotBeWritten(t *testing.T) {
+	s := &scriptedSend{steps: []sendStep{{accept: 1 << 10}, {accept: 1 << 10}}, blocked: func() bool { return true }}
+	w := &fakeplatform.Worker{ID: "w", Handle: func(fakeplatform.Request) {}}
+	h := newSendHarness(t, s, w, func(c *Config) { c.MaxConns, c.WriteTimeout = 1, 0 })
+	var cancels []func()
+	for _, id := range []string{"a", "b"} {
+		cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: make(testClient, 2),
+			Request: &invocation.Request{ID: strings.Repeat(id, 16), Class: "c", Function: testFunction}})
+		testsupport.Await(t, w.Arrivals(), "the attempt")
+		cancels = append(cancels, cancel)
+	}
+	cancels[0]()
+	h.waitForStats("the cancellation was not offered", func(Stats) bool { return s.blockedCalls() > 1 })
+	if stats := h.pool.Stats(); stats.Conns != 1 || stats.InFlight != 1 {
+		t.Errorf("with another attempt in flight: %+v", stats)
+	}
+	cancels[1]()
+	h.waitForStats("the connection stays", func(s Stats) bool { return s.Conns == 0 })
+}
--- a/internal/upstream/respupstream/write.go
+++ b/internal/upstream/respupstream/write.go
@@ -49,8 +49,7 @@
 	}
 	if !ready {
 		p.mu.Unlock()
-		time.Sleep(writablePollInterval)
-		return true
+		return c.waitToWrite()
 	}
 	c.queue = c.queue[1:]
 	if x.kind != kindCancel {
@@ -76,8 +75,7 @@
 			return false
 		case len(rest) == len(message):
 			c.postponeWrite(x)
-			time.Sleep(writablePollInterval)
-			return true
+			return c.waitToWrite()
 		case !c.mayGoOnWriting(x, startedAt):
 			c.writeFailed(x, errWriteAbandoned)
 			return false
@@ -135,6 +133,23 @@
 	runCallbacks([]func(){callback})
 }
 
+// waitToWrite pauses before the next try to write. It reports whether there will be one: where nothing but cancellations is
+// left, it closes the connection instead, which gives up all that is open on it just as they would.
+func (c *conn) waitToWrite() bool {
+	c.pool.mu.Lock()
+	onlyCancellations := len(c.inFlight) == 0 && len(c.queue) > 0
+	for _, x := range c.queue {
+		onlyCancellations = onlyCancellations && x.kind == kindCancel
+	}
+	c.pool.mu.Unlock()
+	if onlyCancellations {
+		c.close()
+		return false
+	}
+	time.Sleep(writablePollInterval)
+	return true
+}
+
 // writeFailed moves an exchange that was not written whole to another connection, and closes this one. A message without its
 // last byte is no request: nothing of it ran.
 func (c *conn) writeFailed(x *exchange, err error) {
