--- a/internal/upstream/respupstream/send_test.go
+++ b/internal/upstream/respupstream/send_test.go
@@ -4,6 +4,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -252,3 +253,47 @@
 	cancels[1]()
 	h.waitForStats("the connection stays", func(s Stats) bool { return s.Conns == 0 })
 }
+
+// TestPostponedAttemptIsRechecked: the system accepts no byte of an attempt for a while, and the attempt is over meanwhile.
+// It does not begin once bytes are accepted again.
+func TestPostponedAttemptIsRechecked(t *testing.T) {
+	type state struct {
+		h      *harness
+		cancel func()
+		left   *atomic.Bool
+	}
+	for name, end := range map[string]func(state){
+		"cancelled":   func(s state) { s.cancel() },
+		"client left": func(s state) { s.left.Store(true) },
+		"worker drains": func(s state) {
+			s.h.endpoints[0].State = dispatch.EndpointDraining
+			s.h.router.SetEndpoints(s.h.endpoints)
+		},
+		"worker removed": func(s state) { s.h.router.SetEndpoints(nil) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var accepts, left atomic.Bool
+			script := &scriptedSend{blocked: func() bool { return !accepts.Load() }}
+			w := &fakeplatform.Worker{ID: "w"}
+			h := newSendHarness(t, script, w, nil)
+			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: make(testClient, 2),
+				ClientLeft: left.Load, Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
+			h.waitForStats("the attempt was not offered", func(Stats) bool { return script.blockedCalls() > 0 })
+			end(state{h, cancel, &left})
+			ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome")
+			accepts.Store(true)
+			if ended.Result != dispatch.NotSent && (name != "cancelled" || ended.Result != dispatch.Cancelled) {
+				t.Errorf("%+v", ended)
+			}
+			checked := make(chan router.HealthResult, 1)
+			h.pool.CheckHealth("w", 15*time.Second, func(r router.HealthResult) { checked <- r })
+			testsupport.Await(t, checked, "a health check behind it")
+			for _, r := range w.Received() {
+				if r.Command == "exec" {
+					t.Errorf("the worker got %+v", r)
+				}
+			}
+		})
+	}
+}
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -20,6 +20,7 @@
 func TestQueuedExchangeIsRecheckedBeforeWrite(t *testing.T) {
 	names := map[exchangeKind]string{kindAttempt: "attempt", kindLoad: "load command"}
 	for name, change := range map[string]func(h *harness, x *exchange){
+		"cancelled":        func(h *harness, x *exchange) { h.pool.cancel(x) },
 		"worker drains":    func(h *harness, _ *exchange) { h.endpoints[0].State = dispatch.EndpointDraining },
 		"worker removed":   func(h *harness, _ *exchange) { h.endpoints = nil },
 		"worker restarted": func(h *harness, _ *exchange) { h.endpoints[0].StartedAt = time.Hour },
