--- a/internal/upstream/respupstream/errno.go
+++ b/internal/upstream/errno.go
@@ -1,4 +1,5 @@
-package respupstream
+// Package upstream holds what the upstreams of all protocols share: the evidence in the errors of system calls.
+package upstream
 
 import (
 	"errors"
@@ -7,30 +8,31 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// systemCall names the system calls that an exchange depends on.
-type systemCall int
+// SystemCall names the system calls that an exchange with a worker depends on.
+type SystemCall int
 
+// The system calls.
 const (
-	callConnect systemCall = iota // socket, epoll_ctl and connect: all that comes before a connection is up
-	callSend                      // sendmsg, where it did not accept the last byte of a message
-	callReceive                   // readv, on a connection that carries messages which were accepted whole
+	Connect SystemCall = iota // socket, epoll_ctl and connect: all that comes before a connection is up
+	Send                      // sendmsg, where it did not accept the last byte of a message
+	Receive                   // readv, on a connection that carries messages which were accepted whole
 )
 
-// evidence is what the error of a system call says of the exchange that it was made for.
-type evidence struct {
-	neverRan      bool // no worker can have received the whole message
-	againstWorker bool // the fault is the worker's, or on the way to it, and not this host's
+// Evidence is what the error of a system call says of the exchange that it was made for.
+type Evidence struct {
+	NeverRan      bool // no worker can have received the whole message
+	AgainstWorker bool // the fault is the worker's, or on the way to it, and not this host's
 }
 
 var (
-	localFault    = evidence{neverRan: true}
-	workerFault   = evidence{neverRan: true, againstWorker: true}
-	mayHaveRun    = evidence{againstWorker: true}
-	callEvidences = map[systemCall]struct {
-		byErrno   map[syscall.Errno]evidence
-		otherwise evidence // for time-outs, which have no errno, and for errnos that are not listed
+	localFault    = Evidence{NeverRan: true}
+	workerFault   = Evidence{NeverRan: true, AgainstWorker: true}
+	mayHaveRun    = Evidence{AgainstWorker: true}
+	callEvidences = map[SystemCall]struct {
+		byErrno   map[syscall.Errno]Evidence
+		otherwise Evidence // for time-outs, which have no errno, and for errnos that are not listed
 	}{
-		callConnect: {otherwise: workerFault, byErrno: map[syscall.Errno]evidence{
+		Connect: {otherwise: workerFault, byErrno: map[syscall.Errno]Evidence{
 			syscall.EACCES:        localFault, // a local firewall rule, or no right to make the socket
 			syscall.EPERM:         localFault, // a local firewall rule
 			syscall.EADDRINUSE:    localFault, // no local port is free
@@ -55,14 +57,14 @@
 		// A message without its last byte is no request: the protocol counts an attempt from the moment it has come whole.
 		// A connection that is found broken may have been forgotten while it was idle, which says nothing of the worker: the
 		// connect that follows tells.
-		callSend: {otherwise: localFault},
+		Send: {otherwise: localFault},
 		// The worker may have the message whatever ended the connection: a reset, ETIMEDOUT, EHOSTUNREACH or the end of the stream.
-		callReceive: {otherwise: mayHaveRun},
+		Receive: {otherwise: mayHaveRun},
 	}
 )
 
-// evidenceOf returns what the error of a system call says.
-func evidenceOf(call systemCall, err error) evidence {
+// EvidenceOf returns what the error of a system call says.
+func EvidenceOf(call SystemCall, err error) Evidence {
 	evidences := callEvidences[call]
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
@@ -73,12 +75,12 @@
 	return evidences.otherwise
 }
 
-// result returns the result of an exchange that ends by the fault.
-func (e evidence) result() dispatch.Result {
+// Result returns the result of an exchange that ends by the fault.
+func (e Evidence) Result() dispatch.Result {
 	switch {
-	case !e.neverRan:
+	case !e.NeverRan:
 		return dispatch.ConnectionReset
-	case e.againstWorker:
+	case e.AgainstWorker:
 		return dispatch.ConnectFailed
 	default:
 		return dispatch.NotSent
--- a/internal/upstream/respupstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -1,4 +1,4 @@
-package respupstream
+package upstream
 
 import (
 	"errors"
@@ -18,21 +18,21 @@
 	timeout := errors.New("i/o timeout")
 	for _, test := range []struct {
 		name   string
-		call   systemCall
+		call   SystemCall
 		result dispatch.Result
 		errors []error
 	}{
-		{"connect, a fault of this host", callConnect, dispatch.NotSent, []error{
+		{"connect, a fault of this host", Connect, dispatch.NotSent, []error{
 			syscall.EACCES, syscall.EPERM, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
 			syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EAFNOSUPPORT,
 			syscall.ENETDOWN, syscall.ENETUNREACH}},
-		{"connect, a fault of the worker", callConnect, dispatch.ConnectFailed, []error{
+		{"connect, a fault of the worker", Connect, dispatch.ConnectFailed, []error{
 			syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 			syscall.EHOSTDOWN, syscall.EPROTO, netpoll.ErrDialTimeout, netpoll.ErrConnClosed, timeout}},
-		{"send of a message that did not come whole", callSend, dispatch.NotSent, []error{
+		{"send of a message that did not come whole", Send, dispatch.NotSent, []error{
 			syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN,
 			syscall.EHOSTDOWN, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EBADF, timeout}},
-		{"receive after a whole message", callReceive, dispatch.ConnectionReset, []error{
+		{"receive after a whole message", Receive, dispatch.ConnectionReset, []error{
 			syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EHOSTDOWN,
 			syscall.ENOBUFS, syscall.ENOMEM, netpoll.ErrEOF, timeout}},
 	} {
@@ -43,7 +43,7 @@
 				"exception": netpoll.Exception(err, "when dial"),
 			} {
 				t.Run(test.name+"/"+err.Error()+"/"+form, func(t *testing.T) {
-					if got := evidenceOf(test.call, err).result(); got != test.result {
+					if got := EvidenceOf(test.call, err).Result(); got != test.result {
 						t.Errorf("result %v, want %v", got, test.result)
 					}
 				})
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -47,7 +47,7 @@
 		previousAttempts: previousAttempts, deadline: time.Now().Add(left)}
 	a.onConsumed = a.clientConsumed
 	if request == nil {
-		a.fail("the call came by another protocol")
+		a.fail(dispatch.ConnectFailed, "the call came by another protocol")
 		return a
 	}
 	p.startStream(workerID, a)
@@ -82,8 +82,8 @@
 }
 
 // fail implements outgoingCall.
-func (a *attempt) fail(reason string) {
-	a.finishWith(outcome{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}})
+func (a *attempt) fail(result dispatch.Result, reason string) {
+	a.finishWith(outcome{result, grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}})
 }
 
 // finishWith ends an attempt that brought no trailers.
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -3,15 +3,17 @@
 import (
 	"errors"
 
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/transport/http2"
+	"github.com/topazfront/topazfront/internal/upstream"
 )
 
 // outgoingCall is a call that is to be sent on a stream of its own.
 type outgoingCall interface {
 	// openStream opens the stream on a connection that seemed to have a free one. On an error nothing was sent.
 	openStream(*http2.Conn) error
-	// fail ends a call of which nothing was sent.
-	fail(reason string)
+	// fail ends a call of which nothing was sent, with a result that says so.
+	fail(result dispatch.Result, reason string)
 }
 
 // startStream opens a stream for the call on the connection with the most free streams, or else waits for a new connection.
@@ -21,7 +23,7 @@
 	w := p.workers[workerID]
 	if w == nil || p.closed {
 		p.mu.Unlock()
-		call.fail("worker is not listed")
+		call.fail(dispatch.ConnectFailed, "worker is not listed")
 		return
 	}
 	var best *http2.Conn
@@ -41,7 +43,7 @@
 			w.waiting = append(w.waiting, call)
 		default:
 			p.mu.Unlock()
-			call.fail("no stream is free")
+			call.fail(dispatch.ConnectFailed, "no stream is free")
 			return
 		}
 		p.mu.Unlock()
@@ -60,7 +62,7 @@
 	w := p.workers[workerID]
 	if w == nil || p.closed || w.connecting == 0 && len(w.conns) >= p.config.MaxConnsPerWorker {
 		p.mu.Unlock()
-		call.fail(err.Error())
+		call.fail(dispatch.ConnectFailed, err.Error())
 		return
 	}
 	w.waiting = append(w.waiting, call)
@@ -75,7 +77,7 @@
 // ends once the connect has ended and those calls have their streams.
 func (p *Pool) dial(w *worker, addr string) {
 	handler := &connHandler{pool: p, worker: w}
-	c, err := http2.Dial("tcp", addr, p.config.ConnectTimeout, p.config.HTTP2, handler)
+	c, err := p.dialer("tcp", addr, p.config.ConnectTimeout, p.config.HTTP2, handler)
 	p.mu.Lock()
 	w.connecting--
 	waiting := w.waiting
@@ -91,7 +93,7 @@
 	for _, call := range waiting {
 		switch {
 		case err != nil:
-			call.fail(err.Error())
+			call.fail(upstream.EvidenceOf(upstream.Connect, err).Result(), err.Error())
 		case stale:
 			p.startStream(w.id, call)
 		default:
@@ -99,7 +101,7 @@
 			case errors.Is(err, http2.ErrTooManyStreams):
 				p.waitForConn(w.id, call, err)
 			case err != nil: // no redial: a worker may accept and close at once, again and again
-				call.fail(err.Error())
+				call.fail(dispatch.ConnectFailed, err.Error())
 			}
 		}
 	}
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -72,8 +72,8 @@
 }
 
 // fail implements outgoingCall.
-func (cc *controlCall) fail(reason string) {
-	cc.finish(outcome{dispatch.ConnectFailed, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoLoadReport)
+func (cc *controlCall) fail(result dispatch.Result, reason string) {
+	cc.finish(outcome{result, grpc.Status{Code: grpc.Unavailable, Message: reason}}, oip.NoLoadReport)
 }
 
 // finish stops the timer and reports the result, once.
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -15,6 +15,7 @@
 //
 //	evidence                                      result           never ran   source
 //	no connection within the timeout              ConnectFailed    yes         nothing was sent
+//	no connection by a fault of this host         NotSent          yes         nothing was sent (upstream/errno.go)
 //	no stream free on any connection              ConnectFailed    yes         nothing was sent
 //	RST_STREAM with REFUSED_STREAM                Rejected         yes         RFC 9113, section 8.7
 //	stream above the last one of GOAWAY           Rejected         yes         RFC 9113, section 6.8
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"net"
+	"os"
 	"slices"
+	"syscall"
 	"testing"
 	"time"
 
@@ -11,6 +13,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
+	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
 // attemptCase is one way in which a worker ends an attempt, and what must follow.
@@ -200,6 +203,25 @@
 	}
 }
 
+// TestFailedConnect: a connect that fails by a fault of this host proves that nothing ran, and is not the worker's.
+func TestFailedConnect(t *testing.T) {
+	for errno, want := range map[syscall.Errno]dispatch.Result{
+		syscall.ENETUNREACH: dispatch.NotSent, syscall.EMFILE: dispatch.NotSent, syscall.EADDRNOTAVAIL: dispatch.NotSent,
+		syscall.ETIMEDOUT: dispatch.ConnectFailed, syscall.EHOSTUNREACH: dispatch.ConnectFailed,
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			r, dispatcher := newTestRouterWithDialer(t, "127.0.0.1:1",
+				func(string, string, time.Duration, http2.Config, http2.Handler) (*http2.Conn, error) {
+					return nil, os.NewSyscallError("connect", errno)
+				})
+			submit(t, r, false, 5*time.Second)
+			if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != want {
+				t.Errorf("%v, want %v", ended.Result, want)
+			}
+		})
+	}
+}
+
 // TestTimeoutAndCancel: a worker that does not answer, with a short deadline and with a cancellation.
 func TestTimeoutAndCancel(t *testing.T) {
 	silent := startScriptedWorker(t, func(*scriptedStream) {})
--- a/internal/upstream/grpcupstream/harness_test.go
+++ b/internal/upstream/grpcupstream/harness_test.go
@@ -17,6 +17,7 @@
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/server/grpcserver"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
+	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
 // testDispatcher starts one attempt of each request at worker "w" and records the events that follow.
@@ -90,9 +91,16 @@
 
 // newTestRouter returns a router with one worker, "w", at the address.
 func newTestRouter(t *testing.T, addr string) (*router.Router, *testDispatcher) {
+	t.Helper()
+	return newTestRouterWithDialer(t, addr, http2.Dial)
+}
+
+// newTestRouterWithDialer is newTestRouter where connections are opened by dialer.
+func newTestRouterWithDialer(t *testing.T, addr string, dialer dialFunc) (*router.Router, *testDispatcher) {
 	t.Helper()
 	dispatcher := &testDispatcher{ended: make(chan dispatch.AttemptEnded, 16), draining: make(chan string, 16)}
 	pool := New(Config{RouterName: "r", ConnectTimeout: 300 * time.Millisecond, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
+	pool.dialer = dialer
 	r, err := router.New(router.Config{Name: "r", LoadTimeout: time.Second, HealthCheckTimeout: time.Second,
 		Endpoints:     endpoints.Settings{CheckInterval: time.Hour},
 		NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) { return dispatcher, nil }}, pool)
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -32,12 +32,16 @@
 type Pool struct {
 	config Config
 	router *router.Router
+	dialer dialFunc // http2.Dial
 
 	mu      sync.Mutex         // guards all below, the workers' fields included
 	workers map[string]*worker // by id
 	closed  bool
 }
 
+// dialFunc opens a connection.
+type dialFunc func(network, addr string, timeout time.Duration, cfg http2.Config, h http2.Handler) (*http2.Conn, error)
+
 // worker is a worker with its connections.
 type worker struct {
 	id, addr   string
@@ -51,7 +55,7 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Pool{config: cfg, workers: map[string]*worker{}}
+	return &Pool{config: cfg, dialer: http2.Dial, workers: map[string]*worker{}}
 }
 
 // Attach sets the router that is notified of how attempts end.
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -5,6 +5,7 @@
 
 	"github.com/cloudwego/netpoll"
 
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/transport/resp"
 )
 
@@ -147,7 +148,7 @@
 	c.queue = nil
 	for _, x := range c.inFlight {
 		if !x.partlyWritten {
-			callbacks = append(callbacks, p.finish(x, mayHaveRun.result(), nil))
+			callbacks = append(callbacks, p.finish(x, dispatch.ConnectionReset, nil))
 		}
 	}
 	for _, x := range queue {
--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -8,6 +8,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"github.com/topazfront/topazfront/internal/transport/resp"
+	"github.com/topazfront/topazfront/internal/upstream"
 )
 
 // maxResponseItems bounds the bulk strings of one response. A valid response has four; the parser rejects the others.
@@ -57,7 +58,7 @@
 	w.connecting--
 	p.connecting--
 	p.stats.DialFailures++
-	result := evidenceOf(callConnect, err).result()
+	result := upstream.EvidenceOf(upstream.Connect, err).Result()
 	waiting := w.waiting
 	w.waiting = nil
 	for _, x := range waiting {
--- a/internal/upstream/respupstream/evidence.go
+++ b/internal/upstream/respupstream/evidence.go
@@ -8,7 +8,7 @@
 //	evidence                                             result           never ran
 //	connect refused or timed out                         ConnectFailed    yes: nothing was written
 //	connect failed by this host: no descriptor, port,
-//	  memory, right or route (the table in errno.go)     NotSent          yes: nothing was written
+//	  memory, right or route (upstream/errno.go)         NotSent          yes: nothing was written
 //	not written: the worker drains, was removed or
 //	  replaced, no time is left, the client has left,
 //	  or the attempt was cancelled                       NotSent          yes: nothing was written
--- a/internal/upstream/respupstream/write.go
+++ b/internal/upstream/respupstream/write.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/upstream"
 )
 
 // writablePollInterval is the pause between checks of whether a full socket accepts bytes again.
@@ -161,7 +162,7 @@
 		c.unsend(x)
 		x.conn = nil
 		if x.rejectedWrites++; x.rejectedWrites > maxRejectedWrites {
-			callback = p.finish(x, evidenceOf(callSend, err).result(), nil)
+			callback = p.finish(x, upstream.EvidenceOf(upstream.Send, err).Result(), nil)
 		} else {
 			callback = p.assignConn(x)
 		}
@@ -188,7 +189,7 @@
 	p.mu.Lock()
 	x.partlyWritten = false
 	if c.closed && x.kind != kindCancel {
-		callback = p.finish(x, mayHaveRun.result(), nil)
+		callback = p.finish(x, dispatch.ConnectionReset, nil)
 	}
 	p.mu.Unlock()
 	runCallbacks([]func(){callback})
