--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -18,6 +18,7 @@
 	"github.com/topazfront/topazfront/internal/oip/inference"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
+	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
 // TestAllCallsAgainstGRPCGo has an independent server, grpc-go, answer every kind of call that is sent to workers.
@@ -152,7 +153,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrived := make(chan *scriptedStream, 1)
-			r, dispatcher, pool := newTestRouterAndPool(t, startScriptedWorker(t, func(s *scriptedStream) { arrived <- s }))
+			r, dispatcher, pool := newTestRouterAndPool(t, startScriptedWorker(t, func(s *scriptedStream) { arrived <- s }), http2.Dial)
 			_ = submit(t, r, false, time.Minute)
 			drain(t, dispatcher, pool, receive(t, arrived, "the request"))
 			pool.Close()
--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -2,14 +2,13 @@
 
 import (
 	"context"
-	"errors"
 	"syscall"
 	"time"
 
 	"github.com/cloudwego/netpoll"
 
-	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/transport/resp"
+	"github.com/topazfront/topazfront/internal/upstream"
 )
 
 // maxResponseItems bounds the bulk strings of one response. A valid response has four; the parser rejects the others.
@@ -24,27 +23,32 @@
 		return
 	}
 	c := newConn(p, w, netConn)
+	_ = netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
+	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
+	if !netConn.IsActive() { // it ended before the callbacks were set
+		c.onClosed()
+	}
 	p.mu.Lock()
 	w.connecting--
 	p.connecting--
-	p.conns[c] = struct{}{}
-	w.conns = append(w.conns, c)
-	c.draining = w.removed || p.closed
-	p.mu.Unlock()
-	_ = netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
-	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.close(); return nil })
-	if !netConn.IsActive() { // it ended before the callbacks were set
-		c.close()
-		return
+	poolClosed := p.closed
+	if !c.closed {
+		p.conns[c] = struct{}{}
+		c.draining = w.removed || p.closed
+		if !c.draining {
+			w.conns = append(w.conns, c)
+		}
+		c.takeWaiting()
 	}
 	var callbacks []func()
-	p.mu.Lock()
-	c.takeWaiting()
 	if w.connecting == 0 { // no other connect is in progress: the rest shares the connections there are
 		callbacks = p.reassignWaiting(w)
 	}
 	p.mu.Unlock()
 	runCallbacks(callbacks)
+	if poolClosed { // Close has not seen this connection
+		c.close()
+	}
 }
 
 // dialFailed ends all exchanges that wait for a connection to the worker. Nothing of them was written.
@@ -54,10 +58,7 @@
 	w.connecting--
 	p.connecting--
 	p.stats.DialFailures++
-	result := dispatch.ConnectFailed
-	if isLocalDialError(err) {
-		result = dispatch.NotSent
-	}
+	result := upstream.EvidenceOf(upstream.Connect, err).Result()
 	waiting := w.waiting
 	w.waiting = nil
 	for _, x := range waiting {
@@ -70,7 +71,9 @@
 
 // newConn returns a connection that is not yet in the pool and has no callbacks set.
 func newConn(p *Pool, w *worker, netConn netpoll.Connection) *conn {
+	fd := netConn.(netpoll.Conn).Fd() // as all connections that netpoll's dialer makes
 	c := &conn{
+		socket:     socket{fd: fd, send: p.config.send},
 		pool:       p,
 		worker:     w,
 		netConn:    netConn,
@@ -81,20 +84,8 @@
 		lastReadAt: time.Now(),
 		lastUsedAt: time.Now(),
 	}
-	if fd, ok := netConn.(netpoll.Conn); ok && p.config.ReceiveBuffer > 0 {
-		_ = syscall.SetsockoptInt(fd.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, p.config.ReceiveBuffer)
+	if p.config.ReceiveBuffer > 0 {
+		_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, p.config.ReceiveBuffer)
 	}
-	_ = netConn.SetWriteTimeout(p.config.WriteTimeout)
 	return c
 }
-
-// isLocalDialError reports whether a connect failed because this process or host lacked a resource. Such a failure is no
-// evidence against the worker.
-func isLocalDialError(err error) bool {
-	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -23,14 +24,16 @@
 	outcomes       chan dispatch.AttemptEnded
 	loaded         chan dispatch.FunctionLoaded
 	checked        chan dispatch.HealthChecked
-	loadWorker     string // receives a load command with each request; "": none
-	checkWorker    string // receives a health check with each request; "": none
+	loadWorker     string        // receives a load command with each request; "": none
+	checkWorker    string        // receives a health check with each request; "": none
+	delay          time.Duration // of each step
 
 	mu       sync.Mutex
 	attempts map[dispatch.RequestID]int // that have ended
 }
 
 func (s *scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
+	time.Sleep(s.delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range events {
@@ -185,14 +188,24 @@
 	return x, ended
 }
 
-// listenWithoutReading accepts one connection and reads from it, and answers, only once startReading is closed.
-func listenWithoutReading(t *testing.T, startReading <-chan struct{}) (addr string, ids <-chan string) {
+// listenWithoutReading accepts one connection and reads from it, and answers, only once startReading is closed. receiveBuffer is
+// that of the connection in bytes; 0: the system's default.
+func listenWithoutReading(t *testing.T, startReading <-chan struct{}, receiveBuffer int) (addr string, ids <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
+	if receiveBuffer > 0 {
+		rawConn, err := ln.(*net.TCPListener).SyscallConn()
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = rawConn.Control(func(fd uintptr) { // accepted connections inherit it
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
+		})
+	}
 	received := make(chan string, 8)
 	go func() {
 		nc, err := ln.Accept()
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -20,6 +20,7 @@
 func TestQueuedExchangeIsRecheckedBeforeWrite(t *testing.T) {
 	names := map[exchangeKind]string{kindAttempt: "attempt", kindLoad: "load command"}
 	for name, change := range map[string]func(h *harness, x *exchange){
+		"cancelled":        func(h *harness, x *exchange) { h.pool.cancel(x) },
 		"worker drains":    func(h *harness, _ *exchange) { h.endpoints[0].State = dispatch.EndpointDraining },
 		"worker removed":   func(h *harness, _ *exchange) { h.endpoints = nil },
 		"worker restarted": func(h *harness, _ *exchange) { h.endpoints[0].StartedAt = time.Hour },
@@ -102,7 +103,7 @@
 func testBlockedWrite(t *testing.T, clientLeaves bool) {
 	t.Helper()
 	startReading := make(chan struct{})
-	addr, received := listenWithoutReading(t, startReading)
+	addr, received := listenWithoutReading(t, startReading, 0)
 	h := newHarness(t, func(c *Config) { c.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
