--- a/internal/fake/fakeplatform/client.go
+++ b/internal/fake/fakeplatform/client.go
@@ -1,6 +1,7 @@
 package fakeplatform
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"io"
@@ -19,13 +20,17 @@
 	BaseURL    string // "http://host:port"
 	Records    *invariants.Log
 	HTTPClient *http.Client
+	Router     string // its name in the records; "": DefaultRouter
 }
 
+// router is the router's name in the records.
+func (c *Client) router() string { return cmp.Or(c.Router, DefaultRouter) }
+
 // Call makes one call. It returns the response's status and body, or 0 and an error's text where there is no complete
 // response.
 func (c *Client) Call(id, class, function string, deadline time.Duration) (status int, body string) {
 	started := c.Records.Now()
-	c.Records.Add(invariants.Record{Kind: invariants.CallSent, Call: id, Request: id, Class: class, Router: routerName, Deadline: started + deadline})
+	c.Records.Add(invariants.Record{Kind: invariants.CallSent, Call: id, Request: id, Class: class, Router: c.router(), Deadline: started + deadline})
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+responseGrace)
 	defer cancel()
 	request, err := c.newRequest(ctx, id, class, function, deadline)
@@ -41,7 +46,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	c.Records.Add(invariants.Record{Kind: invariants.FinalAnswer, Call: id, Request: id, Class: class, Router: routerName,
+	c.Records.Add(invariants.Record{Kind: invariants.FinalAnswer, Call: id, Request: id, Class: class, Router: c.router(),
 		Answer: answerOf(response.StatusCode)})
 	return response.StatusCode, string(raw)
 }
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -7,13 +7,14 @@
 	"net"
 	"strconv"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// routerName is the router's name in the records: a worker sees no names, and the tests run one router.
-const routerName = "r"
+// DefaultRouter is the name in the records of the router that comes to a worker's first address.
+const DefaultRouter = "r"
 
 // maxUnreadArrivals bounds the arrivals that wait in Worker.Arrivals. Further ones are dropped.
 const maxUnreadArrivals = 1 << 16
@@ -33,26 +34,56 @@
 	wg       sync.WaitGroup // of all goroutines; Stop waits for it
 
 	mu           sync.Mutex // guards what follows
+	stopped      bool
+	listeners    []net.Listener // the first and those of further routers
 	conns        map[*Conn]struct{}
 	received     []Request
 	inFlight     map[string]int  // requests, by function
 	executedKeys map[string]bool // idempotency keys of requests that ran
 }
 
+// ConnFault is how a worker ends a connection on its own account.
+type ConnFault int
+
+// The faults of connections.
+const (
+	CloseConn  ConnFault = iota // an orderly end
+	ResetConn                   // a reset, as the process of a worker that dies causes
+	ForgetConn                  // nothing is said: what still comes is not looked at
+)
+
 // Conn is one connection to a worker. Its writes may be called from any goroutine.
 type Conn struct {
 	net.Conn
+	Router    string      // by the address that it came to
+	forgotten atomic.Bool // what still comes is not looked at
+
 	mu sync.Mutex // held while a message is written
 }
 
+// Fail ends the connection by a fault.
+func (c *Conn) Fail(fault ConnFault) {
+	if fault == ForgetConn {
+		c.forgotten.Store(true)
+		return
+	}
+	if tcpConn, ok := c.Conn.(*net.TCPConn); ok && fault == ResetConn {
+		_ = tcpConn.SetLinger(0) // the close sends a reset
+	}
+	_ = c.Close()
+}
+
 // WriteMessage writes an array of bulk strings.
 func (c *Conn) WriteMessage(items ...string) {
 	c.WriteRaw(EncodeMessage(items...))
 }
 
-// WriteRaw writes bytes as they are. An error is ignored: the router sees the lost connection, and the worker's reader
-// too.
+// WriteRaw writes bytes as they are, and nothing on a forgotten connection. An error is ignored: the router sees the lost
+// connection, and the worker's reader too.
 func (c *Conn) WriteRaw(raw string) {
+	if c.forgotten.Load() {
+		return
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _ = io.WriteString(c.Conn, raw)
@@ -64,29 +95,51 @@
 	if err != nil {
 		return err
 	}
-	w.listener, w.arrivals = listener, make(chan struct{}, maxUnreadArrivals)
+	w.stopped = false
+	w.listener, w.listeners, w.arrivals = listener, []net.Listener{listener}, make(chan struct{}, maxUnreadArrivals)
 	w.conns, w.inFlight, w.executedKeys = map[*Conn]struct{}{}, map[string]int{}, map[string]bool{}
-	w.wg.Go(w.accept)
+	w.wg.Go(func() { w.accept(listener, DefaultRouter) })
 	return nil
 }
 
+// AddRouter opens a further address, and returns it. What comes there is recorded as that router's: a worker sees no
+// names.
+func (w *Worker) AddRouter(name string) (address string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	w.mu.Lock()
+	w.listeners = append(w.listeners, listener)
+	w.mu.Unlock()
+	w.wg.Go(func() { w.accept(listener, name) })
+	return listener.Addr().String(), nil
+}
+
 // Addr returns the address that the worker listens on.
 func (w *Worker) Addr() string { return w.listener.Addr().String() }
 
 // Stop stops the worker: its connections are reset. It returns when the handling of all messages has ended.
 func (w *Worker) Stop() {
-	_ = w.listener.Close()
 	w.mu.Lock()
-	for c := range w.conns {
-		if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcpConn.SetLinger(0) // the close sends a reset
-		}
-		_ = c.Close()
+	w.stopped = true
+	for _, listener := range w.listeners {
+		_ = listener.Close()
 	}
 	w.mu.Unlock()
+	w.FailConns(ResetConn)
 	w.wg.Wait()
 }
 
+// FailConns ends all open connections by a fault.
+func (w *Worker) FailConns(fault ConnFault) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for c := range w.conns {
+		c.Fail(fault)
+	}
+}
+
 // Received returns the messages received so far.
 func (w *Worker) Received() []Request {
 	w.mu.Lock()
@@ -104,16 +157,19 @@
 // Arrivals returns a channel that has a value for each message received.
 func (w *Worker) Arrivals() <-chan struct{} { return w.arrivals }
 
-// accept accepts connections until the listener is closed.
-func (w *Worker) accept() {
+// accept accepts a router's connections until the listener is closed.
+func (w *Worker) accept(listener net.Listener, router string) {
 	for {
-		netConn, err := w.listener.Accept()
+		netConn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		c := &Conn{Conn: netConn}
+		c := &Conn{Conn: netConn, Router: router}
 		w.mu.Lock()
 		w.conns[c] = struct{}{}
+		if w.stopped { // it was accepted before the listener was closed
+			c.Fail(ResetConn)
+		}
 		w.mu.Unlock()
 		w.wg.Go(func() { w.serve(c) })
 	}
@@ -138,6 +194,9 @@
 		if err != nil {
 			return
 		}
+		if c.forgotten.Load() {
+			continue
+		}
 		request.Conn = c
 		w.recordReceived(request)
 		if w.Handle != nil {
@@ -162,11 +221,11 @@
 	}
 	switch request.Command {
 	case execCommand:
-		w.Records.Add(invariants.Record{Kind: invariants.AttemptReceived, Router: routerName, Call: request.ID, Request: request.Body,
+		w.Records.Add(invariants.Record{Kind: invariants.AttemptReceived, Router: request.Conn.Router, Call: request.ID, Request: request.Body,
 			Class: request.Fields[classField], Worker: w.ID})
 	case ensureCommand:
 		copies, _ := strconv.Atoi(request.Fields[copiesField])
-		w.Records.Add(invariants.Record{Kind: invariants.LoadCommandReceived, Worker: w.ID, Copies: copies, Router: routerName})
+		w.Records.Add(invariants.Record{Kind: invariants.LoadCommandReceived, Worker: w.ID, Copies: copies, Router: request.Conn.Router})
 	}
 }
 
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -79,6 +79,7 @@
 // observe is recorded.
 type harness struct {
 	t         *testing.T
+	options   harnessOptions
 	records   *invariants.Log
 	workers   []*fakeplatform.Worker
 	discovery *fakeplatform.DiscoveryServer
@@ -88,44 +89,100 @@
 	nextCall  int
 }
 
+// harnessOptions are what tests change in a harness. The zero value is usual.
+type harnessOptions struct {
+	settings   string                                           // "": defaultSettings
+	dispatcher newDispatcher                                    // nil: the real one
+	handle     func(*fakeplatform.Worker, fakeplatform.Request) // Worker.Handle of each worker
+	beside     *harness                                         // its workers and records are shared by this harness's router
+	router     string                                           // its name in the records; "": fakeplatform.DefaultRouter
+	firstCall  int                                              // calls are numbered from here
+}
+
 // newHarness starts a harness with defaultSettings. A nil dispatcher is the real one.
 func newHarness(t *testing.T, dispatcher newDispatcher) *harness {
 	t.Helper()
-	return newHarnessWith(t, defaultSettings, dispatcher)
+	return startHarness(t, harnessOptions{dispatcher: dispatcher})
 }
 
-func newHarnessWith(t *testing.T, settings string, dispatcher newDispatcher) *harness {
+func startHarness(t *testing.T, options harnessOptions) *harness {
 	t.Helper()
-	h := &harness{t: t, records: invariants.NewLog()}
-	var list []string
-	for cell, id := range []string{"a", "b", "c"} {
-		w := startWorker(t, &fakeplatform.Worker{ID: id, Records: h.records, WorkDuration: 2 * time.Millisecond, DeduplicatedClass: "keyed"})
-		h.workers = append(h.workers, w)
-		list = append(list, fmt.Sprintf("%s %s active %d", id, w.Addr(), cell))
+	h := &harness{t: t, options: options, nextCall: options.firstCall}
+	if h.options.settings == "" {
+		h.options.settings = defaultSettings
 	}
-	h.discovery = startDiscovery(t, fakeplatform.EndpointsEvent(true, list...))
-	cfg, err := ParseConfig([]byte(configJSONWith(settings, h.discovery.Addr(), h.discovery.AllEvents())))
-	if err != nil {
-		t.Fatal(err)
+	if options.beside != nil {
+		h.records, h.workers = options.beside.records, options.beside.workers
+	} else {
+		h.records = invariants.NewLog()
+		for _, id := range []string{"a", "b", "c"} {
+			h.workers = append(h.workers, h.startWorker(id))
+		}
 	}
-	if h.server, err = Start(cfg, Options{NewDispatcher: dispatcher}); err != nil {
-		t.Fatal(err)
+	var list []string
+	for cell, w := range h.workers {
+		list = append(list, fmt.Sprintf("%s %s active %d", w.ID, h.addressOf(w), cell))
 	}
-	t.Cleanup(h.server.Close)
+	h.discovery = startDiscovery(t, fakeplatform.EndpointsEvent(true, list...))
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
-	h.client = &fakeplatform.Client{BaseURL: "http://" + h.server.httpServer.Addr(), Records: h.records, HTTPClient: &http.Client{Transport: transport}}
+	h.client = &fakeplatform.Client{Records: h.records, Router: options.router, HTTPClient: &http.Client{Transport: transport}}
+	h.startServer()
 	return h
 }
 
-// call makes one call of a class and returns its status. There are few functions, so that instances are shared.
-func (h *harness) call(class string) int {
+// startWorker starts a worker that records in the harness.
+func (h *harness) startWorker(id string) *fakeplatform.Worker {
+	h.t.Helper()
+	w := &fakeplatform.Worker{ID: id, Records: h.records, WorkDuration: 2 * time.Millisecond, DeduplicatedClass: "keyed"}
+	if h.options.handle != nil {
+		w.Handle = func(r fakeplatform.Request) { h.options.handle(w, r) }
+	}
+	return startWorker(h.t, w)
+}
+
+// addressOf returns the address at which the harness's router reaches a worker.
+func (h *harness) addressOf(w *fakeplatform.Worker) string {
+	h.t.Helper()
+	if h.options.beside == nil {
+		return w.Addr()
+	}
+	address, err := w.AddRouter(h.options.router)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	return address
+}
+
+// startServer starts the router, with the discovery server's present events, and leads the client to it.
+func (h *harness) startServer() {
+	h.t.Helper()
+	cfg, err := ParseConfig([]byte(configJSONWith(h.options.settings, h.discovery.Addr(), h.discovery.AllEvents())))
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	if h.server, err = Start(cfg, Options{NewDispatcher: h.options.dispatcher}); err != nil {
+		h.t.Fatal(err)
+	}
+	h.t.Cleanup(h.server.Close)
+	h.client.BaseURL = "http://" + h.server.httpServer.Addr()
+}
+
+// usualDeadline is that of calls which are to be served in any case.
+const usualDeadline = 8 * time.Second
+
+// call makes one call of a class and returns its status.
+func (h *harness) call(class string) int { return h.callWithin(class, usualDeadline) }
+
+// callWithin makes one call with a deadline and returns its status. There are few functions, so that instances are
+// shared.
+func (h *harness) callWithin(class string, deadline time.Duration) int {
 	h.mu.Lock()
 	h.nextCall++
 	id := hexID(h.nextCall)
 	function := hexID(h.nextCall%5 + 1)
 	h.mu.Unlock()
-	status, body := h.client.Call(id, class, function, 8*time.Second)
+	status, body := h.client.Call(id, class, function, deadline)
 	if status == 200 && body != "done "+id {
 		h.t.Errorf("call %s was served with %q", id, body)
 	}
@@ -133,7 +190,10 @@
 }
 
 // calls makes n calls of each class, at most 12 at once, and returns how many were served.
-func (h *harness) calls(n int) (served int) {
+func (h *harness) calls(n int) (served int) { return h.callsWithin(n, usualDeadline) }
+
+// callsWithin is calls with a deadline.
+func (h *harness) callsWithin(n int, deadline time.Duration) (served int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	inFlight := make(chan struct{}, 12)
@@ -141,7 +201,7 @@
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			inFlight <- struct{}{}
 			wg.Go(func() {
-				if h.call(class) == 200 {
+				if h.callWithin(class, deadline) == 200 {
 					mu.Lock()
 					served++
 					mu.Unlock()
--- a/internal/httprouter/server_test.go
+++ b/internal/httprouter/server_test.go
@@ -44,7 +44,7 @@
 	for name, settings := range optionalSettings() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHarnessWith(t, settings, nil)
+			h := startHarness(t, harnessOptions{settings: settings})
 			for i := range 3 {
 				status, body := h.client.Call(hexID(i+1), "c0", hexID(7), 20*time.Second)
 				if status != 200 || body != "done "+hexID(i+1) {
