--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -53,6 +53,8 @@
 	cancel context.CancelFunc
 	done   chan struct{} // closed when run has returned
 
+	timeout responseTimeout // used by run only
+
 	mu      sync.Mutex
 	address string
 	conn    *connection // of the current poll; nil before the first and after a failure
@@ -84,6 +86,7 @@
 	cfg.OnUpdate(list.Workers(cfg.RouterTime))
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{cfg: cfg, address: cfg.Address, cancel: cancel, done: make(chan struct{})}
+	w.timeout.usual = cfg.PollWait + cfg.ResponseGrace
 	w.stats.Revision = list.revision
 	go w.run(ctx, list)
 	return w, nil
@@ -210,7 +213,8 @@
 	w.mu.Unlock()
 	startedAt := time.Now()
 	request := pollRequest(conn.address, list.revision, w.cfg.PollWait)
-	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace)
+	message, err := conn.roundTrip(request, w.timeout.next())
+	w.timeout.record(time.Since(startedAt), err)
 	if err != nil {
 		return false, err
 	}
--- a/internal/fake/fakeplatform/discovery.go
+++ b/internal/fake/fakeplatform/discovery.go
@@ -25,11 +25,11 @@
 	// when the server stops. With "" and without hold, or if Respond is nil, the response is the usual one.
 	Respond func(poll int, body string) (raw string, hold bool)
 
-	listener   net.Listener
-	httpServer *http.Server
+	address    string
+	httpServer *http.Server // replaced by Resume
 	polls      chan int
 	stop       chan struct{}  // closed by Stop
-	wg         sync.WaitGroup // of the goroutine that accepts connections
+	wg         sync.WaitGroup // of the goroutines that accept connections
 
 	mu            sync.Mutex    // guards what follows
 	events        []string      // the first has revision 1
@@ -44,17 +44,42 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &DiscoveryServer{listener: listener, events: events, added: make(chan struct{}), polls: make(chan int, maxUnreadPolls),
-		stop: make(chan struct{})}
+	s := &DiscoveryServer{address: listener.Addr().String(), events: events, added: make(chan struct{}),
+		polls: make(chan int, maxUnreadPolls), stop: make(chan struct{})}
+	s.serve(listener)
+	return s, nil
+}
+
+func (s *DiscoveryServer) serve(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /cmd/next", s.handlePoll)
-	s.httpServer = &http.Server{Handler: mux}
-	s.wg.Go(func() { _ = s.httpServer.Serve(listener) })
-	return s, nil
+	httpServer := &http.Server{Handler: mux}
+	s.httpServer = httpServer
+	s.wg.Go(func() { _ = httpServer.Serve(listener) })
 }
 
 // Addr returns the address that the server listens on.
-func (s *DiscoveryServer) Addr() string { return s.listener.Addr().String() }
+func (s *DiscoveryServer) Addr() string { return s.address }
+
+// Suspend closes the listener and all connections until Resume is called.
+func (s *DiscoveryServer) Suspend() { _ = s.httpServer.Close() }
+
+// Resume listens again, after Suspend, at the same address. It fails where another process has taken that meanwhile.
+func (s *DiscoveryServer) Resume() error {
+	listener, err := net.Listen("tcp", s.address)
+	if err != nil {
+		return err
+	}
+	s.serve(listener)
+	return nil
+}
+
+// SetRespond sets Respond while the server is running.
+func (s *DiscoveryServer) SetRespond(respond func(poll int, body string) (raw string, hold bool)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Respond = respond
+}
 
 // Stop closes the listener and all connections.
 func (s *DiscoveryServer) Stop() {
@@ -82,6 +107,13 @@
 // Polls returns a channel that has the revision of each poll, in order.
 func (s *DiscoveryServer) Polls() <-chan int { return s.polls }
 
+// Revision returns that of the last event.
+func (s *DiscoveryServer) Revision() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return int64(len(s.events))
+}
+
 // AllEvents returns the response to a poll from revision 0. It has the form of "known" in a configuration.
 func (s *DiscoveryServer) AllEvents() string {
 	s.mu.Lock()
@@ -113,7 +145,6 @@
 	if s.respondAtOnce {
 		waitMS = 0
 	}
-	respond := s.Respond
 	s.mu.Unlock()
 	s.polls <- revision
 	if last <= revision {
@@ -128,6 +159,7 @@
 	}
 	s.mu.Lock()
 	body := s.responseBody(min(revision, len(s.events)))
+	respond := s.Respond
 	s.mu.Unlock()
 	if respond != nil {
 		if raw, hold := respond(poll, body); raw != "" || hold {
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -1,9 +1,11 @@
 package httprouter
 
 import (
+	"cmp"
 	"fmt"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -82,6 +84,7 @@
 	options   harnessOptions
 	records   *invariants.Log
 	workers   []*fakeplatform.Worker
+	addresses map[*fakeplatform.Worker]string // of workers shared with another harness
 	discovery *fakeplatform.DiscoveryServer
 	server    *Server
 	client    *fakeplatform.Client
@@ -107,12 +110,12 @@
 
 func startHarness(t *testing.T, options harnessOptions) *harness {
 	t.Helper()
-	h := &harness{t: t, options: options, nextCall: options.firstCall}
+	h := &harness{t: t, options: options, addresses: map[*fakeplatform.Worker]string{}, nextCall: options.firstCall}
 	if h.options.settings == "" {
 		h.options.settings = defaultSettings
 	}
 	if options.beside != nil {
-		h.records, h.workers = options.beside.records, options.beside.workers
+		h.records, h.workers = options.beside.records, slices.Clone(options.beside.workers)
 	} else {
 		h.records = invariants.NewLog()
 		for _, id := range []string{"a", "b", "c"} {
@@ -147,13 +150,19 @@
 	if h.options.beside == nil {
 		return w.Addr()
 	}
-	address, err := w.AddRouter(h.options.router)
-	if err != nil {
-		h.t.Fatal(err)
+	if h.addresses[w] == "" {
+		address, err := w.AddRouter(h.options.router)
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		h.addresses[w] = address
 	}
-	return address
+	return h.addresses[w]
 }
 
+// recordName is the router's name in the records.
+func (h *harness) recordName() string { return cmp.Or(h.options.router, fakeplatform.DefaultRouter) }
+
 // startServer starts the router, with the discovery server's present events, and leads the client to it.
 func (h *harness) startServer() {
 	h.t.Helper()
@@ -217,10 +226,15 @@
 // updateEndpoints sends an endpoint update and waits until the router has applied it.
 func (h *harness) updateEndpoints(workers ...string) {
 	h.t.Helper()
-	before := h.server.watcher.Stats().Revision
 	h.discovery.AddEvent(fakeplatform.EndpointsEvent(false, workers...))
+	h.awaitEndpoints()
+}
+
+// awaitEndpoints waits until the router has applied all events of the discovery server.
+func (h *harness) awaitEndpoints() {
+	h.t.Helper()
 	for range 4000 {
-		if h.server.watcher.Stats().Revision > before {
+		if h.server.watcher.Stats().Revision == h.discovery.Revision() {
 			h.server.router.Stats() // the loop has applied it by the iteration after the one that answers the first call
 			h.server.router.Stats()
 			return
