--- a/internal/httprouter/phases_test.go
+++ b/internal/httprouter/phases_test.go
@@ -264,7 +264,7 @@
 func TestShutdownDespiteClientThatReadsNothing(t *testing.T) {
 	const deadline = 200 * time.Millisecond
 	stalls := startStallMeter(t)
-	h := newHarnessWith(t, settingsWithDeadline(deadline), nil)
+	h := startHarness(t, harnessOptions{settings: settingsWithDeadline(deadline)})
 	const firstStuckID = 1000
 	var stuckServed atomic.Int32 // requests of the client that reads nothing
 	writesWait := make(chan struct{})
