--- /dev/null
+++ b/cmd/topazfront/experiment.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"time"
+
+	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/experiment/growth"
+)
+
+type experimentCmd struct {
+	Growth growthCmd `cmd:"" help:"How what a router needs grows with the number of workers: real routers against fake platforms of several sizes."`
+}
+
+type growthCmd struct {
+	Usual       []int         `default:"60,120" help:"Usual numbers of workers, that the others are compared with."`
+	Workers     []int         `default:"960,1920,3200" help:"Numbers of workers to judge."`
+	Runs        []string      `enum:"calm,rolling,surge" default:"calm,rolling,surge" help:"Runs at each size (calm, rolling, surge): no change, half of the workers replaced over the run, half of them within 7 s."`
+	Routers     int           `default:"1" help:"Routers to run; the figures are their mean."`
+	Duration    time.Duration `default:"20s" help:"Time of the traffic in each run."`
+	Rate        float64       `default:"40" help:"Calls a second to each router."`
+	Functions   int           `default:"300" help:"Functions that are called, the first ones most often."`
+	Memory      int           `default:"64" help:"Limit of a router's memory in MB."`
+	Cores       float64       `default:"1" help:"Limit of a router's processors."`
+	Descriptors int           `default:"512" help:"Limit of a router's descriptors."`
+	Seed        uint64        `default:"1" help:"Seed of the traffic and of the routers."`
+	Out         string        `type:"path" help:"Folder for the figures (growth.json) and the plot (growth.svg)."`
+	Quiet       bool          `help:"Print no progress."`
+}
+
+// Run plays the experiment and fails unless every figure is within its allowance.
+func (c *growthCmd) Run(ctx context.Context) error {
+	executable, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	report, err := growth.Run(ctx, c.options(executable))
+	if err != nil {
+		return err
+	}
+	if err := report.Print(os.Stdout); err != nil {
+		return err
+	}
+	if err := c.save(report); err != nil {
+		return err
+	}
+	if !report.Passed() {
+		return errReported
+	}
+	return nil
+}
+
+func (c *growthCmd) options(executable string) growth.Options {
+	options := growth.Options{UsualSizes: c.Usual, Sizes: c.Workers, Nodes: c.Routers, Duration: c.Duration,
+		CallsPerSecond: c.Rate, Functions: c.Functions, MemoryMB: c.Memory, Cores: c.Cores, Descriptors: c.Descriptors,
+		Seed: c.Seed}
+	for _, run := range c.Runs {
+		options.Disruptions = append(options.Disruptions, growth.Disruption(run))
+	}
+	options.NodeCommand = func(configPath string) *exec.Cmd {
+		return exec.Command(executable, "--log-level=info", "--log-format=json", "node", "--config", configPath)
+	}
+	if !c.Quiet {
+		options.Progress = func(line string) { fmt.Fprintln(os.Stderr, line) }
+	}
+	return options
+}
+
+// save writes the figures and the plot.
+func (c *growthCmd) save(report *growth.Report) error {
+	if c.Out == "" {
+		return nil
+	}
+	if err := os.MkdirAll(c.Out, 0o755); err != nil {
+		return err
+	}
+	if err := config.WriteJSON(filepath.Join(c.Out, "growth.json"), report); err != nil {
+		return err
+	}
+	return report.WritePlot(filepath.Join(c.Out, "growth.svg"))
+}
--- /dev/null
+++ b/internal/experiment/growth/plot.go
@@ -0,0 +1,124 @@
+package growth
+
+import (
+	"image/color"
+	"os"
+	"slices"
+	"strconv"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgsvg"
+)
+
+// Size and grid of the drawing.
+const (
+	plotColumns = 3
+	plotWidth   = 10 * vg.Centimeter // of each of the six
+	plotHeight  = 7 * vg.Centimeter
+	plotPadding = 6 * vg.Millimeter
+	headroom    = 1.25 // the legend stands above the lines
+)
+
+// lineColors are the colors of the disruptions' lines.
+var lineColors = map[Disruption]color.RGBA{
+	Calm:    {R: 31, G: 95, B: 140, A: 255},
+	Rolling: {R: 90, G: 130, B: 50, A: 255},
+	Surge:   {R: 200, G: 95, B: 30, A: 255},
+}
+
+// WritePlot writes the six figures over the number of workers as an SVG file. Dashed lines are the allowances.
+func (r *Report) WritePlot(path string) error {
+	plotRows := (len(rows) + plotColumns - 1) / plotColumns
+	grid := make([][]*plot.Plot, plotRows)
+	for i, row := range rows {
+		p, err := r.plotRow(row)
+		if err != nil {
+			return err
+		}
+		grid[i/plotColumns] = append(grid[i/plotColumns], p)
+	}
+	image := vgsvg.New(plotColumns*plotWidth, vg.Length(plotRows)*plotHeight)
+	tiles := draw.Tiles{Rows: plotRows, Cols: plotColumns, PadX: plotPadding, PadY: plotPadding}
+	for i, canvases := range plot.Align(grid, tiles, draw.New(image)) {
+		for j, canvas := range canvases {
+			grid[i][j].Draw(canvas)
+		}
+	}
+	file, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	if _, err := image.WriteTo(file); err != nil {
+		_ = file.Close()
+		return err
+	}
+	return file.Close()
+}
+
+// plotRow draws one figure: a line for each disruption, and its allowance.
+func (r *Report) plotRow(row row) (*plot.Plot, error) {
+	p := plot.New()
+	p.Title.Text, p.X.Label.Text = row.name, "workers"
+	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, r.sizeTicks()
+	p.Legend.Top, p.Legend.Left = true, true
+	p.Add(plotter.NewGrid())
+	highest := 0.0
+	for disruption, lineColor := range lineColors {
+		measured, allowed := r.points(row, disruption)
+		if len(measured) == 0 {
+			continue
+		}
+		line, glyphs, err := plotter.NewLinePoints(measured)
+		if err != nil {
+			return nil, err
+		}
+		line.Color, glyphs.Color, glyphs.Shape = lineColor, lineColor, draw.CircleGlyph{}
+		p.Add(line, glyphs)
+		p.Legend.Add(string(disruption), line, glyphs)
+		if len(allowed) > 0 {
+			bound, err := plotter.NewLine(allowed)
+			if err != nil {
+				return nil, err
+			}
+			bound.Color, bound.Dashes = lineColor, []vg.Length{vg.Points(3), vg.Points(3)}
+			p.Add(bound)
+		}
+		for _, point := range slices.Concat(measured, allowed) {
+			highest = max(highest, point.Y)
+		}
+	}
+	p.Y.Min, p.Y.Max = 0, max(highest*headroom, 0.01)
+	return p, nil
+}
+
+// points returns a row's figures of one disruption, and their allowances, by size.
+func (r *Report) points(row row, disruption Disruption) (measured, allowed plotter.XYs) {
+	for _, m := range r.Measurements {
+		if m.Disruption == disruption {
+			measured = append(measured, plotter.XY{X: float64(m.Workers), Y: row.value(m.Figures)})
+		}
+	}
+	for _, v := range r.Verdicts {
+		if v.Disruption == disruption && v.Row == row.name {
+			allowed = append(allowed, plotter.XY{X: float64(v.Workers), Y: v.Allowed})
+		}
+	}
+	return measured, allowed
+}
+
+// sizeTicks marks the sizes that were played.
+func (r *Report) sizeTicks() plot.ConstantTicks {
+	sizes := make([]int, 0, len(r.Measurements))
+	for _, m := range r.Measurements {
+		sizes = append(sizes, m.Workers)
+	}
+	slices.Sort(sizes)
+	var ticks plot.ConstantTicks
+	for _, size := range slices.Compact(sizes) {
+		ticks = append(ticks, plot.Tick{Value: float64(size), Label: strconv.Itoa(size)})
+	}
+	return ticks
+}
--- a/internal/fake/fakeplatform/discovery.go
+++ b/internal/fake/fakeplatform/discovery.go
@@ -35,6 +35,7 @@
 	events        []string      // the first has revision 1
 	added         chan struct{} // closed and replaced when an event is added
 	pollCount     int
+	bytesSent     int64
 	respondAtOnce bool
 }
 
@@ -82,6 +83,13 @@
 // Polls returns a channel that has the revision of each poll, in order.
 func (s *DiscoveryServer) Polls() <-chan int { return s.polls }
 
+// BytesSent returns how many bytes the bodies of all responses to polls have had.
+func (s *DiscoveryServer) BytesSent() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.bytesSent
+}
+
 // AllEvents returns the response to a poll from revision 0. It has the form of "known" in a configuration.
 func (s *DiscoveryServer) AllEvents() string {
 	s.mu.Lock()
@@ -128,6 +136,7 @@
 	}
 	s.mu.Lock()
 	body := s.responseBody(min(revision, len(s.events)))
+	s.bytesSent += int64(len(body))
 	s.mu.Unlock()
 	if respond != nil {
 		if raw, hold := respond(poll, body); raw != "" || hold {
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -34,6 +34,7 @@
 
 	mu           sync.Mutex // guards what follows
 	conns        map[*Conn]struct{}
+	accepted     int // connections since Start
 	received     []Request
 	inFlight     map[string]int  // requests, by function
 	executedKeys map[string]bool // idempotency keys of requests that ran
@@ -101,6 +102,13 @@
 	return len(w.conns)
 }
 
+// Accepted returns how many connections have been accepted since the start.
+func (w *Worker) Accepted() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.accepted
+}
+
 // Arrivals returns a channel that has a value for each message received.
 func (w *Worker) Arrivals() <-chan struct{} { return w.arrivals }
 
@@ -114,6 +122,7 @@
 		c := &Conn{Conn: netConn}
 		w.mu.Lock()
 		w.conns[c] = struct{}{}
+		w.accepted++
 		w.mu.Unlock()
 		w.wg.Go(func() { w.serve(c) })
 	}
