--- /dev/null
+++ b/internal/discovery/eventlog.go
@@ -0,0 +1,85 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+)
+
+// ErrEventGap reports that events between the last one applied and those of a response are missing.
+var ErrEventGap = errors.New("discovery: events are missing")
+
+// eventLog follows the numbered events up to the last one applied. It is not safe for concurrent use.
+type eventLog struct {
+	revision    int64 // of the last event applied
+	initialized bool  // an event was applied; before that, the first event may have any revision
+}
+
+// Apply returns the update that the events newer than the log's revision make together, all of them or, on an error,
+// none. Events that were applied before are skipped. The update is nil where no endpoint update is among them. The error
+// is ErrEventGap where a revision is left out before an event that is not a snapshot. routerTime converts a moment to
+// the router's clock.
+func (l *eventLog) Apply(response PollResponse, routerTime func(time.Time) time.Duration) (*endpoints.Update, error) {
+	next, err := l.revisionAfter(response.Events)
+	if err != nil || next == l.revision {
+		return nil, err
+	}
+	var merged *mergedUpdate
+	for _, event := range response.Events {
+		if *event.Revision <= l.revision || event.Update == nil {
+			continue
+		}
+		if merged == nil || event.Update.Snapshot {
+			merged = &mergedUpdate{snapshot: event.Update.Snapshot, byID: map[string]Endpoint{}}
+		}
+		for _, endpoint := range event.Update.Endpoints {
+			merged.byID[endpoint.ID] = endpoint
+		}
+	}
+	l.revision, l.initialized = next, true
+	return merged.update(routerTime), nil
+}
+
+// revisionAfter returns the revision that the log has once the events are applied. It changes nothing.
+func (l *eventLog) revisionAfter(events []Event) (int64, error) {
+	next := l.revision
+	for _, event := range events {
+		revision := *event.Revision
+		if revision <= l.revision {
+			continue
+		}
+		snapshot := event.Update != nil && event.Update.Snapshot
+		first := next == 0 && !l.initialized
+		if revision != next+1 && !snapshot && !first {
+			return 0, fmt.Errorf("%w: %d follows %d", ErrEventGap, revision, next)
+		}
+		next = revision
+	}
+	return next, nil
+}
+
+// mergedUpdate is what several events make together: of each endpoint, the last that they say.
+type mergedUpdate struct {
+	snapshot bool
+	byID     map[string]Endpoint
+}
+
+// update returns the update in the router's terms, nil for none.
+func (m *mergedUpdate) update(routerTime func(time.Time) time.Duration) *endpoints.Update {
+	if m == nil {
+		return nil
+	}
+	update := &endpoints.Update{Snapshot: m.snapshot, Workers: make([]endpoints.Worker, 0, len(m.byID))}
+	for _, e := range m.byID {
+		worker := endpoints.Worker{Address: e.Address, Endpoint: dispatch.Endpoint{ID: e.ID, Zone: e.Zone, Kind: e.Kind,
+			Cell: e.Cell, State: endpointStates[e.State], Weight: e.Weight}}
+		if e.StartedUnixMilli > 0 {
+			worker.StartedAt = routerTime(time.UnixMilli(e.StartedUnixMilli))
+		}
+		update.Workers = append(update.Workers, worker)
+	}
+	return update
+}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/eventlog_test.go
@@ -10,26 +10,31 @@
 
 // TestApplyIsAtomic checks that events that were applied are skipped, and that a gap applies no event of a response.
 func TestApplyIsAtomic(t *testing.T) {
-	list := newEndpointList()
+	log, list := &eventLog{}, endpointList{}
+	apply := func(raw string) (changed bool, err error) {
+		update, err := log.Apply(parseResponse(t, raw), constantRouterTime)
+		list.apply(update)
+		return update != nil, err
+	}
 	first := `{"cursor":1,` + fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active") + `}`
 	second := `{"cursor":2,` + fakeplatform.EndpointsEvent(false, "b 1.1.1.2:1 active") + `}`
-	if changed, err := list.Apply(parseResponse(t, `{"cursor":1,"cmds":[`+first+`]}`)); !changed || err != nil {
+	if changed, err := apply(`{"cursor":1,"cmds":[` + first + `]}`); !changed || err != nil {
 		t.Fatal(changed, err)
 	}
-	if changed, err := list.Apply(parseResponse(t, `{"cursor":1,"cmds":[`+first+`]}`)); changed || err != nil {
+	if changed, err := apply(`{"cursor":1,"cmds":[` + first + `]}`); changed || err != nil {
 		t.Error("applied twice", changed, err)
 	}
 	fourth := `{"cursor":4,` + fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 left") + `}`
-	if _, err := list.Apply(parseResponse(t, `{"cursor":4,"cmds":[`+second+`,`+fourth+`]}`)); !errors.Is(err, ErrEventGap) {
+	if _, err := apply(`{"cursor":4,"cmds":[` + second + `,` + fourth + `]}`); !errors.Is(err, ErrEventGap) {
 		t.Error("a gap:", err)
 	}
-	if got := formatList(list.Workers(constantRouterTime)); got != "a@1.1.1.1:1" || list.revision != 1 {
-		t.Errorf("after a gap: %s, revision %d", got, list.revision)
+	if got := list.String(); got != "a@1.1.1.1:1" || log.revision != 1 {
+		t.Errorf("after a gap: %s, revision %d", got, log.revision)
 	}
-	if changed, err := list.Apply(parseResponse(t, `{"cursor":2,"cmds":[`+first+`,`+second+`]}`)); !changed || err != nil {
+	if changed, err := apply(`{"cursor":2,"cmds":[` + first + `,` + second + `]}`); !changed || err != nil {
 		t.Error(changed, err)
 	}
-	if got := formatList(list.Workers(constantRouterTime)); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
+	if got := list.String(); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
 		t.Error(got)
 	}
 }
@@ -51,24 +56,27 @@
 		"an old revision":   {3, before},
 	} {
 		t.Run(name, func(t *testing.T) {
-			list := newEndpointList()
+			log, list := &eventLog{}, endpointList{}
+			apply := func(raw string) {
+				update, err := log.Apply(parseResponse(t, raw), constantRouterTime)
+				if err != nil {
+					t.Fatal(err)
+				}
+				list.apply(update)
+			}
 			for i, event := range []string{fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active"),
 				fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 leaving"), fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active")} {
 				response := fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, i+1, i+1, event)
-				if _, err := list.Apply(parseResponse(t, response)); err != nil {
-					t.Fatal(err)
-				}
+				apply(response)
 			}
-			if got := formatList(list.Workers(constantRouterTime)); got != before {
+			if got := list.String(); got != before {
 				t.Fatal(got)
 			}
 			snapshot := fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "c 1.1.1.3:1 leaving")
 			response := fmt.Sprintf(`{"cursor":%d,"cmds":[{"cursor":%d,%s}]}`, c.revision, c.revision, snapshot)
-			if _, err := list.Apply(parseResponse(t, response)); err != nil {
-				t.Error(err)
-			}
-			if got := formatList(list.Workers(constantRouterTime)); got != c.want || list.revision != int64(c.revision) {
-				t.Errorf("%s, revision %d; want %s", got, list.revision, c.want)
+			apply(response)
+			if got := list.String(); got != c.want || log.revision != int64(c.revision) {
+				t.Errorf("%s, revision %d; want %s", got, log.revision, c.want)
 			}
 		})
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -39,7 +39,7 @@
 	}()
 	watcher, err := Start(Config{Address: listener.Addr().String(), ConnectTimeout: 5 * time.Second,
 		PollWait: 1500 * time.Millisecond, ResponseGrace: time.Second, MaxRetryDelay: time.Second, MaxResponseBytes: 1 << 16,
-		RouterTime: func(time.Time) time.Duration { return 0 }, OnUpdate: func([]endpoints.Worker) {},
+		RouterTime: func(time.Time) time.Duration { return 0 }, OnUpdate: func(endpoints.Update) {},
 	}, parseResponse(t, `{"cursor":41,"cmds":[]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -60,13 +60,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := newEndpointList()
-	if _, err := list.Apply(parseResponse(t, string(input))); err != nil {
+	log, list := &eventLog{}, endpointList{}
+	routerTime := func(moment time.Time) time.Duration { return time.Duration(moment.UnixMilli()) }
+	update, err := log.Apply(parseResponse(t, string(input)), routerTime)
+	if err != nil {
 		t.Fatal(err)
 	}
-	routerTime := func(moment time.Time) time.Duration { return time.Duration(moment.UnixMilli()) }
-	text := strconv.FormatInt(list.revision, 10) + "\n"
-	for _, worker := range list.Workers(routerTime) {
+	list.apply(update)
+	text := strconv.FormatInt(log.revision, 10) + "\n"
+	for _, worker := range list.workers() {
 		text += golden.PlainValue(worker) + "\n"
 	}
 	golden.Compare(t, "events.txt", []byte(text))
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -1,6 +1,8 @@
 package discovery
 
 import (
+	"maps"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -11,10 +13,38 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// formatList formats an endpoint list as "id@address, id@address drains".
-func formatList(workers []endpoints.Worker) string {
+// endpointList is the endpoint list that updates make together, by ID.
+type endpointList map[string]endpoints.Worker
+
+// apply applies an update; nil is none.
+func (l endpointList) apply(update *endpoints.Update) {
+	if update == nil {
+		return
+	}
+	if update.Snapshot {
+		clear(l)
+	}
+	for _, worker := range update.Workers {
+		if worker.State == dispatch.EndpointRemoved {
+			delete(l, worker.ID)
+		} else {
+			l[worker.ID] = worker
+		}
+	}
+}
+
+// workers returns the list ordered by ID.
+func (l endpointList) workers() (workers []endpoints.Worker) {
+	for _, id := range slices.Sorted(maps.Keys(l)) {
+		workers = append(workers, l[id])
+	}
+	return workers
+}
+
+// String formats the list as "id@address, id@address drains".
+func (l endpointList) String() string {
 	var parts []string
-	for _, worker := range workers {
+	for _, worker := range l.workers() {
 		part := worker.ID + "@" + worker.Address
 		if worker.State == dispatch.EndpointDraining {
 			part += " drains"
@@ -51,10 +81,10 @@
 		t.Fatal(err)
 	}
 	server.Respond = respond
-	lists := make(chan string, 64)
+	list, lists := endpointList{}, make(chan string, 64)
 	watcher, err := Start(Config{Address: server.Addr(), ConnectTimeout: 5 * time.Second, PollWait: pollWait,
 		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
-		RouterTime: constantRouterTime, OnUpdate: func(workers []endpoints.Worker) { lists <- formatList(workers) },
+		RouterTime: constantRouterTime, OnUpdate: func(update endpoints.Update) { list.apply(&update); lists <- list.String() },
 	}, parseResponse(t, server.AllEvents()))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -15,9 +15,10 @@
 		if err != nil {
 			return
 		}
-		list := newEndpointList()
-		if _, err := list.Apply(response); err == nil {
-			for _, worker := range list.Workers(constantRouterTime) {
+		list := endpointList{}
+		if update, err := (&eventLog{}).Apply(response, constantRouterTime); err == nil {
+			list.apply(update)
+			for _, worker := range list {
 				if worker.ID == "" || worker.Address == "" {
 					t.Fatalf("unusable worker %+v", worker)
 				}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,15 +17,15 @@
 
 // Config configures a Watcher. All fields but Logger are required.
 type Config struct {
-	Address          string                           // of the discovery server, host:port
-	ConnectTimeout   time.Duration                    // to establish a connection, and for each write on it
-	PollWait         time.Duration                    // how long the server may hold a poll when it has no event
-	ResponseGrace    time.Duration                    // how long beyond PollWait a response may take
-	MaxRetryDelay    time.Duration                    // longest delay between polls while they fail
-	MaxResponseBytes int                              // longest body of a response
-	RouterTime       func(time.Time) time.Duration    // converts a moment to the router's clock
-	OnUpdate         func(workers []endpoints.Worker) // called with each new list, never concurrently
-	Logger           *slog.Logger                     // nil discards
+	Address          string                        // of the discovery server, host:port
+	ConnectTimeout   time.Duration                 // to establish a connection, and for each write on it
+	PollWait         time.Duration                 // how long the server may hold a poll when it has no event
+	ResponseGrace    time.Duration                 // how long beyond PollWait a response may take
+	MaxRetryDelay    time.Duration                 // longest delay between polls while they fail
+	MaxResponseBytes int                           // longest body of a response
+	RouterTime       func(time.Time) time.Duration // converts a moment to the router's clock
+	OnUpdate         func(update endpoints.Update) // called with each change of the list, never concurrently
+	Logger           *slog.Logger                  // nil discards
 }
 
 // The delay before the second of consecutive retries is retryBaseDelay << 2; it doubles with each further one, up to
@@ -47,7 +47,7 @@
 // errInterrupted ends a poll whose server's address has changed or whose Watcher is closed. It is not a failure.
 var errInterrupted = errors.New("discovery: address changed or watcher closed")
 
-// Watcher keeps an endpoint list up to date. Its methods are safe for concurrent use.
+// Watcher follows the endpoint list and passes on what changes in it. Its methods are safe for concurrent use.
 type Watcher struct {
 	cfg    Config
 	cancel context.CancelFunc
@@ -74,18 +74,23 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	list := newEndpointList()
-	if _, err := list.Apply(initial); err != nil {
+	log := &eventLog{}
+	update, err := log.Apply(initial, cfg.RouterTime)
+	if err != nil {
 		return nil, err
 	}
-	if revision := *initial.Revision; revision > list.revision {
-		list.revision = revision
+	if update == nil {
+		update = &endpoints.Update{}
+	}
+	if revision := *initial.Revision; revision > log.revision {
+		log.revision = revision
 	}
-	cfg.OnUpdate(list.Workers(cfg.RouterTime))
+	update.Snapshot = true // there was nothing before it
+	cfg.OnUpdate(*update)
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{cfg: cfg, address: cfg.Address, cancel: cancel, done: make(chan struct{})}
-	w.stats.Revision = list.revision
-	go w.run(ctx, list)
+	w.stats.Revision = log.revision
+	go w.run(ctx, log)
 	return w, nil
 }
 
@@ -130,17 +135,17 @@
 }
 
 // run polls until ctx is done.
-func (w *Watcher) run(ctx context.Context, list *endpointList) {
+func (w *Watcher) run(ctx context.Context, log *eventLog) {
 	defer close(w.done)
 	consecutiveFailures := 0
 	for ctx.Err() == nil {
 		address, conn, err := w.connect()
-		var changed bool
+		var update *endpoints.Update
 		if err == nil {
-			changed, err = w.poll(conn, list)
+			update, err = w.poll(conn, log)
 		}
-		if changed {
-			w.cfg.OnUpdate(list.Workers(w.cfg.RouterTime))
+		if update != nil {
+			w.cfg.OnUpdate(*update)
 		}
 		if err == nil {
 			consecutiveFailures = 0
@@ -152,7 +157,7 @@
 		if addressChanged := w.recordFailure(address); addressChanged || errors.Is(err, errInterrupted) {
 			continue
 		}
-		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", list.revision, "error", err)
+		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", log.revision, "error", err)
 		consecutiveFailures++
 		w.waitBeforeRetry(ctx, consecutiveFailures)
 	}
@@ -203,39 +208,40 @@
 	}
 }
 
-// poll sends one request and applies its response. changed may be true along with an error.
-func (w *Watcher) poll(conn *connection, list *endpointList) (changed bool, err error) {
+// poll sends one request and applies its response. The update is nil where nothing has changed;
+// there may be one along with an error.
+func (w *Watcher) poll(conn *connection, log *eventLog) (update *endpoints.Update, err error) {
 	w.mu.Lock()
 	w.stats.Polls++
 	w.mu.Unlock()
 	startedAt := time.Now()
-	request := pollRequest(conn.address, list.revision, w.cfg.PollWait)
+	request := pollRequest(conn.address, log.revision, w.cfg.PollWait)
 	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace)
 	if err != nil {
-		return false, err
+		return nil, err
 	}
 	if message.Status != statusOK {
-		return false, fmt.Errorf("discovery: status %d", message.Status)
+		return nil, fmt.Errorf("discovery: status %d", message.Status)
 	}
 	response, err := ParsePollResponse(message.Body)
 	if err != nil {
-		return false, err
+		return nil, err
 	}
-	before := list.revision
-	if changed, err = list.Apply(response); err != nil {
-		return false, err
+	before := log.revision
+	if update, err = log.Apply(response, w.cfg.RouterTime); err != nil {
+		return nil, err
 	}
 	w.mu.Lock()
-	w.stats.Revision = list.revision
-	w.stats.Events += uint64(list.revision - before)
+	w.stats.Revision = log.revision
+	w.stats.Events += uint64(log.revision - before)
 	w.mu.Unlock()
 	if message.Close {
 		conn.close(errClosedAfterResponse)
 	}
-	if list.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
-		return changed, errPrematureResponse
+	if log.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
+		return update, errPrematureResponse
 	}
-	return changed, nil
+	return update, nil
 }
 
 // pollRequest is the request for the events after a revision. There is no other acknowledgement of an event: polling
--- /dev/null
+++ b/internal/endpoints/merger_property_test.go
@@ -0,0 +1,64 @@
+package endpoints
+
+import (
+	"maps"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"github.com/topazfront/topazfront/dispatch"
+)
+
+// TestUpdatesMakeTheList checks over random updates, drains and steps that the updates that Step returns make together
+// the list as it is, with the reported drains, and that none changes nothing.
+func TestUpdatesMakeTheList(t *testing.T) {
+	drawWorker := func(t *rapid.T) Worker {
+		return Worker{Address: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), Endpoint: dispatch.Endpoint{
+			ID:        rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
+			State:     dispatch.EndpointState(rapid.IntRange(0, 2).Draw(t, "state")),
+			StartedAt: time.Duration(rapid.IntRange(0, 2).Draw(t, "start")),
+		}}
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		f, list, now := newFollower(), map[string]Worker{}, time.Duration(0)
+		t.Repeat(map[string]func(*rapid.T){
+			"update": func(t *rapid.T) {
+				workers := rapid.SliceOfNDistinct(rapid.Custom(drawWorker), 0, 4, func(w Worker) string { return w.ID }).Draw(t, "workers")
+				snapshot := rapid.Bool().Draw(t, "snapshot")
+				if snapshot {
+					clear(list)
+				}
+				for _, worker := range workers {
+					if list[worker.ID] = worker; worker.State == dispatch.EndpointRemoved {
+						delete(list, worker.ID)
+					}
+				}
+				f.Update(Update{Snapshot: snapshot, Workers: workers})
+			},
+			"drain": func(t *rapid.T) { f.WorkerDraining(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")) },
+			"step": func(t *rapid.T) {
+				now += time.Second
+				before := maps.Clone(f.list)
+				actions := f.Step(now)
+				if actions.Update != nil && !actions.Update.Snapshot && maps.Equal(before, f.list) {
+					t.Fatalf("an update that changes nothing: %+v", actions.Update)
+				}
+				for _, id := range actions.Check {
+					f.HealthChecked(now, id, rapid.Bool().Draw(t, "ready"))
+				}
+				f.Step(now)
+				want := maps.Clone(list)
+				for id, worker := range want {
+					if f.draining[id] != nil && worker.State == dispatch.EndpointActive {
+						worker.State = dispatch.EndpointDraining
+						want[id] = worker
+					}
+				}
+				if !maps.Equal(f.list, want) {
+					t.Fatalf("list %+v, want %+v", f.list, want)
+				}
+			},
+		})
+	})
+}
--- a/internal/endpoints/merger_test.go
+++ b/internal/endpoints/merger_test.go
@@ -17,21 +17,49 @@
 	}
 }
 
-// stepState takes a step and returns the state of b in the list that the step returned; ok is false if it returned
-// none with b.
-func stepState(t *testing.T, m *Merger, now time.Duration) (state dispatch.EndpointState, ok bool) {
-	t.Helper()
-	for _, worker := range m.Step(now).List {
-		if worker.ID == "b" {
-			return worker.State, true
+// follower is a Merger with the list that the updates it has returned make together.
+type follower struct {
+	*Merger
+	list map[string]Worker
+}
+
+func newFollower() *follower {
+	return &follower{Merger: New(Settings{CheckInterval: checkInterval}), list: map[string]Worker{}}
+}
+
+// setList updates the Merger by a snapshot.
+func (f *follower) setList(list []Worker) { f.Update(Update{Snapshot: true, Workers: list}) }
+
+// Step takes a step and follows what it returns.
+func (f *follower) Step(now time.Duration) Actions {
+	actions := f.Merger.Step(now)
+	if actions.Update == nil {
+		return actions
+	}
+	if actions.Update.Snapshot {
+		clear(f.list)
+	}
+	for _, worker := range actions.Update.Workers {
+		if worker.State == dispatch.EndpointRemoved {
+			delete(f.list, worker.ID)
+		} else {
+			f.list[worker.ID] = worker
 		}
 	}
-	return 0, false
+	return actions
+}
+
+// stepState takes a step and returns the state of b; ok is false if b is not in the list.
+func stepState(t *testing.T, f *follower, now time.Duration) (state dispatch.EndpointState, ok bool) {
+	t.Helper()
+	f.Step(now)
+	worker, ok := f.list["b"]
+	return worker.State, ok
 }
 
 func TestReportedDrainOutlastsStaleList(t *testing.T) {
-	m := New(Settings{CheckInterval: checkInterval})
-	m.SetList(listWith(dispatch.EndpointActive, 0))
+	m := newFollower()
+	m.setList(listWith(dispatch.EndpointActive, 0))
 	if state, ok := stepState(t, m, 0); !ok || state != dispatch.EndpointActive {
 		t.Fatalf("after the first list: state %v, listed %t; want active", state, ok)
 	}
@@ -39,28 +67,28 @@
 	if state, ok := stepState(t, m, 1); !ok || state != dispatch.EndpointDraining {
 		t.Fatalf("after the worker's report: state %v, listed %t; want draining", state, ok)
 	}
-	m.SetList(listWith(dispatch.EndpointActive, 0)) // stale: as it was before the drain
+	m.setList(listWith(dispatch.EndpointActive, 0)) // stale: as it was before the drain
 	if state, _ := stepState(t, m, 2); state != dispatch.EndpointDraining {
 		t.Fatalf("after a stale list: state %v, want draining", state)
 	}
 	m.WorkerDraining(3, "unlisted")
-	if actions := m.Step(3); actions.List != nil || actions.Check != nil {
+	if actions := m.Step(3); actions.Update != nil || actions.Check != nil {
 		t.Fatalf("after the report of an unlisted worker: %+v, want nothing", actions)
 	}
 }
 
 func TestReportedDrainEnds(t *testing.T) {
-	for name, endDrain := range map[string]func(t *testing.T, m *Merger){
-		"later start time": func(_ *testing.T, m *Merger) { m.SetList(listWith(dispatch.EndpointActive, 8)) },
-		"draining, then active again": func(_ *testing.T, m *Merger) {
-			m.SetList(listWith(dispatch.EndpointDraining, 0))
-			m.SetList(listWith(dispatch.EndpointActive, 0))
+	for name, endDrain := range map[string]func(t *testing.T, m *follower){
+		"later start time": func(_ *testing.T, m *follower) { m.setList(listWith(dispatch.EndpointActive, 8)) },
+		"draining, then active again": func(_ *testing.T, m *follower) {
+			m.setList(listWith(dispatch.EndpointDraining, 0))
+			m.setList(listWith(dispatch.EndpointActive, 0))
 		},
-		"removed, then active again": func(_ *testing.T, m *Merger) {
-			m.SetList(nil)
-			m.SetList(listWith(dispatch.EndpointActive, 0))
+		"removed, then active again": func(_ *testing.T, m *follower) {
+			m.setList(nil)
+			m.setList(listWith(dispatch.EndpointActive, 0))
 		},
-		"health check finds it ready": func(t *testing.T, m *Merger) {
+		"health check finds it ready": func(t *testing.T, m *follower) {
 			if actions := m.Step(7 * time.Second); len(actions.Check) != 1 || actions.Check[0] != "b" {
 				t.Fatalf("health checks of %v, want b", actions.Check)
 			}
@@ -68,8 +96,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := New(Settings{CheckInterval: checkInterval})
-			m.SetList(listWith(dispatch.EndpointActive, 0))
+			m := newFollower()
+			m.setList(listWith(dispatch.EndpointActive, 0))
 			m.WorkerDraining(1, "b")
 			m.Step(1)
 			endDrain(t, m)
@@ -84,8 +112,8 @@
 }
 
 func TestHealthCheckRepeatsWhileDraining(t *testing.T) {
-	m := New(Settings{CheckInterval: checkInterval})
-	m.SetList(listWith(dispatch.EndpointActive, 0))
+	m := newFollower()
+	m.setList(listWith(dispatch.EndpointActive, 0))
 	m.WorkerDraining(0, "b")
 	if at, ok := m.NextCheck(); !ok || at != 5*time.Second {
 		t.Fatalf("first check due at %v (%t), want 5s", at, ok)
@@ -103,7 +131,7 @@
 	if at, _ := m.NextCheck(); at != 11*time.Second {
 		t.Errorf("next check due at %v, want 11s", at)
 	}
-	m.SetList(listWith(dispatch.EndpointDraining, 0))
+	m.setList(listWith(dispatch.EndpointDraining, 0))
 	if at, ok := m.NextCheck(); ok {
 		t.Errorf("a check is due at %v although the list itself shows the drain", at)
 	}
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -92,7 +92,7 @@
 func (d *violatingDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events { // an update may come behind the first request, in the same Step
 		if update, ok := event.(dispatch.EndpointUpdate); ok {
-			d.workers = update.Endpoints
+			d.updateEndpoints(update)
 		}
 	}
 	for _, event := range events {
@@ -114,6 +114,18 @@
 	return actions
 }
 
+// updateEndpoints keeps the list in the order in which its workers were first listed. None is ever removed in these tests.
+func (d *violatingDispatcher) updateEndpoints(update dispatch.EndpointUpdate) {
+	for _, endpoint := range update.Endpoints {
+		sameID := func(known dispatch.Endpoint) bool { return known.ID == endpoint.ID }
+		if i := slices.IndexFunc(d.workers, sameID); i >= 0 {
+			d.workers[i] = endpoint
+		} else {
+			d.workers = append(d.workers, endpoint)
+		}
+	}
+}
+
 func (d *violatingDispatcher) startRequest(request dispatch.Request) (actions []dispatch.Action) {
 	d.counter++
 	worker := d.workers[d.counter%len(d.workers)].ID
--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -122,7 +122,7 @@
 		MaxRetryDelay:    maxPollRetryDelay,
 		MaxResponseBytes: maxPollResponseBytes,
 		RouterTime:       s.router.At,
-		OnUpdate:         s.router.SetEndpoints,
+		OnUpdate:         s.router.UpdateEndpoints,
 		Logger:           s.logger,
 	}, s.cfg.InitialEndpoints)
 	return err
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -1,16 +1,18 @@
 package router
 
 import (
-	"maps"
-	"time"
-
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
 // SetEndpoints replaces the endpoint list by a complete new one.
 func (r *Router) SetEndpoints(list []endpoints.Worker) {
-	r.post(func() { r.endpoints.SetList(list) })
+	r.UpdateEndpoints(endpoints.Update{Snapshot: true, Workers: list})
+}
+
+// UpdateEndpoints takes an update of the endpoint list.
+func (r *Router) UpdateEndpoints(update endpoints.Update) {
+	r.post(func() { r.endpoints.Update(update) })
 }
 
 // WorkerDraining reports that a worker itself has said that it takes nothing new.
@@ -18,12 +20,12 @@
 	r.post(func() { r.endpoints.WorkerDraining(r.now, worker) })
 }
 
-// updateEndpoints passes a changed endpoint list to the upstream and the dispatcher, and makes the health checks of
+// updateEndpoints passes what has changed in the endpoint list to the upstream and the dispatcher, and makes the health checks of
 // draining workers that are due.
 func (r *Router) updateEndpoints() {
 	actions := r.endpoints.Step(r.now)
-	if actions.List != nil {
-		r.useEndpoints(actions.List)
+	if actions.Update != nil {
+		r.useEndpoints(*actions.Update)
 	}
 	for _, id := range actions.Check {
 		r.upstream.CheckHealth(id, r.cfg.HealthCheckTimeout, func(result HealthResult) {
@@ -32,15 +34,15 @@
 	}
 }
 
-func (r *Router) useEndpoints(list []endpoints.Worker) {
-	members := make([]dispatch.Endpoint, 0, len(list))
-	listed := map[string]bool{}
-	for _, worker := range list {
-		members = append(members, worker.Endpoint)
-		listed[worker.ID] = true
+func (r *Router) useEndpoints(update endpoints.Update) {
+	changed := make([]dispatch.Endpoint, 0, len(update.Workers))
+	for _, worker := range update.Workers {
+		changed = append(changed, worker.Endpoint)
+		if worker.State == dispatch.EndpointRemoved {
+			delete(r.lastAlive, worker.ID)
+			delete(r.reportedUnresponsive, worker.ID)
+		}
 	}
-	r.upstream.SetEndpoints(list)
-	maps.DeleteFunc(r.lastAlive, func(id string, _ time.Duration) bool { return !listed[id] })
-	maps.DeleteFunc(r.reportedUnresponsive, func(id string, _ bool) bool { return !listed[id] })
-	r.events = append(r.events, dispatch.EndpointUpdate{Snapshot: true, Endpoints: members})
+	r.upstream.UpdateEndpoints(update.Workers)
+	r.events = append(r.events, dispatch.EndpointUpdate{Snapshot: update.Snapshot, Endpoints: changed})
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -60,7 +60,7 @@
 	done(HealthResult{Result: result, Ready: true, Report: NoWorkerReport})
 }
 
-func (u *fakeUpstream) SetEndpoints([]endpoints.Worker) {}
+func (u *fakeUpstream) UpdateEndpoints([]endpoints.Worker) {}
 
 // endedAttempt is the handle of an attempt that has ended already.
 type endedAttempt struct{}
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -19,9 +19,9 @@
 	// CheckHealth requests a worker's readiness and load, and calls done once, with the result. limit is how long the
 	// result is waited for.
 	CheckHealth(worker string, limit time.Duration, done func(HealthResult))
-	// SetEndpoints replaces the endpoint list. A worker that isn't in it gets no new connections; one that isn't
-	// active gets no new attempts.
-	SetEndpoints(list []endpoints.Worker)
+	// UpdateEndpoints takes the workers that are new or have changed in the endpoint list, and those that have been
+	// removed from it. A removed one gets no new connections; one that isn't active gets no new attempts.
+	UpdateEndpoints(changed []endpoints.Worker)
 }
 
 // UpstreamAttempt is the router's handle of an attempt. Only the loop calls its methods, and they don't block.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -68,7 +68,9 @@
 	}, event: func(e dispatch.Event) dispatch.Event { // drains are not noticed
 		if update, ok := e.(dispatch.EndpointUpdate); ok {
 			for i := range update.Endpoints {
-				update.Endpoints[i].State = dispatch.EndpointActive
+				if update.Endpoints[i].State == dispatch.EndpointDraining {
+					update.Endpoints[i].State = dispatch.EndpointActive
+				}
 			}
 		}
 		return e
@@ -93,7 +95,7 @@
 	for i := range fresh {
 		fresh[i].StartedAt = 0
 	}
-	update.Endpoints = fresh
+	update.Snapshot, update.Endpoints = true, fresh // the others are gone
 	return update
 }
 
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -62,7 +62,7 @@
 }
 func (*echoUpstream) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
 func (*echoUpstream) CheckHealth(string, time.Duration, func(router.HealthResult))             {}
-func (*echoUpstream) SetEndpoints([]endpoints.Worker)                                          {}
+func (*echoUpstream) UpdateEndpoints([]endpoints.Worker)                                       {}
 
 // startServer starts a server with a router before an echoUpstream.
 func startServer(t *testing.T) *Server {
--- a/internal/server/httpserver/harness_test.go
+++ b/internal/server/httpserver/harness_test.go
@@ -78,7 +78,7 @@
 }
 func (u *echoUpstream) LoadFunction(string, string, int, time.Duration, func(router.LoadResult)) {}
 func (u *echoUpstream) CheckHealth(string, time.Duration, func(router.HealthResult))             {}
-func (u *echoUpstream) SetEndpoints([]endpoints.Worker)                                          {}
+func (u *echoUpstream) UpdateEndpoints([]endpoints.Worker)                                       {}
 
 // expectForwarded fails the test unless so many requests were forwarded.
 func (u *echoUpstream) expectForwarded(t *testing.T, n int) {
--- a/internal/upstream/grpcupstream/golden_test.go
+++ b/internal/upstream/grpcupstream/golden_test.go
@@ -117,7 +117,7 @@
 	pool := New(Config{RouterName: "r", ConnectTimeout: time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
 	t.Cleanup(pool.Close)
 	pool.Attach(r)
-	pool.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
+	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
 	pool.LoadFunction("w", "m", 3, time.Hour, func(router.LoadResult) {})
 	expect("a load command", "RepositoryModelLoad",
 		`"\x00\x00\x00\x00\x11\x12\x01m\x1a\f\n\x06copies\x12\x02\x10\x03"`)
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
@@ -57,29 +58,27 @@
 // Attach sets the router that is notified of how attempts end.
 func (p *Pool) Attach(r *router.Router) { p.router = r }
 
-// SetEndpoints implements router.Upstream. Connections to a worker that was removed, or to its former address, accept no new
-// streams and close when those they have are done.
-func (p *Pool) SetEndpoints(list []endpoints.Worker) {
+// UpdateEndpoints implements router.Upstream. Connections to a worker that was removed, or to its former address, accept no
+// new streams and close when those they have are done.
+func (p *Pool) UpdateEndpoints(changed []endpoints.Worker) {
 	var stale []*http2.Conn
-	addresses := make(map[string]string, len(list))
 	p.mu.Lock()
-	for _, endpoint := range list {
+	for _, endpoint := range changed {
 		id, addr := endpoint.ID, endpoint.Address
-		addresses[id] = addr
 		w := p.workers[id]
-		if w == nil {
+		switch {
+		case endpoint.State == dispatch.EndpointRemoved:
+			if w != nil {
+				stale = append(stale, w.conns...)
+				delete(p.workers, id)
+			}
+		case w == nil:
 			p.workers[id] = &worker{id: id, addr: addr}
-		} else if w.addr != addr {
+		case w.addr != addr:
 			stale = append(stale, w.conns...)
 			w.addr, w.conns = addr, nil
 		}
 	}
-	for id, w := range p.workers {
-		if _, ok := addresses[id]; !ok {
-			stale = append(stale, w.conns...)
-			delete(p.workers, id)
-		}
-	}
 	p.mu.Unlock()
 	for _, c := range stale {
 		c.Shutdown()
--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -47,7 +47,7 @@
 	pool := New(Config{RouterName: "r", ConnectTimeout: time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
 	defer pool.Close()
 	pool.Attach(r)
-	pool.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
+	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
 	loads, checks := make(chan router.LoadResult, 1), make(chan router.HealthResult, 1)
 	pool.LoadFunction("w", "m", 1, 10*time.Second, func(loaded router.LoadResult) { loads <- loaded })
 	if loaded := receive(t, loads, "the load result"); loaded.Result != dispatch.OK || loaded.Copies != 2 {
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -103,34 +103,37 @@
 	return s
 }
 
-// SetEndpoints implements router.Upstream.
-func (p *Pool) SetEndpoints(list []endpoints.Worker) {
+// UpdateEndpoints implements router.Upstream.
+func (p *Pool) UpdateEndpoints(changed []endpoints.Worker) {
 	var callbacks []func()
-	listed := make(map[string]bool, len(list))
 	p.mu.Lock()
-	for _, endpoint := range list {
-		listed[endpoint.ID] = true
-		w := p.workers[endpoint.ID]
-		if w != nil && (w.addr != endpoint.Address || endpoint.StartedAt > w.startedAt) {
-			callbacks = append(callbacks, p.removeWorker(w)...)
-			w = nil
-		}
-		if w == nil {
-			w = &worker{id: endpoint.ID, addr: endpoint.Address, startedAt: endpoint.StartedAt}
-			p.workers[endpoint.ID] = w
-		}
-		w.state = endpoint.State
-	}
-	for id, w := range p.workers {
-		if !listed[id] {
-			callbacks = append(callbacks, p.removeWorker(w)...)
-			delete(p.workers, id)
-		}
+	for _, endpoint := range changed {
+		callbacks = append(callbacks, p.updateWorker(endpoint)...)
 	}
 	p.mu.Unlock()
 	runCallbacks(callbacks)
 }
 
+// updateWorker takes a change of one worker. The lock is held. The returned callbacks are run without it.
+func (p *Pool) updateWorker(endpoint endpoints.Worker) (callbacks []func()) {
+	w := p.workers[endpoint.ID]
+	removed := endpoint.State == dispatch.EndpointRemoved
+	if w != nil && (removed || w.addr != endpoint.Address || endpoint.StartedAt > w.startedAt) {
+		callbacks = p.removeWorker(w)
+		delete(p.workers, endpoint.ID)
+		w = nil
+	}
+	if removed {
+		return callbacks
+	}
+	if w == nil {
+		w = &worker{id: endpoint.ID, addr: endpoint.Address, startedAt: endpoint.StartedAt}
+		p.workers[endpoint.ID] = w
+	}
+	w.state = endpoint.State
+	return callbacks
+}
+
 // removeWorker ends what waits for a connection to the worker; its connections accept nothing new and close once what is
 // in flight on them has ended. The lock is held. The returned callbacks are run without it.
 func (p *Pool) removeWorker(w *worker) (callbacks []func()) {
--- a/internal/upstream/respupstream/sweep.go
+++ b/internal/upstream/respupstream/sweep.go
@@ -17,33 +17,37 @@
 		case <-p.stop:
 			return
 		case <-ticker.C:
+			p.sweepOnce()
 		}
-		now := time.Now()
-		var stalled, idle []*conn
-		p.mu.Lock()
-		for c := range p.conns {
-			switch {
-			case c.partialResponse && now.Sub(c.lastReadAt) > p.config.StallTimeout:
-				stalled = append(stalled, c)
-			case c.outstanding() == 0 && !c.writing && (c.draining || p.config.IdleTimeout > 0 && now.Sub(c.lastUsedAt) > p.config.IdleTimeout):
-				c.draining = true
-				idle = append(idle, c)
-			}
-			c.expireUsedIDs(now)
-		}
-		var callbacks []func()
-		for _, w := range p.workers {
-			if len(w.waiting) > 0 && w.connecting == 0 {
-				callbacks = append(callbacks, p.reassignWaiting(w)...)
-			}
-		}
-		p.mu.Unlock()
-		runCallbacks(callbacks)
-		for _, c := range stalled {
-			c.fail("response stalled")
+	}
+}
+
+func (p *Pool) sweepOnce() {
+	now := time.Now()
+	var stalled, idle []*conn
+	p.mu.Lock()
+	for c := range p.conns {
+		switch {
+		case c.partialResponse && now.Sub(c.lastReadAt) > p.config.StallTimeout:
+			stalled = append(stalled, c)
+		case c.outstanding() == 0 && !c.writing && (c.draining || p.config.IdleTimeout > 0 && now.Sub(c.lastUsedAt) > p.config.IdleTimeout):
+			c.draining = true
+			idle = append(idle, c)
 		}
-		for _, c := range idle {
-			c.close()
+		c.expireUsedIDs(now)
+	}
+	var callbacks []func()
+	for _, w := range p.workers {
+		if len(w.waiting) > 0 && w.connecting == 0 {
+			callbacks = append(callbacks, p.reassignWaiting(w)...)
 		}
 	}
+	p.mu.Unlock()
+	runCallbacks(callbacks)
+	for _, c := range stalled {
+		c.fail("response stalled")
+	}
+	for _, c := range idle {
+		c.close()
+	}
 }
