--- a/internal/upstream/respupstream/dial_test.go
+++ b/internal/upstream/respupstream/dial_test.go
@@ -12,6 +12,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
@@ -81,3 +82,22 @@
 		})
 	}
 }
+
+// TestIdleConnectionMakesRoom: at the limit of connections, the idle connection to one worker gives way to one to another.
+func TestIdleConnectionMakesRoom(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.MaxConns = 2 }, &scriptedDispatcher{}, &fakeplatform.Worker{ID: "a"},
+		&fakeplatform.Worker{ID: "b"}, &fakeplatform.Worker{ID: "c"})
+	h.waitForEndpoints()
+	for i, id := range []string{"a", "b", "a", "c", "a", "b"} {
+		checked := make(chan router.HealthResult, 1)
+		h.pool.CheckHealth(id, 15*time.Second, func(result router.HealthResult) { checked <- result })
+		if result := testsupport.Await(t, checked, "the result"); result.Result != dispatch.OK {
+			t.Fatalf("check %d, of %s: %v", i, id, result.Result)
+		}
+		h.waitForWrites()
+	}
+	// b gives way to c, and c to b; a is used more recently each time.
+	if stats := h.pool.Stats(); stats.Dials != 4 || stats.Evicted != 2 || stats.Conns != 2 {
+		t.Errorf("%+v", stats)
+	}
+}
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -123,6 +123,24 @@
 	h.router.Stats()
 }
 
+// waitForWrites returns once no goroutine writes to a connection any more.
+func (h *harness) waitForWrites() {
+	h.t.Helper()
+	for range 4000 {
+		writing := false
+		h.pool.mu.Lock()
+		for c := range h.pool.conns {
+			writing = writing || c.writing
+		}
+		h.pool.mu.Unlock()
+		if !writing {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	h.t.Fatal("a connection is still written to")
+}
+
 // waitForStats waits until ok accepts the stats of the pool.
 func (h *harness) waitForStats(failure string, ok func(Stats) bool) {
 	h.t.Helper()
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -33,14 +33,15 @@
 	config Config
 	router *router.Router
 
-	mu            sync.Mutex
-	workers       map[string]*worker // by id
-	conns         map[*conn]struct{} // includes those of removed workers
-	connecting    int                // connects in progress to all workers
-	lastControlID uint64             // of the latest load command or health check
-	closed        bool
-	stop          chan struct{} // closed by Close; ends the sweep goroutine
-	stats         Stats
+	mu             sync.Mutex
+	workers        map[string]*worker   // by id
+	conns          map[*conn]struct{}   // includes those of removed workers
+	waitingWorkers map[*worker]struct{} // those with waiting exchanges, and some that have none any more
+	connecting     int                  // connects in progress to all workers
+	lastControlID  uint64               // of the latest load command or health check
+	closed         bool
+	stop           chan struct{} // closed by Close; ends the sweep goroutine
+	stats          Stats
 }
 
 // Stats is a snapshot of the pool and of what it has done since it was created.
@@ -58,6 +59,7 @@
 	Dials             uint64
 	DialFailures      uint64
 	ProtocolErrors    uint64 // connections closed for a malformed or stalled response
+	Evicted           uint64 // idle connections closed to make room for one to another worker
 
 	// Sums over the attempts that ended OK.
 	QueueTime    time.Duration // from StartAttempt until the attempt was written
@@ -82,7 +84,8 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	p := &Pool{config: cfg, workers: map[string]*worker{}, conns: map[*conn]struct{}{}, stop: make(chan struct{})}
+	p := &Pool{config: cfg, workers: map[string]*worker{}, conns: map[*conn]struct{}{},
+		waitingWorkers: map[*worker]struct{}{}, stop: make(chan struct{})}
 	go p.sweep()
 	return p
 }
--- a/internal/upstream/respupstream/sweep.go
+++ b/internal/upstream/respupstream/sweep.go
@@ -22,6 +22,7 @@
 	}
 }
 
+// sweepOnce makes one sweep. It looks at the connections and at the workers with waiting exchanges, not at all workers.
 func (p *Pool) sweepOnce() {
 	now := time.Now()
 	var stalled, idle []*conn
@@ -37,8 +38,11 @@
 		c.expireUsedIDs(now)
 	}
 	var callbacks []func()
-	for _, w := range p.workers {
-		if len(w.waiting) > 0 && w.connecting == 0 {
+	for w := range p.waitingWorkers {
+		switch {
+		case len(w.waiting) == 0:
+			delete(p.waitingWorkers, w)
+		case w.connecting == 0:
 			callbacks = append(callbacks, p.reassignWaiting(w)...)
 		}
 	}
