--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -36,7 +36,7 @@
 	maxRequestBodyBytes    = 16 << 10
 	maxPendingRequestBytes = 8 << 10 // received beyond the request that is being read
 	maxWorkerResponseBytes = 64 << 10
-	maxPollResponseBytes   = 1 << 20
+	maxPollResponseBytes   = 4 << 20 // a list of some 20,000 workers
 )
 
 // Options are the parts of a Server that are not configured by the file.
@@ -62,7 +62,8 @@
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
-	s := &Server{cfg: cfg, logger: options.Logger.With("router", cfg.Name)}
+	ownConfig := *cfg
+	s := &Server{cfg: &ownConfig, logger: options.Logger.With("router", cfg.Name)}
 	budget := cfg.Budget()
 	if err := s.startRouter(budget, options.NewDispatcher); err != nil {
 		return nil, err
@@ -125,6 +126,7 @@
 		OnUpdate:         s.router.UpdateEndpoints,
 		Logger:           s.logger,
 	}, s.cfg.InitialEndpoints)
+	s.cfg.InitialEndpoints = discovery.PollResponse{} // thousands of workers that the router holds in its own form now
 	return err
 }
 
