--- a/cmd/topazfront/experiment.go
+++ b/cmd/topazfront/experiment.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -38,14 +39,11 @@
 	if err != nil {
 		return err
 	}
-	report, err := growth.Run(ctx, c.options(executable))
-	if err != nil {
-		return err
-	}
-	if err := report.Print(os.Stdout); err != nil {
-		return err
+	report, runErr := growth.Run(ctx, c.options(executable))
+	if report == nil {
+		return runErr
 	}
-	if err := c.save(report); err != nil {
+	if err := errors.Join(runErr, report.Print(os.Stdout), c.save(report)); err != nil {
 		return err
 	}
 	if !report.Passed() {
--- a/internal/experiment/growth/experiment.go
+++ b/internal/experiment/growth/experiment.go
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// Run plays every run at every size, one after another, and judges them.
+// Run plays every run at every size, one after another, and judges them. With an error that a run caused, the report has
+// what was measured before it.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -54,14 +55,14 @@
 		for _, size := range o.allSizes() {
 			m, err := measure(ctx, o, size, disruption)
 			if err != nil {
-				return nil, fmt.Errorf("growth: %s, %d workers: %w", disruption, size, err)
+				return report, fmt.Errorf("growth: %s, %d workers: %w", disruption, size, err)
 			}
 			bySize[size] = m
 			report.Measurements = append(report.Measurements, m)
-		}
-		for _, size := range o.Sizes {
-			usual := bySize[usualSize(o.UsualSizes, size)]
-			report.Verdicts = append(report.Verdicts, judge(usual, bySize[size])...)
+			if slices.Contains(o.Sizes, size) {
+				usual := bySize[usualSize(o.UsualSizes, size)]
+				report.Verdicts = append(report.Verdicts, judge(usual, m)...)
+			}
 		}
 	}
 	return report, nil
