--- a/internal/discovery/eventlog_test.go
+++ b/internal/discovery/eventlog_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"strings"
 	"testing"
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
@@ -81,3 +82,36 @@
 		})
 	}
 }
+
+// TestEventsOfOneResponseMerge checks that the events of one response make one update, which has each endpoint as the last
+// event that names it does.
+func TestEventsOfOneResponseMerge(t *testing.T) {
+	removed := fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 left", "b 1.1.1.2:1 left")
+	addedAgain := fakeplatform.EndpointsEvent(false, "a 1.1.1.9:1 active")
+	snapshot := fakeplatform.EndpointsEvent(true, "c 1.1.1.3:1 active")
+	for name, c := range map[string]struct {
+		events []string
+		want   string
+	}{
+		"removed and added again": {[]string{removed, addedAgain}, "a@1.1.1.9:1"},
+		"added and removed again": {[]string{addedAgain, removed}, ""},
+		"before a snapshot":       {[]string{addedAgain, snapshot}, "c@1.1.1.3:1"},
+		"after a snapshot":        {[]string{removed, snapshot, addedAgain}, "a@1.1.1.9:1, c@1.1.1.3:1"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			list := endpointList{"a": {}, "b": {}}
+			var numbered []string
+			for i, event := range c.events {
+				numbered = append(numbered, fmt.Sprintf(`{"cursor":%d,%s}`, i+1, event))
+			}
+			response := fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(c.events), strings.Join(numbered, ","))
+			update, err := (&eventLog{}).Apply(parseResponse(t, response), constantRouterTime)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if list.apply(update); list.String() != c.want {
+				t.Errorf("%s, want %s", list, c.want)
+			}
+		})
+	}
+}
--- a/internal/httprouter/stats.go
+++ b/internal/httprouter/stats.go
@@ -13,7 +13,7 @@
 		"open", router.Open,
 		"clients", server.Connections, "bad", server.BadRequests, "evicted", server.Evicted,
 		"worker_conns", upstream.Conns, "worker_open", upstream.InFlight, "waiting", upstream.Queued, "dials", upstream.Dials,
-		"dials_failed", upstream.DialFailures, "broken", upstream.ProtocolErrors, "unwritten", upstream.NeverWritten, "late", upstream.CancelledInFlight,
+		"dials_failed", upstream.DialFailures, "conns_evicted", upstream.Evicted, "broken", upstream.ProtocolErrors, "unwritten", upstream.NeverWritten, "late", upstream.CancelledInFlight,
 		"cursor", watcher.Revision, "questions", watcher.Polls, "channel_broken", watcher.FailedPolls,
 		"out", router.AttemptsInFlight, "module_ms", perServedMS(router.ServedDuration),
 		"waited_ms", perServedMS(upstream.QueueTime), "wire_ms", perServedMS(upstream.ResponseTime))
