--- a/internal/httprouter/server_test.go
+++ b/internal/httprouter/server_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
 // optionalSettings are settings with optional parts that are missing or odd, around a class c0.
@@ -57,3 +59,17 @@
 		})
 	}
 }
+
+// TestPollResponseLimitHoldsLargeFleets: a poll that was silent while all of 3,200 workers were listed, and six in ten of
+// them drained, left and were replaced, has all of it in one response.
+func TestPollResponseLimitHoldsLargeFleets(t *testing.T) {
+	const workers, replaced = 3200, 1920
+	bytes := 0
+	for state, lines := range map[string]int{"active": workers + replaced, "leaving": replaced, "left": replaced} {
+		worker := "s-0123456789abcdef 255.255.255.255:65535 " + state + " 1000 1700000000000"
+		bytes += lines * len(fakeplatform.EndpointsEvent(false, worker)) // as much as an event of its own for each
+	}
+	if bytes > maxPollResponseBytes {
+		t.Errorf("%d bytes, at most %d", bytes, maxPollResponseBytes)
+	}
+}
