--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -24,6 +24,10 @@
 // defaultDrainTimeout holds where Options have none.
 const defaultDrainTimeout = time.Minute
 
+// workerIdleTimeout is how long a connection to a worker is kept without a stream. Without it a gateway would come to hold
+// one to each worker of a large fleet.
+const workerIdleTimeout = 5 * time.Minute
+
 // Options hold what the settings file does not: the caller's hooks and the ways to replace parts in tests.
 type Options struct {
 	Logger        *slog.Logger                                               // nil: nothing is logged
@@ -77,7 +81,7 @@
 func (g *Gateway) startRouter(options Options) (err error) {
 	cfg := g.cfg
 	g.pool = grpcupstream.New(grpcupstream.Config{RouterName: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
-		MaxConnsPerWorker: cfg.Workers.MaxConnections, MaxMessageBytes: cfg.Limits.MaxMessageBytes, HTTP2: g.http2Config(), Logger: g.logger})
+		MaxConnsPerWorker: cfg.Workers.MaxConnections, IdleTimeout: workerIdleTimeout, MaxMessageBytes: cfg.Limits.MaxMessageBytes, HTTP2: g.http2Config(), Logger: g.logger})
 	g.router, err = router.New(router.Config{
 		Name:               cfg.Name,
 		Seed:               cfg.Seed,
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -47,6 +47,7 @@
 		p.mu.Unlock()
 		return
 	}
+	delete(w.idleSince, best)
 	p.mu.Unlock()
 	if err := call.openStream(best); err != nil {
 		p.waitForConn(workerID, call, err)
@@ -133,6 +134,7 @@
 	h.pool.mu.Lock()
 	defer h.pool.mu.Unlock()
 	h.noNewStreams = true
+	delete(h.worker.idleSince, c)
 	for i, other := range h.worker.conns {
 		if other == c {
 			h.worker.conns = append(h.worker.conns[:i], h.worker.conns[i+1:]...)
--- /dev/null
+++ b/internal/upstream/grpcupstream/idle_test.go
@@ -0,0 +1,77 @@
+package grpcupstream
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	peergrpc "google.golang.org/grpc"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/transport/http2"
+)
+
+// TestIdleConnectionsAreClosed: a connection without a stream for the timeout is closed and the next call dials; one that
+// is used in between is kept.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	srv := peergrpc.NewServer(peergrpc.UnknownServiceHandler(serveWithGRPCGo))
+	go func() { _ = srv.Serve(ln) }()
+	defer srv.Stop()
+	pool := New(Config{RouterName: "r", ConnectTimeout: 10 * time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20,
+		IdleTimeout: time.Hour})
+	defer pool.Close()
+	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
+	check := func() {
+		t.Helper()
+		checks := make(chan router.HealthResult, 1)
+		pool.CheckHealth("w", 10*time.Second, func(checked router.HealthResult) { checks <- checked })
+		if checked := receive(t, checks, "the health check result"); checked.Result != dispatch.OK {
+			t.Fatalf("health check: %+v", checked)
+		}
+	}
+	now := time.Now()
+	seenIdle := func() bool { // the stream of the check ends shortly after its result
+		if expired := pool.takeIdle(now); len(expired) > 0 {
+			t.Fatal("a connection expired that was just used")
+		}
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return len(pool.workers["w"].idleSince) > 0
+	}
+	awaitIdle := func() {
+		t.Helper()
+		for range 4000 {
+			if seenIdle() {
+				return
+			}
+			time.Sleep(5 * time.Millisecond)
+		}
+		t.Fatal("the connection does not become idle")
+	}
+	check()
+	awaitIdle()
+	check()
+	now = now.Add(2 * time.Hour) // used in between: idle only from now on
+	awaitIdle()
+	expired := pool.takeIdle(now.Add(2 * time.Hour))
+	if len(expired) != 1 || pool.Conns() != 0 {
+		t.Fatalf("%d expired, %d left", len(expired), pool.Conns())
+	}
+	closeAll(expired)
+	check()
+	if pool.Conns() != 1 {
+		t.Errorf("%d connections", pool.Conns())
+	}
+}
+
+func closeAll(conns []*http2.Conn) {
+	for _, c := range conns {
+		c.Shutdown()
+	}
+}
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -21,7 +21,8 @@
 	RouterName        string // sent to workers in RouterField
 	ConnectTimeout    time.Duration
 	MaxConnsPerWorker int
-	MaxMessageBytes   int // of a response message that is buffered until it is complete
+	IdleTimeout       time.Duration // a connection without a stream for so long is closed; 0: never
+	MaxMessageBytes   int           // of a response message that is buffered until it is complete
 	HTTP2             http2.Config
 	Logger            *slog.Logger // nil: nothing is logged
 }
@@ -37,22 +38,32 @@
 	mu      sync.Mutex         // guards all below, the workers' fields included
 	workers map[string]*worker // by id
 	closed  bool
+	stop    chan struct{} // closed by Close
 }
 
 // worker is a worker with its connections.
 type worker struct {
 	id, addr   string
-	conns      []*http2.Conn  // that may accept new streams
-	connecting int            // connects in progress, at most 1
-	waiting    []outgoingCall // for the connect in progress
+	conns      []*http2.Conn             // that may accept new streams
+	idleSince  map[*http2.Conn]time.Time // those of conns that were seen without a stream, and not used since
+	connecting int                       // connects in progress, at most 1
+	waiting    []outgoingCall            // for the connect in progress
 }
 
-// New returns a Pool without workers. Attach must be called before it is used.
+func newWorker(id, addr string) *worker {
+	return &worker{id: id, addr: addr, idleSince: map[*http2.Conn]time.Time{}}
+}
+
+// New returns a Pool without workers. Attach must be called before it is used, and Close in the end.
 func New(cfg Config) *Pool {
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Pool{config: cfg, workers: map[string]*worker{}}
+	p := &Pool{config: cfg, workers: map[string]*worker{}, stop: make(chan struct{})}
+	if cfg.IdleTimeout > 0 {
+		go p.closeIdle()
+	}
+	return p
 }
 
 // Attach sets the router that is notified of how attempts end.
@@ -73,10 +84,11 @@
 				delete(p.workers, id)
 			}
 		case w == nil:
-			p.workers[id] = &worker{id: id, addr: addr}
+			p.workers[id] = newWorker(id, addr)
 		case w.addr != addr:
 			stale = append(stale, w.conns...)
 			w.addr, w.conns = addr, nil
+			clear(w.idleSince)
 		}
 	}
 	p.mu.Unlock()
@@ -89,6 +101,9 @@
 // drain end by themselves.
 func (p *Pool) Close() {
 	p.mu.Lock()
+	if !p.closed {
+		close(p.stop)
+	}
 	p.closed = true
 	var conns []*http2.Conn
 	for _, w := range p.workers {
