--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -40,7 +40,7 @@
 	}()
 	watcher, err := Start(Config{Address: listener.Addr().String(), ConnectTimeout: 5 * time.Second,
 		PollWait: 1500 * time.Millisecond, ResponseGrace: time.Second, MaxRetryDelay: time.Second, MaxResponseBytes: 1 << 16,
-		RouterClock: zeroClock{}, OnUpdate: func([]endpoints.Worker) {},
+		RouterClock: zeroClock{}, OnUpdate: func(endpoints.Update) {},
 	}, parseResponse(t, `{"cursor":41,"cmds":[]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -61,13 +61,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := newEndpointList()
-	if _, err := list.Apply(parseResponse(t, string(input))); err != nil {
+	log, list := &eventLog{}, endpointList{}
+	routerTime := func(_ string, startedAt wallclock.Time) time.Duration { return time.Duration(startedAt.UnixMilli()) }
+	update, err := log.Apply(parseResponse(t, string(input)), routerTime)
+	if err != nil {
 		t.Fatal(err)
 	}
-	routerTime := func(_ string, startedAt wallclock.Time) time.Duration { return time.Duration(startedAt.UnixMilli()) }
-	text := strconv.FormatInt(list.revision, 10) + "\n"
-	for _, worker := range list.Workers(routerTime) {
+	list.apply(update)
+	text := strconv.FormatInt(log.revision, 10) + "\n"
+	for _, worker := range list.workers() {
 		text += golden.PlainValue(worker) + "\n"
 	}
 	golden.Compare(t, "events.txt", []byte(text))
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -1,6 +1,8 @@
 package discovery
 
 import (
+	"maps"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -12,10 +14,38 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// formatList formats an endpoint list as "id@address, id@address drains".
-func formatList(workers []endpoints.Worker) string {
+// endpointList is the endpoint list that updates make together, by ID.
+type endpointList map[string]endpoints.Worker
+
+// apply applies an update; nil is none.
+func (l endpointList) apply(update *endpoints.Update) {
+	if update == nil {
+		return
+	}
+	if update.Snapshot {
+		clear(l)
+	}
+	for _, worker := range update.Workers {
+		if worker.State == dispatch.EndpointRemoved {
+			delete(l, worker.ID)
+		} else {
+			l[worker.ID] = worker
+		}
+	}
+}
+
+// workers returns the list ordered by ID.
+func (l endpointList) workers() (workers []endpoints.Worker) {
+	for _, id := range slices.Sorted(maps.Keys(l)) {
+		workers = append(workers, l[id])
+	}
+	return workers
+}
+
+// String formats the list as "id@address, id@address drains".
+func (l endpointList) String() string {
 	var parts []string
-	for _, worker := range workers {
+	for _, worker := range l.workers() {
 		part := worker.ID + "@" + worker.Address
 		if worker.State == dispatch.EndpointDraining {
 			part += " drains"
@@ -60,7 +90,7 @@
 const testPollWait = 200 * time.Millisecond
 
 // watcherConfig is a configuration with short times.
-func watcherConfig(address string, onUpdate func([]endpoints.Worker)) Config {
+func watcherConfig(address string, onUpdate func(endpoints.Update)) Config {
 	return Config{Address: address, ConnectTimeout: 5 * time.Second, PollWait: testPollWait,
 		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
 		RouterClock: zeroClock{}, OnUpdate: onUpdate}
@@ -81,8 +111,11 @@
 	t.Helper()
 	server := startServer(t, initialEndpoints)
 	server.Respond = respond
-	lists := make(chan string, 64)
-	cfg := watcherConfig(server.Addr(), func(workers []endpoints.Worker) { lists <- formatList(workers) })
+	list, lists := endpointList{}, make(chan string, 64)
+	cfg := watcherConfig(server.Addr(), func(update endpoints.Update) {
+		list.apply(&update)
+		lists <- list.String()
+	})
 	cfg.PollWait = pollWait
 	watcher, err := Start(cfg, parseResponse(t, server.AllEvents()))
 	if err != nil {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -43,7 +43,11 @@
 	const outage, maxDelay = time.Minute, 500 * time.Millisecond
 	server := startServer(t, initialEndpoints)
 	lists := make(chan string, 8)
-	cfg := watcherConfig(server.Addr(), func(workers []endpoints.Worker) { lists <- formatList(workers) })
+	list := endpointList{}
+	cfg := watcherConfig(server.Addr(), func(update endpoints.Update) {
+		list.apply(&update)
+		lists <- list.String()
+	})
 	cfg.MaxRetryDelay = maxDelay
 	var elapsed time.Duration // of the outage; cfg's functions are called by the watcher's goroutine alone
 	failedConnects, over := 0, make(chan time.Duration, 1)
@@ -157,8 +161,12 @@
 			_, _ = answered.Write([]byte(httpResponse(body)))
 		}
 	}()
-	watcher, err := Start(watcherConfig(listener.Addr().String(), func(workers []endpoints.Worker) { lists <- formatList(workers) }),
-		parseResponse(t, `{"cursor":1,"cmds":[]}`))
+	list := endpointList{}
+	onUpdate := func(update endpoints.Update) {
+		list.apply(&update)
+		lists <- list.String()
+	}
+	watcher, err := Start(watcherConfig(listener.Addr().String(), onUpdate), parseResponse(t, `{"cursor":1,"cmds":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -18,15 +18,15 @@
 
 // Config configures a Watcher. All fields but Logger are required.
 type Config struct {
-	Address          string                           // of the discovery server, host:port
-	ConnectTimeout   time.Duration                    // to establish a connection, and for each write on it
-	PollWait         time.Duration                    // how long the server may hold a poll when it has no event
-	ResponseGrace    time.Duration                    // how long beyond PollWait a response may take
-	MaxRetryDelay    time.Duration                    // longest delay between polls while they fail
-	MaxResponseBytes int                              // longest body of a response
-	RouterClock      endpoints.RouterClock            // the router's clock, to which start times are converted
-	OnUpdate         func(workers []endpoints.Worker) // called with each new list, never concurrently
-	Logger           *slog.Logger                     // nil discards
+	Address          string                        // of the discovery server, host:port
+	ConnectTimeout   time.Duration                 // to establish a connection, and for each write on it
+	PollWait         time.Duration                 // how long the server may hold a poll when it has no event
+	ResponseGrace    time.Duration                 // how long beyond PollWait a response may take
+	MaxRetryDelay    time.Duration                 // longest delay between polls while they fail
+	MaxResponseBytes int                           // longest body of a response
+	RouterClock      endpoints.RouterClock         // the router's clock, to which start times are converted
+	OnUpdate         func(update endpoints.Update) // called with each change of the list, never concurrently
+	Logger           *slog.Logger                  // nil discards
 
 	// Tests replace these; nil stands for the functions of the same name.
 	dial  func(address string, cfg Config) (*connection, error)
@@ -52,7 +52,7 @@
 // errInterrupted ends a poll whose server's address has changed or whose Watcher is closed. It is not a failure.
 var errInterrupted = errors.New("discovery: address changed or watcher closed")
 
-// Watcher keeps an endpoint list up to date. Its methods are safe for concurrent use.
+// Watcher follows the endpoint list and passes on what changes in it. Its methods are safe for concurrent use.
 type Watcher struct {
 	cfg    Config
 	cancel context.CancelFunc
@@ -85,19 +85,23 @@
 	if cfg.sleep == nil {
 		cfg.sleep = sleep
 	}
-	list := newEndpointList()
-	if _, err := list.Apply(initial); err != nil {
+	view := endpointView{log: &eventLog{}, starts: endpoints.NewStartTimes(cfg.RouterClock)}
+	update, err := view.log.Apply(initial, view.starts.Convert)
+	if err != nil {
 		return nil, err
 	}
-	if revision := *initial.Revision; revision > list.revision {
-		list.revision = revision
+	if update == nil {
+		update = &endpoints.Update{}
+	}
+	if revision := *initial.Revision; revision > view.log.revision {
+		view.log.revision = revision
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{cfg: cfg, address: cfg.Address, cancel: cancel, done: make(chan struct{})}
-	view := endpointView{list: list, starts: endpoints.NewStartTimes(cfg.RouterClock)}
-	w.publish(view)
+	update.Snapshot = true // there was nothing before it
+	w.publish(view, update)
 	view.starts.ListCurrent(cfg.RouterClock.Clock())
-	w.stats.Revision = list.revision
+	w.stats.Revision = view.log.revision
 	go w.run(ctx, view)
 	return w, nil
 }
@@ -142,16 +146,16 @@
 	}
 }
 
-// endpointView is the endpoint list with the start times of its workers.
+// endpointView is what a Watcher remembers of the events: how far they were applied, and the workers' start times.
 type endpointView struct {
-	list   *endpointList
+	log    *eventLog
 	starts *endpoints.StartTimes
 }
 
-// publish passes the list to OnUpdate.
-func (w *Watcher) publish(view endpointView) {
-	w.cfg.OnUpdate(view.list.Workers(view.starts.Convert))
-	view.starts.Retain(view.list.contains)
+// publish passes an update to OnUpdate, and forgets the start times of the workers that it removes.
+func (w *Watcher) publish(view endpointView, update *endpoints.Update) {
+	w.cfg.OnUpdate(*update)
+	view.starts.Forget(update)
 }
 
 // run polls until ctx is done.
@@ -184,7 +188,7 @@
 		if interrupted {
 			continue
 		}
-		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", view.list.revision, "error", err)
+		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", view.log.revision, "error", err)
 		consecutiveFailures++
 		w.waitBeforeRetry(ctx, consecutiveFailures)
 	}
@@ -256,7 +260,7 @@
 	w.stats.Polls++
 	w.mu.Unlock()
 	startedAt := time.Now()
-	before := view.list.revision
+	before := view.log.revision
 	request := pollRequest(conn.address, before, w.cfg.PollWait)
 	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace, late, func(message *http1.Message) {
 		if err := w.apply(message, view); err != nil {
@@ -272,7 +276,7 @@
 	if message.Close {
 		conn.close(errClosedAfterResponse)
 	}
-	if view.list.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
+	if view.log.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
 		return errPrematureResponse
 	}
 	return nil
@@ -287,17 +291,17 @@
 	if err != nil {
 		return err
 	}
-	before := view.list.revision
-	changed, err := view.list.Apply(response)
+	before := view.log.revision
+	update, err := view.log.Apply(response, view.starts.Convert)
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
-	w.stats.Revision = view.list.revision
-	w.stats.Events += uint64(view.list.revision - before)
+	w.stats.Revision = view.log.revision
+	w.stats.Events += uint64(view.log.revision - before)
 	w.mu.Unlock()
-	if changed {
-		w.publish(view)
+	if update != nil {
+		w.publish(view, update)
 	}
 	view.starts.ListCurrent(w.cfg.RouterClock.Clock())
 	return nil
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -132,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			oldServer, newServer := startServer(t, initialEndpoints), startServer(t, initialEndpoints)
 			dialing, dialed := make(chan struct{}), make(chan struct{})
-			cfg := watcherConfig(oldServer.Addr(), func([]endpoints.Worker) {})
+			cfg := watcherConfig(oldServer.Addr(), func(endpoints.Update) {})
 			cfg.PollWait = longPollWait
 			cfg.dial = func(address string, cfg Config) (*connection, error) {
 				if address == oldServer.Addr() {
--- a/internal/endpoints/starttimes.go
+++ b/internal/endpoints/starttimes.go
@@ -4,6 +4,7 @@
 	"maps"
 	"time"
 
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
@@ -57,7 +58,23 @@
 // earlier than one given before change nothing.
 func (s *StartTimes) ListCurrent(at time.Duration) { s.currentAt = max(s.currentAt, at) }
 
-// Retain forgets the workers that are not in the list any more.
+// Forget forgets the workers that an update removes, by name or, if it is a snapshot, by leaving them out.
+func (s *StartTimes) Forget(update *Update) {
+	listed := map[string]bool{}
+	for _, worker := range update.Workers {
+		switch {
+		case worker.State == dispatch.EndpointRemoved:
+			delete(s.known, worker.ID)
+		case update.Snapshot:
+			listed[worker.ID] = true
+		}
+	}
+	if update.Snapshot {
+		s.Retain(func(worker string) bool { return listed[worker] })
+	}
+}
+
+// Retain forgets the workers that are not listed any more.
 func (s *StartTimes) Retain(listed func(worker string) bool) {
 	maps.DeleteFunc(s.known, func(worker string, _ convertedStart) bool { return !listed(worker) })
 }
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -37,6 +37,7 @@
 	stopped      bool
 	listeners    []net.Listener // the first and those of further routers
 	conns        map[*Conn]struct{}
+	accepted     int // connections since Start
 	received     []Request
 	inFlight     map[string]int  // requests, by function
 	executedKeys map[string]bool // idempotency keys of requests that ran
@@ -154,6 +155,13 @@
 	return len(w.conns)
 }
 
+// Accepted returns how many connections have been accepted since the start.
+func (w *Worker) Accepted() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.accepted
+}
+
 // Arrivals returns a channel that has a value for each message received.
 func (w *Worker) Arrivals() <-chan struct{} { return w.arrivals }
 
@@ -170,6 +178,7 @@
 		if w.stopped { // it was accepted before the listener was closed
 			c.Fail(ResetConn)
 		}
+		w.accepted++
 		w.mu.Unlock()
 		w.wg.Go(func() { w.serve(c) })
 	}
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -65,7 +65,7 @@
 }
 func (hungUpstream) LoadFunction(string, string, int, time.Duration, func(LoadResult)) {}
 func (hungUpstream) CheckHealth(string, time.Duration, func(HealthResult))             {}
-func (hungUpstream) SetEndpoints([]endpoints.Worker)                                   {}
+func (hungUpstream) UpdateEndpoints([]endpoints.Worker)                                {}
 
 // silentDispatcher starts an attempt of each call of testFunction, and answers none.
 type silentDispatcher struct{}
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
@@ -22,7 +23,8 @@
 	RouterName        string // sent to workers in RouterField
 	ConnectTimeout    time.Duration
 	MaxConnsPerWorker int
-	MaxMessageBytes   int // of a response message that is buffered until it is complete
+	IdleTimeout       time.Duration // a connection without a stream for so long is closed; 0: never
+	MaxMessageBytes   int           // of a response message that is buffered until it is complete
 	HTTP2             http2.Config
 	Logger            *slog.Logger // nil: nothing is logged
 }
@@ -40,6 +42,7 @@
 	workers map[string]*worker       // by id
 	open    map[*http2.Conn]struct{} // that have not ended, those that drain included
 	closed  bool
+	stop    chan struct{} // closed by Close
 }
 
 // dialFunc opens a connection.
@@ -48,43 +51,57 @@
 // worker is a worker with its connections.
 type worker struct {
 	id, addr   string
-	conns      []*http2.Conn  // that may accept new streams
-	connecting int            // connects in progress, at most 1
-	waiting    []outgoingCall // for the connect in progress
+	conns      []*http2.Conn             // that may accept new streams
+	idleSince  map[*http2.Conn]time.Time // those of conns that were seen without a stream, and not used since
+	connecting int                       // connects in progress, at most 1
+	waiting    []outgoingCall            // for the connect in progress
 }
 
-// New returns a Pool without workers. Attach must be called before it is used.
+func newWorker(id, addr string) *worker {
+	return &worker{id: id, addr: addr, idleSince: map[*http2.Conn]time.Time{}}
+}
+
+// New returns a Pool without workers. Attach must be called before it is used, and Close in the end.
 func New(cfg Config) *Pool {
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Pool{config: cfg, dialer: http2.Dial, workers: map[string]*worker{}, open: map[*http2.Conn]struct{}{}}
+	p := &Pool{
+		config:  cfg,
+		dialer:  http2.Dial,
+		workers: map[string]*worker{},
+		open:    map[*http2.Conn]struct{}{},
+		stop:    make(chan struct{}),
+	}
+	if cfg.IdleTimeout > 0 {
+		go p.closeIdle()
+	}
+	return p
 }
 
 // Attach sets the router that is notified of how attempts end.
 func (p *Pool) Attach(r *router.Router) { p.router = r }
 
-// SetEndpoints implements router.Upstream. Connections to a worker that was removed, or to its former address, accept no new
-// streams and close when those they have are done.
-func (p *Pool) SetEndpoints(list []endpoints.Worker) {
+// UpdateEndpoints implements router.Upstream. Connections to a worker that was removed, or to its former address, accept no
+// new streams and close when those they have are done.
+func (p *Pool) UpdateEndpoints(changed []endpoints.Worker) {
 	var stale []*http2.Conn
-	addresses := make(map[string]string, len(list))
 	p.mu.Lock()
-	for _, endpoint := range list {
+	for _, endpoint := range changed {
 		id, addr := endpoint.ID, endpoint.Address
-		addresses[id] = addr
 		w := p.workers[id]
-		if w == nil {
-			p.workers[id] = &worker{id: id, addr: addr}
-		} else if w.addr != addr {
+		switch {
+		case endpoint.State == dispatch.EndpointRemoved:
+			if w != nil {
+				stale = append(stale, w.conns...)
+				delete(p.workers, id)
+			}
+		case w == nil:
+			p.workers[id] = newWorker(id, addr)
+		case w.addr != addr:
 			stale = append(stale, w.conns...)
 			w.addr, w.conns = addr, nil
-		}
-	}
-	for id, w := range p.workers {
-		if _, ok := addresses[id]; !ok {
-			stale = append(stale, w.conns...)
-			delete(p.workers, id)
+			clear(w.idleSince)
 		}
 	}
 	p.mu.Unlock()
@@ -96,6 +113,9 @@
 // Close closes all connections, and with them the streams that they have.
 func (p *Pool) Close() {
 	p.mu.Lock()
+	if !p.closed {
+		close(p.stop)
+	}
 	p.closed = true
 	conns := slices.Collect(maps.Keys(p.open))
 	p.mu.Unlock()
--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -49,7 +49,7 @@
 	pool := New(Config{RouterName: "r", ConnectTimeout: time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
 	defer pool.Close()
 	pool.Attach(r)
-	pool.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
+	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
 	loads, checks := make(chan router.LoadResult, 1), make(chan router.HealthResult, 1)
 	pool.LoadFunction("w", "m", 1, 10*time.Second, func(loaded router.LoadResult) { loads <- loaded })
 	if loaded := receive(t, loads, "the load result"); loaded.Result != dispatch.OK || loaded.Copies != 2 {
@@ -149,7 +149,9 @@
 			_ = s.framer.WriteGoAway(s.id, peer.ErrCodeNo, nil)
 			_ = receive(t, dispatcher.draining, "the drain")
 		},
-		"worker is removed": func(_ *testing.T, _ *testDispatcher, pool *Pool, _ *scriptedStream) { pool.SetEndpoints(nil) },
+		"worker is removed": func(_ *testing.T, _ *testDispatcher, pool *Pool, _ *scriptedStream) {
+			pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w", State: dispatch.EndpointRemoved}}})
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrived := make(chan *scriptedStream, 1)
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -35,14 +35,15 @@
 	config Config
 	router *router.Router
 
-	mu            sync.Mutex
-	workers       map[string]*worker // by id
-	conns         map[*conn]struct{} // includes those of removed workers
-	connecting    int                // connects in progress to all workers
-	lastControlID uint64             // of the latest load command or health check
-	closed        bool
-	stop          chan struct{} // closed by Close; ends the sweep goroutine
-	stats         Stats
+	mu             sync.Mutex
+	workers        map[string]*worker   // by id
+	conns          map[*conn]struct{}   // includes those of removed workers
+	waitingWorkers map[*worker]struct{} // those with waiting exchanges, and some that have none any more
+	connecting     int                  // connects in progress to all workers
+	lastControlID  uint64               // of the latest load command or health check
+	closed         bool
+	stop           chan struct{} // closed by Close; ends the sweep goroutine
+	stats          Stats
 }
 
 // Stats is a snapshot of the pool and of what it has done since it was created.
@@ -60,6 +61,7 @@
 	Dials             uint64
 	DialFailures      uint64
 	ProtocolErrors    uint64 // connections closed for a malformed or stalled response
+	Evicted           uint64 // idle connections closed to make room for one to another worker
 
 	// Sums over the attempts that ended OK.
 	QueueTime    time.Duration // from StartAttempt until the attempt was written
@@ -87,7 +89,13 @@
 	if cfg.send == nil {
 		cfg.send = sendmsg
 	}
-	p := &Pool{config: cfg, workers: map[string]*worker{}, conns: map[*conn]struct{}{}, stop: make(chan struct{})}
+	p := &Pool{
+		config:         cfg,
+		workers:        map[string]*worker{},
+		conns:          map[*conn]struct{}{},
+		waitingWorkers: map[*worker]struct{}{},
+		stop:           make(chan struct{}),
+	}
 	go p.sweep()
 	return p
 }
@@ -108,34 +116,37 @@
 	return s
 }
 
-// SetEndpoints implements router.Upstream.
-func (p *Pool) SetEndpoints(list []endpoints.Worker) {
+// UpdateEndpoints implements router.Upstream.
+func (p *Pool) UpdateEndpoints(changed []endpoints.Worker) {
 	var callbacks []func()
-	listed := make(map[string]bool, len(list))
 	p.mu.Lock()
-	for _, endpoint := range list {
-		listed[endpoint.ID] = true
-		w := p.workers[endpoint.ID]
-		if w != nil && (w.addr != endpoint.Address || endpoint.StartedAt > w.startedAt) {
-			callbacks = append(callbacks, p.removeWorker(w)...)
-			w = nil
-		}
-		if w == nil {
-			w = &worker{id: endpoint.ID, addr: endpoint.Address, startedAt: endpoint.StartedAt}
-			p.workers[endpoint.ID] = w
-		}
-		w.state = endpoint.State
-	}
-	for id, w := range p.workers {
-		if !listed[id] {
-			callbacks = append(callbacks, p.removeWorker(w)...)
-			delete(p.workers, id)
-		}
+	for _, endpoint := range changed {
+		callbacks = append(callbacks, p.updateWorker(endpoint)...)
 	}
 	p.mu.Unlock()
 	runCallbacks(callbacks)
 }
 
+// updateWorker takes a change of one worker. The lock is held. The returned callbacks are run without it.
+func (p *Pool) updateWorker(endpoint endpoints.Worker) (callbacks []func()) {
+	w := p.workers[endpoint.ID]
+	removed := endpoint.State == dispatch.EndpointRemoved
+	if w != nil && (removed || w.addr != endpoint.Address || endpoint.StartedAt > w.startedAt) {
+		callbacks = p.removeWorker(w)
+		delete(p.workers, endpoint.ID)
+		w = nil
+	}
+	if removed {
+		return callbacks
+	}
+	if w == nil {
+		w = &worker{id: endpoint.ID, addr: endpoint.Address, startedAt: endpoint.StartedAt}
+		p.workers[endpoint.ID] = w
+	}
+	w.state = endpoint.State
+	return callbacks
+}
+
 // removeWorker ends what waits for a connection to the worker; its connections accept nothing new and close once what is
 // in flight on them has ended. The lock is held. The returned callbacks are run without it.
 func (p *Pool) removeWorker(w *worker) (callbacks []func()) {
