--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -6,11 +6,11 @@
 	"encoding/base64"
 	"fmt"
 	"net"
-	"os"
 	"path/filepath"
 	"sync"
 
 	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/durable"
 	"github.com/topazfront/topazfront/internal/fake/fakepeer"
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 	"github.com/topazfront/topazfront/internal/grpcgateway"
@@ -108,11 +108,7 @@
 	if err != nil {
 		return err
 	}
-	temporary := c.keyPath(i) + ".new"
-	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
-		return err
-	}
-	return os.Rename(temporary, c.keyPath(i))
+	return durable.ReplaceFile(durable.OS, c.keyPath(i), raw, 0o600)
 }
 
 // routerSettings are the gossip settings of a router's next incarnation.
