--- a/internal/registry/commit.go
+++ b/internal/registry/commit.go
@@ -58,9 +58,13 @@
 	return revision.Number, nil
 }
 
-// recoverState makes durable what the database holds after a commit that failed, and takes it as the state. s.mu is
-// held.
+// recoverState opens the database anew after a commit that failed, makes durable what it holds, and takes that as the
+// state. s.mu is held.
 func (s *Store) recoverState() error {
+	_ = s.db.Close() // what it could not do is left to the next
+	if err := s.openDatabase(); err != nil {
+		return err
+	}
 	if err := s.rewriteMetaPages(); err != nil {
 		return storageError(err)
 	}
--- a/internal/registry/database_faults_linux_test.go
+++ b/internal/registry/database_faults_linux_test.go
@@ -69,12 +69,13 @@
 	}
 }
 
-// repair ends all faults.
+// repair ends all faults. The second descriptor is closed, as it would keep the lock of the file.
 func (f *faultyDatabase) repair() {
 	f.onWrite, f.writes = nil, 0
 	if err := unix.Dup3(int(f.saved.Fd()), int(f.file.Fd()), unix.O_CLOEXEC); err != nil {
 		f.t.Fatal(err)
 	}
+	_ = f.saved.Close()
 }
 
 func (f *faultyDatabase) isMeta(offset int64) bool { return offset < 2*int64(f.db.Info().PageSize) }
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -157,3 +157,31 @@
 		_ = s.Close()
 	}
 }
+
+// TestDatabaseThatIsOfNoUse: where the database itself fails, as after a mapping that the system refused, the store
+// opens it anew, as soon as it can be opened.
+func TestDatabaseThatIsOfNoUse(t *testing.T) {
+	broken := false
+	s := mustOpenStore(t, t.TempDir(), Options{openDatabaseFile: func(path string, flag int, mode os.FileMode) (*os.File, error) {
+		if broken {
+			return nil, syscall.EIO
+		}
+		return os.OpenFile(path, flag, mode)
+	}})
+	defer func() { _ = s.Close() }()
+	if err := pushContent(s, "1", "text"); err != nil {
+		t.Fatal(err)
+	}
+	_ = s.db.Close()
+	for _, broken = range []bool{false, true, true} {
+		if err := pushContent(s, "2", "text"); !errors.Is(err, ErrStorage) || broken && !errors.Is(err, syscall.EIO) {
+			t.Errorf("broken %v: %v", broken, err)
+		}
+		checkVersions(t, s, "1")
+	}
+	broken = false
+	if err := pushContent(s, "2", "text"); err != nil {
+		t.Error(err)
+	}
+	checkVersions(t, s, "1", "2")
+}
