--- a/internal/server/grpcserver/shutdown_test.go
+++ b/internal/server/grpcserver/shutdown_test.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// TestStreamOpenedBehindDrain: a stream whose header arrives once the drain has begun is ended at once, unless it has a
-// request.
+// TestStreamOpenedBehindDrain: a ModelStreamInfer whose header arrives once the drain has begun is ended at once.
 func TestStreamOpenedBehindDrain(t *testing.T) {
 	s := startServer(t)
 	response := newResponseReader()
