--- a/internal/httprouter/phases_test.go
+++ b/internal/httprouter/phases_test.go
@@ -20,9 +20,10 @@
 
 // Terms of the platform that the tests hold a shutdown to.
 const (
-	clientsComeFor   = 600 * time.Millisecond // after SIGTERM
-	acceptedLateness = 500 * time.Millisecond // of an answer, after its request's deadline: it earns nothing, but isn't lost
-	crossedClose     = 50 * time.Millisecond  // a request that crosses a close within this is sent again
+	clientsComeFor    = 600 * time.Millisecond // after SIGTERM
+	newClientsComeFor = 400 * time.Millisecond // after SIGTERM, on new connections
+	acceptedLateness  = 500 * time.Millisecond // of an answer, after its request's deadline: it earns nothing, but isn't lost
+	crossedClose      = 50 * time.Millisecond  // a request that crosses a close within this is sent again
 )
 
 var testedDeadlines = []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second}
@@ -102,22 +103,33 @@
 	return fixedSlack + stallFactor*m.stalled
 }
 
-// openClient is a client's connection that has had a response, and its reader.
+// openClient is a client's connection and its reader.
 type openClient struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func openClientConn(t *testing.T, address string) *openClient {
+// newClientConn connects a client. It may be called from any goroutine: where it fails, what is done with the connection
+// fails, too.
+func newClientConn(t *testing.T, address string) *openClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		t.Fatal(err)
+		t.Errorf("no new connection: %v", err)
+		var other net.Conn
+		conn, other = net.Pipe()
+		_ = other.Close()
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	c := &openClient{conn, bufio.NewReader(conn)}
 	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
-	_, _ = io.WriteString(conn, "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n")
+	return &openClient{conn, bufio.NewReader(conn)}
+}
+
+// openClientConn connects a client whose connection has had a response.
+func openClientConn(t *testing.T, address string) *openClient {
+	t.Helper()
+	c := newClientConn(t, address)
+	_, _ = io.WriteString(c, "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n")
 	if status := c.readStatus(); status != http.StatusOK {
 		t.Fatalf("ping: status %d", status)
 	}
@@ -158,8 +170,8 @@
 }
 
 // TestShutdownAnswersEachRequestInItsOwnTime plays a planned restart of a process, for each longest deadline: workers
-// hang all through it, requests come each 50 ms, further SIGTERMs come, and SIGHUPs with a file that can't be read.
-// Each request is answered by its deadline, and the process exits by itself before SIGKILL may come.
+// hang all through it, requests come each 50 ms, on open connections and at first on new ones, further SIGTERMs come, and
+// SIGHUPs with a file that can't be read. Each request is answered by its deadline, and the process exits by itself before SIGKILL may come.
 func TestShutdownAnswersEachRequestInItsOwnTime(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	stalls := startStallMeter(t)
@@ -189,6 +201,9 @@
 					wg.Go(func() {
 						time.Sleep(time.Until(terminatedAt.Add(time.Duration(i-1) * interval)))
 						class := []string{"safe", "keyed", "unsafe"}[i%3]
+						if i%2 == 0 && time.Duration(i-1)*interval <= newClientsComeFor {
+							client = newClientConn(t, p.address)
+						}
 						exchanges[i] = client.exchange(shutdownRequest(i+1, class, deadline), terminatedAt)
 					})
 				}
