--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -7,6 +7,7 @@
 import (
 	"context"
 	"log/slog"
+	"net"
 	"sync"
 	"syscall"
 	"time"
@@ -71,7 +72,7 @@
 		return nil, err
 	}
 	if cfg.ReceiveBufferBytes > 0 { // accepted connections inherit it
-		_ = syscall.SetsockoptInt(s.listener.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, cfg.ReceiveBufferBytes)
+		setReceiveBuffer(s.listener.Listener, cfg.ReceiveBufferBytes)
 	}
 	if s.eventLoop, err = s.newEventLoop(); err != nil {
 		_ = s.listener.Close()
@@ -82,6 +83,20 @@
 	return s, nil
 }
 
+// setReceiveBuffer sets a listener's receive buffer. It does not ask a listen.Listener for its descriptor: the event loop
+// does, and Serve takes the first who asks for the event loop.
+func setReceiveBuffer(listener net.Listener, size int) {
+	withDescriptor, ok := listener.(syscall.Conn)
+	if !ok {
+		return
+	}
+	if rawConn, err := withDescriptor.SyscallConn(); err == nil {
+		_ = rawConn.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size)
+		})
+	}
+}
+
 func (s *Server) newEventLoop() (netpoll.EventLoop, error) {
 	return netpoll.NewEventLoop(
 		func(ctx context.Context, _ netpoll.Connection) error {
--- a/internal/server/httpserver/shutdown_test.go
+++ b/internal/server/httpserver/shutdown_test.go
@@ -33,3 +33,18 @@
 		t.Errorf("status %d", r.status)
 	}
 }
+
+// TestCloseRightAfterListen: a server that is closed at once doesn't accept the connections of the next one, whose
+// listener has got its descriptor.
+func TestCloseRightAfterListen(t *testing.T) {
+	for range 100 {
+		closed, _ := startServer(t, nil)
+		closed.Close()
+		closed.router.Kill()
+		s, _ := startServer(t, nil)
+		cl := dial(t, s)
+		cl.send(newRequest(servedFunction, ""))
+		cl.expectStatus(200)
+		s.Close()
+	}
+}
