--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -12,17 +12,14 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
-// maxDataAge bounds the time that bytes are believed to have waited to be read. Beyond it the system's figure is not
-// believed.
-const maxDataAge = time.Minute
-
 // conn is one client's connection: the reader of its requests and the client of its call.
 type conn struct {
 	server  *Server
 	netConn netpoll.Connection
 
-	parseMu sync.Mutex // guards reader; locked before the server's lock
-	reader  *http1.Reader
+	parseMu  sync.Mutex // guards reader and arrivals; locked before the server's lock
+	reader   *http1.Reader
+	arrivals arrivalLog
 
 	// Under the server's lock.
 	lastActivity       time.Time // when it was accepted, its request began, or its last response was written
@@ -42,6 +39,12 @@
 	requestCount       uint64    // so far
 }
 
+func (s *Server) newConn(netConn netpoll.Connection) *conn {
+	c := &conn{server: s, netConn: netConn, lastActivity: time.Now(), reader: http1.NewReader(s.cfg.Limits)}
+	c.arrivals.lastRequest = s.currentArrival(netConn).last
+	return c
+}
+
 // disconnected reports whether the client has left. It looks at the socket too: the event loop may not have reported the
 // close yet.
 func (c *conn) disconnected() bool {
@@ -85,7 +88,7 @@
 		c.server.mu.Unlock()
 	}()
 	r := c.netConn.Reader()
-	arrived := arrivalTime(c.netConn)
+	current := c.server.currentArrival(c.netConn)
 	for n := r.Len(); n > 0; n = r.Len() {
 		c.server.mu.Lock()
 		closed, discarding := c.closed, c.discarding
@@ -100,42 +103,34 @@
 			_ = c.netConn.Close()
 			return
 		}
-		if err := c.addToReader(r, n); err != nil {
+		if err := c.addToReader(r, n, current); err != nil {
 			c.abort() // too much behind a request in flight: there is no place for another response
 			continue
 		}
-		c.serveNext(arrived)
+		c.serveNext()
 	}
 }
 
-// addToReader moves at most n received bytes to the reader of requests.
-func (c *conn) addToReader(received netpoll.Reader, n int) error {
+// addToReader moves at most n received bytes to the reader of requests. current is what the system told of them.
+func (c *conn) addToReader(received netpoll.Reader, n int, current arrival) error {
 	c.parseMu.Lock()
 	defer c.parseMu.Unlock()
+	c.arrivals.update(current)
+	c.server.mu.Lock()
+	behindRequest := c.requestInFlight
+	c.server.mu.Unlock()
 	p, err := received.Next(min(n, max(c.reader.Available(), 1)))
 	if err == nil {
+		c.arrivals.bytesAdded(len(p), behindRequest)
 		err = c.reader.Add(p)
 	}
 	_ = received.Release()
 	return err
 }
 
-// arrivalTime returns when the last bytes came: they may have waited for this process, in the backlog too.
-func arrivalTime(netConn netpoll.Connection) time.Time {
-	now := time.Now()
-	if withFd, ok := netConn.(netpoll.Conn); ok {
-		if info, err := unix.GetsockoptTCPInfo(withFd.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			if age := time.Duration(info.Last_data_recv) * time.Millisecond; age < maxDataAge {
-				return now.Add(-age)
-			}
-		}
-	}
-	return now
-}
-
-// serveNext serves the next request where none is in flight. arrived is when its last byte came.
-func (c *conn) serveNext(arrived time.Time) {
-	m, err := c.nextRequest(arrived)
+// serveNext serves the next request where none is in flight.
+func (c *conn) serveNext() {
+	m, arrived, err := c.nextRequest()
 	switch {
 	case err != nil:
 		status := http1.StatusBadRequest
@@ -149,29 +144,31 @@
 	}
 }
 
-// nextRequest returns the next request if one is complete and none is in flight, and nil otherwise. The returned one is
-// in flight. What comes while another goroutine looks for a request is seen by one of the two.
-func (c *conn) nextRequest(arrived time.Time) (*http1.Message, error) {
+// nextRequest returns the next request, and when its last byte came, if one is complete and none is in flight, and nil
+// otherwise. The returned one is in flight. What comes while another goroutine looks for a request is seen by one of the
+// two.
+func (c *conn) nextRequest() (m *http1.Message, arrived time.Time, err error) {
 	c.parseMu.Lock()
 	defer c.parseMu.Unlock()
 	c.server.mu.Lock()
 	idle := !c.requestInFlight && !c.closed
 	c.server.mu.Unlock()
 	if !idle {
-		return nil, nil
+		return nil, time.Time{}, nil
 	}
-	m, err := c.reader.Next()
+	m, err = c.reader.Next()
 	partial := c.reader.Partial()
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if m != nil {
 		c.requestStarted, c.requestInFlight, c.closeAfterResponse = false, true, m.Close
 		c.requestCount++
-		return m, nil
+		return m, c.arrivals.requestRead(partial), nil
 	}
-	if partial && !c.requestStarted && c.responded {
-		c.lastActivity = arrived
+	begun := c.arrivals.requestIncomplete()
+	if partial && !c.requestStarted && c.responded && begun.After(c.lastActivity) {
+		c.lastActivity = begun
 	}
 	c.requestStarted = partial
-	return nil, err
+	return nil, time.Time{}, err
 }
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -10,7 +10,6 @@
 	"github.com/cloudwego/netpoll"
 
 	"github.com/topazfront/topazfront/internal/router"
-	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
 // unnotifiedConn is a connection whose event loop has not read or reported anything yet.
@@ -51,7 +50,7 @@
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		t.Fatal(err)
 	}
-	return &conn{server: s, netConn: unnotifiedConn{fd: fd}, reader: http1.NewReader(s.cfg.Limits)}, client
+	return s.newConn(unnotifiedConn{fd: fd}), client
 }
 
 // TestDisconnectedClient: a call's ClientLeft is true as soon as the socket shows it, though the event loop may not have
--- a/internal/server/httpserver/eviction.go
+++ b/internal/server/httpserver/eviction.go
@@ -19,7 +19,7 @@
 // the new one only has its first request rejected. At MaxConnections it is rejected before that has come.
 func (s *Server) addConnection(netConn netpoll.Connection) *conn {
 	_ = netConn.SetWriteTimeout(s.cfg.WriteTimeout)
-	c := &conn{server: s, netConn: netConn, lastActivity: time.Now(), reader: http1.NewReader(s.cfg.Limits)}
+	c := s.newConn(netConn)
 	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
 	s.mu.Lock()
 	s.stats.Accepted++
--- a/internal/server/httpserver/response.go
+++ b/internal/server/httpserver/response.go
@@ -77,6 +77,6 @@
 	case discarding: // abort was called while the response was being written
 		c.abort()
 	default:
-		c.serveNext(time.Now()) // what came behind the request, if anything
+		c.serveNext() // what came behind the request, if anything
 	}
 }
--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -42,6 +42,8 @@
 	stop      chan struct{} // closed by Close; ends the sweep
 	wg        sync.WaitGroup
 
+	listeningSince time.Time
+
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
 	openIDs map[string]struct{} // of the requests that the router has not answered
@@ -66,7 +68,8 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	s := &Server{cfg: cfg, router: r, conns: map[*conn]struct{}{}, openIDs: map[string]struct{}{}, stop: make(chan struct{})}
+	s := &Server{cfg: cfg, router: r, conns: map[*conn]struct{}{}, openIDs: map[string]struct{}{}, stop: make(chan struct{}),
+		listeningSince: time.Now()}
 	var err error
 	if s.listener, err = listen.Open("tcp", cfg.Address); err != nil {
 		return nil, err
--- a/internal/server/httpserver/timing_test.go
+++ b/internal/server/httpserver/timing_test.go
@@ -1,12 +1,19 @@
 package httpserver
 
 import (
+	"io"
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
+	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
+// systemTimeResolution is how much older or younger than it is the system may state the age of a segment.
+const systemTimeResolution = 20 * time.Millisecond
+
 // TestDeadlineCountsFromArrival: what waited in the system before it was read has used up some of its time.
 func TestDeadlineCountsFromArrival(t *testing.T) {
 	s, _ := startServer(t, nil)
@@ -21,3 +28,109 @@
 		t.Errorf("remaining %v, %v", call.RemainingDeadline, err)
 	}
 }
+
+// TestAgeIsBelieved: any age that began since the server listens, and no other.
+func TestAgeIsBelieved(t *testing.T) {
+	now := time.Now()
+	for name, c := range map[string]struct{ listening, age, want time.Duration }{
+		"just come":                    {time.Hour, 0, 0},
+		"1 ms":                         {time.Hour, time.Millisecond, time.Millisecond},
+		"ten minutes":                  {time.Hour, 10 * time.Minute, 10 * time.Minute},
+		"longer than we have listened": {time.Minute, 10 * time.Minute, 0},
+	} {
+		info := &unix.TCPInfo{Last_data_recv: uint32(c.age.Milliseconds())}
+		if got := now.Sub(newArrival(info, now, now.Add(-c.listening)).last); got != c.want {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
+
+// TestRequestBehindAnotherCountsFromArrival: the time that a request waits for the answer to the one ahead of it on the
+// connection has been used up, of one that came with it, and of one that came during the call.
+func TestRequestBehindAnotherCountsFromArrival(t *testing.T) {
+	const wait = 300 * time.Millisecond
+	for name, together := range map[string]bool{"together": true, "during the call": false} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s, upstream := startServer(t, nil)
+			calls, answer := make(chan *router.Call, 2), make(chan struct{})
+			upstream.mu.Lock()
+			upstream.beforeAnswer = func(call *router.Call) { calls <- call; <-answer }
+			upstream.mu.Unlock()
+			cl := dial(t, s)
+			first, second := newRequest(servedFunction, "a"), newRequest(servedFunction, "b", "X-Deadline-Ms: 15000")
+			if together {
+				cl.send(first + second)
+				<-calls
+			} else {
+				cl.send(first)
+				<-calls
+				cl.send(second)
+				c := serverSide(t, s, cl)
+				waitFor(t, "the second request", func() bool {
+					c.parseMu.Lock()
+					defer c.parseMu.Unlock()
+					return c.reader.Partial()
+				})
+			}
+			time.Sleep(wait)
+			close(answer)
+			if remaining := (<-calls).RemainingDeadline; remaining > 15*time.Second-wait+systemTimeResolution {
+				t.Errorf("%v of 15 s remain after a wait of %v", remaining, wait)
+			}
+		})
+	}
+}
+
+// TestLaterSegmentDoesNotHideAge: a request waits in the socket, and bytes come behind it: it is no younger for that,
+// whether these are read with it or not, and whether it is the first on its connection or not.
+func TestLaterSegmentDoesNotHideAge(t *testing.T) {
+	const wait = 300 * time.Millisecond
+	s, _ := startServer(t, nil)
+	for name, c := range map[string]struct{ served, readAll bool }{
+		"first request":               {false, true},
+		"first request, rest unread":  {false, false},
+		"second request":              {true, true},
+		"second request, rest unread": {true, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			conn, client := newUnnotifiedConn(t, s)
+			read := func(n int) (arrived time.Time) {
+				t.Helper()
+				waitFor(t, "the segment", func() bool { return readable(descriptor(conn.netConn)) })
+				current := s.currentArrival(conn.netConn)
+				p := make([]byte, n)
+				n, err := unix.Read(descriptor(conn.netConn), p)
+				if err != nil {
+					t.Fatal(err)
+				}
+				conn.arrivals.update(current)
+				conn.arrivals.bytesAdded(n, false)
+				_ = conn.reader.Add(p[:n])
+				m, arrived, err := conn.nextRequest()
+				if m == nil || err != nil {
+					t.Fatal(m, err)
+				}
+				conn.requestInFlight = false
+				return arrived
+			}
+			if c.served {
+				_, _ = io.WriteString(client, pingRequest)
+				read(len(pingRequest))
+			}
+			_, _ = io.WriteString(client, pingRequest)
+			came := time.Now()
+			time.Sleep(wait)
+			_, _ = io.WriteString(client, pingRequest[:9])
+			waitFor(t, "the later segment", func() bool { return s.currentArrival(conn.netConn).segments >= 2 })
+			n := len(pingRequest)
+			if c.readAll {
+				n += 9
+			}
+			if arrived := read(n); arrived.After(came.Add(systemTimeResolution)) {
+				t.Errorf("it counts from %v after it came", arrived.Sub(came))
+			}
+		})
+	}
+}
