--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"syscall"
 	"testing"
@@ -100,6 +101,38 @@
 	}
 }
 
+// TestNoAttemptOfParkedCallAfterClientLeft: a call is parked, its client leaves, and the event loop can't report it: the
+// attempt that the dispatcher starts then is not forwarded. While the client waits it is.
+func TestNoAttemptOfParkedCallAfterClientLeft(t *testing.T) {
+	rows := map[string]func(*net.TCPConn){"stays": func(*net.TCPConn) {}}
+	maps.Copy(rows, leave)
+	for name, leave := range rows {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s, upstream := startServer(t, nil)
+			cl := dial(t, s)
+			cl.send(newRequest(parkedFunction, ""))
+			waitForOpenRequests(t, s, 1)
+			c, resume := pauseReading(t, s, cl)
+			cl.send("P") // its reader waits, and the close is not handled before that has ended
+			waitUntilReading(t, c, true)
+			tcpConn, _ := cl.netConn.(*net.TCPConn)
+			leave(tcpConn)
+			want := 2
+			if name != "stays" {
+				want = 1
+				waitFor(t, "the end of the connection", c.disconnected)
+			}
+			other := dial(t, s)
+			other.send(newRequest(servedFunction, ""))
+			other.expectStatus(200)
+			upstream.expectForwarded(t, want)
+			resume()
+			waitForOpenRequests(t, s, 0)
+		})
+	}
+}
+
 // TestClientDisconnectsBeforeRequestIsRead: nothing of the request is forwarded.
 func TestClientDisconnectsBeforeRequestIsRead(t *testing.T) {
 	s, upstream := startServer(t, nil)
--- a/internal/server/httpserver/harness_test.go
+++ b/internal/server/httpserver/harness_test.go
@@ -25,19 +25,26 @@
 	rejectedFunction = "bbbbbbbbbbbbbbbb"
 	failedFunction   = "cccccccccccccccc"
 	pendingFunction  = "dddddddddddddddd" // is never answered
+	parkedFunction   = "eeeeeeeeeeeeeeee" // waits for the next request of servedFunction
 )
 
 // testRetryAfter is the retry-after of scriptedDispatcher's rejections.
 const testRetryAfter = 70 * time.Millisecond
 
 // scriptedDispatcher decides about each request by its function.
-type scriptedDispatcher struct{}
+type scriptedDispatcher struct{ parked []dispatch.RequestID }
 
-func (scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
+func (d *scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
 		if request, ok := event.(dispatch.Request); ok {
 			switch request.Function {
+			case parkedFunction:
+				d.parked = append(d.parked, request.ID)
 			case servedFunction:
+				for _, id := range d.parked {
+					actions = append(actions, dispatch.StartAttempt{ID: id, Worker: "w"})
+				}
+				d.parked = nil
 				actions = append(actions, dispatch.StartAttempt{ID: request.ID, Worker: "w"})
 			case rejectedFunction:
 				actions = append(actions, dispatch.RejectRequest{ID: request.ID, RetryAfter: testRetryAfter})
@@ -94,7 +101,7 @@
 func startServer(t *testing.T, change func(*Config)) (*Server, *echoUpstream) {
 	t.Helper()
 	upstream := &echoUpstream{}
-	newDispatcher := func(dispatch.Settings, uint64) (router.Dispatcher, error) { return scriptedDispatcher{}, nil }
+	newDispatcher := func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &scriptedDispatcher{}, nil }
 	r, err := router.New(router.Config{NewDispatcher: newDispatcher}, upstream)
 	if err != nil {
 		t.Fatal(err)
