--- a/internal/transport/http1/reader.go
+++ b/internal/transport/http1/reader.go
@@ -102,6 +102,7 @@
 		r.discard(head.contentLength)
 	}
 	r.head = nil
+	r.skipEmptyLines()
 	return &Message{Head: *head, Body: body}, nil
 }
 
@@ -126,13 +127,16 @@
 	r.buf = append([]byte(nil), r.buf[n:]...)
 }
 
+// skipEmptyLines drops empty lines ahead of a request (RFC 9112, section 2.2): they begin no message.
+func (r *Reader) skipEmptyLines() {
+	for !r.response && len(r.buf) >= 2 && r.buf[0] == '\r' && r.buf[1] == '\n' {
+		r.discard(2)
+	}
+}
+
 // readHead reads the head once it is complete.
 func (r *Reader) readHead() error {
-	if !r.response { // RFC 9112, section 2.2: an empty line ahead of a request is ignored
-		for len(r.buf) >= 2 && r.buf[0] == '\r' && r.buf[1] == '\n' {
-			r.discard(2)
-		}
-	}
+	r.skipEmptyLines()
 	headEnd := []byte("\r\n\r\n")
 	from := max(r.scanned-(len(headEnd)-1), 0)
 	end := bytes.Index(r.buf[from:], headEnd)
--- a/internal/transport/http1/reader_test.go
+++ b/internal/transport/http1/reader_test.go
@@ -203,3 +203,17 @@
 		}
 	})
 }
+
+// TestEmptyLineBehindRequestBeginsNoMessage: some clients send one behind a body.
+func TestEmptyLineBehindRequestBeginsNoMessage(t *testing.T) {
+	r := NewReader(testLimits)
+	if err := r.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx\r\n\r\n")); err != nil {
+		t.Fatal(err)
+	}
+	if m, err := r.Next(); m == nil || string(m.Body) != "x" || err != nil {
+		t.Fatal(m, err)
+	}
+	if r.Partial() {
+		t.Error("an empty line begins a message")
+	}
+}
