--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"syscall"
 	"testing"
@@ -10,7 +11,6 @@
 	"github.com/cloudwego/netpoll"
 
 	"github.com/topazfront/topazfront/internal/router"
-	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
 // unnotifiedConn is a connection whose event loop has not read or reported anything yet.
@@ -51,7 +51,7 @@
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		t.Fatal(err)
 	}
-	return &conn{server: s, netConn: unnotifiedConn{fd: fd}, reader: http1.NewReader(s.cfg.Limits)}, client
+	return s.newConn(unnotifiedConn{fd: fd}), client
 }
 
 // TestDisconnectedClient: a call's ClientLeft is true as soon as the socket shows it, though the event loop may not have
@@ -101,6 +101,38 @@
 	}
 }
 
+// TestNoAttemptOfParkedCallAfterClientLeft: a call is parked, its client leaves, and the event loop can't report it: the
+// attempt that the dispatcher starts then is not forwarded. While the client waits it is.
+func TestNoAttemptOfParkedCallAfterClientLeft(t *testing.T) {
+	rows := map[string]func(*net.TCPConn){"stays": func(*net.TCPConn) {}}
+	maps.Copy(rows, leave)
+	for name, leave := range rows {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s, upstream := startServer(t, nil)
+			cl := dial(t, s)
+			cl.send(newRequest(parkedFunction, ""))
+			waitForOpenRequests(t, s, 1)
+			c, resume := pauseReading(t, s, cl)
+			cl.send("P") // its reader waits, and the close is not handled before that has ended
+			waitUntilReading(t, c, true)
+			tcpConn, _ := cl.netConn.(*net.TCPConn)
+			leave(tcpConn)
+			want := 2
+			if name != "stays" {
+				want = 1
+				waitFor(t, "the end of the connection", c.disconnected)
+			}
+			other := dial(t, s)
+			other.send(newRequest(servedFunction, ""))
+			other.expectStatus(200)
+			upstream.expectForwarded(t, want)
+			resume()
+			waitForOpenRequests(t, s, 0)
+		})
+	}
+}
+
 // TestClientDisconnectsBeforeRequestIsRead: nothing of the request is forwarded.
 func TestClientDisconnectsBeforeRequestIsRead(t *testing.T) {
 	s, upstream := startServer(t, nil)
--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -7,6 +7,7 @@
 import (
 	"context"
 	"log/slog"
+	"net"
 	"sync"
 	"syscall"
 	"time"
@@ -41,6 +42,8 @@
 	stop      chan struct{} // closed by Close; ends the sweep
 	wg        sync.WaitGroup
 
+	listeningSince time.Time
+
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
 	openIDs map[string]struct{} // of the requests that the router has not answered
@@ -65,13 +68,14 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	s := &Server{cfg: cfg, router: r, conns: map[*conn]struct{}{}, openIDs: map[string]struct{}{}, stop: make(chan struct{})}
+	s := &Server{cfg: cfg, router: r, conns: map[*conn]struct{}{}, openIDs: map[string]struct{}{}, stop: make(chan struct{}),
+		listeningSince: time.Now()}
 	var err error
 	if s.listener, err = listen.Open("tcp", cfg.Address); err != nil {
 		return nil, err
 	}
 	if cfg.ReceiveBufferBytes > 0 { // accepted connections inherit it
-		_ = syscall.SetsockoptInt(s.listener.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, cfg.ReceiveBufferBytes)
+		setReceiveBuffer(s.listener.Listener, cfg.ReceiveBufferBytes)
 	}
 	if s.eventLoop, err = s.newEventLoop(); err != nil {
 		_ = s.listener.Close()
@@ -83,6 +87,20 @@
 	return s, nil
 }
 
+// setReceiveBuffer sets a listener's receive buffer. It does not ask a listen.Listener for its descriptor: the event loop
+// does, and Serve takes the first who asks for the event loop.
+func setReceiveBuffer(listener net.Listener, size int) {
+	withDescriptor, ok := listener.(syscall.Conn)
+	if !ok {
+		return
+	}
+	if rawConn, err := withDescriptor.SyscallConn(); err == nil {
+		_ = rawConn.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size)
+		})
+	}
+}
+
 func (s *Server) newEventLoop() (netpoll.EventLoop, error) {
 	return netpoll.NewEventLoop(
 		func(ctx context.Context, _ netpoll.Connection) error {
