--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -99,6 +99,7 @@
 	handle     func(*fakeplatform.Worker, fakeplatform.Request) // Worker.Handle of each worker
 	beside     *harness                                         // its workers and records are shared by this harness's router
 	router     string                                           // its name in the records; "": fakeplatform.DefaultRouter
+	unstarted  bool                                             // the test starts a router itself, and leads the client to it
 	firstCall  int                                              // calls are numbered from here
 }
 
@@ -130,7 +131,9 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
 	h.client = &fakeplatform.Client{Records: h.records, Router: options.router, HTTPClient: &http.Client{Transport: transport}}
-	h.startServer()
+	if !options.unstarted {
+		h.startServer()
+	}
 	return h
 }
 
