--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -1,6 +1,8 @@
 package httprouter
 
 import (
+	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -42,3 +44,39 @@
 		}
 	}
 }
+
+// TestShutdownWhileWorkersHang has workers answer nothing through a whole shutdown, while clients go on calling over open
+// and new connections. Each call gets its answer in time.
+func TestShutdownWhileWorkersHang(t *testing.T) {
+	const (
+		deadline  = time.Second
+		callFor   = 600 * time.Millisecond // clients come for so long after SIGTERM
+		callPause = 50 * time.Millisecond
+	)
+	t.Parallel()
+	settings := strings.ReplaceAll(defaultSettings, `"deadline":8000000`, `"deadline":1000000`)
+	h := startHarness(t, harnessOptions{settings: settings, handle: func(*fakeplatform.Worker, fakeplatform.Request) {}})
+	var wg sync.WaitGroup
+	callOfEachClass := func() {
+		for _, class := range []string{"safe", "keyed", "unsafe"} {
+			wg.Go(func() {
+				if status := h.callWithin(class, deadline); status == 200 || status == 0 {
+					t.Errorf("%s: status %d", class, status)
+				}
+			})
+		}
+	}
+	callOfEachClass()
+	stopped := make(chan int, 1)
+	startedAt := time.Now()
+	go func() { stopped <- h.server.Shutdown() }()
+	for time.Since(startedAt) < callFor {
+		callOfEachClass()
+		time.Sleep(callPause)
+	}
+	wg.Wait()
+	if unanswered := testsupport.Await(t, stopped, "the end of the shutdown"); unanswered != 0 {
+		t.Errorf("%d calls without an answer", unanswered)
+	}
+	h.requireInvariants()
+}
