--- a/internal/httprouter/attempt_failures_test.go
+++ b/internal/httprouter/attempt_failures_test.go
@@ -92,6 +92,7 @@
 
 // TestBothAttemptsEndAtOnce has both attempts of a hedged request end at the same instant: each client gets one answer.
 func TestBothAttemptsEndAtOnce(t *testing.T) {
+	t.Parallel()
 	const calls = 60
 	for name, c := range map[string]struct {
 		act    func(first, second fakeplatform.Request)
@@ -152,6 +153,7 @@
 // TestRetriesFailAtOnce has every attempt fail at once, for a while, in each way there is. Each call gets its answer in
 // time, and calls are served afterwards.
 func TestRetriesFailAtOnce(t *testing.T) {
+	t.Parallel()
 	const failing = 8 // calls of each class
 	for name, fail := range map[string]func(r fakeplatform.Request){
 		"reset":        func(r fakeplatform.Request) { r.Conn.Fail(fakeplatform.ResetConn) },
@@ -206,6 +208,7 @@
 // TestShortDeadlines makes calls with very little time left, of which workers say nothing. Each gets its answer in time,
 // and no worker is told of more time than its client has.
 func TestShortDeadlines(t *testing.T) {
+	t.Parallel()
 	const (
 		callsPerClass = 5
 		maxRounds     = 100
