--- a/internal/httprouter/attempt_failures_test.go
+++ b/internal/httprouter/attempt_failures_test.go
@@ -256,3 +256,17 @@
 		})
 	}
 }
+
+// TestShortDeadlinesBeforeLoads makes calls with very little time left of functions that no worker holds, while workers
+// answer neither load commands, health checks nor attempts. Each gets its answer in time.
+func TestShortDeadlinesBeforeLoads(t *testing.T) {
+	t.Parallel()
+	h := startHarness(t, harnessOptions{handle: func(*fakeplatform.Worker, fakeplatform.Request) {}})
+	const callsPerClass = 5
+	for _, deadline := range []time.Duration{50 * time.Millisecond, 20 * time.Millisecond, 5 * time.Millisecond} {
+		if served := h.callsWithin(callsPerClass, deadline); served > 0 {
+			t.Errorf("%d served", served)
+		}
+	}
+	h.requireInvariants()
+}
