--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -18,6 +18,7 @@
 	LoadTime               time.Duration // 0: unknown
 	ExpectedWork           time.Duration // 0: unknown
 	RemainingDeadline      time.Duration // until the client gives up
+	MeasuredAt             time.Time     // when RemainingDeadline was; zero: when the call is submitted
 	Streamed               bool
 	Request                any // the request as the server received it, for the upstream of the same protocol
 	Client                 Client
--- a/internal/router/calls.go
+++ b/internal/router/calls.go
@@ -11,6 +11,9 @@
 // stopped, and nothing was accepted.
 func (r *Router) Submit(submitted *Call) (cancel func(), ok bool) {
 	call := &activeCall{submitted: submitted, deadline: r.Clock() + submitted.RemainingDeadline}
+	if !submitted.MeasuredAt.IsZero() {
+		call.deadline = r.At(submitted.MeasuredAt) + submitted.RemainingDeadline
+	}
 	ok = r.post(func() { r.acceptCall(call) })
 	return func() { r.post(func() { r.cancelCall(call) }) }, ok
 }
--- a/internal/server/httpserver/parse.go
+++ b/internal/server/httpserver/parse.go
@@ -73,8 +73,9 @@
 	if given && !invocation.IsIdempotencyKey(key) || !given && idempotency == dispatch.IdempotentByKey {
 		return nil, nil, &requestError{http1.StatusBadRequest, "x-operation-key: missing or unusable"}
 	}
-	deadline := arrived.Add(milliseconds(timeout))
-	call := &router.Call{Function: function, Class: class, ConcurrencyPerInstance: 1, RemainingDeadline: time.Until(deadline)}
+	now := time.Now()
+	call := &router.Call{Function: function, Class: class, ConcurrencyPerInstance: 1,
+		RemainingDeadline: arrived.Add(milliseconds(timeout)).Sub(now), MeasuredAt: now}
 	if err := parseEstimates(call, m); err != nil {
 		return nil, nil, err
 	}
--- a/internal/server/httpserver/timing_test.go
+++ b/internal/server/httpserver/timing_test.go
@@ -27,6 +27,9 @@
 	if err != nil || call.RemainingDeadline > 1100*time.Millisecond || call.RemainingDeadline < 500*time.Millisecond {
 		t.Errorf("remaining %v, %v", call.RemainingDeadline, err)
 	}
+	if err == nil && call.MeasuredAt.IsZero() {
+		t.Error("the call doesn't tell when its remaining time was measured")
+	}
 }
 
 // TestAgeIsBelieved: any age that began since the server listens, and no other.
