--- a/internal/server/httpserver/close_test.go
+++ b/internal/server/httpserver/close_test.go
@@ -8,6 +8,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/router"
 )
 
 // panickingHandler panics where a request is rejected.
@@ -148,3 +151,23 @@
 		return condition()
 	})
 }
+
+// TestClientThatReadsNothing: its response is given up after the write time-out, without a byte of another response in it,
+// and the others are served meanwhile.
+func TestClientThatReadsNothing(t *testing.T) {
+	s, _ := startServer(t, func(c *Config) { c.WriteTimeout = 300 * time.Millisecond })
+	body := strings.Repeat("x", 32<<20) // more than the system takes
+	cl := dial(t, s)
+	sendPending(t, s, cl)
+	c := serverSide(t, s, cl)
+	c.Finish(router.FinalAnswer{Kind: router.FinalAnswered, Attempt: &router.AttemptResult{Result: dispatch.OK, Body: []byte(body)}})
+	cl.send(newRequest(servedFunction, "behind"))
+	other := dial(t, s)
+	other.send(newRequest(servedFunction, "x"))
+	other.expectServed("done x")
+	waitFor(t, "the end of its connection", func() bool { return s.Stats().Connections == 1 })
+	received, _ := io.ReadAll(cl.reader)
+	if len(received) >= len(body) || strings.Contains(string(received[1:]), "HTTP/1.1") {
+		t.Errorf("%d bytes, the last of them %q", len(received), received[max(len(received)-100, 0):])
+	}
+}
