--- a/cmd/topazfront/main_test.go
+++ b/cmd/topazfront/main_test.go
@@ -73,6 +73,8 @@
 		{"gossip keygen", []string{"gossip", "keygen", "--id", "r0", "--key", "k1", "--file", file, "--over"}},
 		{"gossip keygen, new flag", []string{"gossip", "keygen", "--id", "r0", "--key", "k1", "--file", file, "--overwrite"}},
 		{"gossip simulate", []string{"gossip", "simulate", "--members", "50", "--seeds", "1"}},
+		{"experiment growth", []string{"experiment", "growth", "--usual", "60", "--workers", "960,1920", "--runs", "calm,surge",
+			"--duration", "6s", "--seed", "3", "--out", dir, "--quiet"}},
 		{"version", []string{"version"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
