--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -20,6 +20,7 @@
 	suspectedCapacity   = 0.01             // capacity factor of a suspected worker
 	maxSpeedFactor      = 1.5              // most that a fast worker's capacity is raised by
 	negligible          = 1e-9             // demand or capacity that counts as none
+	maxUnassignable     = 128              // workers that are passed over in a row before a function's assignment ends
 )
 
 // rebalance measures the rates of the interval that ends, forgets idle functions and assigns capacity anew.
@@ -48,6 +49,9 @@
 	})
 	for _, f := range d.functionsInOrder {
 		d.expirePlacements(f)
+		if !f.served {
+			f.ranking.trim() // anyone may make up names, and each had a ranking when it was called
+		}
 	}
 	d.expireRateWindow()
 	d.assignCapacity()
@@ -96,19 +100,23 @@
 	}
 }
 
-// assignWorkers assigns a function's demand to the first workers of its ranking that have capacity left.
+// assignWorkers assigns a function's demand to the first workers of its ranking that have capacity left. It gives up
+// where maxUnassignable workers in a row have none or have ejected the class: no more than a few have any then.
 func (d *Dispatcher) assignWorkers(f *function) {
 	unassigned := f.demand
 	f.assignment = f.assignment[:0]
-	for i := 0; unassigned > negligible; i++ {
+	passedOver := 0
+	for i := 0; unassigned > negligible && passedOver < maxUnassignable; i++ {
 		w := d.rankedWorker(f, i)
 		if w == nil {
 			return
 		}
 		taken := min(unassigned, w.remainingCapacity)
 		if taken <= negligible || d.now < w.ejections[f.lastClass].until {
+			passedOver++
 			continue
 		}
+		passedOver = 0
 		w.remainingCapacity -= taken
 		unassigned -= taken
 		f.assignment = append(f.assignment, workerShare{worker: w, share: taken / f.demand})
--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -12,8 +12,8 @@
 
 const (
 	rankPrefix       = 32 // workers that a ranking holds at first, on average
-	rankPrefixGrowth = 2  // factor by which it grows when more are asked for
-	rankPrefixExcess = 4  // a ranking that holds this multiple of what was used of it is cut
+	rankPrefixGrowth = 4  // factor by which it grows when more are asked for
+	rankPrefixExcess = 2  // a ranking that holds this multiple of what it would hold anew is cut
 )
 
 // ranking is the beginning of the order in which a function prefers the active workers: all those whose score is at
@@ -22,7 +22,7 @@
 type ranking struct {
 	entries  []rankedWorker // by descending score, then by id
 	minScore uint64
-	used     int  // entries that were asked for since the last change of the fleet
+	used     int  // entries that were asked for since the last trim
 	built    bool // entries and minScore are set
 }
 
@@ -111,7 +111,7 @@
 
 // trim drops the end of a ranking that has become much longer than what is used of it, as in a fleet that grew.
 func (r *ranking) trim() {
-	kept := max(rankPrefix, rankPrefixGrowth*r.used)
+	kept := max(rankPrefix, rankPrefixGrowth*r.used/2)
 	if len(r.entries) > rankPrefixExcess*kept {
 		r.minScore = r.entries[kept-1].score
 		r.entries = slices.Clone(r.entries[:kept])
