--- a/internal/router/calls.go
+++ b/internal/router/calls.go
@@ -10,10 +10,11 @@
 // Submit accepts a call. cancel reports to the router that the client has left. If ok is false the router has
 // stopped, and nothing was accepted.
 func (r *Router) Submit(submitted *Call) (cancel func(), ok bool) {
-	call := &activeCall{submitted: submitted, deadline: r.Clock() + submitted.RemainingDeadline}
-	if !submitted.MeasuredAt.IsZero() {
-		call.deadline = r.At(submitted.MeasuredAt) + submitted.RemainingDeadline
+	measuredAt := submitted.MeasuredAt
+	if measuredAt.IsZero() {
+		measuredAt = time.Now()
 	}
+	call := &activeCall{submitted: submitted, deadline: epoch + measuredAt.Sub(r.startedAt) + submitted.RemainingDeadline}
 	ok = r.post(func() { r.acceptCall(call) })
 	return func() { r.post(func() { r.cancelCall(call) }) }, ok
 }
