--- /dev/null
+++ b/dispatch/acceptance.go
@@ -0,0 +1,72 @@
+package dispatch
+
+import "math"
+
+// This file takes new requests, and decides whether one starts an attempt at once or has to wait.
+
+// acceptRequest takes a new request.
+func (d *Dispatcher) acceptRequest(e Request) {
+	c := d.classNamed(e.Class)
+	r := &request{Request: e, class: c, acceptedAt: d.now, workUnit: 1}
+	r.deadline = d.now + max(e.RemainingDeadline, 0)
+	logRunTime := math.Log(defaultRunTime.Seconds())
+	if e.ExpectedWork > 0 {
+		r.workUnit, logRunTime = e.ExpectedWork.Seconds(), 0
+		c.meanWork += workerSmoothing * (r.workUnit - c.meanWork)
+	}
+	f := d.functionNamed(e.Function, logRunTime, r.workUnit)
+	r.function, f.lastClass, f.lastRequestAt = f, c, d.now
+	f.recordRequest(e)
+	f.meanWorkUnit += runTimeSmoothing * (r.workUnit - f.meanWorkUnit)
+	if d.settings.LoadRateWindow > 0 {
+		d.requestTimes = append(d.requestTimes, d.now)
+	}
+	d.requests[e.ID] = r
+	d.setRequestTimer(r, r.deadline+d.settings.ResponseGrace/graceDivisor)
+	d.routeRequest(r)
+}
+
+// routeRequest starts an attempt, has the request wait for a load, a load report or a worker, or ends it.
+func (d *Dispatcher) routeRequest(r *request) {
+	r.needsAttempt = true
+	if !d.mayAttempt(r) {
+		if r.inFlight == 0 {
+			d.finishUnserved(r)
+		}
+		return
+	}
+	w := d.selectWorker(r)
+	switch {
+	case w == nil:
+		if r.inFlight == 0 {
+			d.pending = append(d.pending, r)
+		}
+	case d.loadInProgress(r.function, w):
+		d.awaitLoad(r, r.function.ensurePlacement(w))
+	case d.wantsLoadReport(r, w):
+		d.awaitLoadReport(r, w)
+	default:
+		d.startAttempt(r, w)
+	}
+}
+
+// awaitLoad has a request wait for a load, or ends it if the load is too late for it.
+func (d *Dispatcher) awaitLoad(r *request, p *placement) {
+	loadedAt := p.loadCommandedAt + d.expectedLoadTime(r.function)
+	if loadedAt+r.expectedRunTime()/minRunTimeDivisor >= r.deadline {
+		d.finishUnserved(r)
+		return
+	}
+	p.awaitingLoad = append(p.awaitingLoad, r)
+	d.setRequestTimer(r, p.loadCommandedAt+d.loadOverdueAfter(r.function)+timerSlack)
+}
+
+// classNamed returns a class of the settings, or one of which nothing may be assumed.
+func (d *Dispatcher) classNamed(name string) *class {
+	c := d.classes[name]
+	if c == nil {
+		c = &class{Class: Class{Name: name}, meanWork: defaultRunTime.Seconds()}
+		d.classes[name] = c
+	}
+	return c
+}
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -133,3 +133,19 @@
 	}
 	return math.Exp(-w.loadExcess) * min(math.Exp(-w.slowness), maxSpeedFactor) * d.slowStartFraction(w)
 }
+
+// expirePlacements drops the placements of f that no longer tell anything.
+func (d *Dispatcher) expirePlacements(f *function) {
+	for w, p := range f.placements {
+		if d.isExpired(p) {
+			delete(f.placements, w)
+		}
+	}
+}
+
+// isExpired reports whether a placement tells no more than none would.
+func (d *Dispatcher) isExpired(p *placement) bool {
+	inUse := p.inFlight > 0 || p.loadCommandedAt > 0 || len(p.awaitingLoad) > 0
+	backingOff := p.loadFailures > 0 && d.now < p.loadBackoffUntil+idleFunctionTTL
+	return !inUse && !backingOff && d.now >= p.residentUntil
+}
--- /dev/null
+++ b/dispatch/attemptrules.go
@@ -0,0 +1,60 @@
+package dispatch
+
+import "slices"
+
+// This file holds the rules that every attempt has to satisfy.
+
+const (
+	minRunTimeDivisor = 2 // no attempt starts with less of its run time left
+)
+
+// attemptAllowed reports whether the rules let a request go to a worker now.
+func (d *Dispatcher) attemptAllowed(r *request, w *worker) bool {
+	if r.done || r.streaming != nil || d.now >= r.deadline || len(r.attempts) >= d.settings.MaxAttempts {
+		return false
+	}
+	if w.State != EndpointActive || r.inFlight > 0 && !d.settings.HedgingAllowed {
+		return false
+	}
+	for _, a := range r.attempts {
+		if (!a.ended || a.mayHaveRun) && !d.repeatAllowed(r, a, w) {
+			return false
+		}
+	}
+	return d.slowStartAllows(w)
+}
+
+// repeatAllowed reports whether a request whose attempt a may have run may run again on w.
+func (d *Dispatcher) repeatAllowed(r *request, a *attempt, w *worker) bool {
+	switch r.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentByKey:
+		sameScope := r.class.DeduplicationScope.covers(a.worker.Endpoint, w.Endpoint)
+		return sameScope && d.now-a.startedAt < r.class.DeduplicationWindow
+	}
+	return false
+}
+
+// mayAttempt reports whether a request may get a further attempt. It may not if it has had its attempts, if
+// it can't be served before its client leaves, if no worker may take it as an earlier attempt may have run,
+// or if the retry budget is used up. The budget grows with responses, so what many workers reject at once, in
+// an overload, for want of memory or because the store stands still, is not multiplied by retries. It hurts
+// where few workers reject much.
+func (d *Dispatcher) mayAttempt(r *request) bool {
+	n := len(r.attempts)
+	exhausted := r.streaming != nil || n >= d.settings.MaxAttempts
+	overBudget := n > 0 && r.attempts[n-1].failed && d.retryBudget < 1
+	tooLate := r.inFlight == 0 && d.now+r.expectedRunTime()/minRunTimeDivisor >= r.deadline
+	if exhausted || overBudget || tooLate {
+		return false
+	}
+	if !r.mayHaveRun() {
+		return true
+	}
+	if r.class.Idempotency == NonIdempotent {
+		return false
+	}
+	allowed := func(w *worker) bool { return d.attemptAllowed(r, w) }
+	return r.inFlight > 0 || slices.ContainsFunc(d.activeWorkers, allowed)
+}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -1,20 +1,56 @@
 package dispatch
 
 import (
+	"errors"
+	"fmt"
 	"maps"
+	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
 
-// This file holds the step of a Dispatcher and its timer.
+// This file holds a Dispatcher's life: its start, its step and its timer.
 
 const (
-	rebalanceInterval = 2 * time.Second        // short enough to follow a burst
-	timerSlack        = time.Millisecond       // timers are this exact
-	defaultLoadTime   = 800 * time.Millisecond // before any load time is known
-	defaultRunTime    = 100 * time.Millisecond // before any run time is known
+	rebalanceInterval = 2 * time.Second  // short enough to follow a burst
+	timerSlack        = time.Millisecond // timers are this exact
 )
 
+// New returns a Dispatcher with no knowledge but its settings. All its random draws follow from seed.
+func New(s Settings, seed uint64) (*Dispatcher, error) {
+	switch {
+	case len(s.Classes) == 0:
+		return nil, errors.New("dispatch: settings name no class")
+	case s.MaxAttempts < 1:
+		return nil, fmt.Errorf("dispatch: %d attempts allowed, at least 1 needed", s.MaxAttempts)
+	case min(s.LoadRateWindow, s.OverloadWindow, s.SlowStartDuration, s.IdleResidency) < 0:
+		return nil, errors.New("dispatch: a duration in the settings is negative")
+	}
+	s.Routers = max(s.Routers, 1)
+	d := &Dispatcher{
+		settings:         s,
+		random:           rand.New(rand.NewPCG(seed, 0)),
+		workers:          map[string]*worker{},
+		removedWorkers:   map[string]*worker{},
+		memoryByKind:     map[string]float64{},
+		classes:          map[string]*class{},
+		functions:        map[string]*function{},
+		requests:         map[RequestID]*request{},
+		meanResponseTime: defaultRunTime.Seconds(),
+		logLoadTime:      math.Log(defaultLoadTime.Seconds()),
+		fleetLimit:       initialLimit,
+		retryBudget:      retryBudgetBurst,
+	}
+	for _, k := range s.WorkerKinds {
+		d.memoryByKind[k.Name] = k.MemoryMB
+	}
+	for _, c := range s.Classes {
+		d.classes[c.Name] = &class{Class: c, meanWork: defaultRunTime.Seconds()}
+	}
+	return d, nil
+}
+
 // Step takes the events up to now and returns what to do about them.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
@@ -38,6 +74,34 @@
 	return d.actions
 }
 
+// handle passes an event to the method that decides on it.
+func (d *Dispatcher) handle(e Event) {
+	switch e := e.(type) {
+	case EndpointUpdate:
+		d.updateEndpoints(e)
+	case Request:
+		d.acceptRequest(e)
+	case AttemptEnded:
+		d.attemptEnded(e)
+	case ResponseStarted:
+		d.responseStarted(e)
+	case RequestCancelled:
+		if r := d.requests[e.ID]; r != nil {
+			d.closeRequest(r)
+		}
+	case FunctionLoaded:
+		d.functionLoaded(e)
+	case HealthChecked:
+		d.healthChecked(e)
+	case GossipUpdate:
+		d.applyGossip(e)
+	case ShutdownStarted:
+		d.shutDown(e)
+	case TimerFired:
+		d.timerFired()
+	}
+}
+
 // shutDown brings the deadlines of all requests forward.
 func (d *Dispatcher) shutDown(e ShutdownStarted) {
 	for _, id := range slices.Sorted(maps.Keys(d.requests)) {
@@ -68,3 +132,6 @@
 		d.emit(SetTimer{After: d.timerDue - d.now})
 	}
 }
+
+// emit adds an action to those of the Step under way.
+func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -13,7 +13,16 @@
 //   - Events and their slices belong to the caller again when Step returns. The returned slice is valid until the next
 //     call.
 //
-// The interface stands in settings.go, events.go and actions.go; state.go, timers.go and bookkeeping.go hold what is
-// remembered and the plumbing. Every decision and every tuned value stands in the other files, which
-// deploy/balancer.toml lists under "policy".
+// The interface stands in settings.go, events.go and actions.go. What is remembered stands in state.go, worker.go,
+// function.go, request.go and timers.go, which take no decision. Every decision and every tuned value stands in the other
+// files, which deploy/balancer.toml lists under "policy":
+//
+//   - dispatcher.go: the step, which passes events on and sets the timer
+//   - endpoints.go, slowstart.go: which workers there are, and how much those that have just started may get
+//   - ranking.go, assignment.go, selection.go: the order in which a function prefers workers, the share of its demand
+//     that each is assigned, and the choice of one for a request
+//   - loading.go: load commands
+//   - acceptance.go, attemptrules.go, attempts.go, retries.go, completion.go: a request from its arrival to its answer
+//   - limits.go, runtimes.go: concurrency limits, and the run times that they are judged by
+//   - loadreports.go, failuredetection.go, ejection.go, gossip.go: what is learned of the workers' health
 package dispatch
--- /dev/null
+++ b/dispatch/ejection.go
@@ -0,0 +1,77 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+)
+
+// This file ejects a class from a worker that fails it: ejections.
+
+const (
+	ejectionBase    = 3 * time.Second // first ejection of a class from a worker
+	timeoutsToEject = 8               // attempts of a class in a row without a response
+	slowRejection   = 20              // a rejection is slow after the latency objective divided by this
+)
+
+// isClassFault reports whether an attempt's end is the worker's fault for the class: an error, or a slow
+// rejection by a worker that holds fewer requests than the mean, at a copy that should be loaded.
+func (d *Dispatcher) isClassFault(a *attempt, e AttemptEnded) bool {
+	shouldBeLoaded := a.expectedResident || !d.settings.WorkersLoadOnMiss
+	hasCapacity := e.LoadReport.InFlight >= 0 && e.LoadReport.InFlight < d.meanReportedInFlight
+	slowly := e.Duration > a.request.class.LatencyObjective/slowRejection
+	return shouldBeLoaded && (e.Result == Errored || e.Result == Rejected && hasCapacity && slowly)
+}
+
+// ejectClass stops sending a class to a worker that fails it, with exponential backoff, and assignCapacity
+// passes the worker over for it. Other classes are still served there. It hurts where an error was the
+// request's own.
+func (d *Dispatcher) ejectClass(w *worker, c *class) {
+	count := w.ejections[c].count
+	w.ensureEjections()[c] = ejection{until: d.now + d.backoffWithJitter(ejectionBase, count), count: count + 1}
+	d.reportSuspicion(ReportSuspicion{Worker: w.ID, Class: c.Name})
+}
+
+// forgiveClass shortens the next ejection of a class, and ends a row of timeouts, after a response.
+func (d *Dispatcher) forgiveClass(w *worker, c *class) {
+	if e, known := w.ejections[c]; known {
+		w.ejections[c] = ejection{until: e.until, count: max(e.count-1, 0)}
+	}
+}
+
+// detectTimeout ejects a class from a worker that responds to others and leaves several attempts of this
+// class in a row without a response; detectSilence never sees these, as the worker is heard. It hurts where a
+// class's requests take far longer than their expected work.
+func (d *Dispatcher) detectTimeout(a *attempt) {
+	w, r := a.worker, a.request
+	e := w.ejections[r.class]
+	if a.ended || a.countedAsTimeout || r.done || r.streaming != nil || d.now < e.until {
+		return
+	}
+	if at := d.overdueAt(a); at > d.now {
+		d.setRequestTimer(r, at)
+		return
+	}
+	if w.lastHeard <= a.startedAt {
+		return
+	}
+	a.countedAsTimeout = true
+	e.consecutiveTimeouts++
+	w.ensureEjections()[r.class] = e
+	if e.consecutiveTimeouts >= timeoutsToEject {
+		d.ejectClass(w, r.class)
+		d.retryOverdue(w, r.class)
+	}
+}
+
+// retryOverdue retries the overdue attempts of a class at a worker elsewhere, where the rules and the retry
+// budget allow it.
+func (d *Dispatcher) retryOverdue(w *worker, c *class) {
+	for _, a := range slices.Clone(w.attempts) {
+		r := a.request
+		if r.class == c && !r.done && r.inFlight == 1 && d.now >= d.overdueAt(a) && d.retryBudget >= 1 {
+			before := len(r.attempts)
+			d.routeRequest(r)
+			d.retryBudget -= float64(len(r.attempts) - before)
+		}
+	}
+}
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 )
@@ -58,48 +57,6 @@
 	}
 }
 
-// noteStateChange queues a worker for updateActiveWorkers and forgetRemovedWorkers, if they have work with it.
-func (d *Dispatcher) noteStateChange(w *worker) {
-	if w.active != (w.State == EndpointActive) {
-		d.changedWorkers = append(d.changedWorkers, w)
-	}
-	if w.State == EndpointRemoved {
-		d.removedWorkers[w.ID] = w
-	} else {
-		delete(d.removedWorkers, w.ID)
-	}
-}
-
-// updateActiveWorkers brings activeWorkers, all rankings and the count of suspected workers up to date with the states
-// of changedWorkers.
-func (d *Dispatcher) updateActiveWorkers() {
-	var added, removed []*worker
-	for _, w := range d.changedWorkers {
-		isActive := w.State == EndpointActive
-		switch {
-		case isActive && !w.active:
-			added = append(added, w)
-		case !isActive && w.active:
-			removed = append(removed, w)
-		}
-		w.active = isActive
-	}
-	d.changedWorkers = nil
-	if len(removed) > 0 {
-		d.activeWorkers = slices.DeleteFunc(d.activeWorkers, func(w *worker) bool { return !w.active })
-	}
-	for _, w := range added {
-		i, _ := slices.BinarySearchFunc(d.activeWorkers, w, compareWorkerIDs)
-		d.activeWorkers = slices.Insert(d.activeWorkers, i, w)
-	}
-	for _, f := range d.functionsInOrder {
-		d.updateRanking(f, added, removed)
-	}
-	d.recountSuspectedWorkers()
-}
-
-func compareWorkerIDs(a, b *worker) int { return cmp.Compare(a.ID, b.ID) }
-
 // forgetRemovedWorkers forgets the removed workers without attempts in flight, and lets go the requests that waited for
 // one. It bounds the state in a fleet whose workers are replaced all day by others under new ids.
 func (d *Dispatcher) forgetRemovedWorkers() {
@@ -111,3 +68,10 @@
 	}
 	d.forgetWorkers(forgotten)
 }
+
+// subscribe asks for endpoint updates where they don't come by themselves.
+func (d *Dispatcher) subscribe() {
+	if d.settings.EndpointsBySubscription {
+		d.emit(SubscribeEndpoints{})
+	}
+}
--- a/dispatch/loading.go
+++ b/dispatch/loading.go
@@ -8,12 +8,21 @@
 // This file sends load commands under their rate limit: placement, requestTimes, loadCommandTimes.
 
 const (
+	defaultLoadTime = 800 * time.Millisecond // before any load time is known
 	maxPendingLoads = 4                      // own load commands in flight at one worker
 	loadBackoff     = 500 * time.Millisecond // first backoff after a failed load
 	prefetchRatio   = 0.5                    // of the rate limit, for loads that nobody waits for
 	minMeasuredLoad = 20 * time.Millisecond  // a quicker result came from a copy that was loaded already
 )
 
+// expectedLoadTime is how long a load of f should take.
+func (d *Dispatcher) expectedLoadTime(f *function) time.Duration {
+	if f.loadTime > 0 {
+		return f.loadTime
+	}
+	return seconds(math.Exp(d.logLoadTime))
+}
+
 // loadOverdueAfter is how long a load command may take, also from an overloaded store.
 func (d *Dispatcher) loadOverdueAfter(f *function) time.Duration {
 	return overdueMultiple*d.expectedLoadTime(f) + 2*overdueMargin
@@ -24,6 +33,12 @@
 	return p.loadCommandedAt > 0 && d.now-p.loadCommandedAt > d.loadOverdueAfter(f)
 }
 
+// loadInProgress reports whether w will hold f when its load command in flight has its result.
+func (d *Dispatcher) loadInProgress(f *function, w *worker) bool {
+	p := f.placementOn(w)
+	return p.loadCommandedAt > 0 && d.now >= p.residentUntil && !d.loadOverdue(f, p)
+}
+
 // commandLoad sends a load command, if none is in flight. Every load command passes here. It keeps to the
 // backoff after a failed load, to the bound of commands in flight, and to the fraction of the rate limit
 // given; and it sends none to a worker that attempts may not go to. It reports whether a load is in progress.
@@ -59,6 +74,17 @@
 	return true
 }
 
+// expireRateWindow drops what lies before the sliding window of the rate limit.
+func (d *Dispatcher) expireRateWindow() {
+	from := d.now - d.settings.LoadRateWindow
+	for len(d.requestTimes) > 0 && d.requestTimes[0] <= from {
+		d.requestTimes = d.requestTimes[1:]
+	}
+	for len(d.loadCommandTimes) > 0 && d.loadCommandTimes[0] < from {
+		d.loadCommandTimes = d.loadCommandTimes[1:]
+	}
+}
+
 // functionLoaded takes the result of a load command and lets go the requests that waited for it.
 func (d *Dispatcher) functionLoaded(e FunctionLoaded) {
 	w, f := d.workers[e.Worker], d.functions[e.Function]
--- /dev/null
+++ b/dispatch/retries.go
@@ -0,0 +1,98 @@
+package dispatch
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// This file retries requests: after an attempt that failed, after a wait, and while no worker was available.
+
+const (
+	pendingBackoff     = 30 * time.Millisecond // first wait of a request between attempts, doubled each time
+	maxBackoffDouble   = 5                     // so many times at the most
+	maxBackoffExponent = 4
+	latePenalty        = idleFunctionTTL // puts requests that miss their objective last
+)
+
+// requestTimerFired looks at a request again: at its deadline, while its attempt is in flight, or after a
+// wait.
+func (d *Dispatcher) requestTimerFired(r *request) {
+	switch {
+	case d.now >= r.deadline:
+		d.finishUnserved(r)
+	case r.inFlight > 0:
+		last := r.attempts[len(r.attempts)-1]
+		d.releaseConcurrency(last)
+		d.detectTimeout(last)
+	case r.needsAttempt:
+		d.routeRequest(r)
+	}
+}
+
+// retryRequest continues a request after an attempt at w ended without a final answer.
+func (d *Dispatcher) retryRequest(r *request, w *worker, result Result) {
+	switch {
+	case !d.mayAttempt(r):
+		d.finishUnserved(r)
+	case result == NotResident && d.commandLoad(r.function, w, 1):
+		d.routeRequest(r)
+	case result == NotResident && w.pendingLoads < maxPendingLoads,
+		result == Rejected && len(r.attempts) >= 2:
+		r.needsAttempt = true
+		d.setRequestTimer(r, d.now+pendingBackoff<<min(r.backoffs, maxBackoffDouble))
+		r.backoffs++
+	default:
+		d.routeRequest(r)
+	}
+}
+
+// retryPending routes the pending requests again: first those that can meet their objective, newest first, as
+// in an overload the others are lost already and would take more with them. One that finds no worker stands
+// for the others of its function. One that finds none and misses its objective is rejected at once and not
+// when its client has left. That hurts where a late response is worth much and a worker becomes available
+// soon.
+func (d *Dispatcher) retryPending() {
+	waiting := d.pending
+	d.pending = nil
+	for _, r := range waiting {
+		r.retryOrder = r.acceptedAt
+		if d.missesObjective(r) {
+			r.retryOrder -= latePenalty
+		}
+	}
+	slices.SortStableFunc(waiting, func(a, b *request) int { return cmp.Compare(b.retryOrder, a.retryOrder) })
+	blocked := map[*function]bool{}
+	for _, r := range slices.Compact(waiting) {
+		if !r.done && r.needsAttempt && r.inFlight == 0 {
+			d.retryOnePending(r, blocked)
+		}
+	}
+}
+
+// retryOnePending routes a pending request, unless one of its function just found no worker.
+func (d *Dispatcher) retryOnePending(r *request, blocked map[*function]bool) {
+	late, before := r.retryOrder < r.acceptedAt, len(d.pending)
+	if blocked[r.function] && len(r.attempts) == 0 {
+		d.pending = append(d.pending, r)
+	} else {
+		d.routeRequest(r)
+		blocked[r.function] = len(d.pending) > before
+	}
+	if blocked[r.function] && late {
+		d.finishUnserved(r)
+		d.pending = d.pending[:before]
+	}
+}
+
+// missesObjective reports whether a request can no longer be served within its latency objective.
+func (d *Dispatcher) missesObjective(r *request) bool {
+	return d.now-r.acceptedAt+r.expectedRunTime() > r.class.LatencyObjective
+}
+
+// backoffWithJitter doubles with each time, and is hardly ever the same at two routers.
+func (d *Dispatcher) backoffWithJitter(base time.Duration, times int) time.Duration {
+	factor := math.Exp2(float64(min(times, maxBackoffExponent)))
+	return time.Duration(float64(base) * factor * (0.75 + d.random.Float64()/2))
+}
--- /dev/null
+++ b/dispatch/runtimes.go
@@ -0,0 +1,78 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+)
+
+// This file learns from responses how long requests run, at each worker and of each function.
+
+const (
+	defaultRunTime   = 100 * time.Millisecond // before any run time is known
+	overdueMultiple  = 3                      // an attempt is overdue at this multiple of its time,
+	overdueMargin    = 100 * time.Millisecond // and not before this has been added to it
+	runTimeSmoothing = 0.1                    // weight of one response in a function's run time
+	workerSmoothing  = 0.06                   // weight of one response in a worker's slowness
+	meanSmoothing    = 0.05                   // weight of one report or response in the mean of all
+	maxRunTimeError  = 1.5                    // most that a response may be off, in logs
+	minSlowness      = -1.0
+	maxSlowness      = 2.5
+	minResponseTime  = 1e-4 // seconds
+)
+
+// recordResponse learns from a response: the retry budget, the chance that a copy is loaded, the function's
+// run time, and the worker's limit and slowness. A response that may have waited for a load tells nothing of
+// the last three.
+func (d *Dispatcher) recordResponse(a *attempt, e AttemptEnded) {
+	r, w := a.request, a.worker
+	r.function.served = true
+	d.retryBudget = min(d.retryBudget+1, retryBudgetBurst)
+	took := e.Duration.Seconds()
+	d.meanResponseTime += meanSmoothing * (took - d.meanResponseTime)
+	d.recordResidency(a, e)
+	waited := !a.expectedResident
+	if d.settings.CacheStatusReported {
+		waited = e.CacheStatus != CacheHit
+	}
+	if !waited {
+		d.adjustLimit(w, r, took)
+		d.recordRunTime(a, took)
+	}
+	d.workServed += r.class.meanWork
+	d.servedCount++
+}
+
+// recordResidency learns how often a worker holds a copy that this router does not know of.
+func (d *Dispatcher) recordResidency(a *attempt, e AttemptEnded) {
+	if a.expectedResident {
+		return
+	}
+	quick := e.Duration < d.expectedLoadTime(a.request.function)/2
+	if e.CacheStatus == CacheHit || e.CacheStatus == CacheUnknown && quick {
+		d.residentChance += meanSmoothing * (1 - d.residentChance)
+	} else {
+		d.residentChance -= meanSmoothing * d.residentChance
+	}
+}
+
+// recordRunTime divides what a response took more or less than expected between the function and the worker.
+func (d *Dispatcher) recordRunTime(a *attempt, took float64) {
+	r, f, w := a.request, a.request.function, a.worker
+	deviation := math.Log(max(took, minResponseTime)/r.workUnit) - f.logRunTime - w.slowness
+	deviation = min(max(deviation, -maxRunTimeError), maxRunTimeError)
+	f.logRunTime += runTimeSmoothing * deviation / float64(1+a.concurrent)
+	w.slowness = min(max(w.slowness+workerSmoothing*deviation, minSlowness), maxSlowness)
+	if r.ExpectedWork == 0 {
+		r.class.meanWork += workerSmoothing * (took - r.class.meanWork)
+	}
+}
+
+// expectedRunTime is how long a request should take to run.
+func (r *request) expectedRunTime() time.Duration {
+	return seconds(math.Exp(r.function.logRunTime) * r.workUnit)
+}
+
+// overdueAt is when an attempt is overdue.
+func (d *Dispatcher) overdueAt(a *attempt) time.Duration {
+	return a.startedAt + seconds(a.expectedSeconds+overdueMultiple*d.meanResponseTime)
+}
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -4,20 +4,30 @@
 	"cmp"
 	"iter"
 	"slices"
-	"time"
 )
 
-// This file chooses a worker for a request, see selection.
+// This file chooses a worker for a request.
 
 const (
-	loadReportTTL   = 300 * time.Millisecond // a load report is current for so long
-	overloadedRatio = 1.5                    // multiple of the mean report at which a worker is passed over
-
+	overloadedRatio = 1.5 // multiple of the mean report at which a worker is passed over
 	// maxRankedCandidates bounds how far down its ranking a function looks for a worker. Behind it, only the workers
 	// that hold the function are looked at. It binds in fleets of more workers than this.
 	maxRankedCandidates = 128
 )
 
+// selection is the state of choosing a worker for one request.
+type selection struct {
+	request           *request
+	majoritySuspected bool
+	avoidOverloaded   bool
+	preferred         *worker // the first that may take the request after a load
+	fallback          *worker // the first that is unlikely to serve it
+	overloaded        *worker // the first that reports too many requests
+	limited           bool    // a worker was passed over at its concurrency limit,
+	residentLimited   bool    // and one of these holds the function
+	backingOff        bool    // a worker was passed over because a load failed there
+}
+
 // candidates yields the workers for a function in the order of choice: first those that it is assigned to,
 // the fewest own attempts in flight per share first, with a draw in proportion to the shares where there are
 // hardly any; then the first of the others down the ranking, and those behind them that hold the function.
