--- a/dispatch/attemptrules.go
+++ b/dispatch/attemptrules.go
@@ -8,12 +8,14 @@
 	minRunTimeDivisor = 2 // no attempt starts with less of its run time left
 )
 
-// attemptAllowed reports whether the rules let a request go to a worker now.
-func (d *Dispatcher) attemptAllowed(r *request, w *worker) bool {
-	if r.done || r.streaming != nil || d.now >= r.deadline || len(r.attempts) >= d.settings.MaxAttempts {
+// admitAttempt reports whether the rules let a request go to a worker now. It brings the token bucket of a worker in
+// slow start up to date.
+func (d *Dispatcher) admitAttempt(r *request, w *worker) bool {
+	if !d.isOpen(r) || w.State != EndpointActive {
 		return false
 	}
-	if w.State != EndpointActive || r.inFlight > 0 && !d.settings.HedgingAllowed {
+	isHedged := r.inFlight > 0
+	if isHedged && !d.settings.HedgingAllowed {
 		return false
 	}
 	for _, a := range r.attempts {
@@ -21,7 +23,15 @@
 			return false
 		}
 	}
-	return d.slowStartAllows(w)
+	return d.admitToSlowStart(w)
+}
+
+// isOpen reports whether a request may get a further attempt at some worker.
+func (d *Dispatcher) isOpen(r *request) bool {
+	if r.done || r.streaming != nil {
+		return false
+	}
+	return d.now < r.deadline && len(r.attempts) < d.settings.MaxAttempts
 }
 
 // repeatAllowed reports whether a request whose attempt a may have run may run again on w.
@@ -55,6 +65,6 @@
 	if r.class.Idempotency == NonIdempotent {
 		return false
 	}
-	allowed := func(w *worker) bool { return d.attemptAllowed(r, w) }
+	allowed := func(w *worker) bool { return d.admitAttempt(r, w) }
 	return r.inFlight > 0 || slices.ContainsFunc(d.activeWorkers, allowed)
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -6,7 +6,7 @@
 
 // startAttempt forwards a request to a worker. Every attempt passes here.
 func (d *Dispatcher) startAttempt(r *request, w *worker) {
-	if !d.attemptAllowed(r, w) {
+	if !d.admitAttempt(r, w) {
 		return
 	}
 	a := &attempt{request: r, worker: w, number: len(r.attempts), startedAt: d.now}
@@ -41,7 +41,7 @@
 	}
 	r := a.request
 	r.streaming, r.needsAttempt, a.firstMessageAfter = a, false, max(e.Duration, 1)
-	d.heard(a.worker)
+	d.markResponsive(a.worker)
 	a.worker.removeAttempt(a)
 }
 
@@ -76,7 +76,7 @@
 	weight := a.weight
 	d.releaseConcurrency(a)
 	if e.Result != TimedOut && e.Result != NotSent && e.Result != Cancelled {
-		d.heard(w)
+		d.markResponsive(w)
 	}
 	classFault := d.isClassFault(a, e)
 	if classFault {
@@ -88,7 +88,7 @@
 	switch e.Result {
 	case OK:
 		d.recordResponse(a, e)
-		d.forgiveClass(w, r.class)
+		d.recordClassServed(w, r.class)
 		p.residentUntil, p.loadFailures = max(p.residentUntil, d.now+d.settings.IdleResidency), 0
 	case NotResident:
 		p.residentUntil = 0
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -92,7 +92,7 @@
 	case FunctionLoaded:
 		d.functionLoaded(e)
 	case HealthChecked:
-		d.healthChecked(e)
+		d.recordHealthCheck(e)
 	case GossipUpdate:
 		d.applyGossip(e)
 	case ShutdownStarted:
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -31,17 +31,17 @@
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID, Class: c.Name})
 }
 
-// forgiveClass shortens the next ejection of a class, and ends a row of timeouts, after a response.
-func (d *Dispatcher) forgiveClass(w *worker, c *class) {
+// recordClassServed shortens the next ejection of a class, and ends a row of timeouts, after a response.
+func (d *Dispatcher) recordClassServed(w *worker, c *class) {
 	if e, known := w.ejections[c]; known {
 		w.ejections[c] = ejection{until: e.until, count: max(e.count-1, 0)}
 	}
 }
 
-// detectTimeout ejects a class from a worker that responds to others and leaves several attempts of this
-// class in a row without a response; detectSilence never sees these, as the worker is heard. It hurts where a
+// countTimeout ejects a class from a worker that responds to others and leaves several attempts of this
+// class in a row without a response; updateSuspicion never sees these, as the worker is heard. It hurts where a
 // class's requests take far longer than their expected work.
-func (d *Dispatcher) detectTimeout(a *attempt) {
+func (d *Dispatcher) countTimeout(a *attempt) {
 	w, r := a.worker, a.request
 	e := w.ejections[r.class]
 	if a.ended || a.countedAsTimeout || r.done || r.streaming != nil || d.now < e.until {
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -11,11 +11,11 @@
 	healthCheckInterval = time.Second            // between health checks of a suspected worker
 )
 
-// detectSilence reports whether a worker is suspected. It becomes so when it is silent for longer than chance
+// updateSuspicion suspects a worker when it is silent for longer than chance
 // explains: the responses overdue are summed in units of their expected time since it was last heard (an
 // accrual failure detector). A suspected worker is health-checked from time to time; any response ends the
 // suspicion.
-func (d *Dispatcher) detectSilence(w *worker) bool {
+func (d *Dispatcher) updateSuspicion(w *worker) {
 	if !w.suspected && len(w.attempts) > 0 && d.now-max(w.lastHeard, w.attempts[0].startedAt) > minSilence {
 		phi := 0.0
 		for _, a := range w.attempts {
@@ -30,7 +30,6 @@
 		w.lastChecked = d.now
 		d.emit(CheckHealth{Worker: w.ID})
 	}
-	return w.suspected
 }
 
 // majoritySuspected reports whether half of the fleet looks unresponsive: then the fault is in the store, the
@@ -39,8 +38,8 @@
 	return 2*d.suspectedCount > len(d.activeWorkers)
 }
 
-// heard notes that w has responded.
-func (d *Dispatcher) heard(w *worker) {
+// markResponsive notes a response of w, which ends its suspicion.
+func (d *Dispatcher) markResponsive(w *worker) {
 	w.lastHeard = d.now
 	d.setSuspected(w, false)
 }
--- a/dispatch/loading.go
+++ b/dispatch/loading.go
@@ -89,7 +89,7 @@
 func (d *Dispatcher) functionLoaded(e FunctionLoaded) {
 	w, f := d.workers[e.Worker], d.functions[e.Function]
 	if w != nil && (e.Result == OK || e.Result == Rejected || e.Result == Errored) {
-		d.heard(w)
+		d.markResponsive(w)
 	}
 	if w == nil || f == nil || f.placementOn(w).loadCommandedAt == 0 {
 		return // forgotten, or commanded before the worker was restarted
--- a/dispatch/loadreports.go
+++ b/dispatch/loadreports.go
@@ -36,7 +36,7 @@
 func (d *Dispatcher) wantsLoadReport(r *request, w *worker) bool {
 	cheap := d.settings.HealthChecksAllowed && d.settings.HealthCheckCost < maxHealthCheckCost
 	stale := d.settings.LoadReports != ReportsNone && d.now-w.reportedAt > loadReportTTL
-	return cheap && stale && !r.healthChecked && d.random.Float64()*d.fleetShare < 1
+	return cheap && stale && !r.loadReportAwaited && d.random.Float64()*d.fleetShare < 1
 }
 
 // awaitLoadReport has a request wait for the health check of a worker.
@@ -44,18 +44,18 @@
 	if len(w.awaitingReport) == 0 {
 		d.emit(CheckHealth{Worker: w.ID})
 	}
-	r.healthChecked, w.awaitingReport = true, append(w.awaitingReport, r)
+	r.loadReportAwaited, w.awaitingReport = true, append(w.awaitingReport, r)
 	d.setRequestTimer(r, d.now+pendingBackoff)
 }
 
-// healthChecked takes the result of a health check and lets go the requests that waited for it.
-func (d *Dispatcher) healthChecked(e HealthChecked) {
+// recordHealthCheck takes the result of a health check and lets go the requests that waited for it.
+func (d *Dispatcher) recordHealthCheck(e HealthChecked) {
 	w := d.workers[e.Worker]
 	if w == nil {
 		return
 	}
 	if e.Result == OK {
-		d.heard(w)
+		d.markResponsive(w)
 		if e.LoadReport.InFlight >= 0 {
 			d.recordLoadReport(w, e.LoadReport.InFlight)
 		}
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -22,14 +22,14 @@
 	deadline   time.Duration
 	workUnit   float64 // seconds that its run time is measured in: its expected work, or one second if that is unknown
 
-	attempts      []*attempt
-	inFlight      int
-	streaming     *attempt      // the one whose streamed response has begun
-	needsAttempt  bool          // it waits for its next attempt
-	healthChecked bool          // a worker was checked for it
-	backoffs      int           // waits between its attempts so far
-	retryOrder    time.Duration // its place among the pending requests, the latest first
-	done          bool          // it has its final answer, or needs none
+	attempts          []*attempt
+	inFlight          int
+	streaming         *attempt      // the one whose streamed response has begun
+	needsAttempt      bool          // it waits for its next attempt
+	loadReportAwaited bool          // it has waited for a load report once
+	backoffs          int           // waits between its attempts so far
+	retryOrder        time.Duration // its place among the pending requests, the latest first
+	done              bool          // it has its final answer, or needs none
 }
 
 // attempt is one attempt of a request.
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -25,7 +25,7 @@
 	case r.inFlight > 0:
 		last := r.attempts[len(r.attempts)-1]
 		d.releaseConcurrency(last)
-		d.detectTimeout(last)
+		d.countTimeout(last)
 	case r.needsAttempt:
 		d.routeRequest(r)
 	}
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -28,18 +28,59 @@
 	backingOff        bool    // a worker was passed over because a load failed there
 }
 
-// candidates yields the workers for a function in the order of choice: first those that it is assigned to,
-// the fewest own attempts in flight per share first, with a draw in proportion to the shares where there are
-// hardly any; then the first of the others down the ranking, and those behind them that hold the function.
+// selectWorker chooses where a request goes; nil: nowhere for now. Where the preferred worker does not hold the
+// function and another does, the first is sent a load command and the second serves: no request waits for a load
+// because an assignment moved or grew.
+func (d *Dispatcher) selectWorker(r *request) *worker {
+	d.selections++
+	s := selection{request: r, majoritySuspected: d.majoritySuspected()}
+	s.avoidOverloaded = d.random.Float64() < max(d.residentChance, 1/d.fleetShare)
+	d.drawAssignmentOrder(r.function)
+	for w := range d.candidates(r.function) {
+		if d.admitAttempt(r, w) && d.evaluateCandidate(&s, w) {
+			d.prefetch(&s)
+			return w
+		}
+	}
+	return d.selectWithoutResident(&s)
+}
+
+// prefetch commands a load at the preferred worker, for the requests to come: another worker serves this one.
+func (d *Dispatcher) prefetch(s *selection) {
+	if s.preferred != nil && d.settings.LoadCommandsAllowed {
+		d.commandLoad(s.request.function, s.preferred, 1)
+	}
+}
+
+// selectWithoutResident ends a selection that found no worker which holds the function and may take the request.
+func (d *Dispatcher) selectWithoutResident(s *selection) *worker {
+	if s.preferred != nil && s.residentLimited && d.settings.LoadCommandsAllowed {
+		d.commandLoad(s.request.function, s.preferred, prefetchRatio)
+		return nil // the request waits for the load or for the concurrency limit, whichever comes first
+	}
+	nothingToWaitFor := s.preferred == nil && !s.limited && !s.backingOff
+	if nothingToWaitFor {
+		return cmp.Or(s.fallback, s.overloaded)
+	}
+	return s.preferred
+}
+
+// drawAssignmentOrder sorts a function's assigned workers into the order of choice for one request: the fewest own
+// attempts in flight per share first, with a draw in proportion to the shares where there are hardly any.
+func (d *Dispatcher) drawAssignmentOrder(f *function) {
+	for i := range f.assignment {
+		s := &f.assignment[i]
+		s.worker.candidateIn = d.selections
+		inFlight := float64(f.placementOn(s.worker).inFlight)
+		s.choiceKey = (inFlight + d.random.ExpFloat64()) / s.share
+	}
+	slices.SortFunc(f.assignment, func(a, b workerShare) int { return cmp.Compare(a.choiceKey, b.choiceKey) })
+}
+
+// candidates yields the workers for a function in the order of choice: its assigned workers in their present order,
+// then the first of the others down the ranking, and at last those behind them that hold the function.
 func (d *Dispatcher) candidates(f *function) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		for i := range f.assignment {
-			s := &f.assignment[i]
-			s.worker.chosenIn = d.selections
-			s.choiceKey = (float64(f.placementOn(s.worker).inFlight) + d.random.ExpFloat64()) / s.share
-		}
-		byKey := func(a, b workerShare) int { return cmp.Compare(a.choiceKey, b.choiceKey) }
-		slices.SortFunc(f.assignment, byKey)
 		for _, s := range f.assignment {
 			if s.worker.State == EndpointActive && !yield(s.worker) {
 				return
@@ -50,13 +91,13 @@
 			if w == nil {
 				return
 			}
-			assigned := w.chosenIn == d.selections
-			w.chosenIn = d.selections
-			if !assigned && !yield(w) {
+			seen := w.candidateIn == d.selections
+			w.candidateIn = d.selections
+			if !seen && !yield(w) {
 				return
 			}
 		}
-		for _, w := range d.residentBehind(f) {
+		for _, w := range d.residentWorkersBehind(f) {
 			if !yield(w) {
 				return
 			}
@@ -64,12 +105,12 @@
 	}
 }
 
-// residentBehind returns the active workers that hold f and are not among the candidates of the selection under way, in
-// the order of the ranking.
-func (d *Dispatcher) residentBehind(f *function) []*worker {
+// residentWorkersBehind returns the active workers that hold f and are not among the candidates of the selection under
+// way so far, in the order of the ranking.
+func (d *Dispatcher) residentWorkersBehind(f *function) []*worker {
 	var entries []rankedWorker
 	for w, p := range f.placements {
-		if w.State == EndpointActive && w.chosenIn != d.selections && d.now < p.residentUntil {
+		if w.State == EndpointActive && w.candidateIn != d.selections && d.now < p.residentUntil {
 			entries = append(entries, rankedWorker{d.rendezvousScore(f, w), w})
 		}
 	}
@@ -81,51 +122,17 @@
 	return workers
 }
 
-// selectWorker chooses where a request goes; nil: nowhere for now. A suspected worker and one where an
-// attempt of the request failed are passed over while there is another that may take it. So is one whose
-// current load report shows it overloaded, whatever the cause, the more often the more routers there are for
-// a worker: other routers' requests had copies loaded further down the ranking. It hurts where they had not,
-// as the request then waits for a load. Where the preferred worker does not hold the function and another
-// does, the first is sent a load command and the second serves: an assignment that moves or grows makes no
-// request wait for a load.
-func (d *Dispatcher) selectWorker(r *request) *worker {
-	d.selections++
-	s := selection{request: r, majoritySuspected: d.majoritySuspected()}
-	s.avoidOverloaded = d.random.Float64() < max(d.residentChance, 1/d.fleetShare)
-	for w := range d.candidates(r.function) {
-		if !d.attemptAllowed(r, w) || !d.consider(&s, w) {
-			continue
-		}
-		if s.preferred != nil && d.settings.LoadCommandsAllowed {
-			d.commandLoad(r.function, s.preferred, 1)
-		}
-		return w
-	}
-	if s.preferred != nil && s.residentLimited && d.settings.LoadCommandsAllowed {
-		d.commandLoad(r.function, s.preferred, prefetchRatio)
-		return nil // the request waits for the load or for the concurrency limit, whichever comes first
-	}
-	if s.preferred == nil && !s.limited && !s.backingOff {
-		return cmp.Or(s.fallback, s.overloaded)
-	}
-	return s.preferred
-}
-
-// consider reports whether w holds the function and may take the request now. If not, it notes what w is good
-// for.
-func (d *Dispatcher) consider(s *selection, w *worker) bool {
+// evaluateCandidate reports whether w holds the function and may take the request now. If not, it notes in the
+// selection what w is good for.
+func (d *Dispatcher) evaluateCandidate(s *selection, w *worker) bool {
 	r := s.request
 	p := r.function.placementOn(w)
-	reportIsCurrent := d.now-w.reportedAt < loadReportTTL
-	overloaded := w.reportedInFlight > overloadedRatio*(d.meanReportedInFlight+1)
-	if s.avoidOverloaded && r.inFlight == 0 && reportIsCurrent && overloaded {
+	if s.avoidOverloaded && r.inFlight == 0 && d.reportsOverload(w) {
 		s.overloaded = cmp.Or(s.overloaded, w)
 		return false
 	}
-	ejected := d.now < w.ejections[r.class].until
-	backingOff := d.now < p.loadBackoffUntil
-	silent := d.detectSilence(w) && !s.majoritySuspected
-	if silent || r.failedOn(w) || ejected || backingOff || d.loadOverdue(r.function, p) {
+	if d.isUnlikelyToServe(s, w, p) {
+		backingOff := d.now < p.loadBackoffUntil
 		if r.inFlight == 0 && !backingOff {
 			s.fallback = cmp.Or(s.fallback, w)
 		}
@@ -138,7 +145,8 @@
 		return false
 	}
 	if d.atConcurrencyLimit(w) {
-		s.limited, s.residentLimited = true, s.residentLimited || resident
+		s.limited = true
+		s.residentLimited = s.residentLimited || resident
 		return false
 	}
 	if !resident && w.pendingLoads < maxPendingLoads {
@@ -146,3 +154,22 @@
 	}
 	return resident
 }
+
+// reportsOverload reports whether the current load report of a worker shows it overloaded, whatever the cause. Other
+// routers' requests had copies loaded further down the ranking, so passing the worker over costs little. False
+// positives: where no other worker holds the function, the request waits for a load.
+func (d *Dispatcher) reportsOverload(w *worker) bool {
+	reportIsCurrent := d.now-w.reportedAt < loadReportTTL
+	return reportIsCurrent && w.reportedInFlight > overloadedRatio*(d.meanReportedInFlight+1)
+}
+
+// isUnlikelyToServe reports whether another worker should be tried first: w is suspected, has ejected the class or
+// failed the request, or a load of the function failed or is overdue there. It updates the suspicion of w.
+func (d *Dispatcher) isUnlikelyToServe(s *selection, w *worker, p placement) bool {
+	r := s.request
+	d.updateSuspicion(w)
+	silent := w.suspected && !s.majoritySuspected
+	ejected := d.now < w.ejections[r.class].until
+	loadFailing := d.now < p.loadBackoffUntil || d.loadOverdue(r.function, p)
+	return silent || ejected || loadFailing || r.failedOn(w)
+}
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -16,10 +16,11 @@
 	return min(max(fraction, minSlowStartFraction), 1)
 }
 
-// slowStartAllows reports whether a worker may be sent an attempt. If it is warming up, this refills its token bucket first. The
+// admitToSlowStart reports whether slow start lets a worker have an attempt. If the worker is warming up, its token
+// bucket is refilled first. The
 // bucket keeps this router's part of what such a worker can take: the fair share of the work that this router
 // has served, which no overload raises, times the fraction of its capacity that the worker surely has.
-func (d *Dispatcher) slowStartAllows(w *worker) bool {
+func (d *Dispatcher) admitToSlowStart(w *worker) bool {
 	if !w.warmingUp {
 		return true
 	}
--- a/dispatch/streaming_test.go
+++ b/dispatch/streaming_test.go
@@ -65,7 +65,7 @@
 	}
 	h.advance(2 * time.Second)
 	for _, w := range h.dispatcher.activeWorkers {
-		if h.dispatcher.detectSilence(w) {
+		if h.dispatcher.updateSuspicion(w); w.suspected {
 			t.Errorf("%s is suspected", w.ID)
 		}
 	}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -11,11 +11,11 @@
 // worker is what this router knows of one worker.
 type worker struct {
 	Endpoint
-	memoryMB  float64 // of its kind
-	active    bool    // it stands in Dispatcher.activeWorkers
-	forgotten bool    // it is no longer in Dispatcher.workers
-	listedIn  int     // the endpoint update that last listed it, see Dispatcher.endpointUpdates
-	chosenIn  int     // the selection whose assigned candidates it was last among, see Dispatcher.selections
+	memoryMB    float64 // of its kind
+	active      bool    // it stands in Dispatcher.activeWorkers
+	forgotten   bool    // it is no longer in Dispatcher.workers
+	listedIn    int     // the endpoint update that last listed it, see Dispatcher.endpointUpdates
+	candidateIn int     // the selection that it was last a candidate of, see Dispatcher.selections
 
 	lastHeard   time.Duration // last response of any kind
 	lastChecked time.Duration // last health check sent because of a suspicion
