--- a/dispatch/acceptance.go
+++ b/dispatch/acceptance.go
@@ -7,15 +7,23 @@
 // acceptRequest takes a new request.
 func (d *Dispatcher) acceptRequest(e Request) {
 	c := d.classNamed(e.Class)
-	r := &request{Request: e, class: c, acceptedAt: d.now, workUnit: 1}
-	r.deadline = d.now + max(e.RemainingDeadline, 0)
+	r := &request{
+		Request:    e,
+		class:      c,
+		acceptedAt: d.now,
+		deadline:   d.now + max(e.RemainingDeadline, 0),
+		workUnit:   1,
+	}
 	logRunTime := math.Log(defaultRunTime.Seconds())
 	if e.ExpectedWork > 0 {
-		r.workUnit, logRunTime = e.ExpectedWork.Seconds(), 0
+		r.workUnit = e.ExpectedWork.Seconds()
+		logRunTime = 0
 		c.meanWork += workerSmoothing * (r.workUnit - c.meanWork)
 	}
 	f := d.functionNamed(e.Function, logRunTime, r.workUnit)
-	r.function, f.lastClass, f.lastRequestAt = f, c, d.now
+	r.function = f
+	f.lastClass = c
+	f.lastRequestAt = d.now
 	f.recordRequest(e)
 	f.meanWorkUnit += runTimeSmoothing * (r.workUnit - f.meanWorkUnit)
 	if d.settings.LoadRateWindow > 0 {
@@ -43,7 +51,7 @@
 		}
 	case d.loadInProgress(r.function, w):
 		d.awaitLoad(r, r.function.ensurePlacement(w))
-	case d.wantsLoadReport(r, w):
+	case d.drawLoadReportWait(r, w):
 		d.awaitLoadReport(r, w)
 	default:
 		d.startAttempt(r, w)
--- a/dispatch/attemptrules.go
+++ b/dispatch/attemptrules.go
@@ -4,9 +4,8 @@
 
 // This file holds the rules that every attempt has to satisfy.
 
-const (
-	minRunTimeDivisor = 2 // no attempt starts with less of its run time left
-)
+// minRunTimeDivisor: no attempt is started with less than this part of its expected run time left.
+const minRunTimeDivisor = 2
 
 // admitAttempt reports whether the rules let a request go to a worker now. It brings the token bucket of a worker in
 // slow start up to date.
@@ -42,21 +41,19 @@
 	case IdempotentByKey:
 		sameScope := r.class.DeduplicationScope.covers(a.worker.Endpoint, w.Endpoint)
 		return sameScope && d.now-a.startedAt < r.class.DeduplicationWindow
+	case NonIdempotent:
+		return false
 	}
 	return false
 }
 
-// mayAttempt reports whether a request may get a further attempt. It may not if it has had its attempts, if
-// it can't be served before its client leaves, if no worker may take it as an earlier attempt may have run,
-// or if the retry budget is used up. The budget grows with responses, so what many workers reject at once, in
-// an overload, for want of memory or because the store stands still, is not multiplied by retries. It hurts
-// where few workers reject much.
+// mayAttempt reports whether a request may get a further attempt. It may not if it has had its attempts, if it can't be
+// served before its deadline, if the retry budget is used up, or if an earlier attempt may have run and no worker may
+// repeat it.
 func (d *Dispatcher) mayAttempt(r *request) bool {
-	n := len(r.attempts)
-	exhausted := r.streaming != nil || n >= d.settings.MaxAttempts
-	overBudget := n > 0 && r.attempts[n-1].failed && d.retryBudget < 1
+	exhausted := r.streaming != nil || len(r.attempts) >= d.settings.MaxAttempts
 	tooLate := r.inFlight == 0 && d.now+r.expectedRunTime()/minRunTimeDivisor >= r.deadline
-	if exhausted || overBudget || tooLate {
+	if exhausted || tooLate || d.isOverRetryBudget(r) {
 		return false
 	}
 	if !r.mayHaveRun() {
@@ -65,6 +62,19 @@
 	if r.class.Idempotency == NonIdempotent {
 		return false
 	}
-	allowed := func(w *worker) bool { return d.admitAttempt(r, w) }
-	return r.inFlight > 0 || slices.ContainsFunc(d.activeWorkers, allowed)
+	return r.inFlight > 0 || d.repeatableSomewhere(r)
+}
+
+// isOverRetryBudget reports whether the next attempt of a request would be a retry that the budget does not allow. The
+// budget grows with responses, so what many workers reject at once, in an overload, for want of memory or because the
+// store stands still, is not multiplied by retries. False positives: a few workers that reject much use up the budget
+// of the others.
+func (d *Dispatcher) isOverRetryBudget(r *request) bool {
+	n := len(r.attempts)
+	return n > 0 && r.attempts[n-1].failed && d.retryBudget < 1
+}
+
+// repeatableSomewhere reports whether any worker may take a request that may have run.
+func (d *Dispatcher) repeatableSomewhere(r *request) bool {
+	return slices.ContainsFunc(d.activeWorkers, func(w *worker) bool { return d.admitAttempt(r, w) })
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -4,43 +4,56 @@
 
 // This file starts attempts and takes their ends.
 
-// startAttempt forwards a request to a worker. Every attempt passes here.
+// startAttempt forwards a request to a worker, if the rules allow it. There is no other way to start one.
 func (d *Dispatcher) startAttempt(r *request, w *worker) {
 	if !d.admitAttempt(r, w) {
 		return
 	}
-	a := &attempt{request: r, worker: w, number: len(r.attempts), startedAt: d.now}
-	a.concurrent = len(w.attempts)
-	a.expectedResident = d.now < r.function.placementOn(w).residentUntil
+	a := d.newAttempt(r, w)
+	d.addAttempt(a)
+	d.setRequestTimer(r, d.now+seconds(overdueMultiple*d.meanResponseTime)+overdueMargin)
+	isRetry := a.number > 0 && r.attempts[a.number-1].failed
+	if isRetry {
+		d.retryBudget--
+	}
+	w.slowStartTokens -= r.class.meanWork
+	d.emit(StartAttempt{ID: r.ID, Worker: w.ID})
+}
+
+// newAttempt returns an attempt with what is expected of it.
+func (d *Dispatcher) newAttempt(r *request, w *worker) *attempt {
+	a := &attempt{
+		request:          r,
+		worker:           w,
+		number:           len(r.attempts),
+		concurrent:       len(w.attempts),
+		startedAt:        d.now,
+		expectedResident: d.now < r.function.placementOn(w).residentUntil,
+		weight:           d.residentChance,
+	}
 	a.expectedSeconds = math.Exp(r.function.logRunTime+w.slowness) * r.workUnit
 	if !a.expectedResident && d.settings.WorkersLoadOnMiss {
 		a.expectedSeconds += d.expectedLoadTime(r.function).Seconds()
 	}
-	a.weight = d.residentChance
 	if a.expectedResident {
 		a.weight = 1
 	}
-	d.addAttempt(a)
-	d.setRequestTimer(r, d.now+seconds(overdueMultiple*d.meanResponseTime)+overdueMargin)
-	if a.number > 0 && r.attempts[a.number-1].failed {
-		d.retryBudget--
-	}
-	w.slowStartTokens -= r.class.meanWork
-	d.emit(StartAttempt{ID: r.ID, Worker: w.ID})
+	return a
 }
 
-// responseStarted takes the start of a streamed response. From then on the attempt belongs to the client:
-// nothing more is started for the request, it is not rejected, and only its deadline ends it, with a
-// FailRequest. How long the stream lasts says nothing of the worker's health, as its reader may be slow: the
-// worker was heard, and the attempt raises no suspicion. Against the concurrency limits it counts until it
-// would be overdue, or slow readers would use them up.
+// responseStarted takes the start of a streamed response. The client has a part of it, so nothing more is started for
+// the request, it is not rejected, and only its deadline ends it, with a FailRequest. The length of the stream tells
+// nothing of the worker's health, as its reader may be slow: the attempt raises no suspicion. It counts against the
+// concurrency limits only until it would be overdue, or slow readers would use them up.
 func (d *Dispatcher) responseStarted(e ResponseStarted) {
 	a := d.openAttempt(e.ID, e.Attempt)
 	if a == nil || a.request.done || a.request.streaming != nil {
 		return
 	}
 	r := a.request
-	r.streaming, r.needsAttempt, a.firstMessageAfter = a, false, max(e.Duration, 1)
+	r.streaming = a
+	r.needsAttempt = false
+	a.firstMessageAfter = max(e.Duration, 1)
 	d.markResponsive(a.worker)
 	a.worker.removeAttempt(a)
 }
@@ -70,12 +83,12 @@
 
 // recordAttempt learns from the end of an attempt.
 func (d *Dispatcher) recordAttempt(a *attempt, e AttemptEnded) {
-	r, w := a.request, a.worker
-	p := r.function.ensurePlacement(w)
+	r := a.request
+	w := a.worker
 	d.removeAttempt(a)
 	weight := a.weight
 	d.releaseConcurrency(a)
-	if e.Result != TimedOut && e.Result != NotSent && e.Result != Cancelled {
+	if e.Result.provesResponsive() {
 		d.markResponsive(w)
 	}
 	classFault := d.isClassFault(a, e)
@@ -85,21 +98,31 @@
 		d.recordLoadReport(w, e.LoadReport.InFlight)
 	}
 	d.adjustFleetLimit(r, e, weight)
+	d.recordResult(a, e, classFault)
+}
+
+// recordResult learns from the result of an attempt, and from what its response tells of the function's copy.
+func (d *Dispatcher) recordResult(a *attempt, e AttemptEnded, classFault bool) {
+	w := a.worker
+	p := a.request.function.ensurePlacement(w)
 	switch e.Result {
 	case OK:
 		d.recordResponse(a, e)
-		d.recordClassServed(w, r.class)
-		p.residentUntil, p.loadFailures = max(p.residentUntil, d.now+d.settings.IdleResidency), 0
+		d.recordClassServed(w, a.request.class)
+		p.residentUntil = max(p.residentUntil, d.now+d.settings.IdleResidency)
+		p.loadFailures = 0
 	case NotResident:
 		p.residentUntil = 0
 	case Rejected:
 		if classFault || a.expectedResident {
-			w.concurrencyLimit = max(w.concurrencyLimit*rejectionFactor, minLimit/float64(d.settings.Routers))
+			d.lowerLimit(w)
 		} else {
 			d.backOffLoads(p) // no memory for a load, more likely than a full queue
 		}
 	case ConnectFailed, ConnectionReset:
 		d.suspect(w)
+	case Errored, TimedOut, Cancelled, NotSent:
+		// An error counts in isClassFault, a timeout in countTimeout; the others tell nothing of the worker.
 	}
 	if e.CacheStatus == CacheLoadFailed {
 		d.backOffLoads(p)
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -23,35 +23,41 @@
 }
 
 // ejectClass stops sending a class to a worker that fails it, with exponential backoff, and assignCapacity
-// passes the worker over for it. Other classes are still served there. It hurts where an error was the
-// request's own.
+// passes the worker over for it. Other classes are still served there. False positives: an error that the
+// request itself caused ejects its class.
 func (d *Dispatcher) ejectClass(w *worker, c *class) {
 	count := w.ejections[c].count
-	w.ensureEjections()[c] = ejection{until: d.now + d.backoffWithJitter(ejectionBase, count), count: count + 1}
+	w.ensureEjections()[c] = ejection{
+		until: d.now + d.backoffWithJitter(ejectionBase, count),
+		count: count + 1,
+	}
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID, Class: c.Name})
 }
 
-// recordClassServed shortens the next ejection of a class, and ends a row of timeouts, after a response.
+// recordClassServed shortens the next ejection of a class, and resets its consecutive timeouts, after a response.
 func (d *Dispatcher) recordClassServed(w *worker, c *class) {
 	if e, known := w.ejections[c]; known {
 		w.ejections[c] = ejection{until: e.until, count: max(e.count-1, 0)}
 	}
 }
 
-// countTimeout ejects a class from a worker that responds to others and leaves several attempts of this
-// class in a row without a response; updateSuspicion never sees these, as the worker is heard. It hurts where a
-// class's requests take far longer than their expected work.
+// countTimeout counts an attempt that is overdue at a worker which has responded to others since, or sets a timer to
+// look again. Several such attempts in a row eject their class: the worker hangs for this class only, which
+// updateSuspicion does not see. False positives: a class whose requests run far longer than their expected work is
+// ejected too early.
 func (d *Dispatcher) countTimeout(a *attempt) {
-	w, r := a.worker, a.request
+	w := a.worker
+	r := a.request
 	e := w.ejections[r.class]
-	if a.ended || a.countedAsTimeout || r.done || r.streaming != nil || d.now < e.until {
+	if !a.awaitsResponse() || a.countedAsTimeout || d.now < e.until {
 		return
 	}
 	if at := d.overdueAt(a); at > d.now {
 		d.setRequestTimer(r, at)
 		return
 	}
-	if w.lastHeard <= a.startedAt {
+	respondsToOthers := w.lastHeard > a.startedAt
+	if !respondsToOthers {
 		return
 	}
 	a.countedAsTimeout = true
@@ -68,7 +74,9 @@
 func (d *Dispatcher) retryOverdue(w *worker, c *class) {
 	for _, a := range slices.Clone(w.attempts) {
 		r := a.request
-		if r.class == c && !r.done && r.inFlight == 1 && d.now >= d.overdueAt(a) && d.retryBudget >= 1 {
+		isOnlyAttempt := !r.done && r.inFlight == 1
+		overdue := d.now >= d.overdueAt(a)
+		if r.class == c && isOnlyAttempt && overdue && d.retryBudget >= 1 {
 			before := len(r.attempts)
 			d.routeRequest(r)
 			d.retryBudget -= float64(len(r.attempts) - before)
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -11,29 +11,36 @@
 	healthCheckInterval = time.Second            // between health checks of a suspected worker
 )
 
-// updateSuspicion suspects a worker when it is silent for longer than chance
-// explains: the responses overdue are summed in units of their expected time since it was last heard (an
-// accrual failure detector). A suspected worker is health-checked from time to time; any response ends the
-// suspicion.
+// updateSuspicion suspects a worker that is silent for longer than chance explains. A suspected worker is
+// health-checked from time to time, and any response ends the suspicion.
 func (d *Dispatcher) updateSuspicion(w *worker) {
-	if !w.suspected && len(w.attempts) > 0 && d.now-max(w.lastHeard, w.attempts[0].startedAt) > minSilence {
-		phi := 0.0
-		for _, a := range w.attempts {
-			silence := d.now - max(a.startedAt, w.lastHeard)
-			phi += silence.Seconds() / max(a.expectedSeconds, minExpectedSeconds)
-		}
-		if phi > phiThreshold {
-			d.suspect(w)
-		}
+	if !w.suspected && d.phi(w) > phiThreshold {
+		d.suspect(w)
 	}
-	if w.suspected && d.now-w.lastChecked >= healthCheckInterval && d.settings.HealthChecksAllowed {
+	checkDue := w.suspected && d.now-w.lastChecked >= healthCheckInterval
+	if checkDue && d.settings.HealthChecksAllowed {
 		w.lastChecked = d.now
 		d.emit(CheckHealth{Worker: w.ID})
 	}
 }
 
-// majoritySuspected reports whether half of the fleet looks unresponsive: then the fault is in the store, the
-// endpoint list or this router's own view, and passing workers over would only overload the others.
+// phi is how unlikely the silence of a worker is, as in an accrual failure detector: the time that each of its attempts
+// has waited since it was last heard, in units of the attempt's expected time. A silence that a usual stall explains
+// counts as 0.
+func (d *Dispatcher) phi(w *worker) float64 {
+	if len(w.attempts) == 0 || d.now-max(w.lastHeard, w.attempts[0].startedAt) <= minSilence {
+		return 0
+	}
+	phi := 0.0
+	for _, a := range w.attempts {
+		silence := d.now - max(a.startedAt, w.lastHeard)
+		phi += silence.Seconds() / max(a.expectedSeconds, minExpectedSeconds)
+	}
+	return phi
+}
+
+// majoritySuspected reports whether more than half of the fleet looks unresponsive. The fault is then in the store, the
+// endpoint list or this router's own network, and passing these workers over would only overload the others.
 func (d *Dispatcher) majoritySuspected() bool {
 	return 2*d.suspectedCount > len(d.activeWorkers)
 }
@@ -44,7 +51,7 @@
 	d.setSuspected(w, false)
 }
 
-// suspect holds w to be unresponsive until it is heard.
+// suspect marks w as unresponsive, until its next response.
 func (d *Dispatcher) suspect(w *worker) {
 	d.setSuspected(w, true)
 	w.lastChecked = d.now
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -19,29 +19,26 @@
 
 // newWorker returns a worker of which nothing is known.
 func (d *Dispatcher) newWorker() *worker {
-	limit := initialLimit / float64(d.settings.Routers)
-	return &worker{concurrencyLimit: limit}
+	return &worker{concurrencyLimit: initialLimit / float64(d.settings.Routers)}
 }
 
-// atConcurrencyLimit reports whether w, or the fleet, has as many attempts of this router in flight as it
-// may.
+// atConcurrencyLimit reports whether w, or the fleet, has as many attempts of this router in flight as it may have.
 func (d *Dispatcher) atConcurrencyLimit(w *worker) bool {
 	return w.inFlight >= max(w.concurrencyLimit, 1) || d.inFlight >= max(d.fleetLimit*d.fleetShare, 1)
 }
 
-// releaseConcurrency takes an attempt out of the limits when it has ended or is overdue by what responses
-// take of late; those that are never answered, by unresponsive workers or a store that stands still, would
-// use up the limits.
+// releaseConcurrency takes an attempt out of the limits when it has ended, or has taken far longer than responses took
+// recently. Attempts that are never answered would use up the limits otherwise.
 func (d *Dispatcher) releaseConcurrency(a *attempt) {
 	if a.ended || (d.now-a.startedAt).Seconds() > overdueMultiple*d.meanResponseTime {
 		d.removeWeight(a)
 	}
 }
 
-// adjustFleetLimit bounds what this router has in flight. Each of many routers has less than one attempt in
-// flight at a worker, so one limit holds for all workers. It shrinks when a request, light by its expected
-// work, gets no response or one later than a load explains. Attempts at copies not known to be loaded count
-// by the chance that they are. It hurts where few workers make many responses late.
+// adjustFleetLimit adapts the limit of what this router has in flight. Each of many routers has less than one attempt in
+// flight at a worker, so one limit holds for all workers. It shrinks when a request that is light by its expected work
+// gets no response, or a later one than a load explains. Attempts at copies not known to be loaded count by the chance
+// that they are. False positives: a few workers that make many responses late lower the limit of all.
 func (d *Dispatcher) adjustFleetLimit(r *request, e AttemptEnded, weight float64) {
 	late := e.Duration > r.class.LatencyObjective
 	if late && d.settings.WorkersLoadOnMiss {
@@ -56,6 +53,11 @@
 	}
 }
 
+// lowerLimit lowers a worker's concurrency limit after a rejection.
+func (d *Dispatcher) lowerLimit(w *worker) {
+	w.concurrencyLimit = max(w.concurrencyLimit*rejectionFactor, minLimit/float64(d.settings.Routers))
+}
+
 // adjustLimit moves a worker's concurrency limit by a response that took so many seconds.
 func (d *Dispatcher) adjustLimit(w *worker, r *request, took float64) {
 	late := lateMultiple * math.Exp(r.function.logRunTime) * r.workUnit
--- a/dispatch/loading.go
+++ b/dispatch/loading.go
@@ -39,9 +39,9 @@
 	return p.loadCommandedAt > 0 && d.now >= p.residentUntil && !d.loadOverdue(f, p)
 }
 
-// commandLoad sends a load command, if none is in flight. Every load command passes here. It keeps to the
-// backoff after a failed load, to the bound of commands in flight, and to the fraction of the rate limit
-// given; and it sends none to a worker that attempts may not go to. It reports whether a load is in progress.
+// commandLoad sends a load command, unless one is in flight, and reports whether a load is in progress. It keeps to the
+// backoff after a failed load, to the bound of commands in flight and to the given fraction of the rate limit, and sends
+// none to a worker that is not active. There is no other way to send a load command.
 func (d *Dispatcher) commandLoad(f *function, w *worker, limitFraction float64) bool {
 	if f.placementOn(w).loadCommandedAt > 0 {
 		return true
@@ -87,7 +87,8 @@
 
 // functionLoaded takes the result of a load command and lets go the requests that waited for it.
 func (d *Dispatcher) functionLoaded(e FunctionLoaded) {
-	w, f := d.workers[e.Worker], d.functions[e.Function]
+	w := d.workers[e.Worker]
+	f := d.functions[e.Function]
 	if w != nil && (e.Result == OK || e.Result == Rejected || e.Result == Errored) {
 		d.markResponsive(w)
 	}
@@ -95,20 +96,23 @@
 		return // forgotten, or commanded before the worker was restarted
 	}
 	p := f.ensurePlacement(w)
-	w.pendingLoads, p.loadCommandedAt = max(w.pendingLoads-1, 0), 0
+	w.pendingLoads = max(w.pendingLoads-1, 0)
+	p.loadCommandedAt = 0
 	if e.Result == OK || e.Copies > 0 {
 		if e.Duration > minMeasuredLoad {
 			d.logLoadTime += runTimeSmoothing * (math.Log(e.Duration.Seconds()) - d.logLoadTime)
 		}
-		p.residentUntil, p.loadFailures = d.now+d.settings.IdleResidency, 0
+		p.residentUntil = d.now + d.settings.IdleResidency
+		p.loadFailures = 0
 	} else {
 		d.backOffLoads(p)
 	}
-	d.pending, p.awaitingLoad = append(d.pending, p.awaitingLoad...), nil
+	d.pending = append(d.pending, p.awaitingLoad...)
+	p.awaitingLoad = nil
 }
 
-// backOffLoads keeps load commands from a placement after a failed load, so that a store or worker in
-// difficulties is not flooded.
+// backOffLoads holds back load commands from a placement after a failed load, so that an overloaded store or worker is
+// not flooded.
 func (d *Dispatcher) backOffLoads(p *placement) {
 	p.residentUntil = 0
 	p.loadBackoffUntil = d.now + d.backoffWithJitter(loadBackoff, p.loadFailures)
--- a/dispatch/loadreports.go
+++ b/dispatch/loadreports.go
@@ -17,26 +17,30 @@
 	maxHealthCheckCost = 0.02                   // a health check before each attempt may earn this much
 )
 
-// recordLoadReport takes a worker's report of the requests that it holds. It guards against workers that get
-// too much while this router hears from each once in many seconds: a report counts by the time since the last
-// one, and chance in it averages out in what all routers start. It hurts where requests are held for long
-// anyway.
+// recordLoadReport takes a worker's report of the requests that it holds. It lowers the share of a worker that reports
+// more than the others, also where this router hears from each only once in many seconds: a report counts by the time
+// since the last one, and its noise averages out over the routers. False positives: a worker whose requests run long
+// reports many although it is not overloaded.
 func (d *Dispatcher) recordLoadReport(w *worker, inFlight float64) {
 	gain := loadReportWeight * (1 - math.Exp(-float64(d.now-w.reportedAt)/float64(loadReportSpan)))
 	deviation := math.Log((inFlight + 1) / (d.meanReportedInFlight + 1))
 	deviation = min(max(deviation, -maxReportDeviation), maxReportDeviation)
-	w.reportedAt, w.reportedInFlight = d.now, inFlight
+	w.reportedAt = d.now
+	w.reportedInFlight = inFlight
 	w.loadExcess += gain * (deviation - w.loadExcess/loadExcessDecay)
 	w.loadExcess = min(max(w.loadExcess, -maxLoadExcess), maxLoadExcess)
 	d.meanReportedInFlight += meanSmoothing * (inFlight - d.meanReportedInFlight)
 }
 
-// wantsLoadReport reports whether a request should wait for a load report of w before its attempt goes there.
-// It does so once, where reports are cheap, and as often as this router's share of the fleet allows.
-func (d *Dispatcher) wantsLoadReport(r *request, w *worker) bool {
+// drawLoadReportWait draws whether a request should wait for a load report of w before its attempt goes there. It waits
+// at most once, where reports are cheap, and as often as this router's share of the fleet allows.
+func (d *Dispatcher) drawLoadReportWait(r *request, w *worker) bool {
 	cheap := d.settings.HealthChecksAllowed && d.settings.HealthCheckCost < maxHealthCheckCost
 	stale := d.settings.LoadReports != ReportsNone && d.now-w.reportedAt > loadReportTTL
-	return cheap && stale && !r.loadReportAwaited && d.random.Float64()*d.fleetShare < 1
+	if !cheap || !stale || r.loadReportAwaited {
+		return false
+	}
+	return d.random.Float64()*d.fleetShare < 1
 }
 
 // awaitLoadReport has a request wait for the health check of a worker.
@@ -44,7 +48,8 @@
 	if len(w.awaitingReport) == 0 {
 		d.emit(CheckHealth{Worker: w.ID})
 	}
-	r.loadReportAwaited, w.awaitingReport = true, append(w.awaitingReport, r)
+	r.loadReportAwaited = true
+	w.awaitingReport = append(w.awaitingReport, r)
 	d.setRequestTimer(r, d.now+pendingBackoff)
 }
 
@@ -60,5 +65,6 @@
 			d.recordLoadReport(w, e.LoadReport.InFlight)
 		}
 	}
-	d.pending, w.awaitingReport = append(d.pending, w.awaitingReport...), nil
+	d.pending = append(d.pending, w.awaitingReport...)
+	w.awaitingReport = nil
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -68,6 +68,11 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended || a.mayHaveRun })
 }
 
+// awaitsResponse reports whether the request of an attempt in flight still needs the start of a response.
+func (a *attempt) awaitsResponse() bool {
+	return !a.ended && !a.request.done && a.request.streaming == nil
+}
+
 // addAttempt counts a started attempt as in flight.
 func (d *Dispatcher) addAttempt(a *attempt) {
 	a.request.attempts = append(a.request.attempts, a)
@@ -82,7 +87,8 @@
 // removeAttempt counts an ended attempt as no longer in flight, but for its weight.
 func (d *Dispatcher) removeAttempt(a *attempt) {
 	p := a.request.function.ensurePlacement(a.worker)
-	a.request.inFlight, p.inFlight = a.request.inFlight-1, max(p.inFlight-1, 0)
+	p.inFlight = max(p.inFlight-1, 0)
+	a.request.inFlight--
 	a.worker.removeAttempt(a)
 }
 
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -12,8 +12,8 @@
 const (
 	pendingBackoff     = 30 * time.Millisecond // first wait of a request between attempts, doubled each time
 	maxBackoffDouble   = 5                     // so many times at the most
-	maxBackoffExponent = 4
-	latePenalty        = idleFunctionTTL // puts requests that miss their objective last
+	maxBackoffExponent = 4                     // of backoffWithJitter
+	latePenalty        = idleFunctionTTL       // puts requests that miss their objective last
 )
 
 // requestTimerFired looks at a request again: at its deadline, while its attempt is in flight, or after a
@@ -48,11 +48,10 @@
 	}
 }
 
-// retryPending routes the pending requests again: first those that can meet their objective, newest first, as
-// in an overload the others are lost already and would take more with them. One that finds no worker stands
-// for the others of its function. One that finds none and misses its objective is rejected at once and not
-// when its client has left. That hurts where a late response is worth much and a worker becomes available
-// soon.
+// retryPending routes the pending requests again. Those that can still meet their objective go first, the newest before
+// the others: in an overload the older ones are late anyway and would make these late, too. Once a request finds no
+// worker, the others of its function wait without a search. One that finds none and misses its objective is rejected at
+// once, not at its deadline. Cost: a late response that would still have earned a part of its value is lost.
 func (d *Dispatcher) retryPending() {
 	waiting := d.pending
 	d.pending = nil
@@ -73,7 +72,8 @@
 
 // retryOnePending routes a pending request, unless one of its function just found no worker.
 func (d *Dispatcher) retryOnePending(r *request, blocked map[*function]bool) {
-	late, before := r.retryOrder < r.acceptedAt, len(d.pending)
+	late := r.retryOrder < r.acceptedAt
+	before := len(d.pending)
 	if blocked[r.function] && len(r.attempts) == 0 {
 		d.pending = append(d.pending, r)
 	} else {
@@ -91,7 +91,7 @@
 	return d.now-r.acceptedAt+r.expectedRunTime() > r.class.LatencyObjective
 }
 
-// backoffWithJitter doubles with each time, and is hardly ever the same at two routers.
+// backoffWithJitter draws a backoff that doubles with each time. The jitter keeps routers from acting at one moment.
 func (d *Dispatcher) backoffWithJitter(base time.Duration, times int) time.Duration {
 	factor := math.Exp2(float64(min(times, maxBackoffExponent)))
 	return time.Duration(float64(base) * factor * (0.75 + d.random.Float64()/2))
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -20,11 +20,10 @@
 	minResponseTime  = 1e-4 // seconds
 )
 
-// recordResponse learns from a response: the retry budget, the chance that a copy is loaded, the function's
-// run time, and the worker's limit and slowness. A response that may have waited for a load tells nothing of
-// the last three.
+// recordResponse learns from a response: the retry budget, the chance that a copy is loaded, the function's run time,
+// and the worker's limit and slowness. A response that may have waited for a load tells nothing of the last three.
 func (d *Dispatcher) recordResponse(a *attempt, e AttemptEnded) {
-	r, w := a.request, a.worker
+	r := a.request
 	r.function.served = true
 	d.retryBudget = min(d.retryBudget+1, retryBudgetBurst)
 	took := e.Duration.Seconds()
@@ -35,7 +34,7 @@
 		waited = e.CacheStatus != CacheHit
 	}
 	if !waited {
-		d.adjustLimit(w, r, took)
+		d.adjustLimit(a.worker, r, took)
 		d.recordRunTime(a, took)
 	}
 	d.workServed += r.class.meanWork
@@ -57,7 +56,9 @@
 
 // recordRunTime divides what a response took more or less than expected between the function and the worker.
 func (d *Dispatcher) recordRunTime(a *attempt, took float64) {
-	r, f, w := a.request, a.request.function, a.worker
+	r := a.request
+	f := r.function
+	w := a.worker
 	deviation := math.Log(max(took, minResponseTime)/r.workUnit) - f.logRunTime - w.slowness
 	deviation = min(max(deviation, -maxRunTimeError), maxRunTimeError)
 	f.logRunTime += runTimeSmoothing * deviation / float64(1+a.concurrent)
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -2,11 +2,10 @@
 
 // This file holds slow start: warmingUp and slowStartTokens.
 
-const (
-	minSlowStartFraction = 0.01
-)
+// minSlowStartFraction keeps the rate of a bucket above zero where the settings give a starting worker no capacity.
+const minSlowStartFraction = 0.01
 
-// slowStartFraction is the fraction of its capacity that a worker surely has.
+// slowStartFraction is the fraction of its capacity that a worker has at the least.
 func (d *Dispatcher) slowStartFraction(w *worker) float64 {
 	if !w.warmingUp || d.settings.SlowStartDuration == 0 {
 		return 1
@@ -17,9 +16,9 @@
 }
 
 // admitToSlowStart reports whether slow start lets a worker have an attempt. If the worker is warming up, its token
-// bucket is refilled first. The
-// bucket keeps this router's part of what such a worker can take: the fair share of the work that this router
-// has served, which no overload raises, times the fraction of its capacity that the worker surely has.
+// bucket is refilled first. The bucket holds this router's part of what such a worker can take: an even share of the
+// work that this router has served, which no overload raises, times the fraction of its capacity that the worker has at
+// the least.
 func (d *Dispatcher) admitToSlowStart(w *worker) bool {
 	if !w.warmingUp {
 		return true
@@ -31,8 +30,8 @@
 	return w.slowStartTokens > 0
 }
 
-// resetSlowStartTokens empties the bucket of a worker that begins or ends its slow start. One of many routers
-// may start far less than one request at once, so each saves up tokens from a random phase.
+// resetSlowStartTokens empties the bucket of a worker that begins or ends its slow start. The rate of one router among
+// many is far below one request, so the buckets start at random levels, or all routers would send their first at once.
 func (d *Dispatcher) resetSlowStartTokens(w *worker) {
 	meanWork := max(d.workRate/max(d.requestRate, negligible), defaultRunTime.Seconds())
 	w.slowStartTokens = -d.random.Float64() * meanWork
