--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -23,30 +23,15 @@
 	maxUnassignable     = 128              // workers that are passed over in a row before a function's assignment ends
 )
 
-// rebalance measures the rates of the interval that ends, forgets idle functions and assigns capacity anew.
+// rebalance measures the rates of the interval that ends, forgets what is idle and assigns capacity anew.
 func (d *Dispatcher) rebalance() {
 	interval := (d.now - d.lastRebalance).Seconds()
 	d.lastRebalance = d.now
 	d.rebalanceCount++
-	// A rate from one or two requests would place every function by chance, and at each router differently,
-	// so few requests are remembered for longer. With enough of them a burst shows within some intervals.
-	remembered := requestsPerWorker * float64(max(len(d.activeWorkers), 1))
-	gain := max(min(d.requestRate*interval/remembered, rateSmoothing), 1/d.rebalanceCount)
-	fleetGain := max(rateSmoothing, 1/d.rebalanceCount)
-	d.workRate += fleetGain * (d.workServed/interval - d.workRate)
-	d.servedRate += fleetGain * (d.servedCount/interval - d.servedRate)
-	d.workServed, d.requestRate, d.servedCount = 0, 0, 0
-	d.functionsInOrder = slices.DeleteFunc(d.functionsInOrder, func(f *function) bool {
-		f.requestRate += gain * (float64(f.requestCount)/interval - f.requestRate)
-		f.requestCount = 0
-		d.requestRate += f.requestRate
-		idle := d.now - f.lastRequestAt
-		if idle <= unservedFunctionTTL || f.served && idle <= idleFunctionTTL {
-			return false
-		}
-		delete(d.functions, f.key)
-		return true
-	})
+	requestGain := d.requestRateGain(interval)
+	d.measureServed(interval)
+	d.measureRequestRates(interval, requestGain)
+	d.forgetIdleFunctions()
 	for _, f := range d.functionsInOrder {
 		d.expirePlacements(f)
 		if !f.served {
@@ -57,6 +42,45 @@
 	d.assignCapacity()
 }
 
+// requestRateGain is the weight of the newest interval in the request rates. A rate from one or two requests would place
+// every function by chance, and at each router differently, so few requests are remembered for longer. With enough of
+// them a burst shows within some intervals.
+func (d *Dispatcher) requestRateGain(interval float64) float64 {
+	remembered := requestsPerWorker * float64(max(len(d.activeWorkers), 1))
+	return max(min(d.requestRate*interval/remembered, rateSmoothing), 1/d.rebalanceCount)
+}
+
+// measureServed updates the rates of what was served.
+func (d *Dispatcher) measureServed(interval float64) {
+	gain := max(rateSmoothing, 1/d.rebalanceCount)
+	d.workRate += gain * (d.workServed/interval - d.workRate)
+	d.servedRate += gain * (d.servedCount/interval - d.servedRate)
+	d.workServed = 0
+	d.servedCount = 0
+}
+
+// measureRequestRates updates the request rates of all functions and their sum.
+func (d *Dispatcher) measureRequestRates(interval, gain float64) {
+	d.requestRate = 0
+	for _, f := range d.functionsInOrder {
+		f.requestRate += gain * (float64(f.requestCount)/interval - f.requestRate)
+		f.requestCount = 0
+		d.requestRate += f.requestRate
+	}
+}
+
+// forgetIdleFunctions forgets the functions without requests for long.
+func (d *Dispatcher) forgetIdleFunctions() {
+	d.functionsInOrder = slices.DeleteFunc(d.functionsInOrder, func(f *function) bool {
+		idle := d.now - f.lastRequestAt
+		keep := idle <= unservedFunctionTTL || f.served && idle <= idleFunctionTTL
+		if !keep {
+			delete(d.functions, f.key)
+		}
+		return !keep
+	})
+}
+
 // assignCapacity fills the workers with the functions, lightest first. The workers' capacities add up to the
 // demand and the headroom, so all of it is assigned while there is a worker that may take it.
 func (d *Dispatcher) assignCapacity() {
@@ -123,10 +147,9 @@
 	}
 }
 
-// capacityFactor is the fraction of its memory that counts as a worker's capacity. It guards against workers
-// that are slow, overloaded by other routers, warming up or unresponsive, whatever the cause: their functions
-// move down the ranking, and return as responses do. It hurts where responses are slow because of the
-// functions.
+// capacityFactor is the fraction of its memory that counts as a worker's capacity. It moves functions away from workers
+// that are slow, overloaded by other routers, warming up or unresponsive, whatever the cause; they return as responses
+// do. False positives: a worker whose functions are slow by themselves loses capacity.
 func (d *Dispatcher) capacityFactor(w *worker) float64 {
 	if w.suspected && !d.majoritySuspected() {
 		return suspectedCapacity
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -53,9 +53,11 @@
 
 // Step takes the events up to now and returns what to do about them.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
-	d.now, d.actions = max(now, d.now), nil
+	d.now = max(now, d.now)
+	d.actions = nil
 	if !d.started {
-		d.started, d.lastRebalance = true, d.now
+		d.started = true
+		d.lastRebalance = d.now
 		d.subscribe()
 	}
 	for _, e := range events {
--- a/dispatch/function.go
+++ b/dispatch/function.go
@@ -74,6 +74,7 @@
 // recordRequest counts a request and notes what it says of the function.
 func (f *function) recordRequest(e Request) {
 	f.requestCount++
-	f.memoryMB, f.loadTime = max(e.MemoryMB, 1), e.LoadTime
+	f.memoryMB = max(e.MemoryMB, 1)
+	f.loadTime = e.LoadTime
 	f.concurrency = float64(max(e.ConcurrencyPerInstance, 1))
 }
--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -11,9 +11,10 @@
 // This file ranks the active workers for each function by rendezvous hashing, the same way at every router.
 
 const (
-	rankPrefix       = 32 // workers that a ranking holds at first, on average
-	rankPrefixGrowth = 4  // factor by which it grows when more are asked for
-	rankPrefixExcess = 2  // a ranking that holds this multiple of what it would hold anew is cut
+	rankPrefix       = maxRankedCandidates * 5 / 4 // workers that a ranking holds at first, on average
+	minRankPrefix    = 32                          // what is left, at the least, of one that is cut
+	rankPrefixGrowth = 4                           // factor by which it grows when more are asked for
+	rankPrefixExcess = 2                           // a ranking that holds this multiple of what it would hold anew is cut
 )
 
 // ranking is the beginning of the order in which a function prefers the active workers: all those whose score is at
@@ -111,7 +112,7 @@
 
 // trim drops the end of a ranking that has become much longer than what is used of it, as in a fleet that grew.
 func (r *ranking) trim() {
-	kept := max(rankPrefix, rankPrefixGrowth*r.used/2)
+	kept := max(minRankPrefix, rankPrefixGrowth*r.used/2)
 	if len(r.entries) > rankPrefixExcess*kept {
 		r.minScore = r.entries[kept-1].score
 		r.entries = slices.Clone(r.entries[:kept])
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -42,7 +42,7 @@
 // ejection keeps a class from a worker.
 type ejection struct {
 	until               time.Duration
-	count               int // ejections of late, for the backoff
+	count               int // recent ejections, for the backoff
 	consecutiveTimeouts int // attempts of the class without a response, while others got theirs
 }
 
