--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -154,6 +154,9 @@
 	if w.suspected && !d.majoritySuspected() {
 		return suspectedCapacity
 	}
+	if w.loadExcess == 0 && w.slowness == 0 {
+		return d.slowStartFraction(w) // most workers of a large fleet: this router has not heard from them
+	}
 	return math.Exp(-w.loadExcess) * min(math.Exp(-w.slowness), maxSpeedFactor) * d.slowStartFraction(w)
 }
 
