--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -14,19 +14,6 @@
 // This file simulates a seeded fleet for TestCharacterization: workers that fail in many ways, routers that are
 // killed, and their requests. Each draw from the random source keeps its place, as the recorded sums depend on it.
 
-// simulatedWorker is a worker as it is, which no router sees.
-type simulatedWorker struct {
-	id, zone, kind string
-	cell           int
-	state          EndpointState
-	startedAt      time.Duration
-	resident       map[string]time.Duration // by function: when its copy has been loaded
-	inFlight       int
-	silentUntil    time.Duration
-	hangs, fails   string  // a class without responses, and one that gets only errors
-	speed          float64 // multiple of the usual run time
-}
-
 // simulatedRouter is one Dispatcher and its requests.
 type simulatedRouter struct {
 	dispatcher *Dispatcher
@@ -42,31 +29,6 @@
 	streamed bool
 }
 
-// scheduledEvent is an event that is due at a router, or a function that changes the fleet.
-type scheduledEvent struct {
-	at     time.Duration
-	order  int
-	router int // -1: of the fleet
-	event  Event
-	run    func()
-}
-
-// eventQueue is a heap of scheduled events, the earliest first, those of one moment in the order of their
-// scheduling.
-type eventQueue []scheduledEvent
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
-func (q *eventQueue) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
-}
-
 // simulation is one seeded fleet.
 type simulation struct {
 	t        *testing.T
@@ -157,48 +119,6 @@
 	return drawn
 }
 
-// scheduleAt schedules an event at a router, or, if there is none, a function.
-func (s *simulation) scheduleAt(at time.Duration, router int, e Event, run func()) {
-	s.order++
-	heap.Push(&s.queue, scheduledEvent{max(at, s.now), s.order, router, e, run})
-}
-
-// uniform draws a duration of a uniform distribution.
-func (s *simulation) uniform(from, to time.Duration) time.Duration {
-	return from + time.Duration(s.rng.Float64()*float64(to-from))
-}
-
-// startWorker adds a worker to the fleet.
-func (s *simulation) startWorker(i int) *simulatedWorker {
-	w := &simulatedWorker{id: fmt.Sprintf("w%02d", i), zone: fmt.Sprint("z", i%2), kind: []string{"big", "small"}[i%2],
-		cell: i / 3, startedAt: s.now, resident: map[string]time.Duration{}, speed: 0.8 + 0.4*s.rng.Float64()}
-	s.workers = append(s.workers, w)
-	return w
-}
-
-// endpoint is a worker's line of the endpoint list.
-func (s *simulation) endpoint(w *simulatedWorker) Endpoint {
-	return Endpoint{ID: w.id, Zone: w.zone, Kind: w.kind, Cell: w.cell, State: w.state, Weight: 1, StartedAt: w.startedAt}
-}
-
-// announceEndpoints sends the endpoint list, or what changed in it, to every router after a delay of its own.
-func (s *simulation) announceEndpoints(snapshot bool, changed ...*simulatedWorker) {
-	announced := changed
-	if snapshot {
-		announced = s.workers
-	}
-	var endpoints []Endpoint
-	for _, w := range announced {
-		if !snapshot || w.state != EndpointRemoved {
-			endpoints = append(endpoints, s.endpoint(w))
-		}
-	}
-	for i := range s.routers {
-		at := s.now + s.uniform(0, 300*time.Millisecond)
-		s.scheduleAt(at, i, EndpointUpdate{Snapshot: snapshot, Endpoints: endpoints}, nil)
-	}
-}
-
 // startRouter starts a router, the first time or after a kill.
 func (s *simulation) startRouter(i int) {
 	r := s.routers[i]
@@ -249,59 +169,6 @@
 	}
 }
 
-// scheduleFaults draws the fleet's faults and schedules the graceful shutdown at its end.
-func (s *simulation) scheduleFaults() {
-	pick := func() *simulatedWorker { return s.workers[s.rng.IntN(len(s.workers))] }
-	faults := []func(){
-		func() { // a worker is restarted
-			w := pick()
-			w.startedAt, w.resident, w.inFlight = s.now, map[string]time.Duration{}, 0
-			s.announceEndpoints(false, w)
-		},
-		func() { // a worker drains and is replaced
-			w := pick()
-			w.state = EndpointDraining
-			s.announceEndpoints(false, w)
-			s.scheduleAt(s.now+2*time.Second, -1, nil, func() {
-				w.state = EndpointRemoved
-				s.startWorker(len(s.workers))
-				s.announceEndpoints(s.rng.IntN(2) == 0, w, s.workers[len(s.workers)-1])
-			})
-		},
-		func() { pick().silentUntil = s.now + s.uniform(time.Second, 5*time.Second) },
-		func() { pick().hangs = "safe" },
-		func() { pick().fails = []string{"safe", "once", "all"}[s.rng.IntN(3)] },
-		func() { pick().speed *= 6 },
-		func() { // a function release: no loaded copy is valid any more
-			for _, w := range s.workers {
-				clear(w.resident)
-			}
-		},
-		func() { // a burst
-			s.rate *= 4
-			s.scheduleAt(s.now+2*time.Second, -1, nil, func() { s.rate /= 4 })
-		},
-		func() { // a router is killed
-			s.startRouter(s.rng.IntN(len(s.routers)))
-		},
-		func() {
-			s.step(s.rng.IntN(len(s.routers)),
-				GossipUpdate{Routers: s.rng.IntN(500), SuspectedWorkers: []string{pick().id, "unknown"}})
-		},
-		func() { s.step(s.rng.IntN(len(s.routers)), EndpointUpdate{SubscriptionLost: true}) },
-		func() { s.announceEndpoints(true) },
-	}
-	for range 14 {
-		fault := faults[s.rng.IntN(len(faults))]
-		s.scheduleAt(s.uniform(3*time.Second, simulationEnd-6*time.Second), -1, nil, fault)
-	}
-	s.scheduleAt(simulationEnd-3*time.Second, -1, nil, func() {
-		for i := range s.routers {
-			s.step(i, ShutdownStarted{AnswerWithin: s.uniform(500*time.Millisecond, 2*time.Second)})
-		}
-	})
-}
-
 // play runs the simulation to its end and returns the hash of all actions.
 func (s *simulation) play() string {
 	for len(s.queue) > 0 {
@@ -350,121 +217,3 @@
 		}
 	}
 }
-
-// scheduleAfter schedules an event at a router; it is dropped if the router is killed before.
-func (s *simulation) scheduleAfter(router int, after time.Duration, e Event) {
-	r, dispatcher := s.routers[router], s.routers[router].dispatcher
-	s.scheduleAt(s.now+after, router, nil, func() {
-		if r.dispatcher != dispatcher {
-			return
-		}
-		if outcome, ok := e.(AttemptEnded); ok && outcome.Result == OK {
-			r.requests[outcome.ID].final = true
-			outcome.Final = true
-			e = outcome
-		}
-		s.scheduleAt(s.now, router, e, nil)
-	})
-}
-
-func (s *simulation) worker(id string) *simulatedWorker {
-	for _, w := range s.workers {
-		if w.id == id {
-			return w
-		}
-	}
-	return nil
-}
-
-// answerLoadCommand schedules the result of a load command.
-func (s *simulation) answerLoadCommand(router int, a LoadFunction) {
-	w := s.worker(a.Worker)
-	switch {
-	case s.now < w.silentUntil:
-		s.scheduleAfter(router, 3*time.Second, FunctionLoaded{Worker: a.Worker, Function: a.Function, Result: TimedOut})
-	case s.rng.IntN(6) == 0:
-		s.scheduleAfter(router, 5*time.Millisecond, FunctionLoaded{Worker: a.Worker, Function: a.Function,
-			Result: Rejected, Duration: 5 * time.Millisecond})
-	default:
-		loadTime := s.uniform(simulatedLoadTime/2, 2*simulatedLoadTime)
-		w.resident[a.Function] = s.now + loadTime
-		s.scheduleAfter(router, loadTime, FunctionLoaded{Worker: a.Worker, Function: a.Function,
-			Copies: a.Copies, Duration: loadTime})
-	}
-}
-
-// answerHealthCheck schedules the result of a health check.
-func (s *simulation) answerHealthCheck(router int, a CheckHealth) {
-	w := s.worker(a.Worker)
-	if s.now < w.silentUntil {
-		s.scheduleAfter(router, 500*time.Millisecond, HealthChecked{Worker: a.Worker, Result: TimedOut,
-			Duration: 500 * time.Millisecond, LoadReport: NoLoadReport})
-		return
-	}
-	s.scheduleAfter(router, 2*time.Millisecond, HealthChecked{Worker: a.Worker, Duration: 2 * time.Millisecond,
-		LoadReport: s.loadReport(w, ReportsFromHealthChecks)})
-}
-
-// loadReport is what a worker reports of its load, if the settings name this source of load reports.
-func (s *simulation) loadReport(w *simulatedWorker, source ReportSource) LoadReport {
-	if s.settings.LoadReports != source {
-		return NoLoadReport
-	}
-	return LoadReport{InFlight: float64(w.inFlight), Queued: max(float64(w.inFlight-8), 0), Loading: -1}
-}
-
-// answerAttempt schedules the end of an attempt at its worker.
-func (s *simulation) answerAttempt(router int, a StartAttempt) {
-	r, w := s.routers[router], s.worker(a.Worker)
-	simulated := r.requests[a.ID]
-	outcome := AttemptEnded{ID: a.ID, Attempt: simulated.attempts, Worker: a.Worker, FunctionInFlight: -1,
-		LoadReport: s.loadReport(w, ReportsWithResponses)}
-	simulated.attempts++
-	runTime := simulated.event.ExpectedWork
-	if runTime == 0 {
-		runTime = 40 * time.Millisecond
-	}
-	runTime = time.Duration(float64(runTime) * w.speed * s.rng.ExpFloat64())
-	readyAt, resident := w.resident[simulated.event.Function]
-	switch chance := s.rng.IntN(100); {
-	case s.now < w.silentUntil || w.hangs == simulated.event.Class:
-		outcome.Result, outcome.Duration, outcome.LoadReport = TimedOut, simulated.event.RemainingDeadline, NoLoadReport
-	case w.state == EndpointRemoved || chance < 2:
-		outcome.Result, outcome.Duration, outcome.LoadReport = ConnectFailed, time.Millisecond, NoLoadReport
-	case chance < 4:
-		outcome.Result, outcome.Duration, outcome.LoadReport = ConnectionReset, runTime, NoLoadReport
-	case w.fails == simulated.event.Class || chance < 5:
-		outcome.Result, outcome.Duration = Errored, runTime
-	case w.inFlight > 16 || chance < 7:
-		outcome.Result, outcome.Duration = Rejected, s.uniform(time.Millisecond, 80*time.Millisecond)
-	case chance < 8:
-		outcome.Result, outcome.Duration, outcome.LoadReport = NotSent, 0, NoLoadReport
-	case !resident && !s.settings.WorkersLoadOnMiss:
-		outcome.Result, outcome.Duration = NotResident, time.Millisecond
-	case !resident:
-		outcome.Duration, outcome.CacheStatus = runTime+simulatedLoadTime, CacheLoadStarted
-		w.resident[simulated.event.Function] = s.now + simulatedLoadTime
-		if s.rng.IntN(12) == 0 {
-			outcome.Result, outcome.CacheStatus = Errored, CacheLoadFailed
-			delete(w.resident, simulated.event.Function)
-		}
-	case readyAt > s.now:
-		outcome.Duration, outcome.CacheStatus = runTime+readyAt-s.now, CacheLoadJoined
-	default:
-		outcome.Duration, outcome.CacheStatus, outcome.FunctionInFlight = runTime, CacheHit, w.inFlight
-	}
-	if !s.settings.CacheStatusReported {
-		outcome.CacheStatus = CacheUnknown
-	}
-	w.inFlight++
-	s.scheduleAt(s.now+outcome.Duration, -1, nil, func() { w.inFlight = max(w.inFlight-1, 0) })
-	if simulated.streamed && outcome.Result == OK {
-		s.scheduleAfter(router, outcome.Duration, ResponseStarted{ID: a.ID, Attempt: outcome.Attempt, Worker: a.Worker,
-			Duration: outcome.Duration})
-		outcome.Duration += s.uniform(10*time.Millisecond, 2*time.Second)
-		if s.rng.IntN(5) == 0 {
-			outcome.Result = ConnectionReset
-		}
-	}
-	s.scheduleAfter(router, outcome.Duration, outcome)
-}
