--- a/internal/fake/fakepeer/liar.go
+++ b/internal/fake/fakepeer/liar.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/gossip"
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
@@ -36,8 +37,8 @@
 type blindRouter struct{}
 
 // VerifyWorker implements agent.Router: no worker can be checked.
-func (blindRouter) VerifyWorker(_ string, _, _ time.Duration, done func(alive, void bool)) {
-	done(false, true)
+func (blindRouter) VerifyWorker(_ string, _, _ time.Duration, done func(gossip.CheckResult)) {
+	done(gossip.CheckSkipped)
 }
 
 // ApplyGossip implements agent.Router.
--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -250,12 +250,12 @@
 func (a *Agent) performQuorumAction(action gossip.QuorumAction) {
 	switch action := action.(type) {
 	case gossip.CheckWorker:
-		a.router.VerifyWorker(action.Worker, a.cfg.Quorum.RecentlyHeard, a.cfg.CheckTimeout, func(alive, skipped bool) {
+		done := func(result gossip.CheckResult) {
 			a.enqueue(func() {
-				checked := gossip.WorkerChecked{Worker: action.Worker, Alive: alive, Skipped: skipped}
-				a.quorumEvents = append(a.quorumEvents, checked)
+				a.quorumEvents = append(a.quorumEvents, gossip.WorkerChecked{Worker: action.Worker, Result: result})
 			})
-		})
+		}
+		a.router.VerifyWorker(action.Worker, a.cfg.Quorum.RecentlyHeard, a.cfg.CheckTimeout, done)
 	case gossip.SilenceConfirmed:
 		a.logger.Info("silent worker confirmed by own check", "worker", action.Worker)
 		a.router.ApplyGossip(dispatch.GossipUpdate{SuspectedWorkers: []string{action.Worker}})
--- a/internal/gossip/agent/agent_test.go
+++ b/internal/gossip/agent/agent_test.go
@@ -27,12 +27,16 @@
 	notify      chan struct{}
 }
 
-func (r *fakeRouter) VerifyWorker(worker string, _, _ time.Duration, done func(alive, skipped bool)) {
+func (r *fakeRouter) VerifyWorker(worker string, _, _ time.Duration, done func(gossip.CheckResult)) {
 	r.mu.Lock()
 	r.checks++
 	dead := r.deadWorkers[worker]
 	r.mu.Unlock()
-	done(!dead, false)
+	if dead {
+		done(gossip.CheckFoundSilent)
+		return
+	}
+	done(gossip.CheckFoundAlive)
 }
 
 func (r *fakeRouter) ApplyGossip(u dispatch.GossipUpdate) {
--- a/internal/gossip/agent/config.go
+++ b/internal/gossip/agent/config.go
@@ -50,8 +50,8 @@
 // Router is what the agent needs of its router. No method blocks. All are called by the agent's loop.
 type Router interface {
 	// VerifyWorker requests a sign of life of a worker and calls done once with the outcome. If the worker was heard
-	// within recentlyHeard, no request is made and done is called with skipped.
-	VerifyWorker(worker string, recentlyHeard, timeout time.Duration, done func(alive, skipped bool))
+	// within recentlyHeard, no request is made and done gets gossip.CheckSkipped.
+	VerifyWorker(worker string, recentlyHeard, timeout time.Duration, done func(gossip.CheckResult))
 	// ApplyGossip passes what came of gossip to the dispatcher.
 	ApplyGossip(dispatch.GossipUpdate)
 }
--- a/internal/gossip/agent/property_test.go
+++ b/internal/gossip/agent/property_test.go
@@ -77,7 +77,7 @@
 func (p *dispatcherPair) claim(worker string) {
 	claim := gossip.Claim{Worker: worker, Started: p.started[worker], Signer: "liar",
 		Kind: gossip.StatementKind(rapid.IntRange(int(gossip.WorkerSilent), int(gossip.ClaimWithdrawn)).Draw(p.t, "kind"))}
-	for _, action := range p.quorum.Step(p.now, []gossip.QuorumEvent{claim, gossip.WorkerChecked{Worker: worker}}) {
+	for _, action := range p.quorum.Step(p.now, []gossip.QuorumEvent{claim, gossip.WorkerChecked{Worker: worker, Result: gossip.CheckFoundSilent}}) {
 		if confirmed, ok := action.(gossip.SilenceConfirmed); ok {
 			p.with.Step(p.now, []dispatch.Event{dispatch.GossipUpdate{SuspectedWorkers: []string{confirmed.Worker}}})
 		}
--- a/internal/gossip/characterization_test.go
+++ b/internal/gossip/characterization_test.go
@@ -305,7 +305,7 @@
 	case 2, 3:
 		toCollector = []gossip.CollectorEvent{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
 	case 4:
-		toQuorum = []gossip.QuorumEvent{gossip.WorkerChecked{Worker: worker, Alive: rng.IntN(2) > 0, Skipped: rng.IntN(5) == 0}}
+		toQuorum = []gossip.QuorumEvent{gossip.WorkerChecked{Worker: worker, Result: drawCheckResult(rng)}}
 	default:
 		toQuorum = []gossip.QuorumEvent{gossip.Claim{Worker: worker, Started: started[worker], Kind: gossip.StatementKind(2 + rng.IntN(4)),
 			Class: class, Signer: signer, Age: time.Duration(rng.IntN(6000)-200) * time.Millisecond},
@@ -314,6 +314,18 @@
 	return started, toQuorum, toCollector
 }
 
+// drawCheckResult draws alive or silent, one in five overruled by skipped: always two draws, which the sums depend on.
+func drawCheckResult(rng *rand.Rand) gossip.CheckResult {
+	result := gossip.CheckFoundSilent
+	if rng.IntN(2) > 0 {
+		result = gossip.CheckFoundAlive
+	}
+	if rng.IntN(5) == 0 {
+		result = gossip.CheckSkipped
+	}
+	return result
+}
+
 // workerSum plays random events to the quorum, the collector and the limiter.
 func workerSum(seed uint64) string {
 	r, rng := newRecorder(), rand.New(rand.NewPCG(seed, 78))
--- a/internal/gossip/suspicion_quorum.go
+++ b/internal/gossip/suspicion_quorum.go
@@ -5,6 +5,7 @@
 	"maps"
 	"math"
 	"slices"
+	"strconv"
 	"time"
 )
 
@@ -78,11 +79,33 @@
 	Age     time.Duration // since the signer saw it
 }
 
-// WorkerChecked reports how a CheckWorker ended. Skipped: no check was made, and Alive has no meaning.
+// CheckResult is how a CheckWorker ended.
+type CheckResult int
+
+// The results of a check.
+const (
+	CheckSkipped     CheckResult = iota // no check was made, so that nothing is known
+	CheckFoundAlive                     // the worker gave a sign of life
+	CheckFoundSilent                    // the worker gave no sign of life
+)
+
+// String returns the result in plain words.
+func (r CheckResult) String() string {
+	switch r {
+	case CheckSkipped:
+		return "skipped"
+	case CheckFoundAlive:
+		return "alive"
+	case CheckFoundSilent:
+		return "silent"
+	}
+	return "CheckResult(" + strconv.Itoa(int(r)) + ")"
+}
+
+// WorkerChecked reports how a CheckWorker ended.
 type WorkerChecked struct {
-	Worker  string
-	Alive   bool
-	Skipped bool
+	Worker string
+	Result CheckResult
 }
 
 func (Claim) quorumEvent()         {}
@@ -267,11 +290,11 @@
 		return false
 	}
 	w.checking = false
-	if e.Skipped {
+	if e.Result == CheckSkipped {
 		return false
 	}
 	for signer, seen := range w.silentSince {
-		if e.Alive { // an old claim may have been true when it was made
+		if e.Result == CheckFoundAlive { // an old claim may have been true when it was made
 			freshness := 1 - float64(q.now-seen)/float64(q.cfg.ClaimLifetime)
 			q.setWeight(signer, q.Weight(signer)*math.Exp2(-min(max(freshness, minContradictedShare), 1)))
 		} else {
@@ -279,7 +302,7 @@
 		}
 	}
 	clear(w.silentSince)
-	if e.Alive {
+	if e.Result == CheckFoundAlive {
 		w.heardAt = q.now
 		q.stats.Contradicted++
 		return false
--- a/internal/gossip/suspicion_quorum_test.go
+++ b/internal/gossip/suspicion_quorum_test.go
@@ -34,7 +34,7 @@
 	if countOf[CheckWorker](actions) != 1 || countOf[SilenceConfirmed](actions) != 0 {
 		t.Fatalf("two signers caused %v, want a check", actions)
 	}
-	actions = q.Step(5100*time.Millisecond, []QuorumEvent{WorkerChecked{Worker: "w"}})
+	actions = q.Step(5100*time.Millisecond, []QuorumEvent{WorkerChecked{Worker: "w", Result: CheckFoundSilent}})
 	if countOf[SilenceConfirmed](actions) != 1 {
 		t.Fatalf("an own check without an answer caused %v", actions)
 	}
@@ -55,7 +55,7 @@
 		"worker heard just before": {WorkerHeard{"w"}, silenceClaim("a"), silenceClaim("b")},
 		"not of silence": {with(func(c *Claim) { c.Kind = WorkerFailing }),
 			with(func(c *Claim) { c.Kind, c.Signer = WorkerSlow, "b" })},
-		"check not asked for": {WorkerChecked{Worker: "w"}},
+		"check not asked for": {WorkerChecked{Worker: "w", Result: CheckFoundSilent}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if actions := newTestQuorum().Step(time.Second, events); len(actions) > 0 {
@@ -77,7 +77,7 @@
 		}
 		if countOf[CheckWorker](actions) > 0 {
 			checks++
-			q.Step(now+time.Millisecond, []QuorumEvent{WorkerChecked{Worker: "w", Alive: true}})
+			q.Step(now+time.Millisecond, []QuorumEvent{WorkerChecked{Worker: "w", Result: CheckFoundAlive}})
 		}
 	}
 	if checks != 1 || q.Weight("a") > 0.6 {
@@ -112,7 +112,7 @@
 				if i > 0 {
 					late++
 				}
-				q.Step(now, []QuorumEvent{WorkerChecked{Worker: check.Worker, Alive: true}})
+				q.Step(now, []QuorumEvent{WorkerChecked{Worker: check.Worker, Result: CheckFoundAlive}})
 			}
 		}
 	}
@@ -135,8 +135,8 @@
 			c.Kind = StatementKind(rapid.IntRange(int(WorkerSilent), int(ClaimWithdrawn)).Draw(t, "kind"))
 			c.Age = time.Duration(rapid.IntRange(-1, 7).Draw(t, "age")) * time.Second
 			c.Started = uint64(rapid.IntRange(4, 6).Draw(t, "incarnation"))
-			e := rapid.SampledFrom([]QuorumEvent{c, c, c, WorkerHeard{"w"}, WorkerChecked{Worker: "w"},
-				WorkerChecked{Worker: "w", Alive: true}, WorkerList{Started: map[string]uint64{"w": c.Started}}}).Draw(t, "event")
+			e := rapid.SampledFrom([]QuorumEvent{c, c, c, WorkerHeard{"w"}, WorkerChecked{Worker: "w", Result: CheckFoundSilent},
+				WorkerChecked{Worker: "w", Result: CheckFoundAlive}, WorkerList{Started: map[string]uint64{"w": c.Started}}}).Draw(t, "event")
 			if actions := q.Step(now, []QuorumEvent{e}); len(actions) > 0 {
 				t.Fatalf("%v caused %v", e, actions)
 			}
@@ -153,7 +153,8 @@
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond
 			c := silenceClaim(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "signer"))
-			checked := WorkerChecked{Worker: "w", Alive: rapid.Bool().Draw(t, "alive"), Skipped: rapid.Bool().Draw(t, "skipped")}
+			results := []CheckResult{CheckSkipped, CheckFoundAlive, CheckFoundSilent}
+			checked := WorkerChecked{Worker: "w", Result: rapid.SampledFrom(results).Draw(t, "result")}
 			e := rapid.SampledFrom([]QuorumEvent{c, c, c, checked, WorkerHeard{"w"}}).Draw(t, "event")
 			for _, a := range q.Step(now, []QuorumEvent{e}) {
 				switch a.(type) {
@@ -166,7 +167,7 @@
 						t.Fatal("checks come too fast")
 					}
 				case SilenceConfirmed:
-					if !checking || e != QuorumEvent(checked) || checked.Alive || checked.Skipped {
+					if !checking || e != QuorumEvent(checked) || checked.Result != CheckFoundSilent {
 						t.Fatalf("silence confirmed on %v", e)
 					}
 				}
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/gossip"
 )
 
 // Gossip reports to other routers what this one suspects of workers, and takes it back. Only the loop calls its
@@ -15,7 +16,7 @@
 
 // SetGossip sets where suspicions are reported from now on. The dispatcher returns them only with
 // dispatch.Settings.SuspicionsReported.
-func (r *Router) SetGossip(gossip Gossip) { r.post(func() { r.gossip = gossip }) }
+func (r *Router) SetGossip(reporter Gossip) { r.post(func() { r.gossip = reporter }) }
 
 // ApplyGossip passes what other routers reported to the dispatcher.
 func (r *Router) ApplyGossip(update dispatch.GossipUpdate) {
@@ -23,24 +24,32 @@
 }
 
 // VerifyWorker checks whether a worker that other routers suspect is alive, and calls done from the loop. If the
-// worker gave a sign of life within maxAge, there is no health check, and done gets void. The dispatcher isn't
-// notified of the result, so that gossip can't improve what it holds of a worker.
-func (r *Router) VerifyWorker(worker string, maxAge, limit time.Duration, done func(alive, void bool)) {
+// worker gave a sign of life within maxAge, there is no health check, and done gets gossip.CheckSkipped. The dispatcher
+// isn't notified of the result, so that gossip can't improve what it holds of a worker.
+func (r *Router) VerifyWorker(worker string, maxAge, limit time.Duration, done func(gossip.CheckResult)) {
 	r.post(func() {
 		if at, ok := r.lastAlive[worker]; ok && r.now-at < maxAge {
-			done(false, true)
+			done(gossip.CheckSkipped)
 			return
 		}
 		r.stats.Verifications++
 		r.upstream.CheckHealth(worker, limit, func(result HealthResult) {
 			r.post(func() {
 				r.recordAlive(worker, result.Result)
-				done(provesAlive(result.Result), false)
+				done(checkResultOf(result))
 			})
 		})
 	})
 }
 
+// checkResultOf returns what the result of a health check tells of the worker.
+func checkResultOf(result HealthResult) gossip.CheckResult {
+	if provesAlive(result.Result) {
+		return gossip.CheckFoundAlive
+	}
+	return gossip.CheckFoundSilent
+}
+
 // reportSuspicion reports a suspicion of the dispatcher to gossip.
 func (r *Router) reportSuspicion(suspicion dispatch.ReportSuspicion) {
 	if r.gossip == nil {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/gossip"
 )
 
 const (
@@ -122,31 +123,28 @@
 	}
 	t.Cleanup(r.Kill)
 	upstream.router = r
-	gossip := &recordingGossip{}
+	reporter := &recordingGossip{}
 	if withGossip {
-		r.SetGossip(gossip)
+		r.SetGossip(reporter)
 	}
 	list := []endpoints.Worker{}
 	for _, id := range testWorkers {
 		list = append(list, endpoints.Worker{Endpoint: dispatch.Endpoint{ID: id, Kind: "k"}, Address: id})
 	}
 	r.SetEndpoints(list)
-	return r, upstream, gossip
+	return r, upstream, reporter
 }
 
-// verification is the result of VerifyWorker.
-type verification struct{ alive, void bool }
-
-func verify(r *Router, worker string, maxAge time.Duration) verification {
-	result := make(chan verification, 1)
-	r.VerifyWorker(worker, maxAge, time.Second, func(alive, void bool) { result <- verification{alive, void} })
-	return <-result
+func verify(r *Router, worker string, maxAge time.Duration) gossip.CheckResult {
+	checked := make(chan gossip.CheckResult, 1)
+	r.VerifyWorker(worker, maxAge, time.Second, func(result gossip.CheckResult) { checked <- result })
+	return <-checked
 }
 
 // TestSuspicionsAreReportedAndTakenBack: what the dispatcher suspects of a worker is reported to gossip, and a sign of
 // life takes it back.
 func TestSuspicionsAreReportedAndTakenBack(t *testing.T) {
-	r, upstream, gossip := startRouter(t, true)
+	r, upstream, reporter := startRouter(t, true)
 	client := make(answerChannel, 1)
 	client.call(r)
 	upstream.setDead(testWorkers...)
@@ -154,22 +152,22 @@
 		client.call(r)
 	}
 	r.Stats() // by its return the loop has reported the suspicions
-	gossip.mu.Lock()
-	if len(gossip.suspicions) == 0 || len(gossip.alive) > 0 {
-		t.Fatalf("suspicions %v, reported alive %v; want a suspicion and nothing alive", gossip.suspicions, gossip.alive)
+	reporter.mu.Lock()
+	if len(reporter.suspicions) == 0 || len(reporter.alive) > 0 {
+		t.Fatalf("suspicions %v, reported alive %v; want a suspicion and nothing alive", reporter.suspicions, reporter.alive)
 	}
-	worker := gossip.suspicions[0].Worker
-	gossip.mu.Unlock()
+	worker := reporter.suspicions[0].Worker
+	reporter.mu.Unlock()
 
 	upstream.setDead()
-	if got, want := verify(r, worker, 0), (verification{alive: true}); got != want {
-		t.Errorf("verification %+v, want %+v", got, want)
+	if got, want := verify(r, worker, 0), gossip.CheckFoundAlive; got != want {
+		t.Errorf("verification %v, want %v", got, want)
 	}
 	r.Stats()
-	gossip.mu.Lock()
-	defer gossip.mu.Unlock()
-	if len(gossip.alive) != 1 || gossip.alive[0] != worker {
-		t.Errorf("reported alive %v, want %s", gossip.alive, worker)
+	reporter.mu.Lock()
+	defer reporter.mu.Unlock()
+	if len(reporter.alive) != 1 || reporter.alive[0] != worker {
+		t.Errorf("reported alive %v, want %s", reporter.alive, worker)
 	}
 }
 
@@ -177,18 +175,18 @@
 func TestVerifyWorker(t *testing.T) {
 	r, upstream, _ := startRouter(t, true)
 	make(answerChannel, 1).call(r)
-	void := 0
+	skipped := 0
 	for _, id := range testWorkers {
-		if verify(r, id, time.Hour).void {
-			void++
+		if verify(r, id, time.Hour) == gossip.CheckSkipped {
+			skipped++
 		}
 	}
-	if void != 1 {
-		t.Errorf("one call was a sign of life of %d of 4 workers, want 1", void)
+	if skipped != 1 {
+		t.Errorf("one call was a sign of life of %d of 4 workers, want 1", skipped)
 	}
 	upstream.setDead("a")
-	if got, want := verify(r, "a", 0), (verification{}); got != want {
-		t.Errorf("verification of a dead worker %+v, want %+v", got, want)
+	if got, want := verify(r, "a", 0), gossip.CheckFoundSilent; got != want {
+		t.Errorf("verification of a dead worker %v, want %v", got, want)
 	}
 }
 
