--- a/internal/experiment/growth/fleet.go
+++ b/internal/experiment/growth/fleet.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 const (
@@ -39,7 +40,7 @@
 type fleetWorker struct {
 	*fakeplatform.Worker
 	cell      int
-	startedAt int64 // Unix milliseconds; 0: before the run
+	startedAt uint64 // Unix milliseconds; 0: before the run
 }
 
 // startFleet starts so many workers and a discovery server that lists them.
@@ -64,7 +65,7 @@
 }
 
 // startWorker starts a worker on a port of its own and adds it to the active ones.
-func (f *fleet) startWorker(startedAt int64) (*fleetWorker, error) {
+func (f *fleet) startWorker(startedAt uint64) (*fleetWorker, error) {
 	w := &fleetWorker{Worker: &fakeplatform.Worker{ID: fmt.Sprintf("w-%08x", f.started), WorkDuration: workDuration},
 		cell: f.started % cells, startedAt: startedAt}
 	w.Handle = loadOnFirstUse(w.Worker)
@@ -143,7 +144,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range count {
-		worker, err := f.startWorker(now.UnixMilli())
+		worker, err := f.startWorker(wallclock.FromTime(now).UnixMilli())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/experiment/growth/options.go
+++ b/internal/experiment/growth/options.go
@@ -48,7 +48,8 @@
 		return o.Duration
 	case Surge:
 		return min(surgeDuration, o.Duration)
-	default:
+	case Calm:
 		return 0
 	}
+	return 0
 }
