--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -148,6 +148,8 @@
 	switch result {
 	case dispatch.Rejected, dispatch.ConnectFailed, dispatch.NotResident, dispatch.NotSent:
 		return true
+	case dispatch.OK, dispatch.Errored, dispatch.TimedOut, dispatch.ConnectionReset, dispatch.Cancelled:
+		return false // it ran, or may have
 	}
 	return false
 }
--- a/internal/gossip/broadcast_queue.go
+++ b/internal/gossip/broadcast_queue.go
@@ -33,6 +33,8 @@
 		return 4
 	case MemberSuspected: // the MemberAlive that refutes it goes first
 		return 3
+	case MemberAlive, WorkerSilent, ClaimWithdrawn: // routers act on them
+		return 0
 	}
 	return 0
 }
--- a/internal/gossip/receiving.go
+++ b/internal/gossip/receiving.go
@@ -93,6 +93,7 @@
 		if !m.Reply {
 			c.sendState(m.Addr, true)
 		}
+	case Push: // it brings statements only, and they have been processed
 	}
 	if len(reply) > 0 || wantAlive {
 		c.send(m.Addr, Message{Kind: Push, WantAlive: wantAlive, Statements: reply}, c.cfg.ReservedShare)
--- a/internal/gossip/suspicion_quorum.go
+++ b/internal/gossip/suspicion_quorum.go
@@ -264,18 +264,18 @@
 	}
 	q.stats.Claims++
 	switch c.Kind {
+	case WorkerSilent:
+		return q.recordSilence(w, c)
 	case ClaimWithdrawn:
 		delete(w.silentSince, c.Signer)
-		return false
-	case WorkerSilent:
-	default:
-		key := statementKey{signer: c.Signer, subject: c.Class, kind: c.Kind}
-		if _, known := w.otherClaims[key]; known || len(w.otherClaims) < q.cfg.MaxClaims {
-			c.Age = q.now - c.Age // from here on the time at which it was seen
-			w.otherClaims[key] = c
-		}
-		return false
+	case WorkerFailing, WorkerSlow, MemberAlive, MemberSuspected: // the core hands over none about members
+		q.recordOtherClaim(w, c)
 	}
+	return false
+}
+
+// recordSilence keeps a claim that the worker is silent. It reports whether there was room for it.
+func (q *SuspicionQuorum) recordSilence(w *claimedWorker, c Claim) bool {
 	if _, known := w.silentSince[c.Signer]; !known && len(w.silentSince) >= q.cfg.MaxClaims {
 		return false
 	}
@@ -283,6 +283,15 @@
 	return true
 }
 
+// recordOtherClaim keeps a claim that leads to no check, for the operators.
+func (q *SuspicionQuorum) recordOtherClaim(w *claimedWorker, c Claim) {
+	key := statementKey{signer: c.Signer, subject: c.Class, kind: c.Kind}
+	if _, known := w.otherClaims[key]; known || len(w.otherClaims) < q.cfg.MaxClaims {
+		c.Age = q.now - c.Age // from here on the time at which it was seen
+		w.otherClaims[key] = c
+	}
+}
+
 // workerChecked settles the claims that led to an own check. It reports whether the check confirmed the silence.
 func (q *SuspicionQuorum) workerChecked(e WorkerChecked) (silent bool) {
 	w := q.workers[e.Worker]
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -38,6 +38,8 @@
 				continue // a query of the state is allowed
 			}
 			c.checkDrain(r, n, byList, byWorker)
+		case CallSent, FinalAnswer, CallAbandoned, RunStarted, WorkerStarted, WorkerOverloaded, RouterKilled:
+			// no drain begins or ends, and nothing is sent to a worker
 		}
 	}
 }
--- a/internal/invariants/final_answers.go
+++ b/internal/invariants/final_answers.go
@@ -26,6 +26,10 @@
 			order = append(order, r.Call)
 		case RouterKilled:
 			killedAt[r.Router] = append(killedAt[r.Router], r.At)
+		case FinalAnswer, CallAbandoned, AttemptReceived:
+			// followed below, when all calls are known
+		case RunStarted, LoadCommandReceived, EndpointNotified, WorkerDraining, WorkerReady, WorkerStarted, WorkerOverloaded:
+			// not part of a call's answer
 		}
 	}
 	for _, r := range c.records {
@@ -60,5 +64,9 @@
 		if call.answers > 0 && r.At > call.answered.At+c.settings.RecordingDelay {
 			c.report(RuleFinalAnswer, r.At, "call %s forwarded to %s after its final answer", r.Call, r.Worker)
 		}
+	case CallSent, RouterKilled:
+		// taken up before, by checkFinalAnswers
+	case RunStarted, LoadCommandReceived, EndpointNotified, WorkerDraining, WorkerReady, WorkerStarted, WorkerOverloaded:
+		// not part of a call's answer
 	}
 }
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -79,6 +79,8 @@
 	switch result {
 	case dispatch.OK, dispatch.Errored, dispatch.Rejected, dispatch.NotResident:
 		return true
+	case dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionReset, dispatch.Cancelled, dispatch.NotSent:
+		return false // the worker answered nothing
 	}
 	return false
 }
--- a/internal/server/grpcserver/finalstatus.go
+++ b/internal/server/grpcserver/finalstatus.go
@@ -27,9 +27,9 @@
 		retryAfter := max(answer.RetryAfter, 0).Milliseconds()
 		return grpc.Status{Code: grpc.Unavailable, Message: "refused; trying again does no harm"},
 			[]hpack.Field{{Name: retryPushbackField, Value: strconv.FormatInt(retryAfter, 10)}}
-	default:
-		return failureStatus(answer), []hpack.Field{{Name: retryPushbackField, Value: noRetry}}
+	case router.FinalFailed: // below
 	}
+	return failureStatus(answer), []hpack.Field{{Name: retryPushbackField, Value: noRetry}}
 }
 
 // failureStatus returns the status of a failure. The worker's own status is passed on where it says more than that the
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -86,7 +86,7 @@
 			fields = []http1.Field{{Name: retryAfterField, Value: strconv.FormatInt(ms, 10)}}
 		}
 		c.completeRequest(http1.StatusServiceUnavailable, fields, nil)
-	default:
+	case router.FinalFailed:
 		status := http1.StatusBadGateway
 		if answer.DeadlineExceeded {
 			status = http1.StatusGatewayTimeout
--- a/internal/transport/http1/chunked.go
+++ b/internal/transport/http1/chunked.go
@@ -69,15 +69,23 @@
 		return false, nil
 	case chunkSize:
 		return false, r.readChunkSize(line)
-	default:
-		if line == "" {
-			return true, nil
-		}
-		if r.trailerBytes += len(line); r.trailerBytes > r.limits.Head {
-			return false, &Error{StatusHeaderFieldsTooLarge, "trailer exceeds its limit"}
-		}
-		return false, nil
+	case chunkTrailer:
+		return r.readTrailerLine(line)
+	case chunkData: // not in lines: readChunks takes it
+	}
+	return false, nil
+}
+
+// readTrailerLine takes a line of the trailer, whose fields are ignored. done reports that it is the empty line at its
+// end.
+func (r *Reader) readTrailerLine(line string) (done bool, err error) {
+	if line == "" {
+		return true, nil
+	}
+	if r.trailerBytes += len(line); r.trailerBytes > r.limits.Head {
+		return false, &Error{StatusHeaderFieldsTooLarge, "trailer exceeds its limit"}
 	}
+	return false, nil
 }
 
 // readChunkSize takes the line with a chunk's size. Its extensions are ignored.
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -59,6 +59,11 @@
 	case grpc.InvalidArgument, grpc.Unauthenticated, grpc.PermissionDenied, grpc.OutOfRange,
 		grpc.FailedPrecondition, grpc.AlreadyExists, grpc.NotFound, grpc.Unimplemented:
 		return true
+	case grpc.OK:
+		return false // no error
+	case grpc.Canceled, grpc.Unknown, grpc.DeadlineExceeded, grpc.ResourceExhausted, grpc.Aborted, grpc.Internal,
+		grpc.Unavailable, grpc.DataLoss:
+		return false // about this worker or this attempt
 	}
 	return false
 }
