--- a/internal/gossip/suspicion_quorum.go
+++ b/internal/gossip/suspicion_quorum.go
@@ -5,6 +5,7 @@
 	"maps"
 	"math"
 	"slices"
+	"strconv"
 	"time"
 )
 
@@ -78,11 +79,33 @@
 	Age     time.Duration // since the signer saw it
 }
 
-// WorkerChecked reports how a CheckWorker ended. Skipped: no check was made, and Alive has no meaning.
+// CheckResult is how a CheckWorker ended.
+type CheckResult int
+
+// The results of a check.
+const (
+	CheckSkipped     CheckResult = iota // no check was made, so that nothing is known
+	CheckFoundAlive                     // the worker gave a sign of life
+	CheckFoundSilent                    // the worker gave no sign of life
+)
+
+// String returns the result in plain words.
+func (r CheckResult) String() string {
+	switch r {
+	case CheckSkipped:
+		return "skipped"
+	case CheckFoundAlive:
+		return "alive"
+	case CheckFoundSilent:
+		return "silent"
+	}
+	return "CheckResult(" + strconv.Itoa(int(r)) + ")"
+}
+
+// WorkerChecked reports how a CheckWorker ended.
 type WorkerChecked struct {
-	Worker  string
-	Alive   bool
-	Skipped bool
+	Worker string
+	Result CheckResult
 }
 
 func (Claim) quorumEvent()         {}
@@ -241,18 +264,18 @@
 	}
 	q.stats.Claims++
 	switch c.Kind {
+	case WorkerSilent:
+		return q.recordSilence(w, c)
 	case ClaimWithdrawn:
 		delete(w.silentSince, c.Signer)
-		return false
-	case WorkerSilent:
-	default:
-		key := statementKey{signer: c.Signer, subject: c.Class, kind: c.Kind}
-		if _, known := w.otherClaims[key]; known || len(w.otherClaims) < q.cfg.MaxClaims {
-			c.Age = q.now - c.Age // from here on the time at which it was seen
-			w.otherClaims[key] = c
-		}
-		return false
+	case WorkerFailing, WorkerSlow, MemberAlive, MemberSuspected: // the core hands over none about members
+		q.recordOtherClaim(w, c)
 	}
+	return false
+}
+
+// recordSilence keeps a claim that the worker is silent. It reports whether there was room for it.
+func (q *SuspicionQuorum) recordSilence(w *claimedWorker, c Claim) bool {
 	if _, known := w.silentSince[c.Signer]; !known && len(w.silentSince) >= q.cfg.MaxClaims {
 		return false
 	}
@@ -260,6 +283,15 @@
 	return true
 }
 
+// recordOtherClaim keeps a claim that leads to no check, for the operators.
+func (q *SuspicionQuorum) recordOtherClaim(w *claimedWorker, c Claim) {
+	key := statementKey{signer: c.Signer, subject: c.Class, kind: c.Kind}
+	if _, known := w.otherClaims[key]; known || len(w.otherClaims) < q.cfg.MaxClaims {
+		c.Age = q.now - c.Age // from here on the time at which it was seen
+		w.otherClaims[key] = c
+	}
+}
+
 // workerChecked settles the claims that led to an own check. It reports whether the check confirmed the silence.
 func (q *SuspicionQuorum) workerChecked(e WorkerChecked) (silent bool) {
 	w := q.workers[e.Worker]
@@ -267,11 +299,11 @@
 		return false
 	}
 	w.checking = false
-	if e.Skipped {
+	if e.Result == CheckSkipped {
 		return false
 	}
 	for signer, seen := range w.silentSince {
-		if e.Alive { // an old claim may have been true when it was made
+		if e.Result == CheckFoundAlive { // an old claim may have been true when it was made
 			freshness := 1 - float64(q.now-seen)/float64(q.cfg.ClaimLifetime)
 			q.setWeight(signer, q.Weight(signer)*math.Exp2(-min(max(freshness, minContradictedShare), 1)))
 		} else {
@@ -279,7 +311,7 @@
 		}
 	}
 	clear(w.silentSince)
-	if e.Alive {
+	if e.Result == CheckFoundAlive {
 		w.heardAt = q.now
 		q.stats.Contradicted++
 		return false
