--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"sync"
-	"time"
 
 	"github.com/cloudwego/netpoll"
 
@@ -33,8 +32,9 @@
 
 	mu       sync.Mutex
 	closeErr error           // set once closed
-	notify   chan<- struct{} // gets a value for each result; nil: nobody wants to know
-	results  chan pollResult
+	notify   chan<- struct{} // gets a signal for each result; nil: no signals
+
+	results chan pollResult // holds the result of the pending request, once it has one
 }
 
 // pollResult is a response, or the reason why there is none.
@@ -49,7 +49,12 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	limits := http1.Limits{Head: maxHeadBytes, Fields: maxHeaderFields, Body: cfg.MaxResponseBytes, Pending: maxPendingBytes}
-	c := &connection{address: address, conn: conn, results: make(chan pollResult, 1), reader: http1.NewResponseReader(limits)}
+	c := &connection{
+		address: address,
+		conn:    conn,
+		reader:  http1.NewResponseReader(limits),
+		results: make(chan pollResult, 1),
+	}
 	_ = conn.SetWriteTimeout(cfg.ConnectTimeout)
 	_ = conn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.onReadable(); return nil })
 	_ = conn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
@@ -59,29 +64,15 @@
 	return c, nil
 }
 
-// roundTrip writes a request and waits for its response, at most for timeout. Meanwhile it passes on the responses to
-// late polls.
-func (c *connection) roundTrip(request []byte, timeout time.Duration, late *latePolls, onLate func(*http1.Message)) (*http1.Message, error) {
+// send writes a request. Its response arrives in results.
+func (c *connection) send(request []byte) error {
 	if _, err := c.conn.Write(request); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
-	}
-	timer := time.NewTimer(timeout)
-	defer timer.Stop()
-	for {
-		select {
-		case result := <-c.results:
-			return result.message, result.err
-		case <-late.arrived:
-			for _, message := range late.take() {
-				onLate(message)
-			}
-		case <-timer.C:
-			return nil, errResponseTimeout
-		}
+		return fmt.Errorf("discovery: %w", err)
 	}
+	return nil
 }
 
-// onReadable parses the bytes that have arrived.
+// onReadable parses the bytes that have arrived and delivers complete responses. A panic closes this connection only.
 func (c *connection) onReadable() {
 	defer func() {
 		if v := recover(); v != nil {
@@ -109,8 +100,8 @@
 	}
 }
 
-// onClosed handles the peer's close, which may be what ends a response without a length. Where it cuts such a response
-// off, the body is not valid JSON and is rejected.
+// onClosed handles the peer's close, which also ends a response without a length. If the close cuts such a response off,
+// its body is not valid JSON and is rejected later.
 func (c *connection) onClosed() {
 	if message := c.reader.End(); message != nil {
 		c.deliver(pollResult{message: message})
@@ -118,7 +109,8 @@
 	c.close(errConnectionClosed)
 }
 
-// deliver passes a result to roundTrip. It doesn't block: a result that nobody waits for is dropped.
+// deliver puts a result into results, and signals it if notifyResult was called. It doesn't block: a result is dropped if
+// the one before has not been taken.
 func (c *connection) deliver(result pollResult) {
 	select {
 	case c.results <- result:
@@ -130,7 +122,7 @@
 	signal(notify)
 }
 
-// notifyResult has each further result signalled to a channel, and one that is there already.
+// notifyResult makes deliver signal each further result to a channel. A result that is there already is signalled at once.
 func (c *connection) notifyResult(to chan<- struct{}) {
 	c.mu.Lock()
 	c.notify = to
--- a/internal/discovery/eventlog.go
+++ b/internal/discovery/eventlog.go
@@ -22,10 +22,10 @@
 	initialized bool  // an event was applied; before that, the first event may have any revision
 }
 
-// Apply returns the update that the events newer than the log's revision make together, all of them or, on an error,
-// none. Events that were applied before are skipped. The update is nil where no endpoint update is among them. The error
-// is ErrEventGap where a revision is left out before an event that is not a snapshot. routerTime converts the start time
-// of an endpoint to the router's clock.
+// Apply advances the log over the events of a response and returns their combined update. On an error nothing is applied.
+// Events up to the log's revision are skipped, as they were applied before. The update is nil if no new event changes the
+// list. The error is ErrEventGap if a revision is missing before an event that is not a snapshot. routerTime converts the
+// start time of an endpoint to the router's clock.
 func (l *eventLog) Apply(response PollResponse, routerTime startTimeConverter) (*endpoints.Update, error) {
 	next, err := l.revisionAfter(response.Events)
 	if err != nil || next == l.revision {
@@ -43,7 +43,8 @@
 			merged.byID[endpoint.ID] = endpoint
 		}
 	}
-	l.revision, l.initialized = next, true
+	l.revision = next
+	l.initialized = true
 	return merged.update(routerTime), nil
 }
 
@@ -65,21 +66,30 @@
 	return next, nil
 }
 
-// mergedUpdate is what several events make together: of each endpoint, the last that they say.
+// mergedUpdate combines the updates of several events: the last state of each endpoint replaces earlier ones.
 type mergedUpdate struct {
 	snapshot bool
 	byID     map[string]Endpoint
 }
 
-// update returns the update in the router's terms, nil for none.
+// update converts to the router's terms. It returns nil if m is nil.
 func (m *mergedUpdate) update(routerTime startTimeConverter) *endpoints.Update {
 	if m == nil {
 		return nil
 	}
 	update := &endpoints.Update{Snapshot: m.snapshot, Workers: make([]endpoints.Worker, 0, len(m.byID))}
 	for _, e := range m.byID {
-		worker := endpoints.Worker{Address: e.Address, Endpoint: dispatch.Endpoint{ID: e.ID, Zone: e.Zone, Kind: e.Kind,
-			Cell: e.Cell, State: endpointStates[e.State], Weight: e.Weight}}
+		worker := endpoints.Worker{
+			Address: e.Address,
+			Endpoint: dispatch.Endpoint{
+				ID:     e.ID,
+				Zone:   e.Zone,
+				Kind:   e.Kind,
+				Cell:   e.Cell,
+				State:  endpointStates[e.State],
+				Weight: e.Weight,
+			},
+		}
 		if e.StartedUnixMilli > 0 {
 			worker.StartedAt = routerTime(e.ID, wallclock.FromUnixMilli(e.StartedUnixMilli))
 		}
--- a/internal/discovery/late.go
+++ b/internal/discovery/late.go
@@ -2,13 +2,13 @@
 
 import "github.com/topazfront/topazfront/internal/transport/http1"
 
-// maxLatePolls is how many polls stay pending after their time-out, until a later one is answered in time. A silent server and a slow one look the same by
-// then: the first needs another poll, on another connection, and the second needs its time. With two, a response may take
-// three times as long as a poll's time-out.
+// maxLatePolls is how many polls stay pending after their time-out, until a later one is answered in time. After a time-out
+// a silent server can't be told from a slow one. A silent server needs another poll on another connection, and a slow one
+// needs more time. With two late polls, a response may take three times as long as a poll's time-out.
 const maxLatePolls = 2
 
-// latePolls are the polls that have timed out and may be answered yet, the oldest first. They belong to Watcher.run;
-// arrived may be used by others.
+// latePolls are the polls that have timed out and may still be answered, the oldest first. Watcher.run owns them; only
+// arrived is used by other goroutines.
 type latePolls struct {
 	conns   []*connection
 	arrived chan struct{} // signals, with a buffer of one, that a connection has a result
@@ -16,7 +16,7 @@
 
 func newLatePolls() *latePolls { return &latePolls{arrived: make(chan struct{}, 1)} }
 
-// add keeps a poll pending. The oldest is abandoned for it where there are too many.
+// add keeps a poll pending. If there are too many, the oldest is abandoned.
 func (l *latePolls) add(conn *connection) {
 	if len(l.conns) == maxLatePolls {
 		l.conns[0].close(errResponseTimeout)
@@ -26,8 +26,9 @@
 	conn.notifyResult(l.arrived)
 }
 
-// take returns the responses that have arrived. Polls that have ended, so or otherwise, are closed.
-func (l *latePolls) take() (responses []*http1.Message) {
+// takeResponses returns the responses that have arrived. Polls that have ended, by a response or an error, are closed and
+// removed.
+func (l *latePolls) takeResponses() (responses []*http1.Message) {
 	pending := l.conns[:0:0]
 	for _, conn := range l.conns {
 		select {
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -84,7 +84,9 @@
 		return nil
 	}
 	for _, endpoint := range e.Update.Endpoints {
-		if _, ok := endpointStates[endpoint.State]; !ok || endpoint.ID == "" || len(endpoint.ID) > maxEndpointIDLength {
+		_, knownState := endpointStates[endpoint.State]
+		validID := endpoint.ID != "" && len(endpoint.ID) <= maxEndpointIDLength
+		if !knownState || !validID {
 			return fmt.Errorf("discovery: event %d: invalid endpoint %.40q in state %.20q", *e.Revision, endpoint.ID, endpoint.State)
 		}
 		if _, _, err := net.SplitHostPort(endpoint.Address); err != nil && endpoint.State != stateRemoved {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,6 +1,3 @@
-// Package discovery watches the platform's endpoint list by HTTP long polls: each response brings numbered events that
-// change the list of workers. A response is applied completely or not at all, in order, and each event once. After any
-// failure the next poll resumes from the last event that was applied.
 package discovery
 
 import (
@@ -46,7 +43,8 @@
 // statusOK is the HTTP status of a response that holds events.
 const statusOK = 200
 
-// errPrematureResponse protects a server that doesn't hold polls back, which would otherwise be polled at full speed.
+// errPrematureResponse ends a poll whose response came at once and without an event. Counting it as a failure delays the
+// next poll: a server that doesn't hold polls back would otherwise be polled at full speed.
 var errPrematureResponse = errors.New("discovery: response without an event before the poll's wait was over")
 
 // errInterrupted ends a poll whose server's address has changed or whose Watcher is closed. It is not a failure.
@@ -58,6 +56,11 @@
 	cancel context.CancelFunc
 	done   chan struct{} // closed when run has returned
 
+	// Used by run only, and by Start before it starts run.
+	log    *eventLog
+	starts *endpoints.StartTimes
+	late   *latePolls
+
 	mu      sync.Mutex
 	address string
 	conn    *connection // of the current poll; nil before the first and after a failure
@@ -85,25 +88,39 @@
 	if cfg.sleep == nil {
 		cfg.sleep = sleep
 	}
-	view := endpointView{log: &eventLog{}, starts: endpoints.NewStartTimes(cfg.RouterClock)}
-	update, err := view.log.Apply(initial, view.starts.Convert)
-	if err != nil {
+	ctx, cancel := context.WithCancel(context.Background())
+	w := &Watcher{
+		cfg:     cfg,
+		cancel:  cancel,
+		done:    make(chan struct{}),
+		log:     &eventLog{},
+		starts:  endpoints.NewStartTimes(cfg.RouterClock),
+		late:    newLatePolls(),
+		address: cfg.Address,
+	}
+	if err := w.applyInitial(initial); err != nil {
+		cancel()
 		return nil, err
 	}
+	go w.run(ctx)
+	return w, nil
+}
+
+// applyInitial applies the initial response and publishes its list as a snapshot, also if it is empty.
+func (w *Watcher) applyInitial(initial PollResponse) error {
+	update, err := w.log.Apply(initial, w.starts.Convert)
+	if err != nil {
+		return err
+	}
 	if update == nil {
 		update = &endpoints.Update{}
 	}
-	if revision := *initial.Revision; revision > view.log.revision {
-		view.log.revision = revision
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	w := &Watcher{cfg: cfg, address: cfg.Address, cancel: cancel, done: make(chan struct{})}
 	update.Snapshot = true // there was nothing before it
-	w.publish(view, update)
-	view.starts.ListCurrent(cfg.RouterClock.Clock())
-	w.stats.Revision = view.log.revision
-	go w.run(ctx, view)
-	return w, nil
+	w.log.revision = max(w.log.revision, *initial.Revision)
+	w.publish(update)
+	w.starts.ListCurrent(w.cfg.RouterClock.Clock())
+	w.stats.Revision = w.log.revision
+	return nil
 }
 
 // SetAddress polls the server at another address from now on. A poll pending at the old address is abandoned: the new
@@ -146,60 +163,60 @@
 	}
 }
 
-// endpointView is what a Watcher remembers of the events: how far they were applied, and the workers' start times.
-type endpointView struct {
-	log    *eventLog
-	starts *endpoints.StartTimes
-}
-
 // publish passes an update to OnUpdate, and forgets the start times of the workers that it removes.
-func (w *Watcher) publish(view endpointView, update *endpoints.Update) {
+func (w *Watcher) publish(update *endpoints.Update) {
 	w.cfg.OnUpdate(*update)
-	view.starts.Forget(update)
+	w.starts.Forget(update)
 }
 
 // run polls until ctx is done.
-func (w *Watcher) run(ctx context.Context, view endpointView) {
+func (w *Watcher) run(ctx context.Context) {
 	defer close(w.done)
-	late := newLatePolls()
-	defer late.close()
+	defer w.late.close()
 	consecutiveFailures := 0
 	for ctx.Err() == nil {
 		address, conn, err := w.connect(ctx)
 		if err == nil {
-			err = w.poll(conn, view, late)
+			err = w.poll(conn)
 		}
 		if err == nil {
 			consecutiveFailures = 0
-			late.close() // they asked earlier than the poll that was answered
+			w.late.close() // they ask for events that the answered poll has brought
 			continue
 		}
 		interrupted := w.recordFailure(ctx, address, err)
-		switch {
-		case interrupted:
-			late.close()
-		case errors.Is(err, errResponseTimeout):
-			late.add(conn)
-			conn = nil
-		}
-		if conn != nil {
-			conn.close(err)
+		if interrupted {
+			w.late.close()
 		}
+		w.releaseConnection(conn, interrupted, err)
 		if interrupted {
 			continue
 		}
-		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", view.log.revision, "error", err)
+		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", w.log.revision, "error", err)
 		consecutiveFailures++
 		w.waitBeforeRetry(ctx, consecutiveFailures)
 	}
 	w.closeConnection()
 }
 
-// connect returns the open connection to the current address, and establishes one where there is none. conn is nil on
-// an error. It is errInterrupted where the address changed or the Watcher was closed while the connection came up.
+// releaseConnection closes the connection of a poll that ended with err. A poll that timed out stays pending instead: its
+// response may still come. conn is nil if there was no connection.
+func (w *Watcher) releaseConnection(conn *connection, interrupted bool, err error) {
+	switch {
+	case conn == nil:
+	case !interrupted && errors.Is(err, errResponseTimeout):
+		w.late.add(conn)
+	default:
+		conn.close(err)
+	}
+}
+
+// connect returns the open connection to the current address, or establishes one. On an error conn is nil. The error is
+// errInterrupted if the address changed or the Watcher was closed while the connection was being established.
 func (w *Watcher) connect(ctx context.Context) (address string, conn *connection, err error) {
 	w.mu.Lock()
-	address, conn = w.address, w.conn
+	address = w.address
+	conn = w.conn
 	w.mu.Unlock()
 	if conn != nil && conn.address == address && !conn.isClosed() {
 		return address, conn, nil
@@ -254,36 +271,61 @@
 	}
 }
 
-// poll sends one request and applies its response, and those to late polls that come meanwhile.
-func (w *Watcher) poll(conn *connection, view endpointView, late *latePolls) error {
+// poll sends one request and applies its response. Responses to late polls that come meanwhile are applied, too.
+func (w *Watcher) poll(conn *connection) error {
 	w.mu.Lock()
 	w.stats.Polls++
 	w.mu.Unlock()
 	startedAt := time.Now()
-	before := view.log.revision
-	request := pollRequest(conn.address, before, w.cfg.PollWait)
-	message, err := conn.roundTrip(request, w.cfg.PollWait+w.cfg.ResponseGrace, late, func(message *http1.Message) {
-		if err := w.apply(message, view); err != nil {
-			w.cfg.Logger.Info("late response to an endpoint poll not applied", "error", err)
-		}
-	})
+	before := w.log.revision
+	if err := conn.send(pollRequest(conn.address, before, w.cfg.PollWait)); err != nil {
+		return err
+	}
+	message, err := w.awaitResponse(conn)
 	if err != nil {
 		return err
 	}
-	if err := w.apply(message, view); err != nil {
+	if err := w.apply(message); err != nil {
 		return err
 	}
 	if message.Close {
 		conn.close(errClosedAfterResponse)
 	}
-	if view.log.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
+	if w.log.revision == before && time.Since(startedAt) < w.cfg.PollWait/minWaitDivisor {
 		return errPrematureResponse
 	}
 	return nil
 }
 
-// apply applies a response to the list, and publishes the list if that has changed it.
-func (w *Watcher) apply(message *http1.Message, view endpointView) error {
+// awaitResponse waits for the response on a connection, for as long as a poll may take. Meanwhile it applies the responses
+// to late polls.
+func (w *Watcher) awaitResponse(conn *connection) (*http1.Message, error) {
+	timer := time.NewTimer(w.cfg.PollWait + w.cfg.ResponseGrace)
+	defer timer.Stop()
+	for {
+		select {
+		case result := <-conn.results:
+			return result.message, result.err
+		case <-w.late.arrived:
+			w.applyLateResponses()
+		case <-timer.C:
+			return nil, errResponseTimeout
+		}
+	}
+}
+
+// applyLateResponses applies the responses to late polls that have arrived. One that can't be applied is only logged: the
+// poll under way asks for the same events.
+func (w *Watcher) applyLateResponses() {
+	for _, message := range w.late.takeResponses() {
+		if err := w.apply(message); err != nil {
+			w.cfg.Logger.Info("late response to an endpoint poll not applied", "error", err)
+		}
+	}
+}
+
+// apply applies the events of a response, and publishes an update if they have changed the list.
+func (w *Watcher) apply(message *http1.Message) error {
 	if message.Status != statusOK {
 		return fmt.Errorf("discovery: status %d", message.Status)
 	}
@@ -291,24 +333,24 @@
 	if err != nil {
 		return err
 	}
-	before := view.log.revision
-	update, err := view.log.Apply(response, view.starts.Convert)
+	before := w.log.revision
+	update, err := w.log.Apply(response, w.starts.Convert)
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
-	w.stats.Revision = view.log.revision
-	w.stats.Events += uint64(view.log.revision - before)
+	w.stats.Revision = w.log.revision
+	w.stats.Events += uint64(w.log.revision - before)
 	w.mu.Unlock()
 	if update != nil {
-		w.publish(view, update)
+		w.publish(update)
 	}
-	view.starts.ListCurrent(w.cfg.RouterClock.Clock())
+	w.starts.ListCurrent(w.cfg.RouterClock.Clock())
 	return nil
 }
 
-// pollRequest is the request for the events after a revision. There is no other acknowledgement of an event: polling
-// from its revision acknowledges it.
+// pollRequest returns the request for the events after a revision. Polling from an event's revision also acknowledges the
+// event; the protocol has no other acknowledgement.
 func pollRequest(address string, revision int64, wait time.Duration) []byte {
 	return fmt.Appendf(nil, "GET /cmd/next?resume=%d&block=%d HTTP/1.1\r\nHost: %s\r\n\r\n", revision, wait.Milliseconds(), address)
 }
