--- a/internal/upstream/respupstream/assign.go
+++ b/internal/upstream/respupstream/assign.go
@@ -6,42 +6,38 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// mayWrite reports whether an exchange may be written now: its worker is listed, is active (health checks go to draining
-// workers too), there is time left, and its client still waits. The lock is held.
+// mayWrite reports whether an exchange may be written now. It must be wanted still, there must be time left, its worker
+// must accept it, and its client must still wait. The lock is held.
 func (p *Pool) mayWrite(x *exchange, now time.Time) bool {
-	return !x.ended && x.worker != nil && !x.worker.removed && !p.closed && now.Before(x.writeBefore) &&
-		(x.worker.state == dispatch.EndpointActive || x.kind == kindHealthCheck) && (x.call == nil || x.call.ClientWaiting())
+	if p.closed || x.ended || !now.Before(x.writeBefore) {
+		return false
+	}
+	return x.worker.accepts(x.kind) && x.clientWaiting()
 }
 
-// assignConn finds a connection for an exchange: an idle one, the most recently used first; else a new one while the limits
-// allow it; else the one with the fewest exchanges outstanding; where there is none, a new one in place of another worker's
-// idle one. Few requests on each connection mean that a connection that
-// fails affects few. A connection that has carried the id before is not used. The lock is held; a returned callback is run
-// without it.
+// assignConn finds a connection for an exchange, in this order of preference:
+//
+//  1. an idle connection, the most recently used first;
+//  2. a new connection, if the limits allow one;
+//  3. the connection with the fewest exchanges outstanding;
+//  4. a new connection in place of another worker's idle one, if this worker has none.
+//
+// Otherwise the exchange waits. Spreading requests over connections limits how many a failing connection affects. The
+// lock is held; a returned callback is run without it.
 func (p *Pool) assignConn(x *exchange) (callback func()) {
 	if !p.mayWrite(x, time.Now()) {
 		return p.finish(x, dispatch.NotSent, nil)
 	}
 	w := x.worker
-	var best *conn
-	for _, c := range w.conns {
-		if c.draining || c.usedIDs[x.id] != 0 || c.outstanding() >= p.config.MaxRequestsPerConn {
-			continue
-		}
-		if best == nil || c.outstanding() < best.outstanding() || c.outstanding() == best.outstanding() && c.lastUsedAt.After(best.lastUsedAt) {
-			best = c
-		}
-	}
-	if best != nil && best.outstanding() == 0 {
+	best := w.leastLoadedConn(x.id, p.config.MaxRequestsPerConn)
+	switch {
+	case best != nil && best.outstanding() == 0:
 		best.enqueue(x)
 		return nil
-	}
-	connsPerWorker := max(p.config.MaxConns/max(len(p.workers), 1), 1)
-	if len(p.conns)+p.connecting < p.config.MaxConns && len(w.conns)+w.connecting < connsPerWorker {
+	case p.mayDial(w):
 		p.startDial(w, x)
 		return nil
-	}
-	if best != nil {
+	case best != nil:
 		best.enqueue(x)
 		return nil
 	}
@@ -55,6 +51,37 @@
 	return nil
 }
 
+// leastLoadedConn returns the connection with the fewest exchanges outstanding that an exchange with the id may use, nil if
+// there is none. Of several it is the most recently used. A connection that has carried the id before is excluded: a late
+// response on it could be taken for the new exchange's. The lock is held.
+func (w *worker) leastLoadedConn(id string, maxOutstanding int) *conn {
+	var best *conn
+	for _, c := range w.conns {
+		if c.draining || c.usedIDs[id] != 0 || c.outstanding() >= maxOutstanding {
+			continue
+		}
+		if best == nil || c.isPreferredTo(best) {
+			best = c
+		}
+	}
+	return best
+}
+
+// isPreferredTo reports whether a new exchange uses c rather than other. The lock is held.
+func (c *conn) isPreferredTo(other *conn) bool {
+	if c.outstanding() != other.outstanding() {
+		return c.outstanding() < other.outstanding()
+	}
+	return c.lastUsedAt.After(other.lastUsedAt)
+}
+
+// mayDial reports whether the limits allow another connection to the worker: MaxConns for all workers together, and an equal
+// share of it for each. The lock is held.
+func (p *Pool) mayDial(w *worker) bool {
+	connsPerWorker := max(p.config.MaxConns/max(len(p.workers), 1), 1)
+	return len(p.conns)+p.connecting < p.config.MaxConns && len(w.conns)+w.connecting < connsPerWorker
+}
+
 // await adds an exchange to those that wait for a connection to the worker. The lock is held.
 func (p *Pool) await(w *worker, x *exchange) {
 	w.waiting = append(w.waiting, x)
@@ -70,22 +97,31 @@
 	go p.dial(w)
 }
 
-// evictIdle takes the least recently used idle connection out of the pool and returns it, nil if none is idle. Without it,
-// a fleet with more workers in use than there may be connections would have its requests wait for idle ones to time out.
+// evictIdle takes the least recently used idle connection out of the pool and returns it, nil if none is idle. It guards
+// against requests that wait for idle connections to time out, where more workers are in use than there may be connections.
 // The lock is held; the caller closes the connection without it.
 func (p *Pool) evictIdle() *conn {
+	oldest := p.oldestIdle()
+	if oldest == nil {
+		return nil
+	}
+	p.stats.Evicted++
+	oldest.drain()
+	delete(p.conns, oldest)
+	return oldest
+}
+
+// oldestIdle returns the least recently used idle connection, nil if none is idle. The lock is held.
+func (p *Pool) oldestIdle() *conn {
 	var oldest *conn
 	for c := range p.conns {
-		idle := c.outstanding() == 0 && !c.writing && !c.closed
-		if idle && (oldest == nil || c.lastUsedAt.Before(oldest.lastUsedAt)) {
+		if !c.isIdle() || c.closed {
+			continue
+		}
+		if oldest == nil || c.lastUsedAt.Before(oldest.lastUsedAt) {
 			oldest = c
 		}
 	}
-	if oldest != nil {
-		p.stats.Evicted++
-		oldest.drain()
-		delete(p.conns, oldest)
-	}
 	return oldest
 }
 
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -31,8 +31,8 @@
 	lastUsedAt      time.Time
 }
 
-// takeWaiting takes the first exchange that waits for a connection to the worker if this connection has nothing
-// outstanding. The lock is held, as by all methods below up to expireUsedIDs.
+// takeWaiting queues the first exchange that waits for a connection to the worker, if nothing is outstanding on this
+// connection. The lock is held, as by all methods below up to expireUsedIDs.
 func (c *conn) takeWaiting() {
 	for len(c.worker.waiting) > 0 && !c.draining && c.outstanding() == 0 {
 		x := c.worker.waiting[0]
@@ -46,9 +46,18 @@
 	}
 }
 
-// outstanding is the number of exchanges in flight or queued.
+// outstanding returns the number of exchanges in flight or queued.
 func (c *conn) outstanding() int { return len(c.inFlight) + len(c.queue) }
 
+// isIdle reports whether nothing is outstanding and the write loop has ended.
+func (c *conn) isIdle() bool { return c.outstanding() == 0 && !c.writing }
+
+// idleTimeoutExceeded reports whether the connection was last used longer ago than the idle timeout.
+func (c *conn) idleTimeoutExceeded(now time.Time) bool {
+	limit := c.pool.config.IdleTimeout
+	return limit > 0 && now.Sub(c.lastUsedAt) > limit
+}
+
 // enqueue appends an exchange to the write queue and starts writeLoop unless it runs.
 func (c *conn) enqueue(x *exchange) {
 	if c.closed {
@@ -74,7 +83,7 @@
 	}
 }
 
-// remove removes an exchange that has ended.
+// remove removes an exchange that has ended. The place is given to an exchange that waits for a connection.
 func (c *conn) remove(x *exchange) {
 	if c.inFlight[x.id] == x {
 		delete(c.inFlight, x.id)
@@ -137,9 +146,9 @@
 	c.close()
 }
 
-// close handles the end of the connection, once: exchanges in flight may have run and end as ConnectionReset; queued ones
-// have not and are assigned to other connections. One that is being written is left to the write loop, which knows how much
-// of it the system accepted. The lock is not held.
+// close closes the connection and ends or reassigns its exchanges. Only the first call has an effect. Exchanges in flight
+// may have run, so they end as ConnectionReset. Queued ones have not, so they are assigned to other connections. An exchange
+// that is being written is left to the write loop, which knows how much of it the system accepted. The lock is not held.
 func (c *conn) close() {
 	p := c.pool
 	var callbacks []func()
@@ -151,22 +160,30 @@
 	c.closed = true
 	c.drain()
 	delete(p.conns, c)
-	queue := c.queue
+	unwritten := c.queue
 	c.queue = nil
 	for _, x := range c.inFlight {
 		if !x.partlyWritten {
 			callbacks = append(callbacks, p.finish(x, dispatch.ConnectionReset, nil))
 		}
 	}
-	for _, x := range queue {
-		if x.conn = nil; !x.ended && x.kind != kindCancel {
-			callbacks = append(callbacks, p.assignConn(x))
-		}
-	}
-	if c.worker.connecting == 0 { // those that waited until this connection accepts more
+	callbacks = append(callbacks, p.reassignUnwritten(unwritten)...)
+	if c.worker.connecting == 0 { // no connect will serve those that waited for a place on this connection
 		callbacks = append(callbacks, p.reassignWaiting(c.worker)...)
 	}
 	p.mu.Unlock()
-	runCallbacks(callbacks)
+	runCallbacks(callbacks...)
 	_ = c.netConn.Close()
 }
+
+// reassignUnwritten assigns the exchanges that were queued on a closed connection to other connections. Cancellations are
+// dropped: the close has given up what they cancel. The lock is held; the returned callbacks are run without it.
+func (p *Pool) reassignUnwritten(queue []*exchange) (callbacks []func()) {
+	for _, x := range queue {
+		x.conn = nil
+		if !x.ended && x.kind != kindCancel {
+			callbacks = append(callbacks, p.assignConn(x))
+		}
+	}
+	return callbacks
+}
--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -45,7 +45,7 @@
 		callbacks = p.reassignWaiting(w)
 	}
 	p.mu.Unlock()
-	runCallbacks(callbacks)
+	runCallbacks(callbacks...)
 	if poolClosed { // Close has not seen this connection
 		c.close()
 	}
@@ -65,7 +65,7 @@
 		callbacks = append(callbacks, p.finish(x, result, nil))
 	}
 	p.mu.Unlock()
-	runCallbacks(callbacks)
+	runCallbacks(callbacks...)
 	p.config.Logger.Debug("connect failed", "endpoint", w.id, "error", err)
 }
 
--- a/internal/upstream/respupstream/exchange.go
+++ b/internal/upstream/respupstream/exchange.go
@@ -42,6 +42,9 @@
 	timer         *time.Timer // of load commands and health checks
 }
 
+// clientWaiting reports whether the result may still be of use to a client. Only attempts have one.
+func (x *exchange) clientWaiting() bool { return x.call == nil || x.call.ClientWaiting() }
+
 // handle implements router.UpstreamAttempt.
 type handle struct{ exchange *exchange }
 
@@ -53,7 +56,9 @@
 func (h handle) Cancel() { h.exchange.pool.cancel(h.exchange) }
 
 // StartAttempt implements router.Upstream.
-func (p *Pool) StartAttempt(token router.AttemptToken, call *router.Call, workerID string, _ int, left time.Duration) router.UpstreamAttempt {
+func (p *Pool) StartAttempt(token router.AttemptToken, call *router.Call, workerID string, _ int,
+	left time.Duration,
+) router.UpstreamAttempt {
 	request, _ := call.Request.(*invocation.Request)
 	x := &exchange{pool: p, kind: kindAttempt, call: call, createdAt: time.Now()}
 	x.writeBefore = x.createdAt.Add(left)
@@ -99,7 +104,8 @@
 	x.done = func(result dispatch.Result, received *response) {
 		health := router.HealthResult{Result: result, Report: router.NoWorkerReport}
 		if received != nil {
-			health.Report, health.Ready = received.report, received.status == statusReady
+			health.Report = received.report
+			health.Ready = received.status == statusReady
 		}
 		done(health)
 	}
@@ -117,7 +123,7 @@
 		p.mu.Lock()
 		callback := p.finish(x, dispatch.TimedOut, nil)
 		p.mu.Unlock()
-		runCallbacks([]func(){callback})
+		runCallbacks(callback)
 	})
 	p.mu.Unlock()
 	p.start(x, workerID)
@@ -129,7 +135,7 @@
 	x.worker = p.workers[workerID]
 	callback := p.assignConn(x)
 	p.mu.Unlock()
-	runCallbacks([]func(){callback})
+	runCallbacks(callback)
 }
 
 // finish ends an exchange, once: further calls return nil. The lock is held. The returned callback reports the result and
@@ -147,25 +153,31 @@
 	} else if x.worker != nil {
 		x.worker.waiting = slices.DeleteFunc(x.worker.waiting, func(other *exchange) bool { return other == x })
 	}
-	if x.writtenAt.IsZero() {
+	p.countEnd(x, result, received != nil)
+	if received != nil && received.body != nil { // the body is part of a read buffer, and the router keeps it
+		kept := *received
+		kept.body = append([]byte(nil), received.body...)
+		received = &kept
+	}
+	return func() { x.done(result, received) }
+}
+
+// countEnd counts an exchange that has ended in the statistics. The lock is held.
+func (p *Pool) countEnd(x *exchange, result dispatch.Result, answered bool) {
+	switch {
+	case x.writtenAt.IsZero():
 		p.stats.NeverWritten++
-	} else if received != nil {
+	case answered:
 		p.stats.Answered++
 		if x.kind == kindAttempt && result == dispatch.OK {
 			p.stats.QueueTime += x.writtenAt.Sub(x.createdAt)
 			p.stats.ResponseTime += time.Since(x.writtenAt)
 		}
 	}
-	if received != nil && received.body != nil {
-		kept := *received
-		kept.body = append([]byte(nil), received.body...)
-		received = &kept
-	}
-	return func() { x.done(result, received) }
 }
 
-// cancel ends an attempt that the router no longer wants. If it was written, the worker is sent a cancellation, which has
-// no response.
+// cancel ends an attempt that the router no longer wants. If it was written, a cancellation is sent to the worker. A
+// connection on which nothing was read since then may be broken, so it accepts nothing new.
 func (p *Pool) cancel(x *exchange) {
 	p.mu.Lock()
 	result := dispatch.Cancelled
@@ -178,11 +190,21 @@
 	if inFlight {
 		p.stats.CancelledInFlight++
 		if c.lastReadAt.Before(x.writtenAt) {
-			c.drain() // nothing was read since the write: the connection may be broken
+			c.drain()
 		}
-		id := x.id
-		c.enqueue(&exchange{pool: p, kind: kindCancel, worker: x.worker, encode: func(time.Duration) []byte { return encodeCancel(id) }})
+		c.enqueue(newCancellation(x))
 	}
 	p.mu.Unlock()
-	runCallbacks([]func(){callback})
+	runCallbacks(callback)
+}
+
+// newCancellation returns the message that cancels an attempt at its worker. It has no response.
+func newCancellation(x *exchange) *exchange {
+	id := x.id
+	return &exchange{
+		pool:   x.pool,
+		kind:   kindCancel,
+		worker: x.worker,
+		encode: func(time.Duration) []byte { return encodeCancel(id) },
+	}
 }
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -1,7 +1,3 @@
-// Package respupstream sends requests to workers over the platform's protocol: arrays of bulk strings of RESP, many
-// requests on one connection, responses in any order. It starts attempts, load commands and health checks, classifies
-// how each ended by what was seen on the connection (the table in evidence.go), and checks again that each may still be
-// sent at the moment its first byte is written. It does not choose workers.
 package respupstream
 
 import (
@@ -124,14 +120,14 @@
 		callbacks = append(callbacks, p.updateWorker(endpoint)...)
 	}
 	p.mu.Unlock()
-	runCallbacks(callbacks)
+	runCallbacks(callbacks...)
 }
 
-// updateWorker takes a change of one worker. The lock is held. The returned callbacks are run without it.
+// updateWorker applies a change of one worker. The lock is held. The returned callbacks are run without it.
 func (p *Pool) updateWorker(endpoint endpoints.Worker) (callbacks []func()) {
 	w := p.workers[endpoint.ID]
 	removed := endpoint.State == dispatch.EndpointRemoved
-	if w != nil && (removed || w.addr != endpoint.Address || endpoint.StartedAt > w.startedAt) {
+	if w != nil && (removed || w.isReplacedBy(endpoint)) {
 		callbacks = p.removeWorker(w)
 		delete(p.workers, endpoint.ID)
 		w = nil
@@ -147,7 +143,21 @@
 	return callbacks
 }
 
-// removeWorker ends what waits for a connection to the worker; its connections accept nothing new and close once what is
+// isReplacedBy reports whether an endpoint of the worker's id is another process: at another address, or started later.
+func (w *worker) isReplacedBy(endpoint endpoints.Worker) bool {
+	return w.addr != endpoint.Address || endpoint.StartedAt > w.startedAt
+}
+
+// accepts reports whether an exchange of the kind may be written to the worker. nil stands for a worker that is not listed.
+// Draining workers are still checked, because a health check shows when the drain is over.
+func (w *worker) accepts(kind exchangeKind) bool {
+	if w == nil || w.removed {
+		return false
+	}
+	return w.state == dispatch.EndpointActive || kind == kindHealthCheck
+}
+
+// removeWorker ends what waits for a connection to the worker. Its connections accept nothing new, and close once what is
 // in flight on them has ended. The lock is held. The returned callbacks are run without it.
 func (p *Pool) removeWorker(w *worker) (callbacks []func()) {
 	w.removed = true
@@ -163,7 +173,7 @@
 }
 
 // runCallbacks runs the completion callbacks that were collected under the lock; nil ones are skipped.
-func runCallbacks(callbacks []func()) {
+func runCallbacks(callbacks ...func()) {
 	for _, f := range callbacks {
 		if f != nil {
 			f()
@@ -189,7 +199,7 @@
 		callbacks = append(callbacks, p.removeWorker(w)...)
 	}
 	p.mu.Unlock()
-	runCallbacks(callbacks)
+	runCallbacks(callbacks...)
 	for _, c := range conns {
 		c.close()
 	}
--- a/internal/upstream/respupstream/read.go
+++ b/internal/upstream/respupstream/read.go
@@ -22,7 +22,8 @@
 		}
 		_ = r.Release()
 		c.pool.mu.Lock()
-		c.lastReadAt, c.partialResponse = time.Now(), c.reader.Partial()
+		c.lastReadAt = time.Now()
+		c.partialResponse = c.reader.Partial()
 		closed := c.closed
 		c.pool.mu.Unlock()
 		if err != nil {
@@ -57,6 +58,6 @@
 		callback = p.finish(x, result, &received)
 	}
 	p.mu.Unlock()
-	runCallbacks([]func(){callback})
+	runCallbacks(callback)
 	return nil
 }
--- a/internal/upstream/respupstream/response.go
+++ b/internal/upstream/respupstream/response.go
@@ -36,7 +36,9 @@
 	if len(items) != 4 || len(items[0]) == 0 || len(items[0]) > maxIDLength {
 		return received, errMalformedResponse
 	}
-	received.id, received.status, received.body = string(items[0]), string(items[1]), items[3]
+	received.id = string(items[0])
+	received.status = string(items[1])
+	received.body = items[3]
 	if statusResults[received.status] == nil {
 		return received, fmt.Errorf("%w: unknown status %.20q", errMalformedResponse, received.status)
 	}
--- a/internal/upstream/respupstream/socket.go
+++ b/internal/upstream/respupstream/socket.go
@@ -9,15 +9,14 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
-// sendFunc writes to a non-blocking socket once and returns how many bytes the system accepted. Where there is an error, the
-// system accepted none.
+// sendFunc writes to a non-blocking socket once and returns how many bytes the system accepted: none if there is an error.
 type sendFunc func(fd int, p []byte) (accepted int, err error)
 
 // sendmsg is the sendFunc of the system.
 func sendmsg(fd int, p []byte) (int, error) { return unix.SendmsgN(fd, p, nil, nil, 0) }
 
-// socket is the writing side of a connection. netpoll reads from the descriptor and closes it, and its own Write does not
-// tell how many bytes of a message the system accepted before an error.
+// socket is the writing side of a connection. netpoll reads from the descriptor and closes it. Its Write is not used, because
+// it does not return how many bytes of a message the system accepted before an error.
 type socket struct {
 	send sendFunc
 
@@ -45,7 +44,7 @@
 	}
 }
 
-// writable reports whether the system accepts bytes now. It is true where a write returns an error.
+// writable reports whether a write would not have to wait. It is true also if the write would fail.
 func (s *socket) writable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/respupstream/sweep.go
+++ b/internal/upstream/respupstream/sweep.go
@@ -1,8 +1,6 @@
 package respupstream
 
-import (
-	"time"
-)
+import "time"
 
 // sweepInterval is the time between two sweeps.
 const sweepInterval = 50 * time.Millisecond
@@ -22,7 +20,8 @@
 	}
 }
 
-// sweepOnce makes one sweep. It looks at the connections and at the workers with waiting exchanges, not at all workers.
+// sweepOnce makes one sweep. Its cost grows with the connections and the workers with waiting exchanges, not with all
+// workers.
 func (p *Pool) sweepOnce() {
 	now := time.Now()
 	var stalled, idle []*conn
@@ -31,7 +30,7 @@
 		switch {
 		case c.partialResponse && now.Sub(c.lastReadAt) > p.config.StallTimeout:
 			stalled = append(stalled, c)
-		case c.outstanding() == 0 && !c.writing && (c.draining || p.config.IdleTimeout > 0 && now.Sub(c.lastUsedAt) > p.config.IdleTimeout):
+		case c.isIdle() && (c.draining || c.idleTimeoutExceeded(now)):
 			c.draining = true
 			idle = append(idle, c)
 		}
@@ -47,7 +46,7 @@
 		}
 	}
 	p.mu.Unlock()
-	runCallbacks(callbacks)
+	runCallbacks(callbacks...)
 	for _, c := range stalled {
 		c.fail("response stalled")
 	}
--- a/internal/upstream/respupstream/write.go
+++ b/internal/upstream/respupstream/write.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"syscall"
 	"time"
 
@@ -12,10 +13,11 @@
 // writablePollInterval is the pause between checks of whether a full socket accepts bytes again.
 const writablePollInterval = time.Millisecond
 
-// maxRejectedWrites is how many connections may fail to accept an exchange whole before it ends without another try.
+// maxRejectedWrites is how many connections may fail to accept a whole message and the exchange still moves to another. One
+// failure more ends the exchange: without a bound it would move from connection to connection until its deadline.
 const maxRejectedWrites = 3
 
-// errWriteAbandoned ends a message that is partly written when its exchange is over, or takes too long.
+// errWriteAbandoned ends the write of a message whose exchange has ended meanwhile, or that takes too long.
 var errWriteAbandoned = errors.New("respupstream: message abandoned before it was written whole")
 
 // writeLoop writes the queue until it is empty or the connection is closed. It runs on a goroutine of its own, at most one
@@ -25,56 +27,77 @@
 	}
 }
 
-// writeNext writes the first exchange of the queue, or ends it if it may no longer be sent. That is checked once the socket
-// accepts bytes, so that the check, and the deadline that is passed on, hold when the first byte is written. writeNext
+// writeNext writes the first exchange of the queue, or ends it if it may no longer be sent. The check is made once the
+// socket accepts bytes, so that it and the remaining deadline in the message hold when the first byte is written. writeNext
 // reports whether the loop goes on.
 func (c *conn) writeNext() bool {
 	p := c.pool
-	ready := c.socket.writable()
+	writable := c.socket.writable() // a system call: made without the lock
 	p.mu.Lock()
 	if c.closed || len(c.queue) == 0 {
-		c.writing = false
-		drained := c.draining && len(c.inFlight) == 0
+		drained := c.stopWriting()
 		p.mu.Unlock()
 		if drained {
 			c.close()
 		}
 		return false
 	}
-	x, now := c.queue[0], time.Now()
+	x := c.queue[0]
+	now := time.Now()
 	if x.kind != kindCancel && !p.mayWrite(x, now) {
-		callback := p.finish(x, dispatch.NotSent, nil)
+		callback := p.finish(x, dispatch.NotSent, nil) // removes it from the queue
 		p.mu.Unlock()
-		runCallbacks([]func(){callback})
+		runCallbacks(callback)
 		return true
 	}
-	if !ready {
+	if !writable {
 		p.mu.Unlock()
 		return c.waitToWrite()
 	}
 	c.queue = c.queue[1:]
 	if x.kind != kindCancel {
-		x.writtenAt, x.partlyWritten = now, true
-		c.inFlight[x.id] = x
-		c.rememberID(x.id, now)
-		p.stats.Written++
+		c.markInFlight(x, now)
 	}
 	p.mu.Unlock()
 	return c.writeMessage(x, x.encode(x.writeBefore.Sub(now)), now)
 }
 
-// writeMessage writes the message of an exchange, which is in flight already. It reports whether the connection can be
-// written on.
+// stopWriting records that the write loop ends. It reports whether the connection has drained, and is to be closed. The lock
+// is held.
+func (c *conn) stopWriting() (drained bool) {
+	c.writing = false
+	return c.draining && len(c.inFlight) == 0
+}
+
+// markInFlight records that the write of an exchange starts. The lock is held.
+func (c *conn) markInFlight(x *exchange, now time.Time) {
+	x.writtenAt = now
+	x.partlyWritten = true
+	c.inFlight[x.id] = x
+	c.rememberID(x.id, now)
+	c.pool.stats.Written++
+}
+
+// markUnwritten takes back that an exchange is in flight. The lock is held.
+func (c *conn) markUnwritten(x *exchange) {
+	if c.inFlight[x.id] == x {
+		delete(c.inFlight, x.id)
+	}
+	x.writtenAt = time.Time{}
+	x.partlyWritten = false
+}
+
+// writeMessage writes the message of an exchange that is marked as in flight. It reports whether the write loop goes on.
 func (c *conn) writeMessage(x *exchange, message []byte, startedAt time.Time) bool {
 	for rest := message; len(rest) > 0; {
 		accepted, err := c.socket.write(rest)
 		rest = rest[accepted:]
 		switch {
-		case err == nil: // what a short write has left follows at once
+		case err == nil: // after a short write, the rest is written at once
 		case !isTransientSendError(err):
 			c.writeFailed(x, err)
 			return false
-		case len(rest) == len(message):
+		case len(rest) == len(message): // nothing is written yet: the exchange can be checked again before its first byte
 			c.postponeWrite(x)
 			return c.waitToWrite()
 		case !c.mayGoOnWriting(x, startedAt):
@@ -88,8 +111,8 @@
 	return true
 }
 
-// isTransientSendError reports whether the connection is whole after an error of sendmsg, so that the same bytes may be
-// written later: its buffer is full, or the system had no memory for it.
+// isTransientSendError reports whether the same bytes may be written later on the same connection after an error of
+// sendmsg: a signal came, the socket's buffer is full, or the system had no memory (sendmsg(2)).
 func isTransientSendError(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, errno) {
@@ -99,19 +122,25 @@
 	return false
 }
 
-// mayGoOnWriting reports whether the rest of a message that is partly written is still of use. An attempt begins at the
-// worker when it has come whole, so one that is over in the meantime must not be completed.
+// mayGoOnWriting reports whether the rest of a message that is partly written may be written. A worker starts an attempt
+// when the message is complete, so one that has ended meanwhile must not be completed.
 func (c *conn) mayGoOnWriting(x *exchange, startedAt time.Time) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	now := time.Now()
-	if c.closed || c.pool.config.WriteTimeout > 0 && now.Sub(startedAt) >= c.pool.config.WriteTimeout {
+	limit := c.pool.config.WriteTimeout
+	timedOut := limit > 0 && now.Sub(startedAt) >= limit
+	if c.closed || timedOut {
 		return false
 	}
-	return x.kind == kindCancel || !x.ended && now.Before(x.writeBefore) && (x.call == nil || x.call.ClientWaiting())
+	if x.kind == kindCancel {
+		return true
+	}
+	return !x.ended && now.Before(x.writeBefore) && x.clientWaiting()
 }
 
-// postponeWrite puts an exchange of which nothing was written back to the head of the queue, to be checked again.
+// postponeWrite takes back the write of an exchange of which no byte was written. The exchange goes back to the head of the
+// queue, where it is checked again. If the connection has closed meanwhile, it is assigned to another one.
 func (c *conn) postponeWrite(x *exchange) {
 	p := c.pool
 	var callback func()
@@ -123,25 +152,28 @@
 	switch {
 	case x.ended:
 	case !c.closed:
-		c.unsend(x)
+		c.markUnwritten(x)
 		c.queue = append([]*exchange{x}, c.queue...)
 	case x.kind != kindCancel:
-		c.unsend(x)
-		x.conn = nil
-		callback = p.assignConn(x)
+		callback = c.moveUnwritten(x)
 	}
 	p.mu.Unlock()
-	runCallbacks([]func(){callback})
+	runCallbacks(callback)
 }
 
-// waitToWrite pauses before the next try to write. It reports whether there will be one: where nothing but cancellations is
-// left, it closes the connection instead, which gives up all that is open on it just as they would.
+// moveUnwritten assigns an exchange that was not completely written to another connection. The lock is held; the returned
+// callback is run without it.
+func (c *conn) moveUnwritten(x *exchange) (callback func()) {
+	c.markUnwritten(x)
+	x.conn = nil
+	return c.pool.assignConn(x)
+}
+
+// waitToWrite pauses until the socket is checked again. It reports whether the write loop goes on. If only cancellations are
+// left, it closes the connection instead: the close gives up everything open on the connection, as the cancellations would.
 func (c *conn) waitToWrite() bool {
 	c.pool.mu.Lock()
-	onlyCancellations := len(c.inFlight) == 0 && len(c.queue) > 0
-	for _, x := range c.queue {
-		onlyCancellations = onlyCancellations && x.kind == kindCancel
-	}
+	onlyCancellations := c.hasOnlyCancellations()
 	c.pool.mu.Unlock()
 	if onlyCancellations {
 		c.close()
@@ -151,38 +183,37 @@
 	return true
 }
 
-// writeFailed moves an exchange that was not written whole to another connection, and closes this one. A message without its
-// last byte is no request: nothing of it ran.
+// hasOnlyCancellations reports whether cancellations are queued and nothing else is outstanding. The lock is held.
+func (c *conn) hasOnlyCancellations() bool {
+	isRequest := func(x *exchange) bool { return x.kind != kindCancel }
+	return len(c.inFlight) == 0 && len(c.queue) > 0 && !slices.ContainsFunc(c.queue, isRequest)
+}
+
+// writeFailed closes the connection after a failed write and moves the exchange to another one. That is safe: a worker runs
+// nothing of a message without its last byte. After more than maxRejectedWrites failures the exchange ends instead.
 func (c *conn) writeFailed(x *exchange, err error) {
 	p := c.pool
 	var callback func()
 	p.mu.Lock()
 	c.drain()
 	if !x.ended && x.kind != kindCancel {
-		c.unsend(x)
-		x.conn = nil
-		if x.rejectedWrites++; x.rejectedWrites > maxRejectedWrites {
-			callback = p.finish(x, upstream.EvidenceOf(upstream.Send, err).Result(), nil)
+		x.rejectedWrites++
+		if x.rejectedWrites <= maxRejectedWrites {
+			callback = c.moveUnwritten(x)
 		} else {
-			callback = p.assignConn(x)
+			c.markUnwritten(x)
+			x.conn = nil
+			callback = p.finish(x, upstream.EvidenceOf(upstream.Send, err).Result(), nil)
 		}
 	}
 	p.mu.Unlock()
-	runCallbacks([]func(){callback})
+	runCallbacks(callback)
 	p.config.Logger.Debug("write to worker failed", "endpoint", c.worker.id, "error", err)
 	c.close()
 }
 
-// unsend takes back that an exchange is in flight. The lock is held.
-func (c *conn) unsend(x *exchange) {
-	if c.inFlight[x.id] == x {
-		delete(c.inFlight, x.id)
-	}
-	x.writtenAt, x.partlyWritten = time.Time{}, false
-}
-
-// writeCompleted records that the system accepted the whole message. If the connection has ended since, the exchange may
-// have run.
+// writeCompleted records that the system accepted the whole message. If the connection has closed meanwhile, the exchange
+// may have run, and ends as ConnectionReset.
 func (c *conn) writeCompleted(x *exchange) {
 	p := c.pool
 	var callback func()
@@ -192,5 +223,5 @@
 		callback = p.finish(x, dispatch.ConnectionReset, nil)
 	}
 	p.mu.Unlock()
-	runCallbacks([]func(){callback})
+	runCallbacks(callback)
 }
