--- a/internal/server/httpserver/arrival.go
+++ b/internal/server/httpserver/arrival.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// arrival is what the system tells of the bytes that a connection has received: they may have waited for this process, in
-// the listener's backlog too.
+// arrival is what the system reports of the bytes that a connection has received (TCP_INFO). They may have waited before this
+// process reads them, in the socket or in the listener's backlog, and that wait counts against a request's deadline.
 type arrival struct {
-	last     time.Time // when the last of them came
-	bytes    uint64    // of them, whether they are read or not
-	segments uint32    // in which they came
+	last     time.Time // when the last byte arrived
+	bytes    uint64    // received so far, read or not
+	segments uint32    // received so far that carried data
 }
 
-// currentArrival returns what the system tells now. Where it tells nothing, bytes count as coming when they are read.
+// currentArrival returns what the system reports now. If it reports nothing, bytes count as arriving when they are read.
 func (s *Server) currentArrival(netConn netpoll.Connection) arrival {
 	now := time.Now()
 	if withFd, ok := netConn.(netpoll.Conn); ok {
@@ -26,32 +26,34 @@
 	return arrival{last: now}
 }
 
-// newArrival converts the system's figures. An age by which something came before the server listened is not believed.
+// newArrival converts the system's figures. An arrival before the server listened is impossible and is replaced by now.
 func newArrival(info *unix.TCPInfo, now, listeningSince time.Time) arrival {
 	last := now.Add(-time.Duration(info.Last_data_recv) * time.Millisecond)
 	if last.Before(listeningSince) {
 		last = now
 	}
-	return arrival{last, info.Bytes_received, info.Data_segs_in}
+	return arrival{last: last, bytes: info.Bytes_received, segments: info.Data_segs_in}
 }
 
-// arrivalLog tells when the requests of a connection came, each by its last byte.
+// arrivalLog estimates when each request of a connection arrived, by its last byte.
 type arrivalLog struct {
 	current      arrival
-	newSegments  uint32    // since the arrival before the current one
-	bytesRead    uint64    // of those received
-	lastRequest  time.Time // when the last request came, or the connection, if there was none
-	pendingSince time.Time // when the first bytes came that are read and belong to no request yet; zero: there are none
+	newSegments  uint32    // between the previous arrival and the current one
+	bytesRead    uint64    // so far
+	lastRequest  time.Time // when the last request arrived; before the first, when the connection did
+	pendingSince time.Time // when the oldest bytes arrived that were read behind a request; zero: there are none
 }
 
-// update takes what the system tells ahead of the next bytes.
+// update records what the system reported before the next bytes are read.
 func (l *arrivalLog) update(a arrival) {
-	if a != l.current {
-		l.newSegments, l.current = a.segments-l.current.segments, a
+	if a == l.current {
+		return
 	}
+	l.newSegments = a.segments - l.current.segments
+	l.current = a
 }
 
-// bytesAdded records n bytes that were read. behindRequest tells that a request is in flight.
+// bytesAdded records that n bytes were read. behindRequest is true if a request is in flight.
 func (l *arrivalLog) bytesAdded(n int, behindRequest bool) {
 	l.bytesRead += uint64(n)
 	if behindRequest && l.pendingSince.IsZero() {
@@ -59,28 +61,33 @@
 	}
 }
 
-// requestRead returns when a request came that was just completed. followed tells that bytes behind it are read already.
+// recordRequest records that a request was completed and returns when it arrived. followed is true if bytes behind it are
+// read already.
 //
-// The system knows only when the last of all bytes came. Where bytes behind the request came in another segment, the
-// request may have come long before them: it counts from the earliest time that is possible.
-func (l *arrivalLog) requestRead(followed bool) time.Time {
-	at := l.current.last
+// The system reports only when the last of all bytes arrived. If bytes behind the request came in another segment, the
+// request may have arrived long before them. It then counts from the earliest possible time, so that its deadline is never
+// extended.
+func (l *arrivalLog) recordRequest(followed bool) (arrived time.Time) {
+	moreReceived := followed || l.current.bytes > l.bytesRead
 	switch {
-	case (followed || l.current.bytes > l.bytesRead) && l.newSegments > 1:
-		at = l.lastRequest
+	case moreReceived && l.newSegments > 1:
+		arrived = l.lastRequest
 	case !l.pendingSince.IsZero():
-		at = l.pendingSince
+		arrived = l.pendingSince
+	default:
+		arrived = l.current.last
 	}
-	l.lastRequest = at
-	if l.pendingSince = at; !followed {
-		l.pendingSince = time.Time{}
+	l.lastRequest = arrived
+	l.pendingSince = time.Time{}
+	if followed {
+		l.pendingSince = arrived
 	}
-	return at
+	return arrived
 }
 
-// requestIncomplete records that the last byte of the next request is still to come, while none is in flight. It returns
-// when the bytes came that were read last.
-func (l *arrivalLog) requestIncomplete() time.Time {
+// recordIncompleteRequest records that the next request is not complete, while none is in flight. It returns when the bytes
+// arrived that were read last.
+func (l *arrivalLog) recordIncompleteRequest() time.Time {
 	l.pendingSince = time.Time{}
 	return l.current.last
 }
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -14,7 +14,7 @@
 
 // serveRequest acts on one complete request.
 func (c *conn) serveRequest(m *http1.Message, arrived time.Time) {
-	if c.rejecting {
+	if c.rejectsFirstRequest {
 		c.abort()
 		return
 	}
@@ -27,34 +27,50 @@
 		c.rejectRequest(err)
 		return
 	}
-	call.Client, call.ClientLeft = c, c.disconnected
-	c.server.mu.Lock()
-	if _, open := c.server.openIDs[request.ID]; open {
-		c.server.mu.Unlock()
+	call.Client = c
+	call.ClientLeft = c.disconnected
+	number, ok := c.reserveID(request.ID)
+	if !ok {
 		c.rejectRequest(&requestError{http1.StatusConflict, "a request of this id is open"})
 		return
 	}
-	c.server.openIDs[request.ID] = struct{}{}
-	c.requestID = request.ID
-	number := c.requestCount
-	c.server.mu.Unlock()
 	cancel, ok := c.server.router.Submit(call)
 	if !ok {
 		c.completeRequest(http1.StatusServiceUnavailable, nil, nil)
 		return
 	}
-	c.server.mu.Lock()
-	open := !c.closed && c.requestCount == number && c.requestID == request.ID
-	if open {
-		c.cancel = cancel
-	}
-	c.server.mu.Unlock()
-	if !open { // the client left meanwhile; a call that has ended is not affected by its cancellation
+	if !c.setCancel(cancel, number) { // a call that has ended is not affected by its cancellation
 		cancel()
 		c.releaseID(request.ID)
 	}
 }
 
+// reserveID registers the id of the request in flight as open and returns the request's number on the connection. ok is
+// false if another open request has the id.
+func (c *conn) reserveID(id string) (number uint64, ok bool) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if _, open := c.server.openIDs[id]; open {
+		return 0, false
+	}
+	c.server.openIDs[id] = struct{}{}
+	c.requestID = id
+	return c.requestCount, true
+}
+
+// setCancel keeps the function that cancels the call of a request. It does not if the call has been answered or the client
+// has left since the call was submitted, and reports whether it does.
+func (c *conn) setCancel(cancel func(), requestNumber uint64) (kept bool) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	answered := c.requestCount != requestNumber || c.requestID == ""
+	if c.closed || answered {
+		return false
+	}
+	c.cancel = cancel
+	return true
+}
+
 // releaseID allows a request's id to be used again.
 func (c *conn) releaseID(id string) {
 	c.server.mu.Lock()
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -22,36 +22,46 @@
 	arrivals arrivalLog
 
 	// Under the server's lock.
-	lastActivity       time.Time // when it was accepted, its request began, or its last response was written
-	responded          bool      // it has had a response
-	requestStarted     bool      // a request has begun and is not complete
-	reading            bool      // what has come is being read
-	requestInFlight    bool      // a request is being handled or its response written
-	responding         bool      // a response is being written, or the last one was
+	lastActivity time.Time // when it was accepted, its request began, or its last response was written
+
+	// The request.
+	reading         bool   // received bytes are being read
+	requestStarted  bool   // a request has begun and is not complete
+	requestInFlight bool   // a request is being handled or its response written
+	requestCount    uint64 // so far
+	requestID       string // in the server's openIDs; empty: none
+	cancel          func() // cancels the call in flight; nil: there is none
+
+	// The response.
+	responded          bool // a response has been written
+	responding         bool // a response is being written, or the last one was written
 	closeAfterResponse bool
-	rejecting          bool      // there were too many connections: its first request is rejected
-	discarding         bool      // what comes is discarded: the connection ends with the next response
-	lingerUntil        time.Time // the last response was written, and the client may still be sending; zero: not so
-	closed             bool      // nothing that comes is served any more
-	ended              bool      // the event loop has given the connection up
-	requestID          string    // in the server's openIDs; empty: none
-	cancel             func()    // cancels the call in flight; nil: there is none
-	requestCount       uint64    // so far
+
+	// The end of the connection; see close.go.
+	rejectsFirstRequest bool      // accepted beyond the limit of connections
+	discarding          bool      // further input is discarded; the connection ends with the next response
+	lingerUntil         time.Time // when the wait for the client's close ends; zero: no last response was written
+	closed              bool      // no further input is served
+	ended               bool      // onClosed has run
 }
 
 func (s *Server) newConn(netConn netpoll.Connection) *conn {
-	c := &conn{server: s, netConn: netConn, lastActivity: time.Now(), reader: http1.NewReader(s.cfg.Limits)}
+	c := &conn{
+		server:       s,
+		netConn:      netConn,
+		reader:       http1.NewReader(s.cfg.Limits),
+		lastActivity: time.Now(),
+	}
 	c.arrivals.lastRequest = s.currentArrival(netConn).last
 	return c
 }
 
-// disconnected reports whether the client has left. It looks at the socket too: the event loop may not have reported the
-// close yet.
+// disconnected reports whether the client has left. It polls the socket too, because the event loop may not have reported
+// the close yet.
 func (c *conn) disconnected() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.closed || !c.netConn.IsActive() ||
-		poll(descriptor(c.netConn), unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return c.closed || !c.netConn.IsActive() || closedByPeer(descriptor(c.netConn))
 }
 
 // descriptor returns a connection's descriptor, or -1 where it has none.
@@ -70,16 +80,21 @@
 	return -1
 }
 
-// readable reports whether something waits to be read on a descriptor, the end of the stream included.
+// readable reports whether a descriptor has input to be read. The end of the stream counts as input.
 func readable(fd int) bool { return poll(fd, unix.POLLIN)&unix.POLLIN != 0 }
 
-// poll is listen.Poll where an error means that nothing holds.
+// closedByPeer reports whether the peer of a socket has closed it or the connection is broken.
+func closedByPeer(fd int) bool {
+	return poll(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+}
+
+// poll calls listen.Poll, and returns no event on an error.
 func poll(fd int, events int16) int16 {
 	ready, _ := listen.Poll(fd, events)
 	return ready
 }
 
-// onReadable reads what has come. netpoll runs it on one goroutine at a time.
+// onReadable reads the input that has arrived. netpoll runs it on one goroutine at a time.
 func (c *conn) onReadable() {
 	defer c.recoverPanic()
 	defer func() {
@@ -91,7 +106,8 @@
 	current := c.server.currentArrival(c.netConn)
 	for n := r.Len(); n > 0; n = r.Len() {
 		c.server.mu.Lock()
-		closed, discarding := c.closed, c.discarding
+		closed := c.closed
+		discarding := c.discarding
 		c.reading = true
 		c.server.mu.Unlock()
 		if discarding {
@@ -99,19 +115,19 @@
 			_ = r.Release()
 			continue
 		}
-		if closed { // onClosed answers what has come
+		if closed { // onClosed responds to the input
 			_ = c.netConn.Close()
 			return
 		}
 		if err := c.addToReader(r, n, current); err != nil {
-			c.abort() // too much behind a request in flight: there is no place for another response
+			c.abort() // too much input behind a request in flight
 			continue
 		}
 		c.serveNext()
 	}
 }
 
-// addToReader moves at most n received bytes to the reader of requests. current is what the system told of them.
+// addToReader moves at most n received bytes to the reader of requests. current is their arrival as the system reported it.
 func (c *conn) addToReader(received netpoll.Reader, n int, current arrival) error {
 	c.parseMu.Lock()
 	defer c.parseMu.Unlock()
@@ -128,26 +144,31 @@
 	return err
 }
 
-// serveNext serves the next request where none is in flight.
+// serveNext serves the next request, if it is complete and none is in flight. It rejects the connection if its input is not
+// HTTP.
 func (c *conn) serveNext() {
-	m, arrived, err := c.nextRequest()
+	m, arrived, err := c.takeRequest()
 	switch {
 	case err != nil:
-		status := http1.StatusBadRequest
-		var httpErr *http1.Error
-		if errors.As(err, &httpErr) {
-			status = httpErr.Status
-		}
-		c.rejectConnection(status, err.Error())
+		c.rejectConnection(statusOf(err), err.Error())
 	case m != nil:
 		c.serveRequest(m, arrived)
 	}
 }
 
-// nextRequest returns the next request, and when its last byte came, if one is complete and none is in flight, and nil
-// otherwise. The returned one is in flight. What comes while another goroutine looks for a request is seen by one of the
-// two.
-func (c *conn) nextRequest() (m *http1.Message, arrived time.Time, err error) {
+// statusOf returns the status that rejects input for which the parser returned err.
+func statusOf(err error) int {
+	var httpErr *http1.Error
+	if errors.As(err, &httpErr) {
+		return httpErr.Status
+	}
+	return http1.StatusBadRequest
+}
+
+// takeRequest returns the next request and when its last byte arrived, and marks it as in flight. m is nil if the request is
+// not complete or another one is in flight. Two goroutines may call it at once, after a response and after input: one of the
+// two sees a request that arrives meanwhile.
+func (c *conn) takeRequest() (m *http1.Message, arrived time.Time, err error) {
 	c.parseMu.Lock()
 	defer c.parseMu.Unlock()
 	c.server.mu.Lock()
@@ -160,15 +181,24 @@
 	partial := c.reader.Partial()
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	if m != nil {
-		c.requestStarted, c.requestInFlight, c.closeAfterResponse = false, true, m.Close
-		c.requestCount++
-		return m, c.arrivals.requestRead(partial), nil
+	if m == nil {
+		c.noteIncompleteRequest(partial)
+		return nil, time.Time{}, err
 	}
-	begun := c.arrivals.requestIncomplete()
-	if partial && !c.requestStarted && c.responded && begun.After(c.lastActivity) {
-		c.lastActivity = begun
+	c.requestStarted = false
+	c.requestInFlight = true
+	c.closeAfterResponse = m.Close
+	c.requestCount++
+	return m, c.arrivals.recordRequest(partial), nil
+}
+
+// noteIncompleteRequest records that no complete request has arrived, and whether a part of one has. The request timeout of
+// a request after the first counts from its first byte. Both locks are held.
+func (c *conn) noteIncompleteRequest(partial bool) {
+	arrived := c.arrivals.recordIncompleteRequest()
+	begins := partial && !c.requestStarted
+	if begins && c.responded && arrived.After(c.lastActivity) {
+		c.lastActivity = arrived
 	}
 	c.requestStarted = partial
-	return nil, time.Time{}, err
 }
--- a/internal/server/httpserver/eviction.go
+++ b/internal/server/httpserver/eviction.go
@@ -4,33 +4,41 @@
 	"time"
 
 	"github.com/cloudwego/netpoll"
-
-	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// sweepInterval is the time between two looks for connections that are late or idle.
+// sweepInterval is the time between two sweeps of late and idle connections.
 const sweepInterval = 100 * time.Millisecond
 
-// rejectingShare is the share of MaxConnections, as a divisor, that is kept for connections whose first request is only
-// rejected: a close would leave the request of a new connection without an answer.
+// rejectingShare is the share of MaxConnections, as a divisor, that is kept for connections whose first request is read and
+// rejected. Without it a connection at the limit would be closed, and its request would get no answer if it arrived after.
 const rejectingShare = 16
 
-// addConnection registers a new connection. Where there are as many as may be served, one is evicted; where none may be,
-// the new one only has its first request rejected. At MaxConnections it is rejected before that has come.
+// addConnection registers a new connection, and closes one if there are too many.
 func (s *Server) addConnection(netConn netpoll.Connection) *conn {
 	_ = netConn.SetWriteTimeout(s.cfg.WriteTimeout)
 	c := s.newConn(netConn)
 	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
+	if evicted := s.register(c); evicted != nil {
+		_ = evicted.netConn.Close()
+	}
+	return c
+}
+
+// register adds a connection to the server's and returns the connection to close for it, if any. If as many are served as
+// may be, one of them is evicted. If none can be, the first request on the new connection is rejected; at MaxConnections,
+// the new connection itself is returned.
+func (s *Server) register(c *conn) (evicted *conn) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.stats.Accepted++
-	var evicted *conn
-	if len(s.conns) >= s.cfg.MaxConnections-s.cfg.MaxConnections/rejectingShare {
+	maxServed := s.cfg.MaxConnections - s.cfg.MaxConnections/rejectingShare
+	if len(s.conns) >= maxServed {
+		s.stats.Evicted++
 		evicted = s.evictionCandidate(c)
-		c.rejecting = evicted == c
-		if c.rejecting && len(s.conns) < s.cfg.MaxConnections {
+		c.rejectsFirstRequest = evicted == c
+		if c.rejectsFirstRequest && len(s.conns) < s.cfg.MaxConnections {
 			evicted = nil
 		}
-		s.stats.Evicted++
 	}
 	if evicted != c {
 		s.conns[c] = struct{}{}
@@ -39,29 +47,29 @@
 		evicted.closed = true
 		delete(s.conns, evicted)
 	}
-	s.mu.Unlock()
-	if evicted != nil {
-		_ = evicted.netConn.Close()
-	}
-	return c
+	return evicted
 }
 
-// evictionCandidate returns the least useful connection: one that has had its last response, one that has never had a response, the oldest first, then the
-// one idle longest. It is the added one where all others have a request in flight, or one that has come in part or is
-// not read yet. The server's lock is held.
+// evictionCandidate returns the least useful connection. One that has had its last response comes first, then those that
+// have never had a response, the oldest first, then the one idle longest. It is the added one if no other is evictable. The
+// server's lock is held.
 func (s *Server) evictionCandidate(added *conn) *conn {
 	candidate := added
 	for c := range s.conns {
 		if !c.lingerUntil.IsZero() {
 			return c
 		}
-		if (candidate == added || c.evictedBefore(candidate)) && !c.closed && !c.requestStarted && !c.hasPendingWork() {
+		preferred := candidate == added || c.evictedBefore(candidate)
+		if preferred && c.isEvictable() {
 			candidate = c
 		}
 	}
 	return candidate
 }
 
+// isEvictable reports whether the connection can be closed without losing a request. The server's lock is held.
+func (c *conn) isEvictable() bool { return !c.closed && !c.requestStarted && !c.hasPendingWork() }
+
 // evictedBefore reports whether c is to be evicted rather than other. The server's lock is held.
 func (c *conn) evictedBefore(other *conn) bool {
 	if c.responded != other.responded {
@@ -70,11 +78,17 @@
 	return c.lastActivity.Before(other.lastActivity)
 }
 
-// hasPendingWork reports whether a request is in flight, or may have come and was not looked at: then the connection is
-// not closed. The server's lock is held, without which nothing that has come is read.
+// hasPendingWork reports whether a request is in flight, or may have arrived without being served yet. Such a connection is
+// not closed. The server's lock is held, because without it input may be on its way from the socket to the reader.
 func (c *conn) hasPendingWork() bool {
-	return c.lingerUntil.IsZero() &&
-		(c.requestInFlight || c.reading || readable(descriptor(c.netConn)) || c.netConn.Reader().Len() > 0)
+	lingering := !c.lingerUntil.IsZero()
+	return !lingering && (c.requestInFlight || c.hasUnreadInput())
+}
+
+// hasUnreadInput reports whether input is being read, or waits in the socket or in netpoll's buffer. The server's lock is
+// held.
+func (c *conn) hasUnreadInput() bool {
+	return c.reading || readable(descriptor(c.netConn)) || c.netConn.Reader().Len() > 0
 }
 
 // sweep closes late and idle connections until the server stops.
@@ -91,24 +105,24 @@
 	}
 }
 
-// closeExpired closes the connections that by now are late with a request or have been idle for too long.
+// closeExpired ends the connections that are late with a request, have been idle for too long, or have lingered.
 func (s *Server) closeExpired(now time.Time) {
 	var late, idle, lingered []*conn
 	s.mu.Lock()
 	for c := range s.conns {
-		switch wait := now.Sub(c.lastActivity); {
-		case !c.lingerUntil.IsZero() && now.After(c.lingerUntil):
+		switch {
+		case c.lingerExceeded(now):
 			lingered = append(lingered, c)
 		case c.closed:
-		case (!c.responded || c.requestStarted) && wait > s.cfg.RequestTimeout:
+		case c.requestTimeoutExceeded(now):
 			late = append(late, c)
-		case wait > s.cfg.IdleTimeout:
+		case now.Sub(c.lastActivity) > s.cfg.IdleTimeout:
 			idle = append(idle, c)
 		}
 	}
 	s.mu.Unlock()
 	for _, c := range late {
-		c.closeLate()
+		c.closeTimedOut()
 	}
 	for _, c := range idle {
 		c.closeIfIdle()
@@ -118,29 +132,14 @@
 	}
 }
 
-// closeLate rejects a request that has come in part, and closes a connection on which nothing has come: a response to
-// nothing would answer a request that crosses the close, which the client sends again otherwise.
-func (c *conn) closeLate() {
-	c.server.mu.Lock()
-	started, pending := c.requestStarted, c.hasPendingWork()
-	c.server.mu.Unlock()
-	switch {
-	case pending:
-	case started:
-		c.rejectConnection(http1.StatusRequestTimeout, "no whole request in time")
-	default:
-		c.closeIfIdle()
-	}
+// lingerExceeded reports whether the wait for the client's close is over. The server's lock is held.
+func (c *conn) lingerExceeded(now time.Time) bool {
+	return !c.lingerUntil.IsZero() && now.After(c.lingerUntil)
 }
 
-// closeIfIdle closes the connection, unless a request has come meanwhile.
-func (c *conn) closeIfIdle() {
-	c.server.mu.Lock()
-	if c.closed || c.requestStarted || c.hasPendingWork() {
-		c.server.mu.Unlock()
-		return
-	}
-	c.closed = true
-	c.server.mu.Unlock()
-	_ = c.netConn.Close()
+// requestTimeoutExceeded reports whether a request should have been complete by now: the connection's first, or one that has
+// begun. The server's lock is held.
+func (c *conn) requestTimeoutExceeded(now time.Time) bool {
+	awaitsRequest := !c.responded || c.requestStarted
+	return awaitsRequest && now.Sub(c.lastActivity) > c.server.cfg.RequestTimeout
 }
--- a/internal/server/httpserver/parse.go
+++ b/internal/server/httpserver/parse.go
@@ -25,7 +25,7 @@
 // callFields may each be given once.
 var callFields = []string{classField, idField, deadlineField, keyField, estimateField, attributesField}
 
-// The bounds of what a request may state. A figure beyond them is invalid: the dispatcher never sees it.
+// Bounds on the figures of a request. A request with a figure beyond them is rejected before it reaches the dispatcher.
 const (
 	maxMilliseconds           = 10 * 60 * 1000 // of a deadline, an estimate, a load
 	maxMemoryMB               = 1 << 24
@@ -35,7 +35,7 @@
 	hexIDLength               = 16 // digits of a function's or request's id
 )
 
-// requestError is why a request can't become a call: no part of it was forwarded.
+// requestError is the reason why a request can't be a call, and the status that rejects it. Nothing of it was forwarded.
 type requestError struct {
 	status int
 	reason string
@@ -70,12 +70,19 @@
 		return nil, nil, &requestError{http1.StatusBadRequest, "x-deadline-ms: not a usable figure"}
 	}
 	key, given := m.Get(keyField)
-	if given && !invocation.IsIdempotencyKey(key) || !given && idempotency == dispatch.IdempotentByKey {
+	keyMissing := !given && idempotency == dispatch.IdempotentByKey
+	keyInvalid := given && !invocation.IsIdempotencyKey(key)
+	if keyMissing || keyInvalid {
 		return nil, nil, &requestError{http1.StatusBadRequest, "x-operation-key: missing or unusable"}
 	}
 	now := time.Now()
-	call := &router.Call{Function: function, Class: class, ConcurrencyPerInstance: 1,
-		RemainingDeadline: arrived.Add(milliseconds(timeout)).Sub(now), MeasuredAt: now}
+	call := &router.Call{
+		Function:               function,
+		Class:                  class,
+		ConcurrencyPerInstance: 1,
+		RemainingDeadline:      arrived.Add(milliseconds(timeout)).Sub(now),
+		MeasuredAt:             now,
+	}
 	if err := parseEstimates(call, m); err != nil {
 		return nil, nil, err
 	}
@@ -122,7 +129,8 @@
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
 		name, value, ok := strings.Cut(pair, ":")
-		if count++; !ok || count > maxAttributes {
+		count++
+		if !ok || count > maxAttributes {
 			return &requestError{http1.StatusBadRequest, "x-attrs: not name:value;name:value"}
 		}
 		number, ok := parseNumber(value, maxAttributeValue(name))
--- a/internal/server/httpserver/response.go
+++ b/internal/server/httpserver/response.go
@@ -19,7 +19,8 @@
 	}
 	c.server.mu.Lock()
 	c.server.stats.BadRequests++
-	c.closeAfterResponse, c.discarding = true, true
+	c.closeAfterResponse = true
+	c.discarding = true
 	c.server.mu.Unlock()
 	c.server.cfg.Logger.Debug("request rejected", "client", c.netConn.RemoteAddr(), "reason", err)
 	c.respond(status, nil, []byte(err.Error()+"\n"))
@@ -32,15 +33,17 @@
 		c.server.mu.Unlock()
 		return
 	}
-	c.requestInFlight, c.closeAfterResponse, c.discarding = true, true, true
+	c.requestInFlight = true
+	c.closeAfterResponse = true
+	c.discarding = true
 	c.server.stats.BadRequests++
 	c.server.mu.Unlock()
 	c.server.cfg.Logger.Debug("client connection rejected", "client", c.netConn.RemoteAddr(), "reason", reason)
 	c.respond(status, nil, []byte(reason+"\n"))
 }
 
-// respond writes a response, unless one is being written already; the next request is looked for when the client has taken it. It does not block: a client
-// that doesn't read delays only its own connection, and that for WriteTimeout at most.
+// respond writes a response, unless one is being written already, and then goes on by responseWritten. It does not block: a
+// client that doesn't read delays only its own connection, for WriteTimeout at most.
 func (c *conn) respond(status int, fields []http1.Field, body []byte) {
 	c.server.mu.Lock()
 	if c.closed || c.responding {
@@ -58,10 +61,12 @@
 	}()
 }
 
-// responseWritten goes on after a response: with the next request, or to the end of the connection.
+// responseWritten serves the next request after a response was written, or ends the connection.
 func (c *conn) responseWritten(err error, closing bool) {
 	c.server.mu.Lock()
-	c.requestInFlight, c.responded, c.lastActivity = false, true, time.Now()
+	c.requestInFlight = false
+	c.responded = true
+	c.lastActivity = time.Now()
 	if err != nil || closing {
 		c.closed = true
 	} else {
@@ -77,6 +82,6 @@
 	case discarding: // abort was called while the response was being written
 		c.abort()
 	default:
-		c.serveNext() // what came behind the request, if anything
+		c.serveNext() // it may have arrived already
 	}
 }
--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -1,7 +1,3 @@
-// Package httpserver is the server of the platform's HTTP/1.1: a POST names the function by its path and the rest of a
-// call by header fields. A client has one request at a time on a connection, so the state of this server is bounded by
-// its connections, and those by the settings. Every request that is accepted gets one response; what can't be a call is
-// rejected, and a connection whose framing is in doubt is closed.
 package httpserver
 
 import (
@@ -26,11 +22,14 @@
 	Classes            map[string]dispatch.Idempotency
 	MaxConnections     int           // clients connected at once, those included whose first request is only rejected
 	Limits             http1.Limits  // of a request
-	RequestTimeout     time.Duration // from a connection's start to its first complete request, and from any other's first byte to its last
 	IdleTimeout        time.Duration // a connection without a request is closed after this
 	WriteTimeout       time.Duration // a client must take its response within this
-	ReceiveBufferBytes int           // that the system holds of what a client sends ahead; 0: the system's default
+	ReceiveBufferBytes int           // of the system, for each connection's unread input; 0: the system's default
 	Logger             *slog.Logger  // nil: nothing is logged
+
+	// RequestTimeout limits a connection's first request, from the connection's start to the request's last byte, and any
+	// other request from its first byte to its last.
+	RequestTimeout time.Duration
 }
 
 // Server serves one listener.
@@ -68,8 +67,14 @@
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
 	}
-	s := &Server{cfg: cfg, router: r, conns: map[*conn]struct{}{}, openIDs: map[string]struct{}{}, stop: make(chan struct{}),
-		listeningSince: time.Now()}
+	s := &Server{
+		cfg:            cfg,
+		router:         r,
+		stop:           make(chan struct{}),
+		listeningSince: time.Now(),
+		conns:          map[*conn]struct{}{},
+		openIDs:        map[string]struct{}{},
+	}
 	var err error
 	if s.listener, err = listen.Open("tcp", cfg.Address); err != nil {
 		return nil, err
@@ -87,8 +92,8 @@
 	return s, nil
 }
 
-// setReceiveBuffer sets a listener's receive buffer. It does not ask a listen.Listener for its descriptor: the event loop
-// does, and Serve takes the first who asks for the event loop.
+// setReceiveBuffer sets a listener's receive buffer. It must not call listen.Listener.Fd: Serve takes the first call of Fd as
+// the sign that the event loop watches the descriptor.
 func setReceiveBuffer(listener net.Listener, size int) {
 	withDescriptor, ok := listener.(syscall.Conn)
 	if !ok {
@@ -125,6 +130,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stats := s.stats
-	stats.Connections, stats.OpenRequests = len(s.conns), len(s.openIDs)
+	stats.Connections = len(s.conns)
+	stats.OpenRequests = len(s.openIDs)
 	return stats
 }
--- a/internal/server/httpserver/shutdown.go
+++ b/internal/server/httpserver/shutdown.go
@@ -10,15 +10,17 @@
 	eventLoopShutdownTimeout = time.Second
 )
 
-// WaitForDrain waits until no client waits for a response: no request in flight, received and not read, or waiting on a
-// connection that was not accepted yet, and the last response's bytes taken by the system. It reports whether that came
-// within limit. The router must have stopped: it rejects what still comes.
-func (s *Server) WaitForDrain(limit time.Duration) bool {
-	for deadline := time.Now().Add(limit); ; time.Sleep(drainPollInterval) {
-		pending := s.hasPendingWork()
-		if !pending || time.Now().After(deadline) {
-			return !pending
+// WaitForDrain waits until no client waits for a response, and reports whether that was so within limit. A client waits if
+// its request is in flight, received and not read, or on a connection that was not accepted yet, or if the system has not
+// taken all bytes of its response. The router must have stopped, so that requests which still arrive are rejected.
+func (s *Server) WaitForDrain(limit time.Duration) (drained bool) {
+	deadline := time.Now().Add(limit)
+	for {
+		drained = !s.hasPendingWork()
+		if drained || time.Now().After(deadline) {
+			return drained
 		}
+		time.Sleep(drainPollInterval)
 	}
 }
 
--- a/internal/server/httpserver/timing_test.go
+++ b/internal/server/httpserver/timing_test.go
@@ -111,7 +111,7 @@
 				conn.arrivals.update(current)
 				conn.arrivals.bytesAdded(n, false)
 				_ = conn.reader.Add(p[:n])
-				m, arrived, err := conn.nextRequest()
+				m, arrived, err := conn.takeRequest()
 				if m == nil || err != nil {
 					t.Fatal(m, err)
 				}
