--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -6,19 +6,11 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// startAttempt starts an attempt. Where it can be of no use, because the call has been answered or its time is over,
-// nothing is sent and the attempt ends as NotSent.
+// startAttempt starts an attempt. It ends the attempt as NotSent at once if its result would be of no use.
 func (r *Router) startAttempt(action dispatch.StartAttempt) {
 	call := r.calls[action.ID]
 	if call == nil {
-		r.events = append(r.events, dispatch.AttemptEnded{
-			ID:               action.ID,
-			Worker:           action.Worker,
-			Result:           dispatch.NotSent,
-			Final:            true,
-			FunctionInFlight: -1,
-			LoadReport:       dispatch.NoLoadReport,
-		})
+		r.reportUnknownCall(action)
 		return
 	}
 	a := &attempt{call: call, number: len(call.attempts), worker: action.Worker, startedAt: r.now}
@@ -28,14 +20,26 @@
 	if action.Timeout > 0 {
 		endsAt = min(endsAt, r.now+action.Timeout)
 	}
-	remaining := endsAt - r.Clock() // r.now is from before the work of this turn, which may have taken long
-	if call.state != callWaiting || remaining <= 0 || !call.submitted.ClientWaiting() {
+	remaining := endsAt - r.Clock() // r.now is from the start of this turn, which may have taken long
+	if remaining <= 0 || !call.awaitsResponse() {
 		r.endAttempt(a, AttemptResult{Result: dispatch.NotSent, Report: NoWorkerReport})
 		return
 	}
 	r.sendAttempt(a, endsAt, remaining)
 }
 
+// reportUnknownCall reports to the dispatcher that an attempt was not sent, because its call has ended.
+func (r *Router) reportUnknownCall(action dispatch.StartAttempt) {
+	r.events = append(r.events, dispatch.AttemptEnded{
+		ID:               action.ID,
+		Worker:           action.Worker,
+		Result:           dispatch.NotSent,
+		Final:            true,
+		FunctionInFlight: -1,
+		LoadReport:       dispatch.NoLoadReport,
+	})
+}
+
 // sendAttempt passes an attempt to the upstream.
 func (r *Router) sendAttempt(a *attempt, endsAt, remaining time.Duration) {
 	call := a.call
@@ -50,8 +54,8 @@
 	a.handle = r.upstream.StartAttempt(AttemptToken{a}, call.submitted, a.worker, a.number, remaining)
 }
 
-// attemptTimedOut cancels an attempt whose time is over. Once its response is the client's, only the dispatcher ends
-// it.
+// attemptTimedOut cancels an attempt whose time is over. An attempt whose response is being forwarded goes on: only the
+// dispatcher ends it.
 func (r *Router) attemptTimedOut(a *attempt) {
 	if !a.ended && a.call.answering != a {
 		a.timedOut = true
@@ -59,6 +63,7 @@
 	}
 }
 
+// cancelAttempt carries out the dispatcher's cancellation of an attempt, unless its response is being forwarded.
 func (r *Router) cancelAttempt(action dispatch.CancelAttempt) {
 	call := r.calls[action.ID]
 	if call == nil || action.Attempt < 0 || action.Attempt >= len(call.attempts) {
@@ -90,30 +95,20 @@
 	r.post(func() { r.endAttempt(token.attempt, result) })
 }
 
+// endAttempt records the end of an attempt, which may answer the client, and reports it to the dispatcher.
 func (r *Router) endAttempt(a *attempt, result AttemptResult) {
 	if a.ended {
 		return
 	}
 	r.timers.Remove(&a.timeout)
-	if a.handle != nil {
-		r.stats.AttemptsInFlight--
-	}
-	if result.Result == dispatch.OK {
-		r.stats.ServedDuration += r.now - a.startedAt
-	}
 	if a.timedOut && result.Result == dispatch.Cancelled {
 		result.Result = dispatch.TimedOut
 	}
 	call := a.call
 	wasDone := call.state == callDone
 	done := call.attemptEnded(a, result)
-	if done && !wasDone {
-		if result.Result == dispatch.OK {
-			r.stats.Served++
-		} else {
-			r.stats.Failed++
-		}
-	}
+	answered := done && !wasDone
+	r.countEndedAttempt(a, result.Result, answered)
 	r.recordAlive(a.worker, result.Result)
 	r.events = append(r.events, dispatch.AttemptEnded{
 		ID:               call.id,
@@ -131,3 +126,20 @@
 	}
 	r.removeIfEnded(call)
 }
+
+// countEndedAttempt counts the end of an attempt in the statistics. answered is true if it answered the client.
+func (r *Router) countEndedAttempt(a *attempt, result dispatch.Result, answered bool) {
+	if a.handle != nil {
+		r.stats.AttemptsInFlight--
+	}
+	if result == dispatch.OK {
+		r.stats.ServedDuration += r.now - a.startedAt
+	}
+	switch {
+	case !answered:
+	case result == dispatch.OK:
+		r.stats.Served++
+	default:
+		r.stats.Failed++
+	}
+}
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -27,8 +27,8 @@
 	ClientLeft func() bool
 }
 
-// ClientWaiting reports whether an attempt may still be of use to the client. It is false once the client has left,
-// also while the cancellation is still on its way to the router's loop.
+// ClientWaiting reports whether the client still waits for a response. It is false once the client has left, also while the
+// cancellation is still on its way to the router's loop.
 func (c *Call) ClientWaiting() bool { return c.ClientLeft == nil || !c.ClientLeft() }
 
 // Client is the server's side of a call. The router's loop calls its methods, except that the goroutine which reads
@@ -37,8 +37,8 @@
 type Client interface {
 	// Start begins the response with the worker's head.
 	Start(head any)
-	// Message forwards bytes of the worker's response. It returns how many of them are on their way; the rest is
-	// queued, and as it leaves, drain is called with the number of bytes. The caller may reuse p when Message returns.
+	// Message forwards bytes of the worker's response. It returns how many of them were written. The others are queued,
+	// and drain is called with the number of bytes as they are written. The caller may reuse p when Message returns.
 	Message(p []byte, drain func(n int)) int
 	// Finish gives the final answer.
 	Finish(answer FinalAnswer)
@@ -100,20 +100,26 @@
 	timedOut  bool // it was cancelled by its time-out
 }
 
-// responseStarted records that the streamed response of an attempt has started. From now on it is the client's,
-// unless the call is done or another attempt was first. It reports whether it is.
+// awaitsResponse reports whether a further attempt may be of use: no response has started, and the client still waits.
+func (c *activeCall) awaitsResponse() bool {
+	return c.state == callWaiting && c.submitted.ClientWaiting()
+}
+
+// responseStarted records that the streamed response of an attempt has started, and forwards it to the client. It does
+// nothing if the call is done or another attempt's response is being forwarded. It reports whether it forwards.
 func (c *activeCall) responseStarted(a *attempt, head any) bool {
 	if c.state != callWaiting || a.ended {
 		return false
 	}
-	c.state, c.answering = callStreaming, a
+	c.state = callStreaming
+	c.answering = a
 	c.submitted.Client.Start(head)
 	a.handle.ForwardTo(c.submitted.Client)
 	return true
 }
 
-// attemptEnded records the end of an attempt, and answers the client where that end is an answer: the first OK, or
-// any end of the attempt whose response is the client's. It reports whether the call is done.
+// attemptEnded records the end of an attempt. It answers the client with the first OK, and with any end of the attempt whose
+// response is being forwarded. It reports whether the call is done.
 func (c *activeCall) attemptEnded(a *attempt, result AttemptResult) (done bool) {
 	a.ended = true
 	c.attemptsInFlight--
--- a/internal/router/calls.go
+++ b/internal/router/calls.go
@@ -1,7 +1,6 @@
 package router
 
 import (
-	"maps"
 	"time"
 
 	"github.com/topazfront/topazfront/dispatch"
@@ -14,11 +13,13 @@
 	if measuredAt.IsZero() {
 		measuredAt = time.Now()
 	}
-	call := &activeCall{submitted: submitted, deadline: epoch + measuredAt.Sub(r.startedAt) + submitted.RemainingDeadline}
+	submittedAt := epoch + measuredAt.Sub(r.startedAt) // on the router's clock
+	call := &activeCall{submitted: submitted, deadline: submittedAt + submitted.RemainingDeadline}
 	ok = r.post(func() { r.acceptCall(call) })
 	return func() { r.post(func() { r.cancelCall(call) }) }, ok
 }
 
+// acceptCall passes a new call to the dispatcher.
 func (r *Router) acceptCall(call *activeCall) {
 	r.lastCallID++
 	call.id = r.lastCallID
@@ -28,7 +29,7 @@
 	}
 	r.stats.Calls++
 	submitted := call.submitted
-	r.functions.called(submitted.Function, r.now)
+	r.functions.recordCall(submitted.Function, r.now)
 	r.events = append(r.events, dispatch.Request{
 		ID:                     call.id,
 		Function:               submitted.Function,
@@ -42,7 +43,7 @@
 	})
 }
 
-// cancelCall ends a call whose client has left: it needs no answer any more.
+// cancelCall ends a call whose client has left. No answer is given.
 func (r *Router) cancelCall(call *activeCall) {
 	if call.state == callDone {
 		return
@@ -54,6 +55,7 @@
 	r.removeIfEnded(call)
 }
 
+// rejectCall carries out the dispatcher's rejection of a call.
 func (r *Router) rejectCall(action dispatch.RejectRequest) {
 	call := r.calls[action.ID]
 	if call == nil || !call.reject(action.RetryAfter) {
@@ -63,6 +65,7 @@
 	r.removeIfEnded(call)
 }
 
+// failCall carries out the dispatcher's failure of a call.
 func (r *Router) failCall(action dispatch.FailRequest) {
 	call := r.calls[action.ID]
 	if call == nil || !call.fail(r.now) {
@@ -79,33 +82,3 @@
 		delete(r.calls, call.id)
 	}
 }
-
-const (
-	// functionTTL is how long a function is known after its last call: longer than the dispatcher commands loads
-	// of it.
-	functionTTL = 3 * time.Minute
-
-	minFunctionSweep = 1024 // functions; a sweep of fewer isn't worth its time
-)
-
-// calledFunctions are the functions that were called lately. Clients choose the names, so their number has no
-// bound: each time that it has doubled, those not called for functionTTL are removed.
-type calledFunctions struct {
-	lastCalled map[string]time.Duration
-	sweepAbove int // the number of functions above which they are swept
-}
-
-// called records a call of a function.
-func (f *calledFunctions) called(function string, now time.Duration) {
-	f.lastCalled[function] = now
-	if len(f.lastCalled) > f.sweepAbove {
-		maps.DeleteFunc(f.lastCalled, func(_ string, at time.Duration) bool { return now-at > functionTTL })
-		f.sweepAbove = max(2*len(f.lastCalled), minFunctionSweep)
-	}
-}
-
-// known reports whether the function was called lately.
-func (f *calledFunctions) known(function string) bool {
-	_, ok := f.lastCalled[function]
-	return ok
-}
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -15,12 +15,12 @@
 	r.post(func() { r.endpoints.Update(update) })
 }
 
-// WorkerDraining reports that a worker itself has said that it takes nothing new.
+// WorkerDraining records a worker's own report that it drains.
 func (r *Router) WorkerDraining(worker string) {
 	r.post(func() { r.endpoints.WorkerDraining(r.now, worker) })
 }
 
-// updateEndpoints passes what has changed in the endpoint list to the upstream and the dispatcher, and makes the health checks of
+// updateEndpoints passes changes of the endpoint list to the upstream and the dispatcher, and starts the health checks of
 // draining workers that are due.
 func (r *Router) updateEndpoints() {
 	actions := r.endpoints.Step(r.now)
@@ -34,6 +34,7 @@
 	}
 }
 
+// useEndpoints passes an update of the merged list to the upstream and the dispatcher, and forgets removed workers.
 func (r *Router) useEndpoints(update endpoints.Update) {
 	changed := make([]dispatch.Endpoint, 0, len(update.Workers))
 	for _, worker := range update.Workers {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,3 @@
-// Package router runs one router: a loop that owns the dispatcher (package dispatch), the calls under way and one
-// timer. Servers submit calls, the upstream reports how attempts end, the discovery of endpoints sets the endpoint
-// list; all of it goes through one queue. The loop takes everything that is queued into one Step of the dispatcher
-// and carries out the actions that the dispatcher returns. It takes no decision itself.
 package router
 
 import (
@@ -125,8 +121,8 @@
 // Clock returns the time on the router's clock.
 func (r *Router) Clock() time.Duration { return epoch + time.Since(r.startedAt) }
 
-// At converts a wall time to the router's clock, as if the wall clock had run on since the router's start without a step.
-// It is wrong by what the wall clock was wrong at that moment; endpoints.StartTimes corrects what can't be right. A time
+// At converts a wall time to the router's clock, as if the wall clock had not been set since the router's start. The result
+// is wrong by as much as the wall clock was wrong at that moment; endpoints.StartTimes corrects impossible results. A time
 // before the clock's zero becomes 0, which stands for long ago.
 func (r *Router) At(moment wallclock.Time) time.Duration {
 	sinceStart := min(moment.Sub(r.wallStart), math.MaxInt64-epoch)
@@ -152,8 +148,8 @@
 	return true
 }
 
-// loop is the goroutine that owns the router's state. Each turn runs the queued work and the timers that are due,
-// then the dispatcher.
+// loop is the goroutine that owns the router's state. Each turn runs the queued work and the timers that are due, then the
+// dispatcher. It returns when the router has stopped or was killed.
 func (r *Router) loop() {
 	defer close(r.loopEnded)
 	timer := time.NewTimer(0)
@@ -188,7 +184,8 @@
 	}
 }
 
-// takeQueue returns the queued work and makes empty, a slice of length 0, the new queue.
+// takeQueue returns the queued work. empty, a slice of length 0, becomes the new queue: the two slices of the loop alternate,
+// so that no turn allocates.
 func (r *Router) takeQueue(empty []func()) []func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -6,8 +6,8 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// StartShutdown makes sure that every call, also one that is still to come, has its final answer within the given
-// time, after which the process is killed. The router goes on to accept calls.
+// StartShutdown makes sure that every call has its final answer within the given time, after which the process is killed.
+// The router goes on to accept calls, and the limit holds for them, too.
 func (r *Router) StartShutdown(within time.Duration) {
 	r.post(func() {
 		r.shutdownDeadline = r.now + within
@@ -16,8 +16,8 @@
 }
 
 // Stop ends the loop once every call has its final answer and no attempt is in flight, and returns when the loop has
-// ended. The servers must have stopped submitting calls. After limit the loop is ended all the same: the calls that
-// the dispatcher has not answered by then, unanswered in number, are answered by answerRemaining.
+// ended. The servers must have stopped submitting calls. After limit the loop ends in any case, and answerRemaining answers
+// the calls that the dispatcher has not answered. unanswered is their number.
 func (r *Router) Stop(limit time.Duration) (unanswered int) {
 	r.post(func() { r.stopWhenIdle = true })
 	timer := time.NewTimer(limit)
@@ -31,16 +31,15 @@
 	return r.unanswered
 }
 
-// Kill ends the loop at once, as a crash of the process would: the calls under way get no answer. It ends a router
-// whose process fails to start; tests end theirs by it.
+// Kill ends the loop at once, as a crash of the process would: the calls under way get no answer. It is for a process that
+// fails to start, and for tests.
 func (r *Router) Kill() {
 	r.post(func() { r.killed = true })
 	<-r.loopEnded
 }
 
-// answerRemaining closes the queue, runs what was queued until then, and answers each call that has no final answer.
-// One of which no attempt was made is rejected, as Submit refuses those that come later; any other may have run and
-// fails.
+// answerRemaining closes the queue, runs the work that was queued until then, and answers each call that has no final
+// answer. A call without an attempt never ran and is rejected. Any other may have run and fails.
 func (r *Router) answerRemaining() {
 	for _, f := range r.closeQueue() {
 		f()
@@ -61,7 +60,7 @@
 }
 
 // closeQueueIfEmpty makes post refuse further work, unless some is queued that the loop has yet to run. It reports
-// whether the loop is to end. All that was posted is run by then, and all that comes later is refused.
+// whether the loop is to end. Work that was posted before is then run, and later work is refused.
 func (r *Router) closeQueueIfEmpty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,6 +76,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rest := r.queue
-	r.stopped, r.queue = true, nil
+	r.stopped = true
+	r.queue = nil
 	return rest
 }
--- a/internal/router/workers.go
+++ b/internal/router/workers.go
@@ -2,10 +2,10 @@
 
 import "github.com/topazfront/topazfront/dispatch"
 
-// loadFunction sends a load command to a worker. One for a function that nobody has called lately isn't sent.
+// loadFunction sends a load command to a worker. It ends as NotSent at once if nobody has called the function lately.
 func (r *Router) loadFunction(action dispatch.LoadFunction) {
 	startedAt := r.now
-	if !r.functions.known(action.Function) {
+	if !r.functions.contains(action.Function) {
 		r.events = append(r.events, dispatch.FunctionLoaded{
 			Worker:   action.Worker,
 			Function: action.Function,
