--- /dev/null
+++ b/internal/testsupport/listen.go
@@ -0,0 +1,36 @@
+package testsupport
+
+import (
+	"net"
+	"testing"
+)
+
+// Listen returns a listener on a free port of the loopback interface, which is closed with the test.
+func Listen(t testing.TB) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
+}
+
+// ServeConns accepts connections until the test ends, serves each by a goroutine of its own and closes it afterwards.
+func ServeConns(t testing.TB, serve func(net.Conn)) (addr string) {
+	t.Helper()
+	listener := Listen(t)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer func() { _ = conn.Close() }()
+				serve(conn)
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
@@ -162,15 +163,15 @@
 			t.Parallel()
 			r, dispatcher := newTestRouter(t, startScriptedWorker(t, test.act))
 			client := submit(t, r, test.streamed, 10*time.Second)
-			ended := receive(t, dispatcher.ended, "the outcome")
+			ended := testsupport.Await(t, dispatcher.ended, "the outcome")
 			if ended.Result != test.result || ended.Final != test.final {
 				t.Errorf("result %v, final %v, want %v, %v", ended.Result, ended.Final, test.result, test.final)
 			}
-			if st := receive(t, client.status, "the final answer"); st.Code != test.status {
+			if st := testsupport.Await(t, client.status, "the final answer"); st.Code != test.status {
 				t.Errorf("the client received %v, want %v", st, test.status)
 			}
 			if test.draining {
-				if w := receive(t, dispatcher.draining, "the notice of draining"); w != "w" {
+				if w := testsupport.Await(t, dispatcher.draining, "the notice of draining"); w != "w" {
 					t.Errorf("worker %s drains", w)
 				}
 			}
@@ -198,7 +199,7 @@
 	_ = ln.Close()
 	r, dispatcher := newTestRouter(t, addr)
 	submit(t, r, false, 5*time.Second)
-	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectFailed {
+	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectFailed {
 		t.Errorf("%v", ended.Result)
 	}
 }
@@ -215,7 +216,7 @@
 					return nil, os.NewSyscallError("connect", errno)
 				})
 			submit(t, r, false, 5*time.Second)
-			if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != want {
+			if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != want {
 				t.Errorf("%v, want %v", ended.Result, want)
 			}
 		})
@@ -227,13 +228,13 @@
 	silent := startScriptedWorker(t, func(*scriptedStream) {})
 	r, dispatcher := newTestRouter(t, silent)
 	submit(t, r, false, 100*time.Millisecond)
-	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.TimedOut {
+	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.TimedOut {
 		t.Errorf("%v, want TimedOut", ended.Result)
 	}
 	r, dispatcher = newTestRouter(t, silent)
 	dispatcher.cancel = true
 	submit(t, r, false, 10*time.Second)
-	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.Cancelled {
+	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.Cancelled {
 		t.Errorf("%v, want Cancelled", ended.Result)
 	}
 }
--- a/internal/upstream/grpcupstream/golden_test.go
+++ b/internal/upstream/grpcupstream/golden_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"io"
 	"net"
-	"regexp"
-	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -13,10 +11,10 @@
 	peer "golang.org/x/net/http2"
 	peerhpack "golang.org/x/net/http2/hpack"
 
-	"github.com/topazfront/topazfront/dispatch"
-	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/golden"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
@@ -24,26 +22,11 @@
 // It refuses the first attempt of a request with the metadata "x-test: refuse once", and answers none.
 func requestRecorder(t *testing.T) (addr string, requests <-chan string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = ln.Close() })
 	recorded := make(chan string, 8)
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go recordRequests(nc, recorded)
-		}
-	}()
-	return ln.Addr().String(), recorded
+	return testsupport.ServeConns(t, func(nc net.Conn) { recordRequests(nc, recorded) }), recorded
 }
 
 func recordRequests(nc net.Conn, recorded chan<- string) {
-	defer func() { _ = nc.Close() }()
 	_, _ = io.ReadFull(nc, make([]byte, len(peer.ClientPreface)))
 	fr := peer.NewFramer(nc, nc)
 	fr.ReadMetaHeaders = peerhpack.NewDecoder(4096, nil)
@@ -78,16 +61,9 @@
 	addr, requests := requestRecorder(t)
 	r, dispatcher := newTestRouter(t, addr)
 	dispatcher.retries = 1
-	timeout := regexp.MustCompile(`(?m)^grpc-timeout: ([0-9]{7})m$`)
 	expect := func(what, method string, lines ...string) {
 		t.Helper()
-		got := receive(t, requests, what)
-		if m := timeout.FindStringSubmatch(got); m != nil {
-			if ms, _ := strconv.Atoi(m[1]); ms > 3600000 || ms < 3570000 {
-				t.Errorf("%s: timeout %d ms", what, ms)
-			}
-			got = timeout.ReplaceAllString(got, "grpc-timeout: #######m")
-		}
+		got := golden.MaskTimeLeft(t, testsupport.Await(t, requests, what), "\ngrpc-timeout: ", time.Hour)
 		want := ":method: POST\n:scheme: http\n:path: /inference.GRPCInferenceService/" + method + "\n:authority: worker\n" +
 			"te: trailers\ncontent-type: application/grpc\ngrpc-timeout: #######m\ntopazfront-router: r\n" + strings.Join(lines, "\n")
 		if got != want {
@@ -114,10 +90,8 @@
 	expect("its retry", "ModelInfer",
 		"grpc-previous-rpc-attempts: 1", "x-test: refuse once", `"\x00\x00\x00\x00\x03\n\x01m"`)
 
-	pool := New(Config{RouterName: "r", ConnectTimeout: time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
-	t.Cleanup(pool.Close)
+	pool := newTestPool(t, addr, Config{ConnectTimeout: time.Second})
 	pool.Attach(r)
-	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
 	pool.LoadFunction("w", "m", 3, time.Hour, func(router.LoadResult) {})
 	expect("a load command", "RepositoryModelLoad",
 		`"\x00\x00\x00\x00\x11\x12\x01m\x1a\f\n\x06copies\x12\x02\x10\x03"`)
--- a/internal/upstream/grpcupstream/harness_test.go
+++ b/internal/upstream/grpcupstream/harness_test.go
@@ -10,12 +10,14 @@
 
 	peer "golang.org/x/net/http2"
 	peerhpack "golang.org/x/net/http2/hpack"
+	peergrpc "google.golang.org/grpc"
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/server/grpcserver"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
@@ -129,15 +131,24 @@
 	return client
 }
 
-func receive[T any](t *testing.T, ch <-chan T, what string) T {
+// startGRPCGoWorker starts a worker that is served by grpc-go and returns its address.
+func startGRPCGoWorker(t *testing.T) string {
 	t.Helper()
-	select {
-	case v := <-ch:
-		return v
-	case <-time.After(20 * time.Second):
-		t.Fatalf("%s did not come", what)
-		panic("unreached")
-	}
+	srv := peergrpc.NewServer(peergrpc.UnknownServiceHandler(serveWithGRPCGo))
+	ln := testsupport.Listen(t)
+	go func() { _ = srv.Serve(ln) }()
+	t.Cleanup(srv.Stop)
+	return ln.Addr().String()
+}
+
+// newTestPool returns a pool without a router that knows one worker, "w", at the address.
+func newTestPool(t *testing.T, addr string, cfg Config) *Pool {
+	t.Helper()
+	cfg.RouterName, cfg.MaxConnsPerWorker, cfg.MaxMessageBytes = "r", 1, 1<<20
+	pool := New(cfg)
+	t.Cleanup(pool.Close)
+	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}})
+	return pool
 }
 
 // scriptedStream is a request that has arrived completely at a scripted worker.
@@ -161,25 +172,10 @@
 // startScriptedWorker starts a worker that calls act for each request.
 func startScriptedWorker(t *testing.T, act func(*scriptedStream)) (addr string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = ln.Close() })
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go serveScripted(nc, act)
-		}
-	}()
-	return ln.Addr().String()
+	return testsupport.ServeConns(t, func(nc net.Conn) { serveScripted(nc, act) })
 }
 
 func serveScripted(nc net.Conn, act func(*scriptedStream)) {
-	defer func() { _ = nc.Close() }()
 	framer := peer.NewFramer(nc, nc)
 	framer.AllowIllegalWrites = true
 	_, _ = io.ReadFull(nc, make([]byte, len(peer.ClientPreface)))
--- a/internal/upstream/grpcupstream/idle_test.go
+++ b/internal/upstream/grpcupstream/idle_test.go
@@ -1,37 +1,24 @@
 package grpcupstream
 
 import (
-	"net"
 	"testing"
 	"time"
 
-	peergrpc "google.golang.org/grpc"
-
 	"github.com/topazfront/topazfront/dispatch"
-	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
 // TestIdleConnectionsAreClosed: a connection without a stream for the timeout is closed and the next call dials; one that
 // is used in between is kept.
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	srv := peergrpc.NewServer(peergrpc.UnknownServiceHandler(serveWithGRPCGo))
-	go func() { _ = srv.Serve(ln) }()
-	defer srv.Stop()
-	pool := New(Config{RouterName: "r", ConnectTimeout: 10 * time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20,
-		IdleTimeout: time.Hour})
-	defer pool.Close()
-	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
+	pool := newTestPool(t, startGRPCGoWorker(t), Config{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Hour})
 	check := func() {
 		t.Helper()
 		checks := make(chan router.HealthResult, 1)
 		pool.CheckHealth("w", 10*time.Second, func(checked router.HealthResult) { checks <- checked })
-		if checked := receive(t, checks, "the health check result"); checked.Result != dispatch.OK {
+		if checked := testsupport.Await(t, checks, "the health check result"); checked.Result != dispatch.OK {
 			t.Fatalf("health check: %+v", checked)
 		}
 	}
@@ -46,13 +33,7 @@
 	}
 	awaitIdle := func() {
 		t.Helper()
-		for range 4000 {
-			if seenIdle() {
-				return
-			}
-			time.Sleep(5 * time.Millisecond)
-		}
-		t.Fatal("the connection does not become idle")
+		testsupport.WaitUntil(t, "the connection is idle", seenIdle)
 	}
 	check()
 	awaitIdle()
--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -17,46 +17,39 @@
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
 // TestAllCallsAgainstGRPCGo has an independent server, grpc-go, answer every kind of call that is sent to workers.
 func TestAllCallsAgainstGRPCGo(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	srv := peergrpc.NewServer(peergrpc.UnknownServiceHandler(serveWithGRPCGo))
-	go func() { _ = srv.Serve(ln) }()
-	defer srv.Stop()
-	r, dispatcher := newTestRouter(t, ln.Addr().String())
+	addr := startGRPCGoWorker(t)
+	r, dispatcher := newTestRouter(t, addr)
 	client := submit(t, r, false, 10*time.Second)
-	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.OK || ended.LoadReport.InFlight != 4 {
+	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.OK || ended.LoadReport.InFlight != 4 {
 		t.Errorf("unary: %+v", ended)
 	}
-	if st := receive(t, client.status, "the answer"); st.Code != grpc.OK {
+	if st := testsupport.Await(t, client.status, "the answer"); st.Code != grpc.OK {
 		t.Errorf("unary: %v", st)
 	}
 	client = submit(t, r, true, 10*time.Second)
-	if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.OK || dispatcher.started != 1 {
+	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.OK || dispatcher.started != 1 {
 		t.Errorf("streamed: %+v, started %d", ended, dispatcher.started)
 	}
 	var counter grpc.MessageCounter
 	if err := counter.Add(client.bytes.Bytes()); err != nil || counter.Messages != 3 || client.starts != 1 {
 		t.Errorf("streamed: %d messages, %v, started %d times", counter.Messages, err, client.starts)
 	}
-	pool := New(Config{RouterName: "r", ConnectTimeout: time.Second, MaxConnsPerWorker: 1, MaxMessageBytes: 1 << 20})
-	defer pool.Close()
+	pool := newTestPool(t, addr, Config{ConnectTimeout: time.Second})
 	pool.Attach(r)
-	pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: ln.Addr().String()}})
 	loads, checks := make(chan router.LoadResult, 1), make(chan router.HealthResult, 1)
 	pool.LoadFunction("w", "m", 1, 10*time.Second, func(loaded router.LoadResult) { loads <- loaded })
-	if loaded := receive(t, loads, "the load result"); loaded.Result != dispatch.OK || loaded.Copies != 2 {
+	if loaded := testsupport.Await(t, loads, "the load result"); loaded.Result != dispatch.OK || loaded.Copies != 2 {
 		t.Errorf("load command: %+v", loaded)
 	}
 	pool.CheckHealth("w", 10*time.Second, func(checked router.HealthResult) { checks <- checked })
-	if checked := receive(t, checks, "the health check result"); checked.Result != dispatch.OK || !checked.Ready || checked.Report.LoadReport.InFlight != 4 {
+	if checked := testsupport.Await(t, checks, "the health check result"); checked.Result != dispatch.OK || !checked.Ready || checked.Report.LoadReport.InFlight != 4 {
 		t.Errorf("health check: %+v", checked)
 	}
 }
@@ -113,26 +106,11 @@
 // TestWorkerThatClosesAtOnceIsNotRedialled: attempts at a worker that accepts and closes connections end, whatever the
 // deadline, and do not dial again and again.
 func TestWorkerThatClosesAtOnceIsNotRedialled(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = ln.Close() }()
 	var accepted atomic.Int32
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			accepted.Add(1)
-			_ = nc.Close()
-		}
-	}()
-	r, dispatcher := newTestRouter(t, ln.Addr().String())
+	r, dispatcher := newTestRouter(t, testsupport.ServeConns(t, func(net.Conn) { accepted.Add(1) }))
 	for range 10 {
 		submit(t, r, false, time.Hour)
-		if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectFailed && ended.Result != dispatch.ConnectionReset {
+		if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectFailed && ended.Result != dispatch.ConnectionReset {
 			t.Errorf("%v", ended.Result)
 		}
 	}
@@ -147,7 +125,7 @@
 		"in use": func(*testing.T, *testDispatcher, *Pool, *scriptedStream) {},
 		"worker drains": func(t *testing.T, dispatcher *testDispatcher, _ *Pool, s *scriptedStream) {
 			_ = s.framer.WriteGoAway(s.id, peer.ErrCodeNo, nil)
-			_ = receive(t, dispatcher.draining, "the drain")
+			_ = testsupport.Await(t, dispatcher.draining, "the drain")
 		},
 		"worker is removed": func(_ *testing.T, _ *testDispatcher, pool *Pool, _ *scriptedStream) {
 			pool.UpdateEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w", State: dispatch.EndpointRemoved}}})
@@ -157,9 +135,9 @@
 			arrived := make(chan *scriptedStream, 1)
 			r, dispatcher, pool := newTestRouterAndPool(t, startScriptedWorker(t, func(s *scriptedStream) { arrived <- s }), http2.Dial)
 			_ = submit(t, r, false, time.Minute)
-			drain(t, dispatcher, pool, receive(t, arrived, "the request"))
+			drain(t, dispatcher, pool, testsupport.Await(t, arrived, "the request"))
 			pool.Close()
-			if ended := receive(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectionReset {
+			if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectionReset {
 				t.Errorf("%+v", ended)
 			}
 		})
--- a/internal/upstream/grpcupstream/timeout_test.go
+++ b/internal/upstream/grpcupstream/timeout_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
@@ -40,7 +41,7 @@
 			if err := call.openStream(conn); err != nil {
 				t.Fatal(err)
 			}
-			field := regexp.MustCompile("grpc-timeout: ([0-9]+[a-zA-Z])").FindStringSubmatch(receive(t, requests, "the request"))
+			field := regexp.MustCompile("grpc-timeout: ([0-9]+[a-zA-Z])").FindStringSubmatch(testsupport.Await(t, requests, "the request"))
 			if field == nil {
 				t.Fatal("no grpc-timeout")
 			}
--- a/internal/upstream/respupstream/golden_test.go
+++ b/internal/upstream/respupstream/golden_test.go
@@ -5,8 +5,6 @@
 	"bytes"
 	"io"
 	"net"
-	"regexp"
-	"strconv"
 	"testing"
 	"time"
 
@@ -16,24 +14,15 @@
 	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-// wireRecorder accepts one connection and passes on each message as the bytes that came. It answers an attempt, a load
+// wireRecorder accepts connections and passes on each message as the bytes that came. It answers an attempt, a load
 // command and a health check, and an attempt with the body "silent" not at all.
 func wireRecorder(t *testing.T) (addr string, messages <-chan string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = ln.Close() })
 	recorded := make(chan string, 8)
-	go func() {
-		nc, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		defer func() { _ = nc.Close() }()
+	addr = testsupport.ServeConns(t, func(nc net.Conn) {
 		var raw bytes.Buffer
 		for in := bufio.NewReader(io.TeeReader(nc, &raw)); ; raw.Reset() {
 			m, err := fakeplatform.ReadMessage(in)
@@ -48,8 +37,8 @@
 				_, _ = io.WriteString(nc, fakeplatform.EncodeMessage(m[1], "ok", "slots_up=2", "answer"))
 			}
 		}
-	}()
-	return ln.Addr().String(), recorded
+	})
+	return addr, recorded
 }
 
 // TestGoldenMessagesOnTheSocket holds the bytes of each kind of message to a worker as they leave the socket. The time
@@ -59,16 +48,9 @@
 	h := newHarness(t, func(client *Config) { client.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
-	limit := regexp.MustCompile(`limit=([0-9]{7})\b`)
 	expect := func(what, want string) {
 		t.Helper()
-		got := testsupport.Await(t, messages, what)
-		if m := limit.FindStringSubmatch(got); m != nil {
-			if ms, _ := strconv.Atoi(m[1]); ms > 3600000 || ms < 3570000 {
-				t.Errorf("%s: limit %d ms", what, ms)
-			}
-			got = limit.ReplaceAllString(got, "limit=#######")
-		}
+		got := golden.MaskTimeLeft(t, testsupport.Await(t, messages, what), "limit=", time.Hour)
 		if got != want {
 			t.Errorf("%s:\ngot  %q\nwant %q", what, got, want)
 		}
@@ -112,14 +94,19 @@
 // TestGoldenAttemptLimits holds the limit that an attempt carries: whole milliseconds, rounded down, and never below 1.
 func TestGoldenAttemptLimits(t *testing.T) {
 	r := &invocation.Request{ID: "00000000000000a1", Class: "c", Function: "f", Body: []byte{}}
-	for left, want := range map[time.Duration]string{
-		1500*time.Millisecond + 999*time.Microsecond: "$23\r\ncls=c,item=f,limit=1500",
-		999 * time.Microsecond:                       "$20\r\ncls=c,item=f,limit=1",
-		-time.Second:                                 "$20\r\ncls=c,item=f,limit=1",
+	for name, test := range map[string]struct {
+		left time.Duration
+		want string
+	}{
+		"rounded down":             {1500*time.Millisecond + 999*time.Microsecond, "$23\r\ncls=c,item=f,limit=1500"},
+		"less than a millisecond":  {999 * time.Microsecond, "$20\r\ncls=c,item=f,limit=1"},
+		"past the call's deadline": {-time.Second, "$20\r\ncls=c,item=f,limit=1"},
 	} {
-		want := "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n" + want + "\r\n$0\r\n\r\n"
-		if got := string(encodeAttempt(r, left)); got != want {
-			t.Errorf("%v left:\ngot  %q\nwant %q", left, got, want)
-		}
+		t.Run(name, func(t *testing.T) {
+			want := "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n" + test.want + "\r\n$0\r\n\r\n"
+			if got := string(encodeAttempt(r, test.left)); got != want {
+				t.Errorf("%v left:\ngot  %q\nwant %q", test.left, got, want)
+			}
+		})
 	}
 }
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -15,6 +15,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // scriptedDispatcher starts the attempts of each request at the listed workers, one after another, and passes on the events
@@ -127,19 +128,16 @@
 // waitForWrites returns once no goroutine writes to a connection any more.
 func (h *harness) waitForWrites() {
 	h.t.Helper()
-	for range 4000 {
-		writing := false
+	testsupport.WaitUntil(h.t, "no connection is written to", func() bool {
 		h.pool.mu.Lock()
+		defer h.pool.mu.Unlock()
 		for c := range h.pool.conns {
-			writing = writing || c.writing
-		}
-		h.pool.mu.Unlock()
-		if !writing {
-			return
+			if c.writing {
+				return false
+			}
 		}
-		time.Sleep(5 * time.Millisecond)
-	}
-	h.t.Fatal("a connection is still written to")
+		return true
+	})
 }
 
 // waitForStats waits until ok accepts the stats of the pool.
@@ -210,11 +208,7 @@
 // that of the connection in bytes; 0: the system's default.
 func listenWithoutReading(t *testing.T, startReading <-chan struct{}, receiveBuffer int) (addr string, ids <-chan string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = ln.Close() })
+	ln := testsupport.Listen(t)
 	if receiveBuffer > 0 {
 		rawConn, err := ln.(*net.TCPListener).SyscallConn()
 		if err != nil {
