--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"bytes"
-	"net"
 	"os"
 	"strconv"
 	"testing"
 	"time"
 
 	"github.com/topazfront/topazfront/internal/endpoints"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
@@ -16,11 +16,7 @@
 // TestGoldenPollRequest holds the bytes of a long poll. The protocol has no acknowledgement of its own: the revision in
 // the next request serves as one.
 func TestGoldenPollRequest(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
+	listener := testsupport.Listen(t)
 	request := make(chan []byte, 1)
 	go func() {
 		conn, err := listener.Accept()
@@ -46,13 +42,8 @@
 		t.Fatal(err)
 	}
 	defer watcher.Close()
-	select {
-	case got := <-request:
-		got = bytes.ReplaceAll(got, []byte(listener.Addr().String()), []byte("ADDRESS"))
-		golden.Compare(t, "poll_request.http", got)
-	case <-time.After(20 * time.Second):
-		t.Fatal("no poll")
-	}
+	got := testsupport.Await(t, request, "the poll")
+	golden.Compare(t, "poll_request.http", bytes.ReplaceAll(got, []byte(listener.Addr().String()), []byte("ADDRESS")))
 }
 
 // TestGoldenEvents holds the endpoint list that one event of each kind leads to.
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"testing"
 	"time"
 
@@ -133,11 +132,7 @@
 
 // TestSilentPollEndsOnceAnotherIsAnswered checks that a poll that was never answered doesn't hold its connection for good.
 func TestSilentPollEndsOnceAnotherIsAnswered(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := testsupport.Listen(t)
 	lists, silentEnded := make(chan string, 8), make(chan struct{})
 	go func() {
 		silent, err := listener.Accept()
--- a/internal/grpcgateway/client_test.go
+++ b/internal/grpcgateway/client_test.go
@@ -15,6 +15,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeworker"
 	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/oip/inference"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestSlowReaderBlocksOnlyItsOwnStream: a client that does not read holds back its worker, by flow control, and neither
@@ -127,7 +128,7 @@
 		ended <- err
 	}()
 	if way != byDeadline {
-		waitUntil(t, "the call reached its stage", func() bool { return h.records(s.reached, "l1") > 0 })
+		testsupport.WaitUntil(t, "the call reached its stage", func() bool { return h.records(s.reached, "l1") > 0 })
 		if way == byCancel {
 			cancel()
 		} else {
@@ -137,9 +138,9 @@
 	if err := <-ended; err == nil {
 		t.Error("the call was served")
 	}
-	waitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
+	testsupport.WaitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
 	if !s.workerHangs {
-		waitUntil(t, "the workers dropped it", func() bool { return h.workers[0].InFlight()+h.workers[1].InFlight() == 0 })
+		testsupport.WaitUntil(t, "the workers dropped it", func() bool { return h.workers[0].InFlight()+h.workers[1].InFlight() == 0 })
 	}
 	if h.records(invariants.RunStarted, "l1") > 1 {
 		t.Error("it ran twice")
@@ -154,6 +155,6 @@
 	if status.Code(err) != codes.DeadlineExceeded || messages == 0 {
 		t.Fatalf("%d messages, %v", messages, err)
 	}
-	waitUntil(t, "the worker's stream ended", func() bool { return h.workers[0].InFlight() == 0 })
-	waitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
+	testsupport.WaitUntil(t, "the worker's stream ended", func() bool { return h.workers[0].InFlight() == 0 })
+	testsupport.WaitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
 }
--- a/internal/grpcgateway/faults_test.go
+++ b/internal/grpcgateway/faults_test.go
@@ -15,6 +15,7 @@
 	"github.com/topazfront/topazfront/internal/config"
 	"github.com/topazfront/topazfront/internal/fake/fakeworker"
 	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestFiveHundredStreamsWithFaults: no final response is missing or doubled, no call runs twice but idempotent ones,
@@ -45,7 +46,7 @@
 				outcomes.count(err)
 			})
 		}
-		waitUntil(t, "all calls were accepted", func() bool { return h.stats().Calls >= 500 })
+		testsupport.WaitUntil(t, "all calls were accepted", func() bool { return h.stats().Calls >= 500 })
 		h.workers[0].Kill()
 		h.workers[1].Drain(true)
 		h.workers[2].ChangeFaults(func(f *fakeworker.Faults) { f.DieAfterMessages = map[string]int{"points": 3} })
@@ -58,7 +59,7 @@
 		t.Logf("served %d, rejected %d, failed %d", served, rejected, failed)
 		h.expectAtMostOneRun("quote")
 	})
-	waitUntil(t, "goroutines and descriptors are back", func() bool {
+	testsupport.WaitUntil(t, "goroutines and descriptors are back", func() bool {
 		return runtime.NumGoroutine() <= goroutines+8 && openDescriptors() <= descriptors+4
 	})
 }
--- a/internal/grpcgateway/harness_test.go
+++ b/internal/grpcgateway/harness_test.go
@@ -204,14 +204,3 @@
 	t.Cleanup(cancel)
 	return ctx
 }
-
-// waitUntil waits for a condition, and fails the test where it does not come to hold.
-func waitUntil(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if condition() {
-			return
-		}
-	}
-	t.Fatalf("did not come to hold: %s", what)
-}
--- a/internal/grpcgateway/shutdown_test.go
+++ b/internal/grpcgateway/shutdown_test.go
@@ -5,6 +5,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestStopWithOpenCalls: a stop is announced, open calls are answered, then nothing is served.
@@ -20,7 +22,7 @@
 			}
 		})
 	}
-	waitUntil(t, "the calls are open", func() bool { return h.stats().Open >= 40 })
+	testsupport.WaitUntil(t, "the calls are open", func() bool { return h.stats().Open >= 40 })
 	stats := h.gateway.Stop()
 	wg.Wait()
 	if stats.Served < 41 || stats.Open != 0 {
--- a/internal/grpcgateway/worker_drain_test.go
+++ b/internal/grpcgateway/worker_drain_test.go
@@ -10,6 +10,7 @@
 	"github.com/topazfront/topazfront/internal/config"
 	"github.com/topazfront/topazfront/internal/fake/fakeworker"
 	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 func TestWorkerDrainsWithOpenStreams(t *testing.T) {
@@ -65,11 +66,7 @@
 			}
 		})
 	}
-	select {
-	case <-allOpen:
-	case <-time.After(20 * time.Second):
-		h.t.Fatal("the streams did not begin")
-	}
+	testsupport.Await(h.t, allOpen, "the first message of every stream")
 	return &wg
 }
 
@@ -115,7 +112,7 @@
 	h.loadModel("quote")
 	h.workers[0].Drain(true)
 	h.workers[0].Resume()
-	waitUntil(t, "calls are sent to the worker again", func() bool {
+	testsupport.WaitUntil(t, "calls are sent to the worker again", func() bool {
 		_, err := h.infer(timeoutContext(t, 5*time.Second), newRequest("quote", "again", 1, 1, 1))
 		return err == nil
 	})
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"fmt"
-	"net"
 	"net/http"
 	"slices"
 	"sync"
@@ -14,6 +13,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // defaultSettings are those of a small fleet. Times are in microseconds, as the simulator sends them.
@@ -47,10 +47,7 @@
 // unusedAddress is an address at which nothing listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := testsupport.Listen(t)
 	_ = listener.Close()
 	return listener.Addr().String()
 }
@@ -236,15 +233,11 @@
 // awaitEndpoints waits until the router has applied all events of the discovery server.
 func (h *harness) awaitEndpoints() {
 	h.t.Helper()
-	for range 4000 {
-		if h.server.watcher.Stats().Revision == h.discovery.Revision() {
-			h.server.router.Stats() // the loop has applied it by the iteration after the one that answers the first call
-			h.server.router.Stats()
-			return
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
-	h.t.Fatal("the router does not apply the update")
+	testsupport.WaitUntil(h.t, "the watcher has all events", func() bool {
+		return h.server.watcher.Stats().Revision == h.discovery.Revision()
+	})
+	h.server.router.Stats() // the loop has applied them by the iteration after the one that answers the first call
+	h.server.router.Stats()
 }
 
 // invariantSettings are the checker's. Its slack is wide, as a loaded machine may delay a record after its send.
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -28,12 +28,7 @@
 			answers <- answer{class, status}
 		}()
 	}
-	for range 4000 {
-		if h.server.httpServer.Stats().OpenRequests == 3 {
-			break
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
+	testsupport.WaitUntil(t, "the calls are open", func() bool { return h.server.httpServer.Stats().OpenRequests == 3 })
 	if unanswered := h.server.Shutdown(); unanswered != 0 {
 		t.Errorf("%d calls without an answer", unanswered)
 	}
--- a/internal/httprouter/signals_test.go
+++ b/internal/httprouter/signals_test.go
@@ -122,13 +122,8 @@
 // requireStop waits until Run has returned, with no error.
 func (r *runningRouter) requireStop() {
 	r.t.Helper()
-	select {
-	case err := <-r.result:
-		if err != nil {
-			r.t.Error(err)
-		}
-	case <-time.After(30 * time.Second):
-		r.t.Fatal("the router does not stop")
+	if err := testsupport.Await(r.t, r.result, "the end of the router"); err != nil {
+		r.t.Error(err)
 	}
 }
 
@@ -149,9 +144,7 @@
 		t.Errorf("polled from revision %d at the last address", revision)
 	}
 	router.terminate()
-	if err := testsupport.Await(t, router.result, "the end of the router"); err != nil {
-		t.Error(err)
-	}
+	router.requireStop()
 }
 
 // requireServedDuringShutdown makes calls over new connections for half the time that new clients are accepted.
--- a/internal/server/grpcserver/golden_test.go
+++ b/internal/server/grpcserver/golden_test.go
@@ -135,7 +135,7 @@
 	t.Run("idle stream", func(t *testing.T) {
 		s := startServer(t)
 		got := openStream(t, s, requestHeader(oip.StreamInfer), nil, false)
-		waitForStream(s)
+		waitForStream(t, s)
 		s.Drain()
 		got.wait(t)
 		want := okHeader + "; grpc-status: 14; grpc-message: the gateway is shutting down"
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -13,6 +13,7 @@
 	"github.com/topazfront/topazfront/internal/oip/inference"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/server"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -140,13 +141,7 @@
 // waitForEnd waits for the stream's end and returns why it ended without a whole response.
 func (r *responseReader) waitForEnd(t *testing.T) error {
 	t.Helper()
-	select {
-	case err := <-r.done:
-		return err
-	case <-time.After(20 * time.Second):
-		t.Fatal("no response")
-		return nil
-	}
+	return testsupport.Await(t, r.done, "the response")
 }
 
 // requestHeader returns the header of a request. A content-type among the fields replaces gRPC's.
@@ -193,10 +188,9 @@
 }
 
 // waitForStream waits until the server has a stream open.
-func waitForStream(s *Server) {
-	for s.Streams() == 0 {
-		time.Sleep(time.Millisecond)
-	}
+func waitForStream(t *testing.T, s *Server) {
+	t.Helper()
+	testsupport.WaitUntil(t, "a stream is open", func() bool { return s.Streams() > 0 })
 }
 
 // framed returns a message with its gRPC prefix.
--- a/internal/server/grpcserver/shutdown_test.go
+++ b/internal/server/grpcserver/shutdown_test.go
@@ -13,7 +13,7 @@
 func TestDrainEndsIdleStreams(t *testing.T) {
 	s := startServer(t)
 	response := openStream(t, s, requestHeader(oip.StreamInfer), nil, false)
-	waitForStream(s)
+	waitForStream(t, s)
 	s.Drain()
 	response.wait(t)
 	if status := grpc.StatusFromTrailers(response.trailers); status.Code != grpc.Unavailable {
--- a/internal/server/grpcserver/timeout_test.go
+++ b/internal/server/grpcserver/timeout_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/oip"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -31,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			waitForHeader(s)
+			waitForHeader(t, s)
 			arrivedBefore := time.Now()
 			for i, part := range test.parts {
 				time.Sleep(pause)
@@ -49,16 +50,13 @@
 }
 
 // waitForHeader waits until the server has read the header of a stream.
-func waitForHeader(s *Server) {
-	for {
+func waitForHeader(t *testing.T, s *Server) {
+	t.Helper()
+	testsupport.WaitUntil(t, "the header is read", func() bool {
 		s.mu.Lock()
-		n := len(s.streams)
-		s.mu.Unlock()
-		if n > 0 {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
+		defer s.mu.Unlock()
+		return len(s.streams) > 0
+	})
 }
 
 func writePart(t *testing.T, s *http2.Stream, part []byte, end bool) {
--- a/internal/server/httpserver/close_test.go
+++ b/internal/server/httpserver/close_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // panickingHandler panics where a request is rejected.
@@ -71,9 +72,9 @@
 			cl.send(request[:40])
 			waitForAccepted(t, s, 1)
 			c := serverSide(t, s, cl)
-			waitUntil(t, s, "half a request", func() bool { return c.requestStarted && !c.reading })
+			waitUntilLocked(t, s, "half a request", func() bool { return c.requestStarted && !c.reading })
 			s.closeExpired(time.Now().Add(time.Hour))
-			waitUntil(t, s, "the response", func() bool { return !c.lingerUntil.IsZero() })
+			waitUntilLocked(t, s, "the response", func() bool { return !c.lingerUntil.IsZero() })
 			cl.send(request[40:])
 		}, []int{408}},
 	}
@@ -94,7 +95,7 @@
 			cl.expectClosed()
 			upstream.expectForwarded(t, 0)
 			waitForOpenRequests(t, s, 0)
-			waitFor(t, "the end of the connection", func() bool { return s.Stats().Connections == 0 })
+			testsupport.WaitUntil(t, "the end of the connection", func() bool { return s.Stats().Connections == 0 })
 		})
 	}
 }
@@ -119,9 +120,9 @@
 			_, _ = io.WriteString(client, c.input)
 			if c.closeWrite {
 				_ = client.CloseWrite()
-				waitFor(t, "the end of the connection", conn.disconnected)
+				testsupport.WaitUntil(t, "the end of the connection", conn.disconnected)
 			} else if c.input != "" {
-				waitFor(t, "the request", func() bool { return readable(descriptor(conn.netConn)) })
+				testsupport.WaitUntil(t, "the request", func() bool { return readable(descriptor(conn.netConn)) })
 			}
 			conn.onClosed()
 			if unread := readable(descriptor(conn.netConn)); unread && !c.closeWrite {
@@ -142,10 +143,10 @@
 	waitForOpenRequests(t, s, 1)
 }
 
-// waitUntil waits until a condition holds under the server's lock.
-func waitUntil(t *testing.T, s *Server, what string, condition func() bool) {
+// waitUntilLocked waits until a condition holds under the server's lock.
+func waitUntilLocked(t *testing.T, s *Server, what string, condition func() bool) {
 	t.Helper()
-	waitFor(t, what, func() bool {
+	testsupport.WaitUntil(t, what, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return condition()
@@ -165,7 +166,7 @@
 	other := dial(t, s)
 	other.send(newRequest(servedFunction, "x"))
 	other.expectServed("done x")
-	waitFor(t, "the end of its connection", func() bool { return s.Stats().Connections == 1 })
+	testsupport.WaitUntil(t, "the end of its connection", func() bool { return s.Stats().Connections == 1 })
 	received, _ := io.ReadAll(cl.reader)
 	if len(received) >= len(body) || strings.Contains(string(received[1:]), "HTTP/1.1") {
 		t.Errorf("%d bytes, the last of them %q", len(received), received[max(len(received)-100, 0):])
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -11,6 +11,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // unnotifiedConn is a connection whose event loop has not read or reported anything yet.
@@ -71,7 +72,7 @@
 		t.Error("disconnected while it waits")
 	}
 	_ = cl.netConn.Close()
-	waitFor(t, "the end of the connection", call.ClientLeft)
+	testsupport.WaitUntil(t, "the end of the connection", call.ClientLeft)
 	close(answer)
 	waitForOpenRequests(t, s, 0)
 }
@@ -95,7 +96,7 @@
 					t.Error("disconnected while it waits")
 				}
 				leave(client)
-				waitFor(t, "the end of the connection", c.disconnected)
+				testsupport.WaitUntil(t, "the end of the connection", c.disconnected)
 			})
 		}
 	}
@@ -121,7 +122,7 @@
 			want := 2
 			if name != "stays" {
 				want = 1
-				waitFor(t, "the end of the connection", c.disconnected)
+				testsupport.WaitUntil(t, "the end of the connection", c.disconnected)
 			}
 			other := dial(t, s)
 			other.send(newRequest(servedFunction, ""))
@@ -142,7 +143,7 @@
 	cl.send(newRequest(servedFunction, ""))
 	waitUntilReading(t, c, true)
 	_ = cl.netConn.Close()
-	waitFor(t, "the end of the connection", c.disconnected)
+	testsupport.WaitUntil(t, "the end of the connection", c.disconnected)
 	resume()
 	waitUntilReading(t, c, false)
 	last := dial(t, s) // what the event loop was given before is handled by the time that this is answered
--- a/internal/server/httpserver/eviction_test.go
+++ b/internal/server/httpserver/eviction_test.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestSilentAndSlowClientsAreDisconnected: a connection that sends nothing, one that sends half a request, one that keeps
@@ -23,7 +25,7 @@
 	idle.waitUntilClosed()
 	halfBehindPing.expectStatus(200)
 	halfBehindPing.waitUntilClosed()
-	waitFor(t, "the end of all connections", func() bool { return s.Stats().Connections == 0 })
+	testsupport.WaitUntil(t, "the end of all connections", func() bool { return s.Stats().Connections == 0 })
 }
 
 // TestIdleConnectionsAreEvicted: at MaxConnections a usual client is accepted, at the cost of one that never sent
@@ -74,7 +76,7 @@
 				waitForAccepted(t, s, maxConnections)
 				half.send("POST")
 				c := serverSide(t, s, half)
-				waitUntil(t, s, "half a request", func() bool { return c.requestStarted })
+				waitUntilLocked(t, s, "half a request", func() bool { return c.requestStarted })
 			}
 			cl := dial(t, s)
 			cl.send(newRequest(servedFunction, ""))
--- a/internal/server/httpserver/harness_test.go
+++ b/internal/server/httpserver/harness_test.go
@@ -16,6 +16,7 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
@@ -241,34 +242,22 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// waitFor waits until a condition holds.
-func waitFor(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for range 4000 {
-		if condition() {
-			return
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
-	t.Fatalf("waited in vain for %s", what)
-}
-
 // waitForAccepted waits until n connections have been accepted.
 func waitForAccepted(t *testing.T, s *Server, n uint64) {
 	t.Helper()
-	waitFor(t, fmt.Sprintf("%d accepted connections", n), func() bool { return s.Stats().Accepted == n })
+	testsupport.WaitUntil(t, fmt.Sprintf("%d accepted connections", n), func() bool { return s.Stats().Accepted == n })
 }
 
 // waitForOpenRequests waits until n requests are open.
 func waitForOpenRequests(t *testing.T, s *Server, n int) {
 	t.Helper()
-	waitFor(t, fmt.Sprintf("%d open requests", n), func() bool { return s.Stats().OpenRequests == n })
+	testsupport.WaitUntil(t, fmt.Sprintf("%d open requests", n), func() bool { return s.Stats().OpenRequests == n })
 }
 
 // waitUntilReading waits until the server reads what came on a connection, or does so no more.
 func waitUntilReading(t *testing.T, c *conn, reading bool) {
 	t.Helper()
-	waitFor(t, fmt.Sprintf("reading = %v", reading), func() bool {
+	testsupport.WaitUntil(t, fmt.Sprintf("reading = %v", reading), func() bool {
 		c.server.mu.Lock()
 		defer c.server.mu.Unlock()
 		return c.reading == reading
--- a/internal/server/httpserver/server_test.go
+++ b/internal/server/httpserver/server_test.go
@@ -6,6 +6,8 @@
 	"net"
 	"strings"
 	"testing"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 func TestResponses(t *testing.T) {
@@ -131,7 +133,7 @@
 	request := newRequest(servedFunction, "follows")
 	head, body := request[:len(request)-7], request[len(request)-7:]
 	cl.send(head)
-	waitFor(t, "the head", func() bool {
+	testsupport.WaitUntil(t, "the head", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for c := range s.conns {
@@ -151,7 +153,7 @@
 			_ = tcpConn.SetLinger(0)
 		}
 		_ = cut.netConn.Close()
-		waitFor(t, "the end of the connection", func() bool {
+		testsupport.WaitUntil(t, "the end of the connection", func() bool {
 			stats := s.Stats()
 			return stats.Accepted == uint64(n+2) && stats.Connections == 1
 		})
--- a/internal/server/httpserver/shutdown_test.go
+++ b/internal/server/httpserver/shutdown_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestWaitForDrain waits for a request in flight, and one that is not read yet; not for a connection that sends nothing.
@@ -25,7 +27,7 @@
 	waitForAccepted(t, s, 3)
 	_, resume := pauseReading(t, s, cl)
 	cl.send(newRequest(servedFunction, "x"))
-	waitFor(t, "pending work", func() bool { return !s.WaitForDrain(0) })
+	testsupport.WaitUntil(t, "pending work", func() bool { return !s.WaitForDrain(0) })
 	drained := make(chan bool)
 	go func() { drained <- s.WaitForDrain(20 * time.Second) }()
 	resume()
--- a/internal/server/httpserver/timing_test.go
+++ b/internal/server/httpserver/timing_test.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/topazfront/topazfront/internal/router"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
@@ -70,7 +71,7 @@
 				<-calls
 				cl.send(second)
 				c := serverSide(t, s, cl)
-				waitFor(t, "the second request", func() bool {
+				testsupport.WaitUntil(t, "the second request", func() bool {
 					c.parseMu.Lock()
 					defer c.parseMu.Unlock()
 					return c.reader.Partial()
@@ -101,7 +102,7 @@
 			conn, client := newUnnotifiedConn(t, s)
 			read := func(n int) (arrived time.Time) {
 				t.Helper()
-				waitFor(t, "the segment", func() bool { return readable(descriptor(conn.netConn)) })
+				testsupport.WaitUntil(t, "the segment", func() bool { return readable(descriptor(conn.netConn)) })
 				current := s.currentArrival(conn.netConn)
 				p := make([]byte, n)
 				n, err := unix.Read(descriptor(conn.netConn), p)
@@ -126,7 +127,7 @@
 			came := time.Now()
 			time.Sleep(wait)
 			_, _ = io.WriteString(client, pingRequest[:9])
-			waitFor(t, "the later segment", func() bool { return s.currentArrival(conn.netConn).segments >= 2 })
+			testsupport.WaitUntil(t, "the later segment", func() bool { return s.currentArrival(conn.netConn).segments >= 2 })
 			n := len(pingRequest)
 			if c.readAll {
 				n += 9
--- a/internal/testsupport/wait.go
+++ b/internal/testsupport/wait.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("waited in vain: %s", what)
 		}
 	}
 }
--- a/internal/transport/http2/flowcontrol_test.go
+++ b/internal/transport/http2/flowcontrol_test.go
@@ -5,6 +5,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestPeerExceedsStreamWindow guards against a peer that ignores flow control.
@@ -37,7 +39,7 @@
 				t.Error(err)
 				return
 			}
-			if err := receive(t, r.ended, "the end"); err != nil {
+			if err := testsupport.Await(t, r.ended, "the end"); err != nil {
 				t.Errorf("%d bytes: %v", n, err)
 			} else if !bytes.Equal(r.body.Bytes(), body) {
 				t.Errorf("%d bytes came back as %d", n, r.body.Len())
@@ -65,7 +67,7 @@
 		if _, err := c.Open(r, requestFields, make([]byte, 100<<10), true); err != nil {
 			t.Fatal(err)
 		}
-		if err := receive(t, r.ended, "another stream's end"); err != nil || r.body.Len() != 100<<10 {
+		if err := testsupport.Await(t, r.ended, "another stream's end"); err != nil || r.body.Len() != 100<<10 {
 			t.Fatalf("another stream: %d bytes, %v", r.body.Len(), err)
 		}
 	}
@@ -79,7 +81,7 @@
 	slow.withholdWindow = false
 	slow.mu.Unlock()
 	stream.Consume(got)
-	if err := receive(t, slow.ended, "the slow stream's end"); err != nil || slow.body.Len() != 500<<10 {
+	if err := testsupport.Await(t, slow.ended, "the slow stream's end"); err != nil || slow.body.Len() != 500<<10 {
 		t.Errorf("the slow stream in the end: %d bytes, %v", slow.body.Len(), err)
 	}
 }
--- a/internal/transport/http2/golden_test.go
+++ b/internal/transport/http2/golden_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -323,11 +324,7 @@
 
 // TestGoldenClient holds the bytes that a client writes, its connection preface first.
 func TestGoldenClient(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
+	listener := testsupport.Listen(t)
 	c, err := http2.Dial("tcp", listener.Addr().String(), 5*time.Second, goldenConfig, &goldenReceiver{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/http2/headers_test.go
+++ b/internal/transport/http2/headers_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"github.com/topazfront/topazfront/internal/testsupport"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
@@ -20,7 +21,7 @@
 	if _, err := c.Open(r, fields, []byte("body"), true); err != nil {
 		t.Fatal(err)
 	}
-	if err := receive(t, r.ended, "the end"); err != nil || r.body.String() != "body" {
+	if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "body" {
 		t.Fatalf("%q, %v", r.body.String(), err)
 	}
 }
--- a/internal/transport/http2/helpers_test.go
+++ b/internal/transport/http2/helpers_test.go
@@ -234,15 +234,3 @@
 	t.Cleanup(c.Close)
 	return c, h
 }
-
-// receive returns the next value of ch, or fails the test.
-func receive[T any](t testing.TB, ch <-chan T, what string) T {
-	t.Helper()
-	select {
-	case v := <-ch:
-		return v
-	case <-time.After(20 * time.Second):
-		t.Fatalf("%s did not happen", what)
-		panic("unreached")
-	}
-}
--- a/internal/transport/http2/lifecycle_test.go
+++ b/internal/transport/http2/lifecycle_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	peer "golang.org/x/net/http2"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestDrainServesOpenStreams drains a server with a stream open; what was begun is completed, and no further
@@ -25,7 +27,7 @@
 		t.Fatal(err)
 	}
 	s.Drain()
-	if code := receive(t, h.goAway, "GOAWAY"); code != NoError {
+	if code := testsupport.Await(t, h.goAway, "GOAWAY"); code != NoError {
 		t.Fatalf("GOAWAY with %v", code)
 	}
 	if _, err := c.Open(newRecordingReceiver(), requestFields, nil, true); !errors.Is(err, ErrGoAway) {
@@ -34,10 +36,10 @@
 	if _, err := stream.Write([]byte(" and last"), true); err != nil {
 		t.Fatal(err)
 	}
-	if err := receive(t, r.ended, "the end"); err != nil || r.body.String() != "first and last" {
+	if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "first and last" {
 		t.Fatalf("%q, %v", r.body.String(), err)
 	}
-	_ = receive(t, h.closed, "the connection's end")
+	_ = testsupport.Await(t, h.closed, "the connection's end")
 }
 
 // serveGoAway accepts one connection, waits for stream 5, and then sends GOAWAY with 3 as the last stream, resets
@@ -66,11 +68,7 @@
 // TestGoAwayUnprocessedStreams: streams above the last one of GOAWAY, and those refused, were not processed; the
 // others may have been.
 func TestGoAwayUnprocessedStreams(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
+	listener := testsupport.Listen(t)
 	go serveGoAway(listener)
 	c, err := Dial("tcp", listener.Addr().String(), time.Second, Config{}, newRecordingHandler())
 	if err != nil {
@@ -86,7 +84,7 @@
 	}
 	for i, want := range []struct{ unprocessed, connLost bool }{{true, false}, {false, true}, {true, false}} {
 		var streamErr *StreamError
-		err := receive(t, receivers[i].ended, "the end of a stream")
+		err := testsupport.Await(t, receivers[i].ended, "the end of a stream")
 		if !errors.As(err, &streamErr) || streamErr.Unprocessed != want.unprocessed || streamErr.ConnLost != want.connLost {
 			t.Errorf("stream %d: %v, want unprocessed %v, connection lost %v", 2*i+1, err, want.unprocessed, want.connLost)
 		}
@@ -124,7 +122,7 @@
 			if _, err := c.Open(r, requestFields, []byte("hello"), true); err != nil {
 				t.Fatal(err)
 			}
-			if err := receive(t, r.ended, "the end"); err != nil || r.body.String() != "hello" {
+			if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "hello" {
 				t.Fatalf("%q, %v", r.body.String(), err)
 			}
 		}
@@ -160,7 +158,7 @@
 		r := newRecordingReceiver()
 		if _, err := bad.Open(r, requestFields, []byte("panic"), true); err == nil {
 			var streamErr *StreamError
-			if err := receive(t, r.ended, "the end"); !errors.As(err, &streamErr) || !streamErr.ConnLost {
+			if err := testsupport.Await(t, r.ended, "the end"); !errors.As(err, &streamErr) || !streamErr.ConnLost {
 				t.Errorf("the call that panicked: %v", err)
 			}
 		}
@@ -168,11 +166,11 @@
 		if _, err := good.Open(r, requestFields, []byte("fine"), true); err != nil {
 			t.Fatal(err)
 		}
-		if err := receive(t, r.ended, "the end"); err != nil || r.body.String() != "fine" {
+		if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "fine" {
 			t.Errorf("another connection: %q, %v", r.body.String(), err)
 		}
 	}
-	_ = receive(t, h.closed, "the connection's end")
+	_ = testsupport.Await(t, h.closed, "the connection's end")
 }
 
 // TestCloseDuringShutdown: the two may end a connection at once. The race detector checks what they share.
@@ -184,6 +182,6 @@
 		wg.Go(c.Shutdown)
 		wg.Go(c.Close)
 		wg.Wait()
-		_ = receive(t, h.closed, "the connection's end")
+		_ = testsupport.Await(t, h.closed, "the connection's end")
 	}
 }
