--- /dev/null
+++ b/internal/gossip/agent/harness_test.go
@@ -0,0 +1,183 @@
+package agent_test
+
+import (
+	"bytes"
+	"crypto/ed25519"
+	"fmt"
+	"net"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/topazfront/topazfront/dispatch"
+	"github.com/topazfront/topazfront/internal/fake/fakepeer"
+	"github.com/topazfront/topazfront/internal/gossip"
+	"github.com/topazfront/topazfront/internal/gossip/agent"
+)
+
+// fakeRouter is a router to which the workers in deadWorkers give no sign of life.
+type fakeRouter struct {
+	mu          sync.Mutex
+	deadWorkers map[string]bool
+	checks      int
+	updates     []dispatch.GossipUpdate
+	notify      chan struct{}
+}
+
+func (r *fakeRouter) VerifyWorker(worker string, _, _ time.Duration, done func(alive, skipped bool)) {
+	r.mu.Lock()
+	r.checks++
+	dead := r.deadWorkers[worker]
+	r.mu.Unlock()
+	done(!dead, false)
+}
+
+func (r *fakeRouter) ApplyGossip(u dispatch.GossipUpdate) {
+	r.mu.Lock()
+	r.updates = append(r.updates, u)
+	r.mu.Unlock()
+	select {
+	case r.notify <- struct{}{}:
+	default:
+	}
+}
+
+// notifiedOf reports whether the dispatcher was notified that a worker is silent.
+func (r *fakeRouter) notifiedOf(worker string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.ContainsFunc(r.updates, func(u dispatch.GossipUpdate) bool { return slices.Contains(u.SuspectedWorkers, worker) })
+}
+
+// privateKey returns the same key for a member and a key name each time.
+func privateKey(id, name string) ed25519.PrivateKey {
+	seed := bytes.Repeat([]byte(id+"/"+name+"................................"), 2)[:32]
+	return ed25519.NewKeyFromSeed(seed)
+}
+
+// admittedKeys are the public keys of those names of each member.
+func admittedKeys(ids []string, names ...string) agent.Members {
+	m := agent.Members{}
+	for _, id := range ids {
+		m[id] = map[string]ed25519.PublicKey{}
+		for _, n := range names {
+			m[id][n], _ = privateKey(id, n).Public().(ed25519.PublicKey)
+		}
+	}
+	return m
+}
+
+// startForger starts a forger of packets in the names of members. Its packets claim that worker "w1" is silent.
+func startForger(t *testing.T, members []string) *fakepeer.Forger {
+	t.Helper()
+	keyNames := slices.Repeat([]string{"k1"}, len(members))
+	f, err := fakepeer.NewForger(1, members, keyNames)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	f.Worker, f.WorkerIncarnation = "w1", 5
+	return f
+}
+
+// cluster is agents over real sockets, with a faulty network between them.
+type cluster struct {
+	t       *testing.T
+	net     *fakepeer.Network
+	ids     []string
+	agents  []*agent.Agent
+	routers []*fakeRouter
+	meters  []*fakepeer.Meter
+	addrs   []string
+}
+
+// fastConfig is a protocol with short intervals, so that tests need not wait for it.
+func fastConfig() gossip.Config {
+	cfg := gossip.LocalConfig
+	cfg.ProbeInterval = 100 * time.Millisecond
+	cfg.ProbeTimeout = 40 * time.Millisecond
+	cfg.SyncInterval = time.Second
+	cfg.DeadMemberRetention = 3 * time.Second
+	cfg.PushInterval = 20 * time.Millisecond
+	cfg.BytesPerSecond = 40000
+	cfg.BurstBytes = 40000
+	cfg.MessagesPerSecond = 400
+	cfg.BurstMessages = 400
+	return cfg
+}
+
+// config is the configuration of member i: its packets and streams pass through the faulty network.
+func (c *cluster) config(i int) agent.Config {
+	meter := c.meters[i]
+	ownAddr := ""
+	return agent.Config{
+		ID:           c.ids[i],
+		Listen:       "127.0.0.1:0",
+		Seeds:        c.addrs[:min(2, len(c.addrs))],
+		Gossip:       fastConfig(),
+		Quorum:       gossip.LocalSuspicionQuorumConfig,
+		Limiter:      gossip.LocalPacketLimiterConfig,
+		Collector:    gossip.LocalEvidenceCollectorConfig,
+		CheckTimeout: time.Second,
+		Seed:         uint64(i),
+		Members:      admittedKeys(c.ids, "k1"),
+		Key:          agent.Key{Name: "k1", Private: privateKey(c.ids[i], "k1")},
+		Hooks: agent.Hooks{
+			WrapPacketConn: func(conn net.PacketConn) net.PacketConn {
+				ownAddr = conn.LocalAddr().String()
+				return c.net.Wrap(conn, meter)
+			},
+			AllowStream: func(to string, bytes int) bool {
+				meter.Add(bytes)
+				return c.net.Reachable(ownAddr, to) // a partition cuts streams too
+			},
+		},
+	}
+}
+
+// newCluster starts n agents and waits until they have found each other.
+func newCluster(t *testing.T, n int) *cluster {
+	t.Helper()
+	c := &cluster{t: t, net: fakepeer.NewNetwork(1)}
+	cfg := fastConfig()
+	for i := range n {
+		c.ids = append(c.ids, fmt.Sprintf("r%d", i))
+		c.meters = append(c.meters, &fakepeer.Meter{BytesPerSecond: cfg.BytesPerSecond, BurstBytes: cfg.BurstBytes, MessagesPerSecond: cfg.MessagesPerSecond,
+			BurstMessages: cfg.BurstMessages})
+	}
+	for i := range n {
+		r := &fakeRouter{deadWorkers: map[string]bool{}, notify: make(chan struct{}, 1)}
+		a, err := agent.Start(c.config(i), r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(a.Close)
+		a.SetWorkers(map[string]uint64{"w1": 5, "w2": 6})
+		c.agents, c.routers, c.addrs = append(c.agents, a), append(c.routers, r), append(c.addrs, a.Addr())
+	}
+	c.waitForLive("all members to find each other", n)
+	return c
+}
+
+// waitForLive waits until each member counts so many as live.
+func (c *cluster) waitForLive(what string, live int) {
+	c.t.Helper()
+	c.waitFor(what, func() bool {
+		return !slices.ContainsFunc(c.agents, func(a *agent.Agent) bool { return a.Status().Live < live })
+	})
+}
+
+// waitFor polls for a condition and fails the test after a minute.
+func (c *cluster) waitFor(what string, condition func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(60 * time.Second); !condition(); {
+		if time.Now().After(end) {
+			for _, a := range c.agents {
+				c.t.Logf("%+v", a.Status())
+			}
+			c.t.Fatalf("timed out waiting for %s", what)
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
