--- a/internal/upstream/errno.go
+++ b/internal/upstream/errno.go
@@ -33,8 +33,6 @@
 		otherwise Evidence // for time-outs, which have no errno, and for errnos that are not listed
 	}{
 		Connect: {otherwise: workerFault, byErrno: map[syscall.Errno]Evidence{
-			syscall.EACCES:        localFault, // a local firewall rule, or no right to make the socket
-			syscall.EPERM:         localFault, // a local firewall rule
 			syscall.EADDRINUSE:    localFault, // no local port is free
 			syscall.EADDRNOTAVAIL: localFault, // no local port is free
 			syscall.EAGAIN:        localFault, // no local port or routing cache entry is free
@@ -46,13 +44,17 @@
 			syscall.ENOSPC:        localFault, // epoll_ctl: too many watched descriptors
 			syscall.EAFNOSUPPORT:  localFault,
 			syscall.ENETDOWN:      localFault, // this host's interface
-			syscall.ENETUNREACH:   localFault, // this host has no route to the network
-			syscall.ECONNREFUSED:  workerFault,
-			syscall.ECONNRESET:    workerFault,
-			syscall.ECONNABORTED:  workerFault,
-			syscall.ETIMEDOUT:     workerFault,
-			syscall.EHOSTUNREACH:  workerFault, // the network is there, and the worker's host does not answer in it
-			syscall.EHOSTDOWN:     workerFault,
+			// A route or a firewall rule of this host may concern this one address. Another worker has to be tried, and where
+			// it concerns all of them the dispatcher sees that most are suspected.
+			syscall.EACCES:       workerFault,
+			syscall.EPERM:        workerFault,
+			syscall.ENETUNREACH:  workerFault,
+			syscall.ECONNREFUSED: workerFault,
+			syscall.ECONNRESET:   workerFault,
+			syscall.ECONNABORTED: workerFault,
+			syscall.ETIMEDOUT:    workerFault,
+			syscall.EHOSTUNREACH: workerFault, // the network is there, and the worker's host does not answer in it
+			syscall.EHOSTDOWN:    workerFault,
 		}},
 		// A message without its last byte is no request: the protocol counts an attempt from the moment it has come whole.
 		// A connection that is found broken may have been forgotten while it was idle, which says nothing of the worker: the
--- a/internal/upstream/respupstream/evidence.go
+++ b/internal/upstream/respupstream/evidence.go
@@ -6,9 +6,10 @@
 // operating system guarantees it; in doubt a request may have run.
 //
 //	evidence                                             result           never ran
-//	connect refused or timed out                         ConnectFailed    yes: nothing was written
+//	connect refused, timed out, or without a route
+//	  or right to this address                           ConnectFailed    yes: nothing was written
 //	connect failed by this host: no descriptor, port,
-//	  memory, right or route (upstream/errno.go)         NotSent          yes: nothing was written
+//	  or memory (upstream/errno.go)                      NotSent          yes: nothing was written
 //	not written: the worker drains, was removed or
 //	  replaced, no time is left, the client has left,
 //	  or the attempt was cancelled                       NotSent          yes: nothing was written
