--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"sync"
 	"time"
 
@@ -115,12 +116,12 @@
 func Dial(network, addr string, timeout time.Duration, cfg Config, h Handler) (*Conn, error) {
 	netConn, err := netpoll.NewDialer().DialConnection(network, addr, timeout)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("http2: %w", err)
 	}
 	c := newConn(netConn, cfg, h, true)
 	if err := netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { return c.readFrames() }); err != nil {
 		_ = netConn.Close()
-		return nil, err
+		return nil, fmt.Errorf("http2: read from %s: %w", addr, err)
 	}
 	_ = netConn.AddCloseCallback(func(netpoll.Connection) error {
 		c.terminate(errClosedByPeer)
--- a/internal/transport/http2/errors.go
+++ b/internal/transport/http2/errors.go
@@ -8,15 +8,17 @@
 // Errors of opening a stream and of writing to it.
 var (
 	ErrClosed         = errors.New("http2: stream or connection is closed")
-	ErrTooManyStreams = errors.New("http2: the peer takes no more streams for now")
-	ErrGoAway         = errors.New("http2: the connection takes no further streams")
+	ErrTooManyStreams = errors.New("http2: connection has as many open streams as the peer accepts; " +
+		"wait for one to end or open another connection")
+	ErrGoAway = errors.New("http2: connection is shutting down and opens no further streams; " +
+		"open another connection")
 )
 
 // The ends of a connection that are not a protocol error.
 var (
-	errClosedByPeer = errors.New("connection closed by peer")
-	errClosedLocal  = errors.New("closed by this end")
-	errClosedAtOnce = errors.New("connection closed at once")
+	errClosedByPeer = errors.New("http2: connection closed by the peer")
+	errClosedLocal  = errors.New("http2: connection closed by this end")
+	errClosedAtOnce = errors.New("http2: connection closed by the peer as soon as it was open")
 )
 
 // ErrCode is an error code of RST_STREAM and GOAWAY (RFC 9113, section 7).
@@ -72,18 +74,21 @@
 type StreamError struct {
 	Code        ErrCode
 	Reason      string
-	Remote      bool // the peer reset it
-	ConnLost    bool // the connection ended with the stream open
-	Unprocessed bool // the peer guarantees that it did not process it (RFC 9113, sections 6.8 and 8.7)
+	Remote      bool  // the peer reset it
+	ConnLost    bool  // the connection ended with the stream open
+	Unprocessed bool  // the peer guarantees that it did not process it (RFC 9113, sections 6.8 and 8.7)
+	Err         error // of ConnLost: what ended the connection
 }
 
 func (e *StreamError) Error() string {
-	origin := "stream error"
 	switch {
 	case e.ConnLost:
-		origin = "connection lost"
+		return fmt.Sprintf("http2: stream ended with its connection: %v", e.Err)
 	case e.Remote:
-		origin = "reset by peer"
+		return fmt.Sprintf("http2: reset by peer: %v: %s", e.Code, e.Reason)
 	}
-	return fmt.Sprintf("http2: %s: %v: %s", origin, e.Code, e.Reason)
+	return fmt.Sprintf("http2: stream error: %v: %s", e.Code, e.Reason)
 }
+
+// Unwrap returns what ended the connection, if the stream ended with it.
+func (e *StreamError) Unwrap() error { return e.Err }
--- a/internal/transport/http2/lifecycle.go
+++ b/internal/transport/http2/lifecycle.go
@@ -1,8 +1,10 @@
 package http2
 
 import (
+	"cmp"
 	"encoding/binary"
 	"errors"
+	"fmt"
 )
 
 // drainReason is the debug data of the GOAWAY frames of a graceful shutdown.
@@ -15,7 +17,7 @@
 func (c *Conn) fail(err error) {
 	var connErr *ConnError
 	if !errors.As(err, &connErr) {
-		c.terminate(err)
+		c.terminate(fmt.Errorf("http2: read from %v: %w", c.netConn.RemoteAddr(), err))
 		_ = c.netConn.Close()
 		return
 	}
@@ -42,10 +44,6 @@
 	if c.err == nil {
 		c.err = err
 	}
-	reason := "connection lost"
-	if c.err != nil {
-		reason = c.err.Error()
-	}
 	streams := make([]*Stream, 0, len(c.streams))
 	for _, s := range c.streams {
 		s.remove()
@@ -54,8 +52,9 @@
 	c.writeBuffer, c.sendQueue = nil, nil
 	err = c.err
 	c.mu.Unlock()
+	cause := cmp.Or(err, errClosedLocal)
 	for _, s := range streams {
-		s.receiver.Closed(s, &StreamError{Code: InternalError, Reason: reason, ConnLost: true})
+		s.receiver.Closed(s, &StreamError{Code: InternalError, Reason: "connection lost", ConnLost: true, Err: cause})
 	}
 	c.handler.ConnClosed(c, err)
 }
--- a/internal/transport/http2/read.go
+++ b/internal/transport/http2/read.go
@@ -57,7 +57,7 @@
 	if c.mu.TryLock() { // callbacks are made without the lock, so it is free after their panics
 		c.flushDeferred = false
 		c.mu.Unlock()
-		c.terminate(fmt.Errorf("http2: panic: %v", p))
+		c.terminate(fmt.Errorf("http2: panic while the connection was handled: %v", p))
 	}
 	_ = c.netConn.Close()
 }
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -41,7 +42,7 @@
 		netpoll.WithOnConnect(s.onConnect))
 	if err != nil {
 		_ = listener.Close()
-		return nil, err
+		return nil, fmt.Errorf("http2: start the event loop of %s: %w", addr, err)
 	}
 	listener.Serve(s.eventLoop)
 	return s, nil
--- a/internal/transport/http2/write.go
+++ b/internal/transport/http2/write.go
@@ -1,5 +1,7 @@
 package http2
 
+import "fmt"
+
 // queueControl queues a frame that answers the peer. It guards against a peer that causes answers and never
 // reads them. c.mu is held.
 func (c *Conn) queueControl(frame []byte) error {
@@ -46,7 +48,7 @@
 		c.mu.Unlock()
 		notifySent(events)
 		if err := c.writeSocket(buffer); err != nil {
-			c.terminate(err)
+			c.terminate(fmt.Errorf("http2: write to %v: %w", c.netConn.RemoteAddr(), err))
 			_ = c.netConn.Close()
 			return
 		}
