--- a/internal/transport/http2/errors_test.go
+++ b/internal/transport/http2/errors_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestErrorTexts: an error names the package and the thing that failed, and carries its cause.
@@ -49,7 +51,7 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	if err := receive(t, r.ended, "the end of the stream"); !errors.Is(err, errClosedLocal) {
+	if err := testsupport.Await(t, r.ended, "the end of the stream"); !errors.Is(err, errClosedLocal) {
 		t.Errorf("got %v, want one that wraps %v", err, errClosedLocal)
 	}
 }
