--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -1,12 +1,3 @@
-// Package endpoints merges the endpoint list with what workers report of themselves. It does no I/O and reads
-// no clock: the caller passes in events with the time, and Step returns what to do.
-//
-// The endpoint list may lag behind. A worker that has reported that it drains (by GOAWAY, or by a rejection
-// that says so) stays draining for this router although the list still has it active, until one of these shows
-// that the drain is over: the list has a later start time for the worker, or shows it as not active and then
-// as active again, or a health check of the worker itself finds it ready. The health check is not made before
-// Settings.CheckInterval has passed; it is there for workers that close connections for other reasons than a
-// drain, such as the connection's age.
 package endpoints
 
 import (
@@ -23,7 +14,7 @@
 	Address string
 }
 
-// Update is the endpoint list, or what has changed in it. No worker is in it twice, and their order is of no importance.
+// Update is the endpoint list, or what has changed in it. No worker is in it twice. The order does not matter.
 type Update struct {
 	Snapshot bool // the list is complete: a worker that is absent has been removed
 	Workers  []Worker
@@ -36,20 +27,21 @@
 	CheckInterval time.Duration
 }
 
-// maxWorkers bounds the list: further workers are ignored, so that a faulty source can't exhaust the memory.
+// maxWorkers bounds the list. Further workers are ignored, so that a faulty source can't exhaust the memory.
 const maxWorkers = 1 << 16
 
-// Merger holds one router's view of the endpoints. It isn't safe for concurrent use. What it does for an update costs in
-// proportion to the workers in the update.
+// Merger holds one router's view of the endpoints. It isn't safe for concurrent use. An update costs in proportion to its
+// workers and to the reported drains, not to the list.
 type Merger struct {
 	settings Settings
-	list     map[string]Worker // the list as it was last updated, by ID
-	draining map[string]*reportedDrain
-	changed  map[string]listing // what Step last returned of the workers that may have changed since, by ID
-	returned bool               // Step has returned the list
-	updated  bool               // there has been an update
-	nextAt   time.Duration      // when the next health check is due, if checkDue
-	checkDue bool               // a health check is to be made at nextAt
+	list     map[string]Worker         // the list as it was last updated, by ID
+	draining map[string]*reportedDrain // by worker ID
+	changed  map[string]listing        // what Step last returned of the workers that may have changed since, by ID
+	returned bool                      // Step has returned the list
+	updated  bool                      // there has been an update
+
+	checkPlanned bool          // a health check is to be made at nextCheckAt
+	nextCheckAt  time.Duration // the earliest of those in draining
 }
 
 // listing is a worker as Step returns it, if it is listed.
@@ -68,11 +60,15 @@
 
 // New returns a Merger that knows no worker.
 func New(settings Settings) *Merger {
-	return &Merger{settings: settings, list: map[string]Worker{}, draining: map[string]*reportedDrain{},
-		changed: map[string]listing{}}
+	return &Merger{
+		settings: settings,
+		list:     map[string]Worker{},
+		draining: map[string]*reportedDrain{},
+		changed:  map[string]listing{},
+	}
 }
 
-// Update takes an update of the endpoint list. The Merger keeps no part of the slice.
+// Update applies an update of the endpoint list. The Merger does not keep the slice.
 func (m *Merger) Update(update Update) {
 	m.updated = true
 	if update.Snapshot {
@@ -85,7 +81,7 @@
 			m.set(worker)
 		}
 	}
-	m.findNextCheck()
+	m.planNextCheck()
 }
 
 // removeUnlisted removes the workers that a snapshot leaves out.
@@ -125,14 +121,14 @@
 	}
 }
 
-// noteChange notes what Step last returned of a worker that is about to change.
+// noteChange remembers what Step last returned of a worker. It must be called before the worker changes.
 func (m *Merger) noteChange(id string) {
 	if _, noted := m.changed[id]; !noted {
 		m.changed[id] = m.merged(id)
 	}
 }
 
-// merged returns a worker as the list has it, draining if it has reported that.
+// merged returns a worker of the list. It is draining if it is active in the list and has reported that it drains.
 func (m *Merger) merged(id string) listing {
 	worker, listed := m.list[id]
 	if m.draining[id] != nil && worker.State == dispatch.EndpointActive {
@@ -154,7 +150,7 @@
 		m.draining[id] = drain
 	}
 	drain.nextCheckAt = now + m.settings.CheckInterval
-	m.findNextCheck()
+	m.planNextCheck()
 }
 
 // HealthChecked records the result of a health check that Step requested. ready is false also where the worker
@@ -170,41 +166,45 @@
 		m.noteChange(id)
 		delete(m.draining, id)
 	}
-	m.findNextCheck()
+	m.planNextCheck()
 }
 
-// findNextCheck finds when the next health check is due.
-func (m *Merger) findNextCheck() {
-	m.checkDue = false
+// planNextCheck sets when the next health check is due.
+func (m *Merger) planNextCheck() {
+	m.checkPlanned = false
 	for _, drain := range m.draining {
-		if drain.needsCheck() && (!m.checkDue || drain.nextCheckAt < m.nextAt) {
-			m.nextAt, m.checkDue = drain.nextCheckAt, true
+		if !drain.needsCheck() {
+			continue
+		}
+		if !m.checkPlanned || drain.nextCheckAt < m.nextCheckAt {
+			m.checkPlanned = true
+			m.nextCheckAt = drain.nextCheckAt
 		}
 	}
 }
 
-// NextCheck returns when the next health check is due, which is when Step has something to do without a further
-// event. ok is false if none is.
-func (m *Merger) NextCheck() (at time.Duration, ok bool) { return m.nextAt, m.checkDue }
+// NextCheck returns when the next health check is due, at which time Step must be called also without a further event. ok is
+// false if no check is planned.
+func (m *Merger) NextCheck() (at time.Duration, ok bool) { return m.nextCheckAt, m.checkPlanned }
 
-// needsCheck reports whether a health check of the worker is to be made when nextCheckAt has come. Once the list
-// itself shows the drain, only the list ends it.
+// needsCheck reports whether a health check of the worker is to be made at nextCheckAt. Once the list itself shows the
+// drain, only the list ends it.
 func (d *reportedDrain) needsCheck() bool { return !d.checkInFlight && !d.leftActive }
 
 // Actions is what the caller of Step is to do.
 type Actions struct {
-	// Update is the merged list at the first time, and later what has changed in it, sorted by ID; nil: unchanged. A
-	// removed worker is as it was last, but for its state.
+	// Update is the merged list the first time, and later what has changed in it, sorted by ID. It is nil if nothing has
+	// changed. A removed worker is as it was last, except for its state.
 	Update *Update
 	Check  []string // the IDs of workers to health-check; each check ends by one HealthChecked
 }
 
-// Step returns what follows from the events so far and from the time.
+// Step returns what is to be done after the events so far, at the given time. It is returned only once.
 func (m *Merger) Step(now time.Duration) Actions {
-	return Actions{Update: m.takeUpdate(), Check: m.dueChecks(now)}
+	return Actions{Update: m.takeUpdate(), Check: m.startDueChecks(now)}
 }
 
-// takeUpdate returns what has changed since it was last called, nil for nothing.
+// takeUpdate returns what has changed since it was last called, nil if nothing has.
 func (m *Merger) takeUpdate() *Update {
 	first := m.updated && !m.returned
 	if len(m.changed) == 0 && !first {
@@ -212,7 +212,8 @@
 	}
 	update := &Update{Snapshot: first, Workers: []Worker{}}
 	for _, id := range slices.Sorted(maps.Keys(m.changed)) {
-		before, now := m.changed[id], m.merged(id)
+		before := m.changed[id]
+		now := m.merged(id)
 		switch {
 		case now.listed && now != before:
 			update.Workers = append(update.Workers, now.worker)
@@ -230,9 +231,9 @@
 	return update
 }
 
-// dueChecks returns the workers whose health check is due, which are then in flight.
-func (m *Merger) dueChecks(now time.Duration) (due []string) {
-	if !m.checkDue || now < m.nextAt {
+// startDueChecks returns the workers whose health check is due, and marks the checks as in flight.
+func (m *Merger) startDueChecks(now time.Duration) (due []string) {
+	if !m.checkPlanned || now < m.nextCheckAt {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.draining)) {
@@ -241,6 +242,6 @@
 			due = append(due, id)
 		}
 	}
-	m.findNextCheck()
+	m.planNextCheck()
 	return due
 }
--- a/internal/endpoints/starttimes.go
+++ b/internal/endpoints/starttimes.go
@@ -14,14 +14,15 @@
 	At(moment wallclock.Time) time.Duration // what Clock shows at that moment if the wall clock is right
 }
 
-// StartTimes converts the start times of an endpoint list, which are wall times, to the router's clock. The wall clock
-// of this host or of the list's may be wrong, since before the router's start or by a step in mid-run, and a worker in
-// slow start that is taken for a warm one gets too much. What is sure without the wall clock goes first:
+// StartTimes converts the start times of an endpoint list, which are wall times, to the router's clock. The wall clock of
+// this host or of the list's may be wrong, from the beginning or after it was set. A converted time that is too early is the
+// costly error: a worker in slow start would be taken for a warm one and get too many requests. So these facts, which hold
+// whatever the wall clock shows, take precedence:
 //
 //   - no start lies in the future;
 //   - a worker that the list names for the first time, or with another start time, has started since the list was last
-//     current. Of the first list nothing of the kind is known;
-//   - a start that was converted stays as it is.
+//     current (the first list proves nothing of the kind);
+//   - a start that was converted once keeps its converted time.
 //
 // A StartTimes is not safe for concurrent use.
 type StartTimes struct {
@@ -40,7 +41,7 @@
 	return &StartTimes{clock: clock, known: map[string]convertedStart{}}
 }
 
-// Convert returns when a worker of the list started, by the router's clock.
+// Convert returns when a worker of the list started, by the router's clock, and remembers it.
 func (s *StartTimes) Convert(worker string, startedAt wallclock.Time) time.Duration {
 	earliest := s.currentAt
 	if known, ok := s.known[worker]; ok {
@@ -54,8 +55,8 @@
 	return routerTime
 }
 
-// ListCurrent notes that all workers which had started by then are in the list that was converted. Times that are
-// earlier than one given before change nothing.
+// ListCurrent records that the converted list had all workers which had started by then. A time before the last one
+// recorded changes nothing.
 func (s *StartTimes) ListCurrent(at time.Duration) { s.currentAt = max(s.currentAt, at) }
 
 // Forget forgets the workers that an update removes, by name or, if it is a snapshot, by leaving them out.
