--- a/internal/transport/listen/accept.go
+++ b/internal/transport/listen/accept.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// acceptPause is how long an event loop rests before it accepts again while the system keeps failing.
+// acceptPause is the delay before each further call while the system keeps failing. It guards against an event loop that
+// takes a whole processor.
 const acceptPause = time.Millisecond
 
-// faultLogInterval is the least time between two log lines on faults of accept4.
+// faultLogInterval is the shortest time between two log lines on failures of accept4.
 const faultLogInterval = time.Minute
 
 // accept4Func is the system call accept4.
 type accept4Func func(fd, flags int) (connFD int, address syscall.Sockaddr, err error)
 
-// Accept returns the next connection, or nil without an error where there is none: none waits, the listener is closed, or
-// the system fails. No error goes to the event loop, which would log each and accept again at once: accept(2) documents
-// errors of the network, of single connections and of the system's memory as ones to retry. The loop calls again as long
-// as a connection waits, and rests in between while the fault lasts.
+// Accept returns the next connection. It returns nil without an error if none waits, the listener is closed, or the system
+// fails. The event loop is given no error, because it would log each and accept again at once. accept(2) documents errors of
+// the network, of single connections and of the system's memory as ones to retry. The loop calls again as long as a
+// connection waits; while a failure lasts, each call pauses.
 func (l *Listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	fd, address, err := l.acceptDescriptor()
-	lasting, report := l.faults.observe(err, time.Now())
+	lasting, logDue := l.faults.record(err, time.Now())
 	logger := l.logger
 	l.mu.Unlock()
-	if report {
+	if logDue {
 		logger.Warn("accepting connections fails and is retried", "error", err)
 	}
 	if lasting {
@@ -37,14 +38,13 @@
 		return nil, nil
 	}
 	conn := &acceptedConn{fd: fd, local: l.Addr(), remote: remoteAddr(address)}
-	if _, tcp := conn.remote.(*net.TCPAddr); tcp {
+	if _, isTCP := conn.remote.(*net.TCPAddr); isTCP {
 		_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	}
 	return conn, nil
 }
 
-// acceptDescriptor takes a connection off the backlog. The error is syscall.EAGAIN where no connection waits any more. The
-// lock is held.
+// acceptDescriptor takes a connection off the backlog. The error is syscall.EAGAIN if no connection waits. The lock is held.
 func (l *Listener) acceptDescriptor() (fd int, address syscall.Sockaddr, err error) {
 	if l.closed {
 		return 0, nil, syscall.EAGAIN
@@ -56,10 +56,12 @@
 	return fd, address, err
 }
 
-// shedConnection closes the connection that has waited longest, where the system has no descriptor left for it. It
-// guards against an event loop that spins on a connection that it can't accept, and against one that stops accepting
-// for a while: a descriptor held in reserve is given up for the connection, which is closed at once. The error is
-// syscall.EAGAIN unless the reserve did not help: other work must free a descriptor then. The lock is held.
+// shedConnection closes the connection that has waited longest, when the system has no descriptor left for it. It closes the
+// reserve, accepts the connection with the descriptor that this frees, closes the connection and opens the reserve again.
+// Otherwise the event loop would spin on a connection that it can't accept, or would have to stop accepting for a while.
+//
+// The error is syscall.EAGAIN if the connection was closed. Any other error says that the reserve did not help, and that
+// other work must free a descriptor first. The lock is held.
 func (l *Listener) shedConnection() error {
 	if l.reserve != nil {
 		_ = l.reserve.Close()
@@ -75,29 +77,32 @@
 	return err
 }
 
-// acceptFaults follows the errors of accept4 in a row.
+// acceptFaults remembers consecutive failures of accept4.
 type acceptFaults struct {
 	failing  bool      // the last call failed
-	loggedAt time.Time // zero: no fault has been logged
+	loggedAt time.Time // zero: no failure has been logged
 }
 
-// observe takes in the error of a call. A fault is lasting if the call before failed, too; report asks for a log line.
-func (f *acceptFaults) observe(err error, now time.Time) (lasting, report bool) {
+// record records the result of a call. lasting is true if this call and the one before failed. logDue is true if the failure
+// is to be logged, which record then counts as done.
+func (f *acceptFaults) record(err error, now time.Time) (lasting, logDue bool) {
 	if err == nil || errors.Is(err, syscall.EAGAIN) {
 		f.failing = false
 		return false, false
 	}
 	lasting = f.failing
 	f.failing = true
-	usual := errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED)
-	if usual && !lasting {
-		return false, false
-	}
-	if !f.loggedAt.IsZero() && now.Sub(f.loggedAt) < faultLogInterval {
-		return lasting, false
+	recentlyLogged := !f.loggedAt.IsZero() && now.Sub(f.loggedAt) < faultLogInterval
+	logDue = (lasting || !isUsualFault(err)) && !recentlyLogged
+	if logDue {
+		f.loggedAt = now
 	}
-	f.loggedAt = now
-	return lasting, true
+	return lasting, logDue
+}
+
+// isUsualFault reports whether an error of accept4 happens in normal operation: a signal, or a client that left early.
+func isUsualFault(err error) bool {
+	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED)
 }
 
 // remoteAddr returns the address of an accepted connection's peer.
--- a/internal/transport/listen/listen.go
+++ b/internal/transport/listen/listen.go
@@ -1,7 +1,7 @@
-// Package listen opens listening sockets for netpoll's event loops, and looks at the state of descriptors.
 package listen
 
 import (
+	"cmp"
 	"fmt"
 	"log/slog"
 	"net"
@@ -13,9 +13,9 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Listener is a listening socket for netpoll's event loop. netpoll's own closes its descriptor twice, within
-// Close and again with each further Close; in between another goroutine may have been given the number, and
-// loses its connection without a sign. This one closes each descriptor once.
+// Listener is a listening socket for netpoll's event loop that closes each descriptor once. netpoll's own listener closes its
+// descriptor twice within Close, and again with each further Close. Another goroutine may have been given the same number in
+// between, and would lose its connection.
 type Listener struct {
 	net.Listener
 	file      *os.File // a copy of the descriptor, which the event loop watches
@@ -28,8 +28,8 @@
 	mu      sync.Mutex
 	logger  *slog.Logger
 	closed  bool     // the descriptor may belong to something else by now
-	reserve *os.File // given up for a moment where the system has no descriptor left
-	shed    uint64   // connections closed for want of a descriptor
+	reserve *os.File // closed for a moment when the system has no descriptor left
+	shed    uint64   // connections closed because no descriptor was left
 	faults  acceptFaults
 }
 
@@ -68,22 +68,22 @@
 	return l, nil
 }
 
-// SetLogger sets the logger for faults of the system while it accepts connections. Without it none is logged.
+// SetLogger sets the logger for failures of the system to accept connections. Without it none is logged.
 func (l *Listener) SetLogger(logger *slog.Logger) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.logger = logger
 }
 
-// Serve runs an event loop on the listener until the loop's Shutdown. It returns when the loop has taken the
-// descriptor: from then on Shutdown ends the watch before Close gives the descriptor back to the system.
+// Serve starts an event loop on the listener, which runs until the loop's Shutdown. It returns when the loop has asked for
+// the descriptor. From then on, Shutdown ends the loop's use of the descriptor before Close gives it back to the system.
 func (l *Listener) Serve(loop netpoll.EventLoop) {
 	served := &servedListener{Listener: l, taken: make(chan struct{})}
 	go func() { _ = loop.Serve(served) }()
 	<-served.taken
 }
 
-// servedListener is a Listener as its event loop sees it.
+// servedListener is a Listener that notices when its event loop asks for the descriptor.
 type servedListener struct {
 	*Listener
 	taken     chan struct{} // closed when the event loop has taken the descriptor
@@ -115,10 +115,9 @@
 			_ = l.reserve.Close()
 		}
 		l.mu.Unlock()
-		err = l.file.Close()
-		if closeErr := l.Listener.Close(); err == nil {
-			err = closeErr
-		}
+		fileErr := l.file.Close()
+		listenerErr := l.Listener.Close()
+		err = cmp.Or(fileErr, listenerErr)
 	})
 	return err
 }
--- a/internal/transport/listen/poll.go
+++ b/internal/transport/listen/poll.go
@@ -9,10 +9,12 @@
 // pollCall is the system call poll, which tests replace.
 var pollCall = unix.Poll
 
-// Poll returns which of events (unix.POLLIN, unix.POLLOUT and so on) hold for a descriptor now, without waiting.
-// unix.POLLHUP and unix.POLLERR are reported also where events does not name them. A negative descriptor is ignored
-// by the system: nothing holds for it. ready is 0 where there is an error. A call that a signal interrupts is made again:
-// poll(2) is not restarted by the system, also not with SA_RESTART, and the Go runtime sends its threads signals.
+// Poll returns which of events (unix.POLLIN, unix.POLLOUT and so on) a descriptor is ready for now, without waiting.
+// unix.POLLHUP and unix.POLLERR are reported also if events does not contain them. The system ignores a negative descriptor:
+// ready is 0. ready is 0 also on an error.
+//
+// A call that a signal interrupts is repeated. The system does not restart poll, not even with SA_RESTART (signal(7)), and
+// the Go runtime sends its threads signals.
 func Poll(fd int, events int16) (ready int16, err error) {
 	set := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
