--- a/internal/httprouter/budget.go
+++ b/internal/httprouter/budget.go
@@ -12,16 +12,16 @@
 }
 
 const (
-	heapShareOfMemory  = 0.6
-	clientConnsPercent = 45
+	heapShareOfMemory  = 0.6 // the rest is a margin
+	clientConnsPercent = 45  // of the descriptors; see Budget
 	workerConnsPercent = 42
 	socketBufferBytes  = 32 << 10
 )
 
-// Budget divides the configured limits. Clients hold at most a third of the descriptors in use, so a little under half
-// leaves room for others; nearly as many are reserved for workers, and the rest for the listener, the discovery
-// connection, event loops, standard streams and connections that are being closed. Waiting in the event loop occupies
-// one processor of the scheduler, so it gets one more than there are cores.
+// Budget divides the configured limits. Usual clients hold at most a third of the descriptors, so 45 of 100 for clients
+// leave a margin for others. Workers get nearly as many. The rest is for the listener, the discovery connection, event
+// loops, standard streams and connections that are being closed. An event loop that waits occupies one processor of the
+// scheduler, so the scheduler gets one more than there are cores.
 func (c *Config) Budget() Budget {
 	return Budget{
 		MaxProcs:          max(int(math.Ceil(c.Cores)), 1) + 1,
--- a/internal/httprouter/config.go
+++ b/internal/httprouter/config.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"net"
 	"os"
 	"strconv"
@@ -36,13 +35,13 @@
 	minMemoryMB    = 16
 	minDescriptors = 64
 
-	// What applies where the settings leave a limit out.
+	// Defaults of limits that the settings leave out.
 	defaultConnectTimeout  = time.Second
 	defaultLoadTimeout     = 10 * time.Second
 	defaultRequestsPerConn = 32
 )
 
-// configFile is the file's form.
+// configFile is the form of the configuration file.
 type configFile struct {
 	Name             string          `json:"name"`
 	ListenAddress    string          `json:"listen"`
@@ -60,6 +59,12 @@
 	MaxDescriptors int     `json:"sockets"`
 }
 
+// areSufficient reports whether a router can be run with the limits.
+func (l processLimits) areSufficient() bool {
+	hasCores := l.Cores > 0 // false for NaN, too
+	return hasCores && l.MemoryMB >= minMemoryMB && l.MaxDescriptors >= minDescriptors
+}
+
 // LoadConfig reads and validates the configuration file at path. Its errors name the path.
 func LoadConfig(path string) (*Config, error) {
 	info, err := os.Stat(path)
@@ -86,8 +91,14 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, err
 	}
-	cfg := &Config{Name: file.Name, ListenAddress: file.ListenAddress, DiscoveryAddress: file.DiscoveryAddress,
-		Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, MaxDescriptors: file.Limits.MaxDescriptors}
+	cfg := &Config{
+		Name:             file.Name,
+		ListenAddress:    file.ListenAddress,
+		DiscoveryAddress: file.DiscoveryAddress,
+		Cores:            file.Limits.Cores,
+		MemoryMB:         file.Limits.MemoryMB,
+		MaxDescriptors:   file.Limits.MaxDescriptors,
+	}
 	var err error
 	if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
@@ -97,7 +108,7 @@
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	if cfg.Cores <= 0 || math.IsNaN(cfg.Cores) || cfg.MemoryMB < minMemoryMB || cfg.MaxDescriptors < minDescriptors {
+	if !file.Limits.areSufficient() {
 		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are too few", cfg.Cores, cfg.MemoryMB, cfg.MaxDescriptors)
 	}
 	if cfg.InitialEndpoints, err = discovery.ParsePollResponse(file.InitialEndpoints); err != nil {
@@ -113,6 +124,7 @@
 	return cfg, nil
 }
 
+// setDefaultLimits sets the connection limits that the settings leave out.
 func (c *Config) setDefaultLimits() {
 	if c.Limits.ConnectTimeout <= 0 {
 		c.Limits.ConnectTimeout = defaultConnectTimeout
--- a/internal/httprouter/phases.go
+++ b/internal/httprouter/phases.go
@@ -8,12 +8,12 @@
 
 // What the platform does at a planned restart.
 const (
-	acceptAfterSIGTERM = 1200 * time.Millisecond // clients keep sending for so long at most
-	maxSIGKILLDeadline = 3 * time.Second         // a longest deadline above this counts as this
-	sigkillGrace       = 700 * time.Millisecond  // SIGKILL follows SIGTERM after the longest deadline and this, or later
+	acceptAfterSIGTERM = 1200 * time.Millisecond // clients go on sending for at most this time
+	maxSIGKILLDeadline = 3 * time.Second         // the limit on the longest deadline that the platform waits for
+	sigkillGrace       = 700 * time.Millisecond  // from the longest deadline after SIGTERM to the earliest SIGKILL
 )
 
-// How long before the earliest SIGKILL each phase of a shutdown ends. The last is what the process has to exit in.
+// How long before the earliest SIGKILL each phase of a shutdown ends. The last margin is left for the process to exit.
 const (
 	answerMargin = 200 * time.Millisecond
 	stopMargin   = 150 * time.Millisecond
@@ -21,13 +21,13 @@
 	closeMargin  = 50 * time.Millisecond
 )
 
-// shutdownPhases are the ends of a shutdown's phases, as times since SIGTERM. The later ones end earlier where there is
-// nothing left to do.
+// shutdownPhases are the latest ends of a shutdown's phases, as times since SIGTERM. The later phases end earlier if nothing
+// is left to do.
 type shutdownPhases struct {
 	accepting time.Duration // calls are served as usual
-	answering time.Duration // the dispatcher answers what is under way; what still comes is answered at once
-	stopping  time.Duration // the router's loop ends, with an answer to each call; what still comes is rejected
-	draining  time.Duration // clients take the last answers; what still comes is rejected
+	answering time.Duration // the dispatcher answers the calls under way, and later ones at once
+	stopping  time.Duration // the router's loop ends with an answer to each call; later calls are rejected
+	draining  time.Duration // clients receive the last answers; later calls are rejected
 	closing   time.Duration // sockets are closed
 }
 
--- a/internal/httprouter/process.go
+++ b/internal/httprouter/process.go
@@ -19,6 +19,7 @@
 	reloadRetryDelay  = 50 * time.Millisecond
 	netpollPollers    = 1
 	netpollBufferSize = 4 << 10 // bytes of a connection's first buffer
+	sighupBuffer      = 4       // signals that wait while the configuration is being reloaded; more make no difference
 )
 
 // Run is the main function of the process. It serves by the configuration file at path until ctx is done, which SIGTERM
@@ -40,12 +41,13 @@
 	return nil
 }
 
-// catchSignals returns a channel that gets a value for each SIGHUP. Neither that nor a further SIGTERM ends the process
-// any more, also not while it exits: the signals stay caught after Run.
+// catchSignals returns a channel that gets a value for each SIGHUP. From then on neither SIGHUP nor a further SIGTERM ends
+// the process. They stay caught after Run has returned, so that they don't cut off the exit either.
 func catchSignals() <-chan os.Signal {
-	sighup, sigterm := make(chan os.Signal, 4), make(chan os.Signal, 1)
+	sighup := make(chan os.Signal, sighupBuffer)
 	signal.Notify(sighup, syscall.SIGHUP)
-	signal.Notify(sigterm, syscall.SIGTERM) // never read: the first one ends Run's context
+	ignored := make(chan os.Signal, 1) // never read: the first SIGTERM ends Run's context
+	signal.Notify(ignored, syscall.SIGTERM)
 	return sighup
 }
 
@@ -53,15 +55,18 @@
 func applyProcessLimits(budget Budget, logger *slog.Logger) error {
 	runtime.GOMAXPROCS(budget.MaxProcs)
 	debug.SetMemoryLimit(budget.HeapLimit)
-	return netpoll.Configure(netpoll.Config{PollerNum: netpollPollers, BufferSize: netpollBufferSize,
-		LoggerOutput: netpollLog{logger}})
+	return netpoll.Configure(netpoll.Config{
+		PollerNum:    netpollPollers,
+		BufferSize:   netpollBufferSize,
+		LoggerOutput: netpollLog{logger},
+	})
 }
 
-// serve reloads the configuration on signals and logs statistics until a shutdown, started when ctx is done, has ended.
-// It waits for nothing else: a reload that takes its time doesn't hold up the end.
+// serve shuts the server down when ctx is done, and returns when that has ended. Until then it reloads the configuration on
+// signals and logs statistics. It does not wait for a reload under way, which must not delay the exit.
 func (s *Server) serve(ctx context.Context, path string, sighup <-chan os.Signal, logger *slog.Logger) {
 	stopped := make(chan struct{})
-	go s.reloadOnSignal(path, sighup, stopped, logger) // until the end: workers drain during a shutdown, too
+	go s.reloadOnSignal(path, sighup, stopped, logger) // also during a shutdown, when workers may still drain
 	go s.logStatsUntil(stopped)
 	<-ctx.Done()
 	s.Shutdown()
@@ -99,7 +104,7 @@
 	}
 }
 
-// reloadConfig reads the file again. It retries a few times, as the file may just be being written.
+// reloadConfig reads the file again. It retries a few times, because the file may be read while it is being written.
 func reloadConfig(path string) (cfg *Config, err error) {
 	for range reloadAttempts {
 		if cfg, err = LoadConfig(path); err == nil {
--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -1,6 +1,3 @@
-// Package httprouter runs one router on one small machine: HTTP/1.1 from clients, RESP to workers. A configuration file
-// describes it, SIGHUP reloads that file and SIGTERM shuts it down. All bounds of memory and descriptors come from the
-// file; those that the runtime and the system enforce are set before the first socket is opened.
 package httprouter
 
 import (
@@ -18,7 +15,7 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// Timeouts of the parts. They guard resources: none decides where a call is sent.
+// Timeouts of the parts. They protect resources. None affects where a call is sent.
 const (
 	firstRequestTimeout  = 1500 * time.Millisecond // to receive a client's first request completely
 	clientIdleTimeout    = 4500 * time.Millisecond // longer than the 4 s after which clients close idle connections themselves
@@ -78,8 +75,12 @@
 		s.Close()
 		return nil, err
 	}
-	s.logger.Info("serving", "address", s.httpServer.Addr(), "classes", len(cfg.Settings.Classes), "clients", budget.ClientConns,
-		"worker_connections", budget.WorkerConns, "memory", budget.HeapLimit)
+	s.logger.Info("serving",
+		"address", s.httpServer.Addr(),
+		"classes", len(cfg.Settings.Classes),
+		"clients", budget.ClientConns,
+		"worker_connections", budget.WorkerConns,
+		"memory", budget.HeapLimit)
 	return s, nil
 }
 
@@ -117,6 +118,7 @@
 	return nil
 }
 
+// startWatcher starts the endpoint watcher, which gives the router the configured endpoints before it returns.
 func (s *Server) startWatcher() (err error) {
 	s.watcher, err = discovery.Start(discovery.Config{
 		Address:          s.cfg.DiscoveryAddress,
@@ -129,10 +131,11 @@
 		OnUpdate:         s.router.UpdateEndpoints,
 		Logger:           s.logger,
 	}, s.cfg.InitialEndpoints)
-	s.cfg.InitialEndpoints = discovery.PollResponse{} // thousands of workers that the router holds in its own form now
+	s.cfg.InitialEndpoints = discovery.PollResponse{} // frees the memory of a long list, which the router has in its own form
 	return err
 }
 
+// startHTTPServer opens the HTTP server for clients.
 func (s *Server) startHTTPServer(budget Budget) (err error) {
 	classes := map[string]dispatch.Idempotency{}
 	for _, class := range s.cfg.Settings.Classes {
--- a/internal/httprouter/shutdown.go
+++ b/internal/httprouter/shutdown.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Shutdown stops the router gracefully. Clients are served normally until no more of them come, and each call that was
-// accepted is answered before the process is killed: each phase has an end, counted from now, whatever workers and
-// clients do. It returns the number of calls that the dispatcher left without an answer, 0 where the router was stopped
+// Shutdown stops the router gracefully. Clients are served normally as long as they may still come, and each accepted call is
+// answered before the process is killed. Each phase has an end counted from now, so that neither workers nor clients can
+// delay the exit. It returns the number of calls that the dispatcher left without an answer, or 0 if the router was stopped
 // before.
 func (s *Server) Shutdown() (unanswered int) {
 	s.stopOnce.Do(func() {
@@ -25,8 +25,8 @@
 	return unanswered
 }
 
-// closeWithin closes the sockets of a router that has stopped. It waits no longer than limit, after which the end of
-// the process closes what is left: a connect to the discovery server, for one, may hold the close up.
+// closeWithin closes the sockets of a router that has stopped. It waits no longer than limit, because a connect to the
+// discovery server may delay the close. The end of the process closes the sockets that are left.
 func (s *Server) closeWithin(limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/httprouter/stats.go
+++ b/internal/httprouter/stats.go
@@ -2,19 +2,41 @@
 
 import "time"
 
-// logStats logs the router's counters and gauges. The keys are the figures that docs/operators/platform.md documents,
-// so they stay as they are when a Go name changes.
+// logStats logs the router's counters and gauges. The keys are documented in docs/operators/platform.md, so they stay as
+// they are when a Go name changes.
 func (s *Server) logStats() {
-	router, server, upstream, watcher := s.router.Stats(), s.httpServer.Stats(), s.upstream.Stats(), s.watcher.Stats()
+	router := s.router.Stats()
+	server := s.httpServer.Stats()
+	upstream := s.upstream.Stats()
+	watcher := s.watcher.Stats()
 	perServedMS := func(sum time.Duration) float64 { return sum.Seconds() * 1000 / float64(max(router.Served, 1)) }
 	s.logger.Info("state",
-		"calls", router.Calls, "served", router.Served, "refused", router.Rejected, "failed", router.Failed,
-		"dropped", router.Cancelled, "attempts", router.Attempts, "orders", router.Loads, "probes", router.HealthChecks,
+		"calls", router.Calls,
+		"served", router.Served,
+		"refused", router.Rejected,
+		"failed", router.Failed,
+		"dropped", router.Cancelled,
+		"attempts", router.Attempts,
+		"orders", router.Loads,
+		"probes", router.HealthChecks,
 		"open", router.Open,
-		"clients", server.Connections, "bad", server.BadRequests, "evicted", server.Evicted,
-		"worker_conns", upstream.Conns, "worker_open", upstream.InFlight, "waiting", upstream.Queued, "dials", upstream.Dials,
-		"dials_failed", upstream.DialFailures, "conns_evicted", upstream.Evicted, "broken", upstream.ProtocolErrors, "unwritten", upstream.NeverWritten, "late", upstream.CancelledInFlight,
-		"cursor", watcher.Revision, "questions", watcher.Polls, "channel_broken", watcher.FailedPolls,
-		"out", router.AttemptsInFlight, "module_ms", perServedMS(router.ServedDuration),
-		"waited_ms", perServedMS(upstream.QueueTime), "wire_ms", perServedMS(upstream.ResponseTime))
+		"clients", server.Connections,
+		"bad", server.BadRequests,
+		"evicted", server.Evicted,
+		"worker_conns", upstream.Conns,
+		"worker_open", upstream.InFlight,
+		"waiting", upstream.Queued,
+		"dials", upstream.Dials,
+		"dials_failed", upstream.DialFailures,
+		"conns_evicted", upstream.Evicted,
+		"broken", upstream.ProtocolErrors,
+		"unwritten", upstream.NeverWritten,
+		"late", upstream.CancelledInFlight,
+		"cursor", watcher.Revision,
+		"questions", watcher.Polls,
+		"channel_broken", watcher.FailedPolls,
+		"out", router.AttemptsInFlight,
+		"module_ms", perServedMS(router.ServedDuration),
+		"waited_ms", perServedMS(upstream.QueueTime),
+		"wire_ms", perServedMS(upstream.ResponseTime))
 }
