--- a/internal/experiment/growth/experiment.go
+++ b/internal/experiment/growth/experiment.go
@@ -1,7 +1,6 @@
 package growth
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -27,14 +26,16 @@
 	return !slices.ContainsFunc(r.Verdicts, func(v Verdict) bool { return !v.Passed })
 }
 
-// validate returns what is wrong with the options.
+// validate returns an error if no experiment can be made with the options.
 func (o Options) validate() error {
+	isInvalidSize := func(size int) bool { return size < 1 }
+	hasTraffic := o.Functions >= 2 && o.CallsPerSecond > 0 && o.Duration > 0
 	switch {
 	case len(o.UsualSizes) == 0 || len(o.Disruptions) == 0:
 		return errors.New("growth: no usual size, or no run")
-	case slices.ContainsFunc(slices.Concat(o.UsualSizes, o.Sizes), func(size int) bool { return size < 1 }):
+	case slices.ContainsFunc(o.allSizes(), isInvalidSize):
 		return errors.New("growth: a size is less than one worker")
-	case o.Nodes < 1 || o.Functions < 2 || o.CallsPerSecond <= 0 || o.Duration <= 0:
+	case o.Nodes < 1 || !hasTraffic:
 		return errors.New("growth: a router, two functions, calls and time are needed")
 	case o.NodeCommand == nil:
 		return errors.New("growth: no command that runs a router")
@@ -42,14 +43,22 @@
 	return nil
 }
 
-// Run plays every run at every size, one after another, and judges them. With an error that a run caused, the report has
-// what was measured before it.
+// Run makes a run of every disruption at every size, one after another, and judges them. If a run fails, the report that is
+// returned with the error has the measurements before it.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	report := &Report{Seed: o.Seed, Nodes: o.Nodes, Seconds: o.Duration.Seconds(), CallsPerSecond: o.CallsPerSecond,
-		Functions: o.Functions, MemoryMB: o.MemoryMB, Cores: o.Cores, Descriptors: o.Descriptors}
+	report := &Report{
+		Seed:           o.Seed,
+		Nodes:          o.Nodes,
+		Seconds:        o.Duration.Seconds(),
+		CallsPerSecond: o.CallsPerSecond,
+		Functions:      o.Functions,
+		MemoryMB:       o.MemoryMB,
+		Cores:          o.Cores,
+		Descriptors:    o.Descriptors,
+	}
 	for _, disruption := range o.Disruptions {
 		bySize := map[int]Measurement{}
 		for _, size := range o.allSizes() {
@@ -68,9 +77,9 @@
 	return report, nil
 }
 
-// allSizes returns the sizes to play, each once, in ascending order.
+// allSizes returns the sizes to measure, each once, in ascending order. A usual size so comes before those compared with it.
 func (o Options) allSizes() []int {
 	sizes := slices.Concat(o.UsualSizes, o.Sizes)
-	slices.SortFunc(sizes, cmp.Compare[int])
+	slices.Sort(sizes)
 	return slices.Compact(sizes)
 }
--- a/internal/experiment/growth/fleet.go
+++ b/internal/experiment/growth/fleet.go
@@ -6,13 +6,14 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
 const (
 	workDuration = 5 * time.Millisecond   // of a request
 	loadDuration = 50 * time.Millisecond  // of a function's first request at a worker
 	replaceStep  = 200 * time.Millisecond // between two changes of the endpoint list
-	drainTime    = 2 * time.Second        // from the news that a worker drains until it is removed
+	drainTime    = 2 * time.Second        // from the event that a worker drains until it is removed
 	cells        = 4                      // of the fleet
 )
 
@@ -39,10 +40,10 @@
 type fleetWorker struct {
 	*fakeplatform.Worker
 	cell      int
-	startedAt int64 // Unix milliseconds; 0: before the run
+	startedAt uint64 // Unix milliseconds; 0: before the run
 }
 
-// startFleet starts so many workers and a discovery server that lists them.
+// startFleet starts workers, and a discovery server that lists them.
 func startFleet(workers int) (*fleet, error) {
 	f := &fleet{stopPolls: make(chan struct{}), pending: map[*fleetWorker]time.Time{}}
 	lines := make([]string, 0, workers)
@@ -64,9 +65,12 @@
 }
 
 // startWorker starts a worker on a port of its own and adds it to the active ones.
-func (f *fleet) startWorker(startedAt int64) (*fleetWorker, error) {
-	w := &fleetWorker{Worker: &fakeplatform.Worker{ID: fmt.Sprintf("w-%08x", f.started), WorkDuration: workDuration},
-		cell: f.started % cells, startedAt: startedAt}
+func (f *fleet) startWorker(startedAt uint64) (*fleetWorker, error) {
+	w := &fleetWorker{
+		Worker:    &fakeplatform.Worker{ID: fmt.Sprintf("w-%08x", f.started), WorkDuration: workDuration},
+		cell:      f.started % cells,
+		startedAt: startedAt,
+	}
 	w.Handle = loadOnFirstUse(w.Worker)
 	if err := w.Start("127.0.0.1:0"); err != nil {
 		return nil, fmt.Errorf("worker %d: %w", f.started, err)
@@ -77,7 +81,7 @@
 	return w, nil
 }
 
-// line is the worker's line for EndpointsEvent.
+// line returns the worker's line for EndpointsEvent.
 func (w *fleetWorker) line(state string) string {
 	return fmt.Sprintf("%s %s %s %d %d", w.ID, w.Addr(), state, w.cell, w.startedAt)
 }
@@ -102,7 +106,7 @@
 	}
 }
 
-// readPolls reads the polls that the discovery server reports: it stops responding when too many are unread.
+// readPolls reads and drops the polls that the discovery server reports. The server stops responding if too many are unread.
 func (f *fleet) readPolls() {
 	for {
 		select {
@@ -113,12 +117,13 @@
 	}
 }
 
-// replace replaces so many of the oldest workers by new ones, evenly over a time, and removes those that have drained.
-// It returns when stop is closed.
+// replace replaces count of the oldest workers by new ones, evenly over duration, and removes those that have drained. It
+// returns when stop is closed.
 func (f *fleet) replace(count int, duration time.Duration, stop <-chan struct{}) error {
 	ticker := time.NewTicker(replaceStep)
 	defer ticker.Stop()
-	startedAt, replaced := time.Now(), 0
+	startedAt := time.Now()
+	replaced := 0
 	for {
 		select {
 		case <-stop:
@@ -138,12 +143,12 @@
 	}
 }
 
-// replaceOldest starts new workers in place of the oldest ones, which drain, and returns the lines that tell of it.
+// replaceOldest starts new workers in place of the oldest ones, which drain, and returns the lines of the event.
 func (f *fleet) replaceOldest(now time.Time, count int) (lines []string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range count {
-		worker, err := f.startWorker(now.UnixMilli())
+		worker, err := f.startWorker(wallclock.FromTime(now).UnixMilli())
 		if err != nil {
 			return nil, err
 		}
@@ -155,7 +160,7 @@
 	return lines, nil
 }
 
-// removeDrained stops the workers whose drain has ended, and returns the lines that tell of it.
+// removeDrained stops the workers whose drain has ended, and returns the lines of the event.
 func (f *fleet) removeDrained(now time.Time) (lines []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +185,7 @@
 	return total
 }
 
-// stop stops all that runs.
+// stop stops the discovery server and all workers.
 func (f *fleet) stop() {
 	close(f.stopPolls)
 	if f.discovery != nil {
--- a/internal/experiment/growth/judge.go
+++ b/internal/experiment/growth/judge.go
@@ -1,10 +1,12 @@
 package growth
 
-// minServedRatio is the least of the usual size's share that has to be served.
+import "slices"
+
+// minServedRatio is the least share of the calls to be served, as a ratio of the share at the usual size.
 const minServedRatio = 0.85
 
-// row is one of the figures that are judged. At most factor times the usual size's figure is allowed, plus a constant and
-// an amount for each thousand workers.
+// row is one of the figures that are judged. Its allowance is factor times the figure at the usual size, plus a constant and
+// an amount for each thousand workers. The six rows are those of the users.
 type row struct {
 	name        string // in tables and plots
 	value       func(Figures) float64
@@ -45,8 +47,14 @@
 func judge(usual, run Measurement) []Verdict {
 	verdicts := make([]Verdict, 0, len(rows))
 	for _, row := range rows {
-		v := Verdict{Workers: run.Workers, UsualWorkers: usual.Workers, Disruption: run.Disruption, Row: row.name,
-			Usual: row.value(usual.Figures), Figure: row.value(run.Figures)}
+		v := Verdict{
+			Workers:      run.Workers,
+			UsualWorkers: usual.Workers,
+			Disruption:   run.Disruption,
+			Row:          row.name,
+			Usual:        row.value(usual.Figures),
+			Figure:       row.value(run.Figures),
+		}
 		v.Allowed = row.allowance(v.Usual, run.Workers)
 		v.Passed = v.Figure <= v.Allowed
 		if row.atLeast {
@@ -57,18 +65,17 @@
 	return verdicts
 }
 
-// maxGrowth is how many times the workers of its usual size a fleet has at most, where there is a usual size so large.
+// maxGrowth is how many times larger than its usual size a fleet may be, if there is a usual size large enough.
 const maxGrowth = 16
 
-// usualSize returns the size that a size is compared with: the smallest from which it is at most maxGrowth times as
-// large, else the largest. usual is not empty.
+// usualSize returns the size that a size is compared with: the smallest usual size of which it is at most maxGrowth times as
+// large. If there is none, it is the largest usual size. usual is not empty.
 func usualSize(usual []int, size int) int {
-	best := usual[0]
-	for _, candidate := range usual[1:] {
-		fits, bestFits := candidate*maxGrowth >= size, best*maxGrowth >= size
-		if fits && (!bestFits || candidate < best) || !fits && !bestFits && candidate > best {
-			best = candidate
+	ascending := slices.Sorted(slices.Values(usual))
+	for _, candidate := range ascending {
+		if candidate*maxGrowth >= size {
+			return candidate
 		}
 	}
-	return best
+	return ascending[len(ascending)-1]
 }
--- a/internal/experiment/growth/measure.go
+++ b/internal/experiment/growth/measure.go
@@ -39,7 +39,7 @@
 	peakDescriptors int
 }
 
-// measure plays one run at one size.
+// measure makes one run at one size and returns its figures.
 func measure(ctx context.Context, o Options, workers int, disruption Disruption) (Measurement, error) {
 	m := Measurement{Workers: workers, Disruption: disruption}
 	dir, err := os.MkdirTemp("", "growth")
@@ -100,7 +100,8 @@
 func sample(o Options, nodes []*measuredNode, m Measurement, trafficEnded <-chan struct{}) error {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
-	startedAt, reportedAt := time.Now(), time.Now()
+	startedAt := time.Now()
+	reportedAt := startedAt
 	for ended := false; !ended; {
 		select {
 		case <-trafficEnded:
@@ -120,6 +121,7 @@
 	return nil
 }
 
+// sample reads the router's present usage.
 func (n *measuredNode) sample() (err error) {
 	if n.usage, err = readUsage(n.command.Process.Pid); err != nil {
 		return err
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// progressLine tells how far a run is, and what the first router has needed so far.
+// progressLine describes how far a run is, and the usage of the first router so far.
 func progressLine(n *measuredNode, m Measurement, elapsed, duration time.Duration) string {
 	return fmt.Sprintf("%s, %d workers: %.0f of %.0f s, %d calls, %d served, %.2f s processor time, %.0f MB, %d descriptors",
 		m.Disruption, m.Workers, elapsed.Seconds(), duration.Seconds(), n.traffic.made.Load(), n.traffic.served.Load(),
@@ -137,16 +139,22 @@
 
 // meanFigures returns the figures of a run that has ended.
 func meanFigures(fleet *fleet, nodes []*measuredNode) Figures {
-	figures := Figures{Connections: float64(fleet.acceptedConnections()), ListBytes: float64(fleet.discovery.BytesSent())}
+	figures := Figures{
+		Connections: float64(fleet.acceptedConnections()),
+		ListBytes:   float64(fleet.discovery.BytesSent()),
+	}
 	for _, n := range nodes {
 		figures.CPUSeconds += n.usage.cpuSeconds
 		figures.PeakMemoryMB += n.usage.peakMemoryMB
 		figures.Descriptors += float64(n.peakDescriptors)
 		figures.ShareServed += n.traffic.shareServed()
 	}
-	for _, sum := range []*float64{&figures.CPUSeconds, &figures.PeakMemoryMB, &figures.Descriptors, &figures.Connections,
-		&figures.ListBytes, &figures.ShareServed} {
-		*sum /= float64(len(nodes))
-	}
+	routers := float64(len(nodes))
+	figures.CPUSeconds /= routers
+	figures.PeakMemoryMB /= routers
+	figures.Descriptors /= routers
+	figures.Connections /= routers
+	figures.ListBytes /= routers
+	figures.ShareServed /= routers
 	return figures
 }
--- a/internal/experiment/growth/node.go
+++ b/internal/experiment/growth/node.go
@@ -17,7 +17,7 @@
 
 const (
 	readyTimeout  = 30 * time.Second      // from the start of a router until it answers
-	readyInterval = 20 * time.Millisecond // between two questions of whether it does
+	readyInterval = 20 * time.Millisecond // between two requests that find out whether it does
 	stopTimeout   = 10 * time.Second      // from SIGTERM to the end of a router
 	servingLine   = "serving"             // message of the log line that has the router's address
 )
--- a/internal/experiment/growth/options.go
+++ b/internal/experiment/growth/options.go
@@ -23,7 +23,7 @@
 	Nodes          int           // routers that run; the figures are the mean of theirs
 	Duration       time.Duration // of the traffic of a run
 	CallsPerSecond float64       // to each router
-	Functions      int           // that are called, the first ones most often
+	Functions      int           // functions that are called, the first ones most often
 	MemoryMB       int           // limit of a router
 	Cores          float64       // limit of a router
 	Descriptors    int           // limit of a router
@@ -31,7 +31,7 @@
 
 	// NodeCommand returns the command that runs a router by a configuration file. It logs to standard error, in JSON.
 	NodeCommand func(configPath string) *exec.Cmd
-	// Progress, unless nil, is called with a line of text now and then.
+	// Progress, unless nil, is called every few seconds with a line of text.
 	Progress func(line string)
 }
 
--- a/internal/experiment/growth/plot.go
+++ b/internal/experiment/growth/plot.go
@@ -19,7 +19,9 @@
 	plotWidth   = 10 * vg.Centimeter // of each of the six
 	plotHeight  = 7 * vg.Centimeter
 	plotPadding = 6 * vg.Millimeter
-	headroom    = 1.25 // the legend stands above the lines
+	headroom    = 1.25 // leaves room for the legend above the lines
+
+	minPlotMaximum = 0.01 // of the vertical axis: figures that are all 0 need an axis, too
 )
 
 // lineColors are the colors of the disruptions' lines.
@@ -61,9 +63,12 @@
 // plotRow draws one figure: a line for each disruption, and its allowance.
 func (r *Report) plotRow(row row) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text = row.name, "workers"
-	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, r.sizeTicks()
-	p.Legend.Top, p.Legend.Left = true, true
+	p.Title.Text = row.name
+	p.X.Label.Text = "workers"
+	p.X.Scale = plot.LogScale{}
+	p.X.Tick.Marker = r.sizeTicks()
+	p.Legend.Top = true
+	p.Legend.Left = true
 	p.Add(plotter.NewGrid())
 	highest := 0.0
 	for disruption, lineColor := range lineColors {
@@ -71,29 +76,50 @@
 		if len(measured) == 0 {
 			continue
 		}
-		line, glyphs, err := plotter.NewLinePoints(measured)
-		if err != nil {
+		if err := addMeasured(p, disruption, measured, lineColor); err != nil {
 			return nil, err
 		}
-		line.Color, glyphs.Color, glyphs.Shape = lineColor, lineColor, draw.CircleGlyph{}
-		p.Add(line, glyphs)
-		p.Legend.Add(string(disruption), line, glyphs)
-		if len(allowed) > 0 {
-			bound, err := plotter.NewLine(allowed)
-			if err != nil {
-				return nil, err
-			}
-			bound.Color, bound.Dashes = lineColor, []vg.Length{vg.Points(3), vg.Points(3)}
-			p.Add(bound)
+		if err := addAllowed(p, allowed, lineColor); err != nil {
+			return nil, err
 		}
 		for _, point := range slices.Concat(measured, allowed) {
 			highest = max(highest, point.Y)
 		}
 	}
-	p.Y.Min, p.Y.Max = 0, max(highest*headroom, 0.01)
+	p.Y.Min = 0
+	p.Y.Max = max(highest*headroom, minPlotMaximum)
 	return p, nil
 }
 
+// addMeasured adds the line of a disruption's figures, with its entry in the legend.
+func addMeasured(p *plot.Plot, disruption Disruption, measured plotter.XYs, lineColor color.Color) error {
+	line, glyphs, err := plotter.NewLinePoints(measured)
+	if err != nil {
+		return err
+	}
+	line.Color = lineColor
+	glyphs.Color = lineColor
+	glyphs.Shape = draw.CircleGlyph{}
+	p.Add(line, glyphs)
+	p.Legend.Add(string(disruption), line, glyphs)
+	return nil
+}
+
+// addAllowed adds the dashed line of the allowances, unless there are none.
+func addAllowed(p *plot.Plot, allowed plotter.XYs, lineColor color.Color) error {
+	if len(allowed) == 0 {
+		return nil
+	}
+	bound, err := plotter.NewLine(allowed)
+	if err != nil {
+		return err
+	}
+	bound.Color = lineColor
+	bound.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
+	p.Add(bound)
+	return nil
+}
+
 // points returns a row's figures of one disruption, and their allowances, by size.
 func (r *Report) points(row row, disruption Disruption) (measured, allowed plotter.XYs) {
 	for _, m := range r.Measurements {
@@ -109,7 +135,7 @@
 	return measured, allowed
 }
 
-// sizeTicks marks the sizes that were played.
+// sizeTicks returns an axis with a mark at each size that was measured.
 func (r *Report) sizeTicks() plot.ConstantTicks {
 	sizes := make([]int, 0, len(r.Measurements))
 	for _, m := range r.Measurements {
--- a/internal/experiment/growth/settings.go
+++ b/internal/experiment/growth/settings.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The fleet that the routers are told of. Only Options.Nodes of its routers run.
+// The fleet as the settings of the routers describe it. Only Options.Nodes of its routers run.
 const (
 	usualRouters      = 300
 	maxRouters        = 900
@@ -11,7 +11,7 @@
 	functionMemoryMB  = 512  // that each call states; a worker has room for at least one function
 )
 
-// fleetRouters returns the number of routers of a fleet with so many workers.
+// fleetRouters returns the number of routers of a fleet with the given number of workers.
 func fleetRouters(workers int) int {
 	return min(maxRouters, max(usualRouters, workers*usualRouters/usualMaxWorkers))
 }
@@ -25,14 +25,16 @@
 // Times are in microseconds.
 const settingsForm = `{"az":"z","balancers":%d,"host_types":["k"],
  "classes":[{"name":"safe","semantics":"read_like","target":1000000,"deadline":2000000,"worth":1.0},
-  {"name":"keyed","semantics":"idempotency_key","dedup_scope":"cell","window":6000000,"target":1000000,"deadline":2000000,"worth":1.0},
+  {"name":"keyed","semantics":"idempotency_key","dedup_scope":"cell","window":6000000,"target":1000000,"deadline":2000000,
+   "worth":1.0},
   {"name":"unsafe","semantics":"non_idempotent","target":1000000,"deadline":2000000,"worth":1.0}],
  "family_info":{"when_absent":"load","may_order":true,"free_loads":4,"load_ratio":0.1,"load_span":5000000,"linger_idle":4000000,
   "kind_memory_mb":[%d],"order_timeout":4000000},
  "feedback":{"how":"piggyback","fields":["active"]},
  "limits":{"send_cap":5,"may_probe":true,"cancel":true,"second_copies":true,"retry_after":true,"max_retry_after":1000000,
   "connect_timeout":250000,"idle_close":15000000,"streams_per_conn":32},
- "safety":{"drain_grace":500000,"start_capacity":0.2,"warm_within":16000000,"overload_factor":3,"fall":1500000,"grace_to_answer":5000}}`
+ "safety":{"drain_grace":500000,"start_capacity":0.2,"warm_within":16000000,"overload_factor":3,"fall":1500000,
+  "grace_to_answer":5000}}`
 
 // classes are the names of the classes in settingsForm.
 var classes = []string{"safe", "keyed", "unsafe"}
