--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -14,7 +14,7 @@
 	Address string
 }
 
-// Update is the endpoint list, or what has changed in it. No worker is in it twice. The order does not matter.
+// Update is the endpoint list, or the workers that have changed in it. No worker is in it twice. The order does not matter.
 type Update struct {
 	Snapshot bool // the list is complete: a worker that is absent has been removed
 	Workers  []Worker
@@ -153,7 +153,7 @@
 	m.planNextCheck()
 }
 
-// HealthChecked records the result of a health check that Step requested. ready is false also where the worker
+// HealthChecked records the result of a health check that Step requested. ready is false also if the worker
 // did not answer.
 func (m *Merger) HealthChecked(now time.Duration, id string, ready bool) {
 	drain := m.draining[id]
@@ -191,7 +191,7 @@
 // drain, only the list ends it.
 func (d *reportedDrain) needsCheck() bool { return !d.checkInFlight && !d.leftActive }
 
-// Actions is what the caller of Step is to do.
+// Actions are to be carried out by the caller of Step.
 type Actions struct {
 	// Update is the merged list the first time, and later what has changed in it, sorted by ID. It is nil if nothing has
 	// changed. A removed worker is as it was last, except for its state.
@@ -199,7 +199,7 @@
 	Check  []string // the IDs of workers to health-check; each check ends by one HealthChecked
 }
 
-// Step returns what is to be done after the events so far, at the given time. It is returned only once.
+// Step returns the actions that follow from the events so far, at the given time. Each action is returned once.
 func (m *Merger) Step(now time.Duration) Actions {
 	return Actions{Update: m.takeUpdate(), Check: m.startDueChecks(now)}
 }
--- a/internal/experiment/growth/experiment.go
+++ b/internal/experiment/growth/experiment.go
@@ -77,7 +77,7 @@
 	return report, nil
 }
 
-// allSizes returns the sizes to measure, each once, in ascending order. A usual size so comes before those compared with it.
+// allSizes returns the sizes to measure, each once, in ascending order.
 func (o Options) allSizes() []int {
 	sizes := slices.Concat(o.UsualSizes, o.Sizes)
 	slices.Sort(sizes)
--- a/internal/experiment/growth/judge.go
+++ b/internal/experiment/growth/judge.go
@@ -38,7 +38,7 @@
 	Passed       bool       `json:"passed"`
 }
 
-// allowance returns the bound of a row's figure at a size, where the usual size has the figure usual.
+// allowance returns the bound of a row's figure at a number of workers. usual is the figure at the usual size.
 func (r row) allowance(usual float64, workers int) float64 {
 	return r.factor*usual + r.constant + r.perThousand*float64(workers)/1000
 }
--- a/internal/experiment/growth/measure.go
+++ b/internal/experiment/growth/measure.go
@@ -14,7 +14,7 @@
 	progressInterval = 2 * time.Second
 )
 
-// Figures are what a router needs in a run, in the mean of all routers that ran. The keys are those of the report.
+// Figures are the needs of a router in a run, as the mean over all routers that ran. The keys are those of the report.
 type Figures struct {
 	CPUSeconds   float64 `json:"cpu_seconds"`
 	PeakMemoryMB float64 `json:"peak_memory_mb"`
@@ -31,7 +31,7 @@
 	Figures    Figures    `json:"figures"`
 }
 
-// measuredNode is a router with its traffic and what was sampled of it.
+// measuredNode is a router with its traffic and the samples of its usage.
 type measuredNode struct {
 	*node
 	traffic         *traffic
--- a/internal/experiment/growth/sampling.go
+++ b/internal/experiment/growth/sampling.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// ticksPerSecond is the unit of processor times in /proc: the same on all Linux systems.
+// ticksPerSecond is the unit of processor times in /proc. It is 100 on all Linux systems (USER_HZ).
 const ticksPerSecond = 100
 
-// The fields of /proc/PID/stat that come after the name in parentheses, counted from 0 there.
+// Fields of /proc/PID/stat (proc(5)), counted from 0 behind the name in parentheses.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
--- a/internal/experiment/growth/traffic.go
+++ b/internal/experiment/growth/traffic.go
@@ -36,8 +36,8 @@
 		Records: invariants.NewLog(), HTTPClient: &http.Client{Transport: transport}}}
 }
 
-// run makes calls for Options.Duration, or until ctx is done, and returns when all of them have ended. When calls are
-// made, and what they call, depends on the seed alone.
+// run makes calls for Options.Duration, or until ctx is done, and returns when all of them have ended. Their times and
+// functions depend on the seed alone.
 func (t *traffic) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(t.options.Seed, uint64(t.number)))
 	popularity := rand.NewZipf(rng, popularityPower, popularityShift, uint64(t.options.Functions-1))
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// ResponseStarted reports that the first message of a streamed response has come.
+// ResponseStarted reports that the first message of a streamed response has arrived.
 func (r *Router) ResponseStarted(token AttemptToken, head any) {
 	a := token.attempt
 	r.post(func() {
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Stats are counters since the router's start and gauges of what is under way. As JSON they are "router.status" of
+// Stats are counters since the router's start, and gauges of calls and attempts now. As JSON they are "router.status" of
 // the admin API, whose keys the struct tags keep.
 type Stats struct {
 	Calls         uint64 `json:"Calls"`
@@ -20,8 +20,7 @@
 	ServedDuration   time.Duration `json:"Took"` // sum over the served attempts, as reported to the dispatcher
 }
 
-// Stats returns the router's statistics. Once the router has ended, Open is 0, also
-// after Kill.
+// Stats returns the router's statistics. Open is 0 once the router has ended, also after Kill.
 func (r *Router) Stats() Stats {
 	reply := make(chan Stats, 1)
 	r.post(func() {
@@ -32,7 +31,7 @@
 	select {
 	case stats := <-reply:
 		return stats
-	case <-r.loopEnded: // it may have ended without running what was posted
+	case <-r.loopEnded: // it may have ended without running the posted work
 		return r.stats
 	}
 }
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -26,7 +26,7 @@
 
 // UpstreamAttempt is the router's handle of an attempt. Only the loop calls its methods, and they don't block.
 type UpstreamAttempt interface {
-	// ForwardTo forwards the response to a client: first what is buffered, then everything that comes. It is called
+	// ForwardTo forwards the response to a client, first the buffered part and then further bytes as they arrive. It is called
 	// at most once, after Router.ResponseStarted.
 	ForwardTo(client Client)
 	// Cancel stops waiting for the response. The attempt's end is still reported, once.
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// Start implements router.Client.
+// Start implements router.Client. It does nothing, as responses of this protocol are not streamed.
 func (c *conn) Start(any) {}
 
-// Message implements router.Client. A response of this protocol comes whole, with the final answer.
+// Message implements router.Client. It does nothing: Finish writes the complete response.
 func (c *conn) Message(p []byte, _ func(int)) int { return len(p) }
 
 // Finish implements router.Client.
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -64,7 +64,7 @@
 	return c.closed || !c.netConn.IsActive() || closedByPeer(descriptor(c.netConn))
 }
 
-// descriptor returns a connection's descriptor, or -1 where it has none.
+// descriptor returns a connection's descriptor, or -1 if it has none.
 func descriptor(netConn netpoll.Connection) int {
 	if withFd, ok := netConn.(netpoll.Conn); ok && netConn.IsActive() {
 		return withFd.Fd()
@@ -72,7 +72,7 @@
 	return -1
 }
 
-// openDescriptor returns the descriptor of a connection that is being closed, or -1 where it has none.
+// openDescriptor returns the descriptor of a connection that is being closed, or -1 if it has none.
 func openDescriptor(netConn netpoll.Connection) int {
 	if withFd, ok := netConn.(netpoll.Conn); ok {
 		return withFd.Fd()
--- a/internal/server/httpserver/parse.go
+++ b/internal/server/httpserver/parse.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// parseNumber reads a decimal number from 0 to limit: digits, and a fraction where there is one.
+// parseNumber reads a decimal number from 0 to limit, without a sign or an exponent.
 func parseNumber(s string, limit float64) (number float64, ok bool) {
 	if len(s) > maxNumberLength || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
--- a/internal/server/httpserver/response.go
+++ b/internal/server/httpserver/response.go
@@ -10,7 +10,8 @@
 // responseHeadCapacity is the initial capacity for a response's header, in bytes.
 const responseHeadCapacity = 256
 
-// rejectRequest responds to a request that can't be a call, and closes the connection: no usual client sends such.
+// rejectRequest responds to a request that can't be a call, and closes the connection. Usual clients send no such requests,
+// so the close costs them nothing.
 func (c *conn) rejectRequest(err error) {
 	status := http1.StatusBadRequest
 	var requestErr *requestError
@@ -26,7 +27,7 @@
 	c.respond(status, nil, []byte(err.Error()+"\n"))
 }
 
-// rejectConnection responds where no request could be read, and closes the connection.
+// rejectConnection responds to input of which no request could be read, and closes the connection.
 func (c *conn) rejectConnection(status int, reason string) {
 	c.server.mu.Lock()
 	if c.closed || c.requestInFlight {
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -113,7 +113,7 @@
 	c.usedIDs[id] = now.Sub(c.openedAt) + usedIDRetention
 }
 
-// expireUsedIDs forgets ids for which no late response can come any more, and drains the connection if it remembers too
+// expireUsedIDs forgets ids for which no late response can arrive any more, and drains the connection if it remembers too
 // many.
 func (c *conn) expireUsedIDs(now time.Time) {
 	if len(c.usedIDs) > maxUsedIDs {
--- a/internal/upstream/respupstream/message.go
+++ b/internal/upstream/respupstream/message.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/internal/transport/resp"
 )
 
-// encodeAttempt encodes an attempt. left is what remains of its deadline; it is sent in whole milliseconds, at least 1.
+// encodeAttempt encodes an attempt. left is its remaining deadline, which is sent in whole milliseconds, at least 1.
 func encodeAttempt(request *invocation.Request, left time.Duration) []byte {
 	fields := make([]byte, 0, 128)
 	fields = append(fields, "cls="...)
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -42,7 +42,7 @@
 	stats          Stats
 }
 
-// Stats is a snapshot of the pool and of what it has done since it was created.
+// Stats is a snapshot of the pool, with counters since it was created.
 type Stats struct {
 	// Held now.
 	Conns    int
@@ -157,8 +157,8 @@
 	return w.state == dispatch.EndpointActive || kind == kindHealthCheck
 }
 
-// removeWorker ends what waits for a connection to the worker. Its connections accept nothing new, and close once what is
-// in flight on them has ended. The lock is held. The returned callbacks are run without it.
+// removeWorker ends the exchanges that wait for a connection to the worker. Its connections accept nothing new, and
+// close when nothing is in flight on them. The lock is held. The returned callbacks are run without it.
 func (p *Pool) removeWorker(w *worker) (callbacks []func()) {
 	w.removed = true
 	waiting := w.waiting
--- a/internal/upstream/respupstream/response.go
+++ b/internal/upstream/respupstream/response.go
@@ -18,6 +18,9 @@
 	maxNumber       = 1e9 // exclusive
 )
 
+// noFields stands in the place of the fields if a response has none.
+const noFields = "-"
+
 // errMalformedResponse is wrapped by the error for any response that cannot be parsed. The connection is closed.
 var errMalformedResponse = errors.New("respupstream: malformed response")
 
@@ -30,7 +33,7 @@
 	body   []byte // valid while the items that it was parsed from are
 }
 
-// parseResponse parses the items of a response: id, status, fields ("-" for none) and body. Unknown fields are ignored.
+// parseResponse parses the items of a response: id, status, fields and body. The body is not copied.
 // Errors wrap errMalformedResponse.
 func parseResponse(items [][]byte) (received response, err error) {
 	if len(items) != 4 || len(items[0]) == 0 || len(items[0]) > maxIDLength {
@@ -43,37 +46,51 @@
 		return received, fmt.Errorf("%w: unknown status %.20q", errMalformedResponse, received.status)
 	}
 	received.report = router.NoWorkerReport
-	rest := items[2]
-	if len(rest) == 1 && rest[0] == '-' {
-		return received, nil
+	if err := received.parseFields(items[2]); err != nil {
+		return received, err
 	}
-	for len(rest) > 0 {
+	return received, nil
+}
+
+// parseFields parses the fields of a response, "name=value" separated by commas.
+func (r *response) parseFields(fields []byte) error {
+	if string(fields) == noFields {
+		return nil
+	}
+	for rest := fields; len(rest) > 0; {
 		var pair []byte
 		pair, rest, _ = bytes.Cut(rest, []byte{','})
 		name, value, ok := bytes.Cut(pair, []byte{'='})
 		if !ok || len(name) == 0 {
-			return received, fmt.Errorf("%w: fields %.40q", errMalformedResponse, items[2])
+			return fmt.Errorf("%w: fields %.40q", errMalformedResponse, fields)
 		}
-		switch string(name) {
-		case "company":
-			count, ok := parseNumber(value)
-			if !ok {
-				return received, fmt.Errorf("%w: company %.20q", errMalformedResponse, value)
-			}
-			received.report.FunctionInFlight = int(count)
-		case "slots_up":
-			count, ok := parseNumber(value)
-			if !ok {
-				return received, fmt.Errorf("%w: slots_up %.20q", errMalformedResponse, value)
-			}
-			received.copies = int(count)
-		case "meter":
-			if !parseLoadReport(&received.report.LoadReport, value) {
-				return received, fmt.Errorf("%w: meter %.40q", errMalformedResponse, value)
-			}
+		if !r.setField(string(name), value) {
+			return fmt.Errorf("%w: %s %.40q", errMalformedResponse, name, value)
 		}
 	}
-	return received, nil
+	return nil
+}
+
+// setField sets a field by its name on the wire. Unknown fields are ignored. It reports whether the value is valid.
+func (r *response) setField(name string, value []byte) (valid bool) {
+	switch name {
+	case "company":
+		count, ok := parseNumber(value)
+		if ok {
+			r.report.FunctionInFlight = int(count)
+		}
+		return ok
+	case "slots_up":
+		count, ok := parseNumber(value)
+		if ok {
+			r.copies = int(count)
+		}
+		return ok
+	case "meter":
+		return parseLoadReport(&r.report.LoadReport, value)
+	default:
+		return true
+	}
 }
 
 // parseLoadReport sets the known metrics of a load report and ignores the others. It reports whether the list was well
