--- a/internal/httprouter/attempt_failures_test.go
+++ b/internal/httprouter/attempt_failures_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
-	"github.com/topazfront/topazfront/internal/router"
 )
 
 // hedgingDispatcher starts two attempts of each request at once, and nothing after them: a request of which both have
@@ -109,9 +108,7 @@
 			t.Parallel()
 			pairs := &attemptPairs{act: c.act, firsts: map[string]fakeplatform.Request{}}
 			h := startHarness(t, harnessOptions{
-				dispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) {
-					return &hedgingDispatcher{ended: map[dispatch.RequestID]int{}}, nil
-				},
+				dispatcher: fixedDispatcher(&hedgingDispatcher{ended: map[dispatch.RequestID]int{}}),
 				handle: func(_ *fakeplatform.Worker, r fakeplatform.Request) {
 					if isAttempt(r) {
 						pairs.add(r)
@@ -184,21 +181,18 @@
 			mu.Lock()
 			faulty = false
 			mu.Unlock()
-			h.requireRecovery()
+			h.requireRecovery(40, time.Second)
 			h.requireInvariants()
 		})
 	}
 }
 
-// requireRecovery makes calls until all of a round are served.
-func (h *harness) requireRecovery() {
+// requireRecovery makes rounds of calls until all of a round are served.
+func (h *harness) requireRecovery(maxRounds int, deadline time.Duration) {
 	h.t.Helper()
-	const (
-		maxRounds     = 40
-		callsPerClass = 6
-	)
+	const callsPerClass = 6
 	for range maxRounds {
-		if h.callsWithin(callsPerClass, time.Second) == 3*callsPerClass {
+		if h.callsWithin(callsPerClass, deadline) == 3*callsPerClass {
 			return
 		}
 	}
--- a/internal/httprouter/discovery_faults_test.go
+++ b/internal/httprouter/discovery_faults_test.go
@@ -72,13 +72,7 @@
 			}
 			h.awaitEndpoints()
 			h.recordDrain("a")
-			before := len(h.workers[0].Received())
-			if served := h.calls(6); served < 18 {
-				t.Errorf("%d of 18 served", served)
-			}
-			if got := len(h.workers[0].Received()) - before; got > 0 {
-				t.Errorf("%d messages to a worker that drains", got)
-			}
+			h.requireServedWithoutDraining(h.workers[0], 6)
 			h.requireInvariants()
 		})
 	}
--- a/internal/httprouter/faults_test.go
+++ b/internal/httprouter/faults_test.go
@@ -31,7 +31,7 @@
 		deadline: time.Second,
 	},
 	"clients that read nothing": {
-		client:   func(conn net.Conn, id int) { _, _ = io.WriteString(conn, shutdownRequest(id, "safe", time.Second)) },
+		client:   func(conn net.Conn, id int) { _, _ = io.WriteString(conn, callRequestWithKey(id, "safe", time.Second)) },
 		deadline: 8 * time.Second, served: true,
 	},
 	"a flood of malformed requests": {
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -74,6 +74,11 @@
 // newDispatcher is Options.NewDispatcher.
 type newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)
 
+// fixedDispatcher is Options.NewDispatcher for a dispatcher that is made already.
+func fixedDispatcher(d router.Dispatcher) newDispatcher {
+	return func(dispatch.Settings, uint64) (router.Dispatcher, error) { return d, nil }
+}
+
 // harness is three workers, a discovery server that lists them, a router and a client of it. What workers and clients
 // observe is recorded.
 type harness struct {
@@ -248,6 +253,19 @@
 		RecordingDelay: time.Second}
 }
 
+// requireServedWithoutDraining makes n calls of each class and requires that all are served, and none by a worker that
+// drains.
+func (h *harness) requireServedWithoutDraining(worker *fakeplatform.Worker, n int) {
+	h.t.Helper()
+	before := len(worker.Received())
+	if served := h.calls(n); served < 3*n {
+		h.t.Errorf("%d of %d served", served, 3*n)
+	}
+	if got := len(worker.Received()) - before; got > 0 {
+		h.t.Errorf("%d messages to a worker that drains", got)
+	}
+}
+
 // recordDrain records that the router knows that a worker drains.
 func (h *harness) recordDrain(worker string) {
 	h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: "r", Worker: worker, Unavailable: true})
@@ -260,3 +278,19 @@
 		h.t.Error(violation)
 	}
 }
+
+// awaitPoll waits for a poll from a revision: the events up to it were applied.
+func awaitPoll(t *testing.T, server *fakeplatform.DiscoveryServer, revision int) {
+	t.Helper()
+	timeout := time.After(20 * time.Second)
+	for {
+		select {
+		case got := <-server.Polls():
+			if got == revision {
+				return
+			}
+		case <-timeout:
+			t.Fatalf("no poll from revision %d", revision)
+		}
+	}
+}
--- a/internal/httprouter/idle_conns_test.go
+++ b/internal/httprouter/idle_conns_test.go
@@ -82,13 +82,7 @@
 	if fault != fakeplatform.ForgetConn && served < rounds*callsPerRound/2 {
 		h.t.Errorf("%d of %d served", served, rounds*callsPerRound)
 	}
-	recovered := false
-	for round := 0; round < recoveryRounds && !recovered; round++ {
-		recovered = h.callsWithin(callsPerClass, deadline) == callsPerRound
-	}
-	if !recovered {
-		h.t.Error("calls fail after the faults are over")
-	}
+	h.requireRecovery(recoveryRounds, deadline)
 	h.requireInvariants()
 }
 
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -10,7 +10,6 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invariants"
-	"github.com/topazfront/topazfront/internal/router"
 )
 
 // TestInvariantsThroughDrainReplacementAndAddressChange has workers drain, crash, be replaced at their address and
@@ -149,9 +148,7 @@
 		4: "a fresh start that is ignored", 5: "load commands without a rate limit"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHarness(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) {
-				return &violatingDispatcher{rule: rule}, nil
-			})
+			h := newHarness(t, fixedDispatcher(&violatingDispatcher{rule: rule}))
 			site := h.invariantSettings()
 			switch rule {
 			case 1:
@@ -179,7 +176,7 @@
 // TestDrainingWorkerReceivesNothing checks, with a dispatcher that ignores drains, that the upstream sends a draining
 // worker nothing on its own account.
 func TestDrainingWorkerReceivesNothing(t *testing.T) {
-	h := newHarness(t, func(dispatch.Settings, uint64) (router.Dispatcher, error) { return &violatingDispatcher{}, nil })
+	h := newHarness(t, fixedDispatcher(&violatingDispatcher{}))
 	h.calls(3)
 	h.updateEndpoints("a " + h.workers[0].Addr() + " leaving")
 	before := len(h.workers[0].Received())
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -2,137 +2,19 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
-	"os"
-	"os/exec"
-	"os/signal"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
-	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// childConfigVariable is the environment variable that has the test binary run a router, by the configuration file that
-// it names, in place of the tests.
-const childConfigVariable = "HTTPROUTER_TEST_CONFIG"
-
-func TestMain(m *testing.M) {
-	if path := os.Getenv(childConfigVariable); path != "" {
-		runAsProcess(path)
-	}
-	os.Exit(m.Run())
-}
-
-// runAsProcess is the main function of a router's process, which gets no more descriptors than its configuration says.
-func runAsProcess(path string) {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	defer stop()
-	cfg, err := LoadConfig(path)
-	if err == nil {
-		limit := uint64(cfg.MaxDescriptors)
-		err = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit})
-	}
-	if err == nil {
-		err = Run(ctx, path, slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	}
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	os.Exit(0)
-}
-
-// process is a router in a process of its own.
-type process struct {
-	t          *testing.T
-	cmd        *exec.Cmd
-	configPath string
-	address    string
-	logLines   chan string
-}
-
-func startProcess(t *testing.T, config string) *process {
-	t.Helper()
-	p := &process{t: t, cmd: exec.Command(os.Args[0]), configPath: filepath.Join(t.TempDir(), "config.json"),
-		logLines: make(chan string, 1<<12)}
-	p.writeConfig(config)
-	const exitAtOnce = "GORACE=atexit_sleep_ms=0" // the race detector else sleeps for a second at the end
-	p.cmd.Env = append(os.Environ(), childConfigVariable+"="+p.configPath, exitAtOnce)
-	stderr, err := p.cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = p.cmd.Process.Kill(); _ = p.cmd.Wait() })
-	go func() {
-		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
-			p.logLines <- scanner.Text()
-		}
-		close(p.logLines)
-	}()
-	p.address = addressInLine(p.waitForLine("msg=serving"))
-	return p
-}
-
-func (p *process) writeConfig(config string) {
-	p.t.Helper()
-	if err := os.WriteFile(p.configPath, []byte(config), 0o600); err != nil {
-		p.t.Fatal(err)
-	}
-}
-
-// waitForLine returns the first log line from now on that contains text.
-func (p *process) waitForLine(text string) string {
-	p.t.Helper()
-	timeout := time.After(30 * time.Second)
-	for {
-		select {
-		case line, ok := <-p.logLines:
-			if !ok {
-				p.t.Fatalf("the process ended without a line with %q", text)
-			}
-			if strings.Contains(line, text) {
-				return line
-			}
-		case <-timeout:
-			p.t.Fatalf("no line with %q", text)
-		}
-	}
-}
-
-func (p *process) sendSignal(s syscall.Signal) {
-	p.t.Helper()
-	if err := p.cmd.Process.Signal(s); err != nil {
-		p.t.Fatal(err)
-	}
-}
-
-// requireExit waits until the process exits, with status 0.
-func (p *process) requireExit() {
-	p.t.Helper()
-	exited := make(chan error, 1)
-	go func() { exited <- p.cmd.Wait() }()
-	if err := testsupport.Await(p.t, exited, "the end of the process"); err != nil {
-		p.t.Error(err)
-	}
-}
-
-func (p *process) client() *fakeplatform.Client {
-	return &fakeplatform.Client{BaseURL: "http://" + p.address, Records: invariants.NewLog(), HTTPClient: &http.Client{Transport: &http.Transport{}}}
-}
-
 // requireServed makes one call.
 func requireServed(t *testing.T, client *fakeplatform.Client, id int) {
 	t.Helper()
@@ -178,9 +60,7 @@
 	discovery := startDiscovery(t, first, fakeplatform.EndpointsEvent(false, "a "+a.Addr()+" leaving", "b "+b.Addr()+" active"))
 	p.writeConfig(configJSON(discovery.Addr(), initialSnapshot(first)))
 	p.sendSignal(syscall.SIGHUP)
-	for revision := -1; revision != 2; { // polled from revision 2: the second event was applied
-		revision = testsupport.Await(t, discovery.Polls(), "a poll")
-	}
+	awaitPoll(t, discovery, 2) // the second event was applied
 	client.HTTPClient.CloseIdleConnections()
 	requireServed(t, client, 2)
 	if len(b.Received()) == 0 {
@@ -210,8 +90,7 @@
 
 // rawRequest is an HTTP request for a call.
 func rawRequest(id int) string {
-	return fmt.Sprintf("POST /call/%s/call HTTP/1.1\r\nHost: a\r\nX-Class: safe\r\nX-Correlation-Id: %s\r\n"+
-		"X-Deadline-Ms: 15000\r\nX-Attrs: memory_mb:512\r\nContent-Length: 4\r\n\r\nbody", hexID(7), hexID(id))
+	return callRequest(hexID(id), hexID(7), "safe", 15*time.Second, "body")
 }
 
 // TestProcessSignals sends SIGTERM right after the start, and SIGTERM again with SIGHUP during a shutdown. The process
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -1,8 +1,12 @@
 package httprouter
 
 import (
+	"fmt"
+	"io"
+	"net"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -75,3 +79,93 @@
 	}
 	h.requireInvariants()
 }
+
+// settingsWithDeadline are defaultSettings with a deadline for all classes, and with no cancellations: attempts at
+// workers that hang stay in flight.
+func settingsWithDeadline(deadline time.Duration) string {
+	settings := strings.ReplaceAll(defaultSettings, `"deadline":8000000`, fmt.Sprintf(`"deadline":%d`, deadline.Microseconds()))
+	settings = strings.ReplaceAll(settings, `"target":2000000`, fmt.Sprintf(`"target":%d`, deadline.Microseconds()/2))
+	return strings.Replace(settings, `"cancel":true`, `"cancel":false`, 1)
+}
+
+// TestShutdownDespiteClientThatReadsNothing has one client send requests without pause and read no response, until the
+// router's writes to it wait. Beside it another client is answered, and the shutdown ends before SIGKILL.
+func TestShutdownDespiteClientThatReadsNothing(t *testing.T) {
+	const deadline = 200 * time.Millisecond
+	stalls := startStallMeter(t)
+	h := startHarness(t, harnessOptions{settings: settingsWithDeadline(deadline)})
+	const firstStuckID = 1000
+	var stuckServed atomic.Int32 // requests of the client that reads nothing
+	writesWait := make(chan struct{})
+	body := strings.Repeat("x", 60<<10)
+	for _, worker := range h.workers {
+		worker.Handle = func(r fakeplatform.Request) {
+			if r.Command != "exec" {
+				go worker.HandleHealthy(r)
+				return
+			}
+			if r.ID >= hexID(firstStuckID) {
+				stuckServed.Add(1)
+			}
+			r.Conn.WriteMessage(r.ID, "ok", "company=0", body)
+		}
+	}
+	address := h.server.httpServer.Addr()
+	stuck, other := openClientConn(t, address), openClientConn(t, address)
+	if tcp, ok := stuck.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetReadBuffer(4 << 10)
+	}
+	ended := make(chan time.Duration, 1)
+	startedAt := time.Now()
+	time.AfterFunc(clientsComeFor/2, func() { // the writes still wait when the router drains
+		for id := firstStuckID; stuckServed.Load() == int32(id-firstStuckID); id++ {
+			_, _ = io.WriteString(stuck, callRequestWithKey(id, "safe", deadline))
+			for wait := 0; wait < 100 && stuckServed.Load() == int32(id-firstStuckID); wait++ {
+				time.Sleep(time.Millisecond)
+			}
+		}
+		close(writesWait)
+	})
+	go func() {
+		h.server.Shutdown()
+		ended <- time.Since(startedAt)
+	}()
+	for id := 1; time.Since(startedAt) < clientsComeFor/2; id++ {
+		sentAt := time.Now()
+		_, _ = io.WriteString(other, callRequestWithKey(id, "safe", deadline))
+		if status, took := other.readStatus(), time.Since(sentAt); status == 0 || took > deadline+acceptedLateness+stalls.slack() {
+			t.Fatalf("request %d: status %d after %v", id, status, took)
+		}
+	}
+	testsupport.Await(t, writesWait, "a write that waits")
+	took := testsupport.Await(t, ended, "the end of the shutdown")
+	t.Logf("shut down within %v, %d responses unread, slack %v", took, stuckServed.Load(), stalls.slack())
+	if sigkill := earliestSIGKILL(deadline); took > sigkill+stalls.slack() {
+		t.Errorf("shut down within %v, SIGKILL may come after %v", took, sigkill)
+	}
+}
+
+// TestShutdownDespiteHangingDiscovery shuts a router down while its connect to the discovery server hangs.
+func TestShutdownDespiteHangingDiscovery(t *testing.T) {
+	const deadline = 50 * time.Millisecond
+	address, _ := testsupport.ListenWithFullBacklog(t)
+	worker := startWorker(t, &fakeplatform.Worker{ID: "a"})
+	initial := initialSnapshot(fakeplatform.EndpointsEvent(true, "a "+worker.Addr()+" active"))
+	settings := strings.Replace(settingsWithDeadline(deadline), `"connect_timeout":2000000`, `"connect_timeout":20000000`, 1)
+	cfg, err := ParseConfig([]byte(configJSONWith(settings, address, initial)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, err := Start(cfg, Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	stalls := startStallMeter(t)
+	startedAt := time.Now()
+	server.Shutdown()
+	took := time.Since(startedAt)
+	t.Logf("shut down within %v", took)
+	if sigkill := earliestSIGKILL(deadline); took > sigkill+stalls.slack() {
+		t.Errorf("shut down within %v, SIGKILL may come after %v", took, sigkill)
+	}
+}
--- a/internal/httprouter/signals_test.go
+++ b/internal/httprouter/signals_test.go
@@ -1,13 +1,6 @@
 package httprouter
 
 import (
-	"context"
-	"io"
-	"log/slog"
-	"os"
-	"path/filepath"
-	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -15,75 +8,6 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// runningRouter is Run in the test's own process.
-type runningRouter struct {
-	t          *testing.T
-	configPath string
-	logOutput  chan string
-	terminate  context.CancelFunc // as SIGTERM does
-	result     chan error         // of Run
-}
-
-func startRun(t *testing.T, config string) *runningRouter {
-	t.Helper()
-	r := &runningRouter{t: t, configPath: filepath.Join(t.TempDir(), "config.json"), logOutput: make(chan string, 1<<12),
-		result: make(chan error, 1)}
-	r.writeConfig(config)
-	logReader, logWriter := io.Pipe()
-	t.Cleanup(func() { _ = logWriter.Close() })
-	go func() {
-		buf := make([]byte, 1<<16)
-		for {
-			n, err := logReader.Read(buf)
-			if err != nil {
-				return
-			}
-			r.logOutput <- string(buf[:n])
-		}
-	}()
-	var ctx context.Context
-	ctx, r.terminate = context.WithCancel(context.Background())
-	t.Cleanup(r.terminate)
-	go func() { r.result <- Run(ctx, r.configPath, slog.New(slog.NewTextHandler(logWriter, nil))) }()
-	return r
-}
-
-func (r *runningRouter) writeConfig(config string) {
-	r.t.Helper()
-	if err := os.WriteFile(r.configPath, []byte(config), 0o600); err != nil {
-		r.t.Fatal(err)
-	}
-}
-
-// waitForLine returns the first log line from now on that contains text.
-func (r *runningRouter) waitForLine(text string) string {
-	r.t.Helper()
-	for {
-		select {
-		case line := <-r.logOutput:
-			if strings.Contains(line, text) {
-				return line
-			}
-		case <-time.After(20 * time.Second):
-			r.t.Fatalf("no line with %q", text)
-		}
-	}
-}
-
-func (r *runningRouter) sendSIGHUP() {
-	r.t.Helper()
-	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
-		r.t.Fatal(err)
-	}
-}
-
-// addressInLine is the value of the key "address" in a log line.
-func addressInLine(line string) string {
-	_, address, _ := strings.Cut(line, "address=")
-	address, _, _ = strings.Cut(address, " ")
-	return address
-}
-
 // TestSignals checks that for a while after SIGTERM new clients, and requests on open connections, are served; then all
 // accepted calls have their answers and Run returns no error. SIGHUP changes the discovery server's address, before and
 // during the shutdown, and one with an invalid file does not.
@@ -119,14 +43,6 @@
 	h.requireInvariants()
 }
 
-// requireStop waits until Run has returned, with no error.
-func (r *runningRouter) requireStop() {
-	r.t.Helper()
-	if err := testsupport.Await(r.t, r.result, "the end of the router"); err != nil {
-		r.t.Error(err)
-	}
-}
-
 // TestConfigurationsInQuickSuccession writes five configurations, each followed by SIGHUP, without a pause. The last one is
 // in force in the end.
 func TestConfigurationsInQuickSuccession(t *testing.T) {
@@ -147,6 +63,52 @@
 	router.requireStop()
 }
 
+// TestConfigurationsInQuickSuccessionUnderTraffic moves discovery five times within a second, by SIGHUP, while clients call. The last
+// server is polled in the end from the revision reached, its events are applied, and every call is served.
+func TestConfigurationsInQuickSuccessionUnderTraffic(t *testing.T) {
+	const (
+		configurations = 5
+		pause          = 100 * time.Millisecond // between two of them
+	)
+	h := startHarness(t, harnessOptions{unstarted: true})
+	run := startRun(t, configJSON(h.discovery.Addr(), h.discovery.AllEvents()))
+	h.client.BaseURL = "http://" + addressInLine(run.waitForLine("msg=serving"))
+	stop, served := make(chan struct{}), make(chan int)
+	go func() {
+		n := 0
+		for {
+			select {
+			case <-stop:
+				served <- n
+				return
+			default:
+			}
+			if h.calls(2) < 6 {
+				t.Error("a call is not served")
+			}
+			n++
+		}
+	}()
+	var last *fakeplatform.DiscoveryServer
+	for range configurations {
+		last = startDiscovery(t, `"x":1`)
+		run.writeConfig(configJSON(last.Addr(), h.discovery.AllEvents()))
+		run.sendSIGHUP()
+		time.Sleep(pause)
+	}
+	last.AddEvent(fakeplatform.EndpointsEvent(false, "a "+h.workers[0].Addr()+" leaving"))
+	awaitPoll(t, last, 2)
+	h.recordDrain("a")
+	close(stop)
+	if <-served == 0 {
+		t.Error("no calls were made")
+	}
+	h.requireServedWithoutDraining(h.workers[0], 4)
+	run.terminate()
+	run.requireStop()
+	h.requireInvariants()
+}
+
 // requireServedDuringShutdown makes calls over new connections for half the time that new clients are accepted.
 func (h *harness) requireServedDuringShutdown() {
 	h.t.Helper()
--- a/internal/httprouter/stalled_peers_test.go
+++ b/internal/httprouter/stalled_peers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -31,8 +30,7 @@
 	for _, kind := range []invariants.RecordKind{invariants.CallSent, invariants.CallAbandoned} {
 		h.records.Add(invariants.Record{Kind: kind, Call: id, Request: id, Class: "safe", Router: fakeplatform.DefaultRouter})
 	}
-	return fmt.Appendf(nil, "POST /call/%s/call HTTP/1.1\r\nHost: a\r\nX-Class: safe\r\nX-Correlation-Id: %s\r\n"+
-		"X-Deadline-Ms: 1000\r\nX-Attrs: memory_mb:512\r\nContent-Length: %d\r\n\r\n%s", function, id, len(body), body)
+	return []byte(callRequest(id, function, "safe", time.Second, body))
 }
 
 // The pace of a peer in a flood: many times that of usual clients, and bounded, as the tests share the processors.
--- a/internal/httprouter/wallclock_test.go
+++ b/internal/httprouter/wallclock_test.go
@@ -7,7 +7,6 @@
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
-	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
@@ -62,9 +61,7 @@
 				}
 				recorder := &startRecorder{starts: make(chan workerStart, 8), told: map[string]time.Duration{}}
 				beforeServer := time.Now()
-				server, err := Start(cfg, Options{WallClock: &clock, NewDispatcher: func(dispatch.Settings, uint64) (router.Dispatcher, error) {
-					return recorder, nil
-				}})
+				server, err := Start(cfg, Options{WallClock: &clock, NewDispatcher: fixedDispatcher(recorder)})
 				if err != nil {
 					t.Fatal(err)
 				}
