--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -11,6 +11,7 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
@@ -76,16 +77,6 @@
 // initialEndpoints is the event of a snapshot of the endpoints a and b.
 var initialEndpoints = fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active")
 
-func startServer(t *testing.T, events ...string) *fakeplatform.DiscoveryServer {
-	t.Helper()
-	server, err := fakeplatform.StartDiscoveryServer(events...)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(server.Stop)
-	return server
-}
-
 // testPollWait is the PollWait of most tests.
 const testPollWait = 200 * time.Millisecond
 
@@ -109,7 +100,7 @@
 func startWatcherWithWait(t *testing.T, pollWait time.Duration, respond func(int, string) (string, bool),
 ) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
-	server := startServer(t, initialEndpoints)
+	server := platformtest.StartDiscovery(t, initialEndpoints)
 	server.Respond = respond
 	list, lists := endpointList{}, make(chan string, 64)
 	cfg := watcherConfig(server.Addr(), func(update endpoints.Update) {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -11,6 +11,7 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // TestSlowDiscovery has the server send each response late, up to after twice a poll's time-out. Each event is applied all
@@ -40,7 +41,7 @@
 // outage, no later than the longest delay, resumes from the revision before it.
 func TestLongOutage(t *testing.T) {
 	const outage, maxDelay = time.Minute, 500 * time.Millisecond
-	server := startServer(t, initialEndpoints)
+	server := platformtest.StartDiscovery(t, initialEndpoints)
 	lists := make(chan string, 8)
 	list := endpointList{}
 	cfg := watcherConfig(server.Addr(), func(update endpoints.Update) {
@@ -115,7 +116,7 @@
 	var last *fakeplatform.DiscoveryServer
 	for i := range changes {
 		events = append(events, fakeplatform.EndpointsEvent(false, fmt.Sprintf("w%d 1.1.1.3:1 active", i)))
-		last = startServer(t, events...)
+		last = platformtest.StartDiscovery(t, events...)
 		watcher.SetAddress(last.Addr())
 	}
 	const want = "a@1.1.1.1:1, b@1.1.1.2:1, w0@1.1.1.3:1, w1@1.1.1.3:1, w2@1.1.1.3:1, w3@1.1.1.3:1, w4@1.1.1.3:1"
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -9,6 +9,7 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 func TestWatchAppliesUpdates(t *testing.T) {
@@ -108,11 +109,7 @@
 	oldServer, watcher, lists := startWatcherWithWait(t, longPollWait, nil)
 	oldServer.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
 	testsupport.Await(t, lists, "the second event")
-	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`, `"x":2`, fakeplatform.EndpointsEvent(false, "d 1.1.1.4:1 active"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer newServer.Stop()
+	newServer := platformtest.StartDiscovery(t, `"x":1`, `"x":2`, fakeplatform.EndpointsEvent(false, "d 1.1.1.4:1 active"))
 	watcher.SetAddress(newServer.Addr())
 	if revision := testsupport.Await(t, newServer.Polls(), "a poll at the new address"); revision != 2 {
 		t.Errorf("polled from revision %d", revision)
@@ -130,7 +127,7 @@
 func TestInterruptionDuringDial(t *testing.T) {
 	for name, closed := range map[string]bool{"address changed": false, "closed": true} {
 		t.Run(name, func(t *testing.T) {
-			oldServer, newServer := startServer(t, initialEndpoints), startServer(t, initialEndpoints)
+			oldServer, newServer := platformtest.StartDiscovery(t, initialEndpoints), platformtest.StartDiscovery(t, initialEndpoints)
 			dialing, dialed := make(chan struct{}), make(chan struct{})
 			cfg := watcherConfig(oldServer.Addr(), func(endpoints.Update) {})
 			cfg.PollWait = longPollWait
@@ -170,11 +167,7 @@
 func TestPendingPollIsInterrupted(t *testing.T) {
 	oldServer, watcher, _ := startWatcherWithWait(t, longPollWait, nil)
 	testsupport.Await(t, oldServer.Polls(), "a poll at the old address")
-	newServer, err := fakeplatform.StartDiscoveryServer(`"x":1`)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer newServer.Stop()
+	newServer := platformtest.StartDiscovery(t, `"x":1`)
 	startedAt := time.Now()
 	watcher.SetAddress(newServer.Addr())
 	testsupport.Await(t, newServer.Polls(), "a poll at the new address")
--- a/internal/grpcgateway/start_test.go
+++ b/internal/grpcgateway/start_test.go
@@ -2,21 +2,17 @@
 
 import (
 	"errors"
-	"net"
 	"path/filepath"
 	"syscall"
 	"testing"
 
 	"github.com/topazfront/topazfront/internal/config"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
 // TestStartOnOccupiedAddress: a gateway that can't listen reports why, and leaves nothing running.
 func TestStartOnOccupiedAddress(t *testing.T) {
-	occupied, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = occupied.Close() })
+	occupied := testsupport.Listen(t)
 	workerList := filepath.Join(t.TempDir(), "workers.json")
 	if err := config.WriteWorkers(workerList, config.WorkerList{}); err != nil {
 		t.Fatal(err)
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -14,6 +14,7 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // defaultSettings are those of a small fleet. Times are in microseconds, as the simulator sends them.
@@ -44,33 +45,6 @@
 // hexID is an ID in the form of the protocols: 16 hexadecimal digits.
 func hexID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// unusedAddress is an address at which nothing listens.
-func unusedAddress(t *testing.T) string {
-	t.Helper()
-	listener := testsupport.Listen(t)
-	_ = listener.Close()
-	return listener.Addr().String()
-}
-
-func startDiscovery(t *testing.T, events ...string) *fakeplatform.DiscoveryServer {
-	t.Helper()
-	server, err := fakeplatform.StartDiscoveryServer(events...)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(server.Stop)
-	return server
-}
-
-func startWorker(t *testing.T, worker *fakeplatform.Worker) *fakeplatform.Worker {
-	t.Helper()
-	if err := worker.Start("127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(worker.Stop)
-	return worker
-}
-
 // newDispatcher is Options.NewDispatcher.
 type newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)
 
@@ -129,7 +103,7 @@
 	for cell, w := range h.workers {
 		list = append(list, fmt.Sprintf("%s %s active %d", w.ID, h.addressOf(w), cell))
 	}
-	h.discovery = startDiscovery(t, fakeplatform.EndpointsEvent(true, list...))
+	h.discovery = platformtest.StartDiscovery(t, fakeplatform.EndpointsEvent(true, list...))
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
 	h.client = &fakeplatform.Client{Records: h.records, Router: options.router, HTTPClient: &http.Client{Transport: transport}}
@@ -146,7 +120,7 @@
 	if h.options.handle != nil {
 		w.Handle = func(r fakeplatform.Request) { h.options.handle(w, r) }
 	}
-	return startWorker(h.t, w)
+	return platformtest.StartWorker(h.t, w)
 }
 
 // addressOf returns the address at which the harness's router reaches a worker.
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -10,6 +10,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/invariants"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // TestInvariantsThroughDrainReplacementAndAddressChange has workers drain, crash, be replaced at their address and
@@ -49,7 +50,7 @@
 	h.calls(30)
 
 	// The discovery server moves, and c drains by the new one.
-	moved := startDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
+	moved := platformtest.StartDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
 	cfg, err := ParseConfig([]byte(configJSON(moved.Addr(), h.discovery.AllEvents())))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/httprouter/planned_restart_test.go
+++ b/internal/httprouter/planned_restart_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
+	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // exchange is what came of one request of a client.
@@ -34,9 +36,9 @@
 						go worker.HandleHealthy(r)
 					}
 				}
-				startWorker(t, worker)
+				platformtest.StartWorker(t, worker)
 				initial := initialSnapshot(fakeplatform.EndpointsEvent(true, "a "+worker.Addr()+" active"))
-				p := startProcess(t, configJSONWith(settingsWithDeadline(deadline), unusedAddress(t), initial))
+				p := startProcess(t, configJSONWith(settingsWithDeadline(deadline), testsupport.UnusedAddress(t), initial))
 				sigkill := earliestSIGKILL(deadline)
 				var clients []*openClient
 				for range int((sigkill + interval) / interval) {
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // requireServed makes one call.
@@ -47,17 +48,17 @@
 // while the discovery server is down. A usual client is served, over a new connection to a worker; and the discovery
 // server is polled once it is back, at a new address, with the worker's drain and another worker in its place.
 func TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery(t *testing.T) {
-	a := startWorker(t, &fakeplatform.Worker{ID: "a"})
-	b := startWorker(t, &fakeplatform.Worker{ID: "b"})
+	a := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "a"})
+	b := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "b"})
 	first := fakeplatform.EndpointsEvent(true, "a "+a.Addr()+" active")
-	p := startProcess(t, configJSON(unusedAddress(t), initialSnapshot(first)))
+	p := startProcess(t, configJSON(testsupport.UnusedAddress(t), initialSnapshot(first)))
 	var idle idleConns
 	defer idle.close()
 	idle.open(t, p.address, 200)
 	client := p.client()
 	requireServed(t, client, 1)
 	idle.open(t, p.address, 200)
-	discovery := startDiscovery(t, first, fakeplatform.EndpointsEvent(false, "a "+a.Addr()+" leaving", "b "+b.Addr()+" active"))
+	discovery := platformtest.StartDiscovery(t, first, fakeplatform.EndpointsEvent(false, "a "+a.Addr()+" leaving", "b "+b.Addr()+" active"))
 	p.writeConfig(configJSON(discovery.Addr(), initialSnapshot(first)))
 	p.sendSignal(syscall.SIGHUP)
 	awaitPoll(t, discovery, 2) // the second event was applied
@@ -71,12 +72,12 @@
 // TestServesFromInitialEndpoints checks that, with the discovery server down and 4,000 workers in the configuration, the
 // router accepts clients and forwards by the configured list. The time until then is logged and not asserted.
 func TestServesFromInitialEndpoints(t *testing.T) {
-	w := startWorker(t, &fakeplatform.Worker{ID: "w0"})
+	w := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "w0"})
 	list := []string{"w0 " + w.Addr() + " active"}
 	for i := range 3999 {
 		list = append(list, fmt.Sprintf("w%d %s leaving", i+1, w.Addr()))
 	}
-	config := configJSON(unusedAddress(t), initialSnapshot(fakeplatform.EndpointsEvent(true, list...)))
+	config := configJSON(testsupport.UnusedAddress(t), initialSnapshot(fakeplatform.EndpointsEvent(true, list...)))
 	startedAt := time.Now()
 	p := startProcess(t, config)
 	resp, err := http.Get("http://" + p.address + "/ping")
@@ -105,15 +106,15 @@
 			w.HandleHealthy(r)
 		}()
 	}
-	startWorker(t, w)
+	platformtest.StartWorker(t, w)
 	initial := initialSnapshot(fakeplatform.EndpointsEvent(true, "a "+w.Addr()+" active"))
 	t.Run("right after the start", func(t *testing.T) {
-		p := startProcess(t, configJSON(unusedAddress(t), initial))
+		p := startProcess(t, configJSON(testsupport.UnusedAddress(t), initial))
 		p.sendSignal(syscall.SIGTERM)
 		p.waitForLine("msg=stopped")
 		p.requireExit()
 	})
-	p := startProcess(t, configJSON(unusedAddress(t), initial))
+	p := startProcess(t, configJSON(testsupport.UnusedAddress(t), initial))
 	var conns []net.Conn
 	for range 3 {
 		conn, err := net.Dial("tcp", p.address)
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // TestShutdownAnswersPendingCalls has clients wait for longer than the process lives on after SIGTERM, and workers
@@ -149,7 +150,7 @@
 func TestShutdownDespiteHangingDiscovery(t *testing.T) {
 	const deadline = 50 * time.Millisecond
 	address, _ := testsupport.ListenWithFullBacklog(t)
-	worker := startWorker(t, &fakeplatform.Worker{ID: "a"})
+	worker := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "a"})
 	initial := initialSnapshot(fakeplatform.EndpointsEvent(true, "a "+worker.Addr()+" active"))
 	settings := strings.Replace(settingsWithDeadline(deadline), `"connect_timeout":2000000`, `"connect_timeout":20000000`, 1)
 	cfg, err := ParseConfig([]byte(configJSONWith(settings, address, initial)))
--- a/internal/httprouter/signals_test.go
+++ b/internal/httprouter/signals_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // TestSignals checks that for a while after SIGTERM new clients, and requests on open connections, are served; then all
@@ -22,7 +23,7 @@
 	router.writeConfig(`{"name":"r","listen"`)
 	router.sendSIGHUP()
 	router.waitForLine("configuration reload failed")
-	second := startDiscovery(t, `"x":1`, `"x":2`)
+	second := platformtest.StartDiscovery(t, `"x":1`, `"x":2`)
 	router.writeConfig(configJSON(second.Addr(), h.discovery.AllEvents()))
 	router.sendSIGHUP()
 	if revision := <-second.Polls(); revision != 1 {
@@ -32,7 +33,7 @@
 
 	router.terminate()
 	router.waitForLine("msg=stopping")
-	last := startDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
+	last := platformtest.StartDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
 	router.writeConfig(configJSON(last.Addr(), h.discovery.AllEvents()))
 	router.sendSIGHUP() // right after SIGTERM: workers drain while the last calls are served
 	if revision := testsupport.Await(t, last.Polls(), "a poll at the last address"); revision != 2 {
@@ -46,13 +47,13 @@
 // TestConfigurationsInQuickSuccession writes five configurations, each followed by SIGHUP, without a pause. The last one is
 // in force in the end.
 func TestConfigurationsInQuickSuccession(t *testing.T) {
-	first := startDiscovery(t, fakeplatform.EndpointsEvent(true))
+	first := platformtest.StartDiscovery(t, fakeplatform.EndpointsEvent(true))
 	known := first.AllEvents()
 	router := startRun(t, configJSON(first.Addr(), known))
 	router.waitForLine("msg=serving")
 	var last *fakeplatform.DiscoveryServer
 	for range 5 {
-		last = startDiscovery(t, `"x":1`)
+		last = platformtest.StartDiscovery(t, `"x":1`)
 		router.writeConfig(configJSON(last.Addr(), known))
 		router.sendSIGHUP()
 	}
@@ -91,7 +92,7 @@
 	}()
 	var last *fakeplatform.DiscoveryServer
 	for range configurations {
-		last = startDiscovery(t, `"x":1`)
+		last = platformtest.StartDiscovery(t, `"x":1`)
 		run.writeConfig(configJSON(last.Addr(), h.discovery.AllEvents()))
 		run.sendSIGHUP()
 		time.Sleep(pause)
--- a/internal/httprouter/wallclock_test.go
+++ b/internal/httprouter/wallclock_test.go
@@ -8,6 +8,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // workerStart is what the dispatcher is told of a worker's start.
@@ -51,7 +52,7 @@
 				endpoint := func(id string) string {
 					return fmt.Sprintf("%s 127.0.0.1:1 active 0 %d", id, platform.Now().UnixMilli())
 				}
-				discovery := startDiscovery(t, fakeplatform.EndpointsEvent(true, endpoint("first")))
+				discovery := platformtest.StartDiscovery(t, fakeplatform.EndpointsEvent(true, endpoint("first")))
 				cfg, err := ParseConfig([]byte(configJSON(discovery.Addr(), discovery.AllEvents())))
 				if err != nil {
 					t.Fatal(err)
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -27,11 +27,7 @@
 // newUnnotifiedConn returns a connection of a server, and its client.
 func newUnnotifiedConn(t *testing.T, s *Server) (*conn, *net.TCPConn) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
+	listener := testsupport.Listen(t)
 	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testsupport/listen.go
+++ b/internal/testsupport/listen.go
@@ -16,6 +16,14 @@
 	return listener
 }
 
+// UnusedAddress returns an address of the loopback interface at which nothing listens.
+func UnusedAddress(t testing.TB) string {
+	t.Helper()
+	listener := Listen(t)
+	_ = listener.Close()
+	return listener.Addr().String()
+}
+
 // ServeConns accepts connections until the test ends, serves each by a goroutine of its own and closes it afterwards.
 func ServeConns(t testing.TB, serve func(net.Conn)) (addr string) {
 	t.Helper()
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -1,7 +1,6 @@
 package grpcupstream
 
 import (
-	"net"
 	"os"
 	"slices"
 	"syscall"
@@ -191,13 +190,7 @@
 
 // TestRefusedConnectionIsConnectFailed: a refused connect proves that nothing ran.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	_ = ln.Close()
-	r, dispatcher := newTestRouter(t, addr)
+	r, dispatcher := newTestRouter(t, testsupport.UnusedAddress(t))
 	submit(t, r, false, 5*time.Second)
 	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.ConnectFailed {
 		t.Errorf("%v", ended.Result)
@@ -226,15 +219,21 @@
 // TestTimeoutAndCancel: a worker that does not answer, with a short deadline and with a cancellation.
 func TestTimeoutAndCancel(t *testing.T) {
 	silent := startScriptedWorker(t, func(*scriptedStream) {})
-	r, dispatcher := newTestRouter(t, silent)
-	submit(t, r, false, 100*time.Millisecond)
-	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.TimedOut {
-		t.Errorf("%v, want TimedOut", ended.Result)
-	}
-	r, dispatcher = newTestRouter(t, silent)
-	dispatcher.cancel = true
-	submit(t, r, false, 10*time.Second)
-	if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != dispatch.Cancelled {
-		t.Errorf("%v, want Cancelled", ended.Result)
+	for name, test := range map[string]struct {
+		left   time.Duration
+		cancel bool
+		want   dispatch.Result
+	}{
+		"deadline passes":      {left: 100 * time.Millisecond, want: dispatch.TimedOut},
+		"cancelled, time left": {left: 10 * time.Second, cancel: true, want: dispatch.Cancelled},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r, dispatcher := newTestRouter(t, silent)
+			dispatcher.cancel = test.cancel
+			submit(t, r, false, test.left)
+			if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != test.want {
+				t.Errorf("%v, want %v", ended.Result, test.want)
+			}
+		})
 	}
 }
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -16,6 +16,7 @@
 	"github.com/topazfront/topazfront/internal/invocation"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // scriptedDispatcher starts the attempts of each request at the listed workers, one after another, and passes on the events
@@ -107,11 +108,8 @@
 	}
 	h.pool.Attach(h.router)
 	for _, w := range workers {
-		if err := w.Start("127.0.0.1:0"); err != nil {
-			t.Fatal(err)
-		}
+		platformtest.StartWorker(t, w)
 		h.endpoints = append(h.endpoints, endpoints.Worker{Endpoint: dispatch.Endpoint{ID: w.ID}, Address: w.Addr()})
-		t.Cleanup(w.Stop)
 	}
 	h.router.SetEndpoints(h.endpoints)
 	t.Cleanup(func() { h.router.Kill(); h.pool.Close() })
--- a/internal/upstream/respupstream/pool_bench_test.go
+++ b/internal/upstream/respupstream/pool_bench_test.go
@@ -8,17 +8,24 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
+// newLargePool returns a pool with n workers and the list of them.
+func newLargePool(b *testing.B, n int) (*Pool, []endpoints.Worker) {
+	b.Helper()
+	list := make([]endpoints.Worker, n)
+	for i := range list {
+		list[i] = endpoints.Worker{Endpoint: dispatch.Endpoint{ID: fmt.Sprintf("w-%08x", i)}, Address: "127.0.0.1:1"}
+	}
+	pool := New(Config{})
+	b.Cleanup(pool.Close)
+	pool.UpdateEndpoints(list)
+	return pool, list
+}
+
 // BenchmarkPoolUpdate times an update that changes one worker of n.
 func BenchmarkPoolUpdate(b *testing.B) {
 	for _, n := range []int{60, 960, 3200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
-			list := make([]endpoints.Worker, n)
-			for i := range list {
-				list[i] = endpoints.Worker{Endpoint: dispatch.Endpoint{ID: fmt.Sprintf("w-%08x", i)}, Address: "127.0.0.1:1"}
-			}
-			pool := New(Config{})
-			b.Cleanup(pool.Close)
-			pool.UpdateEndpoints(list)
+			pool, list := newLargePool(b, n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				list[i%n].StartedAt++
@@ -32,13 +39,7 @@
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range []int{60, 960, 3200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
-			list := make([]endpoints.Worker, n)
-			for i := range list {
-				list[i] = endpoints.Worker{Endpoint: dispatch.Endpoint{ID: fmt.Sprintf("w-%08x", i)}, Address: "127.0.0.1:1"}
-			}
-			pool := New(Config{})
-			b.Cleanup(pool.Close)
-			pool.UpdateEndpoints(list)
+			pool, _ := newLargePool(b, n)
 			for b.Loop() {
 				pool.sweepOnce()
 			}
