--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -14,6 +14,7 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 	"github.com/topazfront/topazfront/internal/router"
 	"github.com/topazfront/topazfront/internal/testsupport"
+	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
 // defaultSettings are those of a small fleet. Times are in microseconds, as the simulator sends them.
@@ -44,36 +45,14 @@
 // hexID is an ID in the form of the protocols: 16 hexadecimal digits.
 func hexID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// unusedAddress is an address at which nothing listens.
-func unusedAddress(t *testing.T) string {
-	t.Helper()
-	listener := testsupport.Listen(t)
-	_ = listener.Close()
-	return listener.Addr().String()
-}
-
-func startDiscovery(t *testing.T, events ...string) *fakeplatform.DiscoveryServer {
-	t.Helper()
-	server, err := fakeplatform.StartDiscoveryServer(events...)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(server.Stop)
-	return server
-}
-
-func startWorker(t *testing.T, worker *fakeplatform.Worker) *fakeplatform.Worker {
-	t.Helper()
-	if err := worker.Start("127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(worker.Stop)
-	return worker
-}
-
 // newDispatcher is Options.NewDispatcher.
 type newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)
 
+// fixedDispatcher is Options.NewDispatcher for a dispatcher that is made already.
+func fixedDispatcher(d router.Dispatcher) newDispatcher {
+	return func(dispatch.Settings, uint64) (router.Dispatcher, error) { return d, nil }
+}
+
 // harness is three workers, a discovery server that lists them, a router and a client of it. What workers and clients
 // observe is recorded.
 type harness struct {
@@ -124,7 +103,7 @@
 	for cell, w := range h.workers {
 		list = append(list, fmt.Sprintf("%s %s active %d", w.ID, h.addressOf(w), cell))
 	}
-	h.discovery = startDiscovery(t, fakeplatform.EndpointsEvent(true, list...))
+	h.discovery = platformtest.StartDiscovery(t, fakeplatform.EndpointsEvent(true, list...))
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
 	h.client = &fakeplatform.Client{Records: h.records, Router: options.router, HTTPClient: &http.Client{Transport: transport}}
@@ -141,7 +120,7 @@
 	if h.options.handle != nil {
 		w.Handle = func(r fakeplatform.Request) { h.options.handle(w, r) }
 	}
-	return startWorker(h.t, w)
+	return platformtest.StartWorker(h.t, w)
 }
 
 // addressOf returns the address at which the harness's router reaches a worker.
@@ -248,6 +227,19 @@
 		RecordingDelay: time.Second}
 }
 
+// requireServedWithoutDraining makes n calls of each class and requires that all are served, and none by a worker that
+// drains.
+func (h *harness) requireServedWithoutDraining(worker *fakeplatform.Worker, n int) {
+	h.t.Helper()
+	before := len(worker.Received())
+	if served := h.calls(n); served < 3*n {
+		h.t.Errorf("%d of %d served", served, 3*n)
+	}
+	if got := len(worker.Received()) - before; got > 0 {
+		h.t.Errorf("%d messages to a worker that drains", got)
+	}
+}
+
 // recordDrain records that the router knows that a worker drains.
 func (h *harness) recordDrain(worker string) {
 	h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: "r", Worker: worker, Unavailable: true})
@@ -260,3 +252,19 @@
 		h.t.Error(violation)
 	}
 }
+
+// awaitPoll waits for a poll from a revision: the events up to it were applied.
+func awaitPoll(t *testing.T, server *fakeplatform.DiscoveryServer, revision int) {
+	t.Helper()
+	timeout := time.After(20 * time.Second)
+	for {
+		select {
+		case got := <-server.Polls():
+			if got == revision {
+				return
+			}
+		case <-timeout:
+			t.Fatalf("no poll from revision %d", revision)
+		}
+	}
+}
