--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -76,3 +76,53 @@
 	}
 	return n
 }
+
+// TestSelectionInLargeFleet: a function looks at no more than maxRankedCandidates workers of its ranking, and finds the
+// worker that holds it behind them all the same.
+func TestSelectionInLargeFleet(t *testing.T) {
+	const workers = 4 * maxRankedCandidates
+	r := newBenchmarkRouter(t, workers)
+	d := r.dispatcher
+	r.request()
+	f := d.functionsInOrder[0]
+	if n := len(f.ranking.entries); n >= workers/2 {
+		t.Errorf("%d of %d workers ranked for one request", n, workers)
+	}
+	for w := range f.placements {
+		delete(f.placements, w)
+	}
+	behind := d.rankedWorker(f, workers-1)
+	f.ensurePlacement(behind).residentUntil = r.now + time.Minute
+	request := Request{ID: 1000, Function: f.key, Class: classIdempotent, MemoryMB: 300, RemainingDeadline: time.Second}
+	started := actionsOf[StartAttempt](d.Step(r.now, []Event{request}))
+	if len(started) != 1 || started[0].Worker != behind.ID {
+		t.Errorf("started %v, want an attempt at %s, which holds the function", started, behind.ID)
+	}
+}
+
+// TestAssignmentStopsWhereNoWorkerCanTakeAny: while all workers have ejected a class, its functions rank no more than a
+// part of a large fleet, and the others are assigned as before.
+func TestAssignmentStopsWhereNoWorkerCanTakeAny(t *testing.T) {
+	const workers = 8 * maxUnassignable
+	r := newBenchmarkRouter(t, workers)
+	d := r.dispatcher
+	for range 10 {
+		r.request()
+	}
+	for _, w := range d.activeWorkers {
+		d.ejectClass(w, d.classes[classIdempotent])
+	}
+	d.assignCapacity()
+	for _, f := range d.functionsInOrder {
+		if len(f.assignment) > 0 || len(f.ranking.entries) > workers/2 {
+			t.Errorf("%s: %d workers assigned, %d ranked", f.key, len(f.assignment), len(f.ranking.entries))
+		}
+	}
+	r.now += time.Minute
+	d.Step(r.now, []Event{TimerFired{}})
+	for _, f := range d.functionsInOrder {
+		if len(f.assignment) == 0 {
+			t.Errorf("%s: no worker is assigned after the ejections", f.key)
+		}
+	}
+}
