--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -175,7 +175,7 @@
 	defer w.late.close()
 	consecutiveFailures := 0
 	for ctx.Err() == nil {
-		address, conn, err := w.connect(ctx)
+		address, conn, err := w.ensureConnection(ctx)
 		if err == nil {
 			err = w.poll(conn)
 		}
@@ -211,9 +211,9 @@
 	}
 }
 
-// connect returns the open connection to the current address, or establishes one. On an error conn is nil. The error is
+// ensureConnection returns the open connection to the current address, or establishes one. On an error conn is nil. The error is
 // errInterrupted if the address changed or the Watcher was closed while the connection was being established.
-func (w *Watcher) connect(ctx context.Context) (address string, conn *connection, err error) {
+func (w *Watcher) ensureConnection(ctx context.Context) (address string, conn *connection, err error) {
 	w.mu.Lock()
 	address = w.address
 	conn = w.conn
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -97,19 +97,11 @@
 // onReadable reads the input that has arrived. netpoll runs it on one goroutine at a time.
 func (c *conn) onReadable() {
 	defer c.recoverPanic()
-	defer func() {
-		c.server.mu.Lock()
-		c.reading = false
-		c.server.mu.Unlock()
-	}()
+	defer c.stopReading()
 	r := c.netConn.Reader()
 	current := c.server.currentArrival(c.netConn)
 	for n := r.Len(); n > 0; n = r.Len() {
-		c.server.mu.Lock()
-		closed := c.closed
-		discarding := c.discarding
-		c.reading = true
-		c.server.mu.Unlock()
+		closed, discarding := c.startReading()
 		if discarding {
 			_ = r.Skip(n)
 			_ = r.Release()
@@ -127,6 +119,21 @@
 	}
 }
 
+// startReading marks the connection as being read, which is pending work, and returns what is to be done with its input.
+func (c *conn) startReading() (closed, discarding bool) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.reading = true
+	return c.closed, c.discarding
+}
+
+// stopReading takes back the mark of startReading.
+func (c *conn) stopReading() {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.reading = false
+}
+
 // addToReader moves at most n received bytes to the reader of requests. current is their arrival as the system reported it.
 func (c *conn) addToReader(received netpoll.Reader, n int, current arrival) error {
 	c.parseMu.Lock()
--- a/internal/server/httpserver/parse.go
+++ b/internal/server/httpserver/parse.go
@@ -43,17 +43,15 @@
 
 func (e *requestError) Error() string { return e.reason }
 
-// parseCall returns the call that a request asks for. arrived is when the request's last byte came; the deadline counts
-// from it. The error is a *requestError.
+// parseCall returns the call that a request asks for. arrived is when the request's last byte arrived, from which the
+// deadline counts. The error is a *requestError.
 func (s *Server) parseCall(m *http1.Message, arrived time.Time) (*router.Call, *invocation.Request, error) {
 	function, err := parseTarget(m)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, name := range callFields {
-		if _, once := m.Get(name); !once && m.Has(name) {
-			return nil, nil, &requestError{http1.StatusBadRequest, name + ": given twice"}
-		}
+	if err := checkFieldsGivenOnce(m); err != nil {
+		return nil, nil, err
 	}
 	class, _ := m.Get(classField)
 	idempotency, ok := s.cfg.Classes[class]
@@ -64,23 +62,20 @@
 	if !invocation.IsLowerHex(id, hexIDLength) {
 		return nil, nil, &requestError{http1.StatusBadRequest, "x-correlation-id: not 16 hex digits"}
 	}
-	text, _ := m.Get(deadlineField)
-	timeout, ok := parseNumber(text, maxMilliseconds)
-	if !ok || timeout <= 0 {
-		return nil, nil, &requestError{http1.StatusBadRequest, "x-deadline-ms: not a usable figure"}
+	deadline, err := parseDeadline(m)
+	if err != nil {
+		return nil, nil, err
 	}
-	key, given := m.Get(keyField)
-	keyMissing := !given && idempotency == dispatch.IdempotentByKey
-	keyInvalid := given && !invocation.IsIdempotencyKey(key)
-	if keyMissing || keyInvalid {
-		return nil, nil, &requestError{http1.StatusBadRequest, "x-operation-key: missing or unusable"}
+	key, err := parseKey(m, idempotency)
+	if err != nil {
+		return nil, nil, err
 	}
 	now := time.Now()
 	call := &router.Call{
 		Function:               function,
 		Class:                  class,
 		ConcurrencyPerInstance: 1,
-		RemainingDeadline:      arrived.Add(milliseconds(timeout)).Sub(now),
+		RemainingDeadline:      arrived.Add(deadline).Sub(now),
 		MeasuredAt:             now,
 	}
 	if err := parseEstimates(call, m); err != nil {
@@ -91,6 +86,37 @@
 	return call, request, nil
 }
 
+// checkFieldsGivenOnce rejects a request that has a field of a call more than once.
+func checkFieldsGivenOnce(m *http1.Message) error {
+	for _, name := range callFields {
+		if _, once := m.Get(name); !once && m.Has(name) {
+			return &requestError{http1.StatusBadRequest, name + ": given twice"}
+		}
+	}
+	return nil
+}
+
+// parseDeadline returns how long after the request's arrival the client gives up.
+func parseDeadline(m *http1.Message) (time.Duration, error) {
+	text, _ := m.Get(deadlineField)
+	deadline, ok := parseNumber(text, maxMilliseconds)
+	if !ok || deadline <= 0 {
+		return 0, &requestError{http1.StatusBadRequest, "x-deadline-ms: not a usable figure"}
+	}
+	return milliseconds(deadline), nil
+}
+
+// parseKey returns the idempotency key, which classes that are idempotent by key must have and others may have.
+func parseKey(m *http1.Message, idempotency dispatch.Idempotency) (string, error) {
+	key, given := m.Get(keyField)
+	missing := !given && idempotency == dispatch.IdempotentByKey
+	invalid := given && !invocation.IsIdempotencyKey(key)
+	if missing || invalid {
+		return "", &requestError{http1.StatusBadRequest, "x-operation-key: missing or unusable"}
+	}
+	return key, nil
+}
+
 // parseTarget checks the method and the path of a call, /call/<function>/call, and returns the function's id.
 func parseTarget(m *http1.Message) (function string, err error) {
 	parts := strings.Split(m.Target, "/")
--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -25,12 +25,18 @@
 	c := newConn(p, w, netConn)
 	_ = netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
 	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
-	if !netConn.IsActive() { // it ended before the callbacks were set
+	if !netConn.IsActive() { // it was closed before the callbacks were set, so that netpoll has called none
 		c.onClosed()
 	}
+	p.addConn(c)
+}
+
+// addConn adds a new connection to the pool and assigns exchanges that wait for one. If the pool has been closed meanwhile, it
+// closes the connection, which Close has not seen.
+func (p *Pool) addConn(c *conn) {
+	w := c.worker
 	p.mu.Lock()
-	w.connecting--
-	p.connecting--
+	p.connectEnded(w)
 	poolClosed := p.closed
 	if !c.closed {
 		p.conns[c] = struct{}{}
@@ -41,24 +47,29 @@
 		c.takeWaiting()
 	}
 	var callbacks []func()
-	if w.connecting == 0 { // no other connect is in progress: the rest shares the connections there are
+	if w.connecting == 0 { // no other connect is in progress: the others share the existing connections
 		callbacks = p.reassignWaiting(w)
 	}
 	p.mu.Unlock()
 	runCallbacks(callbacks...)
-	if poolClosed { // Close has not seen this connection
+	if poolClosed {
 		c.close()
 	}
 }
 
+// connectEnded counts the end of a connect to the worker. The lock is held.
+func (p *Pool) connectEnded(w *worker) {
+	w.connecting--
+	p.connecting--
+}
+
 // dialFailed ends all exchanges that wait for a connection to the worker. Nothing of them was written.
 func (p *Pool) dialFailed(w *worker, err error) {
 	var callbacks []func()
+	result := upstream.EvidenceOf(upstream.Connect, err).Result()
 	p.mu.Lock()
-	w.connecting--
-	p.connecting--
+	p.connectEnded(w)
 	p.stats.DialFailures++
-	result := upstream.EvidenceOf(upstream.Connect, err).Result()
 	waiting := w.waiting
 	w.waiting = nil
 	for _, x := range waiting {
--- a/internal/upstream/respupstream/evidence.go
+++ b/internal/upstream/respupstream/evidence.go
@@ -2,8 +2,8 @@
 
 import "github.com/topazfront/topazfront/dispatch"
 
-// The evidence for how an exchange ended, and what it proves. "Never ran" is claimed only where the protocol or the
-// operating system guarantees it; in doubt a request may have run.
+// The evidence for how an exchange ended, and what it proves. "Never ran" is claimed only if the protocol or the operating
+// system guarantees it. In doubt a request may have run.
 //
 //	evidence                                             result           never ran
 //	connect refused or timed out                         ConnectFailed    yes: nothing was written
--- a/internal/upstream/respupstream/exchange.go
+++ b/internal/upstream/respupstream/exchange.go
@@ -63,14 +63,7 @@
 	x := &exchange{pool: p, kind: kindAttempt, call: call, createdAt: time.Now()}
 	x.writeBefore = x.createdAt.Add(left)
 	x.done = func(result dispatch.Result, received *response) {
-		attemptResult := router.AttemptResult{Result: result, Report: router.NoWorkerReport}
-		if received != nil {
-			attemptResult.Report = received.report
-			if result == dispatch.OK {
-				attemptResult.Body = received.body
-			}
-		}
-		p.router.AttemptEnded(token, attemptResult)
+		p.router.AttemptEnded(token, newAttemptResult(result, received))
 	}
 	if request == nil { // the call came over another protocol
 		x.ended = true
@@ -83,8 +76,20 @@
 	return handle{x}
 }
 
+// newAttemptResult returns the router's form of an attempt's end. received is nil if there was no response.
+func newAttemptResult(result dispatch.Result, received *response) router.AttemptResult {
+	if received == nil {
+		return router.AttemptResult{Result: result, Report: router.NoWorkerReport}
+	}
+	attemptResult := router.AttemptResult{Result: result, Report: received.report}
+	if result == dispatch.OK {
+		attemptResult.Body = received.body
+	}
+	return attemptResult
+}
+
 // LoadFunction implements router.Upstream. A load command that cannot be written within the connect timeout is not written
-// at all: written late, it would count against another interval of the load rate limit.
+// at all. Written late, it would count against another interval of the load rate limit.
 func (p *Pool) LoadFunction(workerID, function string, copies int, limit time.Duration, done func(router.LoadResult)) {
 	x := &exchange{pool: p, kind: kindLoad, writeBefore: time.Now().Add(min(limit, p.config.ConnectTimeout))}
 	x.done = func(result dispatch.Result, received *response) {
