--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -32,7 +32,7 @@
 }
 
 // takeWaiting queues the first exchange that waits for a connection to the worker, if nothing is outstanding on this
-// connection. The lock is held, as by all methods below up to expireUsedIDs.
+// connection. The lock is held, as by all methods below up to remove.
 func (c *conn) takeWaiting() {
 	for len(c.worker.waiting) > 0 && !c.draining && c.outstanding() == 0 {
 		x := c.worker.waiting[0]
@@ -98,39 +98,6 @@
 	c.takeWaiting()
 }
 
-// usedIDRetention is how long an id counts as used on a connection: longer than any deadline of a request and any delay
-// of its response.
-const usedIDRetention = time.Minute
-
-// usedIDSweeps is how many times within usedIDRetention expired ids are removed.
-const usedIDSweeps = 8
-
-// maxUsedIDs bounds the ids that a connection remembers; a connection with more drains, and a new one takes its place.
-const maxUsedIDs = 4096
-
-// rememberID notes that an id was written to the connection.
-func (c *conn) rememberID(id string, now time.Time) {
-	c.usedIDs[id] = now.Sub(c.openedAt) + usedIDRetention
-}
-
-// expireUsedIDs forgets ids for which no late response can arrive any more, and drains the connection if it remembers too
-// many.
-func (c *conn) expireUsedIDs(now time.Time) {
-	if len(c.usedIDs) > maxUsedIDs {
-		c.drain()
-	}
-	if now.Sub(c.idsExpiredAt) < usedIDRetention/usedIDSweeps {
-		return
-	}
-	c.idsExpiredAt = now
-	age := now.Sub(c.openedAt) // by the monotonic clock: a step of the wall clock must neither forget ids nor keep them
-	for id, until := range c.usedIDs {
-		if until < age && c.inFlight[id] == nil {
-			delete(c.usedIDs, id)
-		}
-	}
-}
-
 // fail closes a connection on which the worker violated the protocol.
 func (c *conn) fail(reason string) {
 	c.pool.mu.Lock()
