--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -30,8 +30,8 @@
 // maxWorkers bounds the list. Further workers are ignored, so that a faulty source can't exhaust the memory.
 const maxWorkers = 1 << 16
 
-// Merger holds one router's view of the endpoints. It isn't safe for concurrent use. An update costs in proportion to its
-// workers and to the reported drains, not to the list.
+// Merger holds one router's view of the endpoints. It isn't safe for concurrent use. An update that is not a snapshot costs in
+// proportion to its workers and to the reported drains, not to the list.
 type Merger struct {
 	settings Settings
 	list     map[string]Worker         // the list as it was last updated, by ID
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -18,17 +18,17 @@
 	socket  socket
 
 	// Under the pool's lock.
+	queue           []*exchange          // to be written, in order
 	inFlight        map[string]*exchange // written and not answered, by id
-	openedAt        time.Time
-	usedIDs         map[string]time.Duration // ids that were written to it, until this time since openedAt
-	idsExpiredAt    time.Time                // when usedIDs was last cleaned
-	queue           []*exchange              // to be written, in order
-	writing         bool                     // a goroutine runs writeLoop
-	partialResponse bool                     // a response has begun and is not complete
-	draining        bool                     // accepts no new exchange; closed once nothing is in flight
+	writing         bool                 // a goroutine runs writeLoop
+	partialResponse bool                 // a response has begun and is not complete
+	draining        bool                 // accepts no new exchange; closed once nothing is in flight
 	closed          bool
+	openedAt        time.Time
 	lastReadAt      time.Time
-	lastUsedAt      time.Time
+	lastUsedAt      time.Time                // when an exchange was last queued on it or removed from it
+	usedIDs         map[string]time.Duration // by id that was written to it: until when it counts, since openedAt
+	idsExpiredAt    time.Time                // when usedIDs was last cleaned
 }
 
 // takeWaiting queues the first exchange that waits for a connection to the worker, if nothing is outstanding on this
