--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -10,17 +10,19 @@
 // This file assigns demand to workers: demand, assignment, remainingCapacity, and the rates.
 
 const (
-	capacityHeadroom    = 0.2              // epsilon of the paper: capacity beyond the demand
-	unansweredInstances = 0.1              // copies that a function is assigned until it has been served
-	rateSmoothing       = 0.3              // weight of the newest interval in a rate: some 6 s of memory
-	requestsPerWorker   = 3.0              // a rate covers at least this many requests for each worker
-	idleFunctionTTL     = 2 * time.Minute  // a function without requests for so long is forgotten,
-	unservedFunctionTTL = 10 * time.Second // and one that was never served sooner: anyone may make up names
-	slowThreshold       = 1.0              // slowness from which a worker is reported
-	suspectedCapacity   = 0.01             // capacity factor of a suspected worker
-	maxSpeedFactor      = 1.5              // most that a fast worker's capacity is raised by
-	negligible          = 1e-9             // demand or capacity that counts as none
-	maxUnassignable     = 128              // workers that are passed over in a row before a function's assignment ends
+	capacityHeadroom         = 0.2                    // epsilon of the paper: capacity beyond the demand
+	unansweredInstances      = 0.1                    // copies that a function is assigned until it has been served
+	rateSmoothing            = 0.3                    // weight of the newest interval in a rate: some 6 s of memory
+	requestsPerWorker        = 3.0                    // a rate covers at least this many requests for each worker
+	idleFunctionTTL          = 2 * time.Minute        // a function without requests for so long is forgotten,
+	unservedFunctionTTL      = 10 * time.Second       // and one that was never served sooner: anyone may make up names
+	slowThreshold            = 1.0                    // slowness from which a worker is reported
+	suspectedCapacity        = 0.01                   // capacity factor of a suspected worker
+	maxSpeedFactor           = 1.5                    // most that a fast worker's capacity is raised by
+	negligible               = 1e-9                   // demand or capacity that counts as none
+	reassignInterval         = 100 * time.Millisecond // between assignments because of endpoint updates,
+	immediateReassignWorkers = 128                    // but in fleets of no more workers, in which each follows its update at once
+	maxUnassignable          = 128                    // workers that are passed over in a row before a function's assignment ends
 )
 
 // rebalance measures the rates of the interval that ends, forgets what is idle and assigns capacity anew.
@@ -81,9 +83,31 @@
 	})
 }
 
+// reassignAfterUpdate assigns capacity anew after an endpoint update. In a large fleet, where updates come often and each
+// concerns a small part of it, this is put off until reassignInterval has passed since the last assignment. Until then
+// workers that came get nothing, and those that are no longer active are passed over.
+func (d *Dispatcher) reassignAfterUpdate() {
+	if !d.started || d.lastRebalance >= d.now {
+		return
+	}
+	d.assignmentStale = true
+	if len(d.activeWorkers) <= immediateReassignWorkers {
+		d.assignCapacity()
+	}
+}
+
+// reassignIfDue makes an assignment that was put off.
+func (d *Dispatcher) reassignIfDue() {
+	if d.assignmentStale && d.now-d.assignedAt >= reassignInterval {
+		d.assignCapacity()
+	}
+}
+
 // assignCapacity fills the workers with the functions, lightest first. The workers' capacities add up to the
 // demand and the headroom, so all of it is assigned while there is a worker that may take it.
 func (d *Dispatcher) assignCapacity() {
+	d.assignedAt = d.now
+	d.assignmentStale = false
 	totalDemand := d.measureDemand()
 	d.divideCapacity(totalDemand * (1 + capacityHeadroom))
 	lightestFirst := slices.Clone(d.functionsInOrder)
--- a/dispatch/assignment_test.go
+++ b/dispatch/assignment_test.go
@@ -132,3 +132,36 @@
 		t.Errorf("%d functions are kept, want none", n)
 	}
 }
+
+// TestReassignmentAfterUpdates: in a large fleet, updates that follow each other closely are answered by one assignment,
+// soon after; in a small one each is followed at once.
+func TestReassignmentAfterUpdates(t *testing.T) {
+	for workers, immediate := range map[int]bool{immediateReassignWorkers / 2: true, 3 * immediateReassignWorkers: false} {
+		t.Run(fmt.Sprint(workers, " workers"), func(t *testing.T) {
+			r := newBenchmarkRouter(t, workers)
+			for range 2 * benchmarkFunctions {
+				r.request()
+			}
+			d := r.dispatcher
+			r.now += time.Second // behind the last response
+			assignments := 0
+			var last time.Duration
+			for i := range 10 {
+				r.now += reassignInterval / 20
+				d.Step(r.now, []Event{EndpointUpdate{Endpoints: []Endpoint{r.endpoint(workers + i)}}})
+				if d.assignedAt != last {
+					last = d.assignedAt
+					assignments++
+				}
+			}
+			if immediate && assignments != 10 || !immediate && assignments > 2 {
+				t.Errorf("%d assignments after 10 updates", assignments)
+			}
+			r.now += reassignInterval
+			d.Step(r.now, []Event{TimerFired{}})
+			if d.assignmentStale {
+				t.Error("the assignment is still that of the fleet before")
+			}
+		})
+	}
+}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -71,6 +71,7 @@
 	if d.now-d.lastRebalance >= rebalanceInterval {
 		d.rebalance()
 	}
+	d.reassignIfDue()
 	d.retryPending()
 	d.setTimer()
 	return d.actions
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -22,9 +22,7 @@
 	d.updateActiveWorkers()
 	d.forgetRemovedWorkers()
 	d.fleetShare = float64(max(len(d.activeWorkers), 1)) / float64(d.settings.Routers)
-	if d.started && d.lastRebalance < d.now {
-		d.assignCapacity()
-	}
+	d.reassignAfterUpdate()
 }
 
 // updateEndpoint takes one line of the list. A worker with a new start holds no function and is warming up.
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -40,13 +40,15 @@
 	loadCommandTimes []time.Duration
 
 	// Measured once every rebalance interval; the counts are of the interval under way.
-	lastRebalance  time.Duration
-	rebalanceCount float64
-	requestRate    float64 // requests of this router a second
-	workRate       float64 // seconds of work served a second
-	workServed     float64
-	servedRate     float64 // requests served a second
-	servedCount    float64
+	lastRebalance   time.Duration
+	assignedAt      time.Duration // when capacity was last assigned
+	assignmentStale bool          // the fleet has changed since
+	rebalanceCount  float64
+	requestRate     float64 // requests of this router a second
+	workRate        float64 // seconds of work served a second
+	workServed      float64
+	servedRate      float64 // requests served a second
+	servedCount     float64
 
 	// Learned from responses and load reports.
 	logLoadTime          float64 // logarithm of the seconds that a load takes
