--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -65,6 +65,17 @@
 	return response
 }
 
+// startWatcherWith starts a watcher that has the events so far, and closes it with the test.
+func startWatcherWith(t *testing.T, cfg Config, events string) *Watcher {
+	t.Helper()
+	watcher, err := Start(cfg, parseResponse(t, events))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(watcher.Close)
+	return watcher
+}
+
 // constantRouterTime converts start times for tests that don't look at them.
 func constantRouterTime(string, wallclock.Time) time.Duration { return 1 }
 
@@ -108,11 +119,7 @@
 		lists <- list.String()
 	})
 	cfg.PollWait = pollWait
-	watcher, err := Start(cfg, parseResponse(t, server.AllEvents()))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(watcher.Close)
+	watcher := startWatcherWith(t, cfg, server.AllEvents())
 	if got := testsupport.Await(t, lists, "the initial list"); got != "a@1.1.1.1:1, b@1.1.1.2:1" {
 		t.Fatalf("initial list: %s", got)
 	}
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -63,11 +63,7 @@
 		}
 		return dial(address, cfg)
 	}
-	watcher, err := Start(cfg, parseResponse(t, server.AllEvents()))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(watcher.Close)
+	startWatcherWith(t, cfg, server.AllEvents())
 	testsupport.Await(t, lists, "the initial list")
 	if got := testsupport.Await(t, lists, "the event of the outage"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 		t.Errorf("list %s", got)
@@ -162,11 +158,7 @@
 		list.apply(&update)
 		lists <- list.String()
 	}
-	watcher, err := Start(watcherConfig(listener.Addr().String(), onUpdate), parseResponse(t, `{"cursor":1,"cmds":[]}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(watcher.Close)
+	startWatcherWith(t, watcherConfig(listener.Addr().String(), onUpdate), `{"cursor":1,"cmds":[]}`)
 	testsupport.Await(t, lists, "the initial list")
 	if got := testsupport.Await(t, lists, "the event"); got != "c@1.1.1.1:1" {
 		t.Errorf("list %s", got)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -138,11 +138,7 @@
 				}
 				return dial(address, cfg)
 			}
-			watcher, err := Start(cfg, parseResponse(t, oldServer.AllEvents()))
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(watcher.Close)
+			watcher := startWatcherWith(t, cfg, oldServer.AllEvents())
 			testsupport.Await(t, dialing, "a connect to the old address")
 			if closed {
 				watcher.cancel() // as Close does first
--- a/internal/grpcgateway/proxy_comparison_children_test.go
+++ b/internal/grpcgateway/proxy_comparison_children_test.go
@@ -10,7 +10,6 @@
 	"io"
 	"net"
 	"os"
-	"os/exec"
 	"runtime/pprof"
 	"strconv"
 	"strings"
@@ -26,6 +25,7 @@
 	"github.com/topazfront/topazfront/internal/config"
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/oip/inference"
+	"github.com/topazfront/topazfront/internal/testsupport"
 	wire "github.com/topazfront/topazfront/internal/transport/grpc"
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 	"github.com/topazfront/topazfront/internal/transport/http2"
@@ -234,30 +234,16 @@
 
 // childProcess is this test binary in one role.
 type childProcess struct {
-	cmd       *exec.Cmd
+	*testsupport.Child
 	addresses []string // that it serves on
 }
 
 // startChild starts a child and reads so many addresses from its output. It ends with the test.
 func startChild(t *testing.T, role string, addresses int, workers []string) *childProcess {
 	t.Helper()
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "COMPARE_ROLE="+role, "COMPARE_WORKERS="+strings.Join(workers, " "))
-	cmd.Stderr = io.Discard
-	stdin, err := cmd.StdinPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	stdout, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	child := &childProcess{cmd: cmd}
-	t.Cleanup(func() { _ = stdin.Close(); _ = cmd.Wait() })
-	lines := bufio.NewScanner(stdout)
+	child := &childProcess{Child: testsupport.StartChild(t, io.Discard, "COMPARE_ROLE="+role, "COMPARE_WORKERS="+strings.Join(workers, " "))}
+	t.Cleanup(func() { _ = child.Stdin.Close(); _ = child.Cmd.Wait() })
+	lines := bufio.NewScanner(child.Stdout)
 	for len(child.addresses) < addresses && lines.Scan() {
 		if line := lines.Text(); strings.HasPrefix(line, "127.") {
 			child.addresses = append(child.addresses, line)
@@ -269,7 +255,7 @@
 // cpuSeconds returns the process's CPU time so far.
 func (p *childProcess) cpuSeconds() float64 {
 	const ticksPerSecond = 100 // USER_HZ, see proc_pid_stat(5)
-	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Cmd.Process.Pid))
 	stat := string(raw)
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+2:]) // from the third of proc_pid_stat(5)
 	user, _ := strconv.ParseFloat(fields[11], 64)
@@ -279,7 +265,7 @@
 
 // residentMB returns the process's resident memory, 0 where the system does not say.
 func (p *childProcess) residentMB() float64 {
-	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Cmd.Process.Pid))
 	for _, line := range strings.Split(string(raw), "\n") {
 		if strings.HasPrefix(line, "VmRSS:") {
 			kb, _ := strconv.ParseFloat(strings.Fields(line)[1], 64)
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -210,7 +210,7 @@
 // gzipBomb returns a compressed message within the server's limit, whose content exceeds it.
 func gzipBomb(t *testing.T) []byte {
 	t.Helper()
-	return compressMessage(t, make([]byte, 100000))
+	return testsupport.CompressGRPCMessage(t, make([]byte, 100000))
 }
 
 // requestField returns a list of one header field.
--- a/internal/transport/grpc/compression_test.go
+++ b/internal/transport/grpc/compression_test.go
@@ -6,29 +6,12 @@
 	"strings"
 	"testing"
 
-	"github.com/klauspost/compress/gzip"
+	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// compressMessage returns a message with its prefix, compressed by gzip.
-func compressMessage(t *testing.T, body []byte) []byte {
-	t.Helper()
-	var b bytes.Buffer
-	b.Write(make([]byte, PrefixLen))
-	w := gzip.NewWriter(&b)
-	if _, err := w.Write(body); err != nil {
-		t.Fatal(err)
-	}
-	if err := w.Close(); err != nil {
-		t.Fatal(err)
-	}
-	message := b.Bytes()
-	AppendPrefix(message[:0], len(message)-PrefixLen, true)
-	return message
-}
-
 func TestCompression(t *testing.T) {
 	body := []byte(strings.Repeat("steam and beans ", 1000))
-	message := compressMessage(t, body)
+	message := testsupport.CompressGRPCMessage(t, body)
 	if len(message) > 500 {
 		t.Fatalf("%d bytes", len(message))
 	}
--- a/internal/transport/listen/listen_test.go
+++ b/internal/transport/listen/listen_test.go
@@ -1,14 +1,12 @@
 package listen
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"os"
-	"os/exec"
 	"strings"
 	"syscall"
 	"testing"
@@ -63,35 +61,19 @@
 
 // serverProcess is a child process that runs runServerProcess.
 type serverProcess struct {
+	*testsupport.Child
 	t       *testing.T
-	cmd     *exec.Cmd
-	stdin   io.Closer
-	stdout  *bufio.Reader
 	address string
 }
 
 func startServerProcess(t *testing.T) *serverProcess {
 	t.Helper()
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "LISTEN_TEST_CHILD=1")
-	cmd.Stderr = os.Stderr
-	stdin, err := cmd.StdinPipe()
+	child := testsupport.StartChild(t, os.Stderr, "LISTEN_TEST_CHILD=1")
+	address, err := child.Stdout.ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
-	stdout, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	lines := bufio.NewReader(stdout)
-	address, err := lines.ReadString('\n')
-	if err != nil {
-		t.Fatal(err)
-	}
-	return &serverProcess{t, cmd, stdin, lines, strings.TrimSpace(address)}
+	return &serverProcess{child, t, strings.TrimSpace(address)}
 }
 
 func (p *serverProcess) dial() net.Conn {
@@ -137,8 +119,8 @@
 // stop ends the process and returns what it printed last.
 func (p *serverProcess) stop() (shed int, processorTime time.Duration) {
 	p.t.Helper()
-	_ = p.stdin.Close()
-	line, err := p.stdout.ReadString('\n')
+	_ = p.Stdin.Close()
+	line, err := p.Stdout.ReadString('\n')
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -149,7 +131,7 @@
 	if processorTime, err = time.ParseDuration(duration); err != nil {
 		p.t.Errorf("%q: %v", line, err)
 	}
-	if err := p.cmd.Wait(); err != nil {
+	if err := p.Cmd.Wait(); err != nil {
 		p.t.Error(err)
 	}
 	return shed, processorTime
