--- a/internal/grpcgateway/calls_test.go
+++ b/internal/grpcgateway/calls_test.go
@@ -30,15 +30,6 @@
 	if err != nil || messages != 7 || bytes != 7000 {
 		t.Fatalf("streamed: %d messages, %d bytes, %v", messages, bytes, err)
 	}
-	_, err = h.infer(timeoutContext(t, 5*time.Second), newRequest("nobody", "c3", 5, 1, 10))
-	if status.Code(err) != codes.NotFound {
-		t.Fatalf("a model that is not served: %v", err)
-	}
-	var live inference.ServerLiveResponse
-	err = h.conn.Invoke(timeoutContext(t, 5*time.Second), oip.ServerLive, &inference.ServerLiveRequest{}, &live)
-	if err != nil || !live.Live {
-		t.Fatalf("live: %v, %v", live.Live, err)
-	}
 	if s := h.stats(); s.Served != 2 || s.Open != 0 {
 		t.Fatalf("the router counted %+v", s)
 	}
@@ -72,6 +63,33 @@
 	}
 }
 
+// TestInvalidRequestsAreRejected: each kind has the status that tells the client what is wrong, and none reaches a worker.
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	h := newHarness(t, 1, nil, nil)
+	tooLarge := newRequest("quote", "large", 1, 1, 1)
+	tooLarge.RawInputContents = [][]byte{make([]byte, 17<<20)}
+	for name, test := range map[string]struct {
+		method  string
+		request *inference.ModelInferRequest
+		want    codes.Code
+	}{
+		"no model":                {oip.Infer, &inference.ModelInferRequest{}, codes.InvalidArgument},
+		"model that isn't served": {oip.Infer, newRequest("nobody", "c3", 5, 1, 10), codes.NotFound},
+		"beyond the size limit":   {oip.Infer, tooLarge, codes.ResourceExhausted},
+		"unknown method":          {"/inference.GRPCInferenceService/Nothing", newRequest("quote", "z", 1, 1, 10), codes.Unimplemented},
+	} {
+		t.Run(name, func(t *testing.T) {
+			err := h.conn.Invoke(timeoutContext(t, 20*time.Second), test.method, test.request, &inference.ModelInferResponse{})
+			if status.Code(err) != test.want {
+				t.Errorf("%v, want %v", err, test.want)
+			}
+		})
+	}
+	if s := h.stats(); s.Served != 0 || s.Open != 0 {
+		t.Errorf("the router counted %+v", s)
+	}
+}
+
 // TestMethodsThatTheGatewayAnswers has grpc-go's client call them.
 func TestMethodsThatTheGatewayAnswers(t *testing.T) {
 	h := newHarness(t, 1, nil, nil)
@@ -94,6 +112,9 @@
 			}
 		})
 	}
+	if s := h.stats(); s.Served != 0 || s.Open != 0 {
+		t.Errorf("the router counted %+v", s)
+	}
 }
 
 func TestSeveralCallsOnOneStream(t *testing.T) {
@@ -130,8 +151,13 @@
 
 func TestManyAndLargeMessages(t *testing.T) {
 	h := newHarness(t, 1, nil, nil)
-	for _, c := range []struct{ messages, bytes int64 }{{5000, 1000}, {300, 0}, {3, 3 << 20}, {1, 8 << 20}} {
-		t.Run(fmt.Sprintf("%d messages of %d bytes", c.messages, c.bytes), func(t *testing.T) {
+	for name, c := range map[string]struct{ messages, bytes int64 }{
+		"many small messages":    {5000, 1000},
+		"empty messages":         {300, 0},
+		"several large messages": {3, 3 << 20},
+		"one message of 8 MB":    {1, 8 << 20},
+	} {
+		t.Run(name, func(t *testing.T) {
 			request := newRequest("quote", fmt.Sprint("big", c.messages), 1, c.messages, c.bytes)
 			messages, bytes, err := h.streamInfer(timeoutContext(t, 60*time.Second), request, nil)
 			if err != nil || int64(messages) != c.messages || int64(bytes) != c.messages*c.bytes {
@@ -148,10 +174,6 @@
 	if _, err := h.infer(timeoutContext(t, 20*time.Second), large); err != nil {
 		t.Errorf("request of 6 MB: %v", err)
 	}
-	large.RawInputContents = [][]byte{make([]byte, 17<<20)}
-	if _, err := h.infer(timeoutContext(t, 20*time.Second), large); status.Code(err) != codes.ResourceExhausted {
-		t.Errorf("request beyond the limit: %v", err)
-	}
 }
 
 func TestCompressionAndMetadataPassThrough(t *testing.T) {
@@ -164,12 +186,4 @@
 	if err != nil || response.Id != "z" {
 		t.Errorf("gzip: %v, %v", response.Id, err)
 	}
-	_, err = h.infer(timeoutContext(t, 5*time.Second), &inference.ModelInferRequest{})
-	if status.Code(err) != codes.InvalidArgument {
-		t.Errorf("a request without a model: %v", err)
-	}
-	err = h.conn.Invoke(timeoutContext(t, 5*time.Second), "/inference.GRPCInferenceService/Nothing", request, &response)
-	if status.Code(err) != codes.Unimplemented {
-		t.Errorf("an unknown method: %v", err)
-	}
 }
--- a/internal/grpcgateway/client_test.go
+++ b/internal/grpcgateway/client_test.go
@@ -39,10 +39,7 @@
 	time.Sleep(600 * time.Millisecond) // the worker has made all by now; the client reads nothing
 	before := heapBytes()
 	for i := range 50 {
-		received, _, err := h.streamInfer(timeoutContext(t, 10*time.Second), newRequest("quote", fmt.Sprint("o", i), 2, 10, 2000), nil)
-		if err != nil || received != 10 {
-			t.Fatalf("another stream: %d messages, %v", received, err)
-		}
+		h.requireStream(10*time.Second, newRequest("quote", fmt.Sprint("other", i), 2, 10, 2000), 10)
 	}
 	if growth := heapBytes() - before; growth > 20<<20 {
 		t.Errorf("the heap grew by %d bytes", growth)
--- a/internal/grpcgateway/forward_bench_test.go
+++ b/internal/grpcgateway/forward_bench_test.go
@@ -16,8 +16,16 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
+// connEvents is an http2.Handler, to embed, for peers that open no streams and don't look at how connections end.
+type connEvents struct{}
+
+func (connEvents) Open(*http2.Stream) http2.Receiver { return nil }
+func (connEvents) GoAway(*http2.Conn, http2.ErrCode) {}
+func (connEvents) ConnClosed(*http2.Conn, error)     {}
+
 // floodingWorker answers a stream by a number of equal messages, as fast as flow control allows.
 type floodingWorker struct {
+	connEvents
 	message   []byte
 	remaining atomic.Int64
 }
@@ -31,8 +39,6 @@
 func (w *floodingWorker) Open(*http2.Stream) http2.Receiver {
 	return &floodedStream{worker: w, reader: grpc.MessageReader{MaxSize: 1 << 20}}
 }
-func (w *floodingWorker) GoAway(*http2.Conn, http2.ErrCode) {}
-func (w *floodingWorker) ConnClosed(*http2.Conn, error)     {}
 
 func (s *floodedStream) Headers(*http2.Stream, []hpack.Field, bool) {}
 func (s *floodedStream) Closed(*http2.Stream, error)                {}
@@ -63,14 +69,12 @@
 
 // countingClient counts messages, and sends the stream's status, or its error, to done.
 type countingClient struct {
+	connEvents
 	counter grpc.MessageCounter
 	done    chan string
 }
 
-func (c *countingClient) Open(*http2.Stream) http2.Receiver { return nil }
-func (c *countingClient) GoAway(*http2.Conn, http2.ErrCode) {}
-func (c *countingClient) ConnClosed(*http2.Conn, error)     {}
-func (c *countingClient) Sent(*http2.Stream, int)           {}
+func (c *countingClient) Sent(*http2.Stream, int) {}
 func (c *countingClient) Closed(_ *http2.Stream, err error) {
 	if err != nil {
 		c.done <- err.Error()
@@ -87,6 +91,12 @@
 	stream.Consume(len(data))
 }
 
+// requestFields is the header of a request.
+func requestFields(path string) []hpack.Field {
+	return []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
+		{Name: ":authority", Value: "a"}, {Name: "te", Value: "trailers"}, {Name: "content-type", Value: "application/grpc"}}
+}
+
 // prefixedMessage marshals a message with its gRPC prefix.
 func prefixedMessage(tb testing.TB, message proto.Message) []byte {
 	tb.Helper()
@@ -136,13 +146,10 @@
 	}
 	defer conn.Close()
 	request := prefixedMessage(b, &inference.ModelInferRequest{ModelName: "m"})
-	fields := []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"},
-		{Name: ":path", Value: oip.StreamInfer}, {Name: ":authority", Value: "a"}, {Name: "te", Value: "trailers"},
-		{Name: "content-type", Value: "application/grpc"}}
 	b.SetBytes(int64(len(worker.message)))
 	b.ReportAllocs()
 	b.ResetTimer()
-	if _, err := conn.Open(client, fields, request, true); err != nil {
+	if _, err := conn.Open(client, requestFields(oip.StreamInfer), request, true); err != nil {
 		b.Fatal(err)
 	}
 	if status := <-client.done; status != "0" || client.counter.Messages != b.N {
--- a/internal/grpcgateway/harness_test.go
+++ b/internal/grpcgateway/harness_test.go
@@ -182,6 +182,14 @@
 	}
 }
 
+// requireStream makes a streamed call and fails the test unless so many messages come, and then the end.
+func (h *harness) requireStream(timeout time.Duration, request *inference.ModelInferRequest, want int) {
+	h.t.Helper()
+	if messages, _, err := h.streamInfer(timeoutContext(h.t, timeout), request, nil); err != nil || messages != want {
+		h.t.Errorf("stream %s: %d messages, %v; want %d", request.Id, messages, err, want)
+	}
+}
+
 // newRequest builds a request for so many messages of so many bytes, after so many milliseconds of work.
 func newRequest(model, id string, workMS, messages, bytes int64) *inference.ModelInferRequest {
 	return &inference.ModelInferRequest{ModelName: model, Id: id, Parameters: map[string]*inference.InferParameter{
--- a/internal/grpcgateway/proxy_comparison_children_test.go
+++ b/internal/grpcgateway/proxy_comparison_children_test.go
@@ -111,13 +111,11 @@
 
 // instantWorker answers at once: a unary call by one small message, a stream by as many messages as the request's id
 // says, then the end.
-type instantWorker struct{}
+type instantWorker struct{ connEvents }
 
 func (instantWorker) Open(*http2.Stream) http2.Receiver {
 	return &instantCall{reader: wire.MessageReader{MaxSize: 1 << 24}}
 }
-func (instantWorker) GoAway(*http2.Conn, http2.ErrCode) {}
-func (instantWorker) ConnClosed(*http2.Conn, error)     {}
 
 // instantCall is one call at an instantWorker.
 type instantCall struct {
--- a/internal/grpcgateway/proxy_comparison_test.go
+++ b/internal/grpcgateway/proxy_comparison_test.go
@@ -95,7 +95,7 @@
 	request := prefixedMessage(t, &inference.ModelInferRequest{ModelName: "m", Id: holdRequestID})
 	for range openStreamCount {
 		call := &loadCall{done: func(time.Time, bool) {}}
-		if _, err := conn.Open(call, requestFields(oip.StreamInfer), request, true); err != nil {
+		if _, err := conn.Open(call, timedRequestFields(oip.StreamInfer), request, true); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
@@ -130,7 +130,7 @@
 	var mu sync.Mutex
 	failed, calls := 0, int(l.rate*comparisonDuration.Seconds())
 	var wg sync.WaitGroup
-	fields := requestFields(l.path)
+	fields := timedRequestFields(l.path)
 	done := func(due time.Time, ok bool) {
 		mu.Lock()
 		if ok {
@@ -162,26 +162,18 @@
 // dialChild connects to a child's first address.
 func dialChild(t *testing.T, child *childProcess) *http2.Conn {
 	t.Helper()
-	conn, err := http2.Dial("tcp", child.addresses[0], time.Second, http2.Config{}, loadConn{})
+	conn, err := http2.Dial("tcp", child.addresses[0], time.Second, http2.Config{}, connEvents{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return conn
 }
 
-func requestFields(path string) []hpack.Field {
-	return []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
-		{Name: ":authority", Value: "a"}, {Name: "te", Value: "trailers"}, {Name: "content-type", Value: "application/grpc"},
-		{Name: "grpc-timeout", Value: "20S"}}
+// timedRequestFields is the header of a request with a timeout.
+func timedRequestFields(path string) []hpack.Field {
+	return append(requestFields(path), hpack.Field{Name: "grpc-timeout", Value: "20S"})
 }
 
-// loadConn handles a client's connection; servers open no streams.
-type loadConn struct{}
-
-func (loadConn) Open(*http2.Stream) http2.Receiver { return nil }
-func (loadConn) GoAway(*http2.Conn, http2.ErrCode) {}
-func (loadConn) ConnClosed(*http2.Conn, error)     {}
-
 // loadCall is one call of a load. It calls done once, and allocates next to nothing, so that the client costs little.
 type loadCall struct {
 	due  time.Time
--- a/internal/grpcgateway/shutdown_test.go
+++ b/internal/grpcgateway/shutdown_test.go
@@ -16,10 +16,7 @@
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Go(func() {
-			messages, _, err := h.streamInfer(timeoutContext(t, 20*time.Second), newRequest("quote", fmt.Sprint("h", i), 300, 5, 10), nil)
-			if err != nil || messages != 5 {
-				t.Errorf("stream %d: %d messages, %v", i, messages, err)
-			}
+			h.requireStream(20*time.Second, newRequest("quote", fmt.Sprint("h", i), 300, 5, 10), 5)
 		})
 	}
 	testsupport.WaitUntil(t, "the calls are open", func() bool { return h.stats().Open >= 40 })
