--- a/internal/httprouter/phases_test.go
+++ b/internal/httprouter/phases_test.go
@@ -24,18 +24,20 @@
 // come, no call is cut short by more than the margin, and time is left to exit before SIGKILL.
 func TestShutdownPhases(t *testing.T) {
 	for _, deadline := range append(testedDeadlines, 0, time.Hour) {
-		p := newShutdownPhases(deadline)
-		if p.accepting > p.answering || p.answering >= p.stopping || p.stopping >= p.draining || p.draining >= p.closing {
-			t.Errorf("%v: phases out of order: %+v", deadline, p)
-		}
-		if p.draining < clientsComeFor {
-			t.Errorf("%v: clients may come until %v and are closed at %v", deadline, clientsComeFor, p.draining)
-		}
-		if p.answering < min(deadline, maxSIGKILLDeadline) {
-			t.Errorf("%v: a call in flight at SIGTERM is answered within %v", deadline, p.answering)
-		}
-		if left := earliestSIGKILL(deadline) - p.closing; left < closeMargin {
-			t.Errorf("%v: %v left to exit before SIGKILL", deadline, left)
-		}
+		t.Run(deadline.String(), func(t *testing.T) {
+			p := newShutdownPhases(deadline)
+			if p.accepting > p.answering || p.answering >= p.stopping || p.stopping >= p.draining || p.draining >= p.closing {
+				t.Errorf("phases out of order: %+v", p)
+			}
+			if p.draining < clientsComeFor {
+				t.Errorf("clients may come until %v and are closed at %v", clientsComeFor, p.draining)
+			}
+			if p.answering < min(deadline, maxSIGKILLDeadline) {
+				t.Errorf("a call in flight at SIGTERM is answered within %v", p.answering)
+			}
+			if left := earliestSIGKILL(deadline) - p.closing; left < closeMargin {
+				t.Errorf("%v left to exit before SIGKILL", left)
+			}
+		})
 	}
 }
--- a/internal/registry/names_test.go
+++ b/internal/registry/names_test.go
@@ -6,18 +6,24 @@
 	"testing"
 )
 
-func TestNamesAndDigests(t *testing.T) {
+func TestValidNamesAreAccepted(t *testing.T) {
 	for _, valid := range []string{"a", "quote-7", "v1.2.3", "x_y", strings.Repeat("a", 64)} {
 		if err := ValidateName("plug-in", valid); err != nil {
 			t.Error(err)
 		}
 	}
+}
+
+func TestInvalidNamesAreRejected(t *testing.T) {
 	for _, invalid := range []string{"", "..", "../a", "a/b", "a\\b", "a..b", ".a", "a.", "-a", "A", "a b", "a\x00",
 		"а" /* Cyrillic */, "a\u200b", strings.Repeat("a", 65), strings.Repeat("a", 1<<20), "a\n", "%2e"} {
 		if err := ValidateName("plug-in", invalid); !errors.Is(err, ErrInvalidArgument) || len(err.Error()) > 600 {
 			t.Errorf("%.20q: %.200v", invalid, err)
 		}
 	}
+}
+
+func TestDigestsAreParsedAsTheyAreWritten(t *testing.T) {
 	digest := Digest{1, 0xab}
 	if got, err := ParseDigest(digest.String()); err != nil || got != digest {
 		t.Errorf("%v, %v", got, err)
--- a/internal/server/httpserver/timing_test.go
+++ b/internal/server/httpserver/timing_test.go
@@ -42,10 +42,12 @@
 		"ten minutes":                  {time.Hour, 10 * time.Minute, 10 * time.Minute},
 		"longer than we have listened": {time.Minute, 10 * time.Minute, 0},
 	} {
-		info := &unix.TCPInfo{Last_data_recv: uint32(c.age.Milliseconds())}
-		if got := now.Sub(newArrival(info, now, now.Add(-c.listening)).last); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			info := &unix.TCPInfo{Last_data_recv: uint32(c.age.Milliseconds())}
+			if got := now.Sub(newArrival(info, now, now.Add(-c.listening)).last); got != c.want {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -58,9 +58,11 @@
 		"short census":      "MARK clock=1 serial=1\nCENSUS set_id=0 elements=2\nM server=s health=on\nFLUSH\n",
 		"negative elements": "MARK clock=1 serial=1\nCENSUS set_id=0 elements=-1\nFLUSH\n",
 	} {
-		if _, err := NewReader(strings.NewReader(in)).Next(); err == nil || !strings.Contains(err.Error(), "line ") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := NewReader(strings.NewReader(in)).Next(); err == nil || !strings.Contains(err.Error(), "line ") {
+				t.Errorf("%v, want it to name a line", err)
+			}
+		})
 	}
 }
 
--- a/internal/transport/grpc/compression_test.go
+++ b/internal/transport/grpc/compression_test.go
@@ -18,14 +18,20 @@
 	if got, err := MessageBody(message, "gzip", 1<<20); err != nil || !bytes.Equal(got, body) {
 		t.Fatalf("%d bytes, %v", len(got), err)
 	}
-	// A small message that expands to a large one is not expanded beyond the limit.
-	if _, err := MessageBody(message, "gzip", 1000); !errors.Is(err, ErrMessageTooLarge) {
-		t.Errorf("beyond the limit: %v", err)
-	}
-	if _, err := MessageBody(message, "identity", 1<<20); err == nil {
-		t.Error("a compressed message without an encoding is accepted")
-	}
-	if _, err := MessageBody(message[:30], "gzip", 1<<20); err == nil {
-		t.Error("truncated gzip is accepted")
+	for name, test := range map[string]struct {
+		message  []byte
+		encoding string
+		maxSize  int
+		want     error // nil: any error
+	}{
+		"small message expands beyond the limit": {message, "gzip", 1000, ErrMessageTooLarge},
+		"compressed without an encoding":         {message, "identity", 1 << 20, nil},
+		"truncated gzip":                         {message[:30], "gzip", 1 << 20, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := MessageBody(test.message, test.encoding, test.maxSize); err == nil || test.want != nil && !errors.Is(err, test.want) {
+				t.Errorf("error %v, want %v", err, test.want)
+			}
+		})
 	}
 }
--- a/internal/transport/http2/headers_test.go
+++ b/internal/transport/http2/headers_test.go
@@ -31,25 +31,27 @@
 	request := []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/x"},
 		{Name: ":authority", Value: "a"}, {Name: "x", Value: "y"}}
 	response := []hpack.Field{{Name: ":status", Value: "200"}, {Name: "x", Value: "y"}}
-	for _, list := range []struct {
+	for name, list := range map[string]struct {
 		fields []hpack.Field
 		check  func([]hpack.Field) string
 	}{
-		{request, func(fields []hpack.Field) string { return checkHeaders(fields, true) }},
-		{response, func(fields []hpack.Field) string { return checkHeaders(fields, false) }},
-		{response[1:], checkTrailers},
+		"request":  {request, func(fields []hpack.Field) string { return checkHeaders(fields, true) }},
+		"response": {response, func(fields []hpack.Field) string { return checkHeaders(fields, false) }},
+		"trailers": {response[1:], checkTrailers},
 	} {
-		if reason := list.check(list.fields); reason != "" {
-			t.Errorf("%v: %s", list.fields, reason)
-		}
-		for i := range list.fields {
-			for _, invalid := range []string{"\r", "\n", "\x00"} {
-				fields := append([]hpack.Field(nil), list.fields...)
-				fields[i].Value += invalid + "z"
-				if list.check(fields) == "" {
-					t.Errorf("accepted: %v", fields)
+		t.Run(name, func(t *testing.T) {
+			if reason := list.check(list.fields); reason != "" {
+				t.Errorf("%v: %s", list.fields, reason)
+			}
+			for i := range list.fields {
+				for _, invalid := range []string{"\r", "\n", "\x00"} {
+					fields := append([]hpack.Field(nil), list.fields...)
+					fields[i].Value += invalid + "z"
+					if list.check(fields) == "" {
+						t.Errorf("accepted: %v", fields)
+					}
 				}
 			}
-		}
+		})
 	}
 }
--- a/internal/transport/listen/poll_test.go
+++ b/internal/transport/listen/poll_test.go
@@ -37,22 +37,24 @@
 // returned.
 func TestPollIsRepeatedAfterSignal(t *testing.T) {
 	defer func() { pollCall = unix.Poll }()
-	for _, test := range []struct {
+	for name, test := range map[string]struct {
 		errors []error
 		want   error
 	}{
-		{[]error{unix.EINTR, unix.EINTR, nil}, nil},
-		{[]error{unix.EINTR, unix.ENOMEM}, unix.ENOMEM},
+		"two signals, then ready": {[]error{unix.EINTR, unix.EINTR, nil}, nil},
+		"a signal, then an error": {[]error{unix.EINTR, unix.ENOMEM}, unix.ENOMEM},
 	} {
-		calls := 0
-		pollCall = func(set []unix.PollFd, _ int) (int, error) {
-			set[0].Revents = unix.POLLIN
-			calls++
-			return 1, test.errors[calls-1]
-		}
-		ready, err := Poll(0, unix.POLLIN)
-		if !errors.Is(err, test.want) || calls != len(test.errors) || (ready == unix.POLLIN) != (test.want == nil) {
-			t.Errorf("%v: ready %#x, error %v after %d calls", test.errors, ready, err, calls)
-		}
+		t.Run(name, func(t *testing.T) {
+			calls := 0
+			pollCall = func(set []unix.PollFd, _ int) (int, error) {
+				set[0].Revents = unix.POLLIN
+				calls++
+				return 1, test.errors[calls-1]
+			}
+			ready, err := Poll(0, unix.POLLIN)
+			if !errors.Is(err, test.want) || calls != len(test.errors) || (ready == unix.POLLIN) != (test.want == nil) {
+				t.Errorf("ready %#x, error %v after %d calls", ready, err, calls)
+			}
+		})
 	}
 }
