--- a/internal/grpcgateway/shutdown.go
+++ b/internal/grpcgateway/shutdown.go
@@ -59,7 +59,7 @@
 // waitForResponses waits for the last responses to leave for their clients, within the bounds above.
 func (g *Gateway) waitForResponses() {
 	for range responsePolls {
-		if g.server.Streams() == 0 {
+		if !g.server.HasPendingWork() {
 			return
 		}
 		time.Sleep(responsePollInterval)
--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -58,6 +58,9 @@
 // Streams returns how many streams are open, those included whose last response bytes are still to be sent.
 func (s *Server) Streams() int { return s.http2Server.NumStreams() }
 
+// HasPendingWork reports whether a stream is open, or the last frames of one are yet to be written.
+func (s *Server) HasPendingWork() bool { return s.http2Server.HasPendingWork() }
+
 // addStream adds a stream that Drain is to end, and reports whether the drain has begun and so has missed it.
 func (s *Server) addStream(added *stream) (draining bool) {
 	s.mu.Lock()
--- a/internal/transport/http2/lifecycle_test.go
+++ b/internal/transport/http2/lifecycle_test.go
@@ -185,3 +185,28 @@
 		_ = testsupport.Await(t, h.closed, "the connection's end")
 	}
 }
+
+// TestUnwrittenFramesArePendingWork: a connection without a stream whose last frames have not reached the socket must not
+// be closed as idle, or its client has all of a response but its end.
+func TestUnwrittenFramesArePendingWork(t *testing.T) {
+	s, _ := startServer(t, Config{})
+	c, _ := dialServer(t, s, Config{})
+	r := newRecordingReceiver()
+	if _, err := c.Open(r, requestFields, nil, true); err != nil {
+		t.Fatal(err)
+	}
+	if err := testsupport.Await(t, r.ended, "the response"); err != nil {
+		t.Fatal(err)
+	}
+	testsupport.WaitUntil(t, "nothing is pending", func() bool { return !s.HasPendingWork() })
+	conn := s.openConns()[0]
+	conn.mu.Lock()
+	conn.flushing = true // as while the flush blocks on the socket
+	conn.mu.Unlock()
+	if !s.HasPendingWork() || s.NumStreams() > 0 {
+		t.Errorf("pending work: %v, streams: %d", s.HasPendingWork(), s.NumStreams())
+	}
+	conn.mu.Lock()
+	conn.flushing = false
+	conn.mu.Unlock()
+}
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -118,6 +119,11 @@
 	return n
 }
 
+// HasPendingWork reports whether a connection has an open stream or something that is yet to be written.
+func (s *Server) HasPendingWork() bool {
+	return slices.ContainsFunc(s.openConns(), (*Conn).hasPendingWork)
+}
+
 func (s *Server) openConns() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/http2/stream.go
+++ b/internal/transport/http2/stream.go
@@ -78,6 +78,14 @@
 	return len(c.streams)
 }
 
+// hasPendingWork reports whether a stream is open or something is yet to be written. A stream is no longer open once
+// its end has been framed, while its last frames may still wait for the socket.
+func (c *Conn) hasPendingWork() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.closed && (len(c.streams) > 0 || c.flushing)
+}
+
 // streamIDsExhausted reports whether the connection must be replaced to open another stream (RFC 9113, section
 // 5.1.1). c.mu is held.
 func (c *Conn) streamIDsExhausted() bool { return c.nextStreamID > maxStreamID-2 }
