--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -11,18 +11,18 @@
 
 const (
 	capacityHeadroom         = 0.2                    // epsilon of the paper: capacity beyond the demand
-	unansweredInstances      = 0.1                    // copies that a function is assigned until it has been served
-	rateSmoothing            = 0.3                    // weight of the newest interval in a rate: some 6 s of memory
-	requestsPerWorker        = 3.0                    // a rate covers at least this many requests for each worker
-	idleFunctionTTL          = 2 * time.Minute        // a function without requests for so long is forgotten,
-	unservedFunctionTTL      = 10 * time.Second       // and one that was never served sooner: anyone may make up names
+	unansweredInstances      = 0.1                    // copies of a function before it was served
+	rateSmoothing            = 0.3                    // weight of the newest interval: 6 s of memory
+	requestsPerWorker        = 3.0                    // least that a rate covers, for each worker
+	idleFunctionTTL          = 2 * time.Minute        // without requests, a function is forgotten,
+	unservedFunctionTTL      = 10 * time.Second       // one never served sooner: names may be made up
 	slowThreshold            = 1.0                    // slowness from which a worker is reported
 	suspectedCapacity        = 0.01                   // capacity factor of a suspected worker
 	maxSpeedFactor           = 1.5                    // most that a fast worker's capacity is raised by
 	negligible               = 1e-9                   // demand or capacity that counts as none
-	reassignInterval         = 100 * time.Millisecond // between assignments because of endpoint updates,
-	immediateReassignWorkers = 128                    // but in fleets of no more workers, in which each follows its update at once
-	maxUnassignable          = 128                    // workers that are passed over in a row before a function's assignment ends
+	reassignInterval         = 100 * time.Millisecond // between assignments after endpoint updates,
+	immediateReassignWorkers = 128                    // except in fleets of no more workers
+	maxUnassignable          = 128                    // passed over in a row at an assignment's end
 )
 
 // rebalance measures the rates of the interval that ends, forgets what is idle and assigns capacity anew.
@@ -44,9 +44,9 @@
 	d.assignCapacity()
 }
 
-// requestRateGain is the weight of the newest interval in the request rates. A rate from one or two requests would place
-// every function by chance, and at each router differently, so few requests are remembered for longer. With enough of
-// them a burst shows within some intervals.
+// requestRateGain is the weight of the newest interval in the request rates. A rate from one or two requests
+// would place every function by chance, and at each router differently, so few requests are remembered for
+// longer. With enough of them a burst shows within some intervals.
 func (d *Dispatcher) requestRateGain(interval float64) float64 {
 	remembered := requestsPerWorker * float64(max(len(d.activeWorkers), 1))
 	return max(min(d.requestRate*interval/remembered, rateSmoothing), 1/d.rebalanceCount)
@@ -83,9 +83,10 @@
 	})
 }
 
-// reassignAfterUpdate assigns capacity anew after an endpoint update. In a large fleet, where updates come often and each
-// concerns a small part of it, this is put off until reassignInterval has passed since the last assignment. Until then
-// workers that came get nothing, and those that are no longer active are passed over.
+// reassignAfterUpdate assigns capacity anew after an endpoint update. In a large fleet, where updates come
+// often and each concerns a small part of it, this is put off until reassignInterval has passed since the
+// last assignment. Until then workers that came get nothing, and those that are no longer active are passed
+// over.
 func (d *Dispatcher) reassignAfterUpdate() {
 	if !d.started || d.lastRebalance >= d.now {
 		return
@@ -148,8 +149,9 @@
 	}
 }
 
-// assignWorkers assigns a function's demand to the first workers of its ranking that have capacity left. It gives up
-// where maxUnassignable workers in a row have none or have ejected the class: no more than a few have any then.
+// assignWorkers assigns a function's demand to the first workers of its ranking that have capacity left. It
+// gives up where maxUnassignable workers in a row have none or have ejected the class: no more than a few
+// have any then.
 func (d *Dispatcher) assignWorkers(f *function) {
 	unassigned := f.demand
 	f.assignment = f.assignment[:0]
@@ -171,9 +173,10 @@
 	}
 }
 
-// capacityFactor is the fraction of its memory that counts as a worker's capacity. It moves functions away from workers
-// that are slow, overloaded by other routers, warming up or unresponsive, whatever the cause; they return as responses
-// do. False positives: a worker whose functions are slow by themselves loses capacity.
+// capacityFactor is the fraction of its memory that counts as a worker's capacity. It moves functions away
+// from workers that are slow, overloaded by other routers, warming up or unresponsive, whatever the cause;
+// they return as responses do. False positives: a worker whose functions are slow by themselves loses
+// capacity.
 func (d *Dispatcher) capacityFactor(w *worker) float64 {
 	if w.suspected && !d.majoritySuspected() {
 		return suspectedCapacity
--- a/dispatch/attemptrules.go
+++ b/dispatch/attemptrules.go
@@ -7,8 +7,8 @@
 // minRunTimeDivisor: no attempt is started with less than this part of its expected run time left.
 const minRunTimeDivisor = 2
 
-// admitAttempt reports whether the rules let a request go to a worker now. It brings the token bucket of a worker in
-// slow start up to date.
+// admitAttempt reports whether the rules let a request go to a worker now. It brings the token bucket of a
+// worker in slow start up to date.
 func (d *Dispatcher) admitAttempt(r *request, w *worker) bool {
 	if !d.isOpen(r) || w.State != EndpointActive {
 		return false
@@ -47,9 +47,9 @@
 	return false
 }
 
-// mayAttempt reports whether a request may get a further attempt. It may not if it has had its attempts, if it can't be
-// served before its deadline, if the retry budget is used up, or if an earlier attempt may have run and no worker may
-// repeat it.
+// mayAttempt reports whether a request may get a further attempt. It may not if it has had its attempts, if
+// it can't be served before its deadline, if the retry budget is used up, or if an earlier attempt may have
+// run and no worker may repeat it.
 func (d *Dispatcher) mayAttempt(r *request) bool {
 	exhausted := r.streaming != nil || len(r.attempts) >= d.settings.MaxAttempts
 	tooLate := r.inFlight == 0 && d.now+r.expectedRunTime()/minRunTimeDivisor >= r.deadline
@@ -65,10 +65,10 @@
 	return r.inFlight > 0 || d.repeatableSomewhere(r)
 }
 
-// isOverRetryBudget reports whether the next attempt of a request would be a retry that the budget does not allow. The
-// budget grows with responses, so what many workers reject at once, in an overload, for want of memory or because the
-// store stands still, is not multiplied by retries. False positives: a few workers that reject much use up the budget
-// of the others.
+// isOverRetryBudget reports whether the next attempt of a request would be a retry that the budget does not
+// allow. The budget grows with responses, so what many workers reject at once, in an overload, for want of
+// memory or because the store stands still, is not multiplied by retries. False positives: a few workers that
+// reject much use up the budget of the others.
 func (d *Dispatcher) isOverRetryBudget(r *request) bool {
 	n := len(r.attempts)
 	return n > 0 && r.attempts[n-1].failed && d.retryBudget < 1
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -41,10 +41,11 @@
 	return a
 }
 
-// responseStarted takes the start of a streamed response. The client has a part of it, so nothing more is started for
-// the request, it is not rejected, and only its deadline ends it, with a FailRequest. The length of the stream tells
-// nothing of the worker's health, as its reader may be slow: the attempt raises no suspicion. It counts against the
-// concurrency limits only until it would be overdue, or slow readers would use them up.
+// responseStarted takes the start of a streamed response. The client has a part of it, so nothing more is
+// started for the request, it is not rejected, and only its deadline ends it, with a FailRequest. The length
+// of the stream tells nothing of the worker's health, as its reader may be slow: the attempt raises no
+// suspicion. It counts against the concurrency limits only until it would be overdue, or slow readers would
+// use them up.
 func (d *Dispatcher) responseStarted(e ResponseStarted) {
 	a := d.openAttempt(e.ID, e.Attempt)
 	if a == nil || a.request.done || a.request.streaming != nil {
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -4,7 +4,8 @@
 
 // This file ends requests, each with one final answer.
 
-// graceDivisor: this part of the response grace is used after a deadline, to wait for a response that is on its way.
+// graceDivisor: this part of the response grace is used after a deadline, to wait for a response that is on
+// its way.
 const graceDivisor = 4
 
 // minServedRate bounds the advised wait where nothing was served, in requests a second.
@@ -23,8 +24,8 @@
 	r.done = true
 }
 
-// finishUnserved gives a final answer that is not a response. It is a rejection where a retry by the client is harmless,
-// and a failure elsewhere. There is no other way to end a request without a response.
+// finishUnserved gives a final answer that is not a response. It is a rejection where a retry by the client
+// is harmless, and a failure elsewhere. There is no other way to end a request without a response.
 func (d *Dispatcher) finishUnserved(r *request) {
 	if r.done {
 		return
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -34,17 +34,18 @@
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID, Class: c.Name})
 }
 
-// recordClassServed shortens the next ejection of a class, and resets its consecutive timeouts, after a response.
+// recordClassServed shortens the next ejection of a class, and resets its consecutive timeouts, after a
+// response.
 func (d *Dispatcher) recordClassServed(w *worker, c *class) {
 	if e, known := w.ejections[c]; known {
 		w.ejections[c] = ejection{until: e.until, count: max(e.count-1, 0)}
 	}
 }
 
-// countTimeout counts an attempt that is overdue at a worker which has responded to others since, or sets a timer to
-// look again. Several such attempts in a row eject their class: the worker hangs for this class only, which
-// updateSuspicion does not see. False positives: a class whose requests run far longer than their expected work is
-// ejected too early.
+// countTimeout counts an attempt that is overdue at a worker which has responded to others since, or sets a
+// timer to look again. Several such attempts in a row eject their class: the worker hangs for this class
+// only, which updateSuspicion does not see. False positives: a class whose requests run far longer than their
+// expected work is ejected too early.
 func (d *Dispatcher) countTimeout(a *attempt) {
 	w := a.worker
 	r := a.request
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// forgetRemovedWorkers forgets the removed workers without attempts in flight, and lets go the requests that waited for
-// one. It bounds the state in a fleet whose workers are replaced all day by others under new ids.
+// forgetRemovedWorkers forgets the removed workers without attempts in flight, and lets go the requests that
+// waited for one. It bounds the state in a fleet whose workers are replaced all day by others under new ids.
 func (d *Dispatcher) forgetRemovedWorkers() {
 	var forgotten []*worker
 	for _, id := range slices.Sorted(maps.Keys(d.removedWorkers)) {
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -2,9 +2,10 @@
 
 // This file takes in what other routers reported, and reports suspicions to them.
 
-// applyGossip takes what other routers reported. It ends no suspicion and raises no share: the routers that share the
-// fleet are those of the settings, or more where more were seen. Routers that vanish still count, as they may only be
-// partitioned from this one. A worker reported as unresponsive is suspected, unless it has responded here meanwhile.
+// applyGossip takes what other routers reported. It ends no suspicion and raises no share: the routers that
+// share the fleet are those of the settings, or more where more were seen. Routers that vanish still count,
+// as they may only be partitioned from this one. A worker reported as unresponsive is suspected, unless it
+// has responded here meanwhile.
 func (d *Dispatcher) applyGossip(e GossipUpdate) {
 	if e.Routers > d.settings.Routers {
 		factor := float64(d.settings.Routers) / float64(e.Routers)
--- a/dispatch/loading.go
+++ b/dispatch/loading.go
@@ -39,9 +39,10 @@
 	return p.loadCommandedAt > 0 && d.now >= p.residentUntil && !d.loadOverdue(f, p)
 }
 
-// commandLoad sends a load command, unless one is in flight, and reports whether a load is in progress. It keeps to the
-// backoff after a failed load, to the bound of commands in flight and to the given fraction of the rate limit, and sends
-// none to a worker that is not active. There is no other way to send a load command.
+// commandLoad sends a load command, unless one is in flight, and reports whether a load is in progress. It
+// keeps to the backoff after a failed load, to the bound of commands in flight and to the given fraction of
+// the rate limit, and sends none to a worker that is not active. There is no other way to send a load
+// command.
 func (d *Dispatcher) commandLoad(f *function, w *worker, limitFraction float64) bool {
 	if f.placementOn(w).loadCommandedAt > 0 {
 		return true
@@ -111,8 +112,8 @@
 	p.awaitingLoad = nil
 }
 
-// backOffLoads holds back load commands from a placement after a failed load, so that an overloaded store or worker is
-// not flooded.
+// backOffLoads holds back load commands from a placement after a failed load, so that an overloaded store or
+// worker is not flooded.
 func (d *Dispatcher) backOffLoads(p *placement) {
 	p.residentUntil = 0
 	p.loadBackoffUntil = d.now + d.backoffWithJitter(loadBackoff, p.loadFailures)
--- a/dispatch/loadreports.go
+++ b/dispatch/loadreports.go
@@ -17,10 +17,10 @@
 	maxHealthCheckCost = 0.02                   // a health check before each attempt may earn this much
 )
 
-// recordLoadReport takes a worker's report of the requests that it holds. It lowers the share of a worker that reports
-// more than the others, also where this router hears from each only once in many seconds: a report counts by the time
-// since the last one, and its noise averages out over the routers. False positives: a worker whose requests run long
-// reports many although it is not overloaded.
+// recordLoadReport takes a worker's report of the requests that it holds. It lowers the share of a worker
+// that reports more than the others, also where this router hears from each only once in many seconds: a
+// report counts by the time since the last one, and its noise averages out over the routers. False positives:
+// a worker whose requests run long reports many although it is not overloaded.
 func (d *Dispatcher) recordLoadReport(w *worker, inFlight float64) {
 	gain := loadReportWeight * (1 - math.Exp(-float64(d.now-w.reportedAt)/float64(loadReportSpan)))
 	deviation := math.Log((inFlight + 1) / (d.meanReportedInFlight + 1))
@@ -32,8 +32,9 @@
 	d.meanReportedInFlight += meanSmoothing * (inFlight - d.meanReportedInFlight)
 }
 
-// drawLoadReportWait draws whether a request should wait for a load report of w before its attempt goes there. It waits
-// at most once, where reports are cheap, and as often as this router's share of the fleet allows.
+// drawLoadReportWait draws whether a request should wait for a load report of w before its attempt goes
+// there. It waits at most once, where reports are cheap, and as often as this router's share of the fleet
+// allows.
 func (d *Dispatcher) drawLoadReportWait(r *request, w *worker) bool {
 	cheap := d.settings.HealthChecksAllowed && d.settings.HealthCheckCost < maxHealthCheckCost
 	stale := d.settings.LoadReports != ReportsNone && d.now-w.reportedAt > loadReportTTL
--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -14,12 +14,12 @@
 	rankPrefix       = maxRankedCandidates * 5 / 4 // workers that a ranking holds at first, on average
 	minRankPrefix    = 32                          // what is left, at the least, of one that is cut
 	rankPrefixGrowth = 4                           // factor by which it grows when more are asked for
-	rankPrefixExcess = 2                           // a ranking that holds this multiple of what it would hold anew is cut
+	rankPrefixExcess = 2                           // multiple of what a ranking would hold anew at which it is cut
 )
 
-// ranking is the beginning of the order in which a function prefers the active workers: all those whose score is at
-// least minScore. As scores are spread evenly, it holds a known part of a fleet of any size, and a change of the
-// fleet concerns it only by the workers that changed.
+// ranking is the beginning of the order in which a function prefers the active workers: all those whose score
+// is at least minScore. As scores are spread evenly, it holds a known part of a fleet of any size, and a
+// change of the fleet concerns it only by the workers that changed.
 type ranking struct {
 	entries  []rankedWorker // by descending score, then by id
 	minScore uint64
@@ -110,7 +110,8 @@
 	}
 }
 
-// trim drops the end of a ranking that has become much longer than what is used of it, as in a fleet that grew.
+// trim drops the end of a ranking that has become much longer than what is used of it, as in a fleet that
+// grew.
 func (r *ranking) trim() {
 	kept := max(minRankPrefix, rankPrefixGrowth*r.used/2)
 	if len(r.entries) > rankPrefixExcess*kept {
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -48,10 +48,11 @@
 	}
 }
 
-// retryPending routes the pending requests again. Those that can still meet their objective go first, the newest before
-// the others: in an overload the older ones are late anyway and would make these late, too. Once a request finds no
-// worker, the others of its function wait without a search. One that finds none and misses its objective is rejected at
-// once, not at its deadline. Cost: a late response that would still have earned a part of its value is lost.
+// retryPending routes the pending requests again. Those that can still meet their objective go first, the
+// newest before the others: in an overload the older ones are late anyway and would make these late, too.
+// Once a request finds no worker, the others of its function wait without a search. One that finds none and
+// misses its objective is rejected at once, not at its deadline. Cost: a late response that would still have
+// earned a part of its value is lost.
 func (d *Dispatcher) retryPending() {
 	waiting := d.pending
 	d.pending = nil
@@ -91,7 +92,8 @@
 	return d.now-r.acceptedAt+r.expectedRunTime() > r.class.LatencyObjective
 }
 
-// backoffWithJitter draws a backoff that doubles with each time. The jitter keeps routers from acting at one moment.
+// backoffWithJitter draws a backoff that doubles with each time. The jitter keeps routers from acting at one
+// moment.
 func (d *Dispatcher) backoffWithJitter(base time.Duration, times int) time.Duration {
 	factor := math.Exp2(float64(min(times, maxBackoffExponent)))
 	return time.Duration(float64(base) * factor * (0.75 + d.random.Float64()/2))
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -20,8 +20,9 @@
 	minResponseTime  = 1e-4 // seconds
 )
 
-// recordResponse learns from a response: the retry budget, the chance that a copy is loaded, the function's run time,
-// and the worker's limit and slowness. A response that may have waited for a load tells nothing of the last three.
+// recordResponse learns from a response: the retry budget, the chance that a copy is loaded, the function's
+// run time, and the worker's limit and slowness. A response that may have waited for a load tells nothing of
+// the last three.
 func (d *Dispatcher) recordResponse(a *attempt, e AttemptEnded) {
 	r := a.request
 	r.function.served = true
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -10,8 +10,8 @@
 
 const (
 	overloadedRatio = 1.5 // multiple of the mean report at which a worker is passed over
-	// maxRankedCandidates bounds how far down its ranking a function looks for a worker. Behind it, only the workers
-	// that hold the function are looked at. It binds in fleets of more workers than this.
+	// maxRankedCandidates bounds how far down its ranking a function looks for a worker. Behind it, only the
+	// workers that hold the function are looked at. It binds in fleets of more workers than this.
 	maxRankedCandidates = 128
 )
 
@@ -28,9 +28,9 @@
 	backingOff        bool    // a worker was passed over because a load failed there
 }
 
-// selectWorker chooses where a request goes; nil: nowhere for now. Where the preferred worker does not hold the
-// function and another does, the first is sent a load command and the second serves: no request waits for a load
-// because an assignment moved or grew.
+// selectWorker chooses where a request goes; nil: nowhere for now. Where the preferred worker does not hold
+// the function and another does, the first is sent a load command and the second serves: no request waits for
+// a load because an assignment moved or grew.
 func (d *Dispatcher) selectWorker(r *request) *worker {
 	d.selections++
 	s := selection{request: r, majoritySuspected: d.majoritySuspected()}
@@ -52,7 +52,8 @@
 	}
 }
 
-// selectWithoutResident ends a selection that found no worker which holds the function and may take the request.
+// selectWithoutResident ends a selection that found no worker which holds the function and may take the
+// request.
 func (d *Dispatcher) selectWithoutResident(s *selection) *worker {
 	if s.preferred != nil && s.residentLimited && d.settings.LoadCommandsAllowed {
 		d.commandLoad(s.request.function, s.preferred, prefetchRatio)
@@ -65,8 +66,9 @@
 	return s.preferred
 }
 
-// drawAssignmentOrder sorts a function's assigned workers into the order of choice for one request: the fewest own
-// attempts in flight per share first, with a draw in proportion to the shares where there are hardly any.
+// drawAssignmentOrder sorts a function's assigned workers into the order of choice for one request: the
+// fewest own attempts in flight per share first, with a draw in proportion to the shares where there are
+// hardly any.
 func (d *Dispatcher) drawAssignmentOrder(f *function) {
 	for i := range f.assignment {
 		s := &f.assignment[i]
@@ -77,8 +79,8 @@
 	slices.SortFunc(f.assignment, func(a, b workerShare) int { return cmp.Compare(a.choiceKey, b.choiceKey) })
 }
 
-// candidates yields the workers for a function in the order of choice: its assigned workers in their present order,
-// then the first of the others down the ranking, and at last those behind them that hold the function.
+// candidates yields the workers for a function in the order of choice: its assigned workers in their present
+// order, then the first of the others down the ranking, and at last those behind them that hold the function.
 func (d *Dispatcher) candidates(f *function) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for _, s := range f.assignment {
@@ -105,8 +107,8 @@
 	}
 }
 
-// residentWorkersBehind returns the active workers that hold f and are not among the candidates of the selection under
-// way so far, in the order of the ranking.
+// residentWorkersBehind returns the active workers that hold f and are not among the candidates of the
+// selection under way so far, in the order of the ranking.
 func (d *Dispatcher) residentWorkersBehind(f *function) []*worker {
 	var entries []rankedWorker
 	for w, p := range f.placements {
@@ -122,8 +124,8 @@
 	return workers
 }
 
-// evaluateCandidate reports whether w holds the function and may take the request now. If not, it notes in the
-// selection what w is good for.
+// evaluateCandidate reports whether w holds the function and may take the request now. If not, it notes in
+// the selection what w is good for.
 func (d *Dispatcher) evaluateCandidate(s *selection, w *worker) bool {
 	r := s.request
 	p := r.function.placementOn(w)
@@ -155,16 +157,17 @@
 	return resident
 }
 
-// reportsOverload reports whether the current load report of a worker shows it overloaded, whatever the cause. Other
-// routers' requests had copies loaded further down the ranking, so passing the worker over costs little. False
-// positives: where no other worker holds the function, the request waits for a load.
+// reportsOverload reports whether the current load report of a worker shows it overloaded, whatever the
+// cause. Other routers' requests had copies loaded further down the ranking, so passing the worker over costs
+// little. False positives: where no other worker holds the function, the request waits for a load.
 func (d *Dispatcher) reportsOverload(w *worker) bool {
 	reportIsCurrent := d.now-w.reportedAt < loadReportTTL
 	return reportIsCurrent && w.reportedInFlight > overloadedRatio*(d.meanReportedInFlight+1)
 }
 
-// isUnlikelyToServe reports whether another worker should be tried first: w is suspected, has ejected the class or
-// failed the request, or a load of the function failed or is overdue there. It updates the suspicion of w.
+// isUnlikelyToServe reports whether another worker should be tried first: w is suspected, has ejected the
+// class or failed the request, or a load of the function failed or is overdue there. It updates the suspicion
+// of w.
 func (d *Dispatcher) isUnlikelyToServe(s *selection, w *worker, p placement) bool {
 	r := s.request
 	d.updateSuspicion(w)
