--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -14,7 +14,7 @@
 	rankPrefix       = maxRankedCandidates * 5 / 4 // workers that a ranking holds at first, on average
 	minRankPrefix    = 32                          // what is left, at the least, of one that is cut
 	rankPrefixGrowth = 4                           // factor by which it grows when more are asked for
-	rankPrefixExcess = 2                           // multiple of what a ranking would hold anew at which it is cut
+	rankPrefixExcess = 2                           // a longer one than this multiple of a new one is cut
 )
 
 // ranking is the beginning of the order in which a function prefers the active workers: all those whose score
