--- a/internal/experiment/growth/judge_test.go
+++ b/internal/experiment/growth/judge_test.go
@@ -1,7 +1,9 @@
 package growth
 
 import (
+	"errors"
 	"math"
+	"path/filepath"
 	"testing"
 )
 
@@ -49,3 +51,11 @@
 		}
 	}
 }
+
+// TestPlotOfInterruptedExperiment: an experiment that was interrupted in its first run has nothing to plot.
+func TestPlotOfInterruptedExperiment(t *testing.T) {
+	report := &Report{}
+	if err := report.WritePlot(filepath.Join(t.TempDir(), "growth.svg")); !errors.Is(err, errNothingMeasured) {
+		t.Errorf("got %v, want %v", err, errNothingMeasured)
+	}
+}
--- a/internal/experiment/growth/plot.go
+++ b/internal/experiment/growth/plot.go
@@ -1,6 +1,7 @@
 package growth
 
 import (
+	"errors"
 	"image/color"
 	"os"
 	"slices"
@@ -31,8 +32,14 @@
 	Surge:   {R: 200, G: 95, B: 30, A: 255},
 }
 
+// errNothingMeasured is the error of a plot without any figure.
+var errNothingMeasured = errors.New("growth: nothing to plot, as no run was measured to its end")
+
 // WritePlot writes the six figures over the number of workers as an SVG file. Dashed lines are the allowances.
 func (r *Report) WritePlot(path string) error {
+	if len(r.Measurements) == 0 {
+		return errNothingMeasured
+	}
 	plotRows := (len(rows) + plotColumns - 1) / plotColumns
 	grid := make([][]*plot.Plot, plotRows)
 	for i, row := range rows {
