--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -55,11 +55,6 @@
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == NotResident
 }
 
-// provesResponsive reports whether an attempt that ended so shows that its worker, or the worker's host, responds.
-func (r Result) provesResponsive() bool {
-	return r != TimedOut && r != NotSent && r != Cancelled
-}
-
 // CacheStatus is what a response tells of the copy of the function that served it.
 type CacheStatus int
 
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -58,3 +58,9 @@
 	w.lastChecked = d.now
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID})
 }
+
+// provesResponsive reports whether an attempt that ended so shows that its worker, or the worker's host,
+// responds.
+func (r Result) provesResponsive() bool {
+	return r != TimedOut && r != NotSent && r != Cancelled
+}
