--- a/internal/httprouter/budget.go
+++ b/internal/httprouter/budget.go
@@ -2,26 +2,26 @@
 
 import "math"
 
-// Budget is the division of a process's limits among its parts.
+// Budget holds the limits of the parts of one process.
 type Budget struct {
-	MaxProcs          int   // processors of the Go scheduler
-	HeapLimit         int64 // bytes that the garbage collector keeps the heap below
-	ClientConns       int   // open at once
-	WorkerConns       int   // open at once
-	SocketBufferBytes int   // received by the system ahead of what is read, for each connection
+	MaxProcs          int   // GOMAXPROCS
+	HeapLimit         int64 // bytes; the garbage collector's soft memory limit
+	ClientConns       int   // maximum open at once
+	WorkerConns       int   // maximum open at once
+	SocketBufferBytes int   // receive buffer of the operating system for each connection
 }
 
 const (
 	heapShareOfMemory  = 0.6 // the rest is a margin
-	clientConnsPercent = 45  // of the descriptors; see Budget
+	clientConnsPercent = 45  // of the descriptors; see Config.Budget
 	workerConnsPercent = 42
 	socketBufferBytes  = 32 << 10
 )
 
-// Budget divides the configured limits. Usual clients hold at most a third of the descriptors, so 45 of 100 for clients
-// leave a margin for others. Workers get nearly as many. The rest is for the listener, the discovery connection, event
-// loops, standard streams and connections that are being closed. An event loop that waits occupies one processor of the
-// scheduler, so the scheduler gets one more than there are cores.
+// Budget divides the configured limits among the parts of the process. Well-behaved clients hold at most a third of the
+// descriptors, so a share of 45% leaves a margin for other clients. Workers get nearly as many. The rest is for the
+// listener, the discovery connection, event loops, standard streams and connections that are being closed. An event
+// loop that waits occupies one processor of the Go scheduler, so MaxProcs is one more than the number of cores.
 func (c *Config) Budget() Budget {
 	return Budget{
 		MaxProcs:          max(int(math.Ceil(c.Cores)), 1) + 1,
--- a/internal/httprouter/config.go
+++ b/internal/httprouter/config.go
@@ -23,56 +23,56 @@
 	Cores            float64
 	MemoryMB         float64
 	MaxDescriptors   int                    // file descriptors of the process
-	InitialEndpoints discovery.PollResponse // used until the first poll is answered
+	InitialEndpoints discovery.PollResponse // used until the discovery server answers the first poll
 	Settings         dispatch.Settings
 	Limits           simwire.ConnectionLimits
 }
 
 const (
-	maxConfigBytes = 16 << 20 // of the configuration file
+	maxConfigBytes = 16 << 20 // maximum size of the configuration file
 
-	// The least that a router is run with.
+	// Minimum resources of a router.
 	minMemoryMB    = 16
 	minDescriptors = 64
 
-	// Defaults of limits that the settings leave out.
+	// Defaults of limits that the settings omit.
 	defaultConnectTimeout  = time.Second
 	defaultLoadTimeout     = 10 * time.Second
 	defaultRequestsPerConn = 32
 )
 
-// configFile is the form of the configuration file.
+// configFile is the JSON structure of the configuration file.
 type configFile struct {
 	Name             string          `json:"name"`
 	ListenAddress    string          `json:"listen"`
 	DiscoveryAddress string          `json:"channel"`
-	Seed             string          `json:"seed"` // 64 bits in hexadecimal digits
+	Seed             string          `json:"seed"` // 64-bit hexadecimal number
 	Limits           processLimits   `json:"limits"`
 	InitialEndpoints json.RawMessage `json:"known"`
 	Settings         json.RawMessage `json:"settings"`
 }
 
-// processLimits is what the process may use of its machine.
+// processLimits limits the machine resources that the process may use.
 type processLimits struct {
 	Cores          float64 `json:"cores"`
 	MemoryMB       float64 `json:"memory_mb"`
 	MaxDescriptors int     `json:"sockets"`
 }
 
-// areSufficient reports whether a router can be run with the limits.
+// areSufficient reports whether a router can run within the limits.
 func (l processLimits) areSufficient() bool {
-	hasCores := l.Cores > 0 // false for NaN, too
+	hasCores := l.Cores > 0 // also false for NaN
 	return hasCores && l.MemoryMB >= minMemoryMB && l.MaxDescriptors >= minDescriptors
 }
 
-// LoadConfig reads and validates the configuration file at path. Its errors name the path.
+// LoadConfig reads and validates the configuration file at path. Errors include the path.
 func LoadConfig(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("httprouter: configuration: %w", err)
 	}
 	if info.Size() > maxConfigBytes {
-		return nil, fmt.Errorf("httprouter: %s: %d bytes, at most %d", path, info.Size(), maxConfigBytes)
+		return nil, fmt.Errorf("httprouter: %s: file has %d bytes, limit is %d", path, info.Size(), maxConfigBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return cfg, nil
 }
 
-// ParseConfig decodes and validates a configuration. Its errors name the key that is wrong.
+// ParseConfig decodes and validates a configuration. Errors name the invalid key.
 func ParseConfig(raw []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -109,7 +109,8 @@
 		}
 	}
 	if !file.Limits.areSufficient() {
-		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are too few", cfg.Cores, cfg.MemoryMB, cfg.MaxDescriptors)
+		return nil, fmt.Errorf("limits: %v cores, %v MB, %d sockets are below the minimum",
+			cfg.Cores, cfg.MemoryMB, cfg.MaxDescriptors)
 	}
 	if cfg.InitialEndpoints, err = discovery.ParsePollResponse(file.InitialEndpoints); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
@@ -124,7 +125,7 @@
 	return cfg, nil
 }
 
-// setDefaultLimits sets the connection limits that the settings leave out.
+// setDefaultLimits sets the connection limits that the settings omit.
 func (c *Config) setDefaultLimits() {
 	if c.Limits.ConnectTimeout <= 0 {
 		c.Limits.ConnectTimeout = defaultConnectTimeout
--- a/internal/httprouter/phases.go
+++ b/internal/httprouter/phases.go
@@ -6,14 +6,15 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// What the platform does at a planned restart.
+// Timing of a planned restart by the platform. The earliest SIGKILL follows SIGTERM after the longest deadline of the
+// classes, capped at maxSIGKILLDeadline, plus sigkillGrace.
 const (
-	acceptAfterSIGTERM = 1200 * time.Millisecond // clients go on sending for at most this time
-	maxSIGKILLDeadline = 3 * time.Second         // the limit on the longest deadline that the platform waits for
-	sigkillGrace       = 700 * time.Millisecond  // from the longest deadline after SIGTERM to the earliest SIGKILL
+	acceptAfterSIGTERM = 1200 * time.Millisecond // clients may send requests for at most this long
+	maxSIGKILLDeadline = 3 * time.Second
+	sigkillGrace       = 700 * time.Millisecond
 )
 
-// How long before the earliest SIGKILL each phase of a shutdown ends. The last margin is left for the process to exit.
+// How long before the earliest SIGKILL each phase of a shutdown ends. The process exits within the last margin.
 const (
 	answerMargin = 200 * time.Millisecond
 	stopMargin   = 150 * time.Millisecond
@@ -21,18 +22,18 @@
 	closeMargin  = 50 * time.Millisecond
 )
 
-// shutdownPhases are the latest ends of a shutdown's phases, as times since SIGTERM. The later phases end earlier if nothing
-// is left to do.
+// shutdownPhases holds the latest end of each phase of a shutdown, measured from SIGTERM. The later phases end earlier
+// if nothing is left to do.
 type shutdownPhases struct {
-	accepting time.Duration // calls are served as usual
-	answering time.Duration // the dispatcher answers the calls under way, and later ones at once
-	stopping  time.Duration // the router's loop ends with an answer to each call; later calls are rejected
-	draining  time.Duration // clients receive the last answers; later calls are rejected
+	accepting time.Duration // calls are served normally
+	answering time.Duration // the dispatcher answers the calls in flight, and new calls immediately
+	stopping  time.Duration // the router's loop answers the remaining calls and ends; new calls are rejected
+	draining  time.Duration // clients receive the last answers; new calls are rejected
 	closing   time.Duration // sockets are closed
 }
 
-// newShutdownPhases derives the phases from the longest deadline of the classes in the settings, so that the process
-// exits before the earliest SIGKILL.
+// newShutdownPhases computes the phases from the longest deadline of the configured classes, so that the process exits
+// before the earliest SIGKILL.
 func newShutdownPhases(longestDeadline time.Duration) shutdownPhases {
 	sigkill := min(longestDeadline, maxSIGKILLDeadline) + sigkillGrace
 	answering := sigkill - answerMargin
--- a/internal/httprouter/process.go
+++ b/internal/httprouter/process.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	statsInterval     = 5 * time.Second // between two lines of statistics in the log
+	statsInterval     = 5 * time.Second // between two log lines with statistics
 	reloadAttempts    = 10
 	reloadRetryDelay  = 50 * time.Millisecond
 	netpollPollers    = 1
-	netpollBufferSize = 4 << 10 // bytes of a connection's first buffer
-	sighupBuffer      = 4       // signals that wait while the configuration is being reloaded; more make no difference
+	netpollBufferSize = 4 << 10 // bytes; the first buffer of a connection
+	sighupBuffer      = 4       // signals queued during a reload; more would be redundant
 )
 
-// Run is the main function of the process. It serves by the configuration file at path until ctx is done, which SIGTERM
-// should cause, and then shuts down gracefully. It reloads the file on each SIGHUP, during the shutdown as well.
+// Run is the main function of the process. It reads the configuration file at path, serves until ctx is done and then
+// shuts down gracefully. The caller cancels ctx on SIGTERM. Run reloads the file on each SIGHUP, also during the
+// shutdown.
 func Run(ctx context.Context, path string, logger *slog.Logger) error {
 	sighup := catchSignals()
 	cfg, err := LoadConfig(path)
@@ -41,8 +42,8 @@
 	return nil
 }
 
-// catchSignals returns a channel that gets a value for each SIGHUP. From then on neither SIGHUP nor a further SIGTERM ends
-// the process. They stay caught after Run has returned, so that they don't cut off the exit either.
+// catchSignals returns a channel that receives each SIGHUP. From then on neither SIGHUP nor a second SIGTERM terminates
+// the process. Both stay caught after Run has returned, so that they don't interrupt the exit.
 func catchSignals() <-chan os.Signal {
 	sighup := make(chan os.Signal, sighupBuffer)
 	signal.Notify(sighup, syscall.SIGHUP)
@@ -51,7 +52,7 @@
 	return sighup
 }
 
-// applyProcessLimits sets what applies to the whole process, before the first socket is opened.
+// applyProcessLimits sets the process-wide limits. It must run before the first socket is opened.
 func applyProcessLimits(budget Budget, logger *slog.Logger) error {
 	runtime.GOMAXPROCS(budget.MaxProcs)
 	debug.SetMemoryLimit(budget.HeapLimit)
@@ -62,18 +63,18 @@
 	})
 }
 
-// serve shuts the server down when ctx is done, and returns when that has ended. Until then it reloads the configuration on
-// signals and logs statistics. It does not wait for a reload under way, which must not delay the exit.
+// serve reloads the configuration on signals and logs statistics until ctx is done. Then it shuts the server down and
+// returns when the shutdown is complete. It doesn't wait for a reload in progress, which must not delay the exit.
 func (s *Server) serve(ctx context.Context, path string, sighup <-chan os.Signal, logger *slog.Logger) {
 	stopped := make(chan struct{})
-	go s.reloadOnSignal(path, sighup, stopped, logger) // also during a shutdown, when workers may still drain
+	go s.reloadOnSignal(path, sighup, stopped, logger) // also during the shutdown, when workers may still start to drain
 	go s.logStatsUntil(stopped)
 	<-ctx.Done()
 	s.Shutdown()
 	close(stopped)
 }
 
-// reloadOnSignal applies the configuration file at path at each signal, until stopped is closed.
+// reloadOnSignal reloads the configuration file at path on each signal, until stopped is closed.
 func (s *Server) reloadOnSignal(path string, sighup <-chan os.Signal, stopped <-chan struct{}, logger *slog.Logger) {
 	for {
 		select {
@@ -90,7 +91,7 @@
 	}
 }
 
-// logStatsUntil logs statistics until stopped is closed.
+// logStatsUntil logs statistics at regular intervals until stopped is closed.
 func (s *Server) logStatsUntil(stopped <-chan struct{}) {
 	ticker := time.NewTicker(statsInterval)
 	defer ticker.Stop()
@@ -104,7 +105,7 @@
 	}
 }
 
-// reloadConfig reads the file again. It retries a few times, because the file may be read while it is being written.
+// reloadConfig reads the configuration file again. It retries, because the file may be read while it is being written.
 func reloadConfig(path string) (cfg *Config, err error) {
 	for range reloadAttempts {
 		if cfg, err = LoadConfig(path); err == nil {
@@ -115,7 +116,7 @@
 	return nil, err
 }
 
-// netpollLog passes netpoll's log lines on at debug level.
+// netpollLog is an io.Writer that logs netpoll's output at debug level.
 type netpollLog struct{ logger *slog.Logger }
 
 func (l netpollLog) Write(line []byte) (int, error) {
--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -15,36 +15,36 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// Timeouts of the parts. They protect resources. None affects where a call is sent.
+// Timeouts of the parts. They protect resources; none affects which worker a call is sent to.
 const (
 	firstRequestTimeout  = 1500 * time.Millisecond // to receive a client's first request completely
-	clientIdleTimeout    = 4500 * time.Millisecond // longer than the 4 s after which clients close idle connections themselves
-	writeTimeout         = time.Second             // for a peer to accept what is written to it
+	clientIdleTimeout    = 4500 * time.Millisecond // clients close idle connections after 4 s, so they close first
+	writeTimeout         = time.Second             // for a peer to accept the bytes written to it
 	responseStallTimeout = 250 * time.Millisecond  // to receive a worker's response completely once it has begun
-	pollWait             = time.Second             // how long the discovery server may hold a poll
-	pollResponseGrace    = 400 * time.Millisecond  // how much longer a poll's response may take
-	maxPollRetryDelay    = 500 * time.Millisecond  // between polls that fail
-	workerCheckInterval  = time.Second             // between checks of a worker that reported that it drains
+	pollWait             = time.Second             // how long the discovery server may hold a long poll
+	pollResponseGrace    = 400 * time.Millisecond  // added to pollWait for the response to arrive
+	maxPollRetryDelay    = 500 * time.Millisecond  // between failed polls
+	workerCheckInterval  = time.Second             // between health checks of a worker that reported that it drains
 )
 
-// Sizes of messages, in bytes unless noted.
+// Limits on messages.
 const (
 	maxRequestHeadBytes    = 8 << 10
-	maxRequestFields       = 64 // header fields, a count
+	maxRequestFields       = 64 // number of header fields
 	maxRequestBodyBytes    = 16 << 10
-	maxPendingRequestBytes = 8 << 10 // received beyond the request that is being read
+	maxPendingRequestBytes = 8 << 10 // received after the request that is being handled
 	maxWorkerResponseBytes = 64 << 10
-	maxPollResponseBytes   = 4 << 20 // a list of some 20,000 workers
+	maxPollResponseBytes   = 4 << 20 // enough for a list of about 20,000 workers
 )
 
-// Options are the parts of a Server that are not configured by the file.
+// Options are the parts of a Server that the configuration file doesn't define.
 type Options struct {
-	Logger        *slog.Logger                                               // nil discards
+	Logger        *slog.Logger                                               // nil: logs are discarded
 	NewDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: dispatch.New; the number is the seed
-	WallClock     wallclock.Clock                                            // nil: the system's
+	WallClock     wallclock.Clock                                            // nil: the system clock
 }
 
-// Server is one running router: the HTTP server, the dispatcher's loop, the RESP upstream and the endpoint watcher.
+// Server is one running router: the HTTP server, the router's loop, the RESP upstream and the endpoint watcher.
 type Server struct {
 	cfg        *Config
 	logger     *slog.Logger
@@ -55,7 +55,7 @@
 	stopOnce   sync.Once // for Shutdown or Close, whichever comes first
 }
 
-// Start starts a router that serves until Shutdown or Close. The HTTP server is opened last, once the router knows the
+// Start starts a router that serves until Shutdown or Close. The HTTP server starts last, when the router has the
 // configured endpoints.
 func Start(cfg *Config, options Options) (*Server, error) {
 	if options.Logger == nil {
@@ -84,7 +84,7 @@
 	return s, nil
 }
 
-// startRouter starts the upstream and the router. Neither is left running on an error.
+// startRouter starts the upstream and the router. On an error, neither is left running.
 func (s *Server) startRouter(budget Budget, options Options) error {
 	limits := s.cfg.Limits
 	s.upstream = respupstream.New(respupstream.Config{
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// startWatcher starts the endpoint watcher, which gives the router the configured endpoints before it returns.
+// startWatcher starts the endpoint watcher. When it returns, the router has received the configured endpoints.
 func (s *Server) startWatcher() (err error) {
 	s.watcher, err = discovery.Start(discovery.Config{
 		Address:          s.cfg.DiscoveryAddress,
@@ -136,11 +136,11 @@
 	if err == nil {
 		s.router.DescribeEndpointList(s.watcher.Describe)
 	}
-	s.cfg.InitialEndpoints = discovery.PollResponse{} // frees the memory of a long list, which the router has in its own form
+	s.cfg.InitialEndpoints = discovery.PollResponse{} // frees memory; the router has its own copy of the list
 	return err
 }
 
-// startHTTPServer opens the HTTP server for clients.
+// startHTTPServer starts the HTTP server for clients.
 func (s *Server) startHTTPServer(budget Budget) (err error) {
 	classes := map[string]dispatch.Idempotency{}
 	for _, class := range s.cfg.Settings.Classes {
@@ -161,8 +161,8 @@
 	return err
 }
 
-// UpdateConfig applies a new configuration. Only the discovery server's address may change while the router serves; all
-// else in it is ignored.
+// UpdateConfig applies the discovery server's address of a new configuration, which is the only setting that may change
+// while the router serves. It ignores the other settings.
 func (s *Server) UpdateConfig(cfg *Config) {
 	s.logger.Info("configuration reloaded", "discovery_address", cfg.DiscoveryAddress)
 	s.watcher.SetAddress(cfg.DiscoveryAddress)
--- a/internal/httprouter/shutdown.go
+++ b/internal/httprouter/shutdown.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Shutdown stops the router gracefully. Clients are served normally as long as they may still come, and each accepted call is
-// answered before the process is killed. Each phase has an end counted from now, so that neither workers nor clients can
-// delay the exit. It returns the number of calls that the dispatcher left without an answer, or 0 if the router was stopped
-// before.
+// Shutdown stops the router gracefully. Clients are served normally as long as they may send requests, and each
+// accepted call is answered before the platform kills the process. Each phase has a time limit measured from the call
+// of Shutdown, so that neither workers nor clients can delay the exit. Shutdown returns the number of calls that the
+// dispatcher left without an answer, or 0 if the router has already been stopped.
 func (s *Server) Shutdown() (unanswered int) {
 	s.stopOnce.Do(func() {
 		s.logger.Info("stopping", "calls", s.httpServer.Stats().OpenRequests)
@@ -15,7 +15,7 @@
 		s.router.StartShutdown(until(phases.answering))
 		time.Sleep(until(phases.accepting))
 		unanswered = s.router.Stop(until(phases.stopping))
-		time.Sleep(until(min(acceptAfterSIGTERM, phases.draining))) // clients may still come
+		time.Sleep(until(min(acceptAfterSIGTERM, phases.draining))) // clients may still send requests
 		if !s.httpServer.WaitForDrain(min(until(phases.draining), writeTimeout)) {
 			s.logger.Warn("stopped before a client had received its answer")
 		}
@@ -25,8 +25,8 @@
 	return unanswered
 }
 
-// closeWithin closes the sockets of a router that has stopped. It waits no longer than limit, because a connect to the
-// discovery server may delay the close. The end of the process closes the sockets that are left.
+// closeWithin closes the sockets of a router that has stopped. It waits no longer than limit, because a pending connect
+// to the discovery server may delay the close. The exit of the process closes the remaining sockets.
 func (s *Server) closeWithin(limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Close stops the router at once and answers no call, as a crash of its process would.
+// Close stops the router immediately without answering open calls, as a crash of the process would.
 func (s *Server) Close() {
 	s.stopOnce.Do(func() {
 		s.router.Kill()
@@ -50,7 +50,7 @@
 	})
 }
 
-// closeSockets closes what Start opened, clients first. After a failed Start a part may be missing.
+// closeSockets stops the parts that Start started, the HTTP server first. After a failed Start some are nil.
 func (s *Server) closeSockets() {
 	if s.httpServer != nil {
 		s.httpServer.Close()
--- a/internal/httprouter/stats.go
+++ b/internal/httprouter/stats.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// logStats logs the router's counters and gauges. The keys are documented in docs/operators/platform.md, so they stay as
-// they are when a Go name changes.
+// logStats logs the router's counters and gauges. The keys are documented in docs/operators/platform.md and must not
+// change when a Go name changes.
 func (s *Server) logStats() {
 	router := s.router.Stats()
 	server := s.httpServer.Stats()
