--- a/internal/httprouter/attempt_failures_test.go
+++ b/internal/httprouter/attempt_failures_test.go
@@ -10,15 +10,15 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
-// hedgingDispatcher starts two attempts of each request at once, and nothing after them: a request of which both have
-// ended without an answer is failed.
+// hedgingDispatcher starts two attempts of each request at the same time and never retries. It fails a request when
+// both attempts have ended without a final answer.
 type hedgingDispatcher struct {
 	workers []dispatch.Endpoint
 	ended   map[dispatch.RequestID]int
 }
 
 func (d *hedgingDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
-	for _, event := range events { // an update may come behind the first request, in the same Step
+	for _, event := range events { // an update may follow the first request in the same Step
 		if update, ok := event.(dispatch.EndpointUpdate); ok {
 			d.workers = update.Endpoints
 		}
@@ -38,13 +38,13 @@
 	return actions
 }
 
-// attemptPairs pairs the attempts of a request, which come to different workers, and has a function act on both once
-// the second has come.
+// attemptPairs matches the two attempts of a request, which arrive at different workers, and calls endBoth when the
+// second arrives.
 type attemptPairs struct {
-	act func(first, second fakeplatform.Request)
+	endBoth func(first, second fakeplatform.Request)
 
 	mu     sync.Mutex
-	firsts map[string]fakeplatform.Request // by id
+	firsts map[string]fakeplatform.Request // first attempts by request ID
 	pairs  int
 }
 
@@ -58,7 +58,7 @@
 	}
 	p.mu.Unlock()
 	if paired {
-		p.act(first, r)
+		p.endBoth(first, r)
 	}
 }
 
@@ -68,7 +68,7 @@
 	return p.pairs
 }
 
-// failBoth ends the connections of two attempts, at the same instant as nearly as can be.
+// failBoth ends the connections of both attempts as nearly at the same time as possible.
 func failBoth(fault fakeplatform.ConnFault) func(first, second fakeplatform.Request) {
 	return func(first, second fakeplatform.Request) {
 		var together sync.WaitGroup
@@ -89,13 +89,14 @@
 	}
 }
 
-// TestBothAttemptsEndAtOnce has both attempts of a hedged request end at the same instant: each client gets one answer.
-func TestBothAttemptsEndAtOnce(t *testing.T) {
+// TestHedgedAttemptsEndTogether guards against a request that gets no final answer, or two, when both of its hedged
+// attempts end at the same time.
+func TestHedgedAttemptsEndTogether(t *testing.T) {
 	t.Parallel()
 	const calls = 60
 	for name, c := range map[string]struct {
-		act    func(first, second fakeplatform.Request)
-		status int
+		endBoth func(first, second fakeplatform.Request)
+		status  int
 	}{
 		"both are reset":       {failBoth(fakeplatform.ResetConn), 502},
 		"both are closed":      {failBoth(fakeplatform.CloseConn), 502},
@@ -106,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			pairs := &attemptPairs{act: c.act, firsts: map[string]fakeplatform.Request{}}
+			pairs := &attemptPairs{endBoth: c.endBoth, firsts: map[string]fakeplatform.Request{}}
 			h := startHarness(t, harnessOptions{
 				dispatcher: fixedDispatcher(&hedgingDispatcher{ended: map[dispatch.RequestID]int{}}),
 				handle: func(_ *fakeplatform.Worker, r fakeplatform.Request) {
@@ -125,12 +126,13 @@
 	}
 }
 
-// TestSecondAttemptsFailWithFirstOnes has a worker leave a class unanswered until the real dispatcher starts second
-// attempts elsewhere, and then ends the connections of both attempts at once. Each call gets its answer in time.
-func TestSecondAttemptsFailWithFirstOnes(t *testing.T) {
+// TestHedgedAttemptsAreResetTogether guards against calls without an answer in time when the real dispatcher hedges a
+// request and both attempts fail. Workers don't answer the attempts of one class until the dispatcher starts a second
+// attempt at another worker; then the connections of both attempts are reset.
+func TestHedgedAttemptsAreResetTogether(t *testing.T) {
 	t.Parallel()
 	const maxRounds = 40
-	pairs := &attemptPairs{act: failBoth(fakeplatform.ResetConn), firsts: map[string]fakeplatform.Request{}}
+	pairs := &attemptPairs{endBoth: failBoth(fakeplatform.ResetConn), firsts: map[string]fakeplatform.Request{}}
 	h := startHarness(t, harnessOptions{handle: func(w *fakeplatform.Worker, r fakeplatform.Request) {
 		if isAttempt(r) && r.Fields["cls"] == "safe" {
 			pairs.add(r)
@@ -139,17 +141,17 @@
 		go w.HandleHealthy(r)
 	}})
 	for round := 0; round < maxRounds && pairs.count() == 0; round++ {
-		h.callsWithin(12, 500*time.Millisecond)
+		h.makeCallsWithin(12, 500*time.Millisecond)
 	}
 	if pairs.count() == 0 {
-		t.Error("no second attempt is started")
+		t.Error("the dispatcher started no second attempt")
 	}
 	h.requireInvariants()
 }
 
-// TestRetriesFailAtOnce has every attempt fail at once, for a while, in each way there is. Each call gets its answer in
-// time, and calls are served afterwards.
-func TestRetriesFailAtOnce(t *testing.T) {
+// TestEveryAttemptFails guards against calls without an answer, and against a router that doesn't recover, when all
+// attempts fail immediately for a while. It covers each way in which an attempt can fail.
+func TestEveryAttemptFails(t *testing.T) {
 	t.Parallel()
 	const failing = 8 // calls of each class
 	for name, fail := range map[string]func(r fakeplatform.Request){
@@ -175,7 +177,7 @@
 				}
 				go w.HandleHealthy(r)
 			}})
-			if served := h.callsWithin(failing, time.Second); served > 0 {
+			if served := h.makeCallsWithin(failing, time.Second); served > 0 {
 				t.Errorf("%d served", served)
 			}
 			mu.Lock()
@@ -187,20 +189,20 @@
 	}
 }
 
-// requireRecovery makes rounds of calls until all of a round are served.
+// requireRecovery makes rounds of calls until all calls of one round are served.
 func (h *harness) requireRecovery(maxRounds int, deadline time.Duration) {
 	h.t.Helper()
 	const callsPerClass = 6
 	for range maxRounds {
-		if h.callsWithin(callsPerClass, deadline) == 3*callsPerClass {
+		if h.makeCallsWithin(callsPerClass, deadline) == 3*callsPerClass {
 			return
 		}
 	}
-	h.t.Error("calls fail after the faults are over")
+	h.t.Error("calls still fail after the end of the faults")
 }
 
-// TestShortDeadlines makes calls with very little time left, of which workers say nothing. Each gets its answer in time,
-// and no worker is told of more time than its client has.
+// TestShortDeadlines makes calls with very short deadlines that workers never answer. It guards against late answers,
+// and against attempts that state more time to a worker than the client has left.
 func TestShortDeadlines(t *testing.T) {
 	t.Parallel()
 	const (
@@ -211,7 +213,7 @@
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			var limits []string // of attempts
+			var limits []string // remaining deadlines of the attempts in ms
 			dropping := false
 			h := startHarness(t, harnessOptions{handle: func(w *fakeplatform.Worker, r fakeplatform.Request) {
 				mu.Lock()
@@ -224,7 +226,7 @@
 					go w.HandleHealthy(r)
 				}
 			}})
-			h.calls(callsPerClass) // functions are loaded and connections open
+			h.makeCalls(callsPerClass) // loads the functions and opens connections
 			mu.Lock()
 			dropping = true
 			mu.Unlock()
@@ -234,16 +236,16 @@
 				return len(limits)
 			}
 			for round := 0; round < maxRounds && attempts() < callsPerClass; round++ {
-				h.callsWithin(callsPerClass, deadline)
+				h.makeCallsWithin(callsPerClass, deadline)
 			}
 			if attempts() == 0 {
-				t.Error("no attempt came to a worker")
+				t.Error("no attempt reached a worker")
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			for _, limit := range limits {
 				if ms, err := strconv.Atoi(limit); err != nil || ms > int(deadline.Milliseconds()) {
-					t.Errorf("a worker was told of %s ms", limit)
+					t.Errorf("an attempt states a remaining deadline of %s ms", limit)
 				}
 			}
 			h.requireInvariants()
@@ -251,14 +253,14 @@
 	}
 }
 
-// TestShortDeadlinesBeforeLoads makes calls with very little time left of functions that no worker holds, while workers
-// answer neither load commands, health checks nor attempts. Each gets its answer in time.
-func TestShortDeadlinesBeforeLoads(t *testing.T) {
+// TestShortDeadlinesOfUnloadedFunctions makes calls with very short deadlines to functions that no worker has loaded,
+// while workers answer no load commands, health checks or attempts. Each call must get its answer in time.
+func TestShortDeadlinesOfUnloadedFunctions(t *testing.T) {
 	t.Parallel()
 	h := startHarness(t, harnessOptions{handle: func(*fakeplatform.Worker, fakeplatform.Request) {}})
 	const callsPerClass = 5
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 20 * time.Millisecond, 5 * time.Millisecond} {
-		if served := h.callsWithin(callsPerClass, deadline); served > 0 {
+		if served := h.makeCallsWithin(callsPerClass, deadline); served > 0 {
 			t.Errorf("%d served", served)
 		}
 	}
--- a/internal/httprouter/budget_test.go
+++ b/internal/httprouter/budget_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestBudgetWithinLimits checks that the parts never exceed the limits, at the least and the most that the platform gives.
+// TestBudgetWithinLimits checks that the parts together stay within the limits, for the smallest and the largest
+// machine of the platform.
 func TestBudgetWithinLimits(t *testing.T) {
 	for name, cfg := range map[string]Config{
 		"least": {Cores: 1, MemoryMB: 32, MaxDescriptors: 256},
--- a/internal/httprouter/config_bench_test.go
+++ b/internal/httprouter/config_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
-// BenchmarkParseConfig times the configuration of a router that starts, and is reloaded, with n workers.
+// BenchmarkParseConfig measures parsing of a configuration with n workers, which happens at a start and at each reload.
 func BenchmarkParseConfig(b *testing.B) {
 	for _, n := range []int{60, 960, 3200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
--- a/internal/httprouter/faults_test.go
+++ b/internal/httprouter/faults_test.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	faultyClients = 10
-	firstFaultyID = 1 << 20 // of the faulty clients' requests
-	callsPerClass = 25
-	actInterval   = 10 * time.Millisecond // between two acts of a client, faulty or not
+	faultyClients  = 10
+	firstFaultyID  = 1 << 20 // first request ID of the faulty clients
+	callsPerClass  = 25
+	actionInterval = 10 * time.Millisecond // between two actions of any client
 )
 
-// faultsBesideOthers are faults of a worker or of clients that others must not notice.
-var faultsBesideOthers = map[string]struct {
-	worker   func(r fakeplatform.Request) // how one of three workers handles messages; nil: as a healthy one
-	client   func(conn net.Conn, id int)  // what faulty clients do again and again; nil: there are none
-	deadline time.Duration                // of the others' calls
-	served   bool                         // all of the others' calls are served; else each has an answer
+// isolatedFaults are faults of one worker, or of some clients, that must not affect other clients.
+var isolatedFaults = map[string]struct {
+	worker    func(r fakeplatform.Request) // handles the messages to one of three workers; nil: it is healthy
+	client    func(conn net.Conn, id int)  // action that faulty clients repeat; nil: there are none
+	deadline  time.Duration                // of the other clients' calls
+	allServed bool                         // all of those calls must be served; false: each gets an answer
 }{
 	"a worker that hangs": {worker: func(fakeplatform.Request) {}, deadline: time.Second},
 	"a worker that stalls within its responses": {
@@ -32,24 +32,25 @@
 	},
 	"clients that read nothing": {
 		client:   func(conn net.Conn, id int) { _, _ = io.WriteString(conn, callRequestWithKey(id, "safe", time.Second)) },
-		deadline: 8 * time.Second, served: true,
+		deadline: 8 * time.Second, allServed: true,
 	},
 	"a flood of malformed requests": {
 		client:   func(conn net.Conn, _ int) { _, _ = io.WriteString(conn, "POST call\r\n\r\n") },
-		deadline: 8 * time.Second, served: true,
+		deadline: 8 * time.Second, allServed: true,
 	},
 	"a flood of requests behind each other": {
 		client: func(conn net.Conn, _ int) {
 			_, _ = io.WriteString(conn, strings.Repeat("GET /ping HTTP/1.1\r\n\r\n", 100))
 		},
-		deadline: 8 * time.Second, served: true,
+		deadline: 8 * time.Second, allServed: true,
 	},
 }
 
-// TestFaultsBesideOthers plays each of faultsBesideOthers beside usual clients: each of their calls has its final answer
-// in its own time, and the rules hold.
-func TestFaultsBesideOthers(t *testing.T) {
-	for name, test := range faultsBesideOthers {
+// TestFaultsDoNotAffectOtherCalls causes each of isolatedFaults while other clients make calls. It guards against a
+// hanging worker or a faulty client that delays the answers to the other clients beyond their deadlines, or breaks an
+// invariant.
+func TestFaultsDoNotAffectOtherCalls(t *testing.T) {
+	for name, test := range isolatedFaults {
 		t.Run(name, func(t *testing.T) {
 			stalls := startStallMeter(t)
 			h := newHarness(t, nil)
@@ -57,7 +58,7 @@
 				h.workers[0].Handle = test.worker
 			}
 			stop := make(chan struct{})
-			var faulty, usual sync.WaitGroup
+			var faulty, others sync.WaitGroup
 			defer faulty.Wait()
 			defer close(stop)
 			if test.client != nil {
@@ -66,26 +67,26 @@
 				}
 			}
 			for i, class := range []string{"safe", "keyed", "unsafe"} {
-				usual.Go(func() {
+				others.Go(func() {
 					for n := range callsPerClass {
-						time.Sleep(actInterval)
+						time.Sleep(actionInterval)
 						sentAt := time.Now()
 						status, text := h.client.Call(hexID(100*(i+1)+n), class, hexID(n%5+1), test.deadline)
 						took := time.Since(sentAt)
-						if status == 0 || test.served && status != 200 || took > test.deadline+acceptedLateness+stalls.slack() {
+						if status == 0 || test.allServed && status != 200 || took > test.deadline+allowedLateness+stalls.slack() {
 							t.Errorf("%s call %d: status %d after %v (%s)", class, n, status, took, text)
 						}
 					}
 				})
 			}
-			usual.Wait()
+			others.Wait()
 			h.requireInvariants()
 		})
 	}
 }
 
-// runFaultyClient acts until stop is closed, ten times over each connection.
-func (h *harness) runFaultyClient(act func(net.Conn, int), firstID int, stop <-chan struct{}) {
+// runFaultyClient repeats an action until stop is closed, ten times on each connection.
+func (h *harness) runFaultyClient(action func(net.Conn, int), firstID int, stop <-chan struct{}) {
 	for id := firstID; ; {
 		conn, err := net.Dial("tcp", h.server.httpServer.Addr())
 		if err != nil {
@@ -94,13 +95,13 @@
 		}
 		_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
 		for range 10 {
-			act(conn, id)
+			action(conn, id)
 			id++
 			select {
 			case <-stop:
 				_ = conn.Close()
 				return
-			case <-time.After(actInterval):
+			case <-time.After(actionInterval):
 			}
 		}
 		_ = conn.Close()
--- a/internal/httprouter/golden_test.go
+++ b/internal/httprouter/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-// TestGoldenConfig holds what is read of a configuration file with every key.
+// TestGoldenConfig compares the Config parsed from a file with every key to a golden file.
 func TestGoldenConfig(t *testing.T) {
 	config, err := LoadConfig("testdata/golden/config.json")
 	if err != nil {
--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -17,7 +17,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// defaultSettings are those of a small fleet. Times are in microseconds, as the simulator sends them.
+// defaultSettings are the settings of a small fleet. Times are in microseconds, as the simulator sends them.
 const defaultSettings = `{"az":"z","balancers":1,"host_types":["k"],
  "classes":[{"name":"safe","semantics":"read_like","target":2000000,"deadline":8000000,"worth":1.0},
   {"name":"keyed","semantics":"idempotency_key","dedup_scope":"cell","window":6000000,"target":2000000,"deadline":8000000,"worth":1.0},
@@ -29,7 +29,7 @@
   "connect_timeout":2000000,"idle_close":15000000,"streams_per_conn":32},
  "safety":{"drain_grace":500000,"start_capacity":0.2,"warm_within":16000000,"overload_factor":3,"fall":1500000,"grace_to_answer":5000}}`
 
-// configJSON is a configuration file with defaultSettings; initial is the JSON of the initial endpoints.
+// configJSON returns a configuration file with defaultSettings. initial is the JSON of the initial endpoints.
 func configJSON(discoveryAddress, initial string) string {
 	return configJSONWith(defaultSettings, discoveryAddress, initial)
 }
@@ -39,28 +39,28 @@
  "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"channel":%q,"known":%s,"settings":%s}`, discoveryAddress, initial, settings)
 }
 
-// initialSnapshot is the JSON of initial endpoints made of one event.
+// initialSnapshot returns the JSON of initial endpoints that consist of one event.
 func initialSnapshot(event string) string { return `{"cursor":1,"cmds":[{"cursor":1,` + event + `}]}` }
 
-// hexID is an ID in the form of the protocols: 16 hexadecimal digits.
+// hexID returns n as an ID of the protocols, which has 16 hexadecimal digits.
 func hexID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// newDispatcher is Options.NewDispatcher.
+// newDispatcher is the type of Options.NewDispatcher.
 type newDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error)
 
-// fixedDispatcher is Options.NewDispatcher for a dispatcher that is made already.
+// fixedDispatcher returns an Options.NewDispatcher that always returns d.
 func fixedDispatcher(d router.Dispatcher) newDispatcher {
 	return func(dispatch.Settings, uint64) (router.Dispatcher, error) { return d, nil }
 }
 
-// harness is three workers, a discovery server that lists them, a router and a client of it. What workers and clients
-// observe is recorded.
+// harness runs a router with three workers, a discovery server that lists them, and a client. The workers and the
+// client record what they observe, for requireInvariants.
 type harness struct {
 	t         *testing.T
 	options   harnessOptions
 	records   *invariants.Log
 	workers   []*fakeplatform.Worker
-	addresses map[*fakeplatform.Worker]string // of workers shared with another harness
+	addresses map[*fakeplatform.Worker]string // addresses for this router of workers shared with another harness
 	discovery *fakeplatform.DiscoveryServer
 	server    *Server
 	client    *fakeplatform.Client
@@ -68,15 +68,15 @@
 	nextCall  int
 }
 
-// harnessOptions are what tests change in a harness. The zero value is usual.
+// harnessOptions changes the defaults of a harness.
 type harnessOptions struct {
 	settings   string                                           // "": defaultSettings
 	dispatcher newDispatcher                                    // nil: the real one
 	handle     func(*fakeplatform.Worker, fakeplatform.Request) // Worker.Handle of each worker
-	beside     *harness                                         // its workers and records are shared by this harness's router
-	router     string                                           // its name in the records; "": fakeplatform.DefaultRouter
-	unstarted  bool                                             // the test starts a router itself, and leads the client to it
-	firstCall  int                                              // calls are numbered from here
+	sharedWith *harness                                         // source of workers and records; nil: its own
+	router     string                                           // name in the records; "": fakeplatform.DefaultRouter
+	unstarted  bool                                             // the test starts the router itself
+	firstCall  int                                              // call IDs start after this number
 }
 
 // newHarness starts a harness with defaultSettings. A nil dispatcher is the real one.
@@ -91,8 +91,8 @@
 	if h.options.settings == "" {
 		h.options.settings = defaultSettings
 	}
-	if options.beside != nil {
-		h.records, h.workers = options.beside.records, slices.Clone(options.beside.workers)
+	if options.sharedWith != nil {
+		h.records, h.workers = options.sharedWith.records, slices.Clone(options.sharedWith.workers)
 	} else {
 		h.records = invariants.NewLog()
 		for _, id := range []string{"a", "b", "c"} {
@@ -113,7 +113,7 @@
 	return h
 }
 
-// startWorker starts a worker that records in the harness.
+// startWorker starts a worker that adds records to those of the harness.
 func (h *harness) startWorker(id string) *fakeplatform.Worker {
 	h.t.Helper()
 	w := &fakeplatform.Worker{ID: id, Records: h.records, WorkDuration: 2 * time.Millisecond, DeduplicatedClass: "keyed"}
@@ -126,7 +126,7 @@
 // addressOf returns the address at which the harness's router reaches a worker.
 func (h *harness) addressOf(w *fakeplatform.Worker) string {
 	h.t.Helper()
-	if h.options.beside == nil {
+	if h.options.sharedWith == nil {
 		return w.Addr()
 	}
 	if h.addresses[w] == "" {
@@ -139,10 +139,11 @@
 	return h.addresses[w]
 }
 
-// recordName is the router's name in the records.
-func (h *harness) recordName() string { return cmp.Or(h.options.router, fakeplatform.DefaultRouter) }
+// routerName returns the router's name in the records.
+func (h *harness) routerName() string { return cmp.Or(h.options.router, fakeplatform.DefaultRouter) }
 
-// startServer starts the router, with the discovery server's present events, and leads the client to it.
+// startServer starts the router, with the discovery server's current events as initial endpoints, and connects the
+// client to it.
 func (h *harness) startServer() {
 	h.t.Helper()
 	cfg, err := ParseConfig([]byte(configJSONWith(h.options.settings, h.discovery.Addr(), h.discovery.AllEvents())))
@@ -156,14 +157,14 @@
 	h.client.BaseURL = "http://" + h.server.httpServer.Addr()
 }
 
-// usualDeadline is that of calls which are to be served in any case.
-const usualDeadline = 8 * time.Second
+// generousDeadline is the deadline of calls that must be served even on a loaded machine.
+const generousDeadline = 8 * time.Second
 
 // call makes one call of a class and returns its status.
-func (h *harness) call(class string) int { return h.callWithin(class, usualDeadline) }
+func (h *harness) call(class string) int { return h.callWithin(class, generousDeadline) }
 
-// callWithin makes one call with a deadline and returns its status. There are few functions, so that instances are
-// shared.
+// callWithin makes one call with a deadline and returns its status. Calls alternate between five functions, so that
+// loaded instances are reused.
 func (h *harness) callWithin(class string, deadline time.Duration) int {
 	h.mu.Lock()
 	h.nextCall++
@@ -177,11 +178,11 @@
 	return status
 }
 
-// calls makes n calls of each class, at most 12 at once, and returns how many were served.
-func (h *harness) calls(n int) (served int) { return h.callsWithin(n, usualDeadline) }
+// makeCalls makes n calls of each class, at most 12 at once, and returns how many were served.
+func (h *harness) makeCalls(n int) (served int) { return h.makeCallsWithin(n, generousDeadline) }
 
-// callsWithin is calls with a deadline.
-func (h *harness) callsWithin(n int, deadline time.Duration) (served int) {
+// makeCallsWithin is like makeCalls, with a deadline.
+func (h *harness) makeCallsWithin(n int, deadline time.Duration) (served int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	inFlight := make(chan struct{}, 12)
@@ -215,11 +216,12 @@
 	testsupport.WaitUntil(h.t, "the watcher has all events", func() bool {
 		return h.server.watcher.Stats().Revision == h.discovery.Revision()
 	})
-	h.server.router.Stats() // the loop has applied them by the iteration after the one that answers the first call
+	h.server.router.Stats() // the loop applies the events in the iteration after the one that answers the first call
 	h.server.router.Stats()
 }
 
-// invariantSettings are the checker's. Its slack is wide, as a loaded machine may delay a record after its send.
+// invariantSettings returns the settings of the invariant checker. The tolerances are wide, because a loaded machine
+// may delay a record after the event that it records.
 func (h *harness) invariantSettings() invariants.Settings {
 	return invariants.Settings{Classes: map[string]invariants.Class{"safe": {Idempotency: "safe", RetryHarmless: true, MeanWork: 5 * time.Millisecond},
 		"keyed": {Idempotency: "keyed", MeanWork: 5 * time.Millisecond}, "unsafe": {Idempotency: "unsafe", MeanWork: 5 * time.Millisecond}},
@@ -227,25 +229,25 @@
 		RecordingDelay: time.Second}
 }
 
-// requireServedWithoutDraining makes n calls of each class and requires that all are served, and none by a worker that
-// drains.
+// requireServedWithoutDraining makes n calls of each class and requires that all are served, and that the draining
+// worker receives no message.
 func (h *harness) requireServedWithoutDraining(worker *fakeplatform.Worker, n int) {
 	h.t.Helper()
 	before := len(worker.Received())
-	if served := h.calls(n); served < 3*n {
+	if served := h.makeCalls(n); served < 3*n {
 		h.t.Errorf("%d of %d served", served, 3*n)
 	}
 	if got := len(worker.Received()) - before; got > 0 {
-		h.t.Errorf("%d messages to a worker that drains", got)
+		h.t.Errorf("%d messages to a draining worker", got)
 	}
 }
 
-// recordDrain records that the router knows that a worker drains.
+// recordDrain records that the router has been notified that a worker drains.
 func (h *harness) recordDrain(worker string) {
 	h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: "r", Worker: worker, Unavailable: true})
 }
 
-// requireInvariants fails the test for each violation in the records so far.
+// requireInvariants reports a test error for each violation of an invariant in the records so far.
 func (h *harness) requireInvariants() {
 	h.t.Helper()
 	for _, violation := range invariants.Check(h.invariantSettings(), h.records.Records()) {
@@ -253,7 +255,7 @@
 	}
 }
 
-// awaitPoll waits for a poll from a revision: the events up to it were applied.
+// awaitPoll waits for a poll from a revision, which shows that the router has received the events up to it.
 func awaitPoll(t *testing.T, server *fakeplatform.DiscoveryServer, revision int) {
 	t.Helper()
 	timeout := time.After(20 * time.Second)
--- a/internal/httprouter/idle_conns_test.go
+++ b/internal/httprouter/idle_conns_test.go
@@ -10,7 +10,7 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// connFaults are the ways in which workers end idle connections.
+// connFaults are the ways in which workers end connections.
 var connFaults = map[string]fakeplatform.ConnFault{
 	"close":  fakeplatform.CloseConn,
 	"reset":  fakeplatform.ResetConn,
@@ -20,24 +20,25 @@
 // isAttempt reports whether a message to a worker is an attempt of a call.
 func isAttempt(r fakeplatform.Request) bool { return r.Command == "exec" }
 
-// connFaultDeadline is the deadline of calls under a fault: long for those that a router is notified of, short for one that
-// only time tells.
+// connFaultDeadline returns the deadline of calls during a fault. It is short for ForgetConn, which the router detects
+// only by a timeout.
 func connFaultDeadline(fault fakeplatform.ConnFault) time.Duration {
 	if fault == fakeplatform.ForgetConn {
 		return 300 * time.Millisecond
 	}
-	return usualDeadline
+	return generousDeadline
 }
 
-// TestWorkerConnectionsEndAtSend has workers end connections as requests come over them: before a request is looked at,
-// so that it never runs, or just before it is sent.
-func TestWorkerConnectionsEndAtSend(t *testing.T) {
+// TestWorkerConnectionsFailDuringSend guards against calls that are lost because a worker ends an idle connection at
+// the moment when the router sends a request on it. The worker ends it when the request arrives, which it then doesn't
+// run, or just before the request is sent.
+func TestWorkerConnectionsFailDuringSend(t *testing.T) {
 	t.Parallel()
 	const faultsPerRound = 3
 	for name, fault := range connFaults {
 		t.Run(name+" as the request comes", func(t *testing.T) {
 			t.Parallel()
-			var faults atomic.Int32 // still to come
+			var faults atomic.Int32 // remaining
 			h := startHarness(t, harnessOptions{handle: func(w *fakeplatform.Worker, r fakeplatform.Request) {
 				if isAttempt(r) && faults.Add(-1) >= 0 {
 					r.Conn.Fail(fault)
@@ -45,12 +46,12 @@
 				}
 				go w.HandleHealthy(r)
 			}})
-			h.requireAnswersThroughFaults(fault, func() { faults.Store(faultsPerRound) })
+			h.requireAnswersDespiteFaults(fault, func() { faults.Store(faultsPerRound) })
 		})
 		t.Run(name+" before the send", func(t *testing.T) {
 			t.Parallel()
 			h := startHarness(t, harnessOptions{})
-			h.requireAnswersThroughFaults(fault, func() { h.failWorkerConns(fault) })
+			h.requireAnswersDespiteFaults(fault, func() { h.failWorkerConns(fault) })
 		})
 	}
 }
@@ -61,9 +62,10 @@
 	}
 }
 
-// requireAnswersThroughFaults makes calls after each of several faults. Each gets its answer in time; half of them are
-// served where the router is notified of the fault; and all of a round are once the faults are over.
-func (h *harness) requireAnswersThroughFaults(fault fakeplatform.ConnFault, causeFault func()) {
+// requireAnswersDespiteFaults makes calls after each of several faults. Each call must get its answer in time. If the
+// fault closes the connections, at least half of the calls must be served. After the faults, all calls of one round
+// must be served.
+func (h *harness) requireAnswersDespiteFaults(fault fakeplatform.ConnFault, causeFault func()) {
 	h.t.Helper()
 	const (
 		rounds         = 3
@@ -72,11 +74,11 @@
 		recoveryRounds = 20
 	)
 	deadline := connFaultDeadline(fault)
-	h.calls(callsPerClass) // functions are loaded and connections open
+	h.makeCalls(callsPerClass) // loads the functions and opens connections
 	served := 0
 	for range rounds {
 		causeFault()
-		served += h.callsWithin(callsPerClass, deadline)
+		served += h.makeCallsWithin(callsPerClass, deadline)
 	}
 	h.t.Logf("%d of %d served", served, rounds*callsPerRound)
 	if fault != fakeplatform.ForgetConn && served < rounds*callsPerRound/2 {
@@ -86,44 +88,44 @@
 	h.requireInvariants()
 }
 
-// laterDispatcher is the real dispatcher on a clock that a test sets forward, as if nothing had come for that long but timers
-// and confirmations of the endpoint list.
-type laterDispatcher struct {
+// clockAdvancingDispatcher is the real dispatcher on a clock that a test sets forward. For the skipped time the
+// dispatcher gets only timers and confirmations of the endpoint list, as in a period without traffic.
+type clockAdvancingDispatcher struct {
 	router.Dispatcher
-	quiet  atomic.Int64  // nanoseconds that the test has set the clock forward by
-	passed time.Duration // of that, what the dispatcher has lived through
+	advance  atomic.Int64  // nanoseconds by which the test has set the clock forward
+	advanced time.Duration // part of advance that Step has applied
 }
 
-func (d *laterDispatcher) Step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
+func (d *clockAdvancingDispatcher) Step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
 	const timerInterval = 50 * time.Millisecond
-	for ; d.passed < time.Duration(d.quiet.Load()); d.passed += timerInterval {
-		at := now + d.passed
+	for ; d.advanced < time.Duration(d.advance.Load()); d.advanced += timerInterval {
+		at := now + d.advanced
 		quietEvents := []dispatch.Event{dispatch.EndpointListConfirmed{At: at}, dispatch.TimerFired{}}
 		actions = append(actions, d.Dispatcher.Step(at, quietEvents)...)
 	}
 	for i, event := range events {
 		if confirmed, ok := event.(dispatch.EndpointListConfirmed); ok {
-			events[i] = dispatch.EndpointListConfirmed{At: confirmed.At + d.passed}
+			events[i] = dispatch.EndpointListConfirmed{At: confirmed.At + d.advanced}
 		}
 	}
-	return append(actions, d.Dispatcher.Step(now+d.passed, events)...)
+	return append(actions, d.Dispatcher.Step(now+d.advanced, events)...)
 }
 
-// TestTroubleAfterQuietTime has nothing come for five minutes, by the dispatcher's clock, and then all idle connections
-// fail in one of the ways, of which the router was not notified.
-func TestTroubleAfterQuietTime(t *testing.T) {
+// TestConnFailuresAfterIdlePeriod guards against calls that are lost because all idle connections fail after a period
+// without traffic, of five minutes on the dispatcher's clock, and the router has not been notified.
+func TestConnFailuresAfterIdlePeriod(t *testing.T) {
 	t.Parallel()
 	for name, fault := range connFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			dispatcher := &laterDispatcher{}
+			dispatcher := &clockAdvancingDispatcher{}
 			h := startHarness(t, harnessOptions{dispatcher: func(settings dispatch.Settings, seed uint64) (router.Dispatcher, error) {
 				var err error
 				dispatcher.Dispatcher, err = dispatch.New(settings, seed)
 				return dispatcher, err
 			}})
-			h.requireAnswersThroughFaults(fault, func() {
-				dispatcher.quiet.Add(int64(5 * time.Minute))
+			h.requireAnswersDespiteFaults(fault, func() {
+				dispatcher.advance.Add(int64(5 * time.Minute))
 				h.failWorkerConns(fault)
 			})
 		})
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -13,9 +13,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestInvariantsThroughDrainReplacementAndAddressChange has workers drain, crash, be replaced at their address and
-// corrupt responses, and moves the discovery server. The invariants hold by what workers and clients observe, and
-// nearly all calls are served.
+// TestInvariantsThroughDrainReplacementAndAddressChange has workers drain, crash, get replaced at the same address and
+// send corrupt responses, and moves the discovery server. It guards against a violation of an invariant as observed by
+// workers and clients.
 func TestInvariantsThroughDrainReplacementAndAddressChange(t *testing.T) {
 	h := newHarness(t, nil)
 	resp, err := h.client.HTTPClient.Get(h.client.BaseURL + "/ping")
@@ -23,16 +23,16 @@
 		t.Fatal(resp, err)
 	}
 	_ = resp.Body.Close()
-	if n := h.calls(20); n < 55 {
-		t.Errorf("%d of 60 served with nothing wrong", n)
+	if n := h.makeCalls(20); n < 55 {
+		t.Errorf("%d of 60 served without a fault", n)
 	}
 
-	// a drains. Its process goes on, so that anything still sent there is recorded.
+	// a drains. Its process keeps running, so that it records anything still sent to it.
 	h.updateEndpoints("a " + h.workers[0].Addr() + " leaving")
 	h.recordDrain("a")
-	h.calls(20)
+	h.makeCalls(20)
 
-	// a is removed, and d takes its address.
+	// a is removed, and d starts at the same address.
 	address := h.workers[0].Addr()
 	h.workers[0].Stop()
 	d := &fakeplatform.Worker{ID: "d", Records: h.records, WorkDuration: 2 * time.Millisecond, DeduplicatedClass: "keyed"}
@@ -41,15 +41,15 @@
 	}
 	defer d.Stop()
 	h.updateEndpoints("a "+address+" left", fmt.Sprintf("d %s active 0", address))
-	h.calls(30)
+	h.makeCalls(30)
 	if !slices.ContainsFunc(d.Received(), func(r fakeplatform.Request) bool { return r.Command == "exec" }) {
-		t.Error("the new worker at the old address got nothing")
+		t.Error("the new worker at the old address received no attempt")
 	}
 
 	corruptEighthResponse(h.workers[1])
-	h.calls(30)
+	h.makeCalls(30)
 
-	// The discovery server moves, and c drains by the new one.
+	// The discovery server moves, and the new one reports that c drains.
 	moved := platformtest.StartDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
 	cfg, err := ParseConfig([]byte(configJSON(moved.Addr(), h.discovery.AllEvents())))
 	if err != nil {
@@ -59,11 +59,11 @@
 	h.discovery = moved
 	h.updateEndpoints("c " + h.workers[2].Addr() + " leaving")
 	h.recordDrain("c")
-	h.calls(10)
+	h.makeCalls(10)
 	h.requireInvariants()
 }
 
-// corruptEighthResponse has a worker send noise in place of one response in eight, after the request has run.
+// corruptEighthResponse makes a worker run one request in eight and send a corrupt response.
 func corruptEighthResponse(worker *fakeplatform.Worker) {
 	var mu sync.Mutex
 	n := 0
@@ -81,7 +81,7 @@
 	}
 }
 
-// violatingDispatcher violates one of the invariants on purpose; with rule 0 it only ignores drains.
+// violatingDispatcher violates one of the invariants on purpose. With rule 0 it only ignores drains.
 type violatingDispatcher struct {
 	rule    int
 	workers []dispatch.Endpoint
@@ -90,7 +90,7 @@
 }
 
 func (d *violatingDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
-	for _, event := range events { // an update may come behind the first request, in the same Step
+	for _, event := range events { // an update may follow the first request in the same Step
 		if update, ok := event.(dispatch.EndpointUpdate); ok {
 			d.updateEndpoints(update)
 		}
@@ -102,7 +102,7 @@
 				actions = append(actions, dispatch.RejectRequest{ID: id})
 			}
 			d.overdue = nil
-		case dispatch.AttemptEnded: // the next worker is tried where nothing ran
+		case dispatch.AttemptEnded: // retries an attempt that was not sent
 			if d.counter++; event.Result == dispatch.NotSent && !event.Final {
 				worker := d.workers[d.counter%len(d.workers)].ID
 				actions = append(actions, dispatch.StartAttempt{ID: event.ID, Worker: worker})
@@ -114,7 +114,7 @@
 	return actions
 }
 
-// updateEndpoints keeps the list in the order in which its workers were first listed. None is ever removed in these tests.
+// updateEndpoints keeps the workers in the order in which they were first listed. These tests remove none.
 func (d *violatingDispatcher) updateEndpoints(update dispatch.EndpointUpdate) {
 	for _, endpoint := range update.Endpoints {
 		sameID := func(known dispatch.Endpoint) bool { return known.ID == endpoint.ID }
@@ -142,52 +142,53 @@
 	return append(actions, dispatch.StartAttempt{ID: request.ID, Worker: worker})
 }
 
-// TestInvariantViolationsAreDetected violates each invariant on purpose, by the dispatcher's decisions or by records of
-// what the router should know, and requires the checker to find it.
+// TestInvariantViolationsAreDetected guards against an invariant checker that misses violations, which would make the
+// other tests worthless. It violates each invariant on purpose, by decisions of the dispatcher or by records of events
+// that did not happen.
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	for rule, name := range map[int]string{1: "an answer after the deadline", 2: "an effect twice", 3: "a drain that is ignored",
 		4: "a fresh start that is ignored", 5: "load commands without a rate limit"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := newHarness(t, fixedDispatcher(&violatingDispatcher{rule: rule}))
-			site := h.invariantSettings()
+			settings := h.invariantSettings()
 			switch rule {
 			case 1:
-				site.ResponseGrace = 0
+				settings.ResponseGrace = 0
 				h.client.Call(hexID(1<<20), "safe", hexID(1), 200*time.Millisecond)
 			case 3:
 				h.recordDrain("a")
-				site.DrainGrace, site.RecordingDelay = 0, 0
+				settings.DrainGrace, settings.RecordingDelay = 0, 0
 			case 4:
 				h.records.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: "a"})
-				site.SlowStartDuration, site.SlowStartShare, site.OverloadMultiple, site.OverloadWindow = time.Hour, 0.2, 3, 1500*time.Millisecond
-				site.Capacity = map[string]float64{"a": 0.001}
+				settings.SlowStartDuration, settings.SlowStartShare, settings.OverloadMultiple, settings.OverloadWindow = time.Hour, 0.2, 3, 1500*time.Millisecond
+				settings.Capacity = map[string]float64{"a": 0.001}
 			}
 			if rule != 1 {
-				h.calls(20)
+				h.makeCalls(20)
 			}
-			violations := invariants.Check(site, h.records.Records())
+			violations := invariants.Check(settings, h.records.Records())
 			if !slices.ContainsFunc(violations, func(v invariants.Violation) bool { return v.Rule == rule }) {
-				t.Errorf("rule %d violated on purpose, and found %v", rule, violations)
+				t.Errorf("rule %d was violated on purpose, the checker found %v", rule, violations)
 			}
 		})
 	}
 }
 
-// TestDrainingWorkerReceivesNothing checks, with a dispatcher that ignores drains, that the upstream sends a draining
-// worker nothing on its own account.
+// TestDrainingWorkerReceivesNothing checks that the upstream sends nothing to a draining worker, even if the dispatcher
+// starts attempts there.
 func TestDrainingWorkerReceivesNothing(t *testing.T) {
 	h := newHarness(t, fixedDispatcher(&violatingDispatcher{}))
-	h.calls(3)
+	h.makeCalls(3)
 	h.updateEndpoints("a " + h.workers[0].Addr() + " leaving")
 	before := len(h.workers[0].Received())
-	h.calls(10)
+	h.makeCalls(10)
 	if got := len(h.workers[0].Received()); got != before {
-		t.Errorf("%d messages to a worker that drains", got-before)
+		t.Errorf("%d messages to a draining worker", got-before)
 	}
-	h.updateEndpoints("a " + h.workers[0].Addr() + " active") // it stays after all
-	h.calls(10)
+	h.updateEndpoints("a " + h.workers[0].Addr() + " active") // the drain is cancelled
+	h.makeCalls(10)
 	if len(h.workers[0].Received()) == before {
-		t.Error("nothing to a worker that is listed as active again")
+		t.Error("no message to a worker that is listed as active again")
 	}
 }
--- a/internal/httprouter/phases_test.go
+++ b/internal/httprouter/phases_test.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Terms of the platform that the tests hold a shutdown to.
+// Limits of the platform on a shutdown.
 const (
-	clientsComeFor    = 600 * time.Millisecond // after SIGTERM
-	newClientsComeFor = 400 * time.Millisecond // after SIGTERM, on new connections
-	acceptedLateness  = 500 * time.Millisecond // of an answer, after its request's deadline: it earns nothing, but isn't lost
-	crossedClose      = 50 * time.Millisecond  // a request that crosses a close within this is sent again
+	clientSendPeriod = 600 * time.Millisecond // clients send requests for this long after SIGTERM
+	newConnPeriod    = 400 * time.Millisecond // clients open connections for this long after SIGTERM
+	allowedLateness  = 500 * time.Millisecond // an answer within this after its deadline has no value, but is not lost
+	closeRaceWindow  = 50 * time.Millisecond  // a client retries if its connection is closed within this
 )
 
 var testedDeadlines = []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second}
 
-// earliestSIGKILL is when SIGKILL may follow SIGTERM.
+// earliestSIGKILL returns the time from SIGTERM to the earliest SIGKILL.
 func earliestSIGKILL(deadline time.Duration) time.Duration {
 	return min(deadline, 3*time.Second) + 700*time.Millisecond
 }
 
-// TestShutdownPhases: whatever the longest deadline, the phases follow each other, clients find the router while they
-// come, no call is cut short by more than the margin, and time is left to exit before SIGKILL.
+// TestShutdownPhases checks for several longest deadlines that the phases are in order, that connections stay open
+// while clients may send, that calls in flight at SIGTERM have time until their deadline, and that the process can exit
+// before SIGKILL.
 func TestShutdownPhases(t *testing.T) {
 	for _, deadline := range append(testedDeadlines, 0, time.Hour) {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -29,11 +30,11 @@
 			if p.accepting > p.answering || p.answering >= p.stopping || p.stopping >= p.draining || p.draining >= p.closing {
 				t.Errorf("phases out of order: %+v", p)
 			}
-			if p.draining < clientsComeFor {
-				t.Errorf("clients may come until %v and are closed at %v", clientsComeFor, p.draining)
+			if p.draining < clientSendPeriod {
+				t.Errorf("clients may send until %v, connections are closed at %v", clientSendPeriod, p.draining)
 			}
 			if p.answering < min(deadline, maxSIGKILLDeadline) {
-				t.Errorf("a call in flight at SIGTERM is answered within %v", p.answering)
+				t.Errorf("a call in flight at SIGTERM has only %v", p.answering)
 			}
 			if left := earliestSIGKILL(deadline) - p.closing; left < closeMargin {
 				t.Errorf("%v left to exit before SIGKILL", left)
--- a/internal/httprouter/planned_restart_test.go
+++ b/internal/httprouter/planned_restart_test.go
@@ -13,17 +13,19 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// exchange is what came of one request of a client.
-type exchange struct {
+// roundTrip is the result of one request of a client.
+type roundTrip struct {
 	sentAt, endedAt time.Duration // since SIGTERM
-	skipped         bool          // the connection had been closed before, so the client sent nothing
-	status          int           // 0: the connection ended without an answer
+	skipped         bool          // the router had closed the connection, so the client sent nothing
+	status          int           // 0: the connection ended without a response
 }
 
-// TestShutdownAnswersEachRequestInItsOwnTime plays a planned restart of a process, for each longest deadline: workers
-// hang all through it, requests come each 50 ms, on open connections and at first on new ones, further SIGTERMs come, and
-// SIGHUPs with a file that can't be read. Each request is answered by its deadline, and the process exits by itself before SIGKILL may come.
-func TestShutdownAnswersEachRequestInItsOwnTime(t *testing.T) {
+// TestShutdownAnswersEachRequestByItsDeadline guards against a planned restart that loses requests or is cut off by
+// SIGKILL. For each of several longest deadlines, workers hang during the whole shutdown, and a client sends a request
+// every 50 ms, on open connections and at first also on new ones. The process also gets further SIGTERMs, and SIGHUPs
+// with an invalid file. Each request must be answered by its deadline, and the process must exit before the earliest
+// SIGKILL.
+func TestShutdownAnswersEachRequestByItsDeadline(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	stalls := startStallMeter(t)
 	t.Run("deadlines", func(t *testing.T) {
@@ -40,22 +42,22 @@
 				initial := initialSnapshot(fakeplatform.EndpointsEvent(true, "a "+worker.Addr()+" active"))
 				p := startProcess(t, configJSONWith(settingsWithDeadline(deadline), testsupport.UnusedAddress(t), initial))
 				sigkill := earliestSIGKILL(deadline)
-				var clients []*openClient
+				var clients []*clientConn
 				for range int((sigkill + interval) / interval) {
 					clients = append(clients, openClientConn(t, p.address))
 				}
-				exchanges := make([]exchange, len(clients))
+				roundTrips := make([]roundTrip, len(clients))
 				var wg sync.WaitGroup
 				p.writeConfig("{")
-				terminatedAt := time.Now().Add(interval) // the first request comes before
+				terminatedAt := time.Now().Add(interval) // the first request is sent before SIGTERM
 				for i, client := range clients {
 					wg.Go(func() {
 						time.Sleep(time.Until(terminatedAt.Add(time.Duration(i-1) * interval)))
 						class := []string{"safe", "keyed", "unsafe"}[i%3]
-						if i%2 == 0 && time.Duration(i-1)*interval <= newClientsComeFor {
+						if i%2 == 0 && time.Duration(i-1)*interval <= newConnPeriod {
 							client = newClientConn(t, p.address)
 						}
-						exchanges[i] = client.exchange(callRequestWithKey(i+1, class, deadline), terminatedAt)
+						roundTrips[i] = client.roundTrip(callRequestWithKey(i+1, class, deadline), terminatedAt)
 					})
 				}
 				time.Sleep(time.Until(terminatedAt))
@@ -67,42 +69,43 @@
 				if exitedAt > sigkill+stalls.slack() {
 					t.Errorf("the process exited %v after SIGTERM, SIGKILL may come after %v", exitedAt, sigkill)
 				}
-				for i, e := range exchanges {
-					e.check(t, fmt.Sprintf("request %d", i+1), deadline, stalls.slack())
+				for i, trip := range roundTrips {
+					trip.check(t, fmt.Sprintf("request %d", i+1), deadline, stalls.slack())
 				}
 			})
 		}
 	})
 }
 
-// exchange sends a request, unless the router has closed the connection, and waits for its end.
-func (c *openClient) exchange(request string, start time.Time) (e exchange) {
-	if e.skipped = c.closedByRouter(); e.skipped {
-		e.endedAt = time.Since(start)
-		return e
+// roundTrip sends a request, unless the router has closed the connection, and waits for the response. start is the time
+// of SIGTERM.
+func (c *clientConn) roundTrip(request string, start time.Time) (r roundTrip) {
+	if r.skipped = c.closedByRouter(); r.skipped {
+		r.endedAt = time.Since(start)
+		return r
 	}
-	e.sentAt = time.Since(start)
+	r.sentAt = time.Since(start)
 	_, _ = io.WriteString(c, request)
-	e.status = c.readStatus()
-	e.endedAt = time.Since(start)
-	return e
+	r.status = c.readStatus()
+	r.endedAt = time.Since(start)
+	return r
 }
 
-// check fails the test unless the exchange keeps the platform's terms.
-func (e exchange) check(t *testing.T, name string, deadline, slack time.Duration) {
+// check fails the test unless the request was answered within the limits of the platform.
+func (r roundTrip) check(t *testing.T, name string, deadline, slack time.Duration) {
 	t.Helper()
 	switch {
-	case e.skipped && e.endedAt < clientsComeFor:
-		t.Errorf("%s: the connection was closed by %v while clients come", name, e.endedAt)
-	case e.skipped:
-	case e.status == 0 && e.endedAt-e.sentAt > crossedClose+slack:
-		t.Errorf("%s: sent at %v, its connection ended at %v with no answer", name, e.sentAt, e.endedAt)
-	case e.status != 0 && e.endedAt > e.sentAt+deadline+acceptedLateness+slack:
-		t.Errorf("%s: sent at %v and answered by %d at %v, its deadline was %v", name, e.sentAt, e.status, e.endedAt, deadline)
+	case r.skipped && r.endedAt < clientSendPeriod:
+		t.Errorf("%s: the connection was closed by %v while clients still send", name, r.endedAt)
+	case r.skipped:
+	case r.status == 0 && r.endedAt-r.sentAt > closeRaceWindow+slack:
+		t.Errorf("%s: sent at %v, its connection ended at %v without a response", name, r.sentAt, r.endedAt)
+	case r.status != 0 && r.endedAt > r.sentAt+deadline+allowedLateness+slack:
+		t.Errorf("%s: sent at %v, answered with status %d at %v, deadline %v", name, r.sentAt, r.status, r.endedAt, deadline)
 	}
 }
 
-// requireExitDespiteSignals sends SIGHUP and SIGTERM every 40 ms until the process exits, with status 0.
+// requireExitDespiteSignals sends SIGHUP and SIGTERM every 40 ms until the process exits, and requires status 0.
 func (p *process) requireExitDespiteSignals(start time.Time) {
 	p.t.Helper()
 	exited := make(chan error, 1)
@@ -117,7 +120,7 @@
 		case <-time.After(40 * time.Millisecond):
 		}
 		for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
-			_ = p.cmd.Process.Signal(s) // it may have exited meanwhile
+			_ = p.cmd.Process.Signal(s) // the process may have exited
 		}
 		if time.Since(start) > 20*time.Second {
 			p.t.Fatal("the process does not exit")
--- a/internal/httprouter/process.go
+++ b/internal/httprouter/process.go
@@ -67,7 +67,7 @@
 // returns when the shutdown is complete. It doesn't wait for a reload in progress, which must not delay the exit.
 func (s *Server) serve(ctx context.Context, path string, sighup <-chan os.Signal, logger *slog.Logger) {
 	stopped := make(chan struct{})
-	go s.reloadOnSignal(path, sighup, stopped, logger) // also during the shutdown, when workers may still start to drain
+	go s.reloadOnSignal(path, sighup, stopped, logger) // during the shutdown too, as workers may drain
 	go s.logStatsUntil(stopped)
 	<-ctx.Done()
 	s.Shutdown()
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -16,7 +16,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// requireServed makes one call.
+// requireServed makes one call and requires that it is served.
 func requireServed(t *testing.T, client *fakeplatform.Client, id int) {
 	t.Helper()
 	if status, _ := client.Call(hexID(id), "safe", hexID(7), 15*time.Second); status != 200 {
@@ -44,9 +44,11 @@
 	}
 }
 
-// TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery opens more idle client connections than there are descriptors
-// while the discovery server is down. A usual client is served, over a new connection to a worker; and the discovery
-// server is polled once it is back, at a new address, with the worker's drain and another worker in its place.
+// TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery opens more idle client connections than the process has
+// descriptors, while the discovery server is down. It guards against idle clients that take the descriptors for
+// connections to workers and to the discovery server. A further client must be served over a new connection to a
+// worker, and the discovery server must be polled when it is back at a new address. It then replaces the worker by
+// another one.
 func TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery(t *testing.T) {
 	a := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "a"})
 	b := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "b"})
@@ -65,12 +67,12 @@
 	client.HTTPClient.CloseIdleConnections()
 	requireServed(t, client, 2)
 	if len(b.Received()) == 0 {
-		t.Error("the worker that the discovery server added got nothing")
+		t.Error("the worker that the discovery server added received nothing")
 	}
 }
 
-// TestServesFromInitialEndpoints checks that, with the discovery server down and 4,000 workers in the configuration, the
-// router accepts clients and forwards by the configured list. The time until then is logged and not asserted.
+// TestServesFromInitialEndpoints checks that the router serves clients from the configured list of 4,000 workers while
+// the discovery server is down. The time until the first response is logged and not asserted.
 func TestServesFromInitialEndpoints(t *testing.T) {
 	w := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "w0"})
 	list := []string{"w0 " + w.Addr() + " active"}
@@ -89,14 +91,14 @@
 	requireServed(t, p.client(), 1)
 }
 
-// rawRequest is an HTTP request for a call.
-func rawRequest(id int) string {
+// callRequestWithoutKey returns the HTTP request of a call without an idempotency key.
+func callRequestWithoutKey(id int) string {
 	return callRequest(hexID(id), hexID(7), "safe", 15*time.Second, "body")
 }
 
-// TestProcessSignals sends SIGTERM right after the start, and SIGTERM again with SIGHUP during a shutdown. The process
-// exits with status 0 and with every call answered: one in flight, one half received, and one that arrives on an open
-// connection afterwards.
+// TestProcessSignals sends SIGTERM right after the start, and SIGHUP and a second SIGTERM during a shutdown. It guards
+// against signals that terminate the process before it has answered a call in flight, a call received in part, and a
+// call that arrives later on an open connection.
 func TestProcessSignals(t *testing.T) {
 	release := make(chan struct{})
 	w := &fakeplatform.Worker{ID: "a"}
@@ -124,16 +126,16 @@
 		defer func() { _ = conn.Close() }()
 		conns = append(conns, conn)
 	}
-	_, _ = io.WriteString(conns[0], rawRequest(1))
+	_, _ = io.WriteString(conns[0], callRequestWithoutKey(1))
 	testsupport.Await(t, w.Arrivals(), "the first call at the worker")
-	_, _ = io.WriteString(conns[1], rawRequest(2)[:60])
+	_, _ = io.WriteString(conns[1], callRequestWithoutKey(2)[:60])
 	p.sendSignal(syscall.SIGTERM)
 	p.waitForLine("msg=stopping")
 	p.sendSignal(syscall.SIGHUP)
 	p.waitForLine("configuration reloaded")
 	p.sendSignal(syscall.SIGTERM)
-	_, _ = io.WriteString(conns[1], rawRequest(2)[60:])
-	_, _ = io.WriteString(conns[2], rawRequest(3))
+	_, _ = io.WriteString(conns[1], callRequestWithoutKey(2)[60:])
+	_, _ = io.WriteString(conns[2], callRequestWithoutKey(3))
 	close(release)
 	for i, conn := range conns {
 		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
--- a/internal/httprouter/run_harness_test.go
+++ b/internal/httprouter/run_harness_test.go
@@ -21,7 +21,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// routerConfigFile is the configuration file of a router.
+// routerConfigFile is the configuration file of a router under test.
 type routerConfigFile struct {
 	t    *testing.T
 	path string
@@ -41,13 +41,13 @@
 	}
 }
 
-// routerLog is the log of a router, line by line.
+// routerLog holds the log lines of a router.
 type routerLog struct {
 	t     *testing.T
 	lines chan string
 }
 
-// readLog reads a router's log until its end.
+// readLog reads a router's log in the background until its end.
 func readLog(t *testing.T, output io.Reader) routerLog {
 	l := routerLog{t: t, lines: make(chan string, 1<<12)}
 	go func() {
@@ -59,7 +59,7 @@
 	return l
 }
 
-// waitForLine returns the first log line from now on that contains text.
+// waitForLine returns the next log line that contains text. It drops the lines before that one.
 func (l routerLog) waitForLine(text string) string {
 	l.t.Helper()
 	timeout := time.After(20 * time.Second)
@@ -67,13 +67,13 @@
 		select {
 		case line, ok := <-l.lines:
 			if !ok {
-				l.t.Fatalf("the router ended without a line with %q", text)
+				l.t.Fatalf("the log ended without a line that contains %q", text)
 			}
 			if strings.Contains(line, text) {
 				return line
 			}
 		case <-timeout:
-			l.t.Fatalf("no line with %q", text)
+			l.t.Fatalf("no log line that contains %q", text)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	routerConfigFile
 	routerLog
 	t         *testing.T
-	terminate context.CancelFunc // as SIGTERM does
+	terminate context.CancelFunc // has the effect of SIGTERM
 	result    chan error         // of Run
 }
 
@@ -106,14 +106,14 @@
 	}
 }
 
-// addressInLine is the value of the key "address" in a log line.
+// addressInLine returns the value of the key "address" in a log line.
 func addressInLine(line string) string {
 	_, address, _ := strings.Cut(line, "address=")
 	address, _, _ = strings.Cut(address, " ")
 	return address
 }
 
-// requireStop waits until Run has returned, with no error.
+// requireStop waits until Run has returned and requires that it returned no error.
 func (r *runningRouter) requireStop() {
 	r.t.Helper()
 	if err := testsupport.Await(r.t, r.result, "the end of the router"); err != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// childConfigVariable is the environment variable that has the test binary run a router, by the configuration file that
-// it names, in place of the tests.
+// childConfigVariable is an environment variable with the path of a configuration file. If it is set, the test binary
+// runs a router with that file in place of the tests.
 const childConfigVariable = "HTTPROUTER_TEST_CONFIG"
 
 func TestMain(m *testing.M) {
@@ -132,7 +132,8 @@
 	os.Exit(m.Run())
 }
 
-// runAsProcess is the main function of a router's process, which gets no more descriptors than its configuration says.
+// runAsProcess is the main function of a router process. It limits the descriptors of the process to those of the
+// configuration.
 func runAsProcess(path string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -151,7 +152,7 @@
 	os.Exit(0)
 }
 
-// process is a router in a process of its own.
+// process is a router in a separate process.
 type process struct {
 	routerConfigFile
 	routerLog
@@ -163,7 +164,7 @@
 func startProcess(t *testing.T, config string) *process {
 	t.Helper()
 	p := &process{t: t, cmd: exec.Command(os.Args[0]), routerConfigFile: newConfigFile(t, config)}
-	const exitAtOnce = "GORACE=atexit_sleep_ms=0" // the race detector else sleeps for a second at the end
+	const exitAtOnce = "GORACE=atexit_sleep_ms=0" // otherwise the race detector sleeps for a second before the exit
 	p.cmd.Env = append(os.Environ(), childConfigVariable+"="+p.path, exitAtOnce)
 	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -185,7 +186,7 @@
 	}
 }
 
-// requireExit waits until the process exits, with status 0.
+// requireExit waits until the process exits and requires status 0.
 func (p *process) requireExit() {
 	p.t.Helper()
 	exited := make(chan error, 1)
--- a/internal/httprouter/server_test.go
+++ b/internal/httprouter/server_test.go
@@ -9,7 +9,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
-// optionalSettings are settings with optional parts that are missing or odd, around a class c0.
+// optionalSettings returns settings in which optional parts are missing or unusual. All have a class c0.
 func optionalSettings() map[string]string {
 	class := func(i int) string {
 		idempotency := []string{`"read_like"`, `"non_idempotent"`, `"idempotency_key","dedup_scope":"all","window":5000000`}
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestOptionalSettings checks that, whatever optional part is missing or odd, the router starts, serves calls of its
-// first class at a worker that it has to load, and shuts down with each call answered.
+// TestOptionalSettings guards against settings with missing or unusual optional parts that stop the router from
+// starting, from loading a function and serving calls, or from answering every call at a shutdown.
 func TestOptionalSettings(t *testing.T) {
 	for name, settings := range optionalSettings() {
 		t.Run(name, func(t *testing.T) {
@@ -60,16 +60,16 @@
 	}
 }
 
-// TestPollResponseLimitHoldsLargeFleets: a poll that was silent while all of 3,200 workers were listed, and six in ten of
-// them drained, left and were replaced, has all of it in one response.
-func TestPollResponseLimitHoldsLargeFleets(t *testing.T) {
+// TestPollResponseLimitFitsLargeFleet checks that maxPollResponseBytes is enough for one poll response with all events
+// of a large change: 3,200 workers are listed, and six in ten of them drain, leave and are replaced.
+func TestPollResponseLimitFitsLargeFleet(t *testing.T) {
 	const workers, replaced = 3200, 1920
 	bytes := 0
 	for state, lines := range map[string]int{"active": workers + replaced, "leaving": replaced, "left": replaced} {
 		worker := "s-0123456789abcdef 255.255.255.255:65535 " + state + " 1000 1700000000000"
-		bytes += lines * len(fakeplatform.EndpointsEvent(false, worker)) // as much as an event of its own for each
+		bytes += lines * len(fakeplatform.EndpointsEvent(false, worker)) // one event per worker
 	}
 	if bytes > maxPollResponseBytes {
-		t.Errorf("%d bytes, at most %d", bytes, maxPollResponseBytes)
+		t.Errorf("response has %d bytes, limit is %d", bytes, maxPollResponseBytes)
 	}
 }
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -15,8 +15,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestShutdownAnswersPendingCalls has clients wait for longer than the process lives on after SIGTERM, and workers
-// answer nothing. Each class gets the final answer that its idempotency allows before the end.
+// TestShutdownAnswersPendingCalls has calls with deadlines beyond the exit of the process, which no worker answers. It
+// guards against calls that are left without a final answer, or get one that their idempotency doesn't allow.
 func TestShutdownAnswersPendingCalls(t *testing.T) {
 	h := newHarness(t, nil)
 	for _, worker := range h.workers {
@@ -45,19 +45,19 @@
 	}
 }
 
-// TestShutdownWhileWorkersHang has workers answer nothing through a whole shutdown, while clients go on calling over open
-// and new connections. Each call gets its answer in time.
+// TestShutdownWhileWorkersHang has workers that answer nothing during a shutdown, while clients keep making calls on
+// open and new connections. It guards against calls without an answer in time.
 func TestShutdownWhileWorkersHang(t *testing.T) {
 	const (
 		deadline  = time.Second
-		callFor   = 600 * time.Millisecond // clients come for so long after SIGTERM
+		callFor   = 600 * time.Millisecond // clients make calls for this long after SIGTERM
 		callPause = 50 * time.Millisecond
 	)
 	t.Parallel()
 	settings := strings.ReplaceAll(defaultSettings, `"deadline":8000000`, `"deadline":1000000`)
 	h := startHarness(t, harnessOptions{settings: settings, handle: func(*fakeplatform.Worker, fakeplatform.Request) {}})
 	var wg sync.WaitGroup
-	callOfEachClass := func() {
+	callEachClass := func() {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			wg.Go(func() {
 				if status := h.callWithin(class, deadline); status == 200 || status == 0 {
@@ -66,12 +66,12 @@
 			})
 		}
 	}
-	callOfEachClass()
+	callEachClass()
 	stopped := make(chan int, 1)
 	startedAt := time.Now()
 	go func() { stopped <- h.server.Shutdown() }()
 	for time.Since(startedAt) < callFor {
-		callOfEachClass()
+		callEachClass()
 		time.Sleep(callPause)
 	}
 	wg.Wait()
@@ -81,23 +81,24 @@
 	h.requireInvariants()
 }
 
-// settingsWithDeadline are defaultSettings with a deadline for all classes, and with no cancellations: attempts at
-// workers that hang stay in flight.
+// settingsWithDeadline returns defaultSettings with a deadline for all classes and without cancellations, so that
+// attempts at hanging workers stay in flight.
 func settingsWithDeadline(deadline time.Duration) string {
 	settings := strings.ReplaceAll(defaultSettings, `"deadline":8000000`, fmt.Sprintf(`"deadline":%d`, deadline.Microseconds()))
 	settings = strings.ReplaceAll(settings, `"target":2000000`, fmt.Sprintf(`"target":%d`, deadline.Microseconds()/2))
 	return strings.Replace(settings, `"cancel":true`, `"cancel":false`, 1)
 }
 
-// TestShutdownDespiteClientThatReadsNothing has one client send requests without pause and read no response, until the
-// router's writes to it wait. Beside it another client is answered, and the shutdown ends before SIGKILL.
-func TestShutdownDespiteClientThatReadsNothing(t *testing.T) {
+// TestShutdownWithClientThatDoesNotRead has a client that sends requests and reads no responses until the router's
+// writes to it block. It guards against blocked writes that delay the answers to another client, or the end of the
+// shutdown beyond SIGKILL.
+func TestShutdownWithClientThatDoesNotRead(t *testing.T) {
 	const deadline = 200 * time.Millisecond
 	stalls := startStallMeter(t)
 	h := startHarness(t, harnessOptions{settings: settingsWithDeadline(deadline)})
 	const firstStuckID = 1000
-	var stuckServed atomic.Int32 // requests of the client that reads nothing
-	writesWait := make(chan struct{})
+	var stuckServed atomic.Int32 // requests of the client that doesn't read
+	writesBlocked := make(chan struct{})
 	body := strings.Repeat("x", 60<<10)
 	for _, worker := range h.workers {
 		worker.Handle = func(r fakeplatform.Request) {
@@ -118,27 +119,27 @@
 	}
 	ended := make(chan time.Duration, 1)
 	startedAt := time.Now()
-	time.AfterFunc(clientsComeFor/2, func() { // the writes still wait when the router drains
+	time.AfterFunc(clientSendPeriod/2, func() { // the writes are still blocked when the router drains
 		for id := firstStuckID; stuckServed.Load() == int32(id-firstStuckID); id++ {
 			_, _ = io.WriteString(stuck, callRequestWithKey(id, "safe", deadline))
 			for wait := 0; wait < 100 && stuckServed.Load() == int32(id-firstStuckID); wait++ {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		close(writesWait)
+		close(writesBlocked)
 	})
 	go func() {
 		h.server.Shutdown()
 		ended <- time.Since(startedAt)
 	}()
-	for id := 1; time.Since(startedAt) < clientsComeFor/2; id++ {
+	for id := 1; time.Since(startedAt) < clientSendPeriod/2; id++ {
 		sentAt := time.Now()
 		_, _ = io.WriteString(other, callRequestWithKey(id, "safe", deadline))
-		if status, took := other.readStatus(), time.Since(sentAt); status == 0 || took > deadline+acceptedLateness+stalls.slack() {
+		if status, took := other.readStatus(), time.Since(sentAt); status == 0 || took > deadline+allowedLateness+stalls.slack() {
 			t.Fatalf("request %d: status %d after %v", id, status, took)
 		}
 	}
-	testsupport.Await(t, writesWait, "a write that waits")
+	testsupport.Await(t, writesBlocked, "a write that waits")
 	took := testsupport.Await(t, ended, "the end of the shutdown")
 	t.Logf("shut down within %v, %d responses unread, slack %v", took, stuckServed.Load(), stalls.slack())
 	if sigkill := earliestSIGKILL(deadline); took > sigkill+stalls.slack() {
@@ -146,8 +147,9 @@
 	}
 }
 
-// TestShutdownDespiteHangingDiscovery shuts a router down while its connect to the discovery server hangs.
-func TestShutdownDespiteHangingDiscovery(t *testing.T) {
+// TestShutdownWithHangingDiscoveryConnect guards against a shutdown that waits for a hanging connect to the discovery
+// server.
+func TestShutdownWithHangingDiscoveryConnect(t *testing.T) {
 	const deadline = 50 * time.Millisecond
 	address, _ := testsupport.ListenWithFullBacklog(t)
 	worker := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "a"})
--- a/internal/httprouter/signals_test.go
+++ b/internal/httprouter/signals_test.go
@@ -9,9 +9,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestSignals checks that for a while after SIGTERM new clients, and requests on open connections, are served; then all
-// accepted calls have their answers and Run returns no error. SIGHUP changes the discovery server's address, before and
-// during the shutdown, and one with an invalid file does not.
+// TestSignals checks that after SIGTERM new clients are served for a while, that all calls are answered, and that Run
+// then returns no error. It also checks that SIGHUP changes the discovery server's address before and during the
+// shutdown, and that SIGHUP with an invalid file changes nothing.
 func TestSignals(t *testing.T) {
 	h := startHarness(t, harnessOptions{unstarted: true})
 	router := startRun(t, configJSON(h.discovery.Addr(), h.discovery.AllEvents()))
@@ -29,13 +29,13 @@
 	if revision := <-second.Polls(); revision != 1 {
 		t.Errorf("polled from revision %d at the new address", revision)
 	}
-	awaitPoll(t, second, 2) // its event is applied before the address changes again
+	awaitPoll(t, second, 2) // the router must have the second event before the address changes again
 
 	router.terminate()
 	router.waitForLine("msg=stopping")
 	last := platformtest.StartDiscovery(t, `"x":1`, `"x":2`, `"x":3`)
 	router.writeConfig(configJSON(last.Addr(), h.discovery.AllEvents()))
-	router.sendSIGHUP() // right after SIGTERM: workers drain while the last calls are served
+	router.sendSIGHUP() // after SIGTERM, as workers may drain while the last calls are served
 	if revision := testsupport.Await(t, last.Polls(), "a poll at the last address"); revision != 2 {
 		t.Errorf("polled from revision %d at the last address", revision)
 	}
@@ -44,9 +44,9 @@
 	h.requireInvariants()
 }
 
-// TestConfigurationsInQuickSuccession writes five configurations, each followed by SIGHUP, without a pause. The last one is
-// in force in the end.
-func TestConfigurationsInQuickSuccession(t *testing.T) {
+// TestRapidReloads writes five configurations without a pause, each followed by SIGHUP. It guards against lost signals:
+// the last configuration must be in force in the end.
+func TestRapidReloads(t *testing.T) {
 	first := platformtest.StartDiscovery(t, fakeplatform.EndpointsEvent(true))
 	known := first.AllEvents()
 	router := startRun(t, configJSON(first.Addr(), known))
@@ -64,12 +64,12 @@
 	router.requireStop()
 }
 
-// TestConfigurationsInQuickSuccessionUnderTraffic moves discovery five times within a second, by SIGHUP, while clients call. The last
-// server is polled in the end from the revision reached, its events are applied, and every call is served.
-func TestConfigurationsInQuickSuccessionUnderTraffic(t *testing.T) {
+// TestRapidReloadsUnderTraffic moves the discovery server five times within a second while clients make calls. It
+// guards against failed calls, and against a router that loses its revision or the events of the last server.
+func TestRapidReloadsUnderTraffic(t *testing.T) {
 	const (
 		configurations = 5
-		pause          = 100 * time.Millisecond // between two of them
+		pause          = 100 * time.Millisecond // between two configurations
 	)
 	h := startHarness(t, harnessOptions{unstarted: true})
 	run := startRun(t, configJSON(h.discovery.Addr(), h.discovery.AllEvents()))
@@ -84,8 +84,8 @@
 				return
 			default:
 			}
-			if h.calls(2) < 6 {
-				t.Error("a call is not served")
+			if h.makeCalls(2) < 6 {
+				t.Error("a call was not served")
 			}
 			n++
 		}
@@ -110,7 +110,8 @@
 	h.requireInvariants()
 }
 
-// requireServedDuringShutdown makes calls over new connections for half the time that new clients are accepted.
+// requireServedDuringShutdown makes calls on new connections for half the time that the router accepts them after
+// SIGTERM, and requires that some are served.
 func (h *harness) requireServedDuringShutdown() {
 	h.t.Helper()
 	h.workers[0].WorkDuration = 0
@@ -123,6 +124,6 @@
 		h.client.HTTPClient.CloseIdleConnections()
 	}
 	if served == 0 {
-		h.t.Error("no client is served after SIGTERM")
+		h.t.Error("no client was served after SIGTERM")
 	}
 }
--- a/internal/httprouter/stalled_peers_test.go
+++ b/internal/httprouter/stalled_peers_test.go
@@ -14,14 +14,15 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// peerTrouble is what one kind of peer does beside usual clients until the test ends.
-type peerTrouble struct {
-	stalledWorker bool // one worker reads nothing
+// misbehavingPeer is a kind of peer that misbehaves while other clients make calls.
+type misbehavingPeer struct {
+	stalledWorker bool // one worker stops reading
 	start         func(h *harness, stop <-chan struct{}, wg *sync.WaitGroup)
 }
 
-// rawCall is an HTTP request for a call, which is recorded as abandoned: what comes of it is not looked at.
-func (h *harness) rawCall(body string) []byte {
+// abandonedCallRequest returns the HTTP request of a call and records the call as abandoned, so that its answer isn't
+// checked.
+func (h *harness) abandonedCallRequest(body string) []byte {
 	h.mu.Lock()
 	h.nextCall++
 	id := hexID(h.nextCall)
@@ -33,26 +34,28 @@
 	return []byte(callRequest(id, function, "safe", time.Second, body))
 }
 
-// The pace of a peer in a flood: many times that of usual clients, and bounded, as the tests share the processors.
+// The rate of a flooding peer. It is many times that of other clients, and bounded because parallel tests share the
+// processors.
 const (
-	floodMessages = 400
-	floodPause    = time.Millisecond
-	unreadPause   = 5 * time.Millisecond // of clients that read nothing: each response is written before the next request
+	floodMessages   = 400
+	floodPause      = time.Millisecond
+	nonReadingPause = 5 * time.Millisecond // of clients that don't read; long enough to write each response before the next request
 )
 
-// writeWhile writes messages to connections made anew whenever one ends, until stop is closed.
-func (h *harness) writeWhile(stop <-chan struct{}, wg *sync.WaitGroup, pause time.Duration, next func() []byte, use func(*net.TCPConn)) {
+// writeUntilStopped writes up to floodMessages messages until stop is closed. It opens a new connection whenever one
+// ends, and calls prepare for each.
+func (h *harness) writeUntilStopped(stop <-chan struct{}, wg *sync.WaitGroup, pause time.Duration, next func() []byte, prepare func(*net.TCPConn)) {
 	address := strings.TrimPrefix(h.client.BaseURL, "http://")
 	wg.Go(func() {
-		left := floodMessages
-		for left > 0 {
+		remaining := floodMessages
+		for remaining > 0 {
 			netConn, err := net.Dial("tcp", address)
 			if err != nil {
 				return
 			}
 			closeOnStop(netConn, stop, wg)
-			use(netConn.(*net.TCPConn)) // "tcp" gives no other
-			for ; err == nil && left > 0; left-- {
+			prepare(netConn.(*net.TCPConn)) // "tcp" gives no other
+			for ; err == nil && remaining > 0; remaining-- {
 				_, err = netConn.Write(next())
 				time.Sleep(pause)
 			}
@@ -73,59 +76,59 @@
 	})
 }
 
-// discardResponses reads what comes over a connection and drops it.
+// discardResponses reads and discards the input of a connection in the background.
 func discardResponses(conn *net.TCPConn) {
 	go func() { _, _ = io.Copy(io.Discard, conn) }()
 }
 
-// readNothing leaves what comes over a connection in small buffers.
-func readNothing(conn *net.TCPConn) { _ = conn.SetReadBuffer(4 << 10) }
+// limitReadBuffer sets a small receive buffer, so that writes to a client that doesn't read block soon.
+func limitReadBuffer(conn *net.TCPConn) { _ = conn.SetReadBuffer(4 << 10) }
 
-// peerTroubles are the kinds of peers.
-func peerTroubles() map[string]peerTrouble {
+// misbehavingPeers returns the kinds of peers by name.
+func misbehavingPeers() map[string]misbehavingPeer {
 	const peers = 8
-	startPeers := func(pause time.Duration, next func(h *harness) []byte, use func(*net.TCPConn)) func(*harness, <-chan struct{}, *sync.WaitGroup) {
+	startPeers := func(pause time.Duration, next func(h *harness) []byte, prepare func(*net.TCPConn)) func(*harness, <-chan struct{}, *sync.WaitGroup) {
 		return func(h *harness, stop <-chan struct{}, wg *sync.WaitGroup) {
 			for range peers {
-				h.writeWhile(stop, wg, pause, func() []byte { return next(h) }, use)
+				h.writeUntilStopped(stop, wg, pause, func() []byte { return next(h) }, prepare)
 			}
 		}
 	}
-	largeCall := func(h *harness) []byte { return h.rawCall(largeBody) }
+	largeCall := func(h *harness) []byte { return h.abandonedCallRequest(largeBody) }
 	noise := bytes.Repeat([]byte("noise "), 1<<10)
-	return map[string]peerTrouble{
-		"clients that read nothing": {start: startPeers(unreadPause, largeCall, readNothing)},
-		"a flood of requests":       {start: startPeers(floodPause, func(h *harness) []byte { return h.rawCall("body") }, discardResponses)},
+	return map[string]misbehavingPeer{
+		"clients that read nothing": {start: startPeers(nonReadingPause, largeCall, limitReadBuffer)},
+		"a flood of requests":       {start: startPeers(floodPause, func(h *harness) []byte { return h.abandonedCallRequest("body") }, discardResponses)},
 		"a flood of noise":          {start: startPeers(floodPause, func(*harness) []byte { return noise }, discardResponses)},
 		"a stalled worker":          {stalledWorker: true},
 		"all of it": {stalledWorker: true, start: func(h *harness, stop <-chan struct{}, wg *sync.WaitGroup) {
-			startPeers(unreadPause, largeCall, readNothing)(h, stop, wg)
-			startPeers(floodPause, func(h *harness) []byte { return h.rawCall("body") }, discardResponses)(h, stop, wg)
+			startPeers(nonReadingPause, largeCall, limitReadBuffer)(h, stop, wg)
+			startPeers(floodPause, func(h *harness) []byte { return h.abandonedCallRequest("body") }, discardResponses)(h, stop, wg)
 			startPeers(floodPause, func(*harness) []byte { return noise }, discardResponses)(h, stop, wg)
 		}},
 	}
 }
 
-// largeBody is the body of calls that are answered with as much as a worker may send.
+// largeBody is the body of calls to which workers send a response of nearly the maximum size.
 var largeBody = strings.Repeat("l", 15<<10)
 
-// TestOthersAreAnsweredBesidePeersInTrouble makes usual calls beside clients and workers that misbehave. Each gets its
-// answer in time, and at least half are served.
-func TestOthersAreAnsweredBesidePeersInTrouble(t *testing.T) {
+// TestMisbehavingPeersDoNotAffectOthers makes calls while other clients and workers misbehave. It guards against peers
+// that delay the answers to other clients, or cause more than half of the calls to fail.
+func TestMisbehavingPeersDoNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	const (
 		rounds        = 3
 		callsPerClass = 8
 		deadline      = time.Second
 	)
-	for name, trouble := range peerTroubles() {
+	for name, peer := range misbehavingPeers() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			stop, stalled := make(chan struct{}), make(chan struct{})
 			var stalling atomic.Bool
 			h := startHarness(t, harnessOptions{handle: func(w *fakeplatform.Worker, r fakeplatform.Request) {
 				if w.ID == "c" && stalling.Load() {
-					<-stalled // nothing further is read from the connection
+					<-stalled // blocks further reads from the connection
 					return
 				}
 				if isAttempt(r) && r.Body == largeBody {
@@ -136,15 +139,15 @@
 				go w.HandleHealthy(r)
 			}})
 			t.Cleanup(func() { close(stalled) })
-			h.calls(callsPerClass) // functions are loaded and connections open
-			stalling.Store(trouble.stalledWorker)
+			h.makeCalls(callsPerClass) // loads the functions and opens connections
+			stalling.Store(peer.stalledWorker)
 			var wg sync.WaitGroup
-			if trouble.start != nil {
-				trouble.start(h, stop, &wg)
+			if peer.start != nil {
+				peer.start(h, stop, &wg)
 			}
 			served := 0
 			for range rounds {
-				served += h.callsWithin(callsPerClass, deadline)
+				served += h.makeCallsWithin(callsPerClass, deadline)
 			}
 			close(stop)
 			wg.Wait()
--- a/internal/httprouter/stallmeter_test.go
+++ b/internal/httprouter/stallmeter_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// stallMeter measures for how long the machine has kept this process from running. Assertions on times allow for it.
+// stallMeter measures for how long the process was not scheduled on a loaded machine. Assertions on durations add its
+// slack.
 type stallMeter struct {
 	mu      sync.Mutex
 	stalled time.Duration
 }
 
 const (
-	stallSample  = time.Millisecond
-	usualLatency = 10 * time.Millisecond  // of a wake-up
-	fixedSlack   = 100 * time.Millisecond // that a time may be exceeded by on an idle machine
-	stallFactor  = time.Duration(2)       // another process may have been stalled for longer
+	sampleInterval = time.Millisecond
+	wakeupLatency  = 10 * time.Millisecond  // expected delay of a wake-up
+	fixedSlack     = 100 * time.Millisecond // by which a duration may exceed its limit on an idle machine
+	stallFactor    = time.Duration(2)       // another process may have been stalled longer than this one
 )
 
 func startStallMeter(t *testing.T) *stallMeter {
@@ -28,10 +29,10 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(stallSample):
+			case <-time.After(sampleInterval):
 			}
 			now := time.Now()
-			if over := now.Sub(last) - stallSample - usualLatency; over > 0 {
+			if over := now.Sub(last) - sampleInterval - wakeupLatency; over > 0 {
 				m.mu.Lock()
 				m.stalled += over
 				m.mu.Unlock()
@@ -42,6 +43,7 @@
 	return m
 }
 
+// slack returns by how much a duration that was measured since the start may exceed its limit.
 func (m *stallMeter) slack() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
