--- a/internal/httprouter/faults_test.go
+++ b/internal/httprouter/faults_test.go
@@ -73,7 +73,8 @@
 						sentAt := time.Now()
 						status, text := h.client.Call(hexID(100*(i+1)+n), class, hexID(n%5+1), test.deadline)
 						took := time.Since(sentAt)
-						if status == 0 || test.allServed && status != 200 || took > test.deadline+allowedLateness+stalls.slack() {
+						if status == 0 || test.allServed && status != 200 ||
+							took > test.deadline+allowedLateness+stalls.slack() {
 							t.Errorf("%s call %d: status %d after %v (%s)", class, n, status, took, text)
 						}
 					}
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -161,7 +161,8 @@
 				settings.DrainGrace, settings.RecordingDelay = 0, 0
 			case 4:
 				h.records.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: "a"})
-				settings.SlowStartDuration, settings.SlowStartShare, settings.OverloadMultiple, settings.OverloadWindow = time.Hour, 0.2, 3, 1500*time.Millisecond
+				settings.SlowStartDuration, settings.SlowStartShare, settings.OverloadMultiple,
+					settings.OverloadWindow = time.Hour, 0.2, 3, 1500*time.Millisecond
 				settings.Capacity = map[string]float64{"a": 0.001}
 			}
 			if rule != 1 {
--- a/internal/httprouter/mixed_faults_test.go
+++ b/internal/httprouter/mixed_faults_test.go
@@ -82,7 +82,8 @@
 	w := f.worker(id)
 	f.forEachRouter(func(h *harness) {
 		h.updateEndpoints(fmt.Sprintf("%s %s %s 0", id, h.addressOf(w), state))
-		h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: h.routerName(), Worker: id, Unavailable: state != "active"})
+		h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: h.routerName(), Worker: id,
+			Unavailable: state != "active"})
 	})
 }
 
--- a/internal/httprouter/planned_restart_test.go
+++ b/internal/httprouter/planned_restart_test.go
@@ -101,7 +101,8 @@
 	case r.status == 0 && r.endedAt-r.sentAt > closeRaceWindow+slack:
 		t.Errorf("%s: sent at %v, its connection ended at %v without a response", name, r.sentAt, r.endedAt)
 	case r.status != 0 && r.endedAt > r.sentAt+deadline+allowedLateness+slack:
-		t.Errorf("%s: sent at %v, answered with status %d at %v, deadline %v", name, r.sentAt, r.status, r.endedAt, deadline)
+		t.Errorf("%s: sent at %v, answered with status %d at %v, deadline %v",
+			name, r.sentAt, r.status, r.endedAt, deadline)
 	}
 }
 
--- a/internal/httprouter/shutdown_test.go
+++ b/internal/httprouter/shutdown_test.go
@@ -135,7 +135,8 @@
 	for id := 1; time.Since(startedAt) < clientSendPeriod/2; id++ {
 		sentAt := time.Now()
 		_, _ = io.WriteString(other, callRequestWithKey(id, "safe", deadline))
-		if status, took := other.readStatus(), time.Since(sentAt); status == 0 || took > deadline+allowedLateness+stalls.slack() {
+		if status, took := other.readStatus(), time.Since(sentAt); status == 0 ||
+			took > deadline+allowedLateness+stalls.slack() {
 			t.Fatalf("request %d: status %d after %v", id, status, took)
 		}
 	}
--- a/internal/httprouter/stalled_peers_test.go
+++ b/internal/httprouter/stalled_peers_test.go
@@ -39,12 +39,13 @@
 const (
 	floodMessages   = 400
 	floodPause      = time.Millisecond
-	nonReadingPause = 5 * time.Millisecond // of clients that don't read; long enough to write each response before the next request
+	nonReadingPause = 5 * time.Millisecond // of clients that don't read; longer than the write of a response
 )
 
 // writeUntilStopped writes up to floodMessages messages until stop is closed. It opens a new connection whenever one
 // ends, and calls prepare for each.
-func (h *harness) writeUntilStopped(stop <-chan struct{}, wg *sync.WaitGroup, pause time.Duration, next func() []byte, prepare func(*net.TCPConn)) {
+func (h *harness) writeUntilStopped(stop <-chan struct{}, wg *sync.WaitGroup, pause time.Duration, next func() []byte,
+	prepare func(*net.TCPConn)) {
 	address := strings.TrimPrefix(h.client.BaseURL, "http://")
 	wg.Go(func() {
 		remaining := floodMessages
@@ -87,7 +88,8 @@
 // misbehavingPeers returns the kinds of peers by name.
 func misbehavingPeers() map[string]misbehavingPeer {
 	const peers = 8
-	startPeers := func(pause time.Duration, next func(h *harness) []byte, prepare func(*net.TCPConn)) func(*harness, <-chan struct{}, *sync.WaitGroup) {
+	startPeers := func(pause time.Duration, next func(h *harness) []byte,
+		prepare func(*net.TCPConn)) func(*harness, <-chan struct{}, *sync.WaitGroup) {
 		return func(h *harness, stop <-chan struct{}, wg *sync.WaitGroup) {
 			for range peers {
 				h.writeUntilStopped(stop, wg, pause, func() []byte { return next(h) }, prepare)
@@ -98,12 +100,16 @@
 	noise := bytes.Repeat([]byte("noise "), 1<<10)
 	return map[string]misbehavingPeer{
 		"clients that read nothing": {start: startPeers(nonReadingPause, largeCall, limitReadBuffer)},
-		"a flood of requests":       {start: startPeers(floodPause, func(h *harness) []byte { return h.abandonedCallRequest("body") }, discardResponses)},
-		"a flood of noise":          {start: startPeers(floodPause, func(*harness) []byte { return noise }, discardResponses)},
-		"a stalled worker":          {stalledWorker: true},
+		"a flood of requests": {start: startPeers(floodPause, func(h *harness) []byte {
+			return h.abandonedCallRequest("body")
+		}, discardResponses)},
+		"a flood of noise": {start: startPeers(floodPause, func(*harness) []byte { return noise }, discardResponses)},
+		"a stalled worker": {stalledWorker: true},
 		"all of it": {stalledWorker: true, start: func(h *harness, stop <-chan struct{}, wg *sync.WaitGroup) {
 			startPeers(nonReadingPause, largeCall, limitReadBuffer)(h, stop, wg)
-			startPeers(floodPause, func(h *harness) []byte { return h.abandonedCallRequest("body") }, discardResponses)(h, stop, wg)
+			startPeers(floodPause, func(h *harness) []byte {
+				return h.abandonedCallRequest("body")
+			}, discardResponses)(h, stop, wg)
 			startPeers(floodPause, func(*harness) []byte { return noise }, discardResponses)(h, stop, wg)
 		}},
 	}
