--- a/internal/server/httpserver/arrival.go
+++ b/internal/server/httpserver/arrival.go
@@ -7,15 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// arrival is what the system reports of the bytes that a connection has received (TCP_INFO). They may have waited before this
-// process reads them, in the socket or in the listener's backlog, and that wait counts against a request's deadline.
+// arrival holds what the operating system reports about the bytes that a connection has received (TCP_INFO). The bytes
+// may wait in the socket or in the listener's backlog before this process reads them, and that time counts against a
+// request's deadline.
 type arrival struct {
 	last     time.Time // when the last byte arrived
-	bytes    uint64    // received so far, read or not
-	segments uint32    // received so far that carried data
+	bytes    uint64    // received so far, read or unread
+	segments uint32    // data segments received so far
 }
 
-// currentArrival returns what the system reports now. If it reports nothing, bytes count as arriving when they are read.
+// currentArrival returns what the system reports now. If it reports nothing, the arrival time is the current time.
 func (s *Server) currentArrival(netConn netpoll.Connection) arrival {
 	now := time.Now()
 	if withFd, ok := netConn.(netpoll.Conn); ok {
@@ -26,7 +27,8 @@
 	return arrival{last: now}
 }
 
-// newArrival converts the system's figures. An arrival before the server listened is impossible and is replaced by now.
+// newArrival converts the system's report. An arrival time before the server started to listen is impossible;
+// newArrival replaces it by now.
 func newArrival(info *unix.TCPInfo, now, listeningSince time.Time) arrival {
 	last := now.Add(-time.Duration(info.Last_data_recv) * time.Millisecond)
 	if last.Before(listeningSince) {
@@ -35,59 +37,59 @@
 	return arrival{last: last, bytes: info.Bytes_received, segments: info.Data_segs_in}
 }
 
-// arrivalLog estimates when each request of a connection arrived, by its last byte.
-type arrivalLog struct {
+// arrivalTracker estimates when the last byte of each request of a connection arrived.
+type arrivalTracker struct {
 	current      arrival
-	newSegments  uint32    // between the previous arrival and the current one
+	newSegments  uint32    // data segments received between the previous report and the current one
 	bytesRead    uint64    // so far
-	lastRequest  time.Time // when the last request arrived; before the first, when the connection did
-	pendingSince time.Time // when the oldest bytes arrived that were read behind a request; zero: there are none
+	lastRequest  time.Time // when the last request arrived; before the first request, when the connection was accepted
+	pendingSince time.Time // arrival of the oldest bytes that were read after a request; zero: there are none
 }
 
-// update records what the system reported before the next bytes are read.
-func (l *arrivalLog) update(a arrival) {
-	if a == l.current {
+// update records the system's report before the next bytes are read.
+func (t *arrivalTracker) update(a arrival) {
+	if a == t.current {
 		return
 	}
-	l.newSegments = a.segments - l.current.segments
-	l.current = a
+	t.newSegments = a.segments - t.current.segments
+	t.current = a
 }
 
-// bytesAdded records that n bytes were read. behindRequest is true if a request is in flight.
-func (l *arrivalLog) bytesAdded(n int, behindRequest bool) {
-	l.bytesRead += uint64(n)
-	if behindRequest && l.pendingSince.IsZero() {
-		l.pendingSince = l.current.last
+// recordRead records that n bytes were read. behindRequest tells whether they follow a request that is in flight.
+func (t *arrivalTracker) recordRead(n int, behindRequest bool) {
+	t.bytesRead += uint64(n)
+	if behindRequest && t.pendingSince.IsZero() {
+		t.pendingSince = t.current.last
 	}
 }
 
-// recordRequest records that a request was completed and returns when it arrived. followed is true if bytes behind it are
-// read already.
+// recordRequest records that a complete request was read and returns when it arrived. followed tells whether bytes
+// after the request have been read, too.
 //
-// The system reports only when the last of all bytes arrived. If bytes behind the request came in another segment, the
-// request may have arrived long before them. It then counts from the earliest possible time, so that its deadline is never
-// extended.
-func (l *arrivalLog) recordRequest(followed bool) (arrived time.Time) {
-	moreReceived := followed || l.current.bytes > l.bytesRead
+// The system reports only when the last of all received bytes arrived. If bytes after the request came in another
+// segment, the request may have arrived long before them. recordRequest then returns the earliest possible time, so
+// that the request's deadline is never extended.
+func (t *arrivalTracker) recordRequest(followed bool) (arrived time.Time) {
+	moreReceived := followed || t.current.bytes > t.bytesRead
 	switch {
-	case moreReceived && l.newSegments > 1:
-		arrived = l.lastRequest
-	case !l.pendingSince.IsZero():
-		arrived = l.pendingSince
+	case moreReceived && t.newSegments > 1:
+		arrived = t.lastRequest
+	case !t.pendingSince.IsZero():
+		arrived = t.pendingSince
 	default:
-		arrived = l.current.last
+		arrived = t.current.last
 	}
-	l.lastRequest = arrived
-	l.pendingSince = time.Time{}
+	t.lastRequest = arrived
+	t.pendingSince = time.Time{}
 	if followed {
-		l.pendingSince = arrived
+		t.pendingSince = arrived
 	}
 	return arrived
 }
 
-// recordIncompleteRequest records that the next request is not complete, while none is in flight. It returns when the bytes
-// arrived that were read last.
-func (l *arrivalLog) recordIncompleteRequest() time.Time {
-	l.pendingSince = time.Time{}
-	return l.current.last
+// recordIncompleteRequest records that the next request is not complete and that none is in flight. It returns when the
+// bytes that were read last arrived.
+func (t *arrivalTracker) recordIncompleteRequest() time.Time {
+	t.pendingSince = time.Time{}
+	return t.current.last
 }
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -9,10 +9,10 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// retryAfterField is the header field of a rejection: how many milliseconds the client should stay away.
+// retryAfterField is the header field of a rejection with the time in milliseconds after which the client may retry.
 const retryAfterField = "X-Pushback-Ms"
 
-// serveRequest acts on one complete request.
+// serveRequest answers a ping, and submits any other valid request to the router.
 func (c *conn) serveRequest(m *http1.Message, arrived time.Time) {
 	if c.rejectsFirstRequest {
 		c.abort()
@@ -39,14 +39,14 @@
 		c.completeRequest(http1.StatusServiceUnavailable, nil, nil)
 		return
 	}
-	if !c.setCancel(cancel, number) { // a call that has ended is not affected by its cancellation
+	if !c.setCancel(cancel, number) { // if the call has ended already, its cancellation has no effect
 		cancel()
 		c.releaseID(request.ID)
 	}
 }
 
-// reserveID registers the id of the request in flight as open and returns the request's number on the connection. ok is
-// false if another open request has the id.
+// reserveID registers the ID of the request in flight as open and returns the number of the request on the connection.
+// ok is false if another open request has the same ID.
 func (c *conn) reserveID(id string) (number uint64, ok bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -58,8 +58,8 @@
 	return c.requestCount, true
 }
 
-// setCancel keeps the function that cancels the call of a request. It does not if the call has been answered or the client
-// has left since the call was submitted, and reports whether it does.
+// setCancel stores the function that cancels the call of a request. kept is false, and the function is not stored, if
+// the call has been answered or the connection has been closed since the call was submitted.
 func (c *conn) setCancel(cancel func(), requestNumber uint64) (kept bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -71,7 +71,7 @@
 	return true
 }
 
-// releaseID allows a request's id to be used again.
+// releaseID removes a request's ID from the open ones, so that another request may use it.
 func (c *conn) releaseID(id string) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -81,13 +81,13 @@
 	}
 }
 
-// Start implements router.Client. It does nothing, as responses of this protocol are not streamed.
+// Start implements router.Client. It does nothing, because this protocol doesn't stream responses.
 func (c *conn) Start(any) {}
 
 // Message implements router.Client. It does nothing: Finish writes the complete response.
 func (c *conn) Message(p []byte, _ func(int)) int { return len(p) }
 
-// Finish implements router.Client.
+// Finish implements router.Client. It writes the response for the final answer.
 func (c *conn) Finish(answer router.FinalAnswer) {
 	switch answer.Kind {
 	case router.FinalAnswered:
@@ -111,7 +111,7 @@
 	}
 }
 
-// completeRequest responds to the call in flight.
+// completeRequest responds to the call in flight and releases its ID.
 func (c *conn) completeRequest(status int, fields []http1.Field, body []byte) {
 	c.server.mu.Lock()
 	id := c.requestID
--- a/internal/server/httpserver/close.go
+++ b/internal/server/httpserver/close.go
@@ -8,33 +8,34 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// How a connection ends. Each way sets closed, after which no further input is served, and leads to onClosed.
+// How a connection ends. Each way sets conn.closed, after which no further input is served, and leads to onClosed.
 //
 //	cause                                        function           response
 //	request timeout, a part has arrived          closeTimedOut      408, then linger
 //	request timeout, nothing has arrived         closeTimedOut      none
 //	idle timeout                                 closeIfIdle        none
 //	evicted for a new connection                 register           none
-//	accepted beyond the limit of connections     register           503, then linger; none kept: 503 by onClosed
-//	request that can't be a call                 rejectRequest      400 to 409, then linger
-//	input that isn't HTTP                        rejectConnection   400 to 505, then linger
-//	panic, or too much input behind a request    abort              502 if submitted, else 503; then linger
+//	accepted beyond the limit, and registered    register           503, then linger
+//	accepted beyond the limit, not registered    register           503 by onClosed
+//	request that isn't a valid call              rejectRequest      400 to 409, then linger
+//	input that isn't valid HTTP                  rejectConnection   400 to 505, then linger
+//	panic, or too much input after a request     abort              502 if submitted, else 503; then linger
 //	"Connection: close"                          responseWritten    that of the request
 //	closed by the client                         onClosed           none
 //	Server.Close                                 onClosed           502 if submitted, else 503
 //
-// A request that crosses a close without a response gets 503 from onClosed, if it has arrived by then.
+// If a way sends no response and a request arrives while the connection is being closed, onClosed responds with 503.
 
-// Bounds on the input of a client that is discarded when its connection is closed.
+// Limits on the input of a client that is discarded when its connection is closed.
 const (
 	discardBufferBytes = 4 << 10
 	maxDiscardedBytes  = 64 << 10
 )
 
-// lingerTimeout is how long the server waits, after the last response, for the client to close the connection.
+// lingerTimeout is how long the server waits after the last response for the client to close the connection.
 const lingerTimeout = time.Second
 
-// recoverPanic aborts the connection after a panic in one of its goroutines. It is to be deferred.
+// recoverPanic aborts the connection after a panic in one of its goroutines. It must be deferred.
 func (c *conn) recoverPanic() {
 	if p := recover(); p != nil {
 		c.server.cfg.Logger.Error("panic on a client connection", "panic", p)
@@ -42,8 +43,8 @@
 	}
 }
 
-// abort cancels the call in flight, responds to it, and ends the connection with that response. If a response is being
-// written, only further input is discarded, and responseWritten calls abort again.
+// abort cancels the call in flight, writes an error response and ends the connection. If a response is being written,
+// abort only makes further input be discarded, and responseWritten calls it again.
 func (c *conn) abort() {
 	c.server.mu.Lock()
 	c.discarding = true
@@ -58,9 +59,9 @@
 	c.respond(abortStatus(submitted), nil, nil)
 }
 
-// linger shuts down writing after the last response and leaves it to the client to close the connection. A close while the
-// client still sends would reset the connection, and the client might lose the response with it (RFC 9112, section 9.6).
-// The sweep ends the wait after lingerTimeout.
+// linger shuts down writing after the last response and waits for the client to close the connection. If the server
+// closed it while the client still sends, TCP would reset the connection, and the client might lose the response (RFC
+// 9112, section 9.6). The sweep closes the connection after lingerTimeout.
 func (c *conn) linger() {
 	c.server.mu.Lock()
 	lingering := !c.ended && unix.Shutdown(descriptor(c.netConn), unix.SHUT_WR) == nil
@@ -73,8 +74,8 @@
 	}
 }
 
-// cancelCall cancels the call in flight, if there is one. It reports whether a request of the connection was submitted to
-// the router and has no response yet.
+// cancelCall cancels the call in flight, if there is one. submitted reports whether a request of the connection was
+// submitted to the router and has no response yet.
 func (c *conn) cancelCall() (submitted bool) {
 	c.server.mu.Lock()
 	cancel := c.cancel
@@ -91,8 +92,8 @@
 	return true
 }
 
-// abortStatus returns the status for a request that the server gives up. One that was submitted to the router may have run,
-// so the client must not take the response for a rejection.
+// abortStatus returns the status of the response to an aborted request. A request that was submitted to the router may
+// have run, so its response must not be 503, which means a rejection.
 func abortStatus(submitted bool) int {
 	if submitted {
 		return http1.StatusBadGateway
@@ -100,9 +101,9 @@
 	return http1.StatusServiceUnavailable
 }
 
-// closeTimedOut ends a connection whose request has not arrived in time. A request of which a part has arrived is rejected.
-// If nothing has arrived, the connection is closed without a response: a request that crosses the close would take that
-// response for its own, whereas without one the client sends the request again.
+// closeTimedOut ends a connection whose request has not arrived in time. If a part of the request has arrived, it is
+// rejected. If nothing has arrived, the connection is closed without a response: a client that sends a request at the
+// same moment would take the response for that of its request, whereas without a response it sends the request again.
 func (c *conn) closeTimedOut() {
 	c.server.mu.Lock()
 	started := c.requestStarted
@@ -117,7 +118,7 @@
 	}
 }
 
-// closeIfIdle closes the connection, unless a request has arrived meanwhile.
+// closeIfIdle closes the connection, unless a request has arrived in the meantime.
 func (c *conn) closeIfIdle() {
 	c.server.mu.Lock()
 	idle := c.isEvictable()
@@ -130,9 +131,9 @@
 	}
 }
 
-// onClosed is netpoll's callback when the connection was closed by either side, while the descriptor is still open and the
-// event loop no longer reads. It cancels the call in flight. If the client is still there, it responds to the input that
-// was not answered.
+// onClosed is netpoll's callback after either side has closed the connection. The descriptor is still open, and the
+// event loop no longer reads from it. onClosed cancels the call in flight. If the client has not closed the connection,
+// it responds to unanswered input.
 func (c *conn) onClosed() {
 	c.server.mu.Lock()
 	if c.ended {
@@ -147,7 +148,7 @@
 	delete(c.server.conns, c)
 	c.server.mu.Unlock()
 	submitted := c.cancelCall()
-	fd := openDescriptor(c.netConn)
+	fd := closingDescriptor(c.netConn)
 	if closedByPeer(fd) {
 		return
 	}
@@ -157,15 +158,16 @@
 	discardInput(fd)
 }
 
-// hasUnservedInput reports whether the client has sent input that was not served, in whichever buffer it is.
+// hasUnservedInput reports whether input that was not served waits in the request reader, netpoll's buffer or the
+// socket.
 func (c *conn) hasUnservedInput(fd int) bool {
 	c.parseMu.Lock()
 	defer c.parseMu.Unlock()
 	return c.reader.Partial() || c.netConn.Reader().Len() > 0 || readable(fd)
 }
 
-// discardInput shuts down writing and reads the input that the system holds. A close with unread input would reset the
-// connection, and the client might lose the response with it.
+// discardInput shuts down writing and discards the input in the socket. A close with unread input would reset the
+// connection, and the client might lose the response.
 func discardInput(fd int) {
 	if unix.Shutdown(fd, unix.SHUT_WR) != nil {
 		return
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -12,35 +12,36 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
-// conn is one client's connection: the reader of its requests and the client of its call.
+// conn is a client's connection. It reads requests and, as the router.Client of its call, receives the final answer.
 type conn struct {
 	server  *Server
 	netConn netpoll.Connection
 
-	parseMu  sync.Mutex // guards reader and arrivals; locked before the server's lock
+	parseMu  sync.Mutex // guards reader and arrivals; locked before the server's mutex
 	reader   *http1.Reader
-	arrivals arrivalLog
+	arrivals arrivalTracker
 
-	// Under the server's lock.
-	lastActivity time.Time // when it was accepted, its request began, or its last response was written
+	// The server's mutex guards the fields below.
+
+	lastActivity time.Time // when the connection was accepted, its request began, or its last response was written
 
 	// The request.
-	reading         bool   // received bytes are being read
-	requestStarted  bool   // a request has begun and is not complete
-	requestInFlight bool   // a request is being handled or its response written
-	requestCount    uint64 // so far
-	requestID       string // in the server's openIDs; empty: none
+	reading         bool   // onReadable is reading received bytes
+	requestStarted  bool   // a part of a request has arrived
+	requestInFlight bool   // a request is being handled, or its response is being written
+	requestCount    uint64 // complete requests so far
+	requestID       string // the connection's entry in the server's openIDs; empty: none
 	cancel          func() // cancels the call in flight; nil: there is none
 
 	// The response.
 	responded          bool // a response has been written
-	responding         bool // a response is being written, or the last one was written
+	responding         bool // a response is being written, or the connection's last one has been written
 	closeAfterResponse bool
 
 	// The end of the connection; see close.go.
 	rejectsFirstRequest bool      // accepted beyond the limit of connections
 	discarding          bool      // further input is discarded; the connection ends with the next response
-	lingerUntil         time.Time // when the wait for the client's close ends; zero: no last response was written
+	lingerUntil         time.Time // when the wait for the client to close the connection ends; zero: not waiting
 	closed              bool      // no further input is served
 	ended               bool      // onClosed has run
 }
@@ -56,15 +57,15 @@
 	return c
 }
 
-// disconnected reports whether the client has left. It polls the socket too, because the event loop may not have reported
-// the close yet.
+// disconnected reports whether the client has closed the connection. It also polls the socket, because the event loop
+// may not have reported the close yet.
 func (c *conn) disconnected() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.closed || !c.netConn.IsActive() || closedByPeer(descriptor(c.netConn))
 }
 
-// descriptor returns a connection's descriptor, or -1 if it has none.
+// descriptor returns the descriptor of an active connection, or -1 if the connection is not active or has none.
 func descriptor(netConn netpoll.Connection) int {
 	if withFd, ok := netConn.(netpoll.Conn); ok && netConn.IsActive() {
 		return withFd.Fd()
@@ -72,29 +73,30 @@
 	return -1
 }
 
-// openDescriptor returns the descriptor of a connection that is being closed, or -1 if it has none.
-func openDescriptor(netConn netpoll.Connection) int {
+// closingDescriptor returns the descriptor of a connection that is being closed and so no longer active, or -1 if it
+// has none.
+func closingDescriptor(netConn netpoll.Connection) int {
 	if withFd, ok := netConn.(netpoll.Conn); ok {
 		return withFd.Fd()
 	}
 	return -1
 }
 
-// readable reports whether a descriptor has input to be read. The end of the stream counts as input.
+// readable reports whether a descriptor has unread input or is at the end of its stream.
 func readable(fd int) bool { return poll(fd, unix.POLLIN)&unix.POLLIN != 0 }
 
-// closedByPeer reports whether the peer of a socket has closed it or the connection is broken.
+// closedByPeer reports whether the peer of a socket has closed the connection, or the connection is broken.
 func closedByPeer(fd int) bool {
 	return poll(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// poll calls listen.Poll, and returns no event on an error.
+// poll calls listen.Poll and returns 0 on an error.
 func poll(fd int, events int16) int16 {
 	ready, _ := listen.Poll(fd, events)
 	return ready
 }
 
-// onReadable reads the input that has arrived. netpoll runs it on one goroutine at a time.
+// onReadable is netpoll's callback for received input, which it reads. netpoll runs it on one goroutine at a time.
 func (c *conn) onReadable() {
 	defer c.recoverPanic()
 	defer c.stopReading()
@@ -112,14 +114,15 @@
 			return
 		}
 		if err := c.addToReader(r, n, current); err != nil {
-			c.abort() // too much input behind a request in flight
+			c.abort() // too much input after a request in flight
 			continue
 		}
 		c.serveNext()
 	}
 }
 
-// startReading marks the connection as being read, which is pending work, and returns what is to be done with its input.
+// startReading marks the connection as being read, which counts as pending work. closed and discarding tell what to do
+// with the input.
 func (c *conn) startReading() (closed, discarding bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -127,14 +130,15 @@
 	return c.closed, c.discarding
 }
 
-// stopReading takes back the mark of startReading.
+// stopReading removes the mark of startReading.
 func (c *conn) stopReading() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	c.reading = false
 }
 
-// addToReader moves at most n received bytes to the reader of requests. current is their arrival as the system reported it.
+// addToReader moves at most n received bytes to the request reader. current is what the system reported about their
+// arrival.
 func (c *conn) addToReader(received netpoll.Reader, n int, current arrival) error {
 	c.parseMu.Lock()
 	defer c.parseMu.Unlock()
@@ -144,17 +148,17 @@
 	c.server.mu.Unlock()
 	p, err := received.Next(min(n, max(c.reader.Available(), 1)))
 	if err == nil {
-		c.arrivals.bytesAdded(len(p), behindRequest)
+		c.arrivals.recordRead(len(p), behindRequest)
 		err = c.reader.Add(p)
 	}
 	_ = received.Release()
 	return err
 }
 
-// serveNext serves the next request, if it is complete and none is in flight. It rejects the connection if its input is not
-// HTTP.
+// serveNext serves the next request if it is complete and no other request is in flight. It rejects the connection if
+// its input is not valid HTTP.
 func (c *conn) serveNext() {
-	m, arrived, err := c.takeRequest()
+	m, arrived, err := c.nextRequest()
 	switch {
 	case err != nil:
 		c.rejectConnection(statusOf(err), err.Error())
@@ -163,7 +167,7 @@
 	}
 }
 
-// statusOf returns the status that rejects input for which the parser returned err.
+// statusOf returns the status of the response to input for which the parser returned err.
 func statusOf(err error) int {
 	var httpErr *http1.Error
 	if errors.As(err, &httpErr) {
@@ -172,10 +176,10 @@
 	return http1.StatusBadRequest
 }
 
-// takeRequest returns the next request and when its last byte arrived, and marks it as in flight. m is nil if the request is
-// not complete or another one is in flight. Two goroutines may call it at once, after a response and after input: one of the
-// two sees a request that arrives meanwhile.
-func (c *conn) takeRequest() (m *http1.Message, arrived time.Time, err error) {
+// nextRequest returns the next request and when its last byte arrived, and marks the request as in flight. m is nil if
+// no request is complete or another one is in flight. Two goroutines may call it at the same time, one after writing a
+// response and one after reading input; exactly one of them gets a request that arrives in the meantime.
+func (c *conn) nextRequest() (m *http1.Message, arrived time.Time, err error) {
 	c.parseMu.Lock()
 	defer c.parseMu.Unlock()
 	c.server.mu.Lock()
@@ -189,7 +193,7 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if m == nil {
-		c.noteIncompleteRequest(partial)
+		c.markRequestIncomplete(partial)
 		return nil, time.Time{}, err
 	}
 	c.requestStarted = false
@@ -199,9 +203,10 @@
 	return m, c.arrivals.recordRequest(partial), nil
 }
 
-// noteIncompleteRequest records that no complete request has arrived, and whether a part of one has. The request timeout of
-// a request after the first counts from its first byte. Both locks are held.
-func (c *conn) noteIncompleteRequest(partial bool) {
+// markRequestIncomplete records that no complete request has arrived, and whether a part of one has. For requests after
+// the first it starts the request timeout at the arrival of the first byte. The caller holds parseMu and the server's
+// mutex.
+func (c *conn) markRequestIncomplete(partial bool) {
 	arrived := c.arrivals.recordIncompleteRequest()
 	begins := partial && !c.requestStarted
 	if begins && c.responded && arrived.After(c.lastActivity) {
--- a/internal/server/httpserver/eviction.go
+++ b/internal/server/httpserver/eviction.go
@@ -2,11 +2,12 @@
 
 import "github.com/cloudwego/netpoll"
 
-// rejectingShare is the share of MaxConnections, as a divisor, that is kept for connections whose first request is read and
-// rejected. Without it a connection at the limit would be closed, and its request would get no answer if it arrived after.
-const rejectingShare = 16
+// MaxConnections/rejectionReserveDivisor connections are reserved for connections whose first request is read and
+// rejected. Without this reserve a connection beyond the limit would be closed at once, and a request that arrives
+// after the close would get no answer.
+const rejectionReserveDivisor = 16
 
-// addConnection registers a new connection, and closes one if there are too many.
+// addConnection registers a new connection and closes one, an older one or the new one itself, if there are too many.
 func (s *Server) addConnection(netConn netpoll.Connection) *conn {
 	_ = netConn.SetWriteTimeout(s.cfg.WriteTimeout)
 	c := s.newConn(netConn)
@@ -17,14 +18,14 @@
 	return c
 }
 
-// register adds a connection to the server's and returns the connection to close for it, if any. If as many are served as
-// may be, one of them is evicted. If none can be, the first request on the new connection is rejected; at MaxConnections,
-// the new connection itself is returned.
+// register adds c to the server's connections and returns the connection to close in its place, if any. If the maximum
+// number of connections is being served, register evicts one of them. If none is evictable, c's first request is
+// rejected. If there are MaxConnections already, register returns c itself.
 func (s *Server) register(c *conn) (evicted *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Accepted++
-	maxServed := s.cfg.MaxConnections - s.cfg.MaxConnections/rejectingShare
+	maxServed := s.cfg.MaxConnections - s.cfg.MaxConnections/rejectionReserveDivisor
 	if len(s.conns) >= maxServed {
 		s.stats.Evicted++
 		evicted = s.evictionCandidate(c)
@@ -43,9 +44,9 @@
 	return evicted
 }
 
-// evictionCandidate returns the least useful connection. One that has had its last response comes first, then those that
-// have never had a response, the oldest first, then the one idle longest. It is the added one if no other is evictable. The
-// server's lock is held.
+// evictionCandidate returns the connection to evict: preferably one that has had its last response, then the oldest one
+// that has never had a response, then the one that has been idle longest. It returns added if no other connection is
+// evictable. The caller holds the server's mutex.
 func (s *Server) evictionCandidate(added *conn) *conn {
 	candidate := added
 	for c := range s.conns {
@@ -60,10 +61,11 @@
 	return candidate
 }
 
-// isEvictable reports whether the connection can be closed without losing a request. The server's lock is held.
+// isEvictable reports whether the connection can be closed without losing a request. The caller holds the server's
+// mutex.
 func (c *conn) isEvictable() bool { return !c.closed && !c.requestStarted && !c.hasPendingWork() }
 
-// evictedBefore reports whether c is to be evicted rather than other. The server's lock is held.
+// evictedBefore reports whether c should be evicted rather than other. The caller holds the server's mutex.
 func (c *conn) evictedBefore(other *conn) bool {
 	if c.responded != other.responded {
 		return !c.responded
@@ -71,15 +73,16 @@
 	return c.lastActivity.Before(other.lastActivity)
 }
 
-// hasPendingWork reports whether a request is in flight, or may have arrived without being served yet. Such a connection is
-// not closed. The server's lock is held, because without it input may be on its way from the socket to the reader.
+// hasPendingWork reports whether a request is in flight, or may have arrived without being served yet. Such a
+// connection must not be closed. The caller holds the server's mutex: without it, input on its way from the socket to
+// the request reader would be missed.
 func (c *conn) hasPendingWork() bool {
 	lingering := !c.lingerUntil.IsZero()
 	return !lingering && (c.requestInFlight || c.hasUnreadInput())
 }
 
-// hasUnreadInput reports whether input is being read, or waits in the socket or in netpoll's buffer. The server's lock is
-// held.
+// hasUnreadInput reports whether input is being read, or waits in the socket or in netpoll's buffer. The caller holds
+// the server's mutex.
 func (c *conn) hasUnreadInput() bool {
 	return c.reading || readable(descriptor(c.netConn)) || c.netConn.Reader().Len() > 0
 }
--- a/internal/server/httpserver/eviction_test.go
+++ b/internal/server/httpserver/eviction_test.go
@@ -63,7 +63,7 @@
 // TestRequestOnNewConnectionIsRejectedAtLimit: where no connection can be evicted, the first request of a new one is
 // rejected, both below MaxConnections and at it, where no place is left for the new one.
 func TestRequestOnNewConnectionIsRejectedAtLimit(t *testing.T) {
-	const maxConnections = rejectingShare
+	const maxConnections = rejectionReserveDivisor
 	for name, full := range map[string]bool{"place for one more": false, "no place": true} {
 		t.Run(name, func(t *testing.T) {
 			s, upstream := startServer(t, func(c *Config) { c.MaxConnections = maxConnections })
--- a/internal/server/httpserver/parse.go
+++ b/internal/server/httpserver/parse.go
@@ -12,7 +12,7 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// The header fields of a call, in lower case as the reader gives them.
+// The header fields of a call, in lower case as http1.Reader returns them.
 const (
 	classField      = "x-class"
 	idField         = "x-correlation-id"
@@ -22,20 +22,21 @@
 	attributesField = "x-attrs"
 )
 
-// callFields may each be given once.
+// callFields are the fields that a request may have at most once.
 var callFields = []string{classField, idField, deadlineField, keyField, estimateField, attributesField}
 
-// Bounds on the figures of a request. A request with a figure beyond them is rejected before it reaches the dispatcher.
+// Limits on the values in a request. A request beyond them is rejected before it reaches the dispatcher.
 const (
-	maxMilliseconds           = 10 * 60 * 1000 // of a deadline, an estimate, a load
+	maxMilliseconds           = 10 * 60 * 1000 // of a deadline, a work estimate or a load time
 	maxMemoryMB               = 1 << 24
 	maxConcurrencyPerInstance = 1024
 	maxAttributes             = 16
 	maxNumberLength           = 20 // bytes
-	hexIDLength               = 16 // digits of a function's or request's id
+	hexIDLength               = 16 // digits of the ID of a function or a request
 )
 
-// requestError is the reason why a request can't be a call, and the status that rejects it. Nothing of it was forwarded.
+// requestError is the status and reason with which an invalid request is rejected. No part of the request was
+// forwarded.
 type requestError struct {
 	status int
 	reason string
@@ -43,8 +44,8 @@
 
 func (e *requestError) Error() string { return e.reason }
 
-// parseCall returns the call that a request asks for. arrived is when the request's last byte arrived, from which the
-// deadline counts. The error is a *requestError.
+// parseCall converts an HTTP request to a call of the router. The deadline counts from arrived, the time when the last
+// byte of the request arrived. The error is a *requestError.
 func (s *Server) parseCall(m *http1.Message, arrived time.Time) (*router.Call, *invocation.Request, error) {
 	function, err := parseTarget(m)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return call, request, nil
 }
 
-// checkFieldsGivenOnce rejects a request that has a field of a call more than once.
+// checkFieldsGivenOnce returns an error if the request has one of callFields more than once.
 func checkFieldsGivenOnce(m *http1.Message) error {
 	for _, name := range callFields {
 		if _, once := m.Get(name); !once && m.Has(name) {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// parseDeadline returns how long after the request's arrival the client gives up.
+// parseDeadline returns the deadline as the time from the request's arrival until the client gives up.
 func parseDeadline(m *http1.Message) (time.Duration, error) {
 	text, _ := m.Get(deadlineField)
 	deadline, ok := parseNumber(text, maxMilliseconds)
@@ -107,7 +108,7 @@
 	return milliseconds(deadline), nil
 }
 
-// parseKey returns the idempotency key, which classes that are idempotent by key must have and others may have.
+// parseKey returns the idempotency key. Classes that are idempotent by key require one; for others it is optional.
 func parseKey(m *http1.Message, idempotency dispatch.Idempotency) (string, error) {
 	key, given := m.Get(keyField)
 	missing := !given && idempotency == dispatch.IdempotentByKey
@@ -118,7 +119,7 @@
 	return key, nil
 }
 
-// parseTarget checks the method and the path of a call, /call/<function>/call, and returns the function's id.
+// parseTarget checks the method and the path of a call, /call/<function>/call, and returns the function's ID.
 func parseTarget(m *http1.Message) (function string, err error) {
 	parts := strings.Split(m.Target, "/")
 	if len(parts) != 4 || parts[0] != "" || parts[1] != "call" || parts[3] != "call" {
@@ -134,7 +135,7 @@
 	return function, nil
 }
 
-// parseEstimates reads the fields in which a request may state its work and the resources of its function.
+// parseEstimates parses the optional fields with the expected work of the request and the resources of its function.
 func parseEstimates(call *router.Call, m *http1.Message) error {
 	if text, ok := m.Get(estimateField); ok {
 		work, ok := parseNumber(text, maxMilliseconds)
@@ -149,7 +150,8 @@
 	return nil
 }
 
-// parseAttributes reads "name:value;name:value". Attributes with other names are ignored, but their values are checked.
+// parseAttributes parses "name:value;name:value". Unknown attributes are ignored, but their values must be valid
+// numbers.
 func parseAttributes(call *router.Call, text string) error {
 	count := 0
 	for text != "" {
@@ -187,7 +189,7 @@
 	}
 }
 
-// parseNumber reads a decimal number from 0 to limit, without a sign or an exponent.
+// parseNumber parses a decimal number from 0 to limit, without a sign or an exponent.
 func parseNumber(s string, limit float64) (number float64, ok bool) {
 	if len(s) > maxNumberLength || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
@@ -196,7 +198,7 @@
 	return number, err == nil && number >= 0 && number <= limit && !math.IsNaN(number)
 }
 
-// milliseconds converts a number of milliseconds.
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(number float64) time.Duration {
 	return time.Duration(number * float64(time.Millisecond))
 }
--- a/internal/server/httpserver/response.go
+++ b/internal/server/httpserver/response.go
@@ -7,11 +7,11 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// responseHeadCapacity is the initial capacity for a response's header, in bytes.
+// responseHeadCapacity is the initial buffer capacity in bytes for the head of a response.
 const responseHeadCapacity = 256
 
-// rejectRequest responds to a request that can't be a call, and closes the connection. Usual clients send no such requests,
-// so the close costs them nothing.
+// rejectRequest responds to a request that isn't a valid call, and closes the connection. Well-behaved clients send no
+// such requests, so the close doesn't cost them a connection.
 func (c *conn) rejectRequest(err error) {
 	status := http1.StatusBadRequest
 	var requestErr *requestError
@@ -27,7 +27,7 @@
 	c.respond(status, nil, []byte(err.Error()+"\n"))
 }
 
-// rejectConnection responds to input of which no request could be read, and closes the connection.
+// rejectConnection responds to input that isn't a complete, valid HTTP request, and closes the connection.
 func (c *conn) rejectConnection(status int, reason string) {
 	c.server.mu.Lock()
 	if c.closed || c.requestInFlight {
@@ -43,8 +43,8 @@
 	c.respond(status, nil, []byte(reason+"\n"))
 }
 
-// respond writes a response, unless one is being written already, and then goes on by responseWritten. It does not block: a
-// client that doesn't read delays only its own connection, for WriteTimeout at most.
+// respond writes a response in the background, unless one is being written already, and then calls responseWritten. It
+// does not block: a client that doesn't read delays only its own connection, for at most WriteTimeout.
 func (c *conn) respond(status int, fields []http1.Field, body []byte) {
 	c.server.mu.Lock()
 	if c.closed || c.responding {
@@ -62,7 +62,7 @@
 	}()
 }
 
-// responseWritten serves the next request after a response was written, or ends the connection.
+// responseWritten runs after the write of a response. It serves the next request or ends the connection.
 func (c *conn) responseWritten(err error, closing bool) {
 	c.server.mu.Lock()
 	c.requestInFlight = false
@@ -83,6 +83,6 @@
 	case discarding: // abort was called while the response was being written
 		c.abort()
 	default:
-		c.serveNext() // it may have arrived already
+		c.serveNext() // the next request may have arrived already
 	}
 }
--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -20,32 +20,32 @@
 type Config struct {
 	Address            string
 	Classes            map[string]dispatch.Idempotency
-	MaxConnections     int           // clients connected at once, those included whose first request is only rejected
+	MaxConnections     int           // open at once, including those whose first request is only rejected
 	Limits             http1.Limits  // of a request
-	IdleTimeout        time.Duration // a connection without a request is closed after this
-	WriteTimeout       time.Duration // a client must take its response within this
-	ReceiveBufferBytes int           // of the system, for each connection's unread input; 0: the system's default
+	IdleTimeout        time.Duration // a connection without a request is closed after this time
+	WriteTimeout       time.Duration // for a client to accept its response
+	ReceiveBufferBytes int           // socket receive buffer of each connection; 0: the system's default
 	Logger             *slog.Logger  // nil: nothing is logged
 
-	// RequestTimeout limits a connection's first request, from the connection's start to the request's last byte, and any
-	// other request from its first byte to its last.
+	// RequestTimeout limits the time until a request is complete. For the first request of a connection it starts when
+	// the connection is accepted, for later requests when their first byte arrives.
 	RequestTimeout time.Duration
 }
 
-// Server serves one listener.
+// Server accepts client connections on one listener and serves their requests.
 type Server struct {
 	cfg       Config
 	router    *router.Router
 	listener  *listen.Listener
 	eventLoop netpoll.EventLoop
-	stop      chan struct{} // closed by Close; ends the sweep
+	stop      chan struct{} // closed by Close; stops the goroutine that runs sweep
 	wg        sync.WaitGroup
 
 	listeningSince time.Time
 
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
-	openIDs map[string]struct{} // of the requests that the router has not answered
+	openIDs map[string]struct{} // request IDs that the router has not answered
 	closed  bool
 	stats   Stats
 }
@@ -59,10 +59,10 @@
 	Evicted      uint64 // connections closed or rejected so far because there were too many
 }
 
-// connContextKey is the key of a connection's *conn in netpoll's contexts.
+// connContextKey is the context key of a connection's *conn in netpoll's callbacks.
 type connContextKey struct{}
 
-// Listen opens the listener and serves it until Close.
+// Listen opens the listener and serves connections in the background until Close.
 func Listen(cfg Config, r *router.Router) (*Server, error) {
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
@@ -92,8 +92,8 @@
 	return s, nil
 }
 
-// setReceiveBuffer sets a listener's receive buffer. It must not call listen.Listener.Fd: Serve takes the first call of Fd as
-// the sign that the event loop watches the descriptor.
+// setReceiveBuffer sets the receive buffer of a listener's socket. It uses SyscallConn and not listen.Listener.Fd, as
+// the first call of Fd signals to listen.Listener.Serve that the event loop watches the descriptor.
 func setReceiveBuffer(listener net.Listener, size int) {
 	withDescriptor, ok := listener.(syscall.Conn)
 	if !ok {
@@ -122,10 +122,10 @@
 	return c
 }
 
-// Addr returns the address that the server listens on.
+// Addr returns the listener's address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Stats returns the server's counts.
+// Stats returns the current counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/httpserver/shutdown.go
+++ b/internal/server/httpserver/shutdown.go
@@ -10,9 +10,10 @@
 	eventLoopShutdownTimeout = time.Second
 )
 
-// WaitForDrain waits until no client waits for a response, and reports whether that was so within limit. A client waits if
-// its request is in flight, received and not read, or on a connection that was not accepted yet, or if the system has not
-// taken all bytes of its response. The router must have stopped, so that requests which still arrive are rejected.
+// WaitForDrain waits until no client waits for a response, and reports whether that happened within limit. A client
+// waits if its request is in flight, or received and not read yet, if its connection has not been accepted yet, or if
+// the system has not accepted all bytes of its response. The router must have stopped, so that requests that still
+// arrive are rejected.
 func (s *Server) WaitForDrain(limit time.Duration) (drained bool) {
 	deadline := time.Now().Add(limit)
 	for {
@@ -24,7 +25,7 @@
 	}
 }
 
-// hasPendingWork reports whether a connection has pending work, or waits to be accepted.
+// hasPendingWork reports whether a connection has pending work or waits to be accepted.
 func (s *Server) hasPendingWork() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +36,7 @@
 	return pending
 }
 
-// Close closes the listener and all connections. Only the first call does anything.
+// Close closes the listener and all connections. Further calls have no effect.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/server/httpserver/sweep.go
+++ b/internal/server/httpserver/sweep.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// sweepInterval is the time between two sweeps of late and idle connections.
+// sweepInterval is the time between two checks for late and idle connections.
 const sweepInterval = 100 * time.Millisecond
 
-// sweep closes late and idle connections until the server stops.
+// sweep periodically closes late and idle connections until the server stops.
 func (s *Server) sweep() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -19,7 +19,7 @@
 	}
 }
 
-// closeExpired ends the connections that are late with a request, have been idle for too long, or have lingered.
+// closeExpired ends the connections that have exceeded the request timeout, the idle timeout or the linger timeout.
 func (s *Server) closeExpired(now time.Time) {
 	var late, idle, lingered []*conn
 	s.mu.Lock()
@@ -46,13 +46,14 @@
 	}
 }
 
-// lingerExceeded reports whether the wait for the client's close is over. The server's lock is held.
+// lingerExceeded reports whether the wait for the client to close the connection is over. The caller holds the server's
+// mutex.
 func (c *conn) lingerExceeded(now time.Time) bool {
 	return !c.lingerUntil.IsZero() && now.After(c.lingerUntil)
 }
 
-// requestTimeoutExceeded reports whether a request should have been complete by now: the connection's first, or one that has
-// begun. The server's lock is held.
+// requestTimeoutExceeded reports whether the connection's first request, or one that has begun, should have been
+// complete by now. The caller holds the server's mutex.
 func (c *conn) requestTimeoutExceeded(now time.Time) bool {
 	awaitsRequest := !c.responded || c.requestStarted
 	return awaitsRequest && now.Sub(c.lastActivity) > c.server.cfg.RequestTimeout
--- a/internal/server/httpserver/timing_test.go
+++ b/internal/server/httpserver/timing_test.go
@@ -112,9 +112,9 @@
 					t.Fatal(err)
 				}
 				conn.arrivals.update(current)
-				conn.arrivals.bytesAdded(n, false)
+				conn.arrivals.recordRead(n, false)
 				_ = conn.reader.Add(p[:n])
-				m, arrived, err := conn.takeRequest()
+				m, arrived, err := conn.nextRequest()
 				if m == nil || err != nil {
 					t.Fatal(m, err)
 				}
