--- a/internal/server/httpserver/close_test.go
+++ b/internal/server/httpserver/close_test.go
@@ -14,7 +14,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// panickingHandler panics where a request is rejected.
+// panickingHandler is a log handler that panics when the server logs a rejected request.
 type panickingHandler struct{ slog.Handler }
 
 func (panickingHandler) Enabled(context.Context, slog.Level) bool { return true }
@@ -80,8 +80,9 @@
 	}
 }
 
-// TestCloseAnswersRequest: whatever ends a client's connection, a request that was read, or waits to be read, is answered
-// before, and the answer reaches a client that still sends.
+// TestCloseAnswersRequest guards against requests that get no response because the server ends the connection. A
+// request that was read, or waits to be read, must be answered before the close, and the response must reach a client
+// that still sends.
 func TestCloseAnswersRequest(t *testing.T) {
 	for name, c := range closeCases() {
 		t.Run(name, func(t *testing.T) {
@@ -100,8 +101,9 @@
 	}
 }
 
-// TestCloseAnswersInputInSocket: what a client sent before the close and nobody read is answered, and read so that the
-// close doesn't reset the answer away. A client that sent nothing gets no answer, nor does one that has left.
+// TestCloseAnswersInputInSocket guards against a close with unread input in the socket, which would reset the
+// connection and could lose the response. The server must answer and read such input. A client that has sent nothing,
+// or has disconnected, must get no response.
 func TestCloseAnswersInputInSocket(t *testing.T) {
 	s, _ := startServer(t, nil)
 	const answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -143,7 +145,7 @@
 	waitForOpenRequests(t, s, 1)
 }
 
-// waitUntilLocked waits until a condition holds under the server's lock.
+// waitUntilLocked waits until a condition holds, which it checks with the server's mutex locked.
 func waitUntilLocked(t *testing.T, s *Server, what string, condition func() bool) {
 	t.Helper()
 	testsupport.WaitUntil(t, what, func() bool {
@@ -153,11 +155,12 @@
 	})
 }
 
-// TestClientThatReadsNothing: its response is given up after the write time-out, without a byte of another response in it,
-// and the others are served meanwhile.
-func TestClientThatReadsNothing(t *testing.T) {
+// TestClientThatDoesNotRead guards against a client that doesn't read its response and blocks others. The write must
+// end with the write timeout, no part of another response may follow the partial one, and other clients must be served
+// meanwhile.
+func TestClientThatDoesNotRead(t *testing.T) {
 	s, _ := startServer(t, func(c *Config) { c.WriteTimeout = 300 * time.Millisecond })
-	body := strings.Repeat("x", 32<<20) // more than the system takes
+	body := strings.Repeat("x", 32<<20) // more than the socket buffers hold
 	cl := dial(t, s)
 	sendPending(t, s, cl)
 	c := serverSide(t, s, cl)
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -24,7 +24,7 @@
 func (c unnotifiedConn) IsActive() bool         { return true }
 func (c unnotifiedConn) Reader() netpoll.Reader { return netpoll.NewLinkBuffer() }
 
-// newUnnotifiedConn returns a connection of a server, and its client.
+// newUnnotifiedConn returns an unnotified connection of a server, and the client's end of it.
 func newUnnotifiedConn(t *testing.T, s *Server) (*conn, *net.TCPConn) {
 	t.Helper()
 	listener := testsupport.Listen(t)
@@ -51,8 +51,8 @@
 	return s.newConn(unnotifiedConn{fd: fd}), client
 }
 
-// TestDisconnectedClient: a call's ClientLeft is true as soon as the socket shows it, though the event loop may not have
-// reported it.
+// TestDisconnectedClient guards against a ClientLeft that reports a disconnect only when the event loop does, and not
+// as soon as the socket shows it.
 func TestDisconnectedClient(t *testing.T) {
 	s, upstream := startServer(t, nil)
 	cl := dial(t, s)
@@ -65,7 +65,7 @@
 	cl.send(newRequest(servedFunction, ""))
 	call := <-calls
 	if call.ClientLeft() {
-		t.Error("disconnected while it waits")
+		t.Error("ClientLeft is true while the client waits")
 	}
 	_ = cl.netConn.Close()
 	testsupport.WaitUntil(t, "the end of the connection", call.ClientLeft)
@@ -73,48 +73,50 @@
 	waitForOpenRequests(t, s, 0)
 }
 
-// leave holds the ways in which a client leaves.
-var leave = map[string]func(*net.TCPConn){
+// disconnect holds the ways in which a client may disconnect.
+var disconnect = map[string]func(*net.TCPConn){
 	"FIN":        func(client *net.TCPConn) { _ = client.Close() },
 	"RST":        func(client *net.TCPConn) { _, _ = client.SetLinger(0), client.Close() },
 	"half-close": func(client *net.TCPConn) { _ = client.CloseWrite() },
 }
 
-// TestDisconnectedBeforeNotification: the socket shows that the client has left, behind unread input too.
+// TestDisconnectedBeforeNotification checks that a disconnect is detected from the socket, also if unread input
+// precedes it.
 func TestDisconnectedBeforeNotification(t *testing.T) {
 	s, _ := startServer(t, nil)
-	for name, leave := range leave {
+	for name, disconnect := range disconnect {
 		for _, input := range []string{"", pingRequest} {
 			t.Run(fmt.Sprintf("%s/%d bytes unread", name, len(input)), func(t *testing.T) {
 				c, client := newUnnotifiedConn(t, s)
 				_, _ = io.WriteString(client, input)
 				if c.disconnected() {
-					t.Error("disconnected while it waits")
+					t.Error("disconnected is true while the client waits")
 				}
-				leave(client)
+				disconnect(client)
 				testsupport.WaitUntil(t, "the end of the connection", c.disconnected)
 			})
 		}
 	}
 }
 
-// TestNoAttemptOfParkedCallAfterClientLeft: a call is parked, its client leaves, and the event loop can't report it: the
-// attempt that the dispatcher starts then is not forwarded. While the client waits it is.
-func TestNoAttemptOfParkedCallAfterClientLeft(t *testing.T) {
+// TestNoAttemptAfterClientDisconnected guards against an attempt that is forwarded although the client has
+// disconnected. The dispatcher defers a call, the client disconnects while the event loop can't report it, and then the
+// dispatcher starts the attempt. If the client stays connected, the attempt must be forwarded.
+func TestNoAttemptAfterClientDisconnected(t *testing.T) {
 	rows := map[string]func(*net.TCPConn){"stays": func(*net.TCPConn) {}}
-	maps.Copy(rows, leave)
-	for name, leave := range rows {
+	maps.Copy(rows, disconnect)
+	for name, disconnect := range rows {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, upstream := startServer(t, nil)
 			cl := dial(t, s)
-			cl.send(newRequest(parkedFunction, ""))
+			cl.send(newRequest(deferredFunction, ""))
 			waitForOpenRequests(t, s, 1)
-			c, resume := pauseReading(t, s, cl)
-			cl.send("P") // its reader waits, and the close is not handled before that has ended
+			c, resume := blockReading(t, s, cl)
+			cl.send("P") // the event loop blocks on this input and so can't handle the close
 			waitUntilReading(t, c, true)
 			tcpConn, _ := cl.netConn.(*net.TCPConn)
-			leave(tcpConn)
+			disconnect(tcpConn)
 			want := 2
 			if name != "stays" {
 				want = 1
@@ -130,19 +132,20 @@
 	}
 }
 
-// TestClientDisconnectsBeforeRequestIsRead: nothing of the request is forwarded.
+// TestClientDisconnectsBeforeRequestIsRead checks that a request is not forwarded if its client disconnects before the
+// server has read it.
 func TestClientDisconnectsBeforeRequestIsRead(t *testing.T) {
 	s, upstream := startServer(t, nil)
 	cl := dial(t, s)
 	waitForAccepted(t, s, 1)
-	c, resume := pauseReading(t, s, cl)
+	c, resume := blockReading(t, s, cl)
 	cl.send(newRequest(servedFunction, ""))
 	waitUntilReading(t, c, true)
 	_ = cl.netConn.Close()
 	testsupport.WaitUntil(t, "the end of the connection", c.disconnected)
 	resume()
 	waitUntilReading(t, c, false)
-	last := dial(t, s) // what the event loop was given before is handled by the time that this is answered
+	last := dial(t, s) // the event loop handles earlier events before it answers this client
 	last.send(newRequest(servedFunction, ""))
 	last.expectStatus(200)
 	upstream.expectForwarded(t, 1)
--- a/internal/server/httpserver/eviction_test.go
+++ b/internal/server/httpserver/eviction_test.go
@@ -10,8 +10,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestSilentAndSlowClientsAreDisconnected: a connection that sends nothing, one that sends half a request, one that keeps
-// its connection for good, and one that sends half a request behind a complete one.
+// TestSilentAndSlowClientsAreDisconnected guards against clients that hold connections without using them: one sends
+// nothing, one sends half a request, one stays idle after a request, and one sends half a request after a complete one.
 func TestSilentAndSlowClientsAreDisconnected(t *testing.T) {
 	s, _ := startServer(t, func(c *Config) { c.RequestTimeout, c.IdleTimeout = 50*time.Millisecond, 200*time.Millisecond })
 	silent, half, idle, halfBehindPing := dial(t, s), dial(t, s), dial(t, s), dial(t, s)
@@ -20,7 +20,7 @@
 	halfBehindPing.send(pingRequest + "POST /call")
 	half.expectStatus(408)
 	half.waitUntilClosed()
-	silent.expectClosed() // without a byte, which would answer a request that crosses the close
+	silent.expectClosed() // no response: the client could take it for the response to a request that crosses the close
 	idle.expectStatus(200)
 	idle.waitUntilClosed()
 	halfBehindPing.expectStatus(200)
@@ -28,8 +28,9 @@
 	testsupport.WaitUntil(t, "the end of all connections", func() bool { return s.Stats().Connections == 0 })
 }
 
-// TestIdleConnectionsAreEvicted: at MaxConnections a usual client is accepted, at the cost of one that never sent
-// anything; a request in flight is never cut off for it.
+// TestIdleConnectionsAreEvicted guards against idle connections that lock out other clients. At MaxConnections a new
+// connection must be accepted, and one that has never sent a request must be closed for it, but none with a request in
+// flight.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	s, _ := startServer(t, func(c *Config) { c.MaxConnections = 4 })
 	busy := dial(t, s)
@@ -50,7 +51,7 @@
 	usual.expectServed("done x")
 	used.send(newRequest(servedFunction, "y"))
 	if r := used.readResponse(); r.status != 200 {
-		t.Errorf("the used connection was evicted before silent ones: %d", r.status)
+		t.Errorf("the used connection was evicted before silent ones: status %d", r.status)
 	}
 	for _, cl := range silent[:18] {
 		cl.waitUntilClosed()
@@ -60,8 +61,9 @@
 	}
 }
 
-// TestRequestOnNewConnectionIsRejectedAtLimit: where no connection can be evicted, the first request of a new one is
-// rejected, both below MaxConnections and at it, where no place is left for the new one.
+// TestRequestOnNewConnectionIsRejectedAtLimit guards against a first request that gets no response because no
+// connection can be evicted for the new one. The request must be rejected, both if the reserve for rejections has room
+// and if it is full.
 func TestRequestOnNewConnectionIsRejectedAtLimit(t *testing.T) {
 	const maxConnections = rejectionReserveDivisor
 	for name, full := range map[string]bool{"place for one more": false, "no place": true} {
@@ -90,12 +92,12 @@
 	}
 }
 
-// TestConnectionWithUnreadRequestIsNotClosed: a request that is not read yet crosses an eviction, the close of an idle
-// connection, and that of a late one. In each case the connection was due before the request came.
+// TestConnectionWithUnreadRequestIsNotClosed guards against the loss of a request that has arrived but is not read yet,
+// when the server evicts the connection, or closes it after the idle timeout or the request timeout.
 func TestConnectionWithUnreadRequestIsNotClosed(t *testing.T) {
 	for name, tryToClose := range map[string]func(t *testing.T, s *Server, c *conn){
 		"eviction": func(t *testing.T, s *Server, _ *conn) {
-			for n := range 6 { // by its age it is the first candidate
+			for n := range 6 { // c is the oldest connection and so the first candidate
 				dial(t, s)
 				waitForAccepted(t, s, uint64(n+2))
 			}
@@ -113,7 +115,7 @@
 			s, _ := startServer(t, func(c *Config) { c.MaxConnections = 3 })
 			cl := dial(t, s)
 			waitForAccepted(t, s, 1)
-			c, resume := pauseReading(t, s, cl)
+			c, resume := blockReading(t, s, cl)
 			cl.send(newRequest(servedFunction, "x"))
 			waitUntilReading(t, c, true)
 			tryToClose(t, s, c)
@@ -123,22 +125,22 @@
 	}
 }
 
-// TestReadableSeesBytesInSocketBuffer: before the event loop has read anything, the descriptor alone shows that something
-// came.
+// TestReadableSeesBytesInSocketBuffer checks that readable and poll detect input, and the end of the stream after it,
+// from the descriptor alone, before the event loop has read anything.
 func TestReadableSeesBytesInSocketBuffer(t *testing.T) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if readable(fds[0]) || poll(fds[0], unix.POLLRDHUP) != 0 || readable(-1) {
-		t.Error("something is seen where nothing came")
+		t.Error("input or an end is reported before any was sent")
 	}
 	if _, err := syscall.Write(fds[1], []byte("P")); err != nil || !readable(fds[0]) {
-		t.Error("a byte is not seen", err)
+		t.Error("a byte is not reported", err)
 	}
 	_ = syscall.Close(fds[1])
 	if poll(fds[0], unix.POLLRDHUP)&unix.POLLRDHUP == 0 {
-		t.Error("the end behind it is not seen")
+		t.Error("the end of the stream after the byte is not reported")
 	}
 	_ = syscall.Close(fds[0])
 }
--- a/internal/server/httpserver/golden_test.go
+++ b/internal/server/httpserver/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// readRawResponse reads the bytes of one response: its header as it came, and as much body as the header announces.
+// readRawResponse reads and returns the bytes of one response: its head unchanged, and the body by its Content-Length.
 func (c *client) readRawResponse() string {
 	c.t.Helper()
 	var raw strings.Builder
@@ -38,15 +38,15 @@
 	return raw.String() + string(body)
 }
 
-// expectClosed fails the test unless the server closes the connection without a further byte.
+// expectClosed fails the test unless the server closes the connection without sending further bytes.
 func (c *client) expectClosed() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) > 0 {
-		c.t.Errorf("behind the response: %q, %v", rest, err)
+		c.t.Errorf("after the response: %q, %v", rest, err)
 	}
 }
 
-// TestGoldenResponses holds every byte of the responses to requests that were accepted.
+// TestGoldenResponses compares every byte of the responses to accepted requests.
 func TestGoldenResponses(t *testing.T) {
 	for name, c := range map[string]struct{ request, want string }{
 		"ping":              {pingRequest, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestGoldenFinalAnswers holds every byte of the response to each final answer of the router.
+// TestGoldenResponsesToFinalAnswers compares every byte of the response to each final answer of the router.
 func TestGoldenResponsesToFinalAnswers(t *testing.T) {
 	const (
 		badGateway  = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestGoldenBadRequests holds every byte of the responses to what can't be a call, and the close behind each.
+// TestGoldenBadRequests compares every byte of the responses to invalid requests, and checks the close after each.
 func TestGoldenBadRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		request, status, reason string
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestGoldenOtherErrors holds every byte of the responses that depend on more than the request.
+// TestGoldenOtherErrors compares every byte of the error responses that depend on more than the request.
 func TestGoldenOtherErrors(t *testing.T) {
 	t.Run("request not complete in time", func(t *testing.T) {
 		s, _ := startServer(t, func(c *Config) { c.RequestTimeout = 50 * time.Millisecond })
--- a/internal/server/httpserver/harness_test.go
+++ b/internal/server/httpserver/harness_test.go
@@ -20,32 +20,32 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// Functions of the tests, by what scriptedDispatcher does with their requests.
+// Function IDs of the tests. scriptedDispatcher treats the requests of each function differently.
 const (
 	servedFunction   = "aaaaaaaaaaaaaaaa"
 	rejectedFunction = "bbbbbbbbbbbbbbbb"
 	failedFunction   = "cccccccccccccccc"
-	pendingFunction  = "dddddddddddddddd" // is never answered
-	parkedFunction   = "eeeeeeeeeeeeeeee" // waits for the next request of servedFunction
+	pendingFunction  = "dddddddddddddddd" // never answered
+	deferredFunction = "eeeeeeeeeeeeeeee" // served after the next request of servedFunction arrives
 )
 
 // testRetryAfter is the retry-after of scriptedDispatcher's rejections.
 const testRetryAfter = 70 * time.Millisecond
 
-// scriptedDispatcher decides about each request by its function.
-type scriptedDispatcher struct{ parked []dispatch.RequestID }
+// scriptedDispatcher handles each request as its function ID says.
+type scriptedDispatcher struct{ deferred []dispatch.RequestID }
 
 func (d *scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
 		if request, ok := event.(dispatch.Request); ok {
 			switch request.Function {
-			case parkedFunction:
-				d.parked = append(d.parked, request.ID)
+			case deferredFunction:
+				d.deferred = append(d.deferred, request.ID)
 			case servedFunction:
-				for _, id := range d.parked {
+				for _, id := range d.deferred {
 					actions = append(actions, dispatch.StartAttempt{ID: id, Worker: "w"})
 				}
-				d.parked = nil
+				d.deferred = nil
 				actions = append(actions, dispatch.StartAttempt{ID: request.ID, Worker: "w"})
 			case rejectedFunction:
 				actions = append(actions, dispatch.RejectRequest{ID: request.ID, RetryAfter: testRetryAfter})
@@ -57,15 +57,15 @@
 	return actions
 }
 
-// echoUpstream answers each attempt with its body.
+// echoUpstream answers each attempt with "done " and the body of the request.
 type echoUpstream struct {
 	router       *router.Router
 	mu           sync.Mutex
-	beforeAnswer func(*router.Call) // nil, or called before each answer
+	beforeAnswer func(*router.Call) // called before each answer; nil: nothing is called
 	requests     []*invocation.Request
 }
 
-// endedAttempt is an attempt that has ended.
+// endedAttempt is a router.UpstreamAttempt that has ended.
 type endedAttempt struct{}
 
 func (endedAttempt) ForwardTo(router.Client) {}
@@ -89,7 +89,7 @@
 func (u *echoUpstream) CheckHealth(string, time.Duration, func(router.HealthResult)) {}
 func (u *echoUpstream) UpdateEndpoints([]endpoints.Worker)                           {}
 
-// expectForwarded fails the test unless so many requests were forwarded.
+// expectForwarded fails the test unless exactly n requests were forwarded.
 func (u *echoUpstream) expectForwarded(t *testing.T, n int) {
 	t.Helper()
 	u.mu.Lock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// startServer starts a server with a router before an echoUpstream. change, if any, alters its settings.
+// startServer starts a server and a router with an echoUpstream. change, if not nil, alters the server's settings.
 func startServer(t *testing.T, change func(*Config)) (*Server, *echoUpstream) {
 	t.Helper()
 	upstream := &echoUpstream{}
@@ -135,7 +135,7 @@
 	lastID   int
 )
 
-// newID returns the id of a new request.
+// newID returns an unused request ID.
 func newID() string {
 	lastIDMu.Lock()
 	defer lastIDMu.Unlock()
@@ -145,7 +145,8 @@
 
 const pingRequest = "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// newRequest returns a usual request, with fields set, added ("+Name: value") or left out ("-Name").
+// newRequest returns a valid request of a call. fields changes its header: "Name: value" sets a field, "+Name: value"
+// adds one even if it exists, and "-Name" removes one.
 func newRequest(function, body string, fields ...string) string {
 	header := map[string]string{"Host": "a", "X-Class": "safe", "X-Correlation-Id": newID(), "X-Deadline-Ms": "15000",
 		"Content-Length": fmt.Sprint(len(body))}
@@ -170,7 +171,7 @@
 	return b.String() + added + "\r\n" + body
 }
 
-// client is one client connection, read by the standard library.
+// client is a client's connection. Its responses are parsed by net/http.
 type client struct {
 	t       *testing.T
 	netConn net.Conn
@@ -190,12 +191,12 @@
 
 func (c *client) send(text string) { _, _ = io.WriteString(c.netConn, text) }
 
-// response is what readResponse read.
+// response is the result of readResponse.
 type response struct {
 	status  int // 0: the connection was closed without a response
 	body    string
 	header  http.Header
-	closing bool // the server closes the connection behind it
+	closing bool // the server closes the connection after the response
 }
 
 func (c *client) readResponse() response {
@@ -203,7 +204,7 @@
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		if isTimeout(err) {
-			c.t.Fatal("neither a response nor a close")
+			c.t.Fatal("timeout: neither a response nor a close")
 		}
 		return response{closing: true}
 	}
@@ -222,7 +223,7 @@
 	}
 }
 
-// expectServed reads a response and fails the test unless it is a successful one with the body.
+// expectServed reads a response and fails the test unless it has status 200 and the body.
 func (c *client) expectServed(body string) {
 	c.t.Helper()
 	if r := c.readResponse(); r.status != 200 || r.body != body {
@@ -234,7 +235,7 @@
 func (c *client) waitUntilClosed() {
 	c.t.Helper()
 	if _, err := io.Copy(io.Discard, c.reader); err != nil && isTimeout(err) {
-		c.t.Error("the connection stays open")
+		c.t.Error("the server did not close the connection")
 	}
 }
 
@@ -255,7 +256,7 @@
 	testsupport.WaitUntil(t, fmt.Sprintf("%d open requests", n), func() bool { return s.Stats().OpenRequests == n })
 }
 
-// waitUntilReading waits until the server reads what came on a connection, or does so no more.
+// waitUntilReading waits until the server is reading input of a connection, or has stopped reading it.
 func waitUntilReading(t *testing.T, c *conn, reading bool) {
 	t.Helper()
 	testsupport.WaitUntil(t, fmt.Sprintf("reading = %v", reading), func() bool {
@@ -275,12 +276,13 @@
 			return c
 		}
 	}
-	t.Fatal("the server has no such connection")
+	t.Fatal("the server has no connection of this client")
 	return nil
 }
 
-// pauseReading makes the reader of a connection wait: what its client sends is taken by the system and not parsed.
-func pauseReading(t *testing.T, s *Server, cl *client) (c *conn, resume func()) {
+// blockReading blocks the request reader of a client's connection until resume is called. Input stays unparsed until
+// then.
+func blockReading(t *testing.T, s *Server, cl *client) (c *conn, resume func()) {
 	t.Helper()
 	c = serverSide(t, s, cl)
 	c.parseMu.Lock()
--- a/internal/server/httpserver/server_test.go
+++ b/internal/server/httpserver/server_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestInvalidRequestIsNotForwarded: what can't be a call gets an error and a close, and no worker sees it.
+// TestInvalidRequestIsNotForwarded checks that an invalid request gets an error response, that the server then closes
+// the connection, and that no part of the request reaches a worker.
 func TestInvalidRequestIsNotForwarded(t *testing.T) {
 	s, upstream := startServer(t, nil)
 	for name, c := range map[string]struct {
@@ -87,8 +88,8 @@
 	upstream.expectForwarded(t, 0)
 }
 
-// TestDuplicateIDIsRejectedWhileOpen: the id of an open request is rejected on other connections, whatever their body,
-// and may be used again once the client of the first has left.
+// TestDuplicateIDIsRejectedWhileOpen checks that a request with the ID of an open one is rejected, also if its body
+// differs, and that the ID may be used again after the client of the first request has disconnected.
 func TestDuplicateIDIsRejectedWhileOpen(t *testing.T) {
 	s, _ := startServer(t, nil)
 	first, second := dial(t, s), dial(t, s)
@@ -104,7 +105,7 @@
 	third.expectServed("done three")
 }
 
-// TestPipelinedRequests: requests sent at once are answered one after another, each once.
+// TestPipelinedRequests checks that pipelined requests are answered in order, each once.
 func TestPipelinedRequests(t *testing.T) {
 	s, upstream := startServer(t, nil)
 	cl := dial(t, s)
@@ -121,8 +122,8 @@
 	upstream.expectForwarded(t, 10)
 }
 
-// TestRequestInSeveralReads: a request that comes byte by byte is served, as is one whose body follows its head; one that
-// is cut off in its body, by a close or a reset, is not forwarded.
+// TestRequestInSeveralReads checks that a request is served if it arrives byte by byte, or if its body arrives after
+// its head. A request whose body is cut off by a close or a reset must not be forwarded.
 func TestRequestInSeveralReads(t *testing.T) {
 	s, upstream := startServer(t, nil)
 	cl := dial(t, s)
@@ -161,8 +162,9 @@
 	upstream.expectForwarded(t, 2)
 }
 
-// TestFloodBehindRequestIsDisconnected: what a client sends on and on behind a request in flight is not kept.
-func TestFloodBehindRequestIsDisconnected(t *testing.T) {
+// TestExcessInputAfterRequestIsDisconnected guards against unbounded memory for input that a client sends after a
+// request in flight.
+func TestExcessInputAfterRequestIsDisconnected(t *testing.T) {
 	s, _ := startServer(t, nil)
 	cl := dial(t, s)
 	cl.send(newRequest(pendingFunction, ""))
--- a/internal/server/httpserver/timing_test.go
+++ b/internal/server/httpserver/timing_test.go
@@ -12,10 +12,11 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// systemTimeResolution is how much older or younger than it is the system may state the age of a segment.
+// systemTimeResolution is the maximum error of the system's report of a segment's age.
 const systemTimeResolution = 20 * time.Millisecond
 
-// TestDeadlineCountsFromArrival: what waited in the system before it was read has used up some of its time.
+// TestDeadlineCountsFromArrival checks that the time for which a request waited before it was read counts against its
+// deadline.
 func TestDeadlineCountsFromArrival(t *testing.T) {
 	s, _ := startServer(t, nil)
 	reader := http1.NewReader(s.cfg.Limits)
@@ -29,12 +30,13 @@
 		t.Errorf("remaining %v, %v", call.RemainingDeadline, err)
 	}
 	if err == nil && call.MeasuredAt.IsZero() {
-		t.Error("the call doesn't tell when its remaining time was measured")
+		t.Error("MeasuredAt is not set")
 	}
 }
 
-// TestAgeIsBelieved: any age that began since the server listens, and no other.
-func TestAgeIsBelieved(t *testing.T) {
+// TestArrivalAgeIsValidated checks that newArrival accepts any age of a segment that is not greater than the server's
+// uptime, and no other.
+func TestArrivalAgeIsValidated(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct{ listening, age, want time.Duration }{
 		"just come":                    {time.Hour, 0, 0},
@@ -51,11 +53,12 @@
 	}
 }
 
-// TestRequestBehindAnotherCountsFromArrival: the time that a request waits for the answer to the one ahead of it on the
-// connection has been used up, of one that came with it, and of one that came during the call.
-func TestRequestBehindAnotherCountsFromArrival(t *testing.T) {
+// TestDeadlineOfPipelinedRequestCountsFromArrival checks that the time for which a request waits for the response to
+// the previous one on its connection counts against its deadline. The second request is sent together with the first or
+// during its call.
+func TestDeadlineOfPipelinedRequestCountsFromArrival(t *testing.T) {
 	const wait = 300 * time.Millisecond
-	for name, together := range map[string]bool{"together": true, "during the call": false} {
+	for name, sentTogether := range map[string]bool{"together": true, "during the call": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, upstream := startServer(t, nil)
@@ -65,7 +68,7 @@
 			upstream.mu.Unlock()
 			cl := dial(t, s)
 			first, second := newRequest(servedFunction, "a"), newRequest(servedFunction, "b", "X-Deadline-Ms: 15000")
-			if together {
+			if sentTogether {
 				cl.send(first + second)
 				<-calls
 			} else {
@@ -88,9 +91,10 @@
 	}
 }
 
-// TestLaterSegmentDoesNotHideAge: a request waits in the socket, and bytes come behind it: it is no younger for that,
-// whether these are read with it or not, and whether it is the first on its connection or not.
-func TestLaterSegmentDoesNotHideAge(t *testing.T) {
+// TestLaterSegmentDoesNotDelayArrivalTime guards against a deadline that is extended because further bytes arrive after
+// a request while it waits in the socket. It covers further bytes that are read with the request and ones that are not,
+// and first and later requests on a connection.
+func TestLaterSegmentDoesNotDelayArrivalTime(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	s, _ := startServer(t, nil)
 	for name, c := range map[string]struct{ served, readAll bool }{
@@ -126,7 +130,7 @@
 				read(len(pingRequest))
 			}
 			_, _ = io.WriteString(client, pingRequest)
-			came := time.Now()
+			sentAt := time.Now()
 			time.Sleep(wait)
 			_, _ = io.WriteString(client, pingRequest[:9])
 			testsupport.WaitUntil(t, "the later segment", func() bool { return s.currentArrival(conn.netConn).segments >= 2 })
@@ -134,8 +138,8 @@
 			if c.readAll {
 				n += 9
 			}
-			if arrived := read(n); arrived.After(came.Add(systemTimeResolution)) {
-				t.Errorf("it counts from %v after it came", arrived.Sub(came))
+			if arrived := read(n); arrived.After(sentAt.Add(systemTimeResolution)) {
+				t.Errorf("arrival time is %v after the request was sent", arrived.Sub(sentAt))
 			}
 		})
 	}
