--- a/internal/server/callbuilder.go
+++ b/internal/server/callbuilder.go
@@ -1,4 +1,5 @@
-// Package server holds what the servers of all client protocols share: how a request becomes a call of the router.
+// Package server converts requests of the Open Inference Protocol to calls of the router, independently of the
+// transport.
 package server
 
 import (
@@ -10,13 +11,13 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// The bounds of the concurrency that a request may state for an instance of its model.
+// Limits on the concurrency that a request may state for an instance of its model.
 const (
 	minConcurrencyPerInstance = 1
 	maxConcurrencyPerInstance = 1024
 )
 
-// The share of a client's time that may be reserved for the response's way back to it, as a divisor.
+// responseMarginDivisor limits CallBuilder.ResponseMargin to timeout/responseMarginDivisor of a request's timeout.
 const responseMarginDivisor = 10
 
 // ModelSettings are the settings of the calls of one model.
@@ -29,24 +30,26 @@
 	Versions               []string
 }
 
-// CallBuilder turns requests into calls. It is set up once and only read afterwards, so it needs no lock.
+// CallBuilder converts requests to calls. Its fields are set before its first use and not changed afterwards, so it is
+// safe for concurrent use.
 type CallBuilder struct {
 	Models          map[string]ModelSettings
-	DefaultModel    ModelSettings // for a model that the settings don't name; without a class such calls are rejected
-	Deadlines       map[string]time.Duration
-	ResponseMargin  time.Duration // reserved of a client's time for the response's way back to it
-	MaxMessageBytes int           // of a request message
+	DefaultModel    ModelSettings            // for all other models; without a Class, their calls are rejected
+	Deadlines       map[string]time.Duration // by class
+	ResponseMargin  time.Duration            // part of the timeout reserved for the response's way to the client
+	MaxMessageBytes int                      // of a request message
 }
 
-// RequestError is why a request can't become a call: no part of it was forwarded.
+// RequestError is the reason why a request can't be converted to a call. No part of the request was forwarded.
 type RequestError struct {
 	Field, Reason string
-	ModelNotFound bool // the model is not served here
+	ModelNotFound bool // the router does not serve the model
 }
 
 func (e *RequestError) Error() string { return e.Field + ": " + e.Reason }
 
-// ModelSettings returns the settings of a model, or those of the default model. ok is false where there are neither.
+// ModelSettings returns the settings of a model, or those of the default model if the model has none. ok is false if
+// there are neither.
 func (b *CallBuilder) ModelSettings(name string) (settings ModelSettings, ok bool) {
 	settings, ok = b.Models[name]
 	if !ok && b.DefaultModel.Class != "" {
@@ -55,9 +58,8 @@
 	return settings, ok
 }
 
-// NewCall returns the call of a request: with the model's settings, where the request does not state other values.
-// timeout is the time until the client gives up, or 0 where it set none; then the class's deadline holds. The error
-// is a *RequestError.
+// NewCall returns the call for a request. Values that the request states override the model's settings. timeout is the
+// time until the client gives up; if it is 0, the deadline of the class applies. The error is a *RequestError.
 func (b *CallBuilder) NewCall(request oip.RoutingFields, timeout time.Duration) (*router.Call, error) {
 	if request.Model == "" {
 		return nil, &RequestError{Field: "model_name", Reason: "is empty"}
@@ -82,8 +84,8 @@
 	return call, nil
 }
 
-// applyEstimates puts the figures that a request states over those of its model's settings. NaN stands for a figure
-// that the request does not state.
+// applyEstimates replaces the model's settings in call by the values that the request states. A value that the request
+// doesn't state is NaN.
 func applyEstimates(call *router.Call, request oip.RoutingFields) {
 	if !math.IsNaN(request.MemoryMB) {
 		call.MemoryMB = request.MemoryMB
--- a/internal/transport/http1/chunked.go
+++ b/internal/transport/http1/chunked.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Bounds of the lines of a chunked body.
+// Limits on the lines of a chunked body.
 const (
-	maxChunkLine       = 256 // bytes of a line that may wait for its end
+	maxChunkLine       = 256 // bytes of an incomplete line
 	maxChunkSizeDigits = 8
 	chunkSizeBits      = 31
 )
@@ -19,11 +19,12 @@
 const (
 	chunkSize    chunkState = iota // the line with a chunk's size
 	chunkData                      // a chunk's data
-	chunkDataEnd                   // the line end behind a chunk's data
-	chunkTrailer                   // the trailer behind the last chunk
+	chunkDataEnd                   // the CRLF after a chunk's data
+	chunkTrailer                   // the trailer section after the last chunk
 )
 
-// readChunks takes what has come of a chunked body (RFC 9112, section 7.1). done reports that the body is complete.
+// readChunks parses the received part of a chunked body (RFC 9112, section 7.1). done reports that the body is
+// complete.
 func (r *Reader) readChunks() (done bool, err error) {
 	consumed := 0
 	defer func() {
@@ -58,7 +59,7 @@
 	}
 }
 
-// readChunkLine takes a line between the data of chunks. done reports that it is the last line of the body.
+// readChunkLine parses a line between the data of chunks. done reports that it is the last line of the body.
 func (r *Reader) readChunkLine(line string) (done bool, err error) {
 	switch r.chunkState {
 	case chunkDataEnd:
@@ -71,13 +72,13 @@
 		return false, r.readChunkSize(line)
 	case chunkTrailer:
 		return r.readTrailerLine(line)
-	case chunkData: // not in lines: readChunks takes it
+	case chunkData: // not line-based; readChunks handles it
 	}
 	return false, nil
 }
 
-// readTrailerLine takes a line of the trailer, whose fields are ignored. done reports that it is the empty line at its
-// end.
+// readTrailerLine parses a line of the trailer section, whose fields are ignored. done reports that it is the empty
+// line at the end.
 func (r *Reader) readTrailerLine(line string) (done bool, err error) {
 	if line == "" {
 		return true, nil
@@ -88,7 +89,7 @@
 	return false, nil
 }
 
-// readChunkSize takes the line with a chunk's size. Its extensions are ignored.
+// readChunkSize parses the line with a chunk's size. Chunk extensions are ignored.
 func (r *Reader) readChunkSize(line string) error {
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(digits, 16, chunkSizeBits)
--- a/internal/transport/http1/head.go
+++ b/internal/transport/http1/head.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// asciiPrefix is how many bytes at the head of a request must be ASCII: it tells other protocols apart early.
+// asciiPrefix is the number of bytes at the start of a request that must be ASCII. It detects other protocols early.
 const asciiPrefix = 16
 
-// Bounds of the status code of a response that a Reader accepts. Interim responses are none of them.
+// Limits on the status code of a response that a Reader accepts. Interim responses are rejected.
 const (
 	minStatus = 200
 	maxStatus = 599
 )
 
-// Field is a header field. A Reader gives its name in lower case.
+// Field is a header field. A Reader returns names in lower case.
 type Field struct{ Name, Value string }
 
 // Head is a message's start line and header fields.
@@ -23,11 +23,11 @@
 	Status         int    // of a response
 	Fields         []Field
 	Close          bool // the peer closes the connection after this message
-	contentLength  int  // -1: until the end of the connection
+	contentLength  int  // -1: the body ends with the connection
 	chunked        bool
 }
 
-// Get returns the value of a field; ok is false where there is none, or more than one.
+// Get returns the value of a field. ok is false if the field is missing or repeated.
 func (h *Head) Get(name string) (value string, ok bool) {
 	n := 0
 	for _, field := range h.Fields {
@@ -39,7 +39,7 @@
 	return value, n == 1
 }
 
-// Has reports whether there is a field of that name.
+// Has reports whether the field occurs at least once.
 func (h *Head) Has(name string) bool {
 	for _, field := range h.Fields {
 		if field.Name == name {
@@ -49,8 +49,8 @@
 	return false
 }
 
-// checkPrefix rejects what can't become a head, before its end has come, and by the same rule when it has: where a
-// stream is cut changes no decision.
+// checkPrefix returns an error if prefix can't be the start of a head. It is called for incomplete and for complete
+// heads, so that the result doesn't depend on how the stream is split into reads.
 func checkPrefix(prefix []byte, response bool) error {
 	for i, c := range prefix {
 		if c == '\n' && (i == 0 || prefix[i-1] != '\r') || c == 0 || c >= 0x80 && i < asciiPrefix && !response {
@@ -63,13 +63,13 @@
 	return nil
 }
 
-// framingFields are the header fields that say where a body ends.
+// framingFields are the header fields that determine where the body ends.
 type framingFields struct {
 	contentLength int // -1: there is no such field
 	chunked       bool
 }
 
-// parseHead reads a complete head, without the empty line that ends it.
+// parseHead parses a complete head, given without the empty line at its end.
 func (r *Reader) parseHead(text string) (*Head, error) {
 	lines := strings.Split(text, "\r\n")
 	head := &Head{}
@@ -97,7 +97,7 @@
 	return head, r.setBodyFraming(head, framing, minor)
 }
 
-// parseField reads the line of one header field.
+// parseField parses the line of one header field.
 func parseField(line string) (Field, error) {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
@@ -112,7 +112,8 @@
 	return Field{strings.ToLower(name), value}, nil
 }
 
-// apply records a field where it frames the body. A repeated one is an error: two parties may believe different ones.
+// apply stores the value of a field that frames the body, and ignores other fields. A repeated field is an error,
+// because two parties may use different values of it.
 func (f *framingFields) apply(field Field) error {
 	switch field.Name {
 	case "content-length":
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// applyConnectionOptions reads the options of a Connection field. minor is the HTTP version's.
+// applyConnectionOptions applies the options of a Connection field. minor is the minor HTTP version.
 func (h *Head) applyConnectionOptions(value string, minor int) {
 	for _, option := range strings.Split(value, ",") {
 		switch strings.ToLower(strings.Trim(option, " \t")) {
@@ -142,11 +143,11 @@
 	}
 }
 
-// setBodyFraming decides where the body ends (RFC 9112, section 6.3), and checks the Host of a request.
+// setBodyFraming determines where the body ends (RFC 9112, section 6.3), and checks the Host field of a request.
 func (r *Reader) setBodyFraming(head *Head, framing framingFields, minor int) error {
 	length := framing.contentLength
 	switch {
-	case framing.chunked && (length >= 0 || minor == 0): // it may hide another message (section 6.1)
+	case framing.chunked && (length >= 0 || minor == 0): // may be an attempt of request smuggling (section 6.1)
 		return badRequest("transfer-encoding with content-length, or in HTTP/1.0")
 	case length > r.limits.Body:
 		return &Error{StatusContentTooLarge, "body exceeds its limit"}
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// parseStartLine reads the first line of a message and returns the minor HTTP version.
+// parseStartLine parses the first line of a message and returns the minor HTTP version.
 func (r *Reader) parseStartLine(head *Head, line string) (minor int, err error) {
 	if r.response {
 		return parseStatusLine(head, line)
@@ -204,9 +205,9 @@
 // minorVersion returns the minor number of a supported version.
 func minorVersion(version string) int { return int(version[len("HTTP/1.")] - '0') }
 
-// parseDecimal reads a decimal number without a sign.
+// parseDecimal parses a decimal number without a sign.
 func parseDecimal(s string) (n int, ok bool) {
-	const maxDigits = 18 // so many fit an int
+	const maxDigits = 18 // any number of 18 digits fits in an int
 	if s == "" || len(s) > maxDigits {
 		return 0, false
 	}
--- a/internal/transport/http1/reader.go
+++ b/internal/transport/http1/reader.go
@@ -1,5 +1,6 @@
-// Package http1 reads HTTP/1.1 messages (RFC 9112) from a stream in pieces. It is strict where leniency would let
-// two parties see different messages in the same bytes, and it checks each limit before it keeps a byte.
+// Package http1 parses HTTP/1.1 messages (RFC 9112) incrementally from a byte stream, and formats responses. The parser
+// is strict where a lenient one would allow request smuggling, in which two parties see different messages in the same
+// bytes. It checks each limit before it buffers input.
 package http1
 
 import (
@@ -8,18 +9,18 @@
 	"fmt"
 )
 
-// Limits bound one message.
+// Limits are the limits on one message.
 type Limits struct {
 	Head    int // bytes of the start line and the header fields
-	Fields  int // header fields
+	Fields  int // number of header fields
 	Body    int // bytes
-	Pending int // bytes that may wait behind a message that is being handled
+	Pending int // bytes that may be buffered after a message that is being handled
 }
 
-// Error is why a message can't be read. The connection is of no further use: where the next message begins is
-// not known.
+// Error is the reason why a message can't be parsed. The connection must be closed, because the start of the next
+// message is unknown.
 type Error struct {
-	Status int // that a server answers with
+	Status int // of the response with which a server rejects the message
 	Reason string
 }
 
@@ -29,40 +30,40 @@
 	return &Error{StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// ErrPendingLimit reports that a peer sends on and on behind a message that is being handled.
+// ErrPendingLimit reports that a peer has sent more than Limits.Pending bytes after a message that is being handled.
 var ErrPendingLimit = errors.New("http1: too many bytes pending behind a message")
 
-// Message is a complete message. Its body belongs to the caller.
+// Message is a complete message. The caller owns its body.
 type Message struct {
 	Head
 	Body []byte
 }
 
-// Reader reads the messages of one direction of a connection. It is not safe for concurrent use.
+// Reader parses the messages of one direction of a connection. It is not safe for concurrent use.
 type Reader struct {
 	limits   Limits
-	response bool
+	response bool   // messages are responses, not requests
 	buf      []byte // received and not consumed
-	head     *Head  // of the message whose body is not complete
-	scanned  int    // bytes of buf in which no end of the head was found
+	head     *Head  // of the message whose body is not complete; nil: none
+	scanned  int    // number of bytes in buf that were searched for the end of the head without finding it
 
-	// Of a chunked body.
-	body           []byte // so far
+	// State of a chunked body.
+	body           []byte // data so far
 	chunkState     chunkState
-	chunkRemaining int // bytes of the chunk's data that are still to come
+	chunkRemaining int // bytes of the chunk's data not received yet
 	trailerBytes   int // so far
 }
 
-// NewReader returns a Reader of requests.
+// NewReader returns a Reader for requests.
 func NewReader(l Limits) *Reader { return &Reader{limits: l} }
 
-// NewResponseReader returns a Reader of responses.
+// NewResponseReader returns a Reader for responses.
 func NewResponseReader(l Limits) *Reader { return &Reader{limits: l, response: true} }
 
-// Partial reports whether a message has begun and is not complete.
+// Partial reports whether a part of the next message has been received.
 func (r *Reader) Partial() bool { return len(r.buf) > 0 || r.head != nil }
 
-// Add takes the next bytes; it keeps a copy. The error is ErrPendingLimit where there are more than Available.
+// Add appends a copy of p to the input. It returns ErrPendingLimit if p is longer than Available.
 func (r *Reader) Add(p []byte) error {
 	if len(p) > r.Available() {
 		return ErrPendingLimit
@@ -71,12 +72,12 @@
 	return nil
 }
 
-// Available returns how many bytes Add takes now.
+// Available returns how many bytes Add accepts now.
 func (r *Reader) Available() int {
 	return r.limits.Head + r.limits.Body + r.limits.Pending - len(r.buf)
 }
 
-// Next returns the next message, or nil where none is complete. The error is an *Error.
+// Next returns the next message, or nil if none is complete. The error is an *Error.
 func (r *Reader) Next() (*Message, error) {
 	if r.head == nil {
 		if err := r.readHead(); err != nil || r.head == nil {
@@ -106,8 +107,8 @@
 	return &Message{Head: *head, Body: body}, nil
 }
 
-// End returns the response that the end of the connection completes: one that states no length. Otherwise it returns
-// nil.
+// End returns the response whose body the end of the connection completes, because its head states no length. It
+// returns nil if there is no such response.
 func (r *Reader) End() *Message {
 	if r.head == nil || r.head.chunked || r.head.contentLength >= 0 {
 		return nil
@@ -117,7 +118,7 @@
 	return m
 }
 
-// discard drops the first n bytes of the buffer.
+// discard removes the first n bytes of the buffer.
 func (r *Reader) discard(n int) {
 	r.scanned = 0
 	if n == len(r.buf) {
@@ -127,14 +128,14 @@
 	r.buf = append([]byte(nil), r.buf[n:]...)
 }
 
-// skipEmptyLines drops empty lines ahead of a request (RFC 9112, section 2.2): they begin no message.
+// skipEmptyLines removes empty lines before a request, which are to be ignored (RFC 9112, section 2.2).
 func (r *Reader) skipEmptyLines() {
 	for !r.response && len(r.buf) >= 2 && r.buf[0] == '\r' && r.buf[1] == '\n' {
 		r.discard(2)
 	}
 }
 
-// readHead reads the head once it is complete.
+// readHead parses the head of the next message if it is complete, and stores it in r.head.
 func (r *Reader) readHead() error {
 	r.skipEmptyLines()
 	headEnd := []byte("\r\n\r\n")
--- a/internal/transport/http1/reader_test.go
+++ b/internal/transport/http1/reader_test.go
@@ -9,7 +9,7 @@
 
 var testLimits = Limits{Head: 512, Fields: 16, Body: 64, Pending: 256}
 
-// readMessages feeds the pieces to a Reader and returns the messages, and the error that ended the reading.
+// readMessages passes the pieces to a Reader and returns the messages, and the error that stopped it.
 func readMessages(response bool, pieces ...string) (messages []string, err error) {
 	r := NewReader(testLimits)
 	r.response = response
@@ -35,7 +35,8 @@
 	return messages, nil
 }
 
-// readStatus is readMessages with the status of the error: 0 without one, -1 where it has no status.
+// readStatus is like readMessages, but returns the status of the error: 0 without an error, -1 if the error has no
+// status.
 func readStatus(response bool, pieces ...string) (messages []string, status int) {
 	messages, err := readMessages(response, pieces...)
 	var httpErr *Error
@@ -51,7 +52,8 @@
 
 const postMessage = "POST /call/x/call HTTP/1.1\r\nHost: a\r\nX-Class: c\r\nContent-Length: 4\r\n\r\nbody"
 
-// TestMessagesSplitAtEveryByte: where a stream is cut changes nothing, nor does what waits behind a message.
+// TestMessagesSplitAtEveryByte checks that the messages don't depend on where the stream is split into two reads, nor
+// on the bytes after a message.
 func TestMessagesSplitAtEveryByte(t *testing.T) {
 	chunked := "POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: u\r\n\r\n"
 	input := postMessage + "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n" + chunked
@@ -64,8 +66,8 @@
 	}
 }
 
-// TestInvalidMessages: lengths and encodings by which two parties may see different messages, and all that is not HTTP,
-// are rejected, each with the status that the RFCs name.
+// TestInvalidMessages guards against request smuggling by lengths and encodings in which two parties may see different
+// messages, and against input that isn't HTTP. Each must be rejected with the status that the RFCs define.
 func TestInvalidMessages(t *testing.T) {
 	head := func(line string, fields ...string) string {
 		return line + "\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
@@ -124,13 +126,13 @@
 	}
 }
 
-// TestPendingLimit: a peer that sends on and on behind a request that is being handled gets ErrPendingLimit.
+// TestPendingLimit guards against unbounded buffering of input after a request that is being handled.
 func TestPendingLimit(t *testing.T) {
 	r := NewReader(testLimits)
 	for range 1000 {
 		if r.Available() == 0 {
 			if err := r.Add([]byte("x")); !errors.Is(err, ErrPendingLimit) {
-				t.Fatalf("beyond the limit: %v", err)
+				t.Fatalf("error beyond the limit: %v, want ErrPendingLimit", err)
 			}
 			return
 		}
@@ -138,7 +140,7 @@
 			t.Fatal(err)
 		}
 	}
-	t.Fatal("no limit")
+	t.Fatal("the limit was not reached")
 }
 
 func TestResponses(t *testing.T) {
@@ -165,10 +167,10 @@
 		r := NewResponseReader(testLimits)
 		_ = r.Add([]byte("HTTP/1.1 200 OK\r\n\r\n{}"))
 		if m, err := r.Next(); m != nil || err != nil {
-			t.Errorf("%v, %v before the end", m, err)
+			t.Errorf("message %v, error %v before the end of the connection", m, err)
 		}
 		if m := r.End(); m == nil || string(m.Body) != "{}" {
-			t.Errorf("%v at the end", m)
+			t.Errorf("message %v at the end of the connection", m)
 		}
 	})
 }
@@ -186,7 +188,7 @@
 	}
 }
 
-// FuzzReader: no input panics, and the same bytes in pieces give the same messages as at once.
+// FuzzReader checks that no input causes a panic, and that input in two pieces gives the same messages as in one.
 func FuzzReader(f *testing.F) {
 	f.Add(postMessage, 20, false)
 	f.Add("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 70, false)
@@ -204,8 +206,9 @@
 	})
 }
 
-// TestEmptyLineBehindRequestBeginsNoMessage: some clients send one behind a body.
-func TestEmptyLineBehindRequestBeginsNoMessage(t *testing.T) {
+// TestEmptyLineAfterRequestIsIgnored checks that an empty line after a body, which some clients send, isn't the start
+// of a request.
+func TestEmptyLineAfterRequestIsIgnored(t *testing.T) {
 	r := NewReader(testLimits)
 	if err := r.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx\r\n\r\n")); err != nil {
 		t.Fatal(err)
@@ -214,6 +217,6 @@
 		t.Fatal(m, err)
 	}
 	if r.Partial() {
-		t.Error("an empty line begins a message")
+		t.Error("an empty line counts as the start of a message")
 	}
 }
--- a/internal/transport/http1/response.go
+++ b/internal/transport/http1/response.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// AppendResponse appends a response with a Content-Length to b. closing adds the field by which the server says that it
-// closes the connection behind it.
+// AppendResponse appends a response with a Content-Length field to b and returns the result. closing adds "Connection:
+// close", which announces that the server closes the connection after the response.
 func AppendResponse(b []byte, status int, fields []Field, body []byte, closing bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/transport/http1/status.go
+++ b/internal/transport/http1/status.go
@@ -1,6 +1,6 @@
 package http1
 
-// The status codes that this project's servers answer with.
+// The status codes of the responses that this project's servers send.
 const (
 	StatusOK                      = 200
 	StatusBadRequest              = 400
@@ -19,7 +19,7 @@
 	StatusHTTPVersionNotSupported = 505
 )
 
-// Status codes whose responses have no body (RFC 9112, section 6.3).
+// Status codes of responses without a body (RFC 9112, section 6.3).
 const (
 	statusNoContent   = 204
 	statusNotModified = 304
--- a/internal/transport/listen/accept.go
+++ b/internal/transport/listen/accept.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// acceptPause is the delay before each further call while the system keeps failing. It guards against an event loop that
-// takes a whole processor.
+// acceptPause is the delay after each repeated failure of accept4. It keeps the event loop from using a whole
+// processor.
 const acceptPause = time.Millisecond
 
-// faultLogInterval is the shortest time between two log lines on failures of accept4.
+// faultLogInterval is the minimum time between two log lines about failures of accept4.
 const faultLogInterval = time.Minute
 
-// accept4Func is the system call accept4.
+// accept4Func is the type of the system call accept4.
 type accept4Func func(fd, flags int) (connFD int, address syscall.Sockaddr, err error)
 
-// Accept returns the next connection. It returns nil without an error if none waits, the listener is closed, or the system
-// fails. The event loop is given no error, because it would log each and accept again at once. accept(2) documents errors of
-// the network, of single connections and of the system's memory as ones to retry. The loop calls again as long as a
-// connection waits; while a failure lasts, each call pauses.
+// Accept returns the next connection. It returns nil without an error if no connection waits, the listener is closed,
+// or the system call fails. It never returns an error, because the event loop would log each one and retry immediately.
+// accept(2) documents that errors of the network, of single connections and of the system's memory should be retried.
+// The event loop calls Accept again as long as a connection waits; after a repeated failure, Accept pauses.
 func (l *Listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	fd, address, err := l.acceptDescriptor()
 	now := time.Now()
-	lasting := l.faults.lasts(err)
+	repeated := l.faults.isRepeated(err)
 	logDue := l.faults.isLogDue(err, now)
 	l.faults.record(err, logDue, now)
 	logger := l.logger
@@ -34,7 +34,7 @@
 	if logDue {
 		logger.Warn("accepting connections fails and is retried", "error", err)
 	}
-	if lasting {
+	if repeated {
 		l.sleep(acceptPause)
 	}
 	if err != nil {
@@ -47,7 +47,8 @@
 	return conn, nil
 }
 
-// acceptDescriptor takes a connection off the backlog. The error is syscall.EAGAIN if no connection waits. The lock is held.
+// acceptDescriptor accepts a connection from the backlog. The error is syscall.EAGAIN if no connection waits. The
+// caller holds l.mu.
 func (l *Listener) acceptDescriptor() (fd int, address syscall.Sockaddr, err error) {
 	if l.closed {
 		return 0, nil, syscall.EAGAIN
@@ -59,12 +60,13 @@
 	return fd, address, err
 }
 
-// shedConnection closes the connection that has waited longest, when the system has no descriptor left for it. It closes the
-// reserve, accepts the connection with the descriptor that this frees, closes the connection and opens the reserve again.
-// Otherwise the event loop would spin on a connection that it can't accept, or would have to stop accepting for a while.
+// shedConnection closes the connection that has waited longest when the system has no descriptor left for it. It closes
+// the reserve descriptor, accepts the connection with the freed descriptor, closes the connection and opens the reserve
+// again. Otherwise the event loop would spin on a connection that it can't accept, or would have to stop accepting for
+// a while.
 //
-// The error is syscall.EAGAIN if the connection was closed. Any other error says that the reserve did not help, and that
-// other work must free a descriptor first. The lock is held.
+// The error is syscall.EAGAIN if the connection was closed. Any other error means that the reserve did not help, and
+// that another part of the process must free a descriptor first. The caller holds l.mu.
 func (l *Listener) shedConnection() error {
 	if l.reserve != nil {
 		_ = l.reserve.Close()
@@ -80,25 +82,25 @@
 	return err
 }
 
-// acceptFaults remembers consecutive failures of accept4.
+// acceptFaults tracks consecutive failures of accept4.
 type acceptFaults struct {
 	failing  bool      // the last call failed
 	loggedAt time.Time // zero: no failure has been logged
 }
 
-// isFault reports whether the result of a call is a failure. That no connection waits is none.
+// isFault reports whether err is a failure of a call. EAGAIN, when no connection waits, is not a failure.
 func isFault(err error) bool { return err != nil && !errors.Is(err, syscall.EAGAIN) }
 
-// lasts reports whether a call that ended with err failed after one that had failed too.
-func (f *acceptFaults) lasts(err error) bool { return f.failing && isFault(err) }
+// isRepeated reports whether both the call that returned err and the previous call failed.
+func (f *acceptFaults) isRepeated(err error) bool { return f.failing && isFault(err) }
 
-// isLogDue reports whether the failure of a call is to be logged.
+// isLogDue reports whether err is a failure that should be logged now.
 func (f *acceptFaults) isLogDue(err error, now time.Time) bool {
 	recentlyLogged := !f.loggedAt.IsZero() && now.Sub(f.loggedAt) < faultLogInterval
-	return isFault(err) && (f.failing || !isUsualFault(err)) && !recentlyLogged
+	return isFault(err) && (f.failing || !isExpectedFault(err)) && !recentlyLogged
 }
 
-// record notes the result of a call, and that it was logged.
+// record stores whether a call failed, and when its failure was logged.
 func (f *acceptFaults) record(err error, logged bool, now time.Time) {
 	f.failing = isFault(err)
 	if logged {
@@ -106,8 +108,9 @@
 	}
 }
 
-// isUsualFault reports whether an error of accept4 happens in normal operation: a signal, or a client that left early.
-func isUsualFault(err error) bool {
+// isExpectedFault reports whether an error of accept4 occurs in normal operation: a signal, or a client that
+// disconnected early.
+func isExpectedFault(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED)
 }
 
@@ -123,7 +126,8 @@
 	}
 }
 
-// acceptedConn hands a new connection's descriptor and addresses to netpoll, which reads and writes by itself.
+// acceptedConn passes a new connection's descriptor and addresses to netpoll, which reads and writes the descriptor
+// itself.
 type acceptedConn struct {
 	net.Conn
 	fd            int
--- a/internal/transport/listen/accept_test.go
+++ b/internal/transport/listen/accept_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// faultyListener is a listener on which a connection waits and accept4 fails a number of times, or until there is a pause.
+// faultyListener is a listener on which a connection waits and accept4 fails a number of times first. It records pauses
+// and log lines.
 type faultyListener struct {
 	*Listener
 	pauses []time.Duration
@@ -41,13 +42,14 @@
 	return l
 }
 
-// acceptWithin calls Accept as the event loop does, and returns after how many calls there was a connection.
+// acceptWithin calls Accept up to calls times, as the event loop does, and returns the number of calls before the one
+// that returned a connection.
 func (l *faultyListener) acceptWithin(t *testing.T, calls int) int {
 	t.Helper()
 	for call := range calls {
 		conn, err := l.Accept()
 		if err != nil {
-			t.Fatalf("call %d hands the event loop the error %v", call, err)
+			t.Fatalf("call %d returned the error %v to the event loop", call, err)
 		}
 		if accepted, ok := conn.(*acceptedConn); ok {
 			_ = syscall.Close(accepted.fd)
@@ -58,23 +60,24 @@
 	return calls
 }
 
-// TestAcceptRetriesFaults: whatever accept(2) documents, the connection that waits is accepted once the fault is over; a
-// fault that lasts is answered with a pause for each call, and logged once.
+// TestAcceptRetriesFaults guards against a listener that stops accepting, spins or floods the log when accept4 fails.
+// For each error that accept(2) documents, the waiting connection must be accepted after the last failure. Each failure
+// after the first must cause a pause, and all of them together one log line.
 func TestAcceptRetriesFaults(t *testing.T) {
 	const failures = 50
 	for _, errno := range []syscall.Errno{
-		syscall.EINTR, syscall.ECONNABORTED, // of one call, or one connection
+		syscall.EINTR, syscall.ECONNABORTED, // of one call or one connection
 		syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 		syscall.EOPNOTSUPP, syscall.ENETUNREACH, // of the network
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, // of the system
 		syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT, syscall.ETIMEDOUT, // of various kernels
-		syscall.EMFILE, syscall.ENFILE, // for which each call of Accept makes two of accept4
+		syscall.EMFILE, syscall.ENFILE, // Accept calls accept4 twice for these
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			l := newFaultyListener(t, errno, failures)
 			calls := l.acceptWithin(t, failures+1)
 			if len(l.pauses) != calls-1 {
-				t.Errorf("%d pauses in %d calls that failed, want one for each after the first", len(l.pauses), calls)
+				t.Errorf("%d pauses in %d failed calls, want one for each call after the first", len(l.pauses), calls)
 			}
 			if lines := strings.Count(l.log.String(), "\n"); lines != 1 {
 				t.Errorf("%d log lines, want 1:\n%s", lines, l.log.String())
@@ -83,8 +86,9 @@
 	}
 }
 
-// TestAcceptTakesSingleFaultsInStride: one interrupted call or aborted connection costs no pause and no log line.
-func TestAcceptTakesSingleFaultsInStride(t *testing.T) {
+// TestSingleFaultCausesNoPauseOrLog checks that one interrupted call or aborted connection causes no pause and no log
+// line.
+func TestSingleFaultCausesNoPauseOrLog(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ECONNABORTED} {
 		l := newFaultyListener(t, errno, 1)
 		l.acceptWithin(t, 2)
@@ -94,11 +98,12 @@
 	}
 }
 
-// TestAcceptAfterClose: once closed, the descriptor's number may be another's, and nothing is accepted from it.
+// TestAcceptAfterClose guards against an Accept after Close that uses the descriptor's number, which may belong to
+// another socket by then.
 func TestAcceptAfterClose(t *testing.T) {
 	l := newFaultyListener(t, 0, 0)
 	l.accept4 = func(int, int) (int, syscall.Sockaddr, error) {
-		t.Error("accept4 is called on a closed descriptor")
+		t.Error("accept4 was called on a closed descriptor")
 		return -1, nil, syscall.EBADF
 	}
 	_ = l.Close()
--- a/internal/transport/listen/listen.go
+++ b/internal/transport/listen/listen.go
@@ -13,27 +13,27 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Listener is a listening socket for netpoll's event loop that closes each descriptor once. netpoll's own listener closes its
-// descriptor twice within Close, and again with each further Close. Another goroutine may have been given the same number in
-// between, and would lose its connection.
+// Listener is a listening socket for netpoll's event loop that closes each descriptor once. netpoll's own listener
+// closes its descriptor twice within Close, and again on each further Close. If another goroutine has been given the
+// same descriptor number in between, it loses its connection.
 type Listener struct {
 	net.Listener
-	file      *os.File // a copy of the descriptor, which the event loop watches
-	fd        int
+	file      *os.File // duplicate of the descriptor, which the event loop watches
+	fd        int      // of file
 	closeOnce sync.Once
 
-	accept4 accept4Func         // the system call
-	sleep   func(time.Duration) // time.Sleep
+	accept4 accept4Func         // syscall.Accept4; tests replace it
+	sleep   func(time.Duration) // time.Sleep; tests replace it
 
 	mu      sync.Mutex
 	logger  *slog.Logger
-	closed  bool     // the descriptor may belong to something else by now
-	reserve *os.File // closed for a moment when the system has no descriptor left
-	shed    uint64   // connections closed because no descriptor was left
+	closed  bool     // fd may have been reused for something else
+	reserve *os.File // reserve descriptor; see shedConnection
+	shed    uint64   // connections closed by shedConnection
 	faults  acceptFaults
 }
 
-// Open opens a listener, on "tcp" or "unix". The caller closes it.
+// Open opens a listener on network "tcp" or "unix". The caller must close it.
 func Open(network, addr string) (*Listener, error) {
 	ln, err := net.Listen(network, addr)
 	if err != nil {
@@ -68,45 +68,46 @@
 	return l, nil
 }
 
-// SetLogger sets the logger for failures of the system to accept connections. Without it none is logged.
+// SetLogger sets the logger for failures to accept connections. Without a logger they are not logged.
 func (l *Listener) SetLogger(logger *slog.Logger) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.logger = logger
 }
 
-// Serve starts an event loop on the listener, which runs until the loop's Shutdown. It returns when the loop has asked for
-// the descriptor. From then on, Shutdown ends the loop's use of the descriptor before Close gives it back to the system.
+// Serve starts an event loop on the listener, which runs until the loop's Shutdown. Serve returns when the loop has
+// requested the descriptor. From then on, a Shutdown of the loop before Close guarantees that the loop no longer uses
+// the descriptor when Close releases it.
 func (l *Listener) Serve(loop netpoll.EventLoop) {
-	served := &servedListener{Listener: l, taken: make(chan struct{})}
+	served := &servedListener{Listener: l, fdRequested: make(chan struct{})}
 	go func() { _ = loop.Serve(served) }()
-	<-served.taken
+	<-served.fdRequested
 }
 
-// servedListener is a Listener that notices when its event loop asks for the descriptor.
+// servedListener is a Listener that signals when its event loop requests the descriptor.
 type servedListener struct {
 	*Listener
-	taken     chan struct{} // closed when the event loop has taken the descriptor
-	takenOnce sync.Once
+	fdRequested     chan struct{} // closed when the event loop has requested the descriptor
+	fdRequestedOnce sync.Once
 }
 
-// Fd returns the descriptor that the event loop watches, and ends the wait of Serve.
+// Fd returns the descriptor that the event loop watches, and unblocks Serve.
 func (l *servedListener) Fd() int {
-	l.takenOnce.Do(func() { close(l.taken) })
+	l.fdRequestedOnce.Do(func() { close(l.fdRequested) })
 	return l.Listener.Fd()
 }
 
 // Fd returns the descriptor that the event loop watches.
 func (l *Listener) Fd() int { return l.fd }
 
-// Shed returns how many connections were closed because no descriptor was left for them.
+// Shed returns the number of connections that were closed because no descriptor was left for them.
 func (l *Listener) Shed() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shed
 }
 
-// Close closes the listener's descriptors. Only the first call does anything.
+// Close closes the listener's descriptors. Further calls have no effect.
 func (l *Listener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		l.mu.Lock()
--- a/internal/transport/listen/listen_test.go
+++ b/internal/transport/listen/listen_test.go
@@ -17,8 +17,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// runServerProcess serves with few descriptors: it echoes what it reads until its standard input ends, and then prints
-// how many connections it shed and the processor time that it used.
+// runServerProcess is the main function of an echo server with few free descriptors. At the end of its standard input
+// it prints the number of connections that it shed and the processor time that it used.
 func runServerProcess() {
 	ln, err := Open("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +86,8 @@
 	return netConn
 }
 
-// isServed reports whether a byte comes back on a connection, and not its end.
+// isServed sends a byte on a connection and reports whether it is echoed. false means that the server closed the
+// connection.
 func (p *serverProcess) isServed(netConn net.Conn) bool {
 	p.t.Helper()
 	if _, err := netConn.Write([]byte("x")); err != nil {
@@ -95,12 +96,13 @@
 	_, err := io.ReadFull(netConn, make([]byte, 1))
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		p.t.Fatal("a connection is neither served nor closed")
+		p.t.Fatal("timeout: a connection is neither served nor closed")
 	}
 	return err == nil
 }
 
-// waitUntilServed dials until a new connection is served: closed connections reach the server in their own time.
+// waitUntilServed dials until a new connection is served. This may take a while, because the server must first handle
+// the closed connections.
 func (p *serverProcess) waitUntilServed() {
 	p.t.Helper()
 	const attempts = 1002
@@ -113,10 +115,10 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	p.t.Fatal("no connection is served once descriptors are free")
+	p.t.Fatal("no connection is served after descriptors were freed")
 }
 
-// stop ends the process and returns what it printed last.
+// stop ends the process and returns the figures that it printed.
 func (p *serverProcess) stop() (shed int, processorTime time.Duration) {
 	p.t.Helper()
 	_ = p.Stdin.Close()
@@ -137,8 +139,9 @@
 	return shed, processorTime
 }
 
-// TestListenerWithoutFreeDescriptors: where the system has no descriptor left, connections are closed at once, the event
-// loop neither spins nor stops, established ones are served, and new ones are as soon as some have been closed.
+// TestListenerWithoutFreeDescriptors guards against an event loop that spins or stops when the process has no
+// descriptor left. New connections must be closed immediately, established ones must be served, and new ones must be
+// served again after some have been closed.
 func TestListenerWithoutFreeDescriptors(t *testing.T) {
 	p := startServerProcess(t)
 	var served []net.Conn
@@ -163,14 +166,14 @@
 	p.waitUntilServed()
 	shed, processorTime := p.stop()
 	if shed < closed {
-		t.Errorf("the server counts %d connections shed, its clients %d", shed, closed)
+		t.Errorf("the server counted %d connections shed, its clients %d", shed, closed)
 	}
 	if processorTime > 5*time.Second {
-		t.Errorf("the event loop has used %s", processorTime)
+		t.Errorf("the server used %s of processor time", processorTime)
 	}
 }
 
-// slowEventLoop takes the listener's descriptor only once it is released.
+// slowEventLoop is an event loop that requests the listener's descriptor only after release is closed.
 type slowEventLoop struct {
 	netpoll.EventLoop
 	release chan struct{}
@@ -187,8 +190,9 @@
 	return nil
 }
 
-// TestServeWaitsForEventLoop: Serve returns only when the event loop has the descriptor, also where others have read
-// it before. A Close before that would let the loop watch a descriptor that may be another listener's by then.
+// TestServeWaitsForEventLoop guards against a Serve that returns before the event loop has requested the descriptor,
+// also if other code has called Fd before. After a Close at that moment the loop would watch a descriptor that may
+// belong to another listener.
 func TestServeWaitsForEventLoop(t *testing.T) {
 	for name, readBefore := range map[string]bool{"read before": true, "not read before": false} {
 		t.Run(name, func(t *testing.T) {
@@ -208,8 +212,8 @@
 			}()
 			select {
 			case <-returned:
-				t.Error("Serve has returned before the event loop took the descriptor")
-			case <-time.After(50 * time.Millisecond): // less would only let a fault pass, not fail what is right
+				t.Error("Serve returned before the event loop requested the descriptor")
+			case <-time.After(50 * time.Millisecond): // a shorter wait could miss a fault, but never fail correct code
 			}
 			close(loop.release)
 			testsupport.Await(t, returned, "the end of Serve")
--- a/internal/transport/listen/poll.go
+++ b/internal/transport/listen/poll.go
@@ -10,11 +10,11 @@
 var pollCall = unix.Poll
 
 // Poll returns which of events (unix.POLLIN, unix.POLLOUT and so on) a descriptor is ready for now, without waiting.
-// unix.POLLHUP and unix.POLLERR are reported also if events does not contain them. The system ignores a negative descriptor:
-// ready is 0. ready is 0 also on an error.
+// unix.POLLHUP and unix.POLLERR are also reported if events does not contain them. ready is 0 for a negative
+// descriptor, which the system ignores, and on an error.
 //
-// A call that a signal interrupts is repeated. The system does not restart poll, not even with SA_RESTART (signal(7)), and
-// the Go runtime sends its threads signals.
+// Poll repeats a call that a signal interrupts. The system does not restart poll, not even with SA_RESTART (signal(7)),
+// and the Go runtime sends signals to its threads.
 func Poll(fd int, events int16) (ready int16, err error) {
 	set := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
--- a/internal/transport/listen/poll_test.go
+++ b/internal/transport/listen/poll_test.go
@@ -33,8 +33,8 @@
 	expect("closed, nothing asked for", fds[0], 0, unix.POLLHUP)
 }
 
-// TestPollIsRepeatedAfterSignal: a call that a signal interrupts says nothing about the descriptor, and other errors are
-// returned.
+// TestPollIsRepeatedAfterSignal guards against a Poll that reports a call interrupted by a signal as a descriptor that
+// isn't ready. Other errors must be returned.
 func TestPollIsRepeatedAfterSignal(t *testing.T) {
 	defer func() { pollCall = unix.Poll }()
 	for name, test := range map[string]struct {
