--- a/internal/httprouter/attempt_failures_test.go
+++ b/internal/httprouter/attempt_failures_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// respondBoth answers two attempts with statuses, at the same instant as nearly as can be.
+// respondBoth responds to both attempts as nearly at the same time as possible.
 func respondBoth(firstStatus, secondStatus string) func(first, second fakeplatform.Request) {
 	return func(first, second fakeplatform.Request) {
 		var together sync.WaitGroup
--- a/internal/httprouter/run_harness_test.go
+++ b/internal/httprouter/run_harness_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// runningRouter is Run in the test's own process.
+// runningRouter is a router that Run serves in the test's process.
 type runningRouter struct {
 	routerConfigFile
 	routerLog
--- a/internal/server/httpserver/arrival.go
+++ b/internal/server/httpserver/arrival.go
@@ -55,10 +55,10 @@
 	t.current = a
 }
 
-// recordRead records that n bytes were read. behindRequest tells whether they follow a request that is in flight.
-func (t *arrivalTracker) recordRead(n int, behindRequest bool) {
+// recordRead records that n bytes were read. followsRequest tells whether they follow a request that is in flight.
+func (t *arrivalTracker) recordRead(n int, followsRequest bool) {
 	t.bytesRead += uint64(n)
-	if behindRequest && t.pendingSince.IsZero() {
+	if followsRequest && t.pendingSince.IsZero() {
 		t.pendingSince = t.current.last
 	}
 }
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -144,11 +144,11 @@
 	defer c.parseMu.Unlock()
 	c.arrivals.update(current)
 	c.server.mu.Lock()
-	behindRequest := c.requestInFlight
+	followsRequest := c.requestInFlight
 	c.server.mu.Unlock()
 	p, err := received.Next(min(n, max(c.reader.Available(), 1)))
 	if err == nil {
-		c.arrivals.recordRead(len(p), behindRequest)
+		c.arrivals.recordRead(len(p), followsRequest)
 		err = c.reader.Add(p)
 	}
 	_ = received.Release()
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -38,7 +38,7 @@
 	}
 	client, _ := dialed.(*net.TCPConn)
 	tcpConn, _ := accepted.(*net.TCPConn)
-	file, err := tcpConn.File() // a copy of the descriptor
+	file, err := tcpConn.File() // a duplicate of the descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/httpserver/eviction_test.go
+++ b/internal/server/httpserver/eviction_test.go
@@ -14,17 +14,17 @@
 // nothing, one sends half a request, one stays idle after a request, and one sends half a request after a complete one.
 func TestSilentAndSlowClientsAreDisconnected(t *testing.T) {
 	s, _ := startServer(t, func(c *Config) { c.RequestTimeout, c.IdleTimeout = 50*time.Millisecond, 200*time.Millisecond })
-	silent, half, idle, halfBehindPing := dial(t, s), dial(t, s), dial(t, s), dial(t, s)
+	silent, half, idle, halfAfterPing := dial(t, s), dial(t, s), dial(t, s), dial(t, s)
 	half.send(newRequest(servedFunction, "body")[:40])
 	idle.send(pingRequest)
-	halfBehindPing.send(pingRequest + "POST /call")
+	halfAfterPing.send(pingRequest + "POST /call")
 	half.expectStatus(408)
 	half.waitUntilClosed()
-	silent.expectClosed() // no response: the client could take it for the response to a request that crosses the close
+	silent.expectClosed() // no response: the client could take it for the response to a request sent at that moment
 	idle.expectStatus(200)
 	idle.waitUntilClosed()
-	halfBehindPing.expectStatus(200)
-	halfBehindPing.waitUntilClosed()
+	halfAfterPing.expectStatus(200)
+	halfAfterPing.waitUntilClosed()
 	testsupport.WaitUntil(t, "the end of all connections", func() bool { return s.Stats().Connections == 0 })
 }
 
