--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -71,8 +71,8 @@
 	Slow   bool
 }
 
-// LogNote is a line for the log.
-type LogNote struct{ Text string }
+// LogMessage is a line for the log.
+type LogMessage struct{ Text string }
 
 func (StartAttempt) action()             {}
 func (CancelAttempt) action()            {}
@@ -84,4 +84,4 @@
 func (SubscribeEndpoints) action()       {}
 func (SetTimer) action()                 {}
 func (ReportSuspicion) action()          {}
-func (LogNote) action()                  {}
+func (LogMessage) action()               {}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -91,7 +91,7 @@
 		}
 	case EndpointListConfirmed:
 		d.confirmList(e)
-	case EndpointListAskedAgain:
+	case EndpointListRequested:
 		d.askListAgain(e)
 	case Request:
 		d.acceptRequest(e)
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -145,13 +145,13 @@
 }
 
 // EndpointListConfirmed says that the endpoint list held all changes up to At. A caller that reports this once has to do so
-// regularly, and with EndpointListAskedAgain: without them the list is no longer believed. One that never does is taken
+// regularly, and with EndpointListRequested: without them the list is no longer believed. One that never does is taken
 // to have a list that is always complete.
 type EndpointListConfirmed struct{ At time.Duration }
 
-// EndpointListAskedAgain says that the list is asked for again at a time, after a failure, or for the first time. A
+// EndpointListRequested says that the list is asked for again at a time, after a failure, or for the first time. A
 // confirmation for the same time is the answer.
-type EndpointListAskedAgain struct{ At time.Duration }
+type EndpointListRequested struct{ At time.Duration }
 
 // ConnectionLost says that a connection to a worker was ended, and not by this router. The attempts on it end by events of
 // their own.
@@ -177,16 +177,16 @@
 // TimerFired says that a SetTimer has run out.
 type TimerFired struct{}
 
-func (Request) event()                {}
-func (AttemptEnded) event()           {}
-func (RequestCancelled) event()       {}
-func (ResponseStarted) event()        {}
-func (FunctionLoaded) event()         {}
-func (HealthChecked) event()          {}
-func (ConnectionLost) event()         {}
-func (EndpointListConfirmed) event()  {}
-func (EndpointListAskedAgain) event() {}
-func (EndpointUpdate) event()         {}
-func (GossipUpdate) event()           {}
-func (ShutdownStarted) event()        {}
-func (TimerFired) event()             {}
+func (Request) event()               {}
+func (AttemptEnded) event()          {}
+func (RequestCancelled) event()      {}
+func (ResponseStarted) event()       {}
+func (FunctionLoaded) event()        {}
+func (HealthChecked) event()         {}
+func (ConnectionLost) event()        {}
+func (EndpointListConfirmed) event() {}
+func (EndpointListRequested) event() {}
+func (EndpointUpdate) event()        {}
+func (GossipUpdate) event()          {}
+func (ShutdownStarted) event()       {}
+func (TimerFired) event()            {}
--- a/dispatch/leases_test.go
+++ b/dispatch/leases_test.go
@@ -68,30 +68,30 @@
 		end   time.Duration         // of the lease, since then
 	}{
 		{"the list is lost", func(*leaseHarness) {}, lossNotifiedAfter + lease},
-		{"it is asked for again", func(h *leaseHarness) { h.step(EndpointListAskedAgain{At: h.now}) }, time.Second + lease},
+		{"it is asked for again", func(h *leaseHarness) { h.step(EndpointListRequested{At: h.now}) }, time.Second + lease},
 		{"it is asked for again, several times", func(h *leaseHarness) {
-			h.step(EndpointListAskedAgain{At: h.now})
+			h.step(EndpointListRequested{At: h.now})
 			h.advance(100 * time.Millisecond)
-			h.step(EndpointListAskedAgain{At: h.now})
+			h.step(EndpointListRequested{At: h.now})
 		}, time.Second + lease},
 		{"it is confirmed again", func(h *leaseHarness) { h.confirm() }, time.Second + lossNotifiedAfter + lease},
 		{"it is confirmed late, for a time long ago", func(h *leaseHarness) {
 			h.step(EndpointListConfirmed{At: h.confirmedAt + 100*time.Millisecond})
 		}, 100*time.Millisecond + lossNotifiedAfter + lease},
 		{"asked for again and confirmed", func(h *leaseHarness) {
-			h.step(EndpointListAskedAgain{At: h.now})
+			h.step(EndpointListRequested{At: h.now})
 			h.now += 10 * time.Millisecond
 			h.confirm()
 		}, time.Second + 10*time.Millisecond + lossNotifiedAfter + lease},
 		{"asked for again and answered with events", func(h *leaseHarness) {
-			h.step(EndpointListAskedAgain{At: h.now})
+			h.step(EndpointListRequested{At: h.now})
 			h.step(EndpointListConfirmed{At: h.now})
 		}, time.Second + lossNotifiedAfter + lease},
 		{"asked for again twice, and the first question is answered late", func(h *leaseHarness) {
 			first := h.now
-			h.step(EndpointListAskedAgain{At: first})
+			h.step(EndpointListRequested{At: first})
 			h.advance(200 * time.Millisecond)
-			h.step(EndpointListAskedAgain{At: h.now})
+			h.step(EndpointListRequested{At: h.now})
 			h.advance(200 * time.Millisecond)
 			h.step(EndpointListConfirmed{At: first})
 		}, time.Second + 200*time.Millisecond + lease},
@@ -155,7 +155,7 @@
 		s.DrainGrace = 0
 		s.HealthChecksAllowed = false
 	})
-	h.step(EndpointListAskedAgain{At: h.now})
+	h.step(EndpointListRequested{At: h.now})
 	h.advance(time.Minute)
 	if started := h.startAttempt("f", classIdempotent); started.SendBefore != 0 {
 		t.Errorf("to be sent before %v", started.SendBefore)
@@ -378,7 +378,7 @@
 	h.advance(time.Second)
 	first := h.now
 	for range 10 * maxQuestions {
-		h.step(EndpointListAskedAgain{At: h.now})
+		h.step(EndpointListRequested{At: h.now})
 		h.advance(100 * time.Millisecond)
 	}
 	newest := h.now - 100*time.Millisecond
--- a/dispatch/listfreshness.go
+++ b/dispatch/listfreshness.go
@@ -56,7 +56,7 @@
 
 // askListAgain notes that the endpoint list is asked for again. Answers may come late and confirm the list
 // for a time before some of these questions, so the first and the newest ones are kept.
-func (d *Dispatcher) askListAgain(e EndpointListAskedAgain) {
+func (d *Dispatcher) askListAgain(e EndpointListRequested) {
 	list := &d.list
 	if len(list.askedAgainAt) == maxQuestions {
 		list.askedAgainAt = slices.Delete(list.askedAgainAt, 1, 2)
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -30,7 +30,7 @@
 // EndpointListAskedAgain records that the endpoint list is asked for again, after a failure or a start, at a time on the
 // router's clock.
 func (r *Router) EndpointListAskedAgain(at time.Duration) {
-	r.post(func() { r.events = append(r.events, dispatch.EndpointListAskedAgain{At: at}) })
+	r.post(func() { r.events = append(r.events, dispatch.EndpointListRequested{At: at}) })
 }
 
 // endpointListStateChanged logs whether the endpoint list is believed.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -268,7 +268,7 @@
 		r.dispatcherTimer = r.now + action.After
 	case dispatch.ReportSuspicion:
 		r.reportSuspicion(action)
-	case dispatch.LogNote:
+	case dispatch.LogMessage:
 		r.cfg.Logger.Info("dispatcher note", "note", action.Text)
 	case dispatch.SubscribeEndpoints: // every router gets the endpoint list without subscribing
 	}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -25,7 +25,7 @@
 		dispatch.CheckHealth{Worker: "s4"},
 		dispatch.SubscribeEndpoints{},
 		dispatch.SetTimer{After: 16 * time.Microsecond},
-		dispatch.LogNote{Text: "a_note"},
+		dispatch.LogMessage{Text: "a_note"},
 		dispatch.ReportSuspicion{Worker: "s5", Class: "q", Slow: true},
 	})
 	if err := writer.End("17"); err != nil {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -71,7 +71,7 @@
 			w.begin("REMIND", instance)
 			w.duration("delay", a.After)
 			w.text("key_back", "wake")
-		case dispatch.LogNote:
+		case dispatch.LogMessage:
 			w.begin("LOG", instance)
 			w.text("text", a.Text)
 		}
