--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -92,9 +92,9 @@
 // utcClock is a router's clock that shows 0 at the start of December 2026, and the year's end by now.
 type utcClock struct{}
 
-func (utcClock) Clock() time.Duration { return 31 * 24 * time.Hour }
+func (utcClock) Now() time.Duration { return 31 * 24 * time.Hour }
 
-func (utcClock) At(moment wallclock.Time) time.Duration {
+func (utcClock) FromWallTime(moment wallclock.Time) time.Duration {
 	return moment.Sub(wallclock.FromTime(time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)))
 }
 
--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -44,7 +44,7 @@
 	startedAt time.Time
 }
 
-func (c steppingClock) Clock() time.Duration { return time.Since(c.startedAt) }
+func (c steppingClock) Now() time.Duration { return time.Since(c.startedAt) }
 
 // watchReports records what a Watcher reports, in order.
 type watchReports struct {
@@ -78,7 +78,7 @@
 	cfg := watcherConfig(server.Addr(), func(endpoints.Update) { reports.add("update") })
 	cfg.RouterClock = steppingClock{startedAt: time.Now()}
 	cfg.OnConfirmed = func(time.Duration) { reports.add("confirmed") }
-	cfg.OnAskedAgain = func(time.Duration) { reports.add("asked-again") }
+	cfg.OnRequested = func(time.Duration) { reports.add("asked-again") }
 	return startWatcherWith(t, cfg, server.AllEvents()), reports
 }
 
@@ -185,7 +185,7 @@
 	var confirmed, askedAgain []time.Duration
 	cfg := watcherConfig(testsupport.UnusedAddress(t), func(endpoints.Update) {})
 	cfg.OnConfirmed = func(at time.Duration) { confirmed = append(confirmed, at) }
-	cfg.OnAskedAgain = func(at time.Duration) { askedAgain = append(askedAgain, at) }
+	cfg.OnRequested = func(at time.Duration) { askedAgain = append(askedAgain, at) }
 	startWatcherWith(t, cfg, `{"cursor":1,"cmds":[{"cursor":1,`+initialEndpoints+`}]}`).Close()
 	if len(confirmed) != 1 || len(askedAgain) != 1 || askedAgain[0] <= confirmed[0] {
 		t.Errorf("confirmed %v, asked again %v", confirmed, askedAgain)
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -82,8 +82,8 @@
 // zeroClock is a RouterClock for tests that don't look at start times.
 type zeroClock struct{}
 
-func (zeroClock) Clock() time.Duration            { return 0 }
-func (zeroClock) At(wallclock.Time) time.Duration { return 0 }
+func (zeroClock) Now() time.Duration                        { return 0 }
+func (zeroClock) FromWallTime(wallclock.Time) time.Duration { return 0 }
 
 // initialEndpoints is the event of a snapshot of the endpoints a and b.
 var initialEndpoints = fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active")
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -63,7 +63,7 @@
 
 // newQuestion returns what the next poll asks for.
 func (w *Watcher) newQuestion() question {
-	asked := question{at: time.Now(), routerTime: w.cfg.RouterClock.Clock(), revision: w.log.revision, wait: w.cfg.PollWait}
+	asked := question{at: time.Now(), routerTime: w.cfg.RouterClock.Now(), revision: w.log.revision, wait: w.cfg.PollWait}
 	if w.askAgain {
 		asked.wait = min(asked.wait, firstWaitAfterFailure)
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -22,7 +22,7 @@
 	RouterClock      endpoints.RouterClock         // the router's clock, to which start times are converted
 	OnUpdate         func(update endpoints.Update) // called with each change of the list, never concurrently
 	OnConfirmed      func(at time.Duration)        // called when the list is known to hold all changes up to a router time; nil: not called
-	OnAskedAgain     func(at time.Duration)        // called at the start and before each poll that follows a failed or interrupted one, with the router time; nil: not called
+	OnRequested      func(at time.Duration)        // called at the start and before each poll that follows a failed or interrupted one, with the router time; nil: not called
 	Logger           *slog.Logger                  // nil discards
 
 	// Tests replace these; nil stands for the functions of the same name.
@@ -123,7 +123,7 @@
 		w.log.last = eventDigest{}
 	}
 	w.publish(update)
-	now := w.cfg.RouterClock.Clock()
+	now := w.cfg.RouterClock.Now()
 	w.confirm(now)
 	w.reportAskedAgain(now + 1) // the server may be out of reach, for how long is not known
 	w.stats.Revision = w.log.revision
@@ -132,14 +132,14 @@
 
 // reportAskedAgain reports that the server is asked, or would be if it could be reached, after a time without an answer.
 func (w *Watcher) reportAskedAgain(at time.Duration) {
-	if w.cfg.OnAskedAgain != nil {
-		w.cfg.OnAskedAgain(at)
+	if w.cfg.OnRequested != nil {
+		w.cfg.OnRequested(at)
 	}
 }
 
 // confirm records and reports that the list holds all changes up to a time on the router's clock.
 func (w *Watcher) confirm(at time.Duration) {
-	w.starts.ListCurrent(at)
+	w.starts.ListConfirmed(at)
 	w.confirmedAt = max(w.confirmedAt, at)
 	if w.cfg.OnConfirmed != nil {
 		w.cfg.OnConfirmed(at)
@@ -162,8 +162,8 @@
 	}
 }
 
-// Describe returns the address that is polled and the revision of the list, as attributes of a log line.
-func (w *Watcher) Describe() []any {
+// Attributes returns the address that is polled and the revision of the list, as attributes of a log line.
+func (w *Watcher) Attributes() []any {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return []any{"address", w.address, "revision", w.stats.Revision}
--- a/internal/endpoints/starttimes.go
+++ b/internal/endpoints/starttimes.go
@@ -10,8 +10,8 @@
 
 // RouterClock is a router's own clock, which is monotonic.
 type RouterClock interface {
-	Clock() time.Duration
-	At(moment wallclock.Time) time.Duration // what Clock shows at that moment if the wall clock is right
+	Now() time.Duration
+	FromWallTime(moment wallclock.Time) time.Duration // what Now returns at that moment if the wall clock is right
 }
 
 // StartTimes converts the start times of an endpoint list, which are wall times, to the router's clock. The wall clock of
@@ -50,14 +50,14 @@
 		}
 		earliest = max(earliest, known.routerTime+1) // a restart is later than the start before it
 	}
-	routerTime := max(min(s.clock.At(startedAt), s.clock.Clock()), earliest)
+	routerTime := max(min(s.clock.FromWallTime(startedAt), s.clock.Now()), earliest)
 	s.known[worker] = convertedStart{wallTime: startedAt, routerTime: routerTime}
 	return routerTime
 }
 
-// ListCurrent records that the converted list had all workers which had started by then. A time before the last one
+// ListConfirmed records that the converted list had all workers which had started by then. A time before the last one
 // recorded changes nothing.
-func (s *StartTimes) ListCurrent(at time.Duration) { s.currentAt = max(s.currentAt, at) }
+func (s *StartTimes) ListConfirmed(at time.Duration) { s.currentAt = max(s.currentAt, at) }
 
 // Forget forgets the workers that an update removes, by name or, if it is a snapshot, by leaving them out.
 func (s *StartTimes) Forget(update *Update) {
--- a/internal/endpoints/starttimes_test.go
+++ b/internal/endpoints/starttimes_test.go
@@ -16,9 +16,9 @@
 
 var trueEpoch = wallclock.FromUnixMilli(1_800_000_000_000) // when the router's clock is at 0
 
-func (c *steppedClock) Clock() time.Duration { return c.now }
+func (c *steppedClock) Now() time.Duration { return c.now }
 
-func (c *steppedClock) At(moment wallclock.Time) time.Duration {
+func (c *steppedClock) FromWallTime(moment wallclock.Time) time.Duration {
 	return moment.Sub(trueEpoch) - c.wallAhead
 }
 
@@ -39,7 +39,7 @@
 				if initial > clock.now {
 					t.Errorf("a worker of the first list starts at %v, in the future", initial)
 				}
-				starts.ListCurrent(currentAt)
+				starts.ListConfirmed(currentAt)
 				clock.now = seenAt
 				converted := map[string]time.Duration{}
 				for _, worker := range []string{"new", "restarts"} {
@@ -49,7 +49,7 @@
 					}
 				}
 				clock.now += time.Hour
-				starts.ListCurrent(clock.now)
+				starts.ListConfirmed(clock.now)
 				for worker, before := range converted {
 					if again := starts.Convert(worker, byPlatform(startedAt)); again != before {
 						t.Errorf("%s: first %v, later %v", worker, before, again)
--- a/internal/grpcgateway/calls_test.go
+++ b/internal/grpcgateway/calls_test.go
@@ -30,7 +30,7 @@
 	if err != nil || messages != 7 || bytes != 7000 {
 		t.Fatalf("streamed: %d messages, %d bytes, %v", messages, bytes, err)
 	}
-	if s := h.stats(); s.Served != 2 || s.Open != 0 {
+	if s := h.stats(); s.Served != 2 || s.CallsInFlight != 0 {
 		t.Fatalf("the router counted %+v", s)
 	}
 }
@@ -85,7 +85,7 @@
 			}
 		})
 	}
-	if s := h.stats(); s.Served != 0 || s.Open != 0 {
+	if s := h.stats(); s.Served != 0 || s.CallsInFlight != 0 {
 		t.Errorf("the router counted %+v", s)
 	}
 }
@@ -112,7 +112,7 @@
 			}
 		})
 	}
-	if s := h.stats(); s.Served != 0 || s.Open != 0 {
+	if s := h.stats(); s.Served != 0 || s.CallsInFlight != 0 {
 		t.Errorf("the router counted %+v", s)
 	}
 }
--- a/internal/grpcgateway/client_test.go
+++ b/internal/grpcgateway/client_test.go
@@ -135,7 +135,7 @@
 	if err := <-ended; err == nil {
 		t.Error("the call was served")
 	}
-	testsupport.WaitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
+	testsupport.WaitUntil(t, "the router forgot the call", func() bool { return h.stats().CallsInFlight == 0 })
 	if !s.workerHangs {
 		testsupport.WaitUntil(t, "the workers dropped it", func() bool { return h.workers[0].InFlight()+h.workers[1].InFlight() == 0 })
 	}
@@ -153,5 +153,5 @@
 		t.Fatalf("%d messages, %v", messages, err)
 	}
 	testsupport.WaitUntil(t, "the worker's stream ended", func() bool { return h.workers[0].InFlight() == 0 })
-	testsupport.WaitUntil(t, "the router forgot the call", func() bool { return h.stats().Open == 0 })
+	testsupport.WaitUntil(t, "the router forgot the call", func() bool { return h.stats().CallsInFlight == 0 })
 }
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -128,7 +128,7 @@
 	starts, first := endpoints.NewStartTimes(g.router), true
 	apply := func(list *config.WorkerList) {
 		if !first { // a poll ago the file was as it had been
-			starts.ListCurrent(g.router.Clock() - config.PollInterval)
+			starts.ListConfirmed(g.router.Now() - config.PollInterval)
 		}
 		first = false
 		g.logger.Info("worker list applied", "workers", len(list.Workers))
@@ -142,7 +142,7 @@
 		g.logger.Warn("worker list rejected, the previous one stays in force", "error", err)
 		once.Do(func() { close(firstRead) })
 	}
-	confirm := func(readAt time.Time) { g.router.EndpointListConfirmed(g.router.Clock() - time.Since(readAt)) }
+	confirm := func(readAt time.Time) { g.router.EndpointListConfirmed(g.router.Now() - time.Since(readAt)) }
 	handler := config.WorkerListHandler{Apply: apply, Reject: reject, Confirm: confirm}
 	g.followers.Go(func() { config.FollowWorkers(g.cfg.Workers.File, g.stopFollowing, handler) })
 	return firstRead
--- a/internal/grpcgateway/shutdown_test.go
+++ b/internal/grpcgateway/shutdown_test.go
@@ -19,10 +19,10 @@
 			h.requireStream(20*time.Second, newRequest("quote", fmt.Sprint("h", i), 300, 5, 10), 5)
 		})
 	}
-	testsupport.WaitUntil(t, "the calls are open", func() bool { return h.stats().Open >= 40 })
+	testsupport.WaitUntil(t, "the calls are open", func() bool { return h.stats().CallsInFlight >= 40 })
 	stats := h.gateway.Stop()
 	wg.Wait()
-	if stats.Served < 41 || stats.Open != 0 {
+	if stats.Served < 41 || stats.CallsInFlight != 0 {
 		t.Errorf("%+v", stats)
 	}
 	if _, err := h.infer(timeoutContext(t, time.Second), newRequest("quote", "late", 1, 1, 1)); err == nil {
--- a/internal/grpcgateway/wallclock_test.go
+++ b/internal/grpcgateway/wallclock_test.go
@@ -40,7 +40,7 @@
 	for i, step := range testsupport.WallClockSteps {
 		startedAt := time.Now().Add(step)
 		list.Workers = append(list.Workers, config.Worker{ID: string(rune('b' + i)), Address: "127.0.0.1:1", Kind: "box", StartedAt: &startedAt})
-		earliest := gateway.router.Clock() - config.PollInterval
+		earliest := gateway.router.Now() - config.PollInterval
 		if err := config.WriteWorkers(path, list); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -130,11 +130,11 @@
 		RouterClock:      s.router,
 		OnUpdate:         s.router.UpdateEndpoints,
 		OnConfirmed:      s.router.EndpointListConfirmed,
-		OnAskedAgain:     s.router.EndpointListAskedAgain,
+		OnRequested:      s.router.EndpointListRequested,
 		Logger:           s.logger,
 	}, s.cfg.InitialEndpoints)
 	if err == nil {
-		s.router.DescribeEndpointList(s.watcher.Describe)
+		s.router.SetEndpointListAttributes(s.watcher.Attributes)
 	}
 	s.cfg.InitialEndpoints = discovery.PollResponse{} // frees the memory of a long list, which the router has in its own form
 	return err
--- a/internal/httprouter/stats.go
+++ b/internal/httprouter/stats.go
@@ -23,7 +23,7 @@
 		"attempts", router.Attempts,
 		"orders", router.Loads,
 		"probes", router.HealthChecks,
-		"open", router.Open,
+		"open", router.CallsInFlight,
 		"clients", server.Connections,
 		"bad", server.BadRequests,
 		"evicted", server.Evicted,
--- a/internal/httprouter/wallclock_test.go
+++ b/internal/httprouter/wallclock_test.go
@@ -67,7 +67,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(server.Close)
-				serverStart := server.router.Clock() - time.Since(beforeServer)
+				serverStart := server.router.Now() - time.Since(beforeServer)
 				first := testsupport.Await(t, recorder.starts, "the first list")
 				if first.startedAt > first.toldAt {
 					t.Errorf("a worker of the first list starts in the future: %+v", first)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -20,7 +20,7 @@
 	if action.Timeout > 0 {
 		endsAt = min(endsAt, r.now+action.Timeout)
 	}
-	remaining := endsAt - r.Clock() // r.now is from the start of this turn, which may have taken long
+	remaining := endsAt - r.Now() // r.now is from the start of this turn, which may have taken long
 	if remaining <= 0 || !call.awaitsResponse() {
 		r.endAttempt(a, AttemptResult{Result: dispatch.NotSent, Report: NoWorkerReport})
 		return
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -23,24 +23,24 @@
 	Streamed               bool
 	Request                any // the request as the server received it, for the upstream of the same protocol
 	Client                 Client
-	// ClientLeft reports whether the client has left. It may be called at any time from any goroutine. nil: only
+	// ClientCancelled reports whether the client has left. It may be called at any time from any goroutine. nil: only
 	// the cancel function that Submit returned reports it.
-	ClientLeft func() bool
+	ClientCancelled func() bool
 }
 
 // ClientWaiting reports whether the client still waits for a response. It is false once the client has left, also while the
 // cancellation is still on its way to the router's loop.
-func (c *Call) ClientWaiting() bool { return c.ClientLeft == nil || !c.ClientLeft() }
+func (c *Call) ClientWaiting() bool { return c.ClientCancelled == nil || !c.ClientCancelled() }
 
 // Client is the server's side of a call. The router's loop calls its methods, except that the goroutine which reads
-// the answering attempt's response calls Message. None of them blocks. Finish is called exactly once, last, unless
+// the answering attempt's response calls WriteBody. None of them blocks. Finish is called exactly once, last, unless
 // the client has left.
 type Client interface {
 	// Start begins the response with the worker's head.
 	Start(head any)
-	// Message forwards bytes of the worker's response. It returns how many of them were written. The others are queued,
-	// and drain is called with the number of bytes as they are written. The caller may reuse p when Message returns.
-	Message(p []byte, drain func(n int)) int
+	// WriteBody forwards bytes of the worker's response. It returns how many of them were written. The others are queued,
+	// and drain is called with the number of bytes as they are written. The caller may reuse p when WriteBody returns.
+	WriteBody(p []byte, drain func(n int)) int
 	// Finish gives the final answer.
 	Finish(answer FinalAnswer)
 }
@@ -129,14 +129,14 @@
 	switch {
 	case c.state == callStreaming && c.answering == a:
 		if len(result.Body) > 0 { // the response had ended before ForwardTo was called
-			client.Message(result.Body, nil)
+			client.WriteBody(result.Body, nil)
 		}
 		c.finish(FinalAnswer{Attempt: &result})
 	case c.state == callWaiting && result.Result == dispatch.OK:
 		c.answering = a
 		client.Start(result.Head)
 		if len(result.Body) > 0 {
-			client.Message(result.Body, nil)
+			client.WriteBody(result.Body, nil)
 		}
 		c.finish(FinalAnswer{Attempt: &result})
 	default:
--- a/internal/router/call_test.go
+++ b/internal/router/call_test.go
@@ -16,7 +16,7 @@
 }
 
 func (c *recordingClient) Start(any) { c.starts++ }
-func (c *recordingClient) Message(p []byte, _ func(int)) int {
+func (c *recordingClient) WriteBody(p []byte, _ func(int)) int {
 	c.body += string(p)
 	return len(p)
 }
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -27,9 +27,9 @@
 	})
 }
 
-// EndpointListAskedAgain records that the endpoint list is asked for again, after a failure or a start, at a time on the
+// EndpointListRequested records that the endpoint list is asked for again, after a failure or a start, at a time on the
 // router's clock.
-func (r *Router) EndpointListAskedAgain(at time.Duration) {
+func (r *Router) EndpointListRequested(at time.Duration) {
 	r.post(func() { r.events = append(r.events, dispatch.EndpointListAskedAgain{At: at}) })
 }
 
@@ -47,9 +47,9 @@
 	r.cfg.Logger.Warn("endpoint list out of date, workers are checked before anything new is sent to them", attributes...)
 }
 
-// DescribeEndpointList sets what log lines about the endpoint list have in addition, as alternating keys and values. The loop
+// SetEndpointListAttributes sets what log lines about the endpoint list have in addition, as alternating keys and values. The loop
 // calls the function, which must not block.
-func (r *Router) DescribeEndpointList(describe func() []any) {
+func (r *Router) SetEndpointListAttributes(describe func() []any) {
 	r.post(func() { r.describeList = describe })
 }
 
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -64,7 +64,7 @@
 	r, events := newCheckingRouter(t)
 	r.post(func() { // both within one turn of the loop
 		r.UpdateEndpoints(endpoints.Update{Workers: []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}}}})
-		r.EndpointListConfirmed(r.Clock())
+		r.EndpointListConfirmed(r.Now())
 	})
 	if _, isUpdate := testsupport.Await(t, events, "the update").(dispatch.EndpointUpdate); !isUpdate {
 		t.Error("the confirmation came before the update")
@@ -74,7 +74,7 @@
 // TestSendLimitIsMonotonic checks that the time limit of a send does not follow the wall clock.
 func TestSendLimitIsMonotonic(t *testing.T) {
 	r, _ := newCheckingRouter(t)
-	limit := r.timeAt(r.Clock() + time.Second)
+	limit := r.timeAt(r.Now() + time.Second)
 	if !strings.Contains(limit.String(), " m=") {
 		t.Errorf("%v has no monotonic reading", limit)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -120,13 +120,13 @@
 	return r, nil
 }
 
-// Clock returns the time on the router's clock.
-func (r *Router) Clock() time.Duration { return epoch + time.Since(r.startedAt) }
+// Now returns the time on the router's clock.
+func (r *Router) Now() time.Duration { return epoch + time.Since(r.startedAt) }
 
-// At converts a wall time to the router's clock, as if the wall clock had not been set since the router's start. The result
+// FromWallTime converts a wall time to the router's clock, as if the wall clock had not been set since the router's start. The result
 // is wrong by as much as the wall clock was wrong at that moment; endpoints.StartTimes corrects impossible results. A time
 // before the clock's zero becomes 0, which stands for long ago.
-func (r *Router) At(moment wallclock.Time) time.Duration {
+func (r *Router) FromWallTime(moment wallclock.Time) time.Duration {
 	sinceStart := min(moment.Sub(r.wallStart), math.MaxInt64-epoch)
 	return max(epoch+sinceStart, 0)
 }
@@ -171,7 +171,7 @@
 		case <-timer.C:
 		}
 		batch = r.takeQueue(batch[:0])
-		r.now = max(r.now, r.Clock())
+		r.now = max(r.now, r.Now())
 		for _, f := range batch {
 			f()
 		}
@@ -229,7 +229,7 @@
 	if at, ok := r.endpoints.NextCheck(); ok {
 		next = min(next, at)
 	}
-	return max(next-r.Clock(), 0)
+	return max(next-r.Now(), 0)
 }
 
 // step passes the events to the dispatcher and carries out its actions, until these cause no further event.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -76,9 +76,9 @@
 // answerChannel is a client that passes on its final answer.
 type answerChannel chan FinalAnswer
 
-func (c answerChannel) Start(any)                         {}
-func (c answerChannel) Message(p []byte, _ func(int)) int { return len(p) }
-func (c answerChannel) Finish(answer FinalAnswer)         { c <- answer }
+func (c answerChannel) Start(any)                           {}
+func (c answerChannel) WriteBody(p []byte, _ func(int)) int { return len(p) }
+func (c answerChannel) Finish(answer FinalAnswer)           { c <- answer }
 
 // call submits a call of testFunction and waits for its final answer.
 func (c answerChannel) call(r *Router) {
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -19,7 +19,7 @@
 	HealthChecks  uint64 `json:"Probes"`
 	Verifications uint64 `json:"Looks"` // health checks that gossip requested
 
-	Open             int           `json:"Open"` // calls under way
+	CallsInFlight    int           `json:"Open"` // calls under way
 	AttemptsInFlight int           `json:"Out"`
 	ServedDuration   time.Duration `json:"Took"` // sum over the served attempts, as reported to the dispatcher
 
@@ -57,14 +57,14 @@
 	return attributes
 }
 
-// Stats returns the router's statistics. Open is 0 once the router has ended, also after Kill.
+// Stats returns the router's statistics. CallsInFlight is 0 once the router has ended, also after Kill.
 func (r *Router) Stats() Stats {
 	reply := make(chan Stats, 1)
 	r.post(func() {
 		stats := r.stats
-		stats.Open = len(r.calls)
+		stats.CallsInFlight = len(r.calls)
 		if r.listConfirmedAt > 0 {
-			stats.ListAge = r.Clock() - r.listConfirmedAt
+			stats.ListAge = r.Now() - r.listConfirmedAt
 		}
 		reply <- stats
 	})
--- a/internal/server/grpcserver/gatewaycall.go
+++ b/internal/server/grpcserver/gatewaycall.go
@@ -29,7 +29,7 @@
 		return
 	}
 	s.Start(nil)
-	s.Message(append(grpc.AppendPrefix(nil, len(raw), false), raw...), nil)
+	s.WriteBody(append(grpc.AppendPrefix(nil, len(raw), false), raw...), nil)
 	s.completeRequest(grpc.Status{}, nil)
 }
 
--- a/internal/server/grpcserver/response.go
+++ b/internal/server/grpcserver/response.go
@@ -27,8 +27,8 @@
 	_ = s.http2Stream.WriteHeaders(append(responseHeader(), metadata...), false)
 }
 
-// Message implements router.Client.
-func (s *stream) Message(p []byte, drain func(n int)) int {
+// WriteBody implements router.Client.
+func (s *stream) WriteBody(p []byte, drain func(n int)) int {
 	s.mu.Lock()
 	s.reportSent = drain
 	s.mu.Unlock()
--- a/internal/server/grpcserver/server_test.go
+++ b/internal/server/grpcserver/server_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("HTTP status %q", v)
 		}
 	})
-	if n := s.router.Stats().Open; n != 0 {
+	if n := s.router.Stats().CallsInFlight; n != 0 {
 		t.Errorf("%d calls are still open", n)
 	}
 }
--- a/internal/server/httpserver/call.go
+++ b/internal/server/httpserver/call.go
@@ -28,7 +28,7 @@
 		return
 	}
 	call.Client = c
-	call.ClientLeft = c.disconnected
+	call.ClientCancelled = c.disconnected
 	number, ok := c.reserveID(request.ID)
 	if !ok {
 		c.rejectRequest(&requestError{http1.StatusConflict, "a request of this id is open"})
@@ -84,8 +84,8 @@
 // Start implements router.Client. It does nothing, as responses of this protocol are not streamed.
 func (c *conn) Start(any) {}
 
-// Message implements router.Client. It does nothing: Finish writes the complete response.
-func (c *conn) Message(p []byte, _ func(int)) int { return len(p) }
+// WriteBody implements router.Client. It does nothing: Finish writes the complete response.
+func (c *conn) WriteBody(p []byte, _ func(int)) int { return len(p) }
 
 // Finish implements router.Client.
 func (c *conn) Finish(answer router.FinalAnswer) {
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -51,7 +51,7 @@
 	return s.newConn(unnotifiedConn{fd: fd}), client
 }
 
-// TestDisconnectedClient: a call's ClientLeft is true as soon as the socket shows it, though the event loop may not have
+// TestDisconnectedClient: a call's ClientCancelled is true as soon as the socket shows it, though the event loop may not have
 // reported it.
 func TestDisconnectedClient(t *testing.T) {
 	s, upstream := startServer(t, nil)
@@ -64,11 +64,11 @@
 	upstream.mu.Unlock()
 	cl.send(newRequest(servedFunction, ""))
 	call := <-calls
-	if call.ClientLeft() {
+	if call.ClientCancelled() {
 		t.Error("disconnected while it waits")
 	}
 	_ = cl.netConn.Close()
-	testsupport.WaitUntil(t, "the end of the connection", call.ClientLeft)
+	testsupport.WaitUntil(t, "the end of the connection", call.ClientCancelled)
 	close(answer)
 	waitForOpenRequests(t, s, 0)
 }
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -174,7 +174,7 @@
 	switch {
 	case malformed != nil || a.invalidResponse != nil:
 	case a.client != nil:
-		a.creditWindow(a.client.Message(p, a.onConsumed))
+		a.creditWindow(a.client.WriteBody(p, a.onConsumed))
 	default:
 		a.buffered = append(a.buffered, p...)
 		if beforeFirstMessage { // else a message larger than the window could not become complete
@@ -220,7 +220,7 @@
 	buffered := a.buffered
 	a.buffered = nil
 	if len(buffered) > 0 && !a.cancelled {
-		a.creditWindow(client.Message(buffered, a.onConsumed))
+		a.creditWindow(client.WriteBody(buffered, a.onConsumed))
 	}
 }
 
--- a/internal/upstream/grpcupstream/harness_test.go
+++ b/internal/upstream/grpcupstream/harness_test.go
@@ -79,7 +79,7 @@
 	c.starts++
 }
 
-func (c *testClient) Message(p []byte, _ func(int)) int {
+func (c *testClient) WriteBody(p []byte, _ func(int)) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bytes.Write(p)
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -75,7 +75,7 @@
 
 func (c testClient) Start(any) {}
 
-func (c testClient) Message(p []byte, _ func(int)) int { return len(p) }
+func (c testClient) WriteBody(p []byte, _ func(int)) int { return len(p) }
 
 func (c testClient) Finish(f router.FinalAnswer) { c <- f }
 
--- a/internal/upstream/respupstream/send_test.go
+++ b/internal/upstream/respupstream/send_test.go
@@ -278,7 +278,7 @@
 			w := &fakeplatform.Worker{ID: "w"}
 			h := newSendHarness(t, script, w, nil)
 			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: make(testClient, 2),
-				ClientLeft: left.Load, Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
+				ClientCancelled: left.Load, Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
 			h.waitForStats("the attempt was not offered", func(Stats) bool { return script.blockedCalls() > 0 })
 			end(state{h, cancel, &left})
 			ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome")
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -37,7 +37,7 @@
 		},
 		"client left": func(h *harness, x *exchange) {
 			h.pool.mu.Lock()
-			x.call = &router.Call{ClientLeft: func() bool { return true }}
+			x.call = &router.Call{ClientCancelled: func() bool { return true }}
 			h.pool.mu.Unlock()
 		},
 	} {
@@ -84,7 +84,7 @@
 	second := &fakeplatform.Worker{ID: "x"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "x"}}, first, second)
 	client := make(testClient, 1)
-	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client, ClientLeft: left.Load,
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client, ClientCancelled: left.Load,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
 	for _, want := range []dispatch.Result{dispatch.Errored, dispatch.NotSent} {
 		if ended := testsupport.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != want {
@@ -118,7 +118,7 @@
 	h.waitForStats("the first is not being written", func(s Stats) bool { return s.Written == 1 })
 	var left atomic.Bool
 	small := make(testClient, 1)
-	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second, Client: small, ClientLeft: left.Load,
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second, Client: small, ClientCancelled: left.Load,
 		Request: &invocation.Request{ID: strings.Repeat("b", 16), Class: "c", Function: testFunction}})
 	h.waitForStats("the second is not queued", func(s Stats) bool { return s.Queued == 1 })
 	if clientLeaves {
