--- a/cmd/topazfront/soak.go
+++ b/cmd/topazfront/soak.go
@@ -59,7 +59,7 @@
 
 // schedule returns what a seed draws, with what the flags give in its place.
 func (c *soakCmd) schedule(seed uint64, faults []soak.Fault) soak.Schedule {
-	s := soak.Draw(seed)
+	s := soak.DrawSchedule(seed)
 	s.Routers = cmp.Or(c.Routers, s.Routers)
 	s.Workers = cmp.Or(c.Workers, s.Workers)
 	s.CallRate = cmp.Or(c.Rate, s.CallRate)
@@ -112,7 +112,7 @@
 	if !report.Passed() {
 		result = "FAILED"
 	}
-	lines = append(lines, fmt.Sprintf("%s, %d calls, %.3f served, slack %v: %v", result, report.Calls, report.Served, report.Slack, schedule))
+	lines = append(lines, fmt.Sprintf("%s, %d calls, %.3f served, slack %v: %v", result, report.Calls, report.ServedShare, report.Slack, schedule))
 	if report.Passed() {
 		return true, lines
 	}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -63,8 +63,8 @@
 	{kind: ClockStepped},
 }
 
-// Draw returns the schedule of a seed.
-func Draw(seed uint64) Schedule {
+// DrawSchedule returns the schedule of a seed.
+func DrawSchedule(seed uint64) Schedule {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pick := func(values ...time.Duration) time.Duration { return values[random.IntN(len(values))] }
 	s := Schedule{
@@ -87,7 +87,7 @@
 	s.Faults = append(s.Faults, drawTargeted(random, routerShapes, random.IntN(s.Routers+1), s.Routers)...)
 	s.Faults = append(s.Faults, drawTargeted(random, trafficShapes, random.IntN(3), len(trafficShapes))...)
 	slices.SortFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	s.MinServed = s.leastServed()
+	s.MinServedShare = s.leastServed()
 	return s
 }
 
--- a/internal/soak/harness_test.go
+++ b/internal/soak/harness_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d calls, %.4f served, slack %v", report.Calls, report.Served, report.Slack)
+	t.Logf("%d calls, %.4f served, slack %v", report.Calls, report.ServedShare, report.Slack)
 	const most = 8 // lines of each kind
 	for i, failure := range report.Failures {
 		if i == most {
@@ -65,14 +65,14 @@
 // usualSchedule is a small fleet without faults.
 func usualSchedule() Schedule {
 	return Schedule{
-		Seed:         1,
-		Routers:      3,
-		Workers:      16,
-		CallRate:     60,
-		Duration:     8 * time.Second,
-		Settings:     Settings{DrainGrace: 500 * time.Millisecond, Deadline: 780 * time.Millisecond, HealthChecksAllowed: true},
-		MinServed:    0.95,
-		FunctionSkew: 1.3,
+		Seed:           1,
+		Routers:        3,
+		Workers:        16,
+		CallRate:       60,
+		Duration:       8 * time.Second,
+		Settings:       Settings{DrainGrace: 500 * time.Millisecond, Deadline: 780 * time.Millisecond, HealthChecksAllowed: true},
+		MinServedShare: 0.95,
+		FunctionSkew:   1.3,
 	}
 }
 
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -138,8 +138,8 @@
 	for _, c := range r.clients {
 		lines = append(lines, c.wrong...)
 	}
-	if share < r.schedule.MinServed && slack <= maxSlackForService {
-		lines = append(lines, fmt.Sprintf("%.3f of the calls served, at least %.2f wanted", share, r.schedule.MinServed))
+	if share < r.schedule.MinServedShare && slack <= maxSlackForService {
+		lines = append(lines, fmt.Sprintf("%.3f of the calls served, at least %.2f wanted", share, r.schedule.MinServedShare))
 	}
 	return lines
 }
--- a/internal/soak/related_paths_test.go
+++ b/internal/soak/related_paths_test.go
@@ -42,14 +42,14 @@
 			drain(3*time.Second, 4*time.Second, 2),
 		}, func(s *Schedule) {
 			s.Settings.HealthChecksAllowed = false
-			s.MinServed = minServedUnchecked
+			s.MinServedShare = minServedUnchecked
 		}},
 		{"deadlines are short", []Fault{
 			{Kind: DiscoverySilent, At: time.Second, Duration: outage},
 			drain(3*time.Second, 4*time.Second, 2),
 		}, func(s *Schedule) {
 			s.Settings.Deadline = 50 * time.Millisecond
-			s.MinServed = 0.9
+			s.MinServedShare = 0.9
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -24,12 +24,12 @@
 
 // Report is what came of a run.
 type Report struct {
-	Schedule Schedule
-	Failures []string // one line each; none: passed
-	Served   float64  // share of the calls
-	Calls    int
-	Slack    time.Duration // allowed between sending and recording: the longest stall of the machine on top of the usual
-	Timeline []string      // around the first violation; nil if there is none
+	Schedule    Schedule
+	Failures    []string // one line each; none: passed
+	ServedShare float64  // share of the calls
+	Calls       int
+	Slack       time.Duration // allowed between sending and recording: the longest stall of the machine on top of the usual
+	Timeline    []string      // around the first violation; nil if there is none
 }
 
 // Passed reports whether all rules were kept and enough was served.
@@ -109,7 +109,7 @@
 	}
 	records, violations := r.judge(slack)
 	share, calls := servedShare(records)
-	report := &Report{Schedule: r.schedule, Served: share, Calls: calls, Slack: slack, Failures: r.failures(violations, share, slack)}
+	report := &Report{Schedule: r.schedule, ServedShare: share, Calls: calls, Slack: slack, Failures: r.failures(violations, share, slack)}
 	if len(violations) > 0 {
 		report.Timeline = r.timeline(records, violations[0])
 	}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -50,15 +50,15 @@
 
 // Schedule is what a run plays.
 type Schedule struct {
-	Seed         uint64
-	Routers      int
-	Workers      int
-	CallRate     float64       // calls a second to each router
-	Duration     time.Duration // of the traffic
-	Settings     Settings
-	Faults       []Fault
-	MinServed    float64 // the share of the calls that has to be served
-	FunctionSkew float64 // exponent of the functions' Zipf distribution, above 1
+	Seed           uint64
+	Routers        int
+	Workers        int
+	CallRate       float64       // calls a second to each router
+	Duration       time.Duration // of the traffic
+	Settings       Settings
+	Faults         []Fault
+	MinServedShare float64 // the share of the calls that has to be served
+	FunctionSkew   float64 // exponent of the functions' Zipf distribution, above 1
 }
 
 // Settings are what the routers are told, as far as schedules differ in it.
--- a/internal/soak/seeds_test.go
+++ b/internal/soak/seeds_test.go
@@ -14,7 +14,7 @@
 	for _, seed := range []uint64{3, 51, 113, 141} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			requirePassed(t, Draw(seed))
+			requirePassed(t, DrawSchedule(seed))
 		})
 	}
 }
@@ -22,11 +22,11 @@
 // TestDrawIsReproducible checks that a seed always draws the same schedule, and different ones different schedules.
 func TestDrawIsReproducible(t *testing.T) {
 	for seed := range uint64(50) {
-		s := Draw(seed)
-		if !reflect.DeepEqual(s, Draw(seed)) {
+		s := DrawSchedule(seed)
+		if !reflect.DeepEqual(s, DrawSchedule(seed)) {
 			t.Errorf("seed %d draws two schedules", seed)
 		}
-		if reflect.DeepEqual(s.Faults, Draw(seed+1).Faults) {
+		if reflect.DeepEqual(s.Faults, DrawSchedule(seed+1).Faults) {
 			t.Errorf("seeds %d and %d draw the same faults", seed, seed+1)
 		}
 		if len(s.Faults) == 0 || !s.Faults[0].Kind.isKnown() {
@@ -39,7 +39,7 @@
 func TestFaultsAreParsedAsPrinted(t *testing.T) {
 	for seed := range uint64(20) {
 		var words []string
-		for _, fault := range Draw(seed).Faults {
+		for _, fault := range DrawSchedule(seed).Faults {
 			words = append(words, fault.String())
 		}
 		text := strings.Join(words, " ")
