--- a/internal/httprouter/wallclock_test.go
+++ b/internal/httprouter/wallclock_test.go
@@ -18,7 +18,7 @@
 	notifiedAt time.Duration
 }
 
-// startRecorder is a dispatcher that sends each start of a worker that it is notified of to a channel.
+// startRecorder is a dispatcher that sends each start of a worker that it is notified of to a channel, once.
 type startRecorder struct {
 	starts chan workerStart
 	known  map[string]time.Duration
@@ -67,7 +67,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(server.Close)
-				serverStart := server.router.Clock() - time.Since(beforeServer)
+				serverStart := server.router.Now() - time.Since(beforeServer)
 				first := testsupport.Await(t, recorder.starts, "the first list")
 				if first.startedAt > first.notifiedAt {
 					t.Errorf("start time of the first worker is in the future: %+v", first)
--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -51,8 +51,8 @@
 	return s.newConn(unnotifiedConn{fd: fd}), client
 }
 
-// TestDisconnectedClient guards against a ClientLeft that reports a disconnect only when the event loop does, and not
-// as soon as the socket shows it.
+// TestDisconnectedClient guards against a ClientCancelled that reports a disconnect only when the event loop does, and
+// not as soon as the socket shows it.
 func TestDisconnectedClient(t *testing.T) {
 	s, upstream := startServer(t, nil)
 	cl := dial(t, s)
@@ -64,11 +64,11 @@
 	upstream.mu.Unlock()
 	cl.send(newRequest(servedFunction, ""))
 	call := <-calls
-	if call.ClientLeft() {
-		t.Error("ClientLeft is true while the client waits")
+	if call.ClientCancelled() {
+		t.Error("ClientCancelled is true while the client waits")
 	}
 	_ = cl.netConn.Close()
-	testsupport.WaitUntil(t, "the end of the connection", call.ClientLeft)
+	testsupport.WaitUntil(t, "the end of the connection", call.ClientCancelled)
 	close(answer)
 	waitForOpenRequests(t, s, 0)
 }
