--- a/internal/server/httpserver/eviction.go
+++ b/internal/server/httpserver/eviction.go
@@ -2,9 +2,9 @@
 
 import "github.com/cloudwego/netpoll"
 
-// MaxConnections/rejectionReserveDivisor connections are reserved for connections whose first request is read and
-// rejected. Without this reserve a connection beyond the limit would be closed at once, and a request that arrives
-// after the close would get no answer.
+// rejectionReserveDivisor divides MaxConnections; the result is the number of connections reserved for clients whose
+// first request is read and rejected. Without this reserve a connection beyond the limit would be closed at once, and a
+// request that arrives after the close would get no answer.
 const rejectionReserveDivisor = 16
 
 // addConnection registers a new connection and closes one, an older one or the new one itself, if there are too many.
