--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -34,7 +34,7 @@
 	closeErr error           // set once closed
 	notify   chan<- struct{} // gets a signal for each result; nil: no signals
 
-	asked   question        // of the pending or last request; used by the Watcher's goroutine
+	query   pollQuery       // of the pending or last request; used by the Watcher's goroutine
 	results chan pollResult // holds the result of the pending request, once it has one
 }
 
--- a/internal/discovery/eventlog.go
+++ b/internal/discovery/eventlog.go
@@ -27,7 +27,7 @@
 type eventLog struct {
 	revision    int64       // of the last event applied
 	initialized bool        // an event was applied; before that, the first event may have any revision
-	last        eventDigest // of the event at revision
+	lastDigest  eventDigest // of the event at revision
 }
 
 // eventDigest tells events of one revision apart, as a server that was restarted numbers other events alike.
@@ -46,7 +46,7 @@
 // Events up to the log's revision are skipped, as they were applied before. The update is nil if no new event changes the
 // list. The error is ErrEventGap if a revision is missing before an event that is not a snapshot. routerTime converts the
 // start time of an endpoint to the router's clock.
-func (l *eventLog) Apply(response PollResponse, routerTime startTimeConverter) (*endpoints.Update, error) {
+func (l *eventLog) Apply(response PollResponse, toRouterTime startTimeConverter) (*endpoints.Update, error) {
 	next, err := l.revisionAfter(response.Events)
 	if err == nil {
 		err = l.checkLastEvent(response.Events)
@@ -68,14 +68,14 @@
 	}
 	l.revision = next
 	l.initialized = true
-	l.last = digestOf(response.Events[len(response.Events)-1])
-	return merged.update(routerTime), nil
+	l.lastDigest = digestOf(response.Events[len(response.Events)-1])
+	return merged.update(toRouterTime), nil
 }
 
 // checkLastEvent returns ErrRevisionRegressed if the events have another one at the log's revision than was applied.
 func (l *eventLog) checkLastEvent(events []Event) error {
 	for _, event := range events {
-		if *event.Revision == l.revision && l.last.known && digestOf(event) != l.last {
+		if *event.Revision == l.revision && l.lastDigest.known && digestOf(event) != l.lastDigest {
 			return fmt.Errorf("%w: event %d is another one now", ErrRevisionRegressed, l.revision)
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // update converts to the router's terms. It returns nil if m is nil.
-func (m *mergedUpdate) update(routerTime startTimeConverter) *endpoints.Update {
+func (m *mergedUpdate) update(toRouterTime startTimeConverter) *endpoints.Update {
 	if m == nil {
 		return nil
 	}
@@ -125,7 +125,7 @@
 			},
 		}
 		if e.StartedUnixMilli > 0 {
-			worker.StartedAt = routerTime(e.ID, wallclock.FromUnixMilli(e.StartedUnixMilli))
+			worker.StartedAt = toRouterTime(e.ID, wallclock.FromUnixMilli(e.StartedUnixMilli))
 		}
 		update.Workers = append(update.Workers, worker)
 	}
--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -30,21 +30,21 @@
 		{"events, read after a pause of the process", time.Minute, true, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			asked := question{at: time.Now().Add(-test.readAfter), wait: wait}
-			if got := asked.currentAt(test.hasEvents, time.Now()); got != test.want {
+			asked := pollQuery{sentAt: time.Now().Add(-test.readAfter), wait: wait}
+			if got := asked.confirmedAt(test.hasEvents, time.Now()); got != test.want {
 				t.Errorf("current %v after the poll was sent, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// steppingClock is a RouterClock of its own time.
-type steppingClock struct {
+// elapsedClock is a RouterClock of its own time.
+type elapsedClock struct {
 	zeroClock
 	startedAt time.Time
 }
 
-func (c steppingClock) Now() time.Duration { return time.Since(c.startedAt) }
+func (c elapsedClock) Now() time.Duration { return time.Since(c.startedAt) }
 
 // watchReports records what a Watcher reports, in order.
 type watchReports struct {
@@ -76,15 +76,15 @@
 	t.Helper()
 	reports := &watchReports{}
 	cfg := watcherConfig(server.Addr(), func(endpoints.Update) { reports.add("update") })
-	cfg.RouterClock = steppingClock{startedAt: time.Now()}
+	cfg.RouterClock = elapsedClock{startedAt: time.Now()}
 	cfg.OnConfirmed = func(time.Duration) { reports.add("confirmed") }
 	cfg.OnRequested = func(time.Duration) { reports.add("asked-again") }
 	return startWatcherWith(t, cfg, server.AllEvents()), reports
 }
 
-// TestFailuresAreReported has polls fail for a while. The list is not confirmed meanwhile; each further poll is reported
+// TestRecoveryPollsAreReported has polls fail for a while. The list is not confirmed meanwhile; each further poll is reported
 // before it is sent; the first answer confirms the list, after the update that it brings.
-func TestFailuresAreReported(t *testing.T) {
+func TestRecoveryPollsAreReported(t *testing.T) {
 	for name, respond := range map[string]func(int, string) (string, bool){
 		"never answered": func(int, string) (string, bool) { return "", true },
 		"cut off":        func(int, string) (string, bool) { return "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", false },
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestRestartedServerIsReadFromTheBeginning has the server forget its events and number them anew. The watcher does not take
+// TestLowerRevisionTriggersResynchronization has the server forget its events and number them anew. The watcher does not take
 // the lower revision for a confirmation, asks for the complete list and applies it. From then on it follows the new numbers.
-func TestRestartedServerIsReadFromTheBeginning(t *testing.T) {
+func TestLowerRevisionTriggersResynchronization(t *testing.T) {
 	list := endpointList{}
 	lists := make(chan string, 64)
 	first := platformtest.StartDiscovery(t, initialEndpoints, fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"),
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestCompleteListBeginsWithSnapshot checks that a server whose events don't continue the log, and which has no snapshot
+// TestResynchronizationRequiresSnapshot checks that a server whose events don't continue the log, and which has no snapshot
 // either, changes nothing.
-func TestCompleteListBeginsWithSnapshot(t *testing.T) {
+func TestResynchronizationRequiresSnapshot(t *testing.T) {
 	server := platformtest.StartDiscovery(t, initialEndpoints)
 	watcher, reports := startReportingWatcher(t, server)
 	server.SetRespond(func(int, string) (string, bool) {
@@ -179,22 +179,22 @@
 	testsupport.WaitUntil(t, "a confirmation", func() bool { return reports.last() == "confirmed" })
 }
 
-// TestStartIsReported checks that the initial list is confirmed for the start and counts as asked for again right after: how
+// TestStartReportsRequestAfterConfirmation checks that the initial list is confirmed for the start and counts as asked for again right after: how
 // long the server has been out of reach by then is not known.
-func TestStartIsReported(t *testing.T) {
-	var confirmed, askedAgain []time.Duration
+func TestStartReportsRequestAfterConfirmation(t *testing.T) {
+	var confirmed, requested []time.Duration
 	cfg := watcherConfig(testsupport.UnusedAddress(t), func(endpoints.Update) {})
 	cfg.OnConfirmed = func(at time.Duration) { confirmed = append(confirmed, at) }
-	cfg.OnRequested = func(at time.Duration) { askedAgain = append(askedAgain, at) }
+	cfg.OnRequested = func(at time.Duration) { requested = append(requested, at) }
 	startWatcherWith(t, cfg, `{"cursor":1,"cmds":[{"cursor":1,`+initialEndpoints+`}]}`).Close()
-	if len(confirmed) != 1 || len(askedAgain) != 1 || askedAgain[0] <= confirmed[0] {
-		t.Errorf("confirmed %v, asked again %v", confirmed, askedAgain)
+	if len(confirmed) != 1 || len(requested) != 1 || requested[0] <= confirmed[0] {
+		t.Errorf("confirmed %v, asked again %v", confirmed, requested)
 	}
 }
 
-// TestServerRestartedAtTheSameRevisionIsNoticed has the server out of reach for longer than verifyAfter and restarted with
+// TestRestartAtSameRevisionIsDetected has the server out of reach for longer than verifyAfter and restarted with
 // another list under the same number. The watcher notices that the last event is another one and reads the list anew.
-func TestServerRestartedAtTheSameRevisionIsNoticed(t *testing.T) {
+func TestRestartAtSameRevisionIsDetected(t *testing.T) {
 	t.Parallel()
 	server := platformtest.StartDiscovery(t, initialEndpoints)
 	address := server.Addr()
@@ -204,7 +204,7 @@
 		list.apply(&update)
 		lists <- list.String()
 	})
-	cfg.RouterClock = steppingClock{startedAt: time.Now()}
+	cfg.RouterClock = elapsedClock{startedAt: time.Now()}
 	startWatcherWith(t, cfg, server.AllEvents())
 	testsupport.Await(t, lists, "the initial list")
 	server.Suspend()
--- a/internal/discovery/late.go
+++ b/internal/discovery/late.go
@@ -5,7 +5,7 @@
 // lateResponse is the response to a poll that had timed out.
 type lateResponse struct {
 	message *http1.Message
-	asked   question
+	query   pollQuery
 }
 
 // maxLatePolls is how many polls stay pending after their time-out, until a later one is answered in time. After a time-out
@@ -40,7 +40,7 @@
 		select {
 		case result := <-conn.results:
 			if result.err == nil {
-				responses = append(responses, lateResponse{result.message, conn.asked})
+				responses = append(responses, lateResponse{result.message, conn.query})
 			}
 			conn.close(errResponseTimeout)
 		default:
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -14,9 +14,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestSlowDiscovery has the server send each response late, up to after twice a poll's time-out. Each event is applied all
+// TestLateResponsesAreApplied has the server send each response late, up to after twice a poll's time-out. Each event is applied all
 // the same, once.
-func TestSlowDiscovery(t *testing.T) {
+func TestLateResponsesAreApplied(t *testing.T) {
 	for name, delay := range map[string]time.Duration{"a little": 400 * time.Millisecond, "over twice the time-out": 1100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestCrowdedDiscovery has the server turn polls away with an error before it answers one. The event is applied then, and
+// TestOverloadedServer has the server turn polls away with an error before it answers one. The event is applied then, and
 // the polls before it are delayed by more each time.
-func TestCrowdedDiscovery(t *testing.T) {
+func TestOverloadedServer(t *testing.T) {
 	const rejected = 12
 	startedAt := time.Now()
 	server, watcher, lists := startWatcher(t, func(poll int, _ string) (string, bool) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestSilentPollEndsOnceAnotherIsAnswered checks that a poll that was never answered doesn't hold its connection for good.
-func TestSilentPollEndsOnceAnotherIsAnswered(t *testing.T) {
+// TestLatePollIsClosedOnceAnotherIsAnswered checks that a poll that was never answered doesn't hold its connection for good.
+func TestLatePollIsClosedOnceAnotherIsAnswered(t *testing.T) {
 	listener := testsupport.Listen(t)
 	lists, silentEnded := make(chan string, 8), make(chan struct{})
 	go func() {
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -26,86 +26,86 @@
 	w.mu.Lock()
 	w.stats.Polls++
 	w.mu.Unlock()
-	asked := w.newQuestion()
-	conn.asked = asked
-	before := w.log.revision
-	if w.askAgain {
-		w.reportAskedAgain(asked.routerTime)
+	query := w.nextQuery()
+	conn.query = query
+	before := w.events.revision
+	if w.recovering {
+		w.reportRequested(query.sentRouterTime)
 	}
-	if err := conn.send(pollRequest(conn.address, asked.revision, asked.wait)); err != nil {
+	if err := conn.send(pollRequest(conn.address, query.revision, query.wait)); err != nil {
 		return err
 	}
 	message, err := w.awaitResponse(conn)
 	if err != nil {
 		return err
 	}
-	if err := w.apply(message, asked); err != nil {
+	if err := w.apply(message, query); err != nil {
 		return err
 	}
 	if message.Close {
 		conn.close(errClosedAfterResponse)
 	}
-	if asked.verify == 0 && w.log.revision == before && time.Since(asked.at) < asked.wait/minWaitDivisor {
+	if query.verifyRevision == 0 && w.events.revision == before && time.Since(query.sentAt) < query.wait/minWaitDivisor {
 		return errPrematureResponse
 	}
 	return nil
 }
 
-// question is what a poll asked for.
-type question struct {
-	at         time.Time     // when it was asked
-	routerTime time.Duration // the same by the router's clock
-	revision   int64         // events after it are asked for; 0: the complete list
-	wait       time.Duration // how long the server may hold the poll
-	complete   bool          // the response has to begin with a snapshot
-	verify     int64         // the response has to begin with this event, which was applied before, or a snapshot; 0: with none
+// pollQuery is what a poll asked for.
+type pollQuery struct {
+	sentAt         time.Time     // when it was asked
+	sentRouterTime time.Duration // the same by the router's clock
+	revision       int64         // events after it are asked for; 0: the complete list
+	wait           time.Duration // how long the server may hold the poll
+	complete       bool          // the response has to begin with a snapshot
+	verifyRevision int64         // the response has to begin with this event, which was applied before, or a snapshot; 0: with none
 }
 
-// newQuestion returns what the next poll asks for.
-func (w *Watcher) newQuestion() question {
-	asked := question{at: time.Now(), routerTime: w.cfg.RouterClock.Now(), revision: w.log.revision, wait: w.cfg.PollWait}
-	if w.askAgain {
-		asked.wait = min(asked.wait, firstWaitAfterFailure)
+// nextQuery returns what the next poll asks for.
+func (w *Watcher) nextQuery() pollQuery {
+	query := pollQuery{sentAt: time.Now(), sentRouterTime: w.cfg.RouterClock.Now(), revision: w.events.revision, wait: w.cfg.PollWait}
+	if w.recovering {
+		query.wait = min(query.wait, recoveryPollWait)
 	}
-	lost := asked.routerTime-w.confirmedAt > verifyAfter
+	stale := query.sentRouterTime-w.confirmedAt > verifyAfter
 	switch {
 	case w.resynchronize:
-		asked.revision = 0
-		asked.complete = true
-	case w.askAgain && lost && w.log.last.known:
-		asked.verify = w.log.revision
-		asked.revision = w.log.revision - 1
+		query.revision = 0
+		query.complete = true
+	case w.recovering && stale && w.events.lastDigest.known:
+		query.verifyRevision = w.events.revision
+		query.revision = w.events.revision - 1
 	}
-	return asked
+	return query
 }
 
-// check returns an error if a response does not begin as the question demands.
-func (q question) check(response PollResponse) error {
+// validate returns an error if a response does not begin as the question demands.
+func (q pollQuery) validate(response PollResponse) error {
 	if *response.Revision < q.revision {
 		return fmt.Errorf("%w: %d follows %d", ErrRevisionRegressed, *response.Revision, q.revision)
 	}
-	if q.verify == 0 {
+	if q.verifyRevision == 0 {
 		return nil
 	}
 	if len(response.Events) == 0 {
-		return fmt.Errorf("%w: there is no event %d", ErrRevisionRegressed, q.verify)
+		return fmt.Errorf("%w: there is no event %d", ErrRevisionRegressed, q.verifyRevision)
 	}
 	first := response.Events[0]
 	isSnapshot := first.Update != nil && first.Update.Snapshot
-	if *first.Revision != q.verify && !isSnapshot {
+	if *first.Revision != q.verifyRevision && !isSnapshot {
 		return fmt.Errorf("%w: event %d follows %d", ErrRevisionRegressed, *first.Revision, q.revision)
 	}
 	return nil
 }
 
-// currentAt returns when the list was current by a response that was read now, on the router's clock. One without events was
+// confirmedAt returns when the list was current by a response that was read now, on the router's clock. One without events was
 // written when the poll's wait was over. One with events may have been written at any time since the poll was sent: the
 // process may have been stopped meanwhile.
-func (q question) currentAt(hasEvents bool, now time.Time) time.Duration {
-	if hasEvents || now.Sub(q.at) < q.wait {
-		return q.routerTime
+func (q pollQuery) confirmedAt(hasEvents bool, now time.Time) time.Duration {
+	if hasEvents || now.Sub(q.sentAt) < q.wait {
+		return q.sentRouterTime
 	}
-	return q.routerTime + q.wait
+	return q.sentRouterTime + q.wait
 }
 
 // awaitResponse waits for the response on a connection, for as long as a poll may take. Meanwhile it applies the responses
@@ -129,14 +129,14 @@
 // poll under way asks for the same events.
 func (w *Watcher) applyLateResponses() {
 	for _, late := range w.late.takeResponses() {
-		if err := w.apply(late.message, late.asked); err != nil {
+		if err := w.apply(late.message, late.query); err != nil {
 			w.cfg.Logger.Info("late response to an endpoint poll not applied", "error", err)
 		}
 	}
 }
 
 // apply applies the events of a response, publishes an update if they have changed the list, and confirms the list.
-func (w *Watcher) apply(message *http1.Message, asked question) error {
+func (w *Watcher) apply(message *http1.Message, query pollQuery) error {
 	if message.Status != statusOK {
 		return fmt.Errorf("discovery: status %d", message.Status)
 	}
@@ -144,31 +144,31 @@
 	if err != nil {
 		return err
 	}
-	if err := asked.check(response); err != nil {
+	if err := query.validate(response); err != nil {
 		return err
 	}
-	log := w.log
-	if asked.complete {
-		log = &eventLog{}
+	events := w.events
+	if query.complete {
+		events = &eventLog{}
 	}
-	before := w.log.revision
-	update, err := log.Apply(response, w.starts.Convert)
+	before := w.events.revision
+	update, err := events.Apply(response, w.startTimes.Convert)
 	if err != nil {
 		return err
 	}
-	if asked.complete && (update == nil || !update.Snapshot) {
+	if query.complete && (update == nil || !update.Snapshot) {
 		return errNoSnapshot
 	}
-	w.log = log
-	w.resynchronize = w.resynchronize && !asked.complete
+	w.events = events
+	w.resynchronize = w.resynchronize && !query.complete
 	w.mu.Lock()
-	w.stats.Revision = w.log.revision
-	w.stats.Events += uint64(max(w.log.revision-before, 0))
+	w.stats.Revision = w.events.revision
+	w.stats.Events += uint64(max(w.events.revision-before, 0))
 	w.mu.Unlock()
 	if update != nil {
 		w.publish(update)
 	}
-	w.confirm(asked.currentAt(len(response.Events) > 0, time.Now()))
+	w.confirm(query.confirmedAt(len(response.Events) > 0, time.Now()))
 	return nil
 }
 
--- a/internal/discovery/slow_server_test.go
+++ b/internal/discovery/slow_server_test.go
@@ -8,8 +8,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestSlowServerIsHeard has each response take longer than the usual timeout. Events are applied nonetheless.
-func TestSlowServerIsHeard(t *testing.T) {
+// TestEventsOfSlowServerAreApplied has each response take longer than the usual timeout. Events are applied nonetheless.
+func TestEventsOfSlowServerAreApplied(t *testing.T) {
 	const pollWait, delay = 100 * time.Millisecond, 600 * time.Millisecond
 	server, _, lists := startWatcherWithWait(t, pollWait, func(int, string) (string, bool) {
 		time.Sleep(delay)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -37,9 +37,9 @@
 	maxRetryShift  = 8
 )
 
-// firstWaitAfterFailure is how long the server may hold the first poll, and the first after a failed or interrupted one. It is short, as the
+// recoveryPollWait is how long the server may hold the first poll, and the first after a failed or interrupted one. It is short, as the
 // list counts as out of date until the response.
-const firstWaitAfterFailure = 100 * time.Millisecond
+const recoveryPollWait = 100 * time.Millisecond
 
 // verifyAfter is the time without a confirmation after which the last event is asked for again: the server may have been
 // restarted meanwhile, and number other events as it did these. It is that after which the list counts as lost.
@@ -55,11 +55,11 @@
 	done   chan struct{} // closed when run has returned
 
 	// Used by run only, and by Start before it starts run.
-	log           *eventLog
-	starts        *endpoints.StartTimes
+	events        *eventLog
+	startTimes    *endpoints.StartTimes
 	late          *latePolls
 	confirmedAt   time.Duration // the list was complete then, on the router's clock
-	askAgain      bool          // there was no poll yet, or the last one failed or was interrupted
+	recovering    bool          // there was no poll yet, or the last one failed or was interrupted
 	resynchronize bool          // the next poll asks for the complete list: the server's events don't continue the log
 
 	mu      sync.Mutex
@@ -91,14 +91,14 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{
-		cfg:      cfg,
-		cancel:   cancel,
-		done:     make(chan struct{}),
-		log:      &eventLog{},
-		starts:   endpoints.NewStartTimes(cfg.RouterClock),
-		late:     newLatePolls(),
-		askAgain: true, // the initial list may be older than it seems
-		address:  cfg.Address,
+		cfg:        cfg,
+		cancel:     cancel,
+		done:       make(chan struct{}),
+		events:     &eventLog{},
+		startTimes: endpoints.NewStartTimes(cfg.RouterClock),
+		late:       newLatePolls(),
+		recovering: true, // the initial list may be older than it seems
+		address:    cfg.Address,
 	}
 	if err := w.applyInitial(initial); err != nil {
 		cancel()
@@ -110,7 +110,7 @@
 
 // applyInitial applies the initial response and publishes its list as a snapshot, also if it is empty.
 func (w *Watcher) applyInitial(initial PollResponse) error {
-	update, err := w.log.Apply(initial, w.starts.Convert)
+	update, err := w.events.Apply(initial, w.startTimes.Convert)
 	if err != nil {
 		return err
 	}
@@ -118,20 +118,20 @@
 		update = &endpoints.Update{}
 	}
 	update.Snapshot = true // there was nothing before it
-	if *initial.Revision > w.log.revision {
-		w.log.revision = *initial.Revision
-		w.log.last = eventDigest{}
+	if *initial.Revision > w.events.revision {
+		w.events.revision = *initial.Revision
+		w.events.lastDigest = eventDigest{}
 	}
 	w.publish(update)
 	now := w.cfg.RouterClock.Now()
 	w.confirm(now)
-	w.reportAskedAgain(now + 1) // the server may be out of reach, for how long is not known
-	w.stats.Revision = w.log.revision
+	w.reportRequested(now + 1) // the server may be out of reach, for how long is not known
+	w.stats.Revision = w.events.revision
 	return nil
 }
 
-// reportAskedAgain reports that the server is asked, or would be if it could be reached, after a time without an answer.
-func (w *Watcher) reportAskedAgain(at time.Duration) {
+// reportRequested reports that the server is asked, or would be if it could be reached, after a time without an answer.
+func (w *Watcher) reportRequested(at time.Duration) {
 	if w.cfg.OnRequested != nil {
 		w.cfg.OnRequested(at)
 	}
@@ -139,7 +139,7 @@
 
 // confirm records and reports that the list holds all changes up to a time on the router's clock.
 func (w *Watcher) confirm(at time.Duration) {
-	w.starts.ListConfirmed(at)
+	w.startTimes.ListConfirmed(at)
 	w.confirmedAt = max(w.confirmedAt, at)
 	if w.cfg.OnConfirmed != nil {
 		w.cfg.OnConfirmed(at)
@@ -196,7 +196,7 @@
 // publish passes an update to OnUpdate, and forgets the start times of the workers that it removes.
 func (w *Watcher) publish(update *endpoints.Update) {
 	w.cfg.OnUpdate(*update)
-	w.starts.Forget(update)
+	w.startTimes.Forget(update)
 }
 
 // run polls until ctx is done.
@@ -209,14 +209,14 @@
 		if err == nil {
 			err = w.poll(conn)
 		}
-		w.askAgain = err != nil
+		w.recovering = err != nil
 		if err == nil {
 			consecutiveFailures = 0
 			w.late.close() // they ask for events that the answered poll has brought
 			continue
 		}
 		interrupted := w.wasInterrupted(ctx, address, err)
-		w.forgetConnection(!interrupted)
+		w.detachConnection(!interrupted)
 		if interrupted {
 			w.late.close()
 		}
@@ -225,7 +225,7 @@
 		if interrupted {
 			continue
 		}
-		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", w.log.revision, "error", err)
+		w.cfg.Logger.Info("endpoint poll failed, retrying", "address", address, "revision", w.events.revision, "error", err)
 		consecutiveFailures++
 		w.waitBeforeRetry(ctx, consecutiveFailures)
 	}
@@ -290,8 +290,8 @@
 	return w.address != polledAddress || ctx.Err() != nil || errors.Is(err, errInterrupted)
 }
 
-// forgetConnection has the next poll use another connection, and counts the failure if there was one.
-func (w *Watcher) forgetConnection(failed bool) {
+// detachConnection has the next poll use another connection, and counts the failure if there was one.
+func (w *Watcher) detachConnection(failed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.conn = nil
--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -33,15 +33,15 @@
 // Merger holds one router's view of the endpoints. It isn't safe for concurrent use. An update that is not a snapshot costs in
 // proportion to its workers and to the reported drains, not to the list.
 type Merger struct {
-	settings Settings
-	list     map[string]Worker         // the list as it was last updated, by ID
-	draining map[string]*reportedDrain // by worker ID
-	changed  map[string]listing        // what Step last returned of the workers that may have changed since, by ID
-	returned bool                      // Step has returned the list
-	updated  bool                      // there has been an update
+	settings     Settings
+	list         map[string]Worker         // the list as it was last updated, by ID
+	draining     map[string]*reportedDrain // by worker ID
+	lastReturned map[string]listing        // what Step last returned of the workers that may have changed since, by ID
+	listReturned bool                      // Step has returned the list
+	listReceived bool                      // there has been an update
 
-	checkPlanned bool          // a health check is to be made at nextCheckAt
-	nextCheckAt  time.Duration // the earliest of those in draining
+	checkScheduled bool          // a health check is to be made at nextCheckAt
+	nextCheckAt    time.Duration // the earliest of those in draining
 }
 
 // listing is a worker as Step returns it, if it is listed.
@@ -52,25 +52,25 @@
 
 // reportedDrain is the state of a worker that has reported that it drains.
 type reportedDrain struct {
-	startedAt     time.Duration // the worker's start time in the list when it reported
-	leftActive    bool          // the list has shown the worker as not active since
-	nextCheckAt   time.Duration
-	checkInFlight bool
+	startedAt      time.Duration // the worker's start time in the list when it reported
+	listedInactive bool          // the list has shown the worker as not active since
+	nextCheckAt    time.Duration
+	checkInFlight  bool
 }
 
 // New returns a Merger that knows no worker.
 func New(settings Settings) *Merger {
 	return &Merger{
-		settings: settings,
-		list:     map[string]Worker{},
-		draining: map[string]*reportedDrain{},
-		changed:  map[string]listing{},
+		settings:     settings,
+		list:         map[string]Worker{},
+		draining:     map[string]*reportedDrain{},
+		lastReturned: map[string]listing{},
 	}
 }
 
 // Update applies an update of the endpoint list. The Merger does not keep the slice.
 func (m *Merger) Update(update Update) {
-	m.updated = true
+	m.listReceived = true
 	if update.Snapshot {
 		m.removeUnlisted(update.Workers)
 	}
@@ -81,7 +81,7 @@
 			m.set(worker)
 		}
 	}
-	m.planNextCheck()
+	m.scheduleNextCheck()
 }
 
 // removeUnlisted removes the workers that a snapshot leaves out.
@@ -99,7 +99,7 @@
 
 // remove removes a worker from the list. A drain that it has reported ends: the list has caught up.
 func (m *Merger) remove(id string) {
-	m.noteChange(id)
+	m.saveReturned(id)
 	delete(m.list, id)
 	delete(m.draining, id)
 }
@@ -109,22 +109,22 @@
 	if _, listed := m.list[worker.ID]; !listed && len(m.list) >= maxWorkers {
 		return
 	}
-	m.noteChange(worker.ID)
+	m.saveReturned(worker.ID)
 	m.list[worker.ID] = worker
 	drain := m.draining[worker.ID]
 	switch {
 	case drain == nil:
 	case worker.State != dispatch.EndpointActive: // the list has caught up and shows the drain
-		drain.leftActive = true
-	case drain.leftActive || worker.StartedAt > drain.startedAt:
+		drain.listedInactive = true
+	case drain.listedInactive || worker.StartedAt > drain.startedAt:
 		delete(m.draining, worker.ID)
 	}
 }
 
-// noteChange remembers what Step last returned of a worker. It must be called before the worker changes.
-func (m *Merger) noteChange(id string) {
-	if _, noted := m.changed[id]; !noted {
-		m.changed[id] = m.merged(id)
+// saveReturned remembers what Step last returned of a worker. It must be called before the worker changes.
+func (m *Merger) saveReturned(id string) {
+	if _, saved := m.lastReturned[id]; !saved {
+		m.lastReturned[id] = m.merged(id)
 	}
 }
 
@@ -143,14 +143,14 @@
 	if !listed {
 		return
 	}
-	m.noteChange(id)
+	m.saveReturned(id)
 	drain := m.draining[id]
 	if drain == nil {
-		drain = &reportedDrain{startedAt: worker.StartedAt, leftActive: worker.State != dispatch.EndpointActive}
+		drain = &reportedDrain{startedAt: worker.StartedAt, listedInactive: worker.State != dispatch.EndpointActive}
 		m.draining[id] = drain
 	}
 	drain.nextCheckAt = now + m.settings.CheckInterval
-	m.planNextCheck()
+	m.scheduleNextCheck()
 }
 
 // HealthChecked records the result of a health check that Step requested. ready is false also if the worker
@@ -163,21 +163,21 @@
 	drain.checkInFlight = false
 	drain.nextCheckAt = now + m.settings.CheckInterval
 	if ready {
-		m.noteChange(id)
+		m.saveReturned(id)
 		delete(m.draining, id)
 	}
-	m.planNextCheck()
+	m.scheduleNextCheck()
 }
 
-// planNextCheck sets when the next health check is due.
-func (m *Merger) planNextCheck() {
-	m.checkPlanned = false
+// scheduleNextCheck sets when the next health check is due.
+func (m *Merger) scheduleNextCheck() {
+	m.checkScheduled = false
 	for _, drain := range m.draining {
 		if !drain.needsCheck() {
 			continue
 		}
-		if !m.checkPlanned || drain.nextCheckAt < m.nextCheckAt {
-			m.checkPlanned = true
+		if !m.checkScheduled || drain.nextCheckAt < m.nextCheckAt {
+			m.checkScheduled = true
 			m.nextCheckAt = drain.nextCheckAt
 		}
 	}
@@ -185,11 +185,11 @@
 
 // NextCheck returns when the next health check is due, at which time Step must be called also without a further event. ok is
 // false if no check is planned.
-func (m *Merger) NextCheck() (at time.Duration, ok bool) { return m.nextCheckAt, m.checkPlanned }
+func (m *Merger) NextCheck() (at time.Duration, ok bool) { return m.nextCheckAt, m.checkScheduled }
 
 // needsCheck reports whether a health check of the worker is to be made at nextCheckAt. Once the list itself shows the
 // drain, only the list ends it.
-func (d *reportedDrain) needsCheck() bool { return !d.checkInFlight && !d.leftActive }
+func (d *reportedDrain) needsCheck() bool { return !d.checkInFlight && !d.listedInactive }
 
 // Actions are to be carried out by the caller of Step.
 type Actions struct {
@@ -206,13 +206,13 @@
 
 // takeUpdate returns what has changed since it was last called, nil if nothing has.
 func (m *Merger) takeUpdate() *Update {
-	first := m.updated && !m.returned
-	if len(m.changed) == 0 && !first {
+	first := m.listReceived && !m.listReturned
+	if len(m.lastReturned) == 0 && !first {
 		return nil
 	}
 	update := &Update{Snapshot: first, Workers: []Worker{}}
-	for _, id := range slices.Sorted(maps.Keys(m.changed)) {
-		before := m.changed[id]
+	for _, id := range slices.Sorted(maps.Keys(m.lastReturned)) {
+		before := m.lastReturned[id]
 		now := m.merged(id)
 		switch {
 		case now.listed && now != before:
@@ -223,8 +223,8 @@
 			update.Workers = append(update.Workers, removed)
 		}
 	}
-	m.changed = map[string]listing{}
-	m.returned = m.returned || first
+	m.lastReturned = map[string]listing{}
+	m.listReturned = m.listReturned || first
 	if len(update.Workers) == 0 && !first {
 		return nil
 	}
@@ -233,7 +233,7 @@
 
 // startDueChecks returns the workers whose health check is due, and marks the checks as in flight.
 func (m *Merger) startDueChecks(now time.Duration) (due []string) {
-	if !m.checkPlanned || now < m.nextCheckAt {
+	if !m.checkScheduled || now < m.nextCheckAt {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.draining)) {
@@ -242,6 +242,6 @@
 			due = append(due, id)
 		}
 	}
-	m.planNextCheck()
+	m.scheduleNextCheck()
 	return due
 }
--- a/internal/endpoints/merger_property_test.go
+++ b/internal/endpoints/merger_property_test.go
@@ -10,9 +10,9 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// TestUpdatesMakeTheList checks over random updates, drains and steps that the updates that Step returns make together
+// TestUpdatesReproduceList checks over random updates, drains and steps that the updates that Step returns make together
 // the list as it is, with the reported drains, and that none changes nothing.
-func TestUpdatesMakeTheList(t *testing.T) {
+func TestUpdatesReproduceList(t *testing.T) {
 	drawWorker := func(t *rapid.T) Worker {
 		return Worker{Address: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), Endpoint: dispatch.Endpoint{
 			ID:        rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
@@ -21,7 +21,7 @@
 		}}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		f, list, now := newFollower(), map[string]Worker{}, time.Duration(0)
+		f, list, now := newTrackedMerger(), map[string]Worker{}, time.Duration(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"update": func(t *rapid.T) {
 				workers := rapid.SliceOfNDistinct(rapid.Custom(drawWorker), 0, 4, func(w Worker) string { return w.ID }).Draw(t, "workers")
--- a/internal/endpoints/merger_test.go
+++ b/internal/endpoints/merger_test.go
@@ -17,21 +17,21 @@
 	}
 }
 
-// follower is a Merger with the list that the updates it has returned make together.
-type follower struct {
+// trackedMerger is a Merger with the list that the updates it has returned make together.
+type trackedMerger struct {
 	*Merger
 	list map[string]Worker
 }
 
-func newFollower() *follower {
-	return &follower{Merger: New(Settings{CheckInterval: checkInterval}), list: map[string]Worker{}}
+func newTrackedMerger() *trackedMerger {
+	return &trackedMerger{Merger: New(Settings{CheckInterval: checkInterval}), list: map[string]Worker{}}
 }
 
 // setList updates the Merger by a snapshot.
-func (f *follower) setList(list []Worker) { f.Update(Update{Snapshot: true, Workers: list}) }
+func (f *trackedMerger) setList(list []Worker) { f.Update(Update{Snapshot: true, Workers: list}) }
 
 // Step takes a step and follows what it returns.
-func (f *follower) Step(now time.Duration) Actions {
+func (f *trackedMerger) Step(now time.Duration) Actions {
 	actions := f.Merger.Step(now)
 	if actions.Update == nil {
 		return actions
@@ -50,7 +50,7 @@
 }
 
 // stepState takes a step and returns the state of b; ok is false if b is not in the list.
-func stepState(t *testing.T, f *follower, now time.Duration) (state dispatch.EndpointState, ok bool) {
+func stepState(t *testing.T, f *trackedMerger, now time.Duration) (state dispatch.EndpointState, ok bool) {
 	t.Helper()
 	f.Step(now)
 	worker, ok := f.list["b"]
@@ -58,7 +58,7 @@
 }
 
 func TestReportedDrainOutlastsStaleList(t *testing.T) {
-	m := newFollower()
+	m := newTrackedMerger()
 	m.setList(listWith(dispatch.EndpointActive, 0))
 	if state, ok := stepState(t, m, 0); !ok || state != dispatch.EndpointActive {
 		t.Fatalf("after the first list: state %v, listed %t; want active", state, ok)
@@ -78,17 +78,17 @@
 }
 
 func TestReportedDrainEnds(t *testing.T) {
-	for name, endDrain := range map[string]func(t *testing.T, m *follower){
-		"later start time": func(_ *testing.T, m *follower) { m.setList(listWith(dispatch.EndpointActive, 8)) },
-		"draining, then active again": func(_ *testing.T, m *follower) {
+	for name, endDrain := range map[string]func(t *testing.T, m *trackedMerger){
+		"later start time": func(_ *testing.T, m *trackedMerger) { m.setList(listWith(dispatch.EndpointActive, 8)) },
+		"draining, then active again": func(_ *testing.T, m *trackedMerger) {
 			m.setList(listWith(dispatch.EndpointDraining, 0))
 			m.setList(listWith(dispatch.EndpointActive, 0))
 		},
-		"removed, then active again": func(_ *testing.T, m *follower) {
+		"removed, then active again": func(_ *testing.T, m *trackedMerger) {
 			m.setList(nil)
 			m.setList(listWith(dispatch.EndpointActive, 0))
 		},
-		"health check finds it ready": func(t *testing.T, m *follower) {
+		"health check finds it ready": func(t *testing.T, m *trackedMerger) {
 			if actions := m.Step(7 * time.Second); len(actions.Check) != 1 || actions.Check[0] != "b" {
 				t.Fatalf("health checks of %v, want b", actions.Check)
 			}
@@ -96,7 +96,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newFollower()
+			m := newTrackedMerger()
 			m.setList(listWith(dispatch.EndpointActive, 0))
 			m.WorkerDraining(1, "b")
 			m.Step(1)
@@ -112,7 +112,7 @@
 }
 
 func TestHealthCheckRepeatsWhileDraining(t *testing.T) {
-	m := newFollower()
+	m := newTrackedMerger()
 	m.setList(listWith(dispatch.EndpointActive, 0))
 	m.WorkerDraining(0, "b")
 	if at, ok := m.NextCheck(); !ok || at != 5*time.Second {
--- a/internal/endpoints/starttimes.go
+++ b/internal/endpoints/starttimes.go
@@ -26,9 +26,9 @@
 //
 // A StartTimes is not safe for concurrent use.
 type StartTimes struct {
-	clock     RouterClock
-	known     map[string]convertedStart // by worker
-	currentAt time.Duration             // when the list was last current; 0 before the first
+	clock       RouterClock
+	converted   map[string]convertedStart // by worker
+	confirmedAt time.Duration             // when the list was last current; 0 before the first
 }
 
 type convertedStart struct {
@@ -38,26 +38,26 @@
 
 // NewStartTimes returns a StartTimes that knows of no list.
 func NewStartTimes(clock RouterClock) *StartTimes {
-	return &StartTimes{clock: clock, known: map[string]convertedStart{}}
+	return &StartTimes{clock: clock, converted: map[string]convertedStart{}}
 }
 
 // Convert returns when a worker of the list started, by the router's clock, and remembers it.
 func (s *StartTimes) Convert(worker string, startedAt wallclock.Time) time.Duration {
-	earliest := s.currentAt
-	if known, ok := s.known[worker]; ok {
-		if known.wallTime == startedAt {
-			return known.routerTime
+	earliest := s.confirmedAt
+	if converted, ok := s.converted[worker]; ok {
+		if converted.wallTime == startedAt {
+			return converted.routerTime
 		}
-		earliest = max(earliest, known.routerTime+1) // a restart is later than the start before it
+		earliest = max(earliest, converted.routerTime+1) // a restart is later than the start before it
 	}
 	routerTime := max(min(s.clock.FromWallTime(startedAt), s.clock.Now()), earliest)
-	s.known[worker] = convertedStart{wallTime: startedAt, routerTime: routerTime}
+	s.converted[worker] = convertedStart{wallTime: startedAt, routerTime: routerTime}
 	return routerTime
 }
 
 // ListConfirmed records that the converted list had all workers which had started by then. A time before the last one
 // recorded changes nothing.
-func (s *StartTimes) ListConfirmed(at time.Duration) { s.currentAt = max(s.currentAt, at) }
+func (s *StartTimes) ListConfirmed(at time.Duration) { s.confirmedAt = max(s.confirmedAt, at) }
 
 // Forget forgets the workers that an update removes, by name or, if it is a snapshot, by leaving them out.
 func (s *StartTimes) Forget(update *Update) {
@@ -65,7 +65,7 @@
 	for _, worker := range update.Workers {
 		switch {
 		case worker.State == dispatch.EndpointRemoved:
-			delete(s.known, worker.ID)
+			delete(s.converted, worker.ID)
 		case update.Snapshot:
 			listed[worker.ID] = true
 		}
@@ -77,5 +77,5 @@
 
 // Retain forgets the workers that are not listed any more.
 func (s *StartTimes) Retain(listed func(worker string) bool) {
-	maps.DeleteFunc(s.known, func(worker string, _ convertedStart) bool { return !listed(worker) })
+	maps.DeleteFunc(s.converted, func(worker string, _ convertedStart) bool { return !listed(worker) })
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -6,21 +6,22 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// startAttempt starts an attempt. It ends the attempt as NotSent at once if its result would be of no use.
+// startAttempt starts an attempt. If its time is already over or the call needs no further response, the attempt ends
+// immediately as NotSent.
 func (r *Router) startAttempt(action dispatch.StartAttempt) {
 	call := r.calls[action.ID]
 	if call == nil {
 		r.reportUnknownCall(action)
 		return
 	}
-	a := &attempt{call: call, number: len(call.attempts), worker: action.Worker, startedAt: r.now}
+	a := &attempt{call: call, number: len(call.attempts), worker: action.Worker, startedAt: r.turnTime}
 	call.attempts = append(call.attempts, a)
 	call.attemptsInFlight++
 	endsAt := call.deadline
 	if action.Timeout > 0 {
-		endsAt = min(endsAt, r.now+action.Timeout)
+		endsAt = min(endsAt, r.turnTime+action.Timeout)
 	}
-	remaining := endsAt - r.Now() // r.now is from the start of this turn, which may have taken long
+	remaining := endsAt - r.Now() // r.turnTime is outdated if this turn has taken long
 	if remaining <= 0 || !call.awaitsResponse() {
 		r.endAttempt(a, AttemptResult{Result: dispatch.NotSent, Report: NoWorkerReport})
 		return
@@ -28,7 +29,7 @@
 	r.sendAttempt(a, endsAt, SendLimits{Remaining: remaining, SendBefore: r.timeAt(action.SendBefore)})
 }
 
-// reportUnknownCall reports to the dispatcher that an attempt was not sent, because its call has ended.
+// reportUnknownCall reports to the dispatcher that an attempt was not sent because its call has ended.
 func (r *Router) reportUnknownCall(action dispatch.StartAttempt) {
 	r.events = append(r.events, dispatch.AttemptEnded{
 		ID:               action.ID,
@@ -57,8 +58,8 @@
 	a.handle = r.upstream.StartAttempt(AttemptToken{a}, call.submitted, a.worker, a.number, limits)
 }
 
-// attemptTimedOut cancels an attempt whose time is over. An attempt whose response is being forwarded goes on: only the
-// dispatcher ends it.
+// attemptTimedOut cancels an attempt that has timed out. An attempt whose response is being forwarded continues; it can
+// only be ended by the dispatcher.
 func (r *Router) attemptTimedOut(a *attempt) {
 	if !a.ended && a.call.answering != a {
 		a.timedOut = true
@@ -66,7 +67,7 @@
 	}
 }
 
-// cancelAttempt carries out the dispatcher's cancellation of an attempt, unless its response is being forwarded.
+// cancelAttempt cancels an attempt for the dispatcher, unless its response is being forwarded.
 func (r *Router) cancelAttempt(action dispatch.CancelAttempt) {
 	call := r.calls[action.ID]
 	if call == nil || action.Attempt < 0 || action.Attempt >= len(call.attempts) {
@@ -87,18 +88,18 @@
 				ID:       a.call.id,
 				Attempt:  a.number,
 				Worker:   a.worker,
-				Duration: r.now - a.startedAt,
+				Duration: r.turnTime - a.startedAt,
 			})
 		}
 	})
 }
 
-// AttemptEnded reports how an attempt ended. Any further report of the same attempt is ignored.
+// AttemptEnded reports how an attempt ended. Further reports of the same attempt are ignored.
 func (r *Router) AttemptEnded(token AttemptToken, result AttemptResult) {
 	r.post(func() { r.endAttempt(token.attempt, result) })
 }
 
-// endAttempt records the end of an attempt, which may answer the client, and reports it to the dispatcher.
+// endAttempt records the end of an attempt, which may answer the client, and reports the end to the dispatcher.
 func (r *Router) endAttempt(a *attempt, result AttemptResult) {
 	if a.ended {
 		return
@@ -119,25 +120,25 @@
 		Attempt:          a.number,
 		Worker:           a.worker,
 		Result:           result.Result,
-		Duration:         r.now - a.startedAt,
+		Duration:         r.turnTime - a.startedAt,
 		Final:            done,
 		CacheStatus:      result.Report.CacheStatus,
 		FunctionInFlight: result.Report.FunctionInFlight,
 		LoadReport:       result.Report.LoadReport,
 	})
 	if result.WorkerDraining {
-		r.endpoints.WorkerDraining(r.now, a.worker)
+		r.endpoints.WorkerDraining(r.turnTime, a.worker)
 	}
 	r.removeIfEnded(call)
 }
 
-// countEndedAttempt counts the end of an attempt in the statistics. answered is true if it answered the client.
+// countEndedAttempt updates the statistics for an ended attempt. answered is true if the attempt answered the client.
 func (r *Router) countEndedAttempt(a *attempt, result dispatch.Result, answered bool) {
 	if a.handle != nil {
 		r.stats.AttemptsInFlight--
 	}
 	if result == dispatch.OK {
-		r.stats.ServedDuration += r.now - a.startedAt
+		r.stats.ServedDuration += r.turnTime - a.startedAt
 	}
 	switch {
 	case !answered:
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -7,41 +7,42 @@
 	"github.com/topazfront/topazfront/internal/timingwheel"
 )
 
-// Call is one call as a server accepted it. The router keeps it until the call and its attempts have ended; nobody
-// changes it meanwhile.
+// Call is one call as a server received it. It must not be changed until the call and all its attempts have ended.
 type Call struct {
-	ClientID               string // the client's own id of the call, for the log
-	Function               string // the key by which the dispatcher knows the function
+	ClientID               string // the client's ID of the call, for log lines
+	Function               string // the dispatcher's key of the function
 	Class                  string
 	Tenant                 string
 	MemoryMB               float64
 	ConcurrencyPerInstance int
-	LoadTime               time.Duration // 0: unknown
-	ExpectedWork           time.Duration // 0: unknown
-	RemainingDeadline      time.Duration // until the client gives up
-	MeasuredAt             time.Time     // when RemainingDeadline was; zero: when the call is submitted
+	LoadTime               time.Duration // 0 means unknown
+	ExpectedWork           time.Duration // 0 means unknown
+	RemainingDeadline      time.Duration // time until the client's deadline, as of MeasuredAt
+	MeasuredAt             time.Time     // zero means the time of Submit
 	Streamed               bool
 	Request                any // the request as the server received it, for the upstream of the same protocol
 	Client                 Client
-	// ClientCancelled reports whether the client has left. It may be called at any time from any goroutine. nil: only
-	// the cancel function that Submit returned reports it.
+	// ClientCancelled reports whether the client has cancelled the call, for example by disconnecting. It must be safe
+	// to call at any time from any goroutine. If it is nil, the cancel function that Submit returns is the only
+	// notification.
 	ClientCancelled func() bool
 }
 
-// ClientWaiting reports whether the client still waits for a response. It is false once the client has left, also while the
-// cancellation is still on its way to the router's loop.
+// ClientWaiting reports whether the client still waits for a response. With ClientCancelled set, it becomes false as
+// soon as the client has cancelled, even before the router's loop has processed the cancellation.
 func (c *Call) ClientWaiting() bool { return c.ClientCancelled == nil || !c.ClientCancelled() }
 
-// Client is the server's side of a call. The router's loop calls its methods, except that the goroutine which reads
-// the answering attempt's response calls WriteBody. None of them blocks. Finish is called exactly once, last, unless
-// the client has left.
+// Client passes the response of a call to its client; the servers implement it. The router's loop calls its methods,
+// except that the goroutine that reads the forwarded response may call WriteBody. No method may block. Finish is called
+// exactly once, as the last method, unless the client has cancelled the call.
 type Client interface {
-	// Start begins the response with the worker's head.
+	// Start begins the response with the head of the worker's response.
 	Start(head any)
-	// WriteBody forwards bytes of the worker's response. It returns how many of them were written. The others are queued,
-	// and drain is called with the number of bytes as they are written. The caller may reuse p when WriteBody returns.
-	WriteBody(p []byte, drain func(n int)) int
-	// Finish gives the final answer.
+	// WriteBody writes bytes of the worker's response. It returns the number of bytes written; the others are queued,
+	// and onWritten is called with the number of queued bytes as they are written. The caller may reuse p after the
+	// return.
+	WriteBody(p []byte, onWritten func(n int)) int
+	// Finish completes the response with the final answer.
 	Finish(answer FinalAnswer)
 }
 
@@ -50,17 +51,17 @@
 
 // The kinds of final answers.
 const (
-	FinalAnswered FinalKind = iota // by the attempt whose response is the client's: see Attempt for how it ended
-	FinalRejected                  // by the dispatcher: a retry does no harm
-	FinalFailed                    // by the dispatcher: the call may have run
+	FinalAnswered FinalKind = iota // by the response of an attempt; FinalAnswer.Attempt has its result
+	FinalRejected                  // by the dispatcher; the client may safely retry
+	FinalFailed                    // by the dispatcher; the call may have run
 )
 
 // FinalAnswer is the final answer to a call.
 type FinalAnswer struct {
 	Kind             FinalKind
-	RetryAfter       time.Duration  // of a rejection: how long the client should wait before it retries
-	DeadlineExceeded bool           // of a failure: the client's deadline has passed
-	Attempt          *AttemptResult // FinalAnswered: of the answering attempt; FinalFailed: of the last one, or nil
+	RetryAfter       time.Duration  // for FinalRejected: how long the client should wait before it retries
+	DeadlineExceeded bool           // for FinalFailed: the client's deadline has passed
+	Attempt          *AttemptResult // for FinalAnswered: the answering attempt; for FinalFailed: the last one, or nil
 }
 
 // callState is the state of a call.
@@ -69,24 +70,24 @@
 const (
 	callWaiting   callState = iota // no response has started
 	callStreaming                  // an attempt's response is being forwarded to the client
-	callDone                       // the final answer was given, or the client has left
+	callDone                       // the final answer was given, or the client has cancelled
 )
 
-// activeCall is the state machine of a call that the router keeps.
+// activeCall is a call and its state machine.
 //
-// callWaiting ends by a response that ended with OK (of a unary call, or of a stream without messages), by the
-// dispatcher's rejection or failure, or by the client's cancellation. The first ResponseStarted of a streamed call
-// makes it callStreaming, which ends with that attempt, by the dispatcher's failure, or by the client's
-// cancellation. Events of a call that is done only change the accounting of its attempts.
+// callWaiting changes to callDone when an attempt ends with OK (a unary call, or a stream without messages), the
+// dispatcher rejects or fails the call, or the client cancels it. The first ResponseStarted of a streamed call changes
+// callWaiting to callStreaming. callStreaming changes to callDone when that attempt ends, the dispatcher fails the
+// call, or the client cancels it. After callDone only the attempts are tracked.
 type activeCall struct {
 	id               dispatch.RequestID
 	submitted        *Call
 	state            callState
 	deadline         time.Duration // on the router's clock
-	attempts         []*attempt    // by number
+	attempts         []*attempt    // indexed by attempt number
 	attemptsInFlight int
-	answering        *attempt       // the one whose response is the client's
-	lastUnanswered   *AttemptResult // how the last attempt ended that did not answer the client
+	answering        *attempt       // the attempt whose response the client gets
+	lastUnused       *AttemptResult // result of the last attempt that ended without answering the client
 }
 
 // attempt is one attempt of a call.
@@ -95,20 +96,20 @@
 	number    int
 	worker    string
 	startedAt time.Duration
-	handle    UpstreamAttempt // nil: the attempt was never passed to the upstream
+	handle    UpstreamAttempt // nil if the attempt was never passed to the upstream
 	timeout   timingwheel.Timer
 	ended     bool
-	result    dispatch.Result // of an ended one
-	timedOut  bool            // it was cancelled by its time-out
+	result    dispatch.Result // valid once ended
+	timedOut  bool            // the attempt was cancelled by its timeout
 }
 
-// awaitsResponse reports whether a further attempt may be of use: no response has started, and the client still waits.
+// awaitsResponse reports whether another attempt is useful: no response has started and the client still waits.
 func (c *activeCall) awaitsResponse() bool {
 	return c.state == callWaiting && c.submitted.ClientWaiting()
 }
 
-// responseStarted records that the streamed response of an attempt has started, and forwards it to the client. It does
-// nothing if the call is done or another attempt's response is being forwarded. It reports whether it forwards.
+// responseStarted starts forwarding the streamed response of an attempt to the client. It returns false and does
+// nothing if the attempt has ended, the call is done or another attempt's response is being forwarded.
 func (c *activeCall) responseStarted(a *attempt, head any) bool {
 	if c.state != callWaiting || a.ended {
 		return false
@@ -120,8 +121,8 @@
 	return true
 }
 
-// attemptEnded records the end of an attempt. It answers the client with the first OK, and with any end of the attempt whose
-// response is being forwarded. It reports whether the call is done.
+// attemptEnded records the end of an attempt. The client is answered by the first attempt that ends with OK, or by any
+// end of the attempt whose response is being forwarded. attemptEnded reports whether the call is done.
 func (c *activeCall) attemptEnded(a *attempt, result AttemptResult) (done bool) {
 	a.ended = true
 	c.attemptsInFlight--
@@ -140,13 +141,13 @@
 		}
 		c.finish(FinalAnswer{Attempt: &result})
 	default:
-		c.lastUnanswered = &result
+		c.lastUnused = &result
 	}
 	return c.state == callDone
 }
 
-// reject answers with the dispatcher's rejection: nothing ran, or a repeat does no harm, so the client may retry, but
-// not before retryAfter has passed. It reports whether this is the final answer.
+// reject answers the call with a rejection: no attempt ran, or running the call again is harmless, so the client may
+// retry after retryAfter. It returns false if a response has started or the call is done.
 func (c *activeCall) reject(retryAfter time.Duration) bool {
 	if c.state != callWaiting {
 		return false
@@ -155,12 +156,12 @@
 	return true
 }
 
-// fail answers with the dispatcher's failure: the call may have run. It reports whether this is the final answer.
+// fail answers the call with a failure: the call may have run. It returns false if the call is done.
 func (c *activeCall) fail(now time.Duration) bool {
 	if c.state == callDone {
 		return false
 	}
-	c.finish(FinalAnswer{Kind: FinalFailed, DeadlineExceeded: now >= c.deadline, Attempt: c.lastUnanswered})
+	c.finish(FinalAnswer{Kind: FinalFailed, DeadlineExceeded: now >= c.deadline, Attempt: c.lastUnused})
 	return true
 }
 
@@ -169,7 +170,7 @@
 	c.submitted.Client.Finish(answer)
 }
 
-// cancelAnswering stops the attempt whose response is the client's, if it is still in flight: nobody is left to take
+// cancelAnswering cancels the attempt whose response is being forwarded, if it is in flight: the client no longer needs
 // the rest of the response.
 func (c *activeCall) cancelAnswering() {
 	if c.answering != nil && !c.answering.ended {
--- a/internal/router/call_test.go
+++ b/internal/router/call_test.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// recordingClient is a Client that records what it is passed.
+// recordingClient is a Client that records the response.
 type recordingClient struct {
 	starts, finishes int
 	body             string
@@ -50,7 +50,7 @@
 	erroredResult = AttemptResult{Result: dispatch.Errored, Trailer: "boom", Report: NoWorkerReport}
 )
 
-// finalAnswerTests are the orders in which the ends of a call may come together.
+// finalAnswerTests holds the orders in which events that end a call may occur.
 var finalAnswerTests = map[string]struct {
 	run       func(c *activeCall, first, second *attempt)
 	wantFinal FinalAnswer
@@ -155,7 +155,7 @@
 		},
 		FinalAnswer{Kind: FinalFailed, DeadlineExceeded: true}, "",
 	},
-	// All of a short stream may have come before the loop was notified of its start: nothing of it is lost.
+	// A short stream may have ended before the loop processes its start. No part of it may be lost.
 	"response ended before it was forwarded": {
 		func(c *activeCall, first, _ *attempt) {
 			c.responseStarted(first, nil)
@@ -165,7 +165,7 @@
 	},
 }
 
-// TestExactlyOneFinalAnswer: each of the orders of finalAnswerTests brings the client one final answer.
+// TestExactlyOneFinalAnswer checks that the client gets one final answer in each order of finalAnswerTests.
 func TestExactlyOneFinalAnswer(t *testing.T) {
 	for name, test := range finalAnswerTests {
 		t.Run(name, func(t *testing.T) {
@@ -189,14 +189,14 @@
 	}
 }
 
-// TestSecondResponseIsNotForwarded: a client never gets two responses mixed.
+// TestSecondResponseIsNotForwarded guards against mixing the responses of two attempts at the client.
 func TestSecondResponseIsNotForwarded(t *testing.T) {
 	call, _, first, second := newTestCall()
 	call.responseStarted(first, nil)
 	if call.responseStarted(second, nil) {
-		t.Error("the second response became the client's")
+		t.Error("responseStarted accepted a second response")
 	}
 	if handle, ok := second.handle.(*recordingAttempt); !ok || handle.forwards > 0 {
-		t.Error("the second attempt was forwarded to the client")
+		t.Error("the second response was forwarded to the client")
 	}
 }
--- a/internal/router/calls.go
+++ b/internal/router/calls.go
@@ -6,8 +6,8 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// Submit accepts a call. cancel reports to the router that the client has left. If ok is false the router has
-// stopped, and nothing was accepted.
+// Submit accepts a call. The caller calls cancel when the client cancels the call. ok is false if the router has
+// stopped; the call was then not accepted.
 func (r *Router) Submit(submitted *Call) (cancel func(), ok bool) {
 	measuredAt := submitted.MeasuredAt
 	if measuredAt.IsZero() {
@@ -29,7 +29,7 @@
 	}
 	r.stats.Calls++
 	submitted := call.submitted
-	r.functions.recordCall(submitted.Function, r.now)
+	r.functions.recordCall(submitted.Function, r.turnTime)
 	r.events = append(r.events, dispatch.Request{
 		ID:                     call.id,
 		Function:               submitted.Function,
@@ -39,11 +39,11 @@
 		ConcurrencyPerInstance: submitted.ConcurrencyPerInstance,
 		LoadTime:               submitted.LoadTime,
 		ExpectedWork:           submitted.ExpectedWork,
-		RemainingDeadline:      call.deadline - r.now,
+		RemainingDeadline:      call.deadline - r.turnTime,
 	})
 }
 
-// cancelCall ends a call whose client has left. No answer is given.
+// cancelCall ends a call that its client has cancelled. The client gets no answer.
 func (r *Router) cancelCall(call *activeCall) {
 	if call.state == callDone {
 		return
@@ -55,7 +55,7 @@
 	r.removeIfEnded(call)
 }
 
-// rejectCall carries out the dispatcher's rejection of a call.
+// rejectCall rejects a call for the dispatcher.
 func (r *Router) rejectCall(action dispatch.RejectRequest) {
 	call := r.calls[action.ID]
 	if call == nil || !call.reject(action.RetryAfter) {
@@ -66,10 +66,10 @@
 	r.removeIfEnded(call)
 }
 
-// failCall carries out the dispatcher's failure of a call.
+// failCall fails a call for the dispatcher.
 func (r *Router) failCall(action dispatch.FailRequest) {
 	call := r.calls[action.ID]
-	if call == nil || !call.fail(r.now) {
+	if call == nil || !call.fail(r.turnTime) {
 		return
 	}
 	r.stats.Failed++
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordCause counts, and logs at debug level, why the dispatcher ended a call.
+// recordCause counts why the dispatcher ended a call, and logs it at debug level.
 func (r *Router) recordCause(call *activeCall, cause dispatch.EndCause, message string) {
 	r.stats.Causes.Ends[cause]++
 	if r.debug {
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -7,38 +7,39 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
-// SetEndpoints replaces the endpoint list by a complete new one.
+// SetEndpoints replaces the endpoint list.
 func (r *Router) SetEndpoints(list []endpoints.Worker) {
 	r.UpdateEndpoints(endpoints.Update{Snapshot: true, Workers: list})
 }
 
-// UpdateEndpoints takes an update of the endpoint list.
+// UpdateEndpoints applies an update of the endpoint list.
 func (r *Router) UpdateEndpoints(update endpoints.Update) {
 	r.post(func() { r.endpoints.Update(update) })
 }
 
-// EndpointListConfirmed records that the endpoint list, with the updates before, held all changes up to a time on the
-// router's clock. Once it has been called, the list is believed only as long as it is confirmed.
+// EndpointListConfirmed records that the endpoint list, with the updates passed so far, contains all changes up to a
+// time on the router's clock. After its first call, the dispatcher relies on the list only while it is confirmed
+// regularly.
 func (r *Router) EndpointListConfirmed(at time.Duration) {
 	r.post(func() {
 		r.listConfirmedAt = max(r.listConfirmedAt, at)
-		r.updateEndpoints() // the updates before come first
+		r.stepEndpoints() // the dispatcher must get the updates before the confirmation
 		r.events = append(r.events, dispatch.EndpointListConfirmed{At: at})
 	})
 }
 
-// EndpointListRequested records that the endpoint list is asked for again, after a failure or a start, at a time on the
-// router's clock.
+// EndpointListRequested records that the endpoint list is requested at a time on the router's clock, for the first time
+// or after a failed or interrupted request.
 func (r *Router) EndpointListRequested(at time.Duration) {
 	r.post(func() { r.events = append(r.events, dispatch.EndpointListAskedAgain{At: at}) })
 }
 
-// endpointListStateChanged logs whether the endpoint list is believed.
+// endpointListStateChanged records and logs whether the dispatcher considers the endpoint list current.
 func (r *Router) endpointListStateChanged(action dispatch.EndpointListStateChanged) {
 	r.stats.ListExpired = !action.Current
 	attributes := []any{"age_ms", action.Age.Milliseconds()}
-	if r.describeList != nil {
-		attributes = append(attributes, r.describeList()...)
+	if r.listAttributes != nil {
+		attributes = append(attributes, r.listAttributes()...)
 	}
 	if action.Current {
 		r.cfg.Logger.Info("endpoint list current again", attributes...)
@@ -47,41 +48,42 @@
 	r.cfg.Logger.Warn("endpoint list out of date, workers are checked before anything new is sent to them", attributes...)
 }
 
-// SetEndpointListAttributes sets what log lines about the endpoint list have in addition, as alternating keys and values. The loop
-// calls the function, which must not block.
-func (r *Router) SetEndpointListAttributes(describe func() []any) {
-	r.post(func() { r.describeList = describe })
+// SetEndpointListAttributes sets a function that returns additional attributes for log lines about the endpoint list,
+// as alternating keys and values. The loop calls the function, which must not block.
+func (r *Router) SetEndpointListAttributes(attributes func() []any) {
+	r.post(func() { r.listAttributes = attributes })
 }
 
-// WorkerDraining records a worker's own report that it drains.
+// WorkerDraining records that a worker itself has reported that it is draining.
 func (r *Router) WorkerDraining(worker string) {
-	r.post(func() { r.endpoints.WorkerDraining(r.now, worker) })
+	r.post(func() { r.endpoints.WorkerDraining(r.turnTime, worker) })
 }
 
-// WorkerConnectionLost records that a connection to a worker ended without this router's doing.
+// WorkerConnectionLost records the end of a connection to a worker that this router did not close.
 func (r *Router) WorkerConnectionLost(worker string) {
 	r.post(func() { r.events = append(r.events, dispatch.ConnectionLost{Worker: worker}) })
 }
 
-// updateEndpoints passes changes of the endpoint list to the upstream and the dispatcher, and starts the health checks of
-// draining workers that are due.
-func (r *Router) updateEndpoints() {
-	actions := r.endpoints.Step(r.now)
+// stepEndpoints passes changes of the merged endpoint list to the upstream and the dispatcher, and starts the due
+// health checks of draining workers.
+func (r *Router) stepEndpoints() {
+	actions := r.endpoints.Step(r.turnTime)
 	if actions.Update != nil {
-		r.useEndpoints(*actions.Update)
+		r.applyEndpointUpdate(*actions.Update)
 	}
 	for _, id := range actions.Check {
 		r.upstream.CheckHealth(id, r.cfg.HealthCheckTimeout, func(result HealthResult) {
 			r.post(func() {
 				r.logHealthCheck(id, result, false)
-				r.endpoints.HealthChecked(r.now, id, result.Result == dispatch.OK && result.Ready)
+				r.endpoints.HealthChecked(r.turnTime, id, result.Result == dispatch.OK && result.Ready)
 			})
 		})
 	}
 }
 
-// useEndpoints passes an update of the merged list to the upstream and the dispatcher, and forgets removed workers.
-func (r *Router) useEndpoints(update endpoints.Update) {
+// applyEndpointUpdate passes an update of the merged list to the upstream and the dispatcher, and deletes the state of
+// removed workers.
+func (r *Router) applyEndpointUpdate(update endpoints.Update) {
 	changed := make([]dispatch.Endpoint, 0, len(update.Workers))
 	for _, worker := range update.Workers {
 		changed = append(changed, worker.Endpoint)
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -10,10 +10,11 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// checkingDispatcher health-checks a worker at each update of the endpoint list, and passes on the events.
-type checkingDispatcher struct{ events chan dispatch.Event }
+// healthCheckDispatcher checks the health of worker "w" at each snapshot of the endpoint list, and sends all events to
+// a channel.
+type healthCheckDispatcher struct{ events chan dispatch.Event }
 
-func (d checkingDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
+func (d healthCheckDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
 		if update, ok := event.(dispatch.EndpointUpdate); ok && update.Snapshot {
 			actions = append(actions, dispatch.CheckHealth{Worker: "w", ForLease: true})
@@ -23,14 +24,14 @@
 	return actions
 }
 
-// newCheckingRouter starts a router whose one worker drains, with a checkingDispatcher.
-func newCheckingRouter(t *testing.T) (*Router, chan dispatch.Event) {
+// startHealthCheckRouter starts a router with a healthCheckDispatcher and one worker, "w", which is draining.
+func startHealthCheckRouter(t *testing.T) (*Router, chan dispatch.Event) {
 	t.Helper()
-	upstream := &fakeUpstream{drains: map[string]bool{"w": true}}
+	upstream := &fakeUpstream{draining: map[string]bool{"w": true}}
 	events := make(chan dispatch.Event, 64)
 	r, err := New(Config{
 		Endpoints:     endpoints.Settings{CheckInterval: time.Hour},
-		NewDispatcher: func(dispatch.Settings, uint64) (Dispatcher, error) { return checkingDispatcher{events}, nil },
+		NewDispatcher: func(dispatch.Settings, uint64) (Dispatcher, error) { return healthCheckDispatcher{events}, nil },
 	}, upstream)
 	if err != nil {
 		t.Fatal(err)
@@ -40,10 +41,10 @@
 	return r, events
 }
 
-// TestHealthCheckTellsOfDrain has a worker that the list has as active answer a health check as not ready. The dispatcher is
-// told, and the worker is kept as draining.
-func TestHealthCheckTellsOfDrain(t *testing.T) {
-	r, events := newCheckingRouter(t)
+// TestHealthCheckReportsDrain checks that a worker that is active in the list, but answers a health check as not ready,
+// is reported to the dispatcher as draining and treated as draining.
+func TestHealthCheckReportsDrain(t *testing.T) {
+	r, events := startHealthCheckRouter(t)
 	r.SetEndpoints([]endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}}})
 	testsupport.Await(t, events, "the list")
 	checked, ok := testsupport.Await(t, events, "the health check").(dispatch.HealthChecked)
@@ -59,9 +60,10 @@
 	}
 }
 
-// TestListIsConfirmedAfterItsUpdate checks that the dispatcher gets a confirmation behind the update that it covers.
+// TestListIsConfirmedAfterItsUpdate checks that the dispatcher gets a confirmation of the list after the update it
+// covers.
 func TestListIsConfirmedAfterItsUpdate(t *testing.T) {
-	r, events := newCheckingRouter(t)
+	r, events := startHealthCheckRouter(t)
 	r.post(func() { // both within one turn of the loop
 		r.UpdateEndpoints(endpoints.Update{Workers: []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}}}})
 		r.EndpointListConfirmed(r.Now())
@@ -71,9 +73,9 @@
 	}
 }
 
-// TestSendLimitIsMonotonic checks that the time limit of a send does not follow the wall clock.
+// TestSendLimitIsMonotonic checks that SendLimits.SendBefore is independent of the wall clock.
 func TestSendLimitIsMonotonic(t *testing.T) {
-	r, _ := newCheckingRouter(t)
+	r, _ := startHealthCheckRouter(t)
 	limit := r.timeAt(r.Now() + time.Second)
 	if !strings.Contains(limit.String(), " m=") {
 		t.Errorf("%v has no monotonic reading", limit)
--- a/internal/router/functions.go
+++ b/internal/router/functions.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// functionTTL is how long a function is remembered after its last call. It is longer than the dispatcher goes on to
-	// command loads of the function.
+	// functionTTL is how long a function is kept after its last call. It is longer than the period during which the
+	// dispatcher sends load commands for the function.
 	functionTTL = 3 * time.Minute
 
-	// minFunctionSweep is the number of functions below which a sweep isn't worth its time.
+	// minFunctionSweep is the number of functions below which no sweep is made, as it would free little memory.
 	minFunctionSweep = 1024
 )
 
-// calledFunctions are the functions that were called lately. Clients choose the names, so their number has no bound: each
-// time that it has doubled, those not called for functionTTL are removed.
-type calledFunctions struct {
+// recentFunctions holds the recently called functions. Clients choose the names, so their number is unbounded: each
+// time it has doubled, a sweep removes the functions not called for functionTTL.
+type recentFunctions struct {
 	lastCalled map[string]time.Duration
-	sweepAbove int // the number of functions above which they are swept
+	sweepAbove int // number of functions above which the next sweep is made
 }
 
-// recordCall records a call of a function, and sweeps the functions if there are too many.
-func (f *calledFunctions) recordCall(function string, now time.Duration) {
+// recordCall records a call of a function, and makes a sweep if there are too many functions.
+func (f *recentFunctions) recordCall(function string, now time.Duration) {
 	f.lastCalled[function] = now
 	if len(f.lastCalled) > f.sweepAbove {
 		maps.DeleteFunc(f.lastCalled, func(_ string, at time.Duration) bool { return now-at > functionTTL })
@@ -30,8 +30,8 @@
 	}
 }
 
-// contains reports whether the function was called lately.
-func (f *calledFunctions) contains(function string) bool {
+// contains reports whether the function was called recently.
+func (f *recentFunctions) contains(function string) bool {
 	_, ok := f.lastCalled[function]
 	return ok
 }
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -7,33 +7,33 @@
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
-// Gossip reports to other routers what this one suspects of workers, and takes it back. Only the loop calls its
-// methods, and they don't block.
+// Gossip reports this router's suspicions of workers to other routers, and withdraws them. Only the loop calls its
+// methods, which must not block.
 type Gossip interface {
 	ReportSuspicion(suspicion dispatch.ReportSuspicion)
 	ReportAlive(worker string)
 }
 
-// SetGossip sets where suspicions are reported from now on. The dispatcher returns them only with
-// dispatch.Settings.SuspicionsReported.
+// SetGossip sets the receiver of suspicions. The dispatcher returns suspicions only if
+// dispatch.Settings.SuspicionsReported is set.
 func (r *Router) SetGossip(reporter Gossip) { r.post(func() { r.gossip = reporter }) }
 
-// ApplyGossip passes what other routers reported to the dispatcher.
+// ApplyGossip passes reports of other routers to the dispatcher.
 func (r *Router) ApplyGossip(update dispatch.GossipUpdate) {
 	r.post(func() { r.events = append(r.events, update) })
 }
 
-// VerifyWorker checks whether a worker that other routers suspect is alive, and calls done from the loop. If the
-// worker gave a sign of life within maxAge, there is no health check, and done gets gossip.CheckSkipped. The dispatcher
-// isn't notified of the result, so that gossip can't improve what it holds of a worker.
-func (r *Router) VerifyWorker(worker string, maxAge, limit time.Duration, done func(gossip.CheckResult)) {
+// VerifyWorker checks whether a worker that other routers suspect is alive, and calls done from the loop. If there was
+// evidence within maxAge that the worker is alive, no health check is made and done gets gossip.CheckSkipped. The
+// result is not passed to the dispatcher, so that gossip can't improve its assessment of a worker.
+func (r *Router) VerifyWorker(worker string, maxAge, timeout time.Duration, done func(gossip.CheckResult)) {
 	r.post(func() {
-		if at, ok := r.lastAlive[worker]; ok && r.now-at < maxAge {
+		if at, ok := r.lastAlive[worker]; ok && r.turnTime-at < maxAge {
 			done(gossip.CheckSkipped)
 			return
 		}
 		r.stats.Verifications++
-		r.upstream.CheckHealth(worker, limit, func(result HealthResult) {
+		r.upstream.CheckHealth(worker, timeout, func(result HealthResult) {
 			r.post(func() {
 				r.recordAlive(worker, result.Result)
 				done(checkResultOf(result))
@@ -42,7 +42,7 @@
 	})
 }
 
-// checkResultOf returns what the result of a health check tells of the worker.
+// checkResultOf returns whether a health check found the worker alive or silent.
 func checkResultOf(result HealthResult) gossip.CheckResult {
 	if provesAlive(result.Result) {
 		return gossip.CheckFoundAlive
@@ -50,7 +50,7 @@
 	return gossip.CheckFoundSilent
 }
 
-// reportSuspicion reports a suspicion of the dispatcher to gossip.
+// reportSuspicion passes a suspicion of the dispatcher to gossip.
 func (r *Router) reportSuspicion(suspicion dispatch.ReportSuspicion) {
 	if r.gossip == nil {
 		return
@@ -61,26 +61,26 @@
 	r.gossip.ReportSuspicion(suspicion)
 }
 
-// recordAlive records a sign of life, if the result is one, and takes back the reported suspicion that the worker is
-// unresponsive. Without gossip nobody needs either.
+// recordAlive records that a worker is alive if the result proves it, and withdraws a reported suspicion that the
+// worker is unresponsive. Without gossip it does nothing, as nothing else uses the record.
 func (r *Router) recordAlive(worker string, result dispatch.Result) {
 	if r.gossip == nil || !provesAlive(result) {
 		return
 	}
-	r.lastAlive[worker] = r.now
+	r.lastAlive[worker] = r.turnTime
 	if r.reportedUnresponsive[worker] {
 		delete(r.reportedUnresponsive, worker)
 		r.gossip.ReportAlive(worker)
 	}
 }
 
-// provesAlive reports whether only a worker that is alive can have given the result.
+// provesAlive reports whether a result proves that the worker is alive.
 func provesAlive(result dispatch.Result) bool {
 	switch result {
 	case dispatch.OK, dispatch.Errored, dispatch.Rejected, dispatch.NotResident:
 		return true
 	case dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionReset, dispatch.Cancelled, dispatch.NotSent:
-		return false // the worker answered nothing
+		return false // no response from the worker
 	}
 	return false
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// epoch is what the router's clock shows at its start. It is large so that the start times of workers, which
-	// lie before it, are positive.
+	// epoch is the reading of the router's clock when the router starts. It is large so that the start times of
+	// workers, which are earlier, are positive.
 	epoch = 1000 * time.Hour
 
 	timerResolution = time.Millisecond
-	maxSleep        = time.Hour // of the loop, when no timer is set
+	maxSleep        = time.Hour // how long the loop sleeps if no timer is set
 )
 
 // Config configures a Router.
@@ -30,16 +30,16 @@
 	LoadTimeout        time.Duration
 	HealthCheckTimeout time.Duration
 	Endpoints          endpoints.Settings
-	NewDispatcher      func(dispatch.Settings, uint64) (Dispatcher, error) // nil: dispatch.New; baselines replace it
-	WallClock          wallclock.Clock                                     // nil: the system's
-	Logger             *slog.Logger                                        // nil: no log
+	NewDispatcher      func(dispatch.Settings, uint64) (Dispatcher, error) // nil means dispatch.New; baselines replace it
+	WallClock          wallclock.Clock                                     // nil means the system clock
+	Logger             *slog.Logger                                        // nil discards log lines
 
-	// Observer, unless nil, is called by the loop after each Step, before the actions are carried out.
+	// Observer, if not nil, is called by the loop after each Step, before the actions are executed.
 	Observer func(now time.Duration, events []dispatch.Event, actions []dispatch.Action)
 }
 
-// Dispatcher takes the decisions: a dispatch.Dispatcher, or a baseline behind the same events. Only the loop
-// calls it.
+// Dispatcher decides what the router does. It is a dispatch.Dispatcher, or a baseline policy that handles the same
+// events. Only the loop calls it.
 type Dispatcher interface {
 	Step(now time.Duration, events []dispatch.Event) []dispatch.Action
 }
@@ -48,44 +48,44 @@
 type Router struct {
 	cfg       Config
 	upstream  Upstream
-	startedAt time.Time      // by the monotonic clock
-	wallStart wallclock.Time // the same moment by the wall clock
-	debug     bool           // debug lines are logged for each attempt and load
+	startedAt time.Time      // start time with a monotonic reading
+	wallStart wallclock.Time // the same moment on the wall clock
+	debug     bool           // log each attempt and load at debug level
 
 	mu      sync.Mutex
-	queue   []func()      // work for the loop, in the order in which it was posted
-	stopped bool          // the loop takes no more work
-	wakeUp  chan struct{} // signals, with a buffer of one, that the queue is no longer empty
+	queue   []func()      // work for the loop, in the order of posting
+	stopped bool          // the loop accepts no more work
+	wakeUp  chan struct{} // has a buffer of one; signals that the queue is no longer empty
 
-	loopEnded chan struct{} // closed when the loop has returned
+	loopEnded chan struct{} // closed when the loop returns
 
-	// The fields below belong to the loop; others may read them once loopEnded is closed.
+	// The loop owns the fields below. Other goroutines may read them once loopEnded is closed.
 
-	now             time.Duration // on the router's clock, as of this turn of the loop
+	turnTime        time.Duration // the router's clock as read at the start of this turn of the loop
 	dispatcher      Dispatcher
 	events          []dispatch.Event // for the next Step
-	dispatcherTimer time.Duration    // when the dispatcher gets a TimerFired; 0: no timer is set
+	dispatcherTimer time.Duration    // when the dispatcher gets a TimerFired; 0 means no timer is set
 	timers          *timingwheel.Wheel
 	calls           map[dispatch.RequestID]*activeCall
 	lastCallID      dispatch.RequestID
-	functions       calledFunctions
+	functions       recentFunctions
 	endpoints       *endpoints.Merger
-	describeList    func() []any  // attributes of the endpoint list for log lines; nil: none
-	listConfirmedAt time.Duration // the endpoint list held all changes up to then; 0: not reported
+	listAttributes  func() []any  // returns attributes for log lines about the endpoint list; nil means none
+	listConfirmedAt time.Duration // the endpoint list contains all changes up to this time; 0 means never confirmed
 	stats           Stats
 
-	stopWhenIdle     bool          // the loop ends once no call is left
-	stopLimitReached bool          // the loop ends after this turn
-	unanswered       int           // calls without a final answer of the dispatcher when the loop was stopped
-	killed           bool          // the loop ends at once
-	shutdownDeadline time.Duration // when every call must have its answer; 0: the router isn't shutting down
+	stopWhenIdle     bool          // the loop ends once no call is in flight
+	stopTimedOut     bool          // the timeout of Stop has passed; the loop ends after this turn
+	unanswered       int           // calls that the dispatcher had not answered when the loop was stopped
+	killed           bool          // the loop ends immediately
+	shutdownDeadline time.Duration // when every call must have its answer; 0 means the router isn't shutting down
 
-	gossip               Gossip                   // nil: no gossip; the two fields below are then not maintained
-	lastAlive            map[string]time.Duration // by worker: when it last gave a sign of life
-	reportedUnresponsive map[string]bool          // workers reported to gossip as unresponsive, and not as alive since
+	gossip               Gossip                   // nil means no gossip; the two fields below are then not maintained
+	lastAlive            map[string]time.Duration // time of the last evidence that a worker is alive, by worker
+	reportedUnresponsive map[string]bool          // reported to gossip as unresponsive, and not yet as alive again; by worker
 }
 
-// New starts a router's loop. The caller ends it by Stop or Kill. The error is that of cfg.NewDispatcher.
+// New starts a router's loop. The caller must end it by Stop or Kill. The error is that of cfg.NewDispatcher.
 func New(cfg Config, upstream Upstream) (*Router, error) {
 	if cfg.NewDispatcher == nil {
 		cfg.NewDispatcher = func(s dispatch.Settings, seed uint64) (Dispatcher, error) { return dispatch.New(s, seed) }
@@ -111,7 +111,7 @@
 		dispatcher:           dispatcher,
 		timers:               timingwheel.New(timerResolution, epoch),
 		calls:                map[dispatch.RequestID]*activeCall{},
-		functions:            calledFunctions{lastCalled: map[string]time.Duration{}},
+		functions:            recentFunctions{lastCalled: map[string]time.Duration{}},
 		endpoints:            endpoints.New(cfg.Endpoints),
 		lastAlive:            map[string]time.Duration{},
 		reportedUnresponsive: map[string]bool{},
@@ -123,15 +123,15 @@
 // Now returns the time on the router's clock.
 func (r *Router) Now() time.Duration { return epoch + time.Since(r.startedAt) }
 
-// FromWallTime converts a wall time to the router's clock, as if the wall clock had not been set since the router's start. The result
-// is wrong by as much as the wall clock was wrong at that moment; endpoints.StartTimes corrects impossible results. A time
-// before the clock's zero becomes 0, which stands for long ago.
+// FromWallTime converts a wall time to the router's clock, assuming that the wall clock has not been set since the
+// router started. Any error of the wall clock at that moment carries over to the result; endpoints.StartTimes corrects
+// impossible results. A time before the zero of the router's clock becomes 0, which stands for long ago.
 func (r *Router) FromWallTime(moment wallclock.Time) time.Duration {
 	sinceStart := min(moment.Sub(r.wallStart), math.MaxInt64-epoch)
 	return max(epoch+sinceStart, 0)
 }
 
-// timeAt converts a time on the router's clock. 0 becomes the zero time.
+// timeAt converts a time on the router's clock to a time.Time. 0 becomes the zero time.Time.
 func (r *Router) timeAt(at time.Duration) time.Time {
 	if at == 0 {
 		return time.Time{}
@@ -139,7 +139,7 @@
 	return r.startedAt.Add(at - epoch)
 }
 
-// post queues f to be run by the loop. It reports whether the loop still takes work; if not, f is never run.
+// post queues f for the loop. It returns false if the loop accepts no more work; f is then never run.
 func (r *Router) post(f func()) bool {
 	r.mu.Lock()
 	if r.stopped {
@@ -158,8 +158,8 @@
 	return true
 }
 
-// loop is the goroutine that owns the router's state. Each turn runs the queued work and the timers that are due, then the
-// dispatcher. It returns when the router has stopped or was killed.
+// loop is the goroutine that owns the router's state. Each turn runs the queued work and the due timers, then the
+// dispatcher. It returns when the router is stopped or killed.
 func (r *Router) loop() {
 	defer close(r.loopEnded)
 	timer := time.NewTimer(0)
@@ -171,7 +171,7 @@
 		case <-timer.C:
 		}
 		batch = r.takeQueue(batch[:0])
-		r.now = max(r.now, r.Now())
+		r.turnTime = max(r.turnTime, r.Now())
 		for _, f := range batch {
 			f()
 		}
@@ -181,9 +181,9 @@
 			return
 		}
 		r.fireTimers()
-		r.updateEndpoints()
+		r.stepEndpoints()
 		r.step()
-		if r.stopLimitReached {
+		if r.stopTimedOut {
 			r.answerRemaining()
 			return
 		}
@@ -194,8 +194,8 @@
 	}
 }
 
-// takeQueue returns the queued work. empty, a slice of length 0, becomes the new queue: the two slices of the loop alternate,
-// so that no turn allocates.
+// takeQueue returns the queued work and makes empty, a slice of length 0, the new queue. The loop alternates between
+// two slices, so that no turn allocates.
 func (r *Router) takeQueue(empty []func()) []func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,22 +204,22 @@
 	return batch
 }
 
-// fireTimers runs the attempts' timers that are due and queues the dispatcher's timer event if it is due.
+// fireTimers runs the due timers of attempts and queues a TimerFired event if the dispatcher's timer is due.
 func (r *Router) fireTimers() {
-	r.timers.Advance(r.now, func(t *timingwheel.Timer) {
+	r.timers.Advance(r.turnTime, func(t *timingwheel.Timer) {
 		if f, ok := t.Value.(func()); ok {
 			f()
 		}
 	})
-	if r.dispatcherTimer > 0 && r.now >= r.dispatcherTimer {
+	if r.dispatcherTimer > 0 && r.turnTime >= r.dispatcherTimer {
 		r.dispatcherTimer = 0
 		r.events = append(r.events, dispatch.TimerFired{})
 	}
 }
 
-// sleepDuration returns how long it is until the next timer or health check is due.
+// sleepDuration returns the time until the next timer or health check is due.
 func (r *Router) sleepDuration() time.Duration {
-	next := r.now + maxSleep
+	next := r.turnTime + maxSleep
 	if at, ok := r.timers.Next(); ok {
 		next = min(next, at)
 	}
@@ -232,14 +232,14 @@
 	return max(next-r.Now(), 0)
 }
 
-// step passes the events to the dispatcher and carries out its actions, until these cause no further event.
+// step passes the events to the dispatcher and executes its actions, until the actions cause no further event.
 func (r *Router) step() {
 	for len(r.events) > 0 {
 		events := r.events
 		r.events = nil
-		actions := r.dispatcher.Step(r.now, events)
+		actions := r.dispatcher.Step(r.turnTime, events)
 		if r.cfg.Observer != nil {
-			r.cfg.Observer(r.now, events, actions)
+			r.cfg.Observer(r.turnTime, events, actions)
 		}
 		for _, action := range actions {
 			r.execute(action)
@@ -247,7 +247,7 @@
 	}
 }
 
-// execute carries out one action of the dispatcher.
+// execute executes one action of the dispatcher.
 func (r *Router) execute(action dispatch.Action) {
 	switch action := action.(type) {
 	case dispatch.StartAttempt:
@@ -265,11 +265,11 @@
 	case dispatch.EndpointListStateChanged:
 		r.endpointListStateChanged(action)
 	case dispatch.SetTimer:
-		r.dispatcherTimer = r.now + action.After
+		r.dispatcherTimer = r.turnTime + action.After
 	case dispatch.ReportSuspicion:
 		r.reportSuspicion(action)
 	case dispatch.LogNote:
 		r.cfg.Logger.Info("dispatcher note", "note", action.Text)
-	case dispatch.SubscribeEndpoints: // every router gets the endpoint list without subscribing
+	case dispatch.SubscribeEndpoints: // nothing to do: every router receives the endpoint list without subscribing
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,12 +18,12 @@
 
 var testWorkers = []string{"a", "b", "c", "d"}
 
-// fakeUpstream is an upstream whose workers answer at once, unless they are dead.
+// fakeUpstream is an upstream whose workers answer immediately, unless they are dead.
 type fakeUpstream struct {
-	router *Router
-	mu     sync.Mutex
-	dead   map[string]bool
-	drains map[string]bool // workers that answer health checks as not ready
+	router   *Router
+	mu       sync.Mutex
+	dead     map[string]bool
+	draining map[string]bool // workers that answer health checks as not ready
 }
 
 func (u *fakeUpstream) setDead(workers ...string) {
@@ -60,20 +60,20 @@
 		result = dispatch.TimedOut
 	}
 	u.mu.Lock()
-	ready := !u.drains[worker]
+	ready := !u.draining[worker]
 	u.mu.Unlock()
 	done(HealthResult{Result: result, Ready: ready, Report: NoWorkerReport})
 }
 
 func (u *fakeUpstream) UpdateEndpoints([]endpoints.Worker) {}
 
-// endedAttempt is the handle of an attempt that has ended already.
+// endedAttempt is the handle of an attempt that has already ended.
 type endedAttempt struct{}
 
 func (endedAttempt) ForwardTo(Client) {}
 func (endedAttempt) Cancel()          {}
 
-// answerChannel is a client that passes on its final answer.
+// answerChannel is a client that sends its final answer to the channel.
 type answerChannel chan FinalAnswer
 
 func (c answerChannel) Start(any)                           {}
@@ -87,7 +87,7 @@
 	<-c
 }
 
-// recordingGossip is a Gossip that records what is reported to it.
+// recordingGossip is a Gossip that records the reports.
 type recordingGossip struct {
 	mu         sync.Mutex
 	suspicions []dispatch.ReportSuspicion
@@ -106,7 +106,7 @@
 	g.alive = append(g.alive, worker)
 }
 
-// startRouter starts a router with testWorkers, and stops it at the end of the test.
+// startRouter starts a router with testWorkers, and kills it at the end of the test.
 func startRouter(t testing.TB, withGossip bool) (*Router, *fakeUpstream, *recordingGossip) {
 	t.Helper()
 	upstream := &fakeUpstream{}
@@ -145,9 +145,9 @@
 	return <-checked
 }
 
-// TestSuspicionsAreReportedAndTakenBack: what the dispatcher suspects of a worker is reported to gossip, and a sign of
-// life takes it back.
-func TestSuspicionsAreReportedAndTakenBack(t *testing.T) {
+// TestSuspicionsAreReportedAndWithdrawn checks that the dispatcher's suspicion of a worker is reported to gossip, and
+// withdrawn when the worker proves to be alive.
+func TestSuspicionsAreReportedAndWithdrawn(t *testing.T) {
 	r, upstream, reporter := startRouter(t, true)
 	client := make(answerChannel, 1)
 	client.call(r)
@@ -155,7 +155,7 @@
 	for range 3 {
 		client.call(r)
 	}
-	r.Stats() // by its return the loop has reported the suspicions
+	r.Stats() // once it returns, the loop has reported the suspicions
 	reporter.mu.Lock()
 	if len(reporter.suspicions) == 0 || len(reporter.alive) > 0 {
 		t.Fatalf("suspicions %v, reported alive %v; want a suspicion and nothing alive", reporter.suspicions, reporter.alive)
@@ -175,7 +175,8 @@
 	}
 }
 
-// TestVerifyWorker: a worker that gave a sign of life lately isn't checked, and one that doesn't answer isn't alive.
+// TestVerifyWorker checks that a worker recently found alive isn't checked again, and that an unanswered check finds
+// the worker silent.
 func TestVerifyWorker(t *testing.T) {
 	r, upstream, _ := startRouter(t, true)
 	make(answerChannel, 1).call(r)
@@ -186,7 +187,7 @@
 		}
 	}
 	if skipped != 1 {
-		t.Errorf("one call was a sign of life of %d of 4 workers, want 1", skipped)
+		t.Errorf("one call proved %d of 4 workers alive, want 1", skipped)
 	}
 	upstream.setDead("a")
 	if got, want := verify(r, "a", 0), gossip.CheckFoundSilent; got != want {
@@ -194,7 +195,7 @@
 	}
 }
 
-// BenchmarkCall measures a call's way through the loop, with an upstream that answers at once.
+// BenchmarkCall measures a call's processing by the loop, with an upstream that answers immediately.
 func BenchmarkCall(b *testing.B) {
 	for name, withGossip := range map[string]bool{"alone": false, "gossip": true} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -9,14 +9,15 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// stopLimit is far beyond what a Stop takes that doesn't run into its limit.
-const stopLimit = 20 * time.Second
+// stopTimeout is far longer than Stop takes if it doesn't time out.
+const stopTimeout = 20 * time.Second
 
-// TestWorkThatCrossesTheEndOfTheLoop posts work in the last turn of a loop that is to stop: work that posts more as it
-// runs. All of it is run, a call gets its answer, and the loop ends.
-func TestWorkThatCrossesTheEndOfTheLoop(t *testing.T) {
+// TestWorkPostedInLastTurn posts work, which posts further work, in the turn in which the loop is about to stop. It
+// guards against work that is accepted but never run: all work must run, each call must be answered, and the loop must
+// end.
+func TestWorkPostedInLastTurn(t *testing.T) {
 	for name, test := range map[string]struct {
-		cross      func(r *Router, call *Call)
+		postWork   func(r *Router, call *Call)
 		wantAnswer bool
 	}{
 		"a call": {func(r *Router, call *Call) { r.Submit(call) }, true},
@@ -39,14 +40,14 @@
 			refused := false
 			r.post(func() {
 				r.stopWhenIdle = true
-				test.cross(r, call)
+				test.postWork(r, call)
 				r.post(func() { refused = !r.post(func() {}) })
 			})
-			if unanswered := r.Stop(stopLimit); unanswered != 0 {
+			if unanswered := r.Stop(stopTimeout); unanswered != 0 {
 				t.Errorf("%d calls without an answer", unanswered)
 			}
 			if refused {
-				t.Error("a loop that went on refused work")
+				t.Error("the running loop refused work")
 			}
 			if test.wantAnswer {
 				testsupport.Await(t, client, "the answer")
@@ -79,9 +80,9 @@
 	return actions
 }
 
-// TestStopAnswersWhatTheDispatcherLeft: at the limit of Stop every call that was accepted gets its final answer, though
-// the dispatcher gives none and workers hang: one that was tried fails, any other is rejected.
-func TestStopAnswersWhatTheDispatcherLeft(t *testing.T) {
+// TestStopAnswersRemainingCalls checks that every accepted call has its final answer after the timeout of Stop,
+// although the dispatcher gives none and the workers hang: a call with an attempt fails, any other is rejected.
+func TestStopAnswersRemainingCalls(t *testing.T) {
 	newDispatcher := func(dispatch.Settings, uint64) (Dispatcher, error) { return silentDispatcher{}, nil }
 	r, err := New(Config{NewDispatcher: newDispatcher}, hungUpstream{})
 	if err != nil {
@@ -97,12 +98,12 @@
 	}
 	want := map[FinalKind]answerChannel{FinalFailed: submit(testFunction), FinalRejected: submit("never tried")}
 	var last answerChannel
-	r.post(func() { // the call comes in the loop's last turn
-		r.stopLimitReached = true
+	r.post(func() { // the call is submitted in the loop's last turn
+		r.stopTimedOut = true
 		last = submit(testFunction)
 	})
-	if unanswered := r.Stop(stopLimit); unanswered != 3 {
-		t.Errorf("%d calls without an answer of the dispatcher, want 3", unanswered)
+	if unanswered := r.Stop(stopTimeout); unanswered != 3 {
+		t.Errorf("%d calls not answered by the dispatcher, want 3", unanswered)
 	}
 	for kind, client := range want {
 		if answer := testsupport.Await(t, client, "an answer"); answer.Kind != kind {
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestStatsEndsWithTheLoop kills a router while Stats waits for the loop's turn.
-func TestStatsEndsWithTheLoop(t *testing.T) {
+// TestStatsReturnsAfterKill kills a router while Stats waits for the loop. Stats must return nonetheless.
+func TestStatsReturnsAfterKill(t *testing.T) {
 	r, _, _ := startRouter(t, false)
 	stats := make(chan Stats, 1)
 	r.post(func() {
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -6,39 +6,39 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// Stats are counters since the router's start, and gauges of calls and attempts now. As JSON they are "router.status" of
-// the admin API, whose keys the struct tags keep.
+// Stats holds counters since the router's start, and gauges of the current state. Its JSON form is the response of
+// "router.status" in the admin API.
 type Stats struct {
 	Calls         uint64 `json:"Calls"`
 	Served        uint64 `json:"Served"`
 	Rejected      uint64 `json:"Refused"`
 	Failed        uint64 `json:"Failed"`
-	Cancelled     uint64 `json:"Dropped"` // by their clients
+	Cancelled     uint64 `json:"Dropped"` // by clients
 	Attempts      uint64 `json:"Attempts"`
 	Loads         uint64 `json:"Orders"`
 	HealthChecks  uint64 `json:"Probes"`
-	Verifications uint64 `json:"Looks"` // health checks that gossip requested
+	Verifications uint64 `json:"Looks"` // health checks requested by gossip
 
-	CallsInFlight    int           `json:"Open"` // calls under way
+	CallsInFlight    int           `json:"Open"` // calls of which the answer or an attempt is pending
 	AttemptsInFlight int           `json:"Out"`
-	ServedDuration   time.Duration `json:"Took"` // sum over the served attempts, as reported to the dispatcher
+	ServedDuration   time.Duration `json:"Took"` // total duration of the attempts that ended with OK
 
 	Causes Causes `json:"-"`
 
-	LeaseChecks    uint64        `json:"LeaseChecks"`    // health checks because the endpoint list was out of date
-	DrainsReported uint64        `json:"DrainsReported"` // health checks answered by a worker that drains
+	LeaseChecks    uint64        `json:"LeaseChecks"`    // health checks made because the endpoint list was out of date
+	DrainsReported uint64        `json:"DrainsReported"` // health checks answered by a draining worker
 	ListExpired    bool          `json:"ListExpired"`    // the endpoint list is out of date
-	ListAge        time.Duration `json:"ListAge"`        // since it was last confirmed; 0: that is not reported
+	ListAge        time.Duration `json:"ListAge"`        // time since the list was last confirmed; 0 if it never was
 }
 
-// Causes count why the dispatcher decided something.
+// Causes counts the causes of the dispatcher's decisions.
 type Causes struct {
 	Ends    [dispatch.EndCauseCount]uint64  // rejections and failures, by dispatch.EndCause
-	Retries [dispatch.ResultCount]uint64    // retries, by the dispatch.Result of the attempt before
+	Retries [dispatch.ResultCount]uint64    // retries, by the dispatch.Result of the previous attempt
 	Loads   [dispatch.LoadCauseCount]uint64 // load commands, by dispatch.LoadCause
 }
 
-// Attributes returns the causes that occurred, as alternating keys and counts of a log line.
+// Attributes returns the causes with a count above 0, as alternating keys and counts for a log line.
 func (c *Causes) Attributes() (attributes []any) {
 	add := func(key string, count uint64) {
 		if count > 0 {
@@ -57,7 +57,7 @@
 	return attributes
 }
 
-// Stats returns the router's statistics. CallsInFlight is 0 once the router has ended, also after Kill.
+// Stats returns the router's statistics. CallsInFlight is 0 once the loop has ended, also after Kill.
 func (r *Router) Stats() Stats {
 	reply := make(chan Stats, 1)
 	r.post(func() {
@@ -71,7 +71,7 @@
 	select {
 	case stats := <-reply:
 		return stats
-	case <-r.loopEnded: // it may have ended without running the posted work
+	case <-r.loopEnded: // the loop may have ended without running the posted work
 		return r.stats
 	}
 }
--- a/internal/router/stats_test.go
+++ b/internal/router/stats_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestStatsJSON holds the keys that operators read from "router.status".
+// TestStatsJSON checks the JSON keys of "router.status", which operators use.
 func TestStatsJSON(t *testing.T) {
 	stats := Stats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12 * time.Nanosecond, Causes{}, 13, 14, true, 15 * time.Nanosecond}
 	const want = `{"Calls":1,"Served":2,"Refused":3,"Failed":4,"Dropped":5,"Attempts":6,"Orders":7,"Probes":8,"Looks":9,` +
--- a/internal/router/submit_test.go
+++ b/internal/router/submit_test.go
@@ -7,10 +7,10 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// requestRecorder is a Dispatcher that records the time left of each request, and decides nothing.
-type requestRecorder chan time.Duration
+// deadlineRecorder is a Dispatcher that records the remaining deadline of each request and returns no actions.
+type deadlineRecorder chan time.Duration
 
-func (d requestRecorder) Step(_ time.Duration, events []dispatch.Event) []dispatch.Action {
+func (d deadlineRecorder) Step(_ time.Duration, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
 		if request, ok := event.(dispatch.Request); ok {
 			d <- request.RemainingDeadline
@@ -19,10 +19,10 @@
 	return nil
 }
 
-// TestDeadlineCountsFromMeasurement: the time between the measurement of what the client has left and the submission has
-// passed for the dispatcher too.
+// TestDeadlineCountsFromMeasurement checks that the time between Call.MeasuredAt and Submit is deducted from the
+// remaining deadline that the dispatcher gets.
 func TestDeadlineCountsFromMeasurement(t *testing.T) {
-	recorder := make(requestRecorder, 1)
+	recorder := make(deadlineRecorder, 1)
 	newDispatcher := func(dispatch.Settings, uint64) (Dispatcher, error) { return recorder, nil }
 	r, err := New(Config{NewDispatcher: newDispatcher}, &fakeUpstream{})
 	if err != nil {
@@ -33,6 +33,6 @@
 	r.Submit(&Call{Function: testFunction, Class: testClass, RemainingDeadline: testDeadline,
 		MeasuredAt: time.Now().Add(-passed), Client: answerChannel(nil)})
 	if got := <-recorder; got > testDeadline-passed {
-		t.Errorf("%v left of %v, of which %v have passed", got, testDeadline, passed)
+		t.Errorf("remaining deadline %v of %v, measured %v earlier", got, testDeadline, passed)
 	}
 }
--- a/internal/router/waits_test.go
+++ b/internal/router/waits_test.go
@@ -9,8 +9,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestCallEndsAtItsDeadline: a call has its final answer though no worker is known, or workers hang and attempts can't be
-// cancelled.
+// TestCallEndsAtItsDeadline checks that a call gets its final answer at its deadline although no worker is known, or
+// the workers hang and attempts can't be cancelled.
 func TestCallEndsAtItsDeadline(t *testing.T) {
 	const deadline = 100 * time.Millisecond
 	settings := dispatch.Settings{Routers: 1, MaxAttempts: 2, WorkersLoadOnMiss: true, Classes: []dispatch.Class{
@@ -57,7 +57,7 @@
 	a.router.AttemptEnded(a.token, AttemptResult{Result: dispatch.Cancelled, Report: NoWorkerReport})
 }
 
-// timeoutDispatcher starts an attempt with a time-out of each call, and reports how it ended.
+// timeoutDispatcher starts an attempt with a timeout for each call, and sends the end of each attempt to a channel.
 type timeoutDispatcher struct {
 	timeout time.Duration
 	ended   chan dispatch.AttemptEnded
@@ -76,8 +76,8 @@
 	return actions
 }
 
-// TestAttemptEndsAtItsTimeout: an attempt at a worker that hangs is cancelled by the loop's own timer, at the time-out that
-// the dispatcher gave or at the call's deadline, and ends once, as TimedOut.
+// TestAttemptEndsAtItsTimeout checks that the loop's timer cancels an attempt at a hung worker, at the timeout set by
+// the dispatcher or at the call's deadline, and that the attempt ends once, as TimedOut.
 func TestAttemptEndsAtItsTimeout(t *testing.T) {
 	for name, test := range map[string]struct{ timeout, deadline time.Duration }{
 		"time-out of the attempt": {20 * time.Millisecond, time.Hour},
@@ -98,7 +98,7 @@
 				t.Errorf("the attempt ended as %v, want %v", ended.Result, dispatch.TimedOut)
 			}
 			testsupport.Await(t, client, "the final answer")
-			if unanswered := r.Stop(stopLimit); unanswered != 0 || len(dispatcher.ended) != 0 {
+			if unanswered := r.Stop(stopTimeout); unanswered != 0 || len(dispatcher.ended) != 0 {
 				t.Errorf("%d calls unanswered, %d further ends of the attempt", unanswered, len(dispatcher.ended))
 			}
 		})
--- a/internal/router/workers.go
+++ b/internal/router/workers.go
@@ -2,9 +2,10 @@
 
 import "github.com/topazfront/topazfront/dispatch"
 
-// loadFunction sends a load command to a worker. It ends as NotSent at once if nobody has called the function lately.
+// loadFunction sends a load command to a worker. If the function has not been called recently, the command ends
+// immediately as NotSent.
 func (r *Router) loadFunction(action dispatch.LoadFunction) {
-	startedAt := r.now
+	startedAt := r.turnTime
 	if !r.functions.contains(action.Function) {
 		r.events = append(r.events, dispatch.FunctionLoaded{
 			Worker:   action.Worker,
@@ -27,18 +28,18 @@
 				Worker:   action.Worker,
 				Function: action.Function,
 				Result:   result.Result,
-				Duration: r.now - startedAt,
+				Duration: r.turnTime - startedAt,
 				Copies:   result.Copies,
 			})
 		})
 	})
 }
 
-// checkHealth checks a worker's health for the dispatcher. A worker that answers that it takes nothing new is kept as
+// checkHealth checks a worker's health for the dispatcher. A worker that answers that it is not ready is treated as
 // draining until it is ready again.
 func (r *Router) checkHealth(action dispatch.CheckHealth) {
 	worker := action.Worker
-	startedAt := r.now
+	startedAt := r.turnTime
 	r.stats.HealthChecks++
 	if action.ForLease {
 		r.stats.LeaseChecks++
@@ -50,13 +51,13 @@
 			draining := result.Result == dispatch.OK && !result.Ready
 			if draining {
 				r.stats.DrainsReported++
-				r.endpoints.WorkerDraining(r.now, worker)
+				r.endpoints.WorkerDraining(r.turnTime, worker)
 			}
 			r.events = append(r.events, dispatch.HealthChecked{
 				Worker:     worker,
 				Result:     result.Result,
 				Draining:   draining,
-				Duration:   r.now - startedAt,
+				Duration:   r.turnTime - startedAt,
 				LoadReport: result.Report.LoadReport,
 			})
 		})
--- a/internal/timingwheel/golden_test.go
+++ b/internal/timingwheel/golden_test.go
@@ -22,22 +22,22 @@
 		for i := range timers {
 			timers[i].Value = i
 		}
-		drawSpan := func() time.Duration {
+		randomDuration := func() time.Duration {
 			return time.Duration(rng.ExpFloat64() * float64(time.Millisecond) * float64(int64(1)<<rng.IntN(28)))
 		}
 		for range 1000 {
 			timer := &timers[rng.IntN(len(timers))]
 			switch rng.IntN(5) {
 			case 0, 1, 2:
-				w.Add(timer, now+drawSpan()-time.Second)
+				w.Add(timer, now+randomDuration()-time.Second)
 			case 3:
 				w.Remove(timer)
 			default:
-				now += drawSpan() / 64
+				now += randomDuration() / 64
 				w.Advance(now, func(due *Timer) {
 					sum.Write(fmt.Appendln(nil, "due", due.Value))
 					if rng.IntN(4) == 0 {
-						w.Add(due, now+drawSpan())
+						w.Add(due, now+randomDuration())
 						w.Remove(&timers[rng.IntN(len(timers))])
 					}
 				})
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestAgainstPlainList applies the same random operations to a wheel and to a plain list of timers.
-func TestAgainstPlainList(t *testing.T) {
+// TestWheelMatchesPlainList applies the same random operations to a wheel and to a plain list of timers.
+func TestWheelMatchesPlainList(t *testing.T) {
 	for seed := range uint64(6) {
 		m := newModel(t, seed)
 		for range 3000 {
@@ -36,11 +36,11 @@
 	rng   *rand.Rand
 	now   time.Duration
 	wheel *Wheel
-	want  []entry
+	want  []expectedTimer
 }
 
-// entry is a timer and the time that it was added for.
-type entry struct {
+// expectedTimer is a timer and the time that it was added for.
+type expectedTimer struct {
 	timer *Timer
 	at    time.Duration
 }
@@ -52,14 +52,14 @@
 	return &model{t: t, seed: seed, rng: rng, now: now, wheel: New(time.Millisecond, now)}
 }
 
-// drawSpan draws a duration whose scale is itself drawn, up to 2^(scales-1) seconds.
-func (m *model) drawSpan(scales int) time.Duration {
+// randomDuration draws a duration whose scale is itself drawn, up to 2^(scales-1) seconds.
+func (m *model) randomDuration(scales int) time.Duration {
 	return time.Duration(m.rng.ExpFloat64() * float64(time.Second) * float64(int64(1)<<m.rng.IntN(scales)))
 }
 
 // add adds a timer.
 func (m *model) add() {
-	e := entry{&Timer{}, m.now + m.drawSpan(18)}
+	e := expectedTimer{&Timer{}, m.now + m.randomDuration(18)}
 	m.wheel.Add(e.timer, e.at)
 	m.want = append(m.want, e)
 }
@@ -94,10 +94,10 @@
 // advance moves the time on and fails where the timers that come due are not the expected ones.
 func (m *model) advance() {
 	m.t.Helper()
-	m.now += m.drawSpan(12)
+	m.now += m.randomDuration(12)
 	got := map[*Timer]bool{}
 	m.wheel.Advance(m.now, func(timer *Timer) { got[timer] = true })
-	m.want = slices.DeleteFunc(m.want, func(e entry) bool {
+	m.want = slices.DeleteFunc(m.want, func(e expectedTimer) bool {
 		due := (e.at+time.Millisecond-1)/time.Millisecond <= m.now/time.Millisecond
 		if due != got[e.timer] {
 			m.t.Fatalf("seed %d at %v: timer at %v due %v, came due %v", m.seed, m.now, e.at, due, got[e.timer])
