--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -11,11 +11,11 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// Bounds of a response beside its body.
+// Limits of a response, besides Config.MaxResponseBytes.
 const (
 	maxHeadBytes    = 8 << 10
 	maxHeaderFields = 64
-	maxPendingBytes = 1 << 10 // received beyond the response that is being read
+	maxPendingBytes = 1 << 10 // bytes received beyond the response that is being read
 )
 
 var (
@@ -28,22 +28,23 @@
 type connection struct {
 	address string
 	conn    netpoll.Connection
-	reader  *http1.Reader // used by netpoll's callbacks for the connection only
+	reader  *http1.Reader // used only by netpoll's callbacks for the connection
 
 	mu       sync.Mutex
-	closeErr error           // set once closed
-	notify   chan<- struct{} // gets a signal for each result; nil: no signals
+	closeErr error           // not nil once the connection is closed
+	notify   chan<- struct{} // receives a signal for each result; nil means no signals
 
-	query   pollQuery       // of the pending or last request; used by the Watcher's goroutine
-	results chan pollResult // holds the result of the pending request, once it has one
+	query   pollQuery       // query of the pending or last request; used only by the Watcher's goroutine
+	results chan pollResult // has a buffer of one, for the result of the pending request
 }
 
-// pollResult is a response, or the reason why there is none.
+// pollResult is a response, or the error if there is none.
 type pollResult struct {
 	message *http1.Message
 	err     error
 }
 
+// dial establishes a connection.
 func dial(address string, cfg Config) (*connection, error) {
 	conn, err := netpoll.NewDialer().DialConnection("tcp", address, cfg.ConnectTimeout)
 	if err != nil {
@@ -59,13 +60,13 @@
 	_ = conn.SetWriteTimeout(cfg.ConnectTimeout)
 	_ = conn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.onReadable(); return nil })
 	_ = conn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
-	if !conn.IsActive() { // it was closed before the callback was set
+	if !conn.IsActive() { // the connection was closed before the callback was set
 		c.onClosed()
 	}
 	return c, nil
 }
 
-// send writes a request. Its response arrives in results.
+// send writes a request. Its result is sent to results.
 func (c *connection) send(request []byte) error {
 	if _, err := c.conn.Write(request); err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// onReadable parses the bytes that have arrived and delivers complete responses. A panic closes this connection only.
+// onReadable parses the received bytes and delivers complete responses. A panic closes only this connection.
 func (c *connection) onReadable() {
 	defer func() {
 		if v := recover(); v != nil {
@@ -101,8 +102,8 @@
 	}
 }
 
-// onClosed handles the peer's close, which also ends a response without a length. If the close cuts such a response off,
-// its body is not valid JSON and is rejected later.
+// onClosed handles the close by the peer, which also ends a response without Content-Length. If such a response is
+// truncated, its body is not valid JSON and is rejected later.
 func (c *connection) onClosed() {
 	if message := c.reader.End(); message != nil {
 		c.deliver(pollResult{message: message})
@@ -110,8 +111,8 @@
 	c.close(errConnectionClosed)
 }
 
-// deliver puts a result into results, and signals it if notifyResult was called. It doesn't block: a result is dropped if
-// the one before has not been taken.
+// deliver sends a result to results, and signals it if notifyResult was called. It doesn't block: the result is dropped
+// if the previous one has not been received.
 func (c *connection) deliver(result pollResult) {
 	select {
 	case c.results <- result:
@@ -123,7 +124,8 @@
 	signal(notify)
 }
 
-// notifyResult makes deliver signal each further result to a channel. A result that is there already is signalled at once.
+// notifyResult makes deliver signal each further result to a channel. A result already in results is signalled
+// immediately.
 func (c *connection) notifyResult(to chan<- struct{}) {
 	c.mu.Lock()
 	c.notify = to
@@ -133,7 +135,7 @@
 	}
 }
 
-// signal sends to a channel with a buffer of one, unless it is nil or its buffer is full.
+// signal sends to a channel with a buffer of one, unless the channel is nil or its buffer is full.
 func signal(to chan<- struct{}) {
 	select {
 	case to <- struct{}{}:
--- a/internal/discovery/eventlog.go
+++ b/internal/discovery/eventlog.go
@@ -13,24 +13,24 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// ErrEventGap reports that events between the last one applied and those of a response are missing.
+// ErrEventGap means that events between the last one applied and those of a response are missing.
 var ErrEventGap = errors.New("discovery: events are missing")
 
-// ErrRevisionRegressed reports that the server's revision is lower than that of the last event applied, or that it has another
-// event there: it was restarted, and numbers its events anew.
-var ErrRevisionRegressed = errors.New("discovery: events are numbered anew")
+// ErrRevisionRegressed means that the server's revision is lower than that of the last event applied, or that the
+// server has a different event at that revision: the server was restarted and has restarted its numbering of events.
+var ErrRevisionRegressed = errors.New("discovery: server has restarted its event numbering")
 
 // startTimeConverter converts the start time of an endpoint to the router's clock.
 type startTimeConverter func(id string, startedAt wallclock.Time) time.Duration
 
-// eventLog follows the numbered events up to the last one applied. It is not safe for concurrent use.
+// eventLog is the position in the sequence of numbered events. It is not safe for concurrent use.
 type eventLog struct {
-	revision    int64       // of the last event applied
-	initialized bool        // an event was applied; before that, the first event may have any revision
-	lastDigest  eventDigest // of the event at revision
+	revision    int64       // revision of the last event applied
+	initialized bool        // an event has been applied; until then, the first event may have any revision
+	lastDigest  eventDigest // digest of the event at revision
 }
 
-// eventDigest tells events of one revision apart, as a server that was restarted numbers other events alike.
+// eventDigest identifies the content of an event. A restarted server may have a different event at the same revision.
 type eventDigest struct {
 	known bool
 	hash  uint64
@@ -42,10 +42,11 @@
 	return eventDigest{known: err == nil, hash: xxhash.Sum64(raw)}
 }
 
-// Apply advances the log over the events of a response and returns their combined update. On an error nothing is applied.
-// Events up to the log's revision are skipped, as they were applied before. The update is nil if no new event changes the
-// list. The error is ErrEventGap if a revision is missing before an event that is not a snapshot. routerTime converts the
-// start time of an endpoint to the router's clock.
+// Apply advances the log by the events of a response and returns their combined update. Events up to the log's revision
+// are skipped, as they have already been applied. The update is nil if no new event changes the list. On an error the
+// log is unchanged. The error is ErrEventGap if a revision is missing before an event that is not a snapshot, and
+// ErrRevisionRegressed if the event at the log's revision has changed. toRouterTime converts the start time of an
+// endpoint to the router's clock.
 func (l *eventLog) Apply(response PollResponse, toRouterTime startTimeConverter) (*endpoints.Update, error) {
 	next, err := l.revisionAfter(response.Events)
 	if err == nil {
@@ -72,17 +73,17 @@
 	return merged.update(toRouterTime), nil
 }
 
-// checkLastEvent returns ErrRevisionRegressed if the events have another one at the log's revision than was applied.
+// checkLastEvent returns ErrRevisionRegressed if the event at the log's revision differs from the one applied.
 func (l *eventLog) checkLastEvent(events []Event) error {
 	for _, event := range events {
 		if *event.Revision == l.revision && l.lastDigest.known && digestOf(event) != l.lastDigest {
-			return fmt.Errorf("%w: event %d is another one now", ErrRevisionRegressed, l.revision)
+			return fmt.Errorf("%w: event %d has changed", ErrRevisionRegressed, l.revision)
 		}
 	}
 	return nil
 }
 
-// revisionAfter returns the revision that the log has once the events are applied. It changes nothing.
+// revisionAfter returns the revision of the log after the events are applied. It does not modify the log.
 func (l *eventLog) revisionAfter(events []Event) (int64, error) {
 	next := l.revision
 	for _, event := range events {
@@ -100,13 +101,13 @@
 	return next, nil
 }
 
-// mergedUpdate combines the updates of several events: the last state of each endpoint replaces earlier ones.
+// mergedUpdate combines the updates of several events: the last state of each endpoint overrides earlier ones.
 type mergedUpdate struct {
 	snapshot bool
 	byID     map[string]Endpoint
 }
 
-// update converts to the router's terms. It returns nil if m is nil.
+// update converts m to the type that the router uses. It returns nil if m is nil.
 func (m *mergedUpdate) update(toRouterTime startTimeConverter) *endpoints.Update {
 	if m == nil {
 		return nil
--- a/internal/discovery/eventlog_bench_test.go
+++ b/internal/discovery/eventlog_bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
-// BenchmarkUpdate times a response that changes one worker of n, from its bytes to the update for the router.
+// BenchmarkUpdate measures the processing of a response that changes one worker of n, from its bytes to the update for
+// the router.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{60, 960, 3200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
--- a/internal/discovery/eventlog_test.go
+++ b/internal/discovery/eventlog_test.go
@@ -9,7 +9,8 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
-// TestApplyIsAtomic checks that events that were applied are skipped, and that a gap applies no event of a response.
+// TestApplyIsAtomic checks that events already applied are skipped, and that no event of a response with a gap is
+// applied.
 func TestApplyIsAtomic(t *testing.T) {
 	log, list := &eventLog{}, endpointList{}
 	apply := func(raw string) (changed bool, err error) {
@@ -23,11 +24,11 @@
 		t.Fatal(changed, err)
 	}
 	if changed, err := apply(`{"cursor":1,"cmds":[` + first + `]}`); changed || err != nil {
-		t.Error("applied twice", changed, err)
+		t.Error("event applied twice", changed, err)
 	}
 	fourth := `{"cursor":4,` + fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 left") + `}`
 	if _, err := apply(`{"cursor":4,"cmds":[` + second + `,` + fourth + `]}`); !errors.Is(err, ErrEventGap) {
-		t.Error("a gap:", err)
+		t.Error("response with a gap:", err)
 	}
 	if got := list.String(); got != "a@1.1.1.1:1" || log.revision != 1 {
 		t.Errorf("after a gap: %s, revision %d", got, log.revision)
@@ -40,10 +41,9 @@
 	}
 }
 
-// TestSnapshotReplacesList checks that a snapshot is applied with the next revision and across a gap, that endpoints
-// missing from it are removed, and that one with a revision at which another event was applied changes nothing and is named as
-// the sign of a restarted server. An endpoint that was
-// draining may be listed as active again.
+// TestSnapshotReplacesList checks that a snapshot is applied at the next revision and after a gap, and that endpoints
+// missing from it are removed. A snapshot at a revision at which a different event was applied must change nothing and
+// return ErrRevisionRegressed. A draining endpoint may become active again.
 func TestSnapshotReplacesList(t *testing.T) {
 	const (
 		before = "a@1.1.1.1:1 drains, b@1.1.1.2:1, c@1.1.1.3:1"
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestEventsOfOneResponseMerge checks that the events of one response make one update, which has each endpoint as the last
-// event that names it does.
+// TestEventsOfOneResponseMerge checks that the events of one response are merged into one update, in which each
+// endpoint is as in the last event that contains it.
 func TestEventsOfOneResponseMerge(t *testing.T) {
 	removed := fakeplatform.EndpointsEvent(false, "a 1.1.1.1:1 left", "b 1.1.1.2:1 left")
 	addedAgain := fakeplatform.EndpointsEvent(false, "a 1.1.1.9:1 active")
--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -13,8 +13,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestWhenResponseProvesListCurrent holds when the list was current by a response. A response without events was written when
-// the poll's wait was over, however late it is read. One with events may have been written right after the poll was sent.
+// TestWhenResponseProvesListCurrent checks the time up to which a response confirms the list. The server writes a
+// response without events at the end of the poll's wait, however late it is read. A response with events may have been
+// written right after the poll was sent.
 func TestWhenResponseProvesListCurrent(t *testing.T) {
 	const wait = time.Second
 	for _, test := range []struct {
@@ -30,15 +31,15 @@
 		{"events, read after a pause of the process", time.Minute, true, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			asked := pollQuery{sentAt: time.Now().Add(-test.readAfter), wait: wait}
-			if got := asked.confirmedAt(test.hasEvents, time.Now()); got != test.want {
-				t.Errorf("current %v after the poll was sent, want %v", got, test.want)
+			query := pollQuery{sentAt: time.Now().Add(-test.readAfter), wait: wait}
+			if got := query.confirmedAt(test.hasEvents, time.Now()); got != test.want {
+				t.Errorf("list confirmed up to %v after the poll was sent, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// elapsedClock is a RouterClock of its own time.
+// elapsedClock is a RouterClock that shows the time since startedAt.
 type elapsedClock struct {
 	zeroClock
 	startedAt time.Time
@@ -46,7 +47,7 @@
 
 func (c elapsedClock) Now() time.Duration { return time.Since(c.startedAt) }
 
-// watchReports records what a Watcher reports, in order.
+// watchReports records the callbacks of a Watcher, in order.
 type watchReports struct {
 	mu      sync.Mutex
 	reports []string
@@ -71,7 +72,7 @@
 	return strings.Join(r.reports, " ")
 }
 
-// startReportingWatcher starts a Watcher that records its updates, confirmations and polls after a failure.
+// startReportingWatcher starts a Watcher whose callbacks are recorded.
 func startReportingWatcher(t *testing.T, server *fakeplatform.DiscoveryServer) (*Watcher, *watchReports) {
 	t.Helper()
 	reports := &watchReports{}
@@ -82,8 +83,9 @@
 	return startWatcherWith(t, cfg, server.AllEvents()), reports
 }
 
-// TestRecoveryPollsAreReported has polls fail for a while. The list is not confirmed meanwhile; each further poll is reported
-// before it is sent; the first answer confirms the list, after the update that it brings.
+// TestRecoveryPollsAreReported lets polls fail for a while. The list must not be confirmed during that time, and each
+// further poll must be reported before it is sent. The first response must confirm the list, after the update that it
+// contains.
 func TestRecoveryPollsAreReported(t *testing.T) {
 	for name, respond := range map[string]func(int, string) (string, bool){
 		"never answered": func(int, string) (string, bool) { return "", true },
@@ -98,7 +100,7 @@
 			server.SetRespond(respond)
 			testsupport.WaitUntil(t, "failed polls", func() bool { return watcher.Stats().FailedPolls > 2 })
 			if report := reports.last(); report != "asked-again" {
-				t.Errorf("%s, want polls after failures only", reports)
+				t.Errorf("reports %s, want the last to be a poll after a failure", reports)
 			}
 			server.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
 			server.SetRespond(nil)
@@ -109,7 +111,7 @@
 	}
 }
 
-// TestFirstPollAfterFailureIsShort checks that the list is confirmed soon after a failure, although nothing has changed.
+// TestFirstPollAfterFailureIsShort checks that the list is confirmed soon after a failure even if it has not changed.
 func TestFirstPollAfterFailureIsShort(t *testing.T) {
 	server := platformtest.StartDiscovery(t, initialEndpoints)
 	confirmed := make(chan struct{}, 64)
@@ -140,8 +142,9 @@
 	}
 }
 
-// TestLowerRevisionTriggersResynchronization has the server forget its events and number them anew. The watcher does not take
-// the lower revision for a confirmation, asks for the complete list and applies it. From then on it follows the new numbers.
+// TestLowerRevisionTriggersResynchronization restarts the server with a new numbering of events. The watcher must not
+// accept the lower revision as a confirmation; it must request the complete list, apply it and continue with the new
+// revisions.
 func TestLowerRevisionTriggersResynchronization(t *testing.T) {
 	list := endpointList{}
 	lists := make(chan string, 64)
@@ -163,8 +166,8 @@
 	}
 }
 
-// TestResynchronizationRequiresSnapshot checks that a server whose events don't continue the log, and which has no snapshot
-// either, changes nothing.
+// TestResynchronizationRequiresSnapshot checks that responses of a server whose events don't continue the log, and
+// which sends no snapshot, are not applied.
 func TestResynchronizationRequiresSnapshot(t *testing.T) {
 	server := platformtest.StartDiscovery(t, initialEndpoints)
 	watcher, reports := startReportingWatcher(t, server)
@@ -173,14 +176,14 @@
 	})
 	testsupport.WaitUntil(t, "failed polls", func() bool { return watcher.Stats().FailedPolls > 3 })
 	if strings.Count(reports.String(), "update") > 1 || watcher.Stats().Revision != 1 {
-		t.Errorf("%s, revision %d", reports, watcher.Stats().Revision)
+		t.Errorf("reports %s, revision %d; want one update, revision 1", reports, watcher.Stats().Revision)
 	}
 	server.SetRespond(nil)
 	testsupport.WaitUntil(t, "a confirmation", func() bool { return reports.last() == "confirmed" })
 }
 
-// TestStartReportsRequestAfterConfirmation checks that the initial list is confirmed for the start and counts as asked for again right after: how
-// long the server has been out of reach by then is not known.
+// TestStartReportsRequestAfterConfirmation checks that Start confirms the initial list and then reports a request with
+// a later time, because the server may have been unreachable for an unknown time.
 func TestStartReportsRequestAfterConfirmation(t *testing.T) {
 	var confirmed, requested []time.Duration
 	cfg := watcherConfig(testsupport.UnusedAddress(t), func(endpoints.Update) {})
@@ -188,12 +191,12 @@
 	cfg.OnRequested = func(at time.Duration) { requested = append(requested, at) }
 	startWatcherWith(t, cfg, `{"cursor":1,"cmds":[{"cursor":1,`+initialEndpoints+`}]}`).Close()
 	if len(confirmed) != 1 || len(requested) != 1 || requested[0] <= confirmed[0] {
-		t.Errorf("confirmed %v, asked again %v", confirmed, requested)
+		t.Errorf("confirmed at %v, requested at %v", confirmed, requested)
 	}
 }
 
-// TestRestartAtSameRevisionIsDetected has the server out of reach for longer than verifyAfter and restarted with
-// another list under the same number. The watcher notices that the last event is another one and reads the list anew.
+// TestRestartAtSameRevisionIsDetected stops the server for longer than verifyAfter and restarts it with a different
+// list at the same revision. The watcher must detect that the last event has changed and request the complete list.
 func TestRestartAtSameRevisionIsDetected(t *testing.T) {
 	t.Parallel()
 	server := platformtest.StartDiscovery(t, initialEndpoints)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,8 +13,8 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// TestGoldenPollRequest holds the bytes of a long poll. The protocol has no acknowledgement of its own: the revision in
-// the next request serves as one.
+// TestGoldenPollRequest compares the bytes of a long poll with a golden file. The protocol has no separate
+// acknowledgement: the revision in the next request serves as one.
 func TestGoldenPollRequest(t *testing.T) {
 	listener := testsupport.Listen(t)
 	request := make(chan []byte, 1)
@@ -46,7 +46,7 @@
 	golden.Compare(t, "poll_request.http", bytes.ReplaceAll(got, []byte(listener.Addr().String()), []byte("ADDRESS")))
 }
 
-// TestGoldenEvents holds the endpoint list that one event of each kind leads to.
+// TestGoldenEvents compares the endpoint list after one event of each kind with a golden file.
 func TestGoldenEvents(t *testing.T) {
 	input, err := os.ReadFile("testdata/golden/events.json")
 	if err != nil {
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -15,10 +15,10 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// endpointList is the endpoint list that updates make together, by ID.
+// endpointList is the endpoint list that results from the updates applied to it, by ID.
 type endpointList map[string]endpoints.Worker
 
-// apply applies an update; nil is none.
+// apply applies an update. It does nothing if update is nil.
 func (l endpointList) apply(update *endpoints.Update) {
 	if update == nil {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// workers returns the list ordered by ID.
+// workers returns the workers sorted by ID.
 func (l endpointList) workers() (workers []endpoints.Worker) {
 	for _, id := range slices.Sorted(maps.Keys(l)) {
 		workers = append(workers, l[id])
@@ -65,7 +65,8 @@
 	return response
 }
 
-// startWatcherWith starts a watcher that has the events so far, and closes it with the test.
+// startWatcherWith starts a watcher with the given events as its initial response, and closes it at the end of the
+// test.
 func startWatcherWith(t *testing.T, cfg Config, events string) *Watcher {
 	t.Helper()
 	watcher, err := Start(cfg, parseResponse(t, events))
@@ -76,38 +77,39 @@
 	return watcher
 }
 
-// constantRouterTime converts start times for tests that don't look at them.
+// constantRouterTime is a startTimeConverter for tests that ignore start times.
 func constantRouterTime(string, wallclock.Time) time.Duration { return 1 }
 
-// zeroClock is a RouterClock for tests that don't look at start times.
+// zeroClock is a RouterClock for tests that ignore start times.
 type zeroClock struct{}
 
 func (zeroClock) Now() time.Duration                        { return 0 }
 func (zeroClock) FromWallTime(wallclock.Time) time.Duration { return 0 }
 
-// initialEndpoints is the event of a snapshot of the endpoints a and b.
+// initialEndpoints is an event with a snapshot of the endpoints a and b.
 var initialEndpoints = fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active", "b 1.1.1.2:1 active")
 
 // testPollWait is the PollWait of most tests.
 const testPollWait = 200 * time.Millisecond
 
-// watcherConfig is a configuration with short times.
+// watcherConfig returns a configuration with short timeouts.
 func watcherConfig(address string, onUpdate func(endpoints.Update)) Config {
 	return Config{Address: address, ConnectTimeout: 5 * time.Second, PollWait: testPollWait,
 		ResponseGrace: 300 * time.Millisecond, MaxRetryDelay: 50 * time.Millisecond, MaxResponseBytes: 1 << 16,
 		RouterClock: zeroClock{}, OnUpdate: onUpdate}
 }
 
-// longPollWait is the PollWait of tests in which no poll may time out, on a busy machine too.
+// longPollWait is the PollWait of tests in which no poll may time out, even on a busy machine.
 const longPollWait = 5 * time.Second
 
-// startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher of it.
-// respond is the server's Respond. The channel returned has each further list, formatted.
+// startWatcher starts a discovery server whose first event is a snapshot of the endpoints a and b, and a Watcher that
+// polls it. respond is the server's Respond. The returned channel receives each further list, formatted.
 func startWatcher(t *testing.T, respond func(int, string) (string, bool)) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
 	return startWatcherWithWait(t, testPollWait, respond)
 }
 
+// startWatcherWithWait is startWatcher with the given PollWait.
 func startWatcherWithWait(t *testing.T, pollWait time.Duration, respond func(int, string) (string, bool),
 ) (*fakeplatform.DiscoveryServer, *Watcher, chan string) {
 	t.Helper()
--- a/internal/discovery/late.go
+++ b/internal/discovery/late.go
@@ -2,27 +2,28 @@
 
 import "github.com/topazfront/topazfront/internal/transport/http1"
 
-// lateResponse is the response to a poll that had timed out.
+// lateResponse is a response to a poll that had timed out.
 type lateResponse struct {
 	message *http1.Message
 	query   pollQuery
 }
 
-// maxLatePolls is how many polls stay pending after their time-out, until a later one is answered in time. After a time-out
-// a silent server can't be told from a slow one. A silent server needs another poll on another connection, and a slow one
-// needs more time. With two late polls, a response may take three times as long as a poll's time-out.
+// maxLatePolls is the number of polls that stay pending after their timeout, until a later poll is answered in time. A
+// timeout doesn't show whether the server is unresponsive or slow. An unresponsive server needs a new poll on a new
+// connection, a slow one needs more time. With two late polls, a response may take up to three times the timeout of a
+// poll.
 const maxLatePolls = 2
 
-// latePolls are the polls that have timed out and may still be answered, the oldest first. Watcher.run owns them; only
-// arrived is used by other goroutines.
+// latePolls holds the polls that have timed out and may still be answered, the oldest first. Watcher.run owns it; other
+// goroutines use only arrived.
 type latePolls struct {
 	conns   []*connection
-	arrived chan struct{} // signals, with a buffer of one, that a connection has a result
+	arrived chan struct{} // has a buffer of one; signals that a connection has a result
 }
 
 func newLatePolls() *latePolls { return &latePolls{arrived: make(chan struct{}, 1)} }
 
-// add keeps a poll pending. If there are too many, the oldest is abandoned.
+// add keeps a timed-out poll pending. If there are too many, it abandons the oldest.
 func (l *latePolls) add(conn *connection) {
 	if len(l.conns) == maxLatePolls {
 		l.conns[0].close(errResponseTimeout)
@@ -32,8 +33,8 @@
 	conn.notifyResult(l.arrived)
 }
 
-// takeResponses returns the responses that have arrived. Polls that have ended, by a response or an error, are closed and
-// removed.
+// takeResponses returns the responses that have arrived. It closes and removes the polls that have ended by a response
+// or an error.
 func (l *latePolls) takeResponses() (responses []lateResponse) {
 	pending := l.conns[:0:0]
 	for _, conn := range l.conns {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -14,8 +14,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestLateResponsesAreApplied has the server send each response late, up to after twice a poll's time-out. Each event is applied all
-// the same, once.
+// TestLateResponsesAreApplied delays each response, up to more than twice a poll's timeout. Each event must be applied
+// exactly once.
 func TestLateResponsesAreApplied(t *testing.T) {
 	for name, delay := range map[string]time.Duration{"a little": 400 * time.Millisecond, "over twice the time-out": 1100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -31,14 +31,15 @@
 				}
 			}
 			if stats := watcher.Stats(); stats.Events != 3 {
-				t.Errorf("%+v, want each event once", stats)
+				t.Errorf("%+v, want 3 events", stats)
 			}
 		})
 	}
 }
 
-// TestLongOutage has every connect fail for 60 s of the test's own time. The connects stay few, and the first after the
-// outage, no later than the longest delay, resumes from the revision before it.
+// TestLongOutage lets every connect fail for 60 s of simulated time. It guards against a flood of connects and against
+// a late recovery: the first connect after the outage must come within the longest delay and resume from the revision
+// before it.
 func TestLongOutage(t *testing.T) {
 	const outage, maxDelay = time.Minute, 500 * time.Millisecond
 	server := platformtest.StartDiscovery(t, initialEndpoints)
@@ -49,7 +50,7 @@
 		lists <- list.String()
 	})
 	cfg.MaxRetryDelay = maxDelay
-	var elapsed time.Duration // of the outage; cfg's functions are called by the watcher's goroutine alone
+	var elapsed time.Duration // simulated time since the start of the outage; only the watcher's goroutine uses it
 	failedConnects, over := 0, make(chan time.Duration, 1)
 	cfg.sleep = func(_ context.Context, d time.Duration) { elapsed += d }
 	cfg.dial = func(address string, cfg Config) (*connection, error) {
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestOverloadedServer has the server turn polls away with an error before it answers one. The event is applied then, and
-// the polls before it are delayed by more each time.
+// TestOverloadedServer lets the server reject several polls before it answers one. The event must then be applied, and
+// the delay between the rejected polls must increase.
 func TestOverloadedServer(t *testing.T) {
 	const rejected = 12
 	startedAt := time.Now()
@@ -94,7 +95,7 @@
 	if got := testsupport.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 		t.Errorf("list %s", got)
 	}
-	const shortestDelay = 20 * time.Millisecond // of a retry; half of what retryBaseDelay makes of the second failure
+	const shortestDelay = 20 * time.Millisecond // of a retry: half of the delay after the second failure, retryBaseDelay << 2
 	if elapsed := time.Since(startedAt); elapsed < (rejected-2)*shortestDelay {
 		t.Errorf("%d polls were rejected within %v", rejected, elapsed)
 	}
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestAddressChangesInQuickSuccession moves discovery five times at once. The watch ends up at the last address, with
-// every event applied once and none lost, and no poll stays at an earlier one.
+// TestAddressChangesInQuickSuccession changes the address five times in a row. The watcher must end up polling the last
+// address, with every event applied exactly once.
 func TestAddressChangesInQuickSuccession(t *testing.T) {
 	const changes = 5
 	_, watcher, lists := startWatcherWithWait(t, longPollWait, nil)
@@ -127,7 +128,8 @@
 	}
 }
 
-// TestLatePollIsClosedOnceAnotherIsAnswered checks that a poll that was never answered doesn't hold its connection for good.
+// TestLatePollIsClosedOnceAnotherIsAnswered checks that the connection of a poll that is never answered is closed
+// eventually.
 func TestLatePollIsClosedOnceAnotherIsAnswered(t *testing.T) {
 	listener := testsupport.Listen(t)
 	lists, silentEnded := make(chan string, 8), make(chan struct{})
@@ -136,7 +138,7 @@
 		if err != nil {
 			return
 		}
-		answered, err := listener.Accept() // after the time-out of the first poll
+		answered, err := listener.Accept() // after the timeout of the first poll
 		if err != nil {
 			return
 		}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -8,20 +8,20 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// minWaitDivisor sets the shortest time that a poll without an event should take: PollWait / minWaitDivisor.
+// minWaitDivisor determines the shortest plausible time of a poll without an event: the poll's wait / minWaitDivisor.
 const minWaitDivisor = 4
 
 // statusOK is the HTTP status of a response that holds events.
 const statusOK = 200
 
-// errPrematureResponse ends a poll whose response came at once and without an event. Counting it as a failure delays the
-// next poll: a server that doesn't hold polls back would otherwise be polled at full speed.
-var errPrematureResponse = errors.New("discovery: response without an event before the poll's wait was over")
+// errPrematureResponse ends a poll whose response arrived too early without an event. It counts as a failure, which
+// delays the next poll: a server that doesn't hold polls would otherwise be polled continuously.
+var errPrematureResponse = errors.New("discovery: empty response before the end of the poll's wait")
 
-// errNoSnapshot rejects the response to a poll for the complete list that does not begin with a snapshot.
-var errNoSnapshot = errors.New("discovery: response without a snapshot to a poll for the complete list")
+// errNoSnapshot rejects a response to a poll for the complete list if the response contains no snapshot.
+var errNoSnapshot = errors.New("discovery: response to a poll for the complete list has no snapshot")
 
-// poll sends one request and applies its response. Responses to late polls that come meanwhile are applied, too.
+// poll sends one request and applies its response. It also applies responses to late polls that arrive in the meantime.
 func (w *Watcher) poll(conn *connection) error {
 	w.mu.Lock()
 	w.stats.Polls++
@@ -45,25 +45,34 @@
 	if message.Close {
 		conn.close(errClosedAfterResponse)
 	}
-	if query.verifyRevision == 0 && w.events.revision == before && time.Since(query.sentAt) < query.wait/minWaitDivisor {
+	if query.verifyRevision == 0 && w.events.revision == before &&
+		time.Since(query.sentAt) < query.wait/minWaitDivisor {
 		return errPrematureResponse
 	}
 	return nil
 }
 
-// pollQuery is what a poll asked for.
+// pollQuery holds the parameters of a poll, and what its response must contain.
 type pollQuery struct {
-	sentAt         time.Time     // when it was asked
-	sentRouterTime time.Duration // the same by the router's clock
-	revision       int64         // events after it are asked for; 0: the complete list
+	sentAt         time.Time     // when the poll was sent
+	sentRouterTime time.Duration // the same time on the router's clock
+	revision       int64         // the events after this revision are requested; 0 requests the complete list
 	wait           time.Duration // how long the server may hold the poll
-	complete       bool          // the response has to begin with a snapshot
-	verifyRevision int64         // the response has to begin with this event, which was applied before, or a snapshot; 0: with none
+	complete       bool          // the response must contain a snapshot
+
+	// verifyRevision is the revision of the last event applied, which the response must repeat as its first event
+	// unless it begins with a snapshot. 0 means that no event need be repeated.
+	verifyRevision int64
 }
 
-// nextQuery returns what the next poll asks for.
+// nextQuery returns the parameters of the next poll.
 func (w *Watcher) nextQuery() pollQuery {
-	query := pollQuery{sentAt: time.Now(), sentRouterTime: w.cfg.RouterClock.Now(), revision: w.events.revision, wait: w.cfg.PollWait}
+	query := pollQuery{
+		sentAt:         time.Now(),
+		sentRouterTime: w.cfg.RouterClock.Now(),
+		revision:       w.events.revision,
+		wait:           w.cfg.PollWait,
+	}
 	if w.recovering {
 		query.wait = min(query.wait, recoveryPollWait)
 	}
@@ -79,7 +88,7 @@
 	return query
 }
 
-// validate returns an error if a response does not begin as the question demands.
+// validate returns an error if a response does not match the query.
 func (q pollQuery) validate(response PollResponse) error {
 	if *response.Revision < q.revision {
 		return fmt.Errorf("%w: %d follows %d", ErrRevisionRegressed, *response.Revision, q.revision)
@@ -88,7 +97,7 @@
 		return nil
 	}
 	if len(response.Events) == 0 {
-		return fmt.Errorf("%w: there is no event %d", ErrRevisionRegressed, q.verifyRevision)
+		return fmt.Errorf("%w: event %d is missing", ErrRevisionRegressed, q.verifyRevision)
 	}
 	first := response.Events[0]
 	isSnapshot := first.Update != nil && first.Update.Snapshot
@@ -98,9 +107,9 @@
 	return nil
 }
 
-// confirmedAt returns when the list was current by a response that was read now, on the router's clock. One without events was
-// written when the poll's wait was over. One with events may have been written at any time since the poll was sent: the
-// process may have been stopped meanwhile.
+// confirmedAt returns the time on the router's clock up to which a response that was read now confirms the list. The
+// server writes a response without events at the end of the poll's wait. It may have written a response with events at
+// any time since the poll was sent, because this process may have been paused since then.
 func (q pollQuery) confirmedAt(hasEvents bool, now time.Time) time.Duration {
 	if hasEvents || now.Sub(q.sentAt) < q.wait {
 		return q.sentRouterTime
@@ -108,8 +117,8 @@
 	return q.sentRouterTime + q.wait
 }
 
-// awaitResponse waits for the response on a connection, for as long as a poll may take. Meanwhile it applies the responses
-// to late polls.
+// awaitResponse waits for the response on a connection until the poll's timeout. Meanwhile it applies the responses to
+// late polls.
 func (w *Watcher) awaitResponse(conn *connection) (*http1.Message, error) {
 	timer := time.NewTimer(w.cfg.PollWait + w.cfg.ResponseGrace)
 	defer timer.Stop()
@@ -125,8 +134,8 @@
 	}
 }
 
-// applyLateResponses applies the responses to late polls that have arrived. One that can't be applied is only logged: the
-// poll under way asks for the same events.
+// applyLateResponses applies the responses to late polls that have arrived. A response that can't be applied is only
+// logged, because the current poll requests the same events.
 func (w *Watcher) applyLateResponses() {
 	for _, late := range w.late.takeResponses() {
 		if err := w.apply(late.message, late.query); err != nil {
@@ -135,7 +144,7 @@
 	}
 }
 
-// apply applies the events of a response, publishes an update if they have changed the list, and confirms the list.
+// apply applies the events of a response, publishes an update if they change the list, and confirms the list.
 func (w *Watcher) apply(message *http1.Message, query pollQuery) error {
 	if message.Status != statusOK {
 		return fmt.Errorf("discovery: status %d", message.Status)
@@ -172,8 +181,8 @@
 	return nil
 }
 
-// pollRequest returns the request for the events after a revision. Polling from an event's revision also acknowledges the
-// event; the protocol has no other acknowledgement.
+// pollRequest returns the HTTP request for the events after a revision. It also acknowledges the events up to that
+// revision; the protocol has no other acknowledgement.
 func pollRequest(address string, revision int64, wait time.Duration) []byte {
 	return fmt.Appendf(nil, "GET /cmd/next?resume=%d&block=%d HTTP/1.1\r\nHost: %s\r\n\r\n", revision, wait.Milliseconds(), address)
 }
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -9,26 +9,27 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// PollResponse is the body of one answer to a poll, in ascending order of revision. The router's configuration holds
-// the same form for the endpoints known at the start.
+// PollResponse is the body of a poll's response. Its events are in ascending order of revision. The router's
+// configuration contains the endpoints known at the start in the same form.
 type PollResponse struct {
 	Revision *int64  `json:"cursor"` // required; never nil once parsed
 	Events   []Event `json:"cmds"`
 }
 
-// Event is one numbered change. An event of any other kind has no Update: it advances the revision and changes nothing.
+// Event is one numbered change of the endpoint list. An event of another kind has no Update; it advances the revision
+// without a change of the list.
 type Event struct {
 	Revision *int64          `json:"cursor"` // required, at least 1; never nil once parsed
 	Update   *EndpointUpdate `json:"nodes"`
 }
 
-// EndpointUpdate is a full snapshot of the endpoint list, or the endpoints that changed in it.
+// EndpointUpdate is a snapshot of the endpoint list, or the endpoints that have changed in it.
 type EndpointUpdate struct {
 	Snapshot  bool       `json:"complete"`
 	Endpoints []Endpoint `json:"members"`
 }
 
-// Endpoint is one worker in the server's terms.
+// Endpoint is one worker as the discovery server describes it.
 type Endpoint struct {
 	ID               string  `json:"id"`
 	Address          string  `json:"host_port"`
@@ -37,13 +38,13 @@
 	Cell             int     `json:"cell"`
 	State            string  `json:"phase"` // a key of endpointStates
 	Weight           float64 `json:"size"`
-	StartedUnixMilli int64   `json:"up_since_ms"` // 0: long ago
+	StartedUnixMilli int64   `json:"up_since_ms"` // 0 means long ago
 }
 
-// stateRemoved is the state of an endpoint that leaves the list; its address may be missing.
+// stateRemoved is the state of an endpoint that is removed from the list; its address may be missing.
 const stateRemoved = "left"
 
-// endpointStates maps the server's states to the dispatcher's.
+// endpointStates maps the discovery server's states to the dispatcher's.
 var endpointStates = map[string]dispatch.EndpointState{
 	"active":     dispatch.EndpointActive,
 	"leaving":    dispatch.EndpointDraining,
@@ -53,9 +54,9 @@
 // maxEndpointIDLength is the longest endpoint ID that is accepted, in bytes.
 const maxEndpointIDLength = 256
 
-// ParsePollResponse decodes a poll's response body and validates it: it has a revision, its events are numbered in
-// ascending order, and each endpoint has an ID, a known state and, unless it is removed, an address. One invalid event
-// rejects the whole response, so that no part of it is applied.
+// ParsePollResponse decodes and validates the body of a poll's response: it must have a revision, its events must have
+// ascending revisions, and each endpoint must have an ID, a known state and, unless it is removed, an address. One
+// invalid event invalidates the whole response, so that no part of it is applied.
 func ParsePollResponse(raw []byte) (PollResponse, error) {
 	var response PollResponse
 	if err := json.Unmarshal(raw, &response); err != nil {
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -6,7 +6,8 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
-// FuzzParsePollResponse checks that no response panics, and that the endpoints of one that is accepted can be used.
+// FuzzParsePollResponse checks that no response causes a panic, and that the endpoints of a valid response have an ID
+// and an address.
 func FuzzParsePollResponse(f *testing.F) {
 	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":1,` + fakeplatform.EndpointsEvent(true, "a 1.1.1.1:1 active") + `}]}`))
 	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":null}]}`))
--- a/internal/discovery/slow_server_test.go
+++ b/internal/discovery/slow_server_test.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestEventsOfSlowServerAreApplied has each response take longer than the usual timeout. Events are applied nonetheless.
+// TestEventsOfSlowServerAreApplied delays each response beyond a poll's timeout. Events must be applied nonetheless.
 func TestEventsOfSlowServerAreApplied(t *testing.T) {
 	const pollWait, delay = 100 * time.Millisecond, 600 * time.Millisecond
 	server, _, lists := startWatcherWithWait(t, pollWait, func(int, string) (string, bool) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -11,21 +11,27 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
-// Config configures a Watcher. All fields but Logger are required.
+// Config configures a Watcher. A field is required unless its comment says what nil means.
 type Config struct {
-	Address          string                        // of the discovery server, host:port
-	ConnectTimeout   time.Duration                 // to establish a connection, and for each write on it
-	PollWait         time.Duration                 // how long the server may hold a poll when it has no event
-	ResponseGrace    time.Duration                 // how long beyond PollWait a response may take
-	MaxRetryDelay    time.Duration                 // longest delay between polls while they fail
-	MaxResponseBytes int                           // longest body of a response
+	Address          string                        // host:port of the discovery server
+	ConnectTimeout   time.Duration                 // limit of connecting, and of each write on the connection
+	PollWait         time.Duration                 // how long the server may hold a poll while it has no event
+	ResponseGrace    time.Duration                 // how much longer than PollWait a response may take
+	MaxRetryDelay    time.Duration                 // longest delay between failing polls
+	MaxResponseBytes int                           // longest response body
 	RouterClock      endpoints.RouterClock         // the router's clock, to which start times are converted
 	OnUpdate         func(update endpoints.Update) // called with each change of the list, never concurrently
-	OnConfirmed      func(at time.Duration)        // called when the list is known to hold all changes up to a router time; nil: not called
-	OnRequested      func(at time.Duration)        // called at the start and before each poll that follows a failed or interrupted one, with the router time; nil: not called
-	Logger           *slog.Logger                  // nil discards
 
-	// Tests replace these; nil stands for the functions of the same name.
+	// OnConfirmed is called with a time on the router's clock when the list is known to contain all changes up to that
+	// time. nil means no call.
+	OnConfirmed func(at time.Duration)
+	// OnRequested is called with the time on the router's clock at the start, and before each poll that follows a
+	// failed or interrupted one. nil means no call.
+	OnRequested func(at time.Duration)
+
+	Logger *slog.Logger // nil discards log lines
+
+	// Tests replace these; nil means the function of the same name.
 	dial  func(address string, cfg Config) (*connection, error)
 	sleep func(ctx context.Context, d time.Duration)
 }
@@ -37,48 +43,49 @@
 	maxRetryShift  = 8
 )
 
-// recoveryPollWait is how long the server may hold the first poll, and the first after a failed or interrupted one. It is short, as the
-// list counts as out of date until the response.
+// recoveryPollWait is how long the server may hold the first poll, and each poll after a failed or interrupted one. It
+// is short because the list counts as out of date until the response arrives.
 const recoveryPollWait = 100 * time.Millisecond
 
-// verifyAfter is the time without a confirmation after which the last event is asked for again: the server may have been
-// restarted meanwhile, and number other events as it did these. It is that after which the list counts as lost.
+// verifyAfter is the time without a confirmation after which a poll requests the last applied event again. The server
+// may have been restarted in that time and have assigned the same revisions to other events. It equals the time after
+// which the list counts as lost.
 const verifyAfter = 2 * time.Second
 
-// errInterrupted ends a poll whose server's address has changed or whose Watcher is closed. It is not a failure.
+// errInterrupted ends a poll because the server's address has changed or the Watcher is closed. It is not a failure.
 var errInterrupted = errors.New("discovery: address changed or watcher closed")
 
-// Watcher follows the endpoint list and passes on what changes in it. Its methods are safe for concurrent use.
+// Watcher follows the endpoint list and passes its changes to Config.OnUpdate. Its methods are safe for concurrent use.
 type Watcher struct {
 	cfg    Config
 	cancel context.CancelFunc
-	done   chan struct{} // closed when run has returned
+	done   chan struct{} // closed when run returns
 
-	// Used by run only, and by Start before it starts run.
+	// Owned by run, and by Start until it starts run.
 	events        *eventLog
 	startTimes    *endpoints.StartTimes
 	late          *latePolls
-	confirmedAt   time.Duration // the list was complete then, on the router's clock
-	recovering    bool          // there was no poll yet, or the last one failed or was interrupted
-	resynchronize bool          // the next poll asks for the complete list: the server's events don't continue the log
+	confirmedAt   time.Duration // the list contains all changes up to this time on the router's clock
+	recovering    bool          // there has been no poll, or the last one failed or was interrupted
+	resynchronize bool          // the next poll requests the complete list, as the server's events don't continue the log
 
 	mu      sync.Mutex
 	address string
-	conn    *connection // of the current poll; nil before the first and after a failure
+	conn    *connection // connection of the current poll; nil before the first poll and after a failed one
 	stats   Stats
 }
 
-// Stats are counts since the start, except for Revision.
+// Stats holds counters since the start and the current revision.
 type Stats struct {
-	Revision       int64  // of the last event applied
-	Polls          uint64 // requests written or attempted
+	Revision       int64  // revision of the last event applied
+	Polls          uint64 // polls sent, including those whose request could not be written
 	Events         uint64 // revisions applied
-	FailedPolls    uint64 // including connects that failed, not polls that were interrupted
+	FailedPolls    uint64 // includes failed connects, excludes interrupted polls
 	AddressChanges uint64
 }
 
-// Start passes the initial list to OnUpdate before it returns, then watches from its revision on. The initial response
-// must come from ParsePollResponse. Close must be called in the end.
+// Start passes the initial list to OnUpdate, then starts polling for the events after the list's revision. The initial
+// response must come from ParsePollResponse. The caller must call Close.
 func Start(cfg Config, initial PollResponse) (*Watcher, error) {
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
@@ -97,7 +104,7 @@
 		events:     &eventLog{},
 		startTimes: endpoints.NewStartTimes(cfg.RouterClock),
 		late:       newLatePolls(),
-		recovering: true, // the initial list may be older than it seems
+		recovering: true, // the initial list may be out of date
 		address:    cfg.Address,
 	}
 	if err := w.applyInitial(initial); err != nil {
@@ -108,7 +115,7 @@
 	return w, nil
 }
 
-// applyInitial applies the initial response and publishes its list as a snapshot, also if it is empty.
+// applyInitial applies the initial response and publishes its list as a snapshot, even if it is empty.
 func (w *Watcher) applyInitial(initial PollResponse) error {
 	update, err := w.events.Apply(initial, w.startTimes.Convert)
 	if err != nil {
@@ -117,7 +124,7 @@
 	if update == nil {
 		update = &endpoints.Update{}
 	}
-	update.Snapshot = true // there was nothing before it
+	update.Snapshot = true // no earlier list exists
 	if *initial.Revision > w.events.revision {
 		w.events.revision = *initial.Revision
 		w.events.lastDigest = eventDigest{}
@@ -125,19 +132,20 @@
 	w.publish(update)
 	now := w.cfg.RouterClock.Now()
 	w.confirm(now)
-	w.reportRequested(now + 1) // the server may be out of reach, for how long is not known
+	w.reportRequested(now + 1) // the server may have been unreachable for an unknown time
 	w.stats.Revision = w.events.revision
 	return nil
 }
 
-// reportRequested reports that the server is asked, or would be if it could be reached, after a time without an answer.
+// reportRequested reports that the list is requested at a time on the router's clock after a start, failure or
+// interruption, even if the server can't be reached.
 func (w *Watcher) reportRequested(at time.Duration) {
 	if w.cfg.OnRequested != nil {
 		w.cfg.OnRequested(at)
 	}
 }
 
-// confirm records and reports that the list holds all changes up to a time on the router's clock.
+// confirm records and reports that the list contains all changes up to a time on the router's clock.
 func (w *Watcher) confirm(at time.Duration) {
 	w.startTimes.ListConfirmed(at)
 	w.confirmedAt = max(w.confirmedAt, at)
@@ -146,8 +154,8 @@
 	}
 }
 
-// SetAddress polls the server at another address from now on. A poll pending at the old address is abandoned: the new
-// address serves the same revisions.
+// SetAddress changes the address of the server to poll. A pending poll at the old address is abandoned, and polling
+// continues from the same revision: the new address is expected to serve the same events.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	changed := address != w.address
@@ -162,7 +170,7 @@
 	}
 }
 
-// Attributes returns the address that is polled and the revision of the list, as attributes of a log line.
+// Attributes returns the polled address and the revision of the list, as attributes of a log line.
 func (w *Watcher) Attributes() []any {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,7 +184,7 @@
 	return w.stats
 }
 
-// Close stops watching and waits until OnUpdate is not called any more.
+// Close stops polling and returns when run has ended. OnUpdate is not called after that.
 func (w *Watcher) Close() {
 	w.cancel()
 	w.closeConnection()
@@ -193,7 +201,7 @@
 	}
 }
 
-// publish passes an update to OnUpdate, and forgets the start times of the workers that it removes.
+// publish passes an update to OnUpdate and deletes the start times of the workers that the update removes.
 func (w *Watcher) publish(update *endpoints.Update) {
 	w.cfg.OnUpdate(*update)
 	w.startTimes.Forget(update)
@@ -212,7 +220,7 @@
 		w.recovering = err != nil
 		if err == nil {
 			consecutiveFailures = 0
-			w.late.close() // they ask for events that the answered poll has brought
+			w.late.close() // they requested events that the answered poll has returned
 			continue
 		}
 		interrupted := w.wasInterrupted(ctx, address, err)
@@ -232,8 +240,8 @@
 	w.closeConnection()
 }
 
-// resynchronizeAfter has the next poll ask for the complete list after an error that shows that the server's events don't
-// continue the log, and abandons the polls that asked for its continuation.
+// resynchronizeAfter makes the next poll request the complete list if err shows that the server's events don't continue
+// the log. It also abandons the late polls, which requested the continuation of the log.
 func (w *Watcher) resynchronizeAfter(err error) {
 	if errors.Is(err, ErrEventGap) || errors.Is(err, ErrRevisionRegressed) {
 		w.resynchronize = true
@@ -241,8 +249,8 @@
 	}
 }
 
-// releaseConnection closes the connection of a poll that ended with err. A poll that timed out stays pending instead: its
-// response may still come. conn is nil if there was no connection.
+// releaseConnection closes the connection of a poll that ended with err. If the poll timed out, it becomes a late poll
+// instead, because its response may still arrive. conn is nil if there was no connection.
 func (w *Watcher) releaseConnection(conn *connection, interrupted bool, err error) {
 	switch {
 	case conn == nil:
@@ -253,8 +261,9 @@
 	}
 }
 
-// ensureConnection returns the open connection to the current address, or establishes one. On an error conn is nil. The error is
-// errInterrupted if the address changed or the Watcher was closed while the connection was being established.
+// ensureConnection returns the open connection to the current address, or establishes one. On an error, conn is nil.
+// The error is errInterrupted if the address changed or the Watcher was closed while the connection was being
+// established.
 func (w *Watcher) ensureConnection(ctx context.Context) (address string, conn *connection, err error) {
 	w.mu.Lock()
 	address = w.address
@@ -283,14 +292,15 @@
 	return address, conn, nil
 }
 
-// wasInterrupted reports whether a poll ended with err by a change of the address or by Close, which is no failure.
+// wasInterrupted reports whether a poll that ended with err was interrupted by SetAddress or Close, which is not a
+// failure.
 func (w *Watcher) wasInterrupted(ctx context.Context, polledAddress string, err error) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.address != polledAddress || ctx.Err() != nil || errors.Is(err, errInterrupted)
 }
 
-// detachConnection has the next poll use another connection, and counts the failure if there was one.
+// detachConnection makes the next poll use a new connection, and counts a failed poll.
 func (w *Watcher) detachConnection(failed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -300,7 +310,8 @@
 	}
 }
 
-// waitBeforeRetry delays the next poll by exponential backoff with jitter. The first retry after a success is immediate.
+// waitBeforeRetry delays the next poll by exponential backoff with jitter. The first retry after a success is not
+// delayed.
 func (w *Watcher) waitBeforeRetry(ctx context.Context, consecutiveFailures int) {
 	if consecutiveFailures <= 1 {
 		return
@@ -309,7 +320,7 @@
 	w.cfg.sleep(ctx, delay/2+rand.N(delay/2+1))
 }
 
-// sleep returns after d, or when ctx is done.
+// sleep returns after d or when ctx is done, whichever is first.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -22,15 +22,15 @@
 	if got := testsupport.Await(t, lists, "the change"); got != "b@1.1.1.2:1, c@1.1.1.1:1" {
 		t.Errorf("after the change: %s", got)
 	}
-	server.AddEvent(`"other":{"x":1}`) // an event of another kind advances the revision and changes nothing
+	server.AddEvent(`"other":{"x":1}`) // an event of another kind advances the revision without changing the list
 	server.AddEvent(fakeplatform.EndpointsEvent(true, "d 1.1.1.4:1 active"))
 	if got := testsupport.Await(t, lists, "the snapshot"); got != "d@1.1.1.4:1" {
 		t.Errorf("after a snapshot: %s", got)
 	}
 }
 
-// brokenResponses are responses that must not be applied, made of the body that they replace. hold keeps the connection
-// open after them.
+// brokenResponses holds functions that return a response that must not be applied, made from the body of the valid
+// response that it replaces. If hold is true, the server keeps the connection open after the response.
 var brokenResponses = map[string]func(body string) (raw string, hold bool){
 	"cut off within an event":   func(body string) (string, bool) { return truncated(body), false },
 	"cut off and held open":     func(body string) (string, bool) { return truncated(body), true },
@@ -65,8 +65,8 @@
 	return response[:len(response)-20]
 }
 
-// TestBrokenResponseIsPolledAgain checks that a response that is cut off, malformed, endless or missing leaves the list
-// as it was and is followed by the same request, after which the event is applied once.
+// TestBrokenResponseIsPolledAgain checks that a response that is truncated, malformed, too long or missing leaves the
+// list unchanged and is followed by the same request, after which the event is applied once.
 func TestBrokenResponseIsPolledAgain(t *testing.T) {
 	for name, broken := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestSetAddressKeepsRevision checks that the poll pending at the old address, which stays open and silent, is abandoned
-// and resumes from the same revision at the new one.
+// TestSetAddressKeepsRevision checks that the poll pending at the old address, which the server never answers, is
+// abandoned, and that polling resumes from the same revision at the new address.
 func TestSetAddressKeepsRevision(t *testing.T) {
 	oldServer, watcher, lists := startWatcherWithWait(t, longPollWait, nil)
 	oldServer.AddEvent(fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestInterruptionDuringDial checks that a change of the address, or Close, that comes while a connection is being
-// established leads to no poll on it, and that neither counts as a failure.
+// TestInterruptionDuringDial checks that a change of the address or a Close while a connection is being established
+// prevents a poll on that connection and doesn't count as a failure.
 func TestInterruptionDuringDial(t *testing.T) {
 	for name, closed := range map[string]bool{"address changed": false, "closed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -158,8 +158,7 @@
 	}
 }
 
-// TestPendingPollIsInterrupted checks that a change of the address and Close don't wait until the server answers the poll
-// that it holds.
+// TestPendingPollIsInterrupted checks that SetAddress and Close don't wait for the response to a pending poll.
 func TestPendingPollIsInterrupted(t *testing.T) {
 	oldServer, watcher, _ := startWatcherWithWait(t, longPollWait, nil)
 	testsupport.Await(t, oldServer.Polls(), "a poll at the old address")
@@ -177,8 +176,8 @@
 	}
 }
 
-// TestPrematureResponsesAreThrottled checks that a server that holds no poll back, and sends no event, is polled no
-// faster than one that fails, and that a later event is applied all the same.
+// TestPrematureResponsesAreThrottled checks that a server that answers each poll immediately without an event is polled
+// no faster than a failing one, and that a later event is still applied.
 func TestPrematureResponsesAreThrottled(t *testing.T) {
 	server, watcher, lists := startWatcher(t, nil)
 	server.RespondAtOnce()
