--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -81,7 +81,7 @@
 }
 
 // TestOverloadedServer lets the server reject several polls before it answers one. The event must then be applied, and
-// the delay between the rejected polls must increase.
+// the rejected polls must be delayed by the backoff.
 func TestOverloadedServer(t *testing.T) {
 	const rejected = 12
 	startedAt := time.Now()
--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -14,51 +14,53 @@
 	Address string
 }
 
-// Update is the endpoint list, or the workers that have changed in it. No worker is in it twice. The order does not matter.
+// Update is the endpoint list, or the workers that have changed in it. It contains each worker at most once, in any
+// order.
 type Update struct {
-	Snapshot bool // the list is complete: a worker that is absent has been removed
+	Snapshot bool // Workers is the complete list: workers not in it have been removed
 	Workers  []Worker
 }
 
 // Settings are the settings of a Merger.
 type Settings struct {
-	// CheckInterval is the time from a worker's report that it drains to the first health check of it, and from
-	// the end of one health check to the next.
+	// CheckInterval is the time from a worker's report that it is draining to its first health check, and from the end
+	// of one health check to the next.
 	CheckInterval time.Duration
 }
 
-// maxWorkers bounds the list. Further workers are ignored, so that a faulty source can't exhaust the memory.
+// maxWorkers limits the length of the list. Further workers are ignored, so that a faulty source can't exhaust the
+// memory.
 const maxWorkers = 1 << 16
 
-// Merger holds one router's view of the endpoints. It isn't safe for concurrent use. An update that is not a snapshot costs in
-// proportion to its workers and to the reported drains, not to the list.
+// Merger holds one router's view of the endpoints. It isn't safe for concurrent use. The cost of an update that is not
+// a snapshot is proportional to its workers and the reported drains, not to the length of the list.
 type Merger struct {
 	settings     Settings
-	list         map[string]Worker         // the list as it was last updated, by ID
+	list         map[string]Worker         // the current list, by worker ID
 	draining     map[string]*reportedDrain // by worker ID
-	lastReturned map[string]listing        // what Step last returned of the workers that may have changed since, by ID
-	listReturned bool                      // Step has returned the list
-	listReceived bool                      // there has been an update
+	lastReturned map[string]listing        // what Step last returned of the workers that may have changed, by worker ID
+	listReturned bool                      // Step has returned the complete list
+	listReceived bool                      // at least one update was applied
 
-	checkScheduled bool          // a health check is to be made at nextCheckAt
-	nextCheckAt    time.Duration // the earliest of those in draining
+	checkScheduled bool          // a health check is due at nextCheckAt
+	nextCheckAt    time.Duration // the earliest nextCheckAt in draining
 }
 
-// listing is a worker as Step returns it, if it is listed.
+// listing is a worker as Step returns it. worker is the zero value if it is not listed.
 type listing struct {
 	worker Worker
 	listed bool
 }
 
-// reportedDrain is the state of a worker that has reported that it drains.
+// reportedDrain is the state of a worker that has reported that it is draining.
 type reportedDrain struct {
-	startedAt      time.Duration // the worker's start time in the list when it reported
-	listedInactive bool          // the list has shown the worker as not active since
+	startedAt      time.Duration // the worker's start time in the list at the time of the report
+	listedInactive bool          // the list has shown the worker as not active since the report
 	nextCheckAt    time.Duration
 	checkInFlight  bool
 }
 
-// New returns a Merger that knows no worker.
+// New returns a Merger with an empty list.
 func New(settings Settings) *Merger {
 	return &Merger{
 		settings:     settings,
@@ -68,7 +70,7 @@
 	}
 }
 
-// Update applies an update of the endpoint list. The Merger does not keep the slice.
+// Update applies an update of the endpoint list. The Merger does not retain update.Workers.
 func (m *Merger) Update(update Update) {
 	m.listReceived = true
 	if update.Snapshot {
@@ -84,7 +86,7 @@
 	m.scheduleNextCheck()
 }
 
-// removeUnlisted removes the workers that a snapshot leaves out.
+// removeUnlisted removes the workers that are not in a snapshot.
 func (m *Merger) removeUnlisted(snapshot []Worker) {
 	listed := make(map[string]bool, len(snapshot))
 	for _, worker := range snapshot {
@@ -97,7 +99,7 @@
 	}
 }
 
-// remove removes a worker from the list. A drain that it has reported ends: the list has caught up.
+// remove removes a worker from the list, and its reported drain, as the list is now up to date.
 func (m *Merger) remove(id string) {
 	m.saveReturned(id)
 	delete(m.list, id)
@@ -114,21 +116,21 @@
 	drain := m.draining[worker.ID]
 	switch {
 	case drain == nil:
-	case worker.State != dispatch.EndpointActive: // the list has caught up and shows the drain
+	case worker.State != dispatch.EndpointActive: // the list is up to date and shows the drain
 		drain.listedInactive = true
 	case drain.listedInactive || worker.StartedAt > drain.startedAt:
 		delete(m.draining, worker.ID)
 	}
 }
 
-// saveReturned remembers what Step last returned of a worker. It must be called before the worker changes.
+// saveReturned saves a worker as Step last returned it. It must be called before the worker changes.
 func (m *Merger) saveReturned(id string) {
 	if _, saved := m.lastReturned[id]; !saved {
 		m.lastReturned[id] = m.merged(id)
 	}
 }
 
-// merged returns a worker of the list. It is draining if it is active in the list and has reported that it drains.
+// merged returns a worker of the list, as draining if it is active in the list but has reported that it is draining.
 func (m *Merger) merged(id string) listing {
 	worker, listed := m.list[id]
 	if m.draining[id] != nil && worker.State == dispatch.EndpointActive {
@@ -137,7 +139,7 @@
 	return listing{worker: worker, listed: listed}
 }
 
-// WorkerDraining records a worker's own report that it drains. A worker that is not in the list is ignored.
+// WorkerDraining records a worker's report that it is draining. A worker that is not in the list is ignored.
 func (m *Merger) WorkerDraining(now time.Duration, id string) {
 	worker, listed := m.list[id]
 	if !listed {
@@ -153,8 +155,8 @@
 	m.scheduleNextCheck()
 }
 
-// HealthChecked records the result of a health check that Step requested. ready is false also if the worker
-// did not answer.
+// HealthChecked records the result of a health check that Step requested. ready must also be false if the worker did
+// not answer.
 func (m *Merger) HealthChecked(now time.Duration, id string, ready bool) {
 	drain := m.draining[id]
 	if drain == nil || !drain.checkInFlight {
@@ -169,7 +171,7 @@
 	m.scheduleNextCheck()
 }
 
-// scheduleNextCheck sets when the next health check is due.
+// scheduleNextCheck updates the time of the next health check.
 func (m *Merger) scheduleNextCheck() {
 	m.checkScheduled = false
 	for _, drain := range m.draining {
@@ -183,28 +185,28 @@
 	}
 }
 
-// NextCheck returns when the next health check is due, at which time Step must be called also without a further event. ok is
-// false if no check is planned.
+// NextCheck returns when the next health check is due. The caller must call Step at that time even if there is no
+// further event. ok is false if no check is scheduled.
 func (m *Merger) NextCheck() (at time.Duration, ok bool) { return m.nextCheckAt, m.checkScheduled }
 
-// needsCheck reports whether a health check of the worker is to be made at nextCheckAt. Once the list itself shows the
+// needsCheck reports whether a health check of the worker is due at nextCheckAt. Once the list itself has shown the
 // drain, only the list ends it.
 func (d *reportedDrain) needsCheck() bool { return !d.checkInFlight && !d.listedInactive }
 
-// Actions are to be carried out by the caller of Step.
+// Actions holds the actions that the caller of Step must execute.
 type Actions struct {
-	// Update is the merged list the first time, and later what has changed in it, sorted by ID. It is nil if nothing has
-	// changed. A removed worker is as it was last, except for its state.
+	// Update is the complete merged list the first time, and later the workers that have changed in it, sorted by ID.
+	// It is nil if nothing has changed. A removed worker is as last returned, except for its state.
 	Update *Update
-	Check  []string // the IDs of workers to health-check; each check ends by one HealthChecked
+	Check  []string // IDs of the workers whose health to check; the result must be passed to HealthChecked once
 }
 
-// Step returns the actions that follow from the events so far, at the given time. Each action is returned once.
+// Step returns the actions that result from the events so far and the time. Each action is returned once.
 func (m *Merger) Step(now time.Duration) Actions {
 	return Actions{Update: m.takeUpdate(), Check: m.startDueChecks(now)}
 }
 
-// takeUpdate returns what has changed since it was last called, nil if nothing has.
+// takeUpdate returns the changes since its last call, or nil if there are none.
 func (m *Merger) takeUpdate() *Update {
 	first := m.listReceived && !m.listReturned
 	if len(m.lastReturned) == 0 && !first {
@@ -231,7 +233,7 @@
 	return update
 }
 
-// startDueChecks returns the workers whose health check is due, and marks the checks as in flight.
+// startDueChecks returns the IDs of the workers whose health check is due, and marks the checks as in flight.
 func (m *Merger) startDueChecks(now time.Duration) (due []string) {
 	if !m.checkScheduled || now < m.nextCheckAt {
 		return nil
--- a/internal/endpoints/merger_bench_test.go
+++ b/internal/endpoints/merger_bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// BenchmarkMergerUpdate times the merge of an update that changes one worker of n.
+// BenchmarkMergerUpdate measures the merge of an update that changes one worker of n.
 func BenchmarkMergerUpdate(b *testing.B) {
 	for _, n := range []int{60, 960, 3200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
--- a/internal/endpoints/merger_property_test.go
+++ b/internal/endpoints/merger_property_test.go
@@ -10,8 +10,8 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// TestUpdatesReproduceList checks over random updates, drains and steps that the updates that Step returns make together
-// the list as it is, with the reported drains, and that none changes nothing.
+// TestUpdatesReproduceList checks with random updates, drains and steps that the updates returned by Step add up to the
+// list with the reported drains applied, and that no returned update is without effect.
 func TestUpdatesReproduceList(t *testing.T) {
 	drawWorker := func(t *rapid.T) Worker {
 		return Worker{Address: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), Endpoint: dispatch.Endpoint{
@@ -42,7 +42,7 @@
 				before := maps.Clone(f.list)
 				actions := f.Step(now)
 				if actions.Update != nil && !actions.Update.Snapshot && maps.Equal(before, f.list) {
-					t.Fatalf("an update that changes nothing: %+v", actions.Update)
+					t.Fatalf("update without effect: %+v", actions.Update)
 				}
 				for _, id := range actions.Check {
 					f.HealthChecked(now, id, rapid.Bool().Draw(t, "ready"))
--- a/internal/endpoints/merger_test.go
+++ b/internal/endpoints/merger_test.go
@@ -9,7 +9,7 @@
 
 const checkInterval = 5 * time.Second
 
-// listWith returns a list of worker b with the given state and start time and an active worker a, not sorted.
+// listWith returns an unsorted list of worker b with the given state and start time, and an active worker a.
 func listWith(state dispatch.EndpointState, startedAt time.Duration) []Worker {
 	return []Worker{
 		{Endpoint: dispatch.Endpoint{ID: "b", State: state, StartedAt: startedAt}},
@@ -17,7 +17,7 @@
 	}
 }
 
-// trackedMerger is a Merger with the list that the updates it has returned make together.
+// trackedMerger is a Merger with the list that results from the updates that it has returned.
 type trackedMerger struct {
 	*Merger
 	list map[string]Worker
@@ -27,10 +27,10 @@
 	return &trackedMerger{Merger: New(Settings{CheckInterval: checkInterval}), list: map[string]Worker{}}
 }
 
-// setList updates the Merger by a snapshot.
+// setList replaces the endpoint list by a snapshot.
 func (f *trackedMerger) setList(list []Worker) { f.Update(Update{Snapshot: true, Workers: list}) }
 
-// Step takes a step and follows what it returns.
+// Step calls Merger.Step and applies the returned update to f.list.
 func (f *trackedMerger) Step(now time.Duration) Actions {
 	actions := f.Merger.Step(now)
 	if actions.Update == nil {
@@ -49,7 +49,7 @@
 	return actions
 }
 
-// stepState takes a step and returns the state of b; ok is false if b is not in the list.
+// stepState calls Step and returns the state of worker b. ok is false if b is not in the list.
 func stepState(t *testing.T, f *trackedMerger, now time.Duration) (state dispatch.EndpointState, ok bool) {
 	t.Helper()
 	f.Step(now)
--- a/internal/endpoints/starttimes.go
+++ b/internal/endpoints/starttimes.go
@@ -8,27 +8,27 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// RouterClock is a router's own clock, which is monotonic.
+// RouterClock is a router's monotonic clock.
 type RouterClock interface {
 	Now() time.Duration
-	FromWallTime(moment wallclock.Time) time.Duration // what Now returns at that moment if the wall clock is right
+	FromWallTime(moment wallclock.Time) time.Duration // the reading of Now at that moment, if the wall clock is right
 }
 
-// StartTimes converts the start times of an endpoint list, which are wall times, to the router's clock. The wall clock of
-// this host or of the list's may be wrong, from the beginning or after it was set. A converted time that is too early is the
-// costly error: a worker in slow start would be taken for a warm one and get too many requests. So these facts, which hold
-// whatever the wall clock shows, take precedence:
+// StartTimes converts the start times of an endpoint list, which are wall times, to the router's clock. The wall clock
+// of this host or of the host that made the list may be wrong, from the beginning or after it was set. A converted time
+// that is too early is the costly error: a worker in slow start would be treated as warm and get too many requests.
+// These facts, which hold even if a wall clock is wrong, therefore take precedence:
 //
-//   - no start lies in the future;
-//   - a worker that the list names for the first time, or with another start time, has started since the list was last
-//     current (the first list proves nothing of the kind);
-//   - a start that was converted once keeps its converted time.
+//   - no start time is in the future;
+//   - a worker that is new in the list, or has another start time in it, has started since the list was last confirmed
+//     (this does not apply to the first list);
+//   - a start time that was converted once keeps its converted time.
 //
 // A StartTimes is not safe for concurrent use.
 type StartTimes struct {
 	clock       RouterClock
 	converted   map[string]convertedStart // by worker
-	confirmedAt time.Duration             // when the list was last current; 0 before the first
+	confirmedAt time.Duration             // when the list was last confirmed; 0 before the first time
 }
 
 type convertedStart struct {
@@ -36,30 +36,30 @@
 	routerTime time.Duration
 }
 
-// NewStartTimes returns a StartTimes that knows of no list.
+// NewStartTimes returns a StartTimes without converted start times.
 func NewStartTimes(clock RouterClock) *StartTimes {
 	return &StartTimes{clock: clock, converted: map[string]convertedStart{}}
 }
 
-// Convert returns when a worker of the list started, by the router's clock, and remembers it.
+// Convert returns a worker's start time on the router's clock, and stores it for later calls.
 func (s *StartTimes) Convert(worker string, startedAt wallclock.Time) time.Duration {
 	earliest := s.confirmedAt
 	if converted, ok := s.converted[worker]; ok {
 		if converted.wallTime == startedAt {
 			return converted.routerTime
 		}
-		earliest = max(earliest, converted.routerTime+1) // a restart is later than the start before it
+		earliest = max(earliest, converted.routerTime+1) // a restart is later than the previous start
 	}
 	routerTime := max(min(s.clock.FromWallTime(startedAt), s.clock.Now()), earliest)
 	s.converted[worker] = convertedStart{wallTime: startedAt, routerTime: routerTime}
 	return routerTime
 }
 
-// ListConfirmed records that the converted list had all workers which had started by then. A time before the last one
-// recorded changes nothing.
+// ListConfirmed records that the list contains all workers started before a time. It has no effect if a later time was
+// recorded before.
 func (s *StartTimes) ListConfirmed(at time.Duration) { s.confirmedAt = max(s.confirmedAt, at) }
 
-// Forget forgets the workers that an update removes, by name or, if it is a snapshot, by leaving them out.
+// Forget deletes the start times of the workers that an update removes, explicitly or by their absence from a snapshot.
 func (s *StartTimes) Forget(update *Update) {
 	listed := map[string]bool{}
 	for _, worker := range update.Workers {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Retain forgets the workers that are not listed any more.
+// Retain deletes the start times of the workers for which listed returns false.
 func (s *StartTimes) Retain(listed func(worker string) bool) {
 	maps.DeleteFunc(s.converted, func(worker string, _ convertedStart) bool { return !listed(worker) })
 }
--- a/internal/timingwheel/golden_test.go
+++ b/internal/timingwheel/golden_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestGoldenOrder plays seeded random timers and holds which come due at each step, in which order, and what Next
-// and Len tell. The callback adds and removes timers too.
+// TestGoldenOrder performs seeded random operations and compares a hash of which timers come due at each step, in which
+// order, and of the results of Next and Len. The callback adds and removes timers too.
 func TestGoldenOrder(t *testing.T) {
 	const want = "a67ef56e0a15df4c80dc925e3ccbf58cc7555173c6f10d120fe80c361c5ac48a"
 	sum := sha256.New()
--- a/internal/timingwheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,9 +1,9 @@
 // Package timingwheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels",
 // SOSP 1987): adding and removing a timer take constant time, which suits deadlines that are nearly all removed
-// before they come due. It reads no clock; time is a duration since any fixed moment.
+// before they come due. It reads no clock; a time is a duration since any fixed moment.
 //
-// A slot of level 0 covers one tick, and a slot of each further level as much as all slots of the level below. When
-// the current tick reaches a slot above level 0, that slot's timers are distributed over the levels below.
+// A slot of level 0 covers one tick. A slot of each higher level covers as many ticks as all slots of the level below.
+// When the current tick reaches a slot above level 0, that slot's timers are distributed over the levels below.
 package timingwheel
 
 import (
@@ -13,7 +13,7 @@
 
 const (
 	levels   = 4
-	slotBits = 6 // of a tick's number, for each level
+	slotBits = 6 // bits of the tick number that select a slot, per level
 	slots    = 1 << slotBits
 	slotMask = slots - 1
 
@@ -21,9 +21,10 @@
 	span = 1 << (levels * slotBits)
 )
 
-// Timer is one entry. Its owner keeps it, and may have it in one Wheel at a time; the zero value is ready for use.
+// Timer is one timer of a Wheel. The caller allocates it, and may add it to one Wheel at a time. The zero value is
+// ready for use.
 type Timer struct {
-	Value any // for the owner's use
+	Value any // set and used by the caller only
 
 	dueTick    int64
 	next, prev *Timer // neighbours in the slot's list
@@ -32,14 +33,14 @@
 	scheduled  bool // the timer is in a wheel
 }
 
-// Wheel holds timers. It belongs to one goroutine. A timer comes due at the first Advance at or after its time,
+// Wheel holds timers. It is not safe for concurrent use. A timer comes due at the first Advance to or beyond its time,
 // rounded up to the tick.
 type Wheel struct {
 	tick        time.Duration // duration of a tick
 	currentTick int64
 	count       int
-	heads       [levels][slots]*Timer // each slot's list of timers
-	occupied    [levels]uint64        // a bit for each slot that has timers
+	heads       [levels][slots]*Timer // head of each slot's list of timers
+	occupied    [levels]uint64        // per level, a bit for each slot, set if the slot has timers
 }
 
 // New returns an empty Wheel whose time begins at now.
@@ -48,8 +49,8 @@
 // Len returns the number of timers in the wheel.
 func (w *Wheel) Len() int { return w.count }
 
-// Add schedules t for a time; one in the past comes due at the next tick. A timer that is in the wheel is
-// rescheduled.
+// Add schedules t for a time. If the time is in the past, t comes due at the next tick. A timer that is already in the
+// wheel is rescheduled.
 func (w *Wheel) Add(t *Timer, at time.Duration) {
 	if t.scheduled {
 		w.Remove(t)
@@ -59,9 +60,9 @@
 	w.count++
 }
 
-// link puts t into the slot of its due tick, on the lowest level that reaches so far.
+// link puts t into the slot of its due tick, on the lowest level that covers that tick.
 func (w *Wheel) link(t *Timer) {
-	// A timer beyond the span goes into the last slot, and is put further on when that slot is reached.
+	// A timer beyond the span is put into the last slot, and linked again when that slot is reached.
 	slotTick := min(t.dueTick, w.currentTick+span-1)
 	level := 0
 	for slotTick-w.currentTick >= 1<<((level+1)*slotBits) {
@@ -79,7 +80,7 @@
 // slotOf returns the index of the slot that covers a tick.
 func slotOf(tick int64, level int) int { return int(tick>>(level*slotBits)) & slotMask }
 
-// Remove takes a timer out of the wheel; one that is not in the wheel is left alone.
+// Remove removes a timer from the wheel. It does nothing if the timer is not in the wheel.
 func (w *Wheel) Remove(t *Timer) {
 	if !t.scheduled {
 		return
@@ -96,8 +97,8 @@
 	w.count--
 }
 
-// Advance moves the time to now. It removes the timers that came due and calls due for each, earlier ticks first; the
-// order within a tick is not specified. due may add and remove timers.
+// Advance sets the time to now. It removes the timers that have come due and calls due for each, in the order of their
+// ticks; the order within a tick is unspecified. due may add and remove timers.
 func (w *Wheel) Advance(now time.Duration, due func(*Timer)) {
 	for target := int64(now / w.tick); w.currentTick < target; {
 		if w.count == 0 {
@@ -113,8 +114,8 @@
 	}
 }
 
-// skipEmptyTicks moves on to the tick before the next slot of level 1, or to target, where level 0 is empty. It
-// reports whether it moved.
+// skipEmptyTicks advances the current tick to the last one of the current slot of level 1, or to target if that is
+// earlier, provided that level 0 is empty. It reports whether it advanced the tick.
 func (w *Wheel) skipEmptyTicks(target int64) bool {
 	if w.occupied[0] != 0 {
 		return false
@@ -127,7 +128,7 @@
 	return true
 }
 
-// cascade distributes the timers of each slot above level 0 that begins at the current tick.
+// cascade distributes the timers of each slot above level 0 that begins at the current tick over the lower levels.
 func (w *Wheel) cascade() {
 	for level := 1; level < levels && w.currentTick&(1<<(level*slotBits)-1) == 0; level++ {
 		for t := w.detachSlot(level, slotOf(w.currentTick, level)); t != nil; {
@@ -151,7 +152,7 @@
 	slot := slotOf(w.currentTick, 0)
 	for t := w.heads[0][slot]; t != nil; t = w.heads[0][slot] {
 		w.Remove(t)
-		if t.dueTick > w.currentTick { // a guard: link puts a timer on level 0 for its own tick alone
+		if t.dueTick > w.currentTick { // a safeguard: link puts a timer on level 0 only for its due tick
 			w.Add(t, time.Duration(t.dueTick)*w.tick)
 			continue
 		}
@@ -159,7 +160,7 @@
 	}
 }
 
-// Next returns a time before which no timer comes due; ok is false where the wheel is empty.
+// Next returns a time before which no timer comes due. ok is false if the wheel is empty.
 func (w *Wheel) Next() (at time.Duration, ok bool) {
 	first := int64(-1)
 	for level := range levels {
@@ -181,7 +182,7 @@
 func (w *Wheel) nextOccupied(level int) int64 {
 	shift := level * slotBits
 	current := w.currentTick >> shift
-	// Rotated so that the slot that is entered next is bit 0. The present slot is the last bit: timers in it are one
+	// Bit 0 of rotated is the slot after the current one. The current slot is the last bit, because its timers are a
 	// full revolution ahead.
 	rotated := bits.RotateLeft64(w.occupied[level], -int((current+1)&slotMask))
 	return (current + 1 + int64(bits.TrailingZeros64(rotated))) << shift
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestWheelMatchesPlainList applies the same random operations to a wheel and to a plain list of timers.
+// TestWheelMatchesPlainList compares a wheel with a plain list of timers under the same random operations.
 func TestWheelMatchesPlainList(t *testing.T) {
 	for seed := range uint64(6) {
 		m := newModel(t, seed)
@@ -29,7 +29,7 @@
 	}
 }
 
-// model is a wheel beside the plain list of the timers that it should hold.
+// model is a wheel and a plain list of the timers that it should hold.
 type model struct {
 	t     *testing.T
 	seed  uint64
@@ -39,20 +39,20 @@
 	want  []expectedTimer
 }
 
-// expectedTimer is a timer and the time that it was added for.
+// expectedTimer is a timer and the time for which it is scheduled.
 type expectedTimer struct {
 	timer *Timer
 	at    time.Duration
 }
 
-// newModel returns a model that begins at a random time.
+// newModel returns a model that starts at a random time.
 func newModel(t *testing.T, seed uint64) *model {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	now := time.Duration(rng.Int64N(int64(time.Hour)))
 	return &model{t: t, seed: seed, rng: rng, now: now, wheel: New(time.Millisecond, now)}
 }
 
-// randomDuration draws a duration whose scale is itself drawn, up to 2^(scales-1) seconds.
+// randomDuration returns a random duration whose scale is also random, up to 2^(scales-1) seconds.
 func (m *model) randomDuration(scales int) time.Duration {
 	return time.Duration(m.rng.ExpFloat64() * float64(time.Second) * float64(int64(1)<<m.rng.IntN(scales)))
 }
@@ -64,7 +64,7 @@
 	m.want = append(m.want, e)
 }
 
-// remove removes one timer, where there is any.
+// remove removes a random timer, if there is one.
 func (m *model) remove() {
 	if len(m.want) == 0 {
 		return
@@ -74,7 +74,7 @@
 	m.want = slices.Delete(m.want, i, i+1)
 }
 
-// checkNext fails where a timer comes due before the time that Next gives.
+// checkNext fails the test if a timer comes due before the time that Next returns.
 func (m *model) checkNext() {
 	m.t.Helper()
 	next, ok := m.wheel.Next()
@@ -86,12 +86,12 @@
 	}
 	for _, e := range m.want {
 		if e.at < next-time.Millisecond && e.at > m.now {
-			m.t.Fatalf("a timer at %v comes before Next, %v", e.at, next)
+			m.t.Fatalf("timer at %v comes due before the time of Next, %v", e.at, next)
 		}
 	}
 }
 
-// advance moves the time on and fails where the timers that come due are not the expected ones.
+// advance advances the time and fails the test if other timers than expected come due.
 func (m *model) advance() {
 	m.t.Helper()
 	m.now += m.randomDuration(12)
@@ -106,7 +106,7 @@
 	})
 }
 
-// timerHeap is a binary heap of timers, for comparison; a timer's Value is its index.
+// timerHeap is a binary heap of timers, for comparison with the wheel. A timer's Value is its index in the heap.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -118,8 +118,8 @@
 func (h *timerHeap) Push(x any) { t, _ := x.(*Timer); t.Value = len(*h); *h = append(*h, t) }
 func (h *timerHeap) Pop() any   { old := *h; t := old[len(old)-1]; *h = old[:len(old)-1]; return t }
 
-// benchmarkTimers is the number of deadlines that the benchmarks hold. Each operation adds one and removes the oldest,
-// as calls do that end long before their deadline.
+// benchmarkTimers is the number of timers that the benchmarks hold. Each operation adds one and removes the oldest, as
+// for calls that end long before their deadline.
 const benchmarkTimers = 5000
 
 func BenchmarkWheel(b *testing.B) {
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,37 +1,38 @@
-// Package wallclock owns the time of day. The wall clock may be wrong and may be set at any moment, by seconds or by
-// hours, while monotonic time runs on. So it measures no duration and puts no events in order: within a process that is
-// done with the monotonic reading of time.Now. The wall time is for what crosses processes: workers' start times in an
-// endpoint list, and the incarnation of a member of gossip. Whoever takes such a time in expects it to be wrong.
+// Package wallclock is the only package that reads and converts wall times. The wall clock may be wrong and may be set
+// at any moment, by seconds or by hours, unlike a monotonic clock. Durations and the order of events within a process
+// must therefore be taken from the monotonic reading of time.Now. Wall times are only for data exchanged between
+// processes: the start times of workers in an endpoint list, and the incarnation of a gossip member. Code that receives
+// such a time must allow for it to be wrong.
 //
-// The linter forbids elsewhere what reads the wall time out of a time.Time or makes one of it.
+// A linter rule forbids all other packages to convert between a time.Time and a wall time.
 package wallclock
 
 import "time"
 
-// Time is a moment by the wall clock of some host. It has no monotonic reading. Times can be compared by ==.
+// Time is a wall time of some host. It has no monotonic reading. Times can be compared with ==.
 type Time struct {
 	moment time.Time // in UTC, without a monotonic reading
 }
 
-// FromUnixMilli returns the time that is some milliseconds after the start of 1970.
+// FromUnixMilli returns the Time that corresponds to a Unix time in milliseconds.
 func FromUnixMilli(milliseconds int64) Time { return Time{time.UnixMilli(milliseconds).UTC()} } //nolint:forbidigo // the package that owns the wall time
 
-// FromTime returns the wall time of a moment, such as one that was parsed from a file.
+// FromTime returns the wall time of a time.Time, for example one parsed from a file.
 func FromTime(moment time.Time) Time { return Time{moment.Round(0).UTC()} } //nolint:forbidigo // the package that owns the wall time
 
-// UnixMilli returns the milliseconds since the start of 1970, 0 for an earlier time.
+// UnixMilli returns the Unix time in milliseconds, or 0 for a time before 1970.
 func (t Time) UnixMilli() uint64 { return uint64(max(t.moment.UnixMilli(), 0)) } //nolint:forbidigo // the package that owns the wall time
 
-// UnixNano returns the nanoseconds since the start of 1970, 0 for an earlier time.
+// UnixNano returns the Unix time in nanoseconds, or 0 for a time before 1970.
 func (t Time) UnixNano() uint64 { return uint64(max(t.moment.UnixNano(), 0)) } //nolint:forbidigo // the package that owns the wall time
 
-// Add returns the time that is later by d.
+// Add returns t+d.
 func (t Time) Add(d time.Duration) Time { return Time{t.moment.Add(d)} }
 
-// Sub returns how much later t is than u, or the longest Duration of its sign if that is not long enough.
+// Sub returns t-u. If the result exceeds the range of a Duration, Sub returns the maximum or minimum Duration.
 func (t Time) Sub(u Time) time.Duration { return t.moment.Sub(u.moment) }
 
-// Clock tells the time of day.
+// Clock is a source of the current wall time.
 type Clock interface {
 	Now() Time
 }
