--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -31,7 +31,7 @@
 // EndpointListRequested records that the endpoint list is requested at a time on the router's clock, for the first time
 // or after a failed or interrupted request.
 func (r *Router) EndpointListRequested(at time.Duration) {
-	r.post(func() { r.events = append(r.events, dispatch.EndpointListAskedAgain{At: at}) })
+	r.post(func() { r.events = append(r.events, dispatch.EndpointListRequested{At: at}) })
 }
 
 // endpointListStateChanged records and logs whether the dispatcher considers the endpoint list current.
