--- a/internal/router/functions.go
+++ b/internal/router/functions.go
@@ -10,7 +10,7 @@
 	// dispatcher sends load commands for the function.
 	functionTTL = 3 * time.Minute
 
-	// minFunctionSweep is the number of functions below which no sweep is made, as it would free little memory.
+	// minFunctionSweep is the number of functions below which a sweep is not worth its time.
 	minFunctionSweep = 1024
 )
 
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -6,8 +6,8 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// StartShutdown limits every call to a final answer within the given time, because the process is killed after that.
-// The router still accepts calls, which have the same limit.
+// StartShutdown makes the router give every call its final answer within the given time, after which the process is
+// killed. The router still accepts calls, which have the same deadline.
 func (r *Router) StartShutdown(within time.Duration) {
 	r.post(func() {
 		r.shutdownDeadline = r.turnTime + within
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -19,7 +19,7 @@
 	HealthChecks  uint64 `json:"Probes"`
 	Verifications uint64 `json:"Looks"` // health checks requested by gossip
 
-	CallsInFlight    int           `json:"Open"` // calls of which the answer or an attempt is pending
+	CallsInFlight    int           `json:"Open"` // calls not yet answered, or with an attempt in flight
 	AttemptsInFlight int           `json:"Out"`
 	ServedDuration   time.Duration `json:"Took"` // total duration of the attempts that ended with OK
 
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -27,7 +27,7 @@
 // SendLimits holds the time limits of an attempt or load command.
 type SendLimits struct {
 	Remaining  time.Duration // time until the attempt or load command times out
-	SendBefore time.Time     // if the first byte can't be written earlier, the result is NotSent; zero means no limit
+	SendBefore time.Time     // the first byte must be written before, else the result is NotSent; zero means no limit
 }
 
 // Expired reports whether it is too late to write the first byte.
