--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -13,10 +13,10 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestWhenResponseProvesListCurrent checks the time up to which a response confirms the list. The server writes a
+// TestListConfirmationTime checks the time up to which a response confirms the list. The server writes a
 // response without events at the end of the poll's wait, however late it is read. A response with events may have been
 // written right after the poll was sent.
-func TestWhenResponseProvesListCurrent(t *testing.T) {
+func TestListConfirmationTime(t *testing.T) {
 	const wait = time.Second
 	for _, test := range []struct {
 		name      string
@@ -47,35 +47,35 @@
 
 func (c elapsedClock) Now() time.Duration { return time.Since(c.startedAt) }
 
-// watchReports records the callbacks of a Watcher, in order.
-type watchReports struct {
+// callbackRecorder records the calls of a Watcher's callbacks, in order.
+type callbackRecorder struct {
 	mu      sync.Mutex
 	reports []string
 }
 
-func (r *watchReports) add(report string) {
+func (r *callbackRecorder) add(report string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reports = append(r.reports, report)
 }
 
 // last returns the last report.
-func (r *watchReports) last() string {
+func (r *callbackRecorder) last() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reports[len(r.reports)-1]
 }
 
-func (r *watchReports) String() string {
+func (r *callbackRecorder) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Join(r.reports, " ")
 }
 
-// startReportingWatcher starts a Watcher whose callbacks are recorded.
-func startReportingWatcher(t *testing.T, server *fakeplatform.DiscoveryServer) (*Watcher, *watchReports) {
+// startRecordedWatcher starts a Watcher whose callbacks are recorded.
+func startRecordedWatcher(t *testing.T, server *fakeplatform.DiscoveryServer) (*Watcher, *callbackRecorder) {
 	t.Helper()
-	reports := &watchReports{}
+	reports := &callbackRecorder{}
 	cfg := watcherConfig(server.Addr(), func(endpoints.Update) { reports.add("update") })
 	cfg.RouterClock = elapsedClock{startedAt: time.Now()}
 	cfg.OnConfirmed = func(time.Duration) { reports.add("confirmed") }
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := platformtest.StartDiscovery(t, initialEndpoints)
-			watcher, reports := startReportingWatcher(t, server)
+			watcher, reports := startRecordedWatcher(t, server)
 			testsupport.WaitUntil(t, "the first poll", func() bool { return len(server.Polls()) > 0 })
 			server.SetRespond(respond)
 			testsupport.WaitUntil(t, "failed polls", func() bool { return watcher.Stats().FailedPolls > 2 })
@@ -170,13 +170,13 @@
 // which sends no snapshot, are not applied.
 func TestResynchronizationRequiresSnapshot(t *testing.T) {
 	server := platformtest.StartDiscovery(t, initialEndpoints)
-	watcher, reports := startReportingWatcher(t, server)
+	watcher, reports := startRecordedWatcher(t, server)
 	server.SetRespond(func(int, string) (string, bool) {
 		return httpResponse(fmt.Sprintf(`{"cursor":7,"cmds":[{"cursor":7,%s}]}`, fakeplatform.EndpointsEvent(false, "c 1.1.1.3:1 active"))), true
 	})
 	testsupport.WaitUntil(t, "failed polls", func() bool { return watcher.Stats().FailedPolls > 3 })
 	if strings.Count(reports.String(), "update") > 1 || watcher.Stats().Revision != 1 {
-		t.Errorf("reports %s, revision %d; want one update, revision 1", reports, watcher.Stats().Revision)
+		t.Errorf("reports %s, revision %d; want at most one update, revision 1", reports, watcher.Stats().Revision)
 	}
 	server.SetRespond(nil)
 	testsupport.WaitUntil(t, "a confirmation", func() bool { return reports.last() == "confirmed" })
--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -189,8 +189,8 @@
 // further event. ok is false if no check is scheduled.
 func (m *Merger) NextCheck() (at time.Duration, ok bool) { return m.nextCheckAt, m.checkScheduled }
 
-// needsCheck reports whether a health check of the worker is due at nextCheckAt. Once the list itself has shown the
-// drain, only the list ends it.
+// needsCheck reports whether a health check of the worker must be made at nextCheckAt. Once the list itself has shown
+// the drain, only the list ends it.
 func (d *reportedDrain) needsCheck() bool { return !d.checkInFlight && !d.listedInactive }
 
 // Actions holds the actions that the caller of Step must execute.
--- a/internal/endpoints/merger_property_test.go
+++ b/internal/endpoints/merger_property_test.go
@@ -21,7 +21,7 @@
 		}}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		f, list, now := newTrackedMerger(), map[string]Worker{}, time.Duration(0)
+		m, list, now := newTrackedMerger(), map[string]Worker{}, time.Duration(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"update": func(t *rapid.T) {
 				workers := rapid.SliceOfNDistinct(rapid.Custom(drawWorker), 0, 4, func(w Worker) string { return w.ID }).Draw(t, "workers")
@@ -34,29 +34,29 @@
 						delete(list, worker.ID)
 					}
 				}
-				f.Update(Update{Snapshot: snapshot, Workers: workers})
+				m.Update(Update{Snapshot: snapshot, Workers: workers})
 			},
-			"drain": func(t *rapid.T) { f.WorkerDraining(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")) },
+			"drain": func(t *rapid.T) { m.WorkerDraining(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")) },
 			"step": func(t *rapid.T) {
 				now += time.Second
-				before := maps.Clone(f.list)
-				actions := f.Step(now)
-				if actions.Update != nil && !actions.Update.Snapshot && maps.Equal(before, f.list) {
+				before := maps.Clone(m.list)
+				actions := m.Step(now)
+				if actions.Update != nil && !actions.Update.Snapshot && maps.Equal(before, m.list) {
 					t.Fatalf("update without effect: %+v", actions.Update)
 				}
 				for _, id := range actions.Check {
-					f.HealthChecked(now, id, rapid.Bool().Draw(t, "ready"))
+					m.HealthChecked(now, id, rapid.Bool().Draw(t, "ready"))
 				}
-				f.Step(now)
+				m.Step(now)
 				want := maps.Clone(list)
 				for id, worker := range want {
-					if f.draining[id] != nil && worker.State == dispatch.EndpointActive {
+					if m.draining[id] != nil && worker.State == dispatch.EndpointActive {
 						worker.State = dispatch.EndpointDraining
 						want[id] = worker
 					}
 				}
-				if !maps.Equal(f.list, want) {
-					t.Fatalf("list %+v, want %+v", f.list, want)
+				if !maps.Equal(m.list, want) {
+					t.Fatalf("list %+v, want %+v", m.list, want)
 				}
 			},
 		})
--- a/internal/endpoints/merger_test.go
+++ b/internal/endpoints/merger_test.go
@@ -28,32 +28,32 @@
 }
 
 // setList replaces the endpoint list by a snapshot.
-func (f *trackedMerger) setList(list []Worker) { f.Update(Update{Snapshot: true, Workers: list}) }
+func (m *trackedMerger) setList(list []Worker) { m.Update(Update{Snapshot: true, Workers: list}) }
 
-// Step calls Merger.Step and applies the returned update to f.list.
-func (f *trackedMerger) Step(now time.Duration) Actions {
-	actions := f.Merger.Step(now)
+// Step calls Merger.Step and applies the returned update to m.list.
+func (m *trackedMerger) Step(now time.Duration) Actions {
+	actions := m.Merger.Step(now)
 	if actions.Update == nil {
 		return actions
 	}
 	if actions.Update.Snapshot {
-		clear(f.list)
+		clear(m.list)
 	}
 	for _, worker := range actions.Update.Workers {
 		if worker.State == dispatch.EndpointRemoved {
-			delete(f.list, worker.ID)
+			delete(m.list, worker.ID)
 		} else {
-			f.list[worker.ID] = worker
+			m.list[worker.ID] = worker
 		}
 	}
 	return actions
 }
 
 // stepState calls Step and returns the state of worker b. ok is false if b is not in the list.
-func stepState(t *testing.T, f *trackedMerger, now time.Duration) (state dispatch.EndpointState, ok bool) {
+func stepState(t *testing.T, m *trackedMerger, now time.Duration) (state dispatch.EndpointState, ok bool) {
 	t.Helper()
-	f.Step(now)
-	worker, ok := f.list["b"]
+	m.Step(now)
+	worker, ok := m.list["b"]
 	return worker.State, ok
 }
 
--- a/internal/endpoints/starttimes.go
+++ b/internal/endpoints/starttimes.go
@@ -28,7 +28,7 @@
 type StartTimes struct {
 	clock       RouterClock
 	converted   map[string]convertedStart // by worker
-	confirmedAt time.Duration             // when the list was last confirmed; 0 before the first time
+	confirmedAt time.Duration             // all workers started before then are in the list; 0 if never confirmed
 }
 
 type convertedStart struct {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -139,7 +139,7 @@
 	return r, upstream, reporter
 }
 
-func verify(r *Router, worker string, maxAge time.Duration) gossip.CheckResult {
+func verifyWorker(r *Router, worker string, maxAge time.Duration) gossip.CheckResult {
 	checked := make(chan gossip.CheckResult, 1)
 	r.VerifyWorker(worker, maxAge, time.Second, func(result gossip.CheckResult) { checked <- result })
 	return <-checked
@@ -164,7 +164,7 @@
 	reporter.mu.Unlock()
 
 	upstream.setDead()
-	if got, want := verify(r, worker, 0), gossip.CheckFoundAlive; got != want {
+	if got, want := verifyWorker(r, worker, 0), gossip.CheckFoundAlive; got != want {
 		t.Errorf("verification %v, want %v", got, want)
 	}
 	r.Stats()
@@ -182,7 +182,7 @@
 	make(answerChannel, 1).call(r)
 	skipped := 0
 	for _, id := range testWorkers {
-		if verify(r, id, time.Hour) == gossip.CheckSkipped {
+		if verifyWorker(r, id, time.Hour) == gossip.CheckSkipped {
 			skipped++
 		}
 	}
@@ -190,7 +190,7 @@
 		t.Errorf("one call proved %d of 4 workers alive, want 1", skipped)
 	}
 	upstream.setDead("a")
-	if got, want := verify(r, "a", 0), gossip.CheckFoundSilent; got != want {
+	if got, want := verifyWorker(r, "a", 0), gossip.CheckFoundSilent; got != want {
 		t.Errorf("verification of a dead worker %v, want %v", got, want)
 	}
 }
