--- a/cmd/topazfront/gossip_simulate.go
+++ b/cmd/topazfront/gossip_simulate.go
@@ -42,7 +42,7 @@
 					return ctx.Err()
 				}
 				trial.Members, trial.Seed, trial.WarmUp = members, uint64(seed+1), warmUp
-				trial.Steady, trial.FollowDeath = c.Steady, c.After
+				trial.Steady, trial.DetectionWindow = c.Steady, c.After
 				result := trial.Run()
 				printResult(result)
 				results = append(results, result)
@@ -58,7 +58,7 @@
 func printResult(r gossipsim.Result) {
 	fmt.Printf("%7d  %4.2f  %4.2f  %7.0f  %5.1f %6.0f %7.3f %7.3f  %7.3f  %6.1f  %6.1f  %7d  %10.1f  %6.1f\n", r.Members,
 		r.Loss, r.SlowShare, r.BytesPerSecond, r.MessagesPerSecond, r.PeakBytesPerSecond, r.SpreadTo50, r.SpreadTo99,
-		r.Reached, r.FirstDeath, r.DeathTo99, r.FalseDeaths, r.SuspicionsPerMemberMinute, r.WallSeconds)
+		r.Reached, r.FirstDetection, r.DetectionTo99, r.FalseDeaths, r.SuspicionsPerMemberMinute, r.WallSeconds)
 }
 
 // save writes figures and plots after each trial, as the large ones take long.
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -63,7 +63,7 @@
 		Gossip:       gossip.LocalConfig,
 		Quorum:       gossip.LocalSuspicionQuorumConfig,
 		Limiter:      gossip.LocalPacketLimiterConfig,
-		Collector:    gossip.LocalEvidenceCollectorConfig,
+		Publisher:    gossip.LocalSuspicionPublisherConfig,
 		CheckTimeout: g.VerificationTimeout.Duration(),
 		Seed:         seed,
 	}
--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -45,10 +45,10 @@
 	keys              *gossip.Keyring
 	limiter           *gossip.PacketLimiter
 	quorum            *gossip.SuspicionQuorum
-	collector         *gossip.EvidenceCollector
+	collector         *gossip.SuspicionPublisher
 	coreEvents        []gossip.Event
 	quorumEvents      []gossip.QuorumEvent
-	collectorEvents   []gossip.CollectorEvent
+	collectorEvents   []gossip.PublisherEvent
 	dropped           Dropped
 	received          uint64
 	duplicateLoggedAt time.Duration
@@ -86,7 +86,7 @@
 	}
 	a.limiter = gossip.NewPacketLimiter(cfg.Limiter)
 	a.quorum = gossip.NewSuspicionQuorum(cfg.Quorum)
-	a.collector = gossip.NewEvidenceCollector(cfg.Collector, a.quorum.SilenceWeight)
+	a.collector = gossip.NewSuspicionPublisher(cfg.Publisher, a.quorum.SilenceWeight)
 	a.applyMembers(cfg.Members)
 	a.coreEvents = append(a.coreEvents, gossip.Join{Addresses: cfg.Seeds})
 	a.logger.Info("gossip started", "address", a.addr, "key", cfg.Key.Name, "admitted", len(cfg.Members),
--- a/internal/gossip/agent/compare_test.go
+++ b/internal/gossip/agent/compare_test.go
@@ -167,7 +167,7 @@
 			Gossip:     gossip.LocalConfig,
 			Quorum:     gossip.LocalSuspicionQuorumConfig,
 			Limiter:    gossip.LocalPacketLimiterConfig,
-			Collector:  gossip.LocalEvidenceCollectorConfig,
+			Publisher:  gossip.LocalSuspicionPublisherConfig,
 			Seed:       uint64(i),
 			Members:    admittedKeys(ids, "k1"),
 			Key:        agent.Key{Name: "k1", Private: privateKey(id, "k1")},
--- a/internal/gossip/agent/config.go
+++ b/internal/gossip/agent/config.go
@@ -20,7 +20,7 @@
 	Gossip       gossip.Config
 	Quorum       gossip.SuspicionQuorumConfig
 	Limiter      gossip.PacketLimiterConfig
-	Collector    gossip.EvidenceCollectorConfig
+	Publisher    gossip.SuspicionPublisherConfig
 	CheckTimeout time.Duration   // of a check of a worker
 	Seed         uint64          // of the random draws
 	Incarnation  uint64          // 0: the start time in nanoseconds
--- a/internal/gossip/agent/harness_test.go
+++ b/internal/gossip/agent/harness_test.go
@@ -122,7 +122,7 @@
 		Gossip:       fastConfig(),
 		Quorum:       gossip.LocalSuspicionQuorumConfig,
 		Limiter:      gossip.LocalPacketLimiterConfig,
-		Collector:    gossip.LocalEvidenceCollectorConfig,
+		Publisher:    gossip.LocalSuspicionPublisherConfig,
 		CheckTimeout: time.Second,
 		Seed:         uint64(i),
 		Members:      admittedKeys(c.ids, "k1"),
--- a/internal/gossip/characterization_test.go
+++ b/internal/gossip/characterization_test.go
@@ -283,7 +283,7 @@
 
 // workerEvents draws the events of one step, and the list of workers from then on.
 func workerEvents(rng *rand.Rand, started map[string]uint64, worker, signer string) (
-	list map[string]uint64, toQuorum []gossip.QuorumEvent, toCollector []gossip.CollectorEvent,
+	list map[string]uint64, toQuorum []gossip.QuorumEvent, toCollector []gossip.PublisherEvent,
 ) {
 	class := fmt.Sprint("c", rng.IntN(3))
 	about := gossip.StatementKind(rng.IntN(6))
@@ -299,11 +299,11 @@
 			next[worker]++
 		}
 		started = next
-		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerList{Started: started}}, []gossip.CollectorEvent{gossip.WorkerList{Started: started}}
+		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerList{Started: started}}, []gossip.PublisherEvent{gossip.WorkerList{Started: started}}
 	case 1:
-		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerHeard{Worker: worker}}, []gossip.CollectorEvent{gossip.WorkerHeard{Worker: worker}}
+		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerHeard{Worker: worker}}, []gossip.PublisherEvent{gossip.WorkerHeard{Worker: worker}}
 	case 2, 3:
-		toCollector = []gossip.CollectorEvent{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
+		toCollector = []gossip.PublisherEvent{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
 	case 4:
 		toQuorum = []gossip.QuorumEvent{gossip.WorkerChecked{Worker: worker, Result: drawCheckResult(rng)}}
 	default:
@@ -330,13 +330,13 @@
 func workerSum(seed uint64) string {
 	r, rng := newRecorder(), rand.New(rand.NewPCG(seed, 78))
 	quorum, limiter := gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig), gossip.NewPacketLimiter(gossip.LocalPacketLimiterConfig)
-	collector := gossip.NewEvidenceCollector(gossip.LocalEvidenceCollectorConfig, quorum.SilenceWeight)
+	collector := gossip.NewSuspicionPublisher(gossip.LocalSuspicionPublisherConfig, quorum.SilenceWeight)
 	now, started := time.Duration(0), map[string]uint64{}
 	for range 3000 {
 		now += time.Duration(rng.IntN(300)) * time.Millisecond
 		worker, signer := fmt.Sprint("w", rng.IntN(5)), fmt.Sprint("s", rng.IntN(6))
 		var toQuorum []gossip.QuorumEvent
-		var toCollector []gossip.CollectorEvent
+		var toCollector []gossip.PublisherEvent
 		started, toQuorum, toCollector = workerEvents(rng, started, worker, signer)
 		r.write(now)
 		for _, a := range collector.Step(now, toCollector) {
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -5,7 +5,7 @@
 //
 //   - [Core]: membership and dissemination of signed [Statement]s, within a traffic budget.
 //   - [PacketLimiter] and [Keyring]: rate limit of signature checks, and authentication of packets and statements.
-//   - [EvidenceCollector]: which of this router's own suspicions of workers are published.
+//   - [SuspicionPublisher]: which of this router's own suspicions of workers are published.
 //   - [SuspicionQuorum]: how much weight the claims of other routers about workers have.
 //
 // Membership follows SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process
--- a/internal/gossip/gossipsim/characterization_test.go
+++ b/internal/gossip/gossipsim/characterization_test.go
@@ -14,7 +14,7 @@
 	for seed := range uint64(3) {
 		for _, trial := range []Trial{{}, {Loss: 0.05}, {SlowShare: 0.1}} {
 			trial.Members, trial.Seed = 24, seed+1
-			trial.WarmUp, trial.Steady, trial.FollowDeath = 5*time.Second, 8*time.Second, 40*time.Second
+			trial.WarmUp, trial.Steady, trial.DetectionWindow = 5*time.Second, 8*time.Second, 40*time.Second
 			r := trial.Run()
 			r.WallSeconds = 0
 			raw, err := json.Marshal(r)
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -239,13 +239,13 @@
 
 // TestSameSeedGivesSameResult: a trial comes to the same results each time.
 func TestSameSeedGivesSameResult(t *testing.T) {
-	trial := Trial{Members: 20, Loss: 0.05, SlowShare: 0.1, Seed: 4, WarmUp: 5 * time.Second, Steady: 5 * time.Second, FollowDeath: 20 * time.Second}
+	trial := Trial{Members: 20, Loss: 0.05, SlowShare: 0.1, Seed: 4, WarmUp: 5 * time.Second, Steady: 5 * time.Second, DetectionWindow: 20 * time.Second}
 	a, b := trial.Run(), trial.Run()
 	a.WallSeconds, b.WallSeconds = 0, 0
 	if a != b {
 		t.Errorf("%+v\n%+v", a, b)
 	}
-	if a.Reached < 0.9 || a.FirstDeath <= 0 || a.BytesPerSecond <= 0 || a.BytesPerSecond > gossip.LocalConfig.BytesPerSecond {
+	if a.Reached < 0.9 || a.FirstDetection <= 0 || a.BytesPerSecond <= 0 || a.BytesPerSecond > gossip.LocalConfig.BytesPerSecond {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/gossip/gossipsim/plot.go
+++ b/internal/gossip/gossipsim/plot.go
@@ -34,7 +34,7 @@
 	}{
 		{"traffic", "Sent by each router, steady", "bytes a second", func(r Result) float64 { return r.BytesPerSecond }},
 		{"spread", "Claim about a worker received by 99 of 100", "seconds", func(r Result) float64 { return r.SpreadTo99 }},
-		{"death", "Silent router taken for dead by 99 of 100", "seconds", func(r Result) float64 { return r.DeathTo99 }},
+		{"death", "Silent router taken for dead by 99 of 100", "seconds", func(r Result) float64 { return r.DetectionTo99 }},
 		{"mistakes", "Routers wrongly taken for dead by any", "share of the routers",
 			func(r Result) float64 { return float64(r.FalseDeaths) / float64(r.Members) }},
 	} {
--- a/internal/gossip/gossipsim/trial.go
+++ b/internal/gossip/gossipsim/trial.go
@@ -13,13 +13,13 @@
 
 // Trial is a number of members and the faults between them.
 type Trial struct {
-	Members     int           `json:"members"`
-	Loss        float64       `json:"loss"`
-	SlowShare   float64       `json:"slow"` // share of the members that receive up to maxSlowDelay late
-	Seed        uint64        `json:"seed"`
-	WarmUp      time.Duration `json:"-"`
-	Steady      time.Duration `json:"-"` // time over which traffic is measured
-	FollowDeath time.Duration `json:"-"` // time for which a death is followed
+	Members         int           `json:"members"`
+	Loss            float64       `json:"loss"`
+	SlowShare       float64       `json:"slow"` // share of the members that receive up to maxSlowDelay late
+	Seed            uint64        `json:"seed"`
+	WarmUp          time.Duration `json:"-"`
+	Steady          time.Duration `json:"-"` // time over which traffic is measured
+	DetectionWindow time.Duration `json:"-"` // time for which a death is followed
 }
 
 // Result holds the measurements of a trial. Times are in seconds; -1: not reached.
@@ -31,8 +31,8 @@
 	SpreadTo50                float64 `json:"spread_half_s"`    // until 50 % of the members had received a claim about a worker
 	SpreadTo99                float64 `json:"spread_99_s"`      // until 99 %
 	Reached                   float64 `json:"reached"`          // share of the members that received it at all
-	FirstDeath                float64 `json:"death_first_s"`    // until the first member took a silent one for dead
-	DeathTo99                 float64 `json:"death_99_s"`       // until 99 %
+	FirstDetection            float64 `json:"death_first_s"`    // until the first member took a silent one for dead
+	DetectionTo99             float64 `json:"death_99_s"`       // until 99 %
 	FalseDeaths               int     `json:"false_deaths"`     // members, slow ones too, that at least one wrongly took for dead
 	SuspicionsPerMemberMinute float64 `json:"suspicions_per_member_minute"`
 	WallSeconds               float64 `json:"wall_s"`
@@ -136,11 +136,11 @@
 func (run *trialRun) measureDeath(result *Result) {
 	run.from, run.victim = run.network.Now, run.publisher()
 	run.network.Stop(run.victim)
-	run.network.Run(run.FollowDeath)
+	run.network.Run(run.DetectionWindow)
 	slices.Sort(run.detected)
 	others := run.Members - 1
-	result.FirstDeath = quantile(run.detected, 0, others)
-	result.DeathTo99 = quantile(run.detected, 0.99, others)
+	result.FirstDetection = quantile(run.detected, 0, others)
+	result.DetectionTo99 = quantile(run.detected, 0.99, others)
 	result.FalseDeaths = len(run.falselyDead)
 }
 
--- a/internal/gossip/evidence_collector.go
+++ b/internal/gossip/suspicion_publisher.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// EvidenceCollectorConfig holds the constants of an [EvidenceCollector].
-type EvidenceCollectorConfig struct {
+// SuspicionPublisherConfig holds the constants of an [SuspicionPublisher].
+type SuspicionPublisherConfig struct {
 	RepeatInterval   time.Duration // a suspicion that holds is published again after this
 	SufficientWeight float64       // nothing is published about a worker if the claims of others weigh this much already
 	MaxSuspicions    int
 }
 
-// LocalEvidenceCollectorConfig goes with LocalConfig.
-var LocalEvidenceCollectorConfig = EvidenceCollectorConfig{
+// LocalSuspicionPublisherConfig goes with LocalConfig.
+var LocalSuspicionPublisherConfig = SuspicionPublisherConfig{
 	RepeatInterval:   3 * time.Second,
 	SufficientWeight: 4,
 	MaxSuspicions:    1024,
@@ -29,10 +29,10 @@
 
 func (WorkerSuspected) collectorEvent() {}
 
-// EvidenceCollector decides which of this router's own suspicions of workers are published. It publishes only what this
+// SuspicionPublisher decides which of this router's own suspicions of workers are published. It publishes only what this
 // router observed; claims of others can at most keep it from publishing, so no claim returns as another's evidence.
-type EvidenceCollector struct {
-	cfg            EvidenceCollectorConfig
+type SuspicionPublisher struct {
+	cfg            SuspicionPublisherConfig
 	weightOfOthers func(worker string) float64
 	started        map[string]uint64
 	suspicions     map[statementKey]*ownSuspicion // with an empty signer
@@ -46,10 +46,10 @@
 	published       bool
 }
 
-// NewEvidenceCollector returns a collector without suspicions. weightOfOthers returns the weight of the claims of other
+// NewSuspicionPublisher returns a collector without suspicions. weightOfOthers returns the weight of the claims of other
 // routers that a worker is silent.
-func NewEvidenceCollector(cfg EvidenceCollectorConfig, weightOfOthers func(worker string) float64) *EvidenceCollector {
-	return &EvidenceCollector{
+func NewSuspicionPublisher(cfg SuspicionPublisherConfig, weightOfOthers func(worker string) float64) *SuspicionPublisher {
+	return &SuspicionPublisher{
 		cfg:            cfg,
 		weightOfOthers: weightOfOthers,
 		started:        map[string]uint64{},
@@ -58,7 +58,7 @@
 }
 
 // Step processes events at a time and returns what is to be published, ordered by worker and kind.
-func (c *EvidenceCollector) Step(now time.Duration, events []CollectorEvent) []Publish {
+func (c *SuspicionPublisher) Step(now time.Duration, events []PublisherEvent) []Publish {
 	var publications []Publish
 	for _, e := range events {
 		switch e := e.(type) {
@@ -92,7 +92,7 @@
 }
 
 // updateWorkers drops the suspicions of workers that are no longer listed or have restarted.
-func (c *EvidenceCollector) updateWorkers(started map[string]uint64) {
+func (c *SuspicionPublisher) updateWorkers(started map[string]uint64) {
 	for key := range c.suspicions {
 		if incarnation, listed := started[key.subject]; !listed || incarnation != c.started[key.subject] {
 			delete(c.suspicions, key)
@@ -102,7 +102,7 @@
 }
 
 // recordSuspicion keeps a suspicion of a listed worker, or renews it.
-func (c *EvidenceCollector) recordSuspicion(now time.Duration, e WorkerSuspected) {
+func (c *SuspicionPublisher) recordSuspicion(now time.Duration, e WorkerSuspected) {
 	if _, listed := c.started[e.Worker]; !listed || !e.Kind.AboutWorker() || e.Kind == ClaimWithdrawn {
 		return
 	}
@@ -118,12 +118,12 @@
 	s.class, s.seenAt = e.Class, now
 }
 
-func (c *EvidenceCollector) publication(kind StatementKind, worker, class string) Publish {
+func (c *SuspicionPublisher) publication(kind StatementKind, worker, class string) Publish {
 	return Publish{Statement: Statement{Kind: kind, Subject: worker, SubjectIncarnation: c.started[worker], Text: class}}
 }
 
 // Due returns when Step may have something to publish without an event; false if never.
-func (c *EvidenceCollector) Due() (at time.Duration, ok bool) {
+func (c *SuspicionPublisher) Due() (at time.Duration, ok bool) {
 	for _, s := range c.suspicions {
 		if !ok || s.nextPublication < at {
 			at, ok = s.nextPublication, true
--- a/internal/gossip/evidence_collector_test.go
+++ b/internal/gossip/suspicion_publisher_test.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// TestEvidenceCollector: own suspicions are published and repeated while they hold, withdrawn when the worker is heard,
+// TestSuspicionPublisher: own suspicions are published and repeated while they hold, withdrawn when the worker is heard,
 // and not published where the claims of others weigh enough.
-func TestEvidenceCollector(t *testing.T) {
+func TestSuspicionPublisher(t *testing.T) {
 	weightOfOthers := 0.0
-	c := NewEvidenceCollector(LocalEvidenceCollectorConfig, func(string) float64 { return weightOfOthers })
+	c := NewSuspicionPublisher(LocalSuspicionPublisherConfig, func(string) float64 { return weightOfOthers })
 	silent := WorkerSuspected{Worker: "w", Kind: WorkerSilent}
 	failing := WorkerSuspected{Worker: "w", Kind: WorkerFailing, Class: "renew"}
 	for _, step := range []struct {
 		name   string
 		now    time.Duration
 		others float64
-		events []CollectorEvent
+		events []PublisherEvent
 		want   []string
 	}{
-		{"not listed", 0, 0, []CollectorEvent{silent}, nil},
-		{"first", time.Second, 0, []CollectorEvent{oneWorker, silent}, []string{"silent w 5"}},
-		{"again at once", 2 * time.Second, 0, []CollectorEvent{silent}, nil},
+		{"not listed", 0, 0, []PublisherEvent{silent}, nil},
+		{"first", time.Second, 0, []PublisherEvent{oneWorker, silent}, []string{"silent w 5"}},
+		{"again at once", 2 * time.Second, 0, []PublisherEvent{silent}, nil},
 		{"while it holds", 4 * time.Second, 0, nil, []string{"silent w 5"}},
-		{"heard", 5 * time.Second, 0, []CollectorEvent{WorkerHeard{"w"}}, []string{"back w 5"}},
+		{"heard", 5 * time.Second, 0, []PublisherEvent{WorkerHeard{"w"}}, []string{"back w 5"}},
 		{"over", 20 * time.Second, 0, nil, nil},
-		{"claimed by others", 21 * time.Second, 4, []CollectorEvent{silent}, nil},
+		{"claimed by others", 21 * time.Second, 4, []PublisherEvent{silent}, nil},
 		{"no longer claimed by others", 22 * time.Second, 0, nil, []string{"silent w 5"}},
-		{"restarted", 30 * time.Second, 0, []CollectorEvent{WorkerList{Started: map[string]uint64{"w": 6}}}, nil},
-		{"failing class", 31 * time.Second, 0, []CollectorEvent{failing}, []string{"failing w 6"}},
+		{"restarted", 30 * time.Second, 0, []PublisherEvent{WorkerList{Started: map[string]uint64{"w": 6}}}, nil},
+		{"failing class", 31 * time.Second, 0, []PublisherEvent{failing}, []string{"failing w 6"}},
 		{"not seen again", 36 * time.Second, 0, nil, nil},
 	} {
 		t.Run(step.name, func(t *testing.T) { // in this order: each builds on those before
--- a/internal/gossip/worker_events.go
+++ b/internal/gossip/worker_events.go
@@ -1,7 +1,7 @@
 package gossip
 
-// CollectorEvent is an input of [EvidenceCollector.Step].
-type CollectorEvent interface{ collectorEvent() }
+// PublisherEvent is an input of [SuspicionPublisher.Step].
+type PublisherEvent interface{ collectorEvent() }
 
 // QuorumEvent is an input of [SuspicionQuorum.Step].
 type QuorumEvent interface{ quorumEvent() }
