--- a/internal/upstream/respupstream/assign.go
+++ b/internal/upstream/respupstream/assign.go
@@ -6,9 +6,8 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// mayWrite reports whether an exchange may be written now. It must be wanted still, its time limits
-// must allow it, its worker
-// must accept it, and its client must still wait. The lock is held.
+// mayWrite reports whether an exchange may be written now: the pool is open, the exchange has not ended, its time
+// limits have not passed, its worker accepts it, and its client is still waiting. The lock is held.
 func (p *Pool) mayWrite(x *exchange, now time.Time) bool {
 	if p.closed || x.ended || !now.Before(x.writeBefore) || x.sendLimits.Expired(now) {
 		return false
@@ -23,8 +22,8 @@
 //  3. the connection with the fewest exchanges outstanding;
 //  4. a new connection in place of another worker's idle one, if this worker has none.
 //
-// Otherwise the exchange waits. Spreading requests over connections limits how many a failing connection affects. The
-// lock is held; a returned callback is run without it.
+// Otherwise the exchange waits. Spreading exchanges over connections limits how many of them a failing connection
+// affects. The lock is held; the caller runs the callback without it.
 func (p *Pool) assignConn(x *exchange) (callback func()) {
 	if !p.mayWrite(x, time.Now()) {
 		return p.finish(x, dispatch.NotSent, nil)
@@ -48,13 +47,13 @@
 			return func() { idle.close() }
 		}
 	}
-	p.await(w, x) // for a connect in progress, or until the sweep assigns it again
+	p.addWaiting(w, x) // for a connect in progress, a connection that becomes free, or the sweep
 	return nil
 }
 
-// leastLoadedConn returns the connection with the fewest exchanges outstanding that an exchange with the id may use, nil if
-// there is none. Of several it is the most recently used. A connection that has carried the id before is excluded: a late
-// response on it could be taken for the new exchange's. The lock is held.
+// leastLoadedConn returns the connection with the fewest exchanges outstanding that an exchange with the id may use,
+// or nil if there is none. Ties go to the most recently used connection. A connection that has carried the id before
+// is excluded: a late response on it could be mistaken for the response to the new exchange. The lock is held.
 func (w *worker) leastLoadedConn(id string, maxOutstanding int) *conn {
 	var best *conn
 	for _, c := range w.conns {
@@ -68,7 +67,7 @@
 	return best
 }
 
-// isPreferredTo reports whether a new exchange uses c rather than other. The lock is held.
+// isPreferredTo reports whether a new exchange should use c rather than other. The lock is held.
 func (c *conn) isPreferredTo(other *conn) bool {
 	if c.outstanding() != other.outstanding() {
 		return c.outstanding() < other.outstanding()
@@ -76,33 +75,33 @@
 	return c.lastUsedAt.After(other.lastUsedAt)
 }
 
-// mayDial reports whether the limits allow another connection to the worker: MaxConns for all workers together, and an equal
-// share of it for each. The lock is held.
+// mayDial reports whether the limits allow another connection to the worker: MaxConns for all workers together, and
+// an equal share of MaxConns for each worker. The lock is held.
 func (p *Pool) mayDial(w *worker) bool {
 	connsPerWorker := max(p.config.MaxConns/max(len(p.workers), 1), 1)
 	return len(p.conns)+p.connecting < p.config.MaxConns && len(w.conns)+w.connecting < connsPerWorker
 }
 
-// await adds an exchange to those that wait for a connection to the worker. The lock is held.
-func (p *Pool) await(w *worker, x *exchange) {
+// addWaiting adds an exchange to those that wait for a connection to the worker. The lock is held.
+func (p *Pool) addWaiting(w *worker, x *exchange) {
 	w.waiting = append(w.waiting, x)
 	p.waitingWorkers[w] = struct{}{}
 }
 
-// startDial starts a connect to the worker, for which an exchange waits. The lock is held.
+// startDial starts a connect to the worker and adds the exchange to those that wait for it. The lock is held.
 func (p *Pool) startDial(w *worker, x *exchange) {
-	p.await(w, x)
+	p.addWaiting(w, x)
 	w.connecting++
 	p.connecting++
 	p.stats.Dials++
 	go p.dial(w)
 }
 
-// evictIdle takes the least recently used idle connection out of the pool and returns it, nil if none is idle. It guards
-// against requests that wait for idle connections to time out, where more workers are in use than there may be connections.
-// The lock is held; the caller closes the connection without it.
+// evictIdle removes the least recently used idle connection from the pool and returns it, or nil if none is idle.
+// Without eviction, requests would wait for idle connections to time out when more workers are in use than the limit
+// of connections. The lock is held; the caller closes the connection without it.
 func (p *Pool) evictIdle() *conn {
-	oldest := p.oldestIdle()
+	oldest := p.longestIdle()
 	if oldest == nil {
 		return nil
 	}
@@ -112,8 +111,8 @@
 	return oldest
 }
 
-// oldestIdle returns the least recently used idle connection, nil if none is idle. The lock is held.
-func (p *Pool) oldestIdle() *conn {
+// longestIdle returns the least recently used idle connection, or nil if none is idle. The lock is held.
+func (p *Pool) longestIdle() *conn {
 	var oldest *conn
 	for c := range p.conns {
 		if !c.isIdle() || c.closed {
@@ -126,8 +125,8 @@
 	return oldest
 }
 
-// reassignWaiting assigns every exchange that waits for a connection to the worker. The lock is held; the returned
-// callbacks are run without it.
+// reassignWaiting calls assignConn for every exchange that waits for a connection to the worker. The lock is held;
+// the caller runs the callbacks without it.
 func (p *Pool) reassignWaiting(w *worker) (callbacks []func()) {
 	waiting := w.waiting
 	w.waiting = nil
--- a/internal/upstream/respupstream/conn.go
+++ b/internal/upstream/respupstream/conn.go
@@ -14,26 +14,26 @@
 	pool    *Pool
 	worker  *worker
 	netConn netpoll.Connection
-	reader  *resp.Reader // used by netpoll's goroutine for this connection only
+	reader  *resp.Reader // used only by netpoll's goroutine for this connection
 	socket  socket
 
-	// Under the pool's lock.
-	queue           []*exchange          // to be written, in order
-	inFlight        map[string]*exchange // written and not answered, by id
-	writing         bool                 // a goroutine runs writeLoop
-	partialResponse bool                 // a response has begun and is not complete
-	draining        bool                 // accepts no new exchange; closed once nothing is in flight
+	// Guarded by the pool's mutex.
+	queue           []*exchange          // not yet written, in order
+	inFlight        map[string]*exchange // written without a response so far, by id
+	writing         bool                 // a goroutine is running writeLoop
+	partialResponse bool                 // the bytes read so far end within a response
+	draining        bool                 // accepts no new exchanges; closed once nothing is outstanding
 	closed          bool
 	openedAt        time.Time
 	lastReadAt      time.Time
 	lastUsedAt      time.Time                // when an exchange was last queued on it or removed from it
-	usedIDs         map[string]time.Duration // by id that was written to it: until when it counts, since openedAt
-	idsExpiredAt    time.Time                // when usedIDs was last cleaned
+	usedIDs         map[string]time.Duration // ids written to it, with their expiry as time since openedAt
+	idsExpiredAt    time.Time                // when expired ids were last removed from usedIDs
 }
 
-// takeWaiting queues the first exchange that waits for a connection to the worker, if nothing is outstanding on this
-// connection. The lock is held, as by all methods below up to remove.
-func (c *conn) takeWaiting() {
+// enqueueWaiting queues the first exchange that waits for a connection to the worker, if nothing is outstanding on
+// this connection. The lock is held, as it is for all methods below up to and including remove.
+func (c *conn) enqueueWaiting() {
 	for len(c.worker.waiting) > 0 && !c.draining && c.outstanding() == 0 {
 		x := c.worker.waiting[0]
 		if c.usedIDs[x.id] != 0 {
@@ -52,13 +52,13 @@
 // isIdle reports whether nothing is outstanding and the write loop has ended.
 func (c *conn) isIdle() bool { return c.outstanding() == 0 && !c.writing }
 
-// idleTimeoutExceeded reports whether the connection was last used longer ago than the idle timeout.
+// idleTimeoutExceeded reports whether the connection has been unused for longer than the idle timeout.
 func (c *conn) idleTimeoutExceeded(now time.Time) bool {
 	limit := c.pool.config.IdleTimeout
 	return limit > 0 && now.Sub(c.lastUsedAt) > limit
 }
 
-// enqueue appends an exchange to the write queue and starts writeLoop unless it runs.
+// enqueue appends an exchange to the write queue and starts writeLoop unless it is already running.
 func (c *conn) enqueue(x *exchange) {
 	if c.closed {
 		return
@@ -72,7 +72,8 @@
 	}
 }
 
-// drain makes the connection accept no new exchange. The sweep closes it when nothing is outstanding.
+// drain makes the connection accept no new exchanges. The write loop or the sweep closes it once nothing is
+// outstanding.
 func (c *conn) drain() {
 	c.draining = true
 	for i, other := range c.worker.conns {
@@ -83,7 +84,8 @@
 	}
 }
 
-// remove removes an exchange that has ended. The place is given to an exchange that waits for a connection.
+// remove removes an exchange that has ended, and queues one that waits for a connection if the connection is free
+// now.
 func (c *conn) remove(x *exchange) {
 	if c.inFlight[x.id] == x {
 		delete(c.inFlight, x.id)
@@ -95,10 +97,11 @@
 		}
 	}
 	c.lastUsedAt = time.Now()
-	c.takeWaiting()
+	c.enqueueWaiting()
 }
 
-// fail closes a connection on which the worker violated the protocol.
+// fail closes the connection after a protocol violation, a stalled response or a panic while reading. The lock is not
+// held.
 func (c *conn) fail(reason string) {
 	c.pool.mu.Lock()
 	c.pool.stats.ProtocolErrors++
@@ -107,8 +110,8 @@
 	c.close()
 }
 
-// onClosed is netpoll's callback before it closes the descriptor. If the pool has not closed the connection, the worker did or
-// its process has ended.
+// onClosed is called by netpoll before it closes the descriptor. If the pool has not closed the connection, the
+// connection was lost: the worker closed it, its process ended, or the network failed.
 func (c *conn) onClosed() {
 	c.socket.markClosed()
 	if c.close() {
@@ -116,7 +119,7 @@
 	}
 }
 
-// reportLost reports to the router that a connection to the worker was lost. The lock is not held.
+// reportLost reports a lost connection to the router, unless the worker was removed. The lock is not held.
 func (c *conn) reportLost() {
 	c.pool.mu.Lock()
 	listed := !c.worker.removed
@@ -126,10 +129,10 @@
 	}
 }
 
-// close closes the connection and ends or reassigns its exchanges. Only the first call has an effect. Exchanges in flight
-// may have run, so they end as ConnectionReset. Queued ones have not, so they are assigned to other connections. An exchange
-// that is being written is left to the write loop, which knows how much of it the system accepted. It reports whether this was
-// the first call. The lock is not held.
+// close closes the connection and ends or reassigns its exchanges. Only the first call has an effect, and close
+// reports whether this was the first. Exchanges in flight may have run, so they end as ConnectionReset. Queued ones
+// have not run, so they are assigned to other connections. An exchange that is being written is left to the write
+// loop, which knows how much of it the system accepted. The lock is not held.
 func (c *conn) close() (first bool) {
 	p := c.pool
 	var callbacks []func()
@@ -149,7 +152,7 @@
 		}
 	}
 	callbacks = append(callbacks, p.reassignUnwritten(unwritten)...)
-	if c.worker.connecting == 0 { // no connect will serve those that waited for a place on this connection
+	if c.worker.connecting == 0 { // no connect is in progress that would take the waiting exchanges
 		callbacks = append(callbacks, p.reassignWaiting(c.worker)...)
 	}
 	p.mu.Unlock()
@@ -158,8 +161,9 @@
 	return true
 }
 
-// reassignUnwritten assigns the exchanges that were queued on a closed connection to other connections. Cancellations are
-// dropped: the close has given up what they cancel. The lock is held; the returned callbacks are run without it.
+// reassignUnwritten assigns the exchanges that were queued on a closed connection to other connections. Cancellations
+// are dropped: closing the connection also cancels their attempts. The lock is held; the caller runs the callbacks
+// without it.
 func (p *Pool) reassignUnwritten(queue []*exchange) (callbacks []func()) {
 	for _, x := range queue {
 		x.conn = nil
--- a/internal/upstream/respupstream/conn_test.go
+++ b/internal/upstream/respupstream/conn_test.go
@@ -10,8 +10,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestAttemptAfterIdleResetUsesAnotherConnection: an attempt that finds its connection reset before a byte was accepted is
-// written to another.
+// TestAttemptAfterIdleResetUsesAnotherConnection checks that an attempt is written to another connection if its first
+// one was reset before it accepted a byte.
 func TestAttemptAfterIdleResetUsesAnotherConnection(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
@@ -29,7 +29,8 @@
 	t.Error("no answer after a reset")
 }
 
-// TestConnectionLimitAndIdleTimeout: the connections to all workers stay within the limit, and idle ones are closed.
+// TestConnectionLimitAndIdleTimeout checks that the number of connections stays within the limit and idle ones are
+// closed.
 func TestConnectionLimitAndIdleTimeout(t *testing.T) {
 	release := make(chan struct{})
 	w := &fakeplatform.Worker{ID: "w"}
@@ -62,16 +63,16 @@
 	t.Errorf("idle connections were not closed: %+v", h.pool.Stats())
 }
 
-// TestUsedIDsExpire: expired ids are forgotten unless in flight, whatever the wall clock shows by then, and a connection
-// that remembers too many drains.
+// TestUsedIDsExpire checks that expired ids are removed unless they are in flight, also if the wall clock was
+// stepped, and that a connection with too many ids drains.
 func TestUsedIDsExpire(t *testing.T) {
 	openedAt := time.Now()
 	for _, step := range testsupport.WallClockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			c := &conn{inFlight: map[string]*exchange{"open": {}}, usedIDs: map[string]time.Duration{}, worker: &worker{}, openedAt: openedAt}
-			c.rememberID("old", openedAt)
-			c.rememberID("open", openedAt)
-			c.rememberID("new", openedAt.Add(3*time.Second))
+			c.markIDUsed("old", openedAt)
+			c.markIDUsed("open", openedAt)
+			c.markIDUsed("new", openedAt.Add(3*time.Second))
 			for _, check := range []struct {
 				at   time.Duration
 				want int
@@ -79,21 +80,21 @@
 				c.idsExpiredAt = time.Time{}
 				c.expireUsedIDs(testsupport.StepWallClock(t, openedAt.Add(check.at), step))
 				if len(c.usedIDs) != check.want || c.usedIDs["open"] == 0 {
-					t.Errorf("after %v: %v are remembered, want %d", check.at, c.usedIDs, check.want)
+					t.Errorf("after %v: used ids %v, want %d", check.at, c.usedIDs, check.want)
 				}
 			}
 			for i := range maxUsedIDs {
-				c.rememberID(fmt.Sprint(i), openedAt)
+				c.markIDUsed(fmt.Sprint(i), openedAt)
 			}
 			if c.expireUsedIDs(openedAt); !c.draining {
-				t.Error("a connection that remembers too many ids does not drain")
+				t.Error("a connection with too many used ids does not drain")
 			}
 		})
 	}
 }
 
-// TestLostConnectionIsReported has an idle connection end: by the worker, which is reported, and by the pool's own sweep, which
-// is not.
+// TestLostConnectionIsReported checks that an idle connection that the worker ends is reported to the router, and one
+// that the pool's sweep closes is not.
 func TestLostConnectionIsReported(t *testing.T) {
 	for name, test := range map[string]struct {
 		idleTimeout time.Duration
@@ -113,13 +114,14 @@
 			test.end(w)
 			h.waitForStats("the connection is still open", func(s Stats) bool { return s.Conns == 0 })
 			if test.reported {
-				if lost := testsupport.Await(t, h.dispatcher.lost, "the report"); lost.Worker != "w" {
-					t.Errorf("%+v", lost)
+				if connectionLost := testsupport.Await(t, h.dispatcher.connectionLost,
+					"the report"); connectionLost.Worker != "w" {
+					t.Errorf("%+v", connectionLost)
 				}
 				return
 			}
-			h.waitForEndpoints() // the loop has run what was posted before
-			if len(h.dispatcher.lost) > 0 {
+			h.waitForEndpoints() // the router's loop has processed all earlier reports
+			if len(h.dispatcher.connectionLost) > 0 {
 				t.Error("a connection that the pool closed was reported")
 			}
 		})
--- a/internal/upstream/respupstream/dial.go
+++ b/internal/upstream/respupstream/dial.go
@@ -11,11 +11,11 @@
 	"github.com/topazfront/topazfront/internal/upstream"
 )
 
-// maxResponseItems bounds the bulk strings of one response. A valid response has four; the parser rejects the others.
+// maxResponseItems limits the bulk strings that are read as one response. parseResponse requires exactly four.
 const maxResponseItems = 8
 
-// dial opens one connection and gives it to the exchanges that wait for one. It runs on a goroutine of its own, which ends
-// after the connect timeout at the latest.
+// dial connects to the worker and assigns waiting exchanges to the new connection. It runs on its own goroutine, for
+// the connect timeout at most.
 func (p *Pool) dial(w *worker) {
 	netConn, err := netpoll.NewDialer().DialConnection("tcp", w.addr, p.config.ConnectTimeout)
 	if err != nil {
@@ -25,14 +25,14 @@
 	c := newConn(p, w, netConn)
 	_ = netConn.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
 	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
-	if !netConn.IsActive() { // it was closed before the callbacks were set, so that netpoll has called none
+	if !netConn.IsActive() { // closed before the callbacks were set, so netpoll has not called onClosed
 		c.onClosed()
 	}
 	p.addConn(c)
 }
 
-// addConn adds a new connection to the pool and assigns exchanges that wait for one. If the pool has been closed meanwhile, it
-// closes the connection, which Close has not seen.
+// addConn adds a new connection to the pool and assigns waiting exchanges to it. If the pool was closed during the
+// connect, addConn closes the connection, because Close could not.
 func (p *Pool) addConn(c *conn) {
 	w := c.worker
 	p.mu.Lock()
@@ -44,10 +44,10 @@
 		if !c.draining {
 			w.conns = append(w.conns, c)
 		}
-		c.takeWaiting()
+		c.enqueueWaiting()
 	}
 	var callbacks []func()
-	if w.connecting == 0 { // no other connect is in progress: the others share the existing connections
+	if w.connecting == 0 { // no further connection is coming: the remaining exchanges share the existing ones
 		callbacks = p.reassignWaiting(w)
 	}
 	p.mu.Unlock()
@@ -57,13 +57,13 @@
 	}
 }
 
-// connectEnded counts the end of a connect to the worker. The lock is held.
+// connectEnded updates the counts of connects in progress when a connect to the worker ends. The lock is held.
 func (p *Pool) connectEnded(w *worker) {
 	w.connecting--
 	p.connecting--
 }
 
-// dialFailed ends all exchanges that wait for a connection to the worker. Nothing of them was written.
+// dialFailed ends all exchanges that wait for a connection to the worker. No byte of them was written.
 func (p *Pool) dialFailed(w *worker, err error) {
 	var callbacks []func()
 	result := upstream.EvidenceOf(upstream.Connect, err).Result()
@@ -82,7 +82,7 @@
 
 // newConn returns a connection that is not yet in the pool and has no callbacks set.
 func newConn(p *Pool, w *worker, netConn netpoll.Connection) *conn {
-	fd := netConn.(netpoll.Conn).Fd() // as all connections that netpoll's dialer makes
+	fd := netConn.(netpoll.Conn).Fd() // all connections from netpoll's dialer implement Conn
 	c := &conn{
 		socket:     socket{fd: fd, send: p.config.send},
 		pool:       p,
--- a/internal/upstream/respupstream/dial_test.go
+++ b/internal/upstream/respupstream/dial_test.go
@@ -12,7 +12,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestRefusedConnectionIsConnectFailed: a refused connect proves that nothing ran.
+// TestRefusedConnectionIsConnectFailed checks that an attempt ends as ConnectFailed if the connect is refused.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
@@ -23,7 +23,8 @@
 	}
 }
 
-// TestConnectTimeout: a connect that times out proves that nothing ran, and the worker never receives the request.
+// TestConnectTimeout checks that an attempt ends as ConnectFailed if the connect times out, and that nothing is
+// written.
 func TestConnectTimeout(t *testing.T) {
 	addr, _ := testsupport.ListenWithFullBacklog(t)
 	h := newHarness(t, func(c *Config) { c.ConnectTimeout = 50 * time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
@@ -38,7 +39,8 @@
 	}
 }
 
-// TestLateConnectionServesWaitingAttempt: the attempt that waited for a slow connect is written and answered.
+// TestLateConnectionServesWaitingAttempt checks that an attempt that waited for a slow connect is written and
+// answered.
 func TestLateConnectionServesWaitingAttempt(t *testing.T) {
 	addr, accept := testsupport.ListenWithFullBacklog(t)
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}})
@@ -61,7 +63,8 @@
 	}
 }
 
-// TestFailedDialEndsWaitingExchange: what waits for the connection ends by the evidence of the connect's error.
+// TestFailedDialEndsWaitingExchange checks that a failed connect ends a waiting exchange with the result that its
+// error proves.
 func TestFailedDialEndsWaitingExchange(t *testing.T) {
 	for _, test := range []struct {
 		err  error
@@ -74,7 +77,7 @@
 		t.Run(test.err.Error(), func(t *testing.T) {
 			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w"})
 			h.waitForEndpoints()
-			x, ended := queueUnwritten(t, h, kindAttempt)
+			x, ended := addWaitingExchange(t, h, kindAttempt)
 			h.pool.dialFailed(x.worker, test.err)
 			if result := testsupport.Await(t, ended, "the end"); result != test.want {
 				t.Errorf("result %v, want %v", result, test.want)
@@ -83,8 +86,9 @@
 	}
 }
 
-// TestIdleConnectionMakesRoom: at the limit of connections, the idle connection to one worker gives way to one to another.
-func TestIdleConnectionMakesRoom(t *testing.T) {
+// TestIdleConnectionIsEvictedAtLimit checks that at the limit of connections the least recently used idle connection
+// is closed to make room for one to another worker.
+func TestIdleConnectionIsEvictedAtLimit(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.MaxConns = 2 }, &scriptedDispatcher{}, &fakeplatform.Worker{ID: "a"},
 		&fakeplatform.Worker{ID: "b"}, &fakeplatform.Worker{ID: "c"})
 	h.waitForEndpoints()
@@ -96,7 +100,7 @@
 		}
 		h.waitForWrites()
 	}
-	// b gives way to c, and c to b; a is used more recently each time.
+	// c evicts b, and b evicts c; a was used more recently each time.
 	if stats := h.pool.Stats(); stats.Dials != 4 || stats.Evicted != 2 || stats.Conns != 2 {
 		t.Errorf("%+v", stats)
 	}
--- a/internal/upstream/respupstream/doc.go
+++ b/internal/upstream/respupstream/doc.go
@@ -1,13 +1,16 @@
-// Package respupstream sends requests to workers over the platform's protocol: arrays of bulk strings of RESP, many
-// requests on one connection, responses in any order.
+// Package respupstream sends requests to workers over the platform's protocol: each message is a RESP array of bulk
+// strings, one connection carries many requests at a time, and responses arrive in any order.
 //
-// Job: it starts attempts, load commands and health checks, and classifies how each ended by what was seen on the
-// connection (the table in evidence.go). Each is checked again when its first byte is written, because the worker, the
-// deadline or the client may have gone since it was queued. The package does not choose workers.
+// A Pool sends attempts, load commands and health checks to the workers that its caller chooses. It derives the
+// result of each from what was seen on the connection (the table in evidence.go). Each is checked again when its
+// first byte is written, because the worker may have been removed, the deadline may have passed or the client may
+// have disconnected since it was queued.
 //
-// State: a Pool owns workers, connections and exchanges, all under one mutex. Nothing blocks and no callback runs while it
-// is held: functions that need the lock return callbacks, which their callers run after they have released it.
+// A Pool owns its workers, connections and exchanges, and guards all of them with one mutex. Nothing blocks and no
+// callback runs while the mutex is held: functions that need the lock return callbacks, which their callers run after
+// unlocking.
 //
-// Callers: the router's loop, by the methods of router.Upstream; netpoll's goroutines, when bytes arrive or a connection
-// ends; a goroutine for each connect and for each connection that is being written; and one that sweeps.
+// A Pool is used by these goroutines: the router's loop, which calls the methods of router.Upstream; netpoll's
+// goroutines, when bytes arrive or a connection ends; one goroutine per connect; one per connection that is being
+// written to; and the sweep.
 package respupstream
--- a/internal/upstream/respupstream/evidence_test.go
+++ b/internal/upstream/respupstream/evidence_test.go
@@ -11,12 +11,12 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestAttemptResults covers the rows of the table in evidence.go that a worker causes: what it does, and the result that the
-// dispatcher receives.
+// TestAttemptResults covers the rows of the table in evidence.go that a worker's behavior causes, and checks the
+// result that the dispatcher receives.
 func TestAttemptResults(t *testing.T) {
 	for name, test := range map[string]struct {
-		act    func(fakeplatform.Request)
-		result dispatch.Result
+		handler func(fakeplatform.Request)
+		result  dispatch.Result
 	}{
 		"ok":                       {reply("ok", "-", "answer"), dispatch.OK},
 		"ok with a load report":    {reply("ok", "company=3,meter=inflight:7;util:0.61", "answer"), dispatch.OK},
@@ -47,7 +47,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w", Handle: test.act})
+			h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}},
+				&fakeplatform.Worker{ID: "w", Handle: test.handler})
 			client := h.submit(15 * time.Second)
 			ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome")
 			if ended.Result != test.result || ended.Final != (test.result == dispatch.OK) {
@@ -58,13 +59,14 @@
 			}
 			final := testsupport.Await(t, client, "the final answer")
 			if test.result == dispatch.OK && string(final.Attempt.Body) != "answer" {
-				t.Errorf("the client got %q", final.Attempt.Body)
+				t.Errorf("the client received %q", final.Attempt.Body)
 			}
 		})
 	}
 }
 
-// TestMalformedResponseResetsAllOnItsConnection: the other attempts on the connection may have run, too.
+// TestMalformedResponseResetsAllOnItsConnection checks that a malformed response ends all attempts on its connection
+// as ConnectionReset, because each of them may have run.
 func TestMalformedResponseResetsAllOnItsConnection(t *testing.T) {
 	var mu sync.Mutex
 	received := 0
@@ -86,8 +88,9 @@
 	}
 }
 
-// TestLateResponseIsNotMatchedToRetry: a retry under the same id at the same worker uses another connection, so that a late
-// or duplicate response to the first attempt is not taken for the response to the retry.
+// TestLateResponseIsNotMatchedToRetry checks that a retry with the same id at the same worker uses another
+// connection, so that a late or duplicate response to the first attempt is not mistaken for the response to the
+// retry.
 func TestLateResponseIsNotMatchedToRetry(t *testing.T) {
 	var mu sync.Mutex
 	var conns []*fakeplatform.Conn
@@ -113,8 +116,8 @@
 	}
 }
 
-// TestStalledResponseResetsConnection: a connection whose response stops halfway is closed, and what is in flight on it may
-// have run.
+// TestStalledResponseResetsConnection checks that a connection is closed if a response on it stalls, and that the
+// attempt in flight ends as ConnectionReset, because it may have run.
 func TestStalledResponseResetsConnection(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w", Handle: replyRaw("*4\r\n$16\r\n")}
 	h := newHarness(t, func(c *Config) { c.StallTimeout = 50 * time.Millisecond }, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
--- a/internal/upstream/respupstream/exchange.go
+++ b/internal/upstream/respupstream/exchange.go
@@ -10,7 +10,7 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// exchangeKind is the kind of an exchange.
+// exchangeKind is the kind of message that starts an exchange.
 type exchangeKind int
 
 // The kinds of exchanges.
@@ -18,43 +18,44 @@
 	kindAttempt exchangeKind = iota
 	kindLoad
 	kindHealthCheck
-	kindCancel // has no response, no timeout and no end
+	kindCancel // has no response and no timeout, and its end is not reported
 )
 
 // exchange is one message to a worker and its response.
 type exchange struct {
-	pool           *Pool
-	kind           exchangeKind
-	id             string // on the wire
-	worker         *worker
-	writeBefore    time.Time // not written after it
-	sendLimits     router.SendLimits
-	rejectedWrites int // connections that did not accept it whole
-	createdAt      time.Time
-	call           *router.Call // of an attempt, else nil
-	encode         func(left time.Duration) []byte
-	done           func(dispatch.Result, *response) // called once, without the lock; nil response: none came
-
-	// Under the pool's lock.
-	conn          *conn     // on which it is queued or in flight
-	writtenAt     time.Time // zero until the write starts
-	partlyWritten bool      // the write has started, and the system has not accepted the whole message
+	pool         *Pool
+	kind         exchangeKind
+	id           string // in the messages of the exchange
+	worker       *worker
+	writeBefore  time.Time // deadline of the write
+	sendLimits   router.SendLimits
+	failedWrites int // on earlier connections, which did not accept the whole message
+	createdAt    time.Time
+	call         *router.Call                         // nil except for attempts
+	encode       func(remaining time.Duration) []byte // returns the message, given the time until writeBefore
+	done         func(dispatch.Result, *response)     // called once, without the lock; response may be nil
+
+	// Guarded by the pool's mutex.
+	conn          *conn     // where it is queued or in flight; nil while it waits for a connection
+	writtenAt     time.Time // start of the write; zero before
+	partlyWritten bool      // the write has started, but the system has not accepted the whole message
 	ended         bool
 	timer         *time.Timer // of load commands and health checks
 }
 
-// clientWaiting reports whether the result may still be of use to a client. Only attempts have one.
+// clientWaiting reports whether a client may still be waiting for the result. It is true for exchanges without a
+// client.
 func (x *exchange) clientWaiting() bool { return x.call == nil || x.call.ClientWaiting() }
 
-// handle implements router.UpstreamAttempt.
-type handle struct{ exchange *exchange }
+// attemptHandle implements router.UpstreamAttempt.
+type attemptHandle struct{ exchange *exchange }
 
-// ForwardTo implements router.UpstreamAttempt. Responses of this protocol are complete when they are reported, so there is
-// nothing to forward.
-func (h handle) ForwardTo(router.Client) {}
+// ForwardTo implements router.UpstreamAttempt. It does nothing: responses of this protocol are complete when they are
+// reported.
+func (h attemptHandle) ForwardTo(router.Client) {}
 
 // Cancel implements router.UpstreamAttempt.
-func (h handle) Cancel() { h.exchange.pool.cancel(h.exchange) }
+func (h attemptHandle) Cancel() { h.exchange.pool.cancel(h.exchange) }
 
 // StartAttempt implements router.Upstream.
 func (p *Pool) StartAttempt(token router.AttemptToken, call *router.Call, workerID string, _ int,
@@ -66,18 +67,18 @@
 	x.done = func(result dispatch.Result, received *response) {
 		p.router.AttemptEnded(token, newAttemptResult(result, received))
 	}
-	if request == nil { // the call came over another protocol
+	if request == nil { // a call of another protocol, which this one cannot carry
 		x.ended = true
 		x.done(dispatch.NotSent, nil)
-		return handle{x}
+		return attemptHandle{x}
 	}
 	x.id = request.ID
-	x.encode = func(left time.Duration) []byte { return encodeAttempt(request, left) }
+	x.encode = func(remaining time.Duration) []byte { return encodeAttempt(request, remaining) }
 	p.start(x, workerID)
-	return handle{x}
+	return attemptHandle{x}
 }
 
-// newAttemptResult returns the router's form of an attempt's end. received is nil if there was no response.
+// newAttemptResult returns the result of an attempt for the router. received is nil if there was no response.
 func newAttemptResult(result dispatch.Result, received *response) router.AttemptResult {
 	if received == nil {
 		return router.AttemptResult{Result: result, Report: router.NoWorkerReport}
@@ -89,8 +90,8 @@
 	return attemptResult
 }
 
-// LoadFunction implements router.Upstream. A load command that cannot be written within the connect timeout is not written
-// at all. Written late, it would count against another interval of the load rate limit.
+// LoadFunction implements router.Upstream. A load command that cannot be written within the connect timeout is not
+// sent: if it were written later, it would count against another interval of the load rate limit.
 func (p *Pool) LoadFunction(workerID, function string, copies int, limits router.SendLimits, done func(router.LoadResult)) {
 	x := &exchange{pool: p, kind: kindLoad, sendLimits: limits,
 		writeBefore: time.Now().Add(min(limits.Remaining, p.config.ConnectTimeout))}
@@ -120,8 +121,8 @@
 	p.startWithTimeout(x, workerID, limit)
 }
 
-// startWithTimeout starts a load command or a health check, which ends as TimedOut after limit. Attempts are timed by the
-// router instead.
+// startWithTimeout starts a load command or a health check, which ends as TimedOut after limit. The router itself
+// times attempts.
 func (p *Pool) startWithTimeout(x *exchange, workerID string, limit time.Duration) {
 	p.mu.Lock()
 	p.lastControlID++
@@ -136,7 +137,7 @@
 	p.start(x, workerID)
 }
 
-// start resolves the worker by its id and assigns the exchange to a connection.
+// start looks up the worker by its id and assigns the exchange to a connection.
 func (p *Pool) start(x *exchange, workerID string) {
 	p.mu.Lock()
 	x.worker = p.workers[workerID]
@@ -145,8 +146,8 @@
 	runCallbacks(callback)
 }
 
-// finish ends an exchange, once: further calls return nil. The lock is held. The returned callback reports the result and
-// must be run without the lock.
+// finish ends an exchange. It returns the callback that reports the result, or nil if the exchange had already ended.
+// The lock is held; the caller runs the callback without it.
 func (p *Pool) finish(x *exchange, result dispatch.Result, received *response) func() {
 	if x.ended {
 		return nil
@@ -161,7 +162,7 @@
 		x.worker.waiting = slices.DeleteFunc(x.worker.waiting, func(other *exchange) bool { return other == x })
 	}
 	p.countEnd(x, result, received != nil)
-	if received != nil && received.body != nil { // the body is part of a read buffer, and the router keeps it
+	if received != nil && received.body != nil { // the router keeps the body, which is part of a read buffer
 		kept := *received
 		kept.body = append([]byte(nil), received.body...)
 		received = &kept
@@ -169,7 +170,7 @@
 	return func() { x.done(result, received) }
 }
 
-// countEnd counts an exchange that has ended in the statistics. The lock is held.
+// countEnd adds an exchange that has ended to the statistics. The lock is held.
 func (p *Pool) countEnd(x *exchange, result dispatch.Result, answered bool) {
 	switch {
 	case x.writtenAt.IsZero():
@@ -183,8 +184,9 @@
 	}
 }
 
-// cancel ends an attempt that the router no longer wants. If it was written, a cancellation is sent to the worker. A
-// connection on which nothing was read since then may be broken, so it accepts nothing new.
+// cancel ends an attempt that the router has cancelled. If the attempt was written, cancel sends a cancellation to
+// the worker. If nothing was read from the connection since the attempt was written, the connection may be broken, so
+// it accepts no new exchanges.
 func (p *Pool) cancel(x *exchange) {
 	p.mu.Lock()
 	result := dispatch.Cancelled
@@ -205,7 +207,7 @@
 	runCallbacks(callback)
 }
 
-// newCancellation returns the message that cancels an attempt at its worker. It has no response.
+// newCancellation returns the exchange that cancels an attempt at its worker. It has no response.
 func newCancellation(x *exchange) *exchange {
 	id := x.id
 	return &exchange{
--- a/internal/upstream/respupstream/exchange_test.go
+++ b/internal/upstream/respupstream/exchange_test.go
@@ -13,7 +13,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestAttemptCarriesRequestUnchanged: id, class, key and body are unchanged, and the limit is the remaining deadline.
+// TestAttemptCarriesRequestUnchanged checks that a worker receives the request's id, class, function, idempotency key
+// and body unchanged, and the remaining deadline as the limit.
 func TestAttemptCarriesRequestUnchanged(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
@@ -27,8 +28,8 @@
 	}
 }
 
-// TestCancelAfterWrite: a written attempt is cancelled at the worker, and its late response is not taken for another
-// request's.
+// TestCancelAfterWrite checks that a written attempt is cancelled at the worker, and that its late response is not
+// mistaken for the response to another request.
 func TestCancelAfterWrite(t *testing.T) {
 	cancellations := make(chan fakeplatform.Request, 1)
 	var mu sync.Mutex
@@ -64,15 +65,19 @@
 	}
 }
 
-// TestLoadsAndHealthChecks: load commands and health checks reach the worker and report what it answers.
+// TestLoadsAndHealthChecks checks that load commands and health checks reach the worker and report its responses.
 func TestLoadsAndHealthChecks(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
-	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}, loadWorker: "w", checkWorker: "w"}, w)
+	h := newHarness(t, nil, &scriptedDispatcher{
+		attemptWorkers: []string{"w"}, loadWorker: "w", healthCheckWorker: "w",
+	}, w)
 	testsupport.Await(t, h.submit(15*time.Second), "the answer")
-	if result := testsupport.Await(t, h.dispatcher.loaded, "the load result"); result.Result != dispatch.OK || result.Copies != 2 || result.Function != testFunction {
+	if result := testsupport.Await(t, h.dispatcher.loadResults,
+		"the load result"); result.Result != dispatch.OK || result.Copies != 2 || result.Function != testFunction {
 		t.Errorf("%+v", result)
 	}
-	if result := testsupport.Await(t, h.dispatcher.checked, "the health check result"); result.Result != dispatch.OK || result.LoadReport.InFlight != 1 {
+	if result := testsupport.Await(t, h.dispatcher.healthResults,
+		"the health check result"); result.Result != dispatch.OK || result.LoadReport.InFlight != 1 {
 		t.Errorf("%+v", result)
 	}
 	for _, r := range w.Received() {
--- a/internal/upstream/respupstream/golden_test.go
+++ b/internal/upstream/respupstream/golden_test.go
@@ -17,8 +17,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-// wireRecorder accepts connections and passes on each message as the bytes that came. It answers an attempt, a load
-// command and a health check, and an attempt with the body "silent" not at all.
+// wireRecorder accepts connections and records the bytes of each message. It answers attempts, load commands and
+// health checks, but no attempt with the body "silent".
 func wireRecorder(t *testing.T) (addr string, messages <-chan string) {
 	t.Helper()
 	recorded := make(chan string, 8)
@@ -41,11 +41,11 @@
 	return addr, recorded
 }
 
-// TestGoldenMessagesOnTheSocket holds the bytes of each kind of message to a worker as they leave the socket. The time
-// that is left differs from run to run and is compared as seven digits.
+// TestGoldenMessagesOnTheSocket pins the bytes that each kind of message puts on the socket. The remaining deadline
+// differs from run to run, so its seven digits are masked.
 func TestGoldenMessagesOnTheSocket(t *testing.T) {
 	addr, messages := wireRecorder(t)
-	h := newHarness(t, func(client *Config) { client.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
+	h := newHarness(t, func(config *Config) { config.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
 	expect := func(what, want string) {
@@ -91,12 +91,12 @@
 	expect("a cancellation", "*2\r\n$4\r\ndrop\r\n$16\r\n00000000000000a2\r\n")
 }
 
-// TestGoldenAttemptLimits holds the limit that an attempt carries: whole milliseconds, rounded down, and never below 1.
+// TestGoldenAttemptLimits pins the limit in an attempt: whole milliseconds, rounded down, and at least 1.
 func TestGoldenAttemptLimits(t *testing.T) {
 	r := &invocation.Request{ID: "00000000000000a1", Class: "c", Function: "f", Body: []byte{}}
 	for name, test := range map[string]struct {
-		left time.Duration
-		want string
+		remaining time.Duration
+		want      string
 	}{
 		"rounded down":             {1500*time.Millisecond + 999*time.Microsecond, "$23\r\ncls=c,item=f,limit=1500"},
 		"less than a millisecond":  {999 * time.Microsecond, "$20\r\ncls=c,item=f,limit=1"},
@@ -104,8 +104,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			want := "*4\r\n$4\r\nexec\r\n$16\r\n00000000000000a1\r\n" + test.want + "\r\n$0\r\n\r\n"
-			if got := string(encodeAttempt(r, test.left)); got != want {
-				t.Errorf("%v left:\ngot  %q\nwant %q", test.left, got, want)
+			if got := string(encodeAttempt(r, test.remaining)); got != want {
+				t.Errorf("remaining %v:\ngot  %q\nwant %q", test.remaining, got, want)
 			}
 		})
 	}
--- a/internal/upstream/respupstream/harness_test.go
+++ b/internal/upstream/respupstream/harness_test.go
@@ -19,20 +19,20 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// scriptedDispatcher starts the attempts of each request at the listed workers, one after another, and passes on the events
-// that end attempts, load commands and health checks.
+// scriptedDispatcher starts the attempts of each request at the listed workers in order, and sends the events that it
+// receives to the channels.
 type scriptedDispatcher struct {
-	attemptWorkers []string // of the first attempt, of its retry, and so on
-	outcomes       chan dispatch.AttemptEnded
-	loaded         chan dispatch.FunctionLoaded
-	checked        chan dispatch.HealthChecked
-	lost           chan dispatch.ConnectionLost
-	loadWorker     string        // receives a load command with each request; "": none
-	checkWorker    string        // receives a health check with each request; "": none
-	delay          time.Duration // of each step
-
-	mu       sync.Mutex
-	attempts map[dispatch.RequestID]int // that have ended
+	attemptWorkers    []string // for the first attempt, the first retry, and so on
+	outcomes          chan dispatch.AttemptEnded
+	loadResults       chan dispatch.FunctionLoaded
+	healthResults     chan dispatch.HealthChecked
+	connectionLost    chan dispatch.ConnectionLost
+	loadWorker        string        // receives a load command per request; empty means no load commands
+	healthCheckWorker string        // receives a health check per request; empty means no checks
+	delay             time.Duration // duration of each Step
+
+	mu            sync.Mutex
+	endedAttempts map[dispatch.RequestID]int // number of attempts that have ended
 }
 
 func (s *scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
@@ -46,13 +46,13 @@
 			if s.loadWorker != "" {
 				out = append(out, dispatch.LoadFunction{Worker: s.loadWorker, Function: e.Function, Copies: 2})
 			}
-			if s.checkWorker != "" {
-				out = append(out, dispatch.CheckHealth{Worker: s.checkWorker})
+			if s.healthCheckWorker != "" {
+				out = append(out, dispatch.CheckHealth{Worker: s.healthCheckWorker})
 			}
 		case dispatch.AttemptEnded:
 			s.outcomes <- e
-			s.attempts[e.ID]++
-			if n := s.attempts[e.ID]; !e.Final && n < len(s.attemptWorkers) {
+			s.endedAttempts[e.ID]++
+			if n := s.endedAttempts[e.ID]; !e.Final && n < len(s.attemptWorkers) {
 				out = append(out, dispatch.StartAttempt{ID: e.ID, Worker: s.attemptWorkers[n]})
 			} else if !e.Final {
 				out = append(out, dispatch.FailRequest{ID: e.ID})
@@ -60,11 +60,11 @@
 		case dispatch.RequestCancelled:
 			out = append(out, dispatch.CancelAttempt{ID: e.ID})
 		case dispatch.FunctionLoaded:
-			s.loaded <- e
+			s.loadResults <- e
 		case dispatch.HealthChecked:
-			s.checked <- e
+			s.healthResults <- e
 		case dispatch.ConnectionLost:
-			s.lost <- e
+			s.connectionLost <- e
 		}
 	}
 	return out
@@ -81,23 +81,23 @@
 
 const testFunction = "7f3a9c21e0b4d655"
 
-// harness is a router with a scripted dispatcher, the pool under test, and fake workers.
+// harness is a router with a scripted dispatcher, the pool under test and fake workers.
 type harness struct {
 	t          *testing.T
 	dispatcher *scriptedDispatcher
 	pool       *Pool
 	router     *router.Router
 	endpoints  []endpoints.Worker
-	calls      int // submitted
+	calls      int // number of submitted calls
 }
 
 func newHarness(t *testing.T, configure func(*Config), dispatcher *scriptedDispatcher, workers ...*fakeplatform.Worker) *harness {
 	t.Helper()
 	dispatcher.outcomes = make(chan dispatch.AttemptEnded, 64)
-	dispatcher.loaded = make(chan dispatch.FunctionLoaded, 64)
-	dispatcher.checked = make(chan dispatch.HealthChecked, 64)
-	dispatcher.lost = make(chan dispatch.ConnectionLost, 64)
-	dispatcher.attempts = map[dispatch.RequestID]int{}
+	dispatcher.loadResults = make(chan dispatch.FunctionLoaded, 64)
+	dispatcher.healthResults = make(chan dispatch.HealthChecked, 64)
+	dispatcher.connectionLost = make(chan dispatch.ConnectionLost, 64)
+	dispatcher.endedAttempts = map[dispatch.RequestID]int{}
 	config := Config{ConnectTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, StallTimeout: 10 * time.Second, MaxConns: 8,
 		MaxRequestsPerConn: 32, MaxResponseBytes: 1 << 12, ReceiveBuffer: 32 << 10}
 	if configure != nil {
@@ -120,14 +120,14 @@
 	return h
 }
 
-// waitForEndpoints returns once the router's loop has processed the latest endpoint list: the second request for its stats
-// is answered in a later iteration than the first.
+// waitForEndpoints returns once the router's loop has processed the latest endpoint list: the loop answers the second
+// request for its stats in a later iteration than the first.
 func (h *harness) waitForEndpoints() {
 	h.router.Stats()
 	h.router.Stats()
 }
 
-// waitForWrites returns once no goroutine writes to a connection any more.
+// waitForWrites returns once no goroutine is writing to a connection.
 func (h *harness) waitForWrites() {
 	h.t.Helper()
 	testsupport.WaitUntil(h.t, "no connection is written to", func() bool {
@@ -142,7 +142,7 @@
 	})
 }
 
-// waitForStats waits until ok accepts the stats of the pool.
+// waitForStats waits until ok returns true for the stats of the pool, and fails the test with the message after 20 s.
 func (h *harness) waitForStats(failure string, ok func(Stats) bool) {
 	h.t.Helper()
 	for range 4000 {
@@ -154,16 +154,16 @@
 	h.t.Fatalf("%s: %+v", failure, h.pool.Stats())
 }
 
-// submit submits a request and returns its client.
-func (h *harness) submit(left time.Duration) testClient {
+// submit submits a request with the remaining deadline and returns its client.
+func (h *harness) submit(remaining time.Duration) testClient {
 	client := make(testClient, 2)
 	h.calls++
-	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: left, Client: client,
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: remaining, Client: client,
 		Request: &invocation.Request{ID: fmt.Sprintf("%016x", h.calls), Class: "c", Function: testFunction, IdempotencyKey: "k1", Body: []byte("body")}})
 	return client
 }
 
-// reply makes a worker answer each attempt with the items after its id.
+// reply returns a handler that answers each attempt with its id followed by the items.
 func reply(items ...string) func(fakeplatform.Request) {
 	return func(r fakeplatform.Request) {
 		if r.Command == "exec" {
@@ -172,12 +172,13 @@
 	}
 }
 
-// replyRaw makes a worker write s for each message.
+// replyRaw returns a handler that writes s for each message.
 func replyRaw(s string) func(fakeplatform.Request) {
 	return func(r fakeplatform.Request) { r.Conn.WriteRaw(s) }
 }
 
-// answerAll answers each message on a connection with the body, until the connection ends.
+// answerAll answers each message on a connection with the body until the connection ends, and passes its id to
+// observe.
 func answerAll(nc net.Conn, body string, observe func(id string)) {
 	for in := bufio.NewReader(nc); ; {
 		m, err := fakeplatform.ReadMessage(in)
@@ -189,8 +190,9 @@
 	}
 }
 
-// queueUnwritten queues an exchange that cannot be written yet: the only connection to its worker is still being opened.
-func queueUnwritten(t *testing.T, h *harness, kind exchangeKind) (x *exchange, ended chan dispatch.Result) {
+// addWaitingExchange adds an exchange that waits for the only connection to its worker, whose connect never ends by
+// itself. ended receives its result.
+func addWaitingExchange(t *testing.T, h *harness, kind exchangeKind) (x *exchange, ended chan dispatch.Result) {
 	t.Helper()
 	ended = make(chan dispatch.Result, 1)
 	x = &exchange{pool: h.pool, kind: kind, id: "held", writeBefore: time.Now().Add(15 * time.Second),
@@ -200,15 +202,18 @@
 	defer h.pool.mu.Unlock()
 	w := h.pool.workers["w"]
 	x.worker = w
-	w.connecting++ // stands for a connect that hangs
+	w.connecting++ // simulates a connect that hangs
 	h.pool.connecting++
 	w.waiting = append(w.waiting, x)
 	return x, ended
 }
 
-// listenWithoutReading accepts one connection and reads from it, and answers, only once startReading is closed. receiveBuffer is
-// that of the connection in bytes; 0: the system's default.
-func listenWithoutReading(t *testing.T, startReading <-chan struct{}, receiveBuffer int) (addr string, ids <-chan string) {
+// listenWithDelayedReading accepts one connection, but reads from it and answers only once startReading is closed.
+// ids receives the id of each request. receiveBuffer is the size of the connection's receive buffer in bytes; 0 means
+// the system's default.
+func listenWithDelayedReading(t *testing.T, startReading <-chan struct{}, receiveBuffer int) (
+	addr string, ids <-chan string,
+) {
 	t.Helper()
 	ln := testsupport.Listen(t)
 	if receiveBuffer > 0 {
--- a/internal/upstream/respupstream/hung_worker_test.go
+++ b/internal/upstream/respupstream/hung_worker_test.go
@@ -10,7 +10,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestCommandsToHungWorkerEnd: a load command and a health check end once, as timed out, though the worker answers nothing.
+// TestCommandsToHungWorkerEnd checks that a load command and a health check each end exactly once, as TimedOut, if
+// the worker does not answer.
 func TestCommandsToHungWorkerEnd(t *testing.T) {
 	const limit = 300 * time.Millisecond // long enough for both to be written
 	w := &fakeplatform.Worker{ID: "w", Handle: func(fakeplatform.Request) {}}
@@ -24,7 +25,7 @@
 			t.Errorf("ended as %v, want %v", result, dispatch.TimedOut)
 		}
 	}
-	h.pool.Close() // ends what is still open, if anything
+	h.pool.Close() // ends the exchanges that are still open, if any
 	if len(results) != 0 {
 		t.Error("a command ended twice")
 	}
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -10,33 +10,33 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// Config is the part of the settings that concerns connections to workers.
+// Config holds the settings for connections to workers.
 type Config struct {
-	ConnectTimeout     time.Duration // of a connect; also the longest that a load command waits to be written
-	IdleTimeout        time.Duration // idle connections are closed after it, before a worker would; 0: never
-	WriteTimeout       time.Duration // a worker must accept a written message within it
-	StallTimeout       time.Duration // longest pause within a response that has begun
-	MaxConns           int           // connections to all workers together
-	MaxRequestsPerConn int           // requests in flight or queued on one connection
-	MaxResponseBytes   int           // of all items of one response together
-	ReceiveBuffer      int           // bytes of the socket's receive buffer; 0: the system's default
-	Logger             *slog.Logger  // nil: nothing is logged
-
-	send sendFunc // nil: the system's; tests make it fail
+	ConnectTimeout     time.Duration // also the longest time that a load command waits to be written
+	IdleTimeout        time.Duration // below the workers' own idle timeout; 0 keeps idle connections open
+	WriteTimeout       time.Duration // from the first byte of a message to its last; 0 means no limit
+	StallTimeout       time.Duration // longest pause between two reads of an incomplete response
+	MaxConns           int           // to all workers together
+	MaxRequestsPerConn int           // in flight or queued
+	MaxResponseBytes   int           // total size of all items of a response
+	ReceiveBuffer      int           // size of the socket's receive buffer in bytes; 0 means the system's default
+	Logger             *slog.Logger  // nil disables logging
+
+	send sendFunc // replaced by tests that inject errors; nil means sendmsg
 }
 
-// Pool holds the connections of one router to all workers and implements router.Upstream. One lock guards all of its
-// state, that of workers, connections and exchanges included; nothing blocks while it is held, and no callback runs.
+// Pool holds the connections of one router to all workers and implements router.Upstream. Its mutex also guards the
+// state of workers, connections and exchanges. Nothing blocks and no callback runs while it is held.
 type Pool struct {
 	config Config
 	router *router.Router
 
 	mu             sync.Mutex
 	workers        map[string]*worker   // by id
-	conns          map[*conn]struct{}   // includes those of removed workers
-	waitingWorkers map[*worker]struct{} // those with waiting exchanges, and some that have none any more
-	connecting     int                  // connects in progress to all workers
-	lastControlID  uint64               // of the latest load command or health check
+	conns          map[*conn]struct{}   // including those of removed workers
+	waitingWorkers map[*worker]struct{} // all workers with waiting exchanges; the sweep removes the others
+	connecting     int                  // connects in progress, to all workers
+	lastControlID  uint64               // number in the id of the latest load command or health check
 	closed         bool
 	stop           chan struct{} // closed by Close; ends the sweep goroutine
 	stats          Stats
@@ -44,39 +44,39 @@
 
 // Stats is a snapshot of the pool, with counters since it was created.
 type Stats struct {
-	// Held now.
+	// Current values.
 	Conns    int
-	InFlight int // written and not answered
-	Queued   int // on a connection, not written
-
-	// Since the start.
-	Written           uint64
-	Answered          uint64
-	CancelledInFlight uint64 // cancelled after they were written
-	NeverWritten      uint64 // ended without a byte written
-	Dials             uint64
+	InFlight int // exchanges written without a response so far
+	Queued   int // exchanges queued on a connection and not yet written
+
+	// Counters since the pool was created.
+	Written           uint64 // exchanges whose write has started
+	Answered          uint64 // exchanges that received a response
+	CancelledInFlight uint64 // attempts cancelled after they were written
+	NeverWritten      uint64 // exchanges that ended before any byte was written
+	Dials             uint64 // connects started
 	DialFailures      uint64
-	ProtocolErrors    uint64 // connections closed for a malformed or stalled response
-	Evicted           uint64 // idle connections closed to make room for one to another worker
+	ProtocolErrors    uint64 // connections closed because of a malformed or stalled response
+	Evicted           uint64 // idle connections closed to make room for a connection to another worker
 
-	// Sums over the attempts that ended OK.
-	QueueTime    time.Duration // from StartAttempt until the attempt was written
-	ResponseTime time.Duration // from then until its response
+	// Sums over the attempts that ended as OK.
+	QueueTime    time.Duration // from StartAttempt until the first byte was written
+	ResponseTime time.Duration // from the first byte written until the response
 }
 
-// worker is one process of a worker at one address. Another address, or a later start under the same id, makes a new
-// worker: nothing that was meant for the old process is written to the new one.
+// worker is one process of a worker at one address. If the address changes, or a process with the same id starts
+// later, a new worker replaces this one, so that nothing queued for the old process is written to the new one.
 type worker struct {
 	id, addr   string
 	startedAt  time.Duration
 	state      dispatch.EndpointState
 	removed    bool        // no longer in the endpoint list
-	conns      []*conn     // that accept new exchanges
+	conns      []*conn     // those that accept new exchanges
 	connecting int         // connects in progress
-	waiting    []*exchange // for a connection
+	waiting    []*exchange // exchanges that wait for a connection
 }
 
-// New returns a Pool without workers and starts its sweep goroutine, which ends with Close. Attach must be called before
+// New returns a Pool without workers and starts its sweep goroutine, which Close ends. Attach must be called before
 // the pool is used.
 func New(cfg Config) *Pool {
 	if cfg.Logger == nil {
@@ -96,10 +96,10 @@
 	return p
 }
 
-// Attach sets the router that is notified of how attempts end.
+// Attach sets the router to which the pool reports the ends of attempts and lost connections.
 func (p *Pool) Attach(r *router.Router) { p.router = r }
 
-// Stats returns a snapshot.
+// Stats returns the current statistics.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 	runCallbacks(callbacks...)
 }
 
-// updateWorker applies a change of one worker. The lock is held. The returned callbacks are run without it.
+// updateWorker applies a change of one worker. The lock is held; the caller runs the callbacks without it.
 func (p *Pool) updateWorker(endpoint endpoints.Worker) (callbacks []func()) {
 	w := p.workers[endpoint.ID]
 	removed := endpoint.State == dispatch.EndpointRemoved
@@ -143,13 +143,14 @@
 	return callbacks
 }
 
-// isReplacedBy reports whether an endpoint of the worker's id is another process: at another address, or started later.
+// isReplacedBy reports whether an endpoint with the worker's id is another process: at another address, or started
+// later.
 func (w *worker) isReplacedBy(endpoint endpoints.Worker) bool {
 	return w.addr != endpoint.Address || endpoint.StartedAt > w.startedAt
 }
 
-// accepts reports whether an exchange of the kind may be written to the worker. nil stands for a worker that is not listed.
-// Draining workers are still checked, because a health check shows when the drain is over.
+// accepts reports whether an exchange of the kind may be written to the worker. A nil worker, which is not in the
+// endpoint list, accepts nothing. A draining worker accepts health checks, because they show when the drain is over.
 func (w *worker) accepts(kind exchangeKind) bool {
 	if w == nil || w.removed {
 		return false
@@ -157,8 +158,8 @@
 	return w.state == dispatch.EndpointActive || kind == kindHealthCheck
 }
 
-// removeWorker ends the exchanges that wait for a connection to the worker. Its connections accept nothing new, and
-// close when nothing is in flight on them. The lock is held. The returned callbacks are run without it.
+// removeWorker ends the exchanges that wait for a connection to the worker. Its connections accept no new exchanges
+// and are closed once nothing is in flight on them. The lock is held; the caller runs the callbacks without it.
 func (p *Pool) removeWorker(w *worker) (callbacks []func()) {
 	w.removed = true
 	waiting := w.waiting
@@ -172,7 +173,7 @@
 	return callbacks
 }
 
-// runCallbacks runs the completion callbacks that were collected under the lock; nil ones are skipped.
+// runCallbacks runs the callbacks that were collected under the lock and skips nil ones. The lock is not held.
 func runCallbacks(callbacks ...func()) {
 	for _, f := range callbacks {
 		if f != nil {
@@ -181,7 +182,7 @@
 	}
 }
 
-// Close ends all connections and the sweep goroutine. What is in flight ends as ConnectionReset.
+// Close closes all connections and ends the sweep goroutine. Exchanges in flight end as ConnectionReset.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	if p.closed {
--- a/internal/upstream/respupstream/pool_bench_test.go
+++ b/internal/upstream/respupstream/pool_bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/internal/endpoints"
 )
 
-// newLargePool returns a pool with n workers and the list of them.
+// newLargePool returns a pool with n workers and their endpoint list.
 func newLargePool(b *testing.B, n int) (*Pool, []endpoints.Worker) {
 	b.Helper()
 	list := make([]endpoints.Worker, n)
@@ -21,7 +21,7 @@
 	return pool, list
 }
 
-// BenchmarkPoolUpdate times an update that changes one worker of n.
+// BenchmarkPoolUpdate measures an update that changes one worker of n.
 func BenchmarkPoolUpdate(b *testing.B) {
 	for _, n := range []int{60, 960, 3200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkSweep times a sweep of n workers of which none has a connection.
+// BenchmarkSweep measures a sweep with n workers and no connections.
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range []int{60, 960, 3200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
--- a/internal/upstream/respupstream/read.go
+++ b/internal/upstream/respupstream/read.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// read processes the bytes that have arrived. netpoll runs it on one goroutine at a time. A panic closes this connection
-// only.
+// read processes the bytes that have arrived. netpoll does not call it concurrently for one connection. A panic
+// closes only this connection.
 func (c *conn) read() {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// handleResponse ends the exchange that a complete response belongs to. A response for an id that is not in flight on this
-// connection is ignored: it is late, a duplicate, or unknown.
+// handleResponse ends the exchange that a complete response belongs to. A response with an id that is not in flight
+// on this connection is ignored: it is late, a duplicate, or for an unknown id.
 func (c *conn) handleResponse(items [][]byte) error {
 	received, err := parseResponse(items)
 	if err != nil {
--- a/internal/upstream/respupstream/read_test.go
+++ b/internal/upstream/respupstream/read_test.go
@@ -17,8 +17,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestConnectionEndsAtEveryByte: a response counts if it has come whole, in whatever pieces, also when the connection ends
-// right behind it. One that is cut short leaves an attempt that may have run.
+// TestConnectionEndsAtEveryByte closes the connection after each number of bytes of a response, which is written byte
+// by byte. A whole response ends the attempt as OK. After a partial response the attempt ends as ConnectionReset,
+// because it may have run.
 func TestConnectionEndsAtEveryByte(t *testing.T) {
 	const id = "0000000000000001"
 	response := fakeplatform.EncodeMessage(id, "ok", "company=1", "answer")
@@ -44,14 +45,16 @@
 	}
 }
 
-// TestConnectionTimeoutMayHaveRun: the system gives a connection up with ETIMEDOUT, without a reset from the worker, after it
-// had accepted a whole attempt. That ends at once, and may have run.
+// TestConnectionTimeoutMayHaveRun: the system accepts a whole attempt and later ends the connection with ETIMEDOUT,
+// without a reset from the worker. The attempt must then end at once as ConnectionReset, because it may have run.
 func TestConnectionTimeoutMayHaveRun(t *testing.T) {
-	const receiveBuffer, bodyBytes = 4 << 10, 32 << 10 // the body overflows it, and the sender's system accepts all of it
+	// The body exceeds the worker's receive buffer, but the sender's system accepts all of it.
+	const receiveBuffer, bodyBytes = 4 << 10, 32 << 10
 	startReading := make(chan struct{})
-	addr, _ := listenWithoutReading(t, startReading, receiveBuffer)
+	addr, _ := listenWithDelayedReading(t, startReading, receiveBuffer)
 	defer close(startReading)
-	// The worker's kernel acknowledges what fits into its window, and only probes follow, which TCP_USER_TIMEOUT bounds.
+	// The worker's kernel acknowledges the bytes that fit into its receive window. After that the sender can only
+	// send window probes, which TCP_USER_TIMEOUT limits.
 	const userTimeout = 100 * time.Millisecond
 	send := func(fd int, p []byte) (int, error) {
 		if err := syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds())); err != nil {
--- a/internal/upstream/respupstream/response.go
+++ b/internal/upstream/respupstream/response.go
@@ -11,26 +11,26 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// Bounds on the parts of a response.
+// Limits of the parts of a response.
 const (
-	maxIDLength     = 64
-	maxNumberLength = 32  // characters
+	maxIDLength     = 64  // bytes
+	maxNumberLength = 32  // bytes
 	maxNumber       = 1e9 // exclusive
 )
 
-// noFields stands in the place of the fields if a response has none.
+// noFields replaces the list of fields in a response without fields.
 const noFields = "-"
 
-// errMalformedResponse is wrapped by the error for any response that cannot be parsed. The connection is closed.
+// errMalformedResponse is wrapped by all errors of parseResponse. The connection is closed after such an error.
 var errMalformedResponse = errors.New("respupstream: malformed response")
 
-// response is a response of a worker.
+// response is a parsed response of a worker.
 type response struct {
 	id     string
 	status string // a key of statusResults
 	report router.WorkerReport
-	copies int    // of the function that are loaded, as a load command's response reports them
-	body   []byte // valid while the items that it was parsed from are
+	copies int    // loaded copies of the function, from the response to a load command
+	body   []byte // a part of the items that were parsed, valid as long as they are
 }
 
 // parseResponse parses the items of a response: id, status, fields and body. The body is not copied.
@@ -52,7 +52,7 @@
 	return received, nil
 }
 
-// parseFields parses the fields of a response, "name=value" separated by commas.
+// parseFields parses the fields of a response: "name=value" pairs separated by commas.
 func (r *response) parseFields(fields []byte) error {
 	if string(fields) == noFields {
 		return nil
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// setField sets a field by its name on the wire. Unknown fields are ignored. It reports whether the value is valid.
+// setField sets the field with this name on the wire and reports whether the value is valid. Unknown fields are
+// ignored.
 func (r *response) setField(name string, value []byte) (valid bool) {
 	switch name {
 	case "company":
@@ -93,8 +94,8 @@
 	}
 }
 
-// parseLoadReport sets the known metrics of a load report and ignores the others. It reports whether the list was well
-// formed.
+// parseLoadReport parses a load report, "name:number" pairs separated by semicolons. It sets the known metrics,
+// ignores the others, and reports whether the list is well formed.
 func parseLoadReport(report *dispatch.LoadReport, rest []byte) bool {
 	for len(rest) > 0 {
 		var pair []byte
@@ -109,7 +110,7 @@
 			report.InFlight = count
 		case "queue":
 			report.Queued = count
-		case "x1": // loads in progress or queued; which metric this is comes from the settings
+		case "x1": // the settings define this metric as the loads in progress or queued
 			report.Loading = count
 		}
 	}
--- a/internal/upstream/respupstream/response_test.go
+++ b/internal/upstream/respupstream/response_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// FuzzParseResponse: no response panics the parser, and what it accepts has a known status.
+// FuzzParseResponse checks that no response causes a panic, and that each accepted response has its id and a known
+// status.
 func FuzzParseResponse(f *testing.F) {
 	f.Add("id", "ok", "company=1,meter=inflight:7;util:0.61", "body")
 	f.Add("id", "refused", "-", "")
--- a/internal/upstream/respupstream/send_test.go
+++ b/internal/upstream/respupstream/send_test.go
@@ -16,18 +16,19 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// sendStep is what one call of sendmsg does: accept some bytes, or return an error.
+// sendStep is the behavior of one call of sendmsg: it accepts some bytes or returns an error.
 type sendStep struct {
-	accept int // below 0: all but so many
+	accept int // bytes to accept; a negative number means all but that many
 	err    error
 }
 
-// scriptedSend is a sendFunc that follows steps, and then writes all, or blocks while blocked returns true.
+// scriptedSend has a sendFunc that follows steps. After them it writes everything, but returns EAGAIN while blocked
+// returns true.
 type scriptedSend struct {
-	mu      sync.Mutex
-	steps   []sendStep
-	blocked func() bool // nil: never
-	calls   int         // after the steps
+	mu         sync.Mutex
+	steps      []sendStep
+	blocked    func() bool // nil means never
+	extraCalls int         // number of calls after the steps
 }
 
 func (s *scriptedSend) send(fd int, p []byte) (int, error) {
@@ -45,18 +46,18 @@
 		}
 		return sendmsg(fd, p[:min(accept, len(p))])
 	}
-	s.calls++
+	s.extraCalls++
 	if s.blocked != nil && s.blocked() {
 		return -1, syscall.EAGAIN
 	}
 	return sendmsg(fd, p)
 }
 
-// blockedCalls returns how many times bytes were offered after the steps.
-func (s *scriptedSend) blockedCalls() int {
+// callsAfterSteps returns the number of calls of send after the steps, blocked ones included.
+func (s *scriptedSend) callsAfterSteps() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.extraCalls
 }
 
 func newSendHarness(t *testing.T, s *scriptedSend, w *fakeplatform.Worker, configure func(*Config)) *harness {
@@ -69,8 +70,8 @@
 	}, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 }
 
-// TestSendFaults: an attempt that sendmsg does not accept whole never ran, whatever the errno, and is written whole once:
-// to the same connection after a fault that passes, to another one after any other.
+// TestSendFaults checks that an attempt that sendmsg does not accept whole is written again and reaches the worker
+// exactly once: on the same connection after a transient error, on another one after any other error.
 func TestSendFaults(t *testing.T) {
 	const sameConn, otherConn = 1, 2
 	for errno, dials := range map[syscall.Errno]uint64{
@@ -97,7 +98,7 @@
 					t.Errorf("%+v", ended)
 				}
 				if got := w.Received(); len(got) != 1 || got[0].Body != "body" {
-					t.Errorf("the worker got %+v", got)
+					t.Errorf("the worker received %+v", got)
 				}
 				if stats := h.pool.Stats(); stats.Dials != want {
 					t.Errorf("%d connections, want %d", stats.Dials, want)
@@ -107,7 +108,7 @@
 	}
 }
 
-// TestShortWrites: a message of which the system accepts one byte at a time is whole.
+// TestShortWrites checks that a message arrives whole if the system accepts one byte at a time.
 func TestShortWrites(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	steps := make([]sendStep, 1000)
@@ -117,14 +118,15 @@
 	h := newSendHarness(t, &scriptedSend{steps: steps}, w, nil)
 	testsupport.Await(t, h.submit(15*time.Second), "the answer")
 	if got := w.Received(); len(got) != 1 || got[0].Body != "body" {
-		t.Errorf("the worker got %+v", got)
+		t.Errorf("the worker received %+v", got)
 	}
 }
 
-// TestWritesFailEverywhere: an attempt that no connection accepts ends, and is known not to have run.
+// TestWritesFailEverywhere checks that an attempt ends as NotSent if the writes to all connections fail, because it
+// cannot have run.
 func TestWritesFailEverywhere(t *testing.T) {
 	var steps []sendStep
-	for range maxRejectedWrites + 1 {
+	for range maxFailedWrites + 1 {
 		steps = append(steps, sendStep{accept: 9}, sendStep{err: syscall.ETIMEDOUT})
 	}
 	w := &fakeplatform.Worker{ID: "w"}
@@ -134,17 +136,17 @@
 		t.Errorf("%+v", ended)
 	}
 	if got := w.Received(); len(got) > 0 {
-		t.Errorf("the worker got %+v", got)
+		t.Errorf("the worker received %+v", got)
 	}
 }
 
-// TestPartlyWrittenAttemptIsNotCompleted: an attempt that is over when only a part of it was accepted never comes whole to the
-// worker; the connection ends, as nothing else could follow on it.
+// TestPartlyWrittenAttemptIsNotCompleted checks that the rest of a partly written attempt is not written after the
+// attempt has ended. The connection is closed, because no other message can follow a partial one.
 func TestPartlyWrittenAttemptIsNotCompleted(t *testing.T) {
 	for name, test := range map[string]struct {
-		left time.Duration
-		want dispatch.Result
-		end  func(cancel func())
+		remaining time.Duration
+		want      dispatch.Result
+		end       func(cancel func())
 	}{
 		"cancelled":    {15 * time.Second, dispatch.Cancelled, func(cancel func()) { cancel() }},
 		"time is over": {300 * time.Millisecond, dispatch.TimedOut, func(func()) {}},
@@ -154,22 +156,23 @@
 			s := &scriptedSend{steps: []sendStep{{accept: 5}}, blocked: func() bool { return true }}
 			w := &fakeplatform.Worker{ID: "w"}
 			h := newSendHarness(t, s, w, func(c *Config) { c.WriteTimeout = 0 })
-			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: test.left, Client: make(testClient, 2),
+			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: test.remaining,
+				Client:  make(testClient, 2),
 				Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
-			h.waitForStats("the attempt is not being written", func(Stats) bool { return s.blockedCalls() > 0 })
+			h.waitForStats("the attempt is not being written", func(Stats) bool { return s.callsAfterSteps() > 0 })
 			test.end(func() { cancel() })
 			if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != test.want && ended.Result != dispatch.NotSent {
 				t.Errorf("%+v, want result %v", ended, test.want)
 			}
 			h.waitForStats("the connection stays", func(s Stats) bool { return s.Conns == 0 })
 			if got := w.Received(); len(got) > 0 {
-				t.Errorf("the worker got %+v", got)
+				t.Errorf("the worker received %+v", got)
 			}
 		})
 	}
 }
 
-// TestWriteTimeoutMovesAttempt: a worker that does not accept a message whole in time has not got it; another connection does.
+// TestWriteTimeoutMovesAttempt checks that an attempt moves to another connection if a write is not complete in time.
 func TestWriteTimeoutMovesAttempt(t *testing.T) {
 	var h *harness
 	s := &scriptedSend{steps: []sendStep{{accept: 5}}}
@@ -182,19 +185,19 @@
 	}
 }
 
-// expectLimit checks the limit of the first attempt that a worker got.
-func expectLimit(t *testing.T, w *fakeplatform.Worker, most time.Duration) {
+// expectLimit checks the limit in the first message that a worker received.
+func expectLimit(t *testing.T, w *fakeplatform.Worker, maxLimit time.Duration) {
 	t.Helper()
 	limit, err := strconv.Atoi(w.Received()[0].Fields["limit"])
-	if err != nil || limit > int(most.Milliseconds()) {
-		t.Errorf("limit %d, want at most %v; error %v", limit, most, err)
+	if err != nil || limit > int(maxLimit.Milliseconds()) {
+		t.Errorf("limit %d, want at most %v; error %v", limit, maxLimit, err)
 	}
 }
 
-// TestDeadlinePassedOnAtFirstByte: the limit that a worker gets is what is left when the first byte is written, after a
-// dispatcher that takes long, a wait for a connection, or a socket that accepts nothing.
-func TestDeadlinePassedOnAtFirstByte(t *testing.T) {
-	const left, wait = 15 * time.Second, 300 * time.Millisecond
+// TestRemainingDeadlineAtFirstByte checks that a worker receives the deadline that remains when the first byte is
+// written, if the attempt was delayed by a slow dispatcher, a slow connect, or a socket that accepts nothing.
+func TestRemainingDeadlineAtFirstByte(t *testing.T) {
+	const remaining, wait = 15 * time.Second, 300 * time.Millisecond
 	for name, errno := range map[string]syscall.Errno{"full socket": syscall.EAGAIN, "no memory": syscall.ENOBUFS} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -203,38 +206,39 @@
 			w := &fakeplatform.Worker{ID: "w"}
 			h := newSendHarness(t, s, w, nil)
 			start = time.Now()
-			testsupport.Await(t, h.submit(left), "the answer")
-			expectLimit(t, w, left-wait)
+			testsupport.Await(t, h.submit(remaining), "the answer")
+			expectLimit(t, w, remaining-wait)
 		})
 	}
 	t.Run("dispatcher", func(t *testing.T) {
 		t.Parallel()
 		w := &fakeplatform.Worker{ID: "w"}
 		h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}, delay: wait}, w)
-		testsupport.Await(t, h.submit(left), "the answer")
-		expectLimit(t, w, left-wait)
+		testsupport.Await(t, h.submit(remaining), "the answer")
+		expectLimit(t, w, remaining-wait)
 	})
 	t.Run("dial", func(t *testing.T) {
 		t.Parallel()
 		h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, &fakeplatform.Worker{ID: "w"})
 		h.waitForEndpoints()
-		x, _ := queueUnwritten(t, h, kindHealthCheck)
-		passedOn := make(chan time.Duration, 1)
+		x, _ := addWaitingExchange(t, h, kindHealthCheck)
+		encodedLimit := make(chan time.Duration, 1)
 		h.pool.mu.Lock()
-		x.writeBefore = time.Now().Add(left)
-		x.encode = func(left time.Duration) []byte { passedOn <- left; return encodeHealthCheck("held") }
+		x.writeBefore = time.Now().Add(remaining)
+		x.encode = func(remaining time.Duration) []byte { encodedLimit <- remaining; return encodeHealthCheck("held") }
 		h.pool.mu.Unlock()
 		time.Sleep(wait)
 		h.pool.dial(x.worker)
-		if limit := testsupport.Await(t, passedOn, "the message"); limit > left-wait {
-			t.Errorf("limit %v, want at most %v", limit, left-wait)
+		if limit := testsupport.Await(t, encodedLimit, "the message"); limit > remaining-wait {
+			t.Errorf("limit %v, want at most %v", limit, remaining-wait)
 		}
 	})
 }
 
-// TestCancellationThatCannotBeWritten: a worker accepts an attempt and nothing after it. A cancellation must not wait for it
-// longer than others do that are in flight: closing the connection gives the attempt up, too.
-func TestCancellationThatCannotBeWritten(t *testing.T) {
+// TestUnwritableCancellationClosesConnection: a worker accepts two attempts and then no more bytes. The cancellation
+// of the first attempt waits while the second is in flight. Once only cancellations are outstanding, the connection
+// is closed, which cancels the attempts, too.
+func TestUnwritableCancellationClosesConnection(t *testing.T) {
 	s := &scriptedSend{steps: []sendStep{{accept: 1 << 10}, {accept: 1 << 10}}, blocked: func() bool { return true }}
 	w := &fakeplatform.Worker{ID: "w", Handle: func(fakeplatform.Request) {}}
 	h := newSendHarness(t, s, w, func(c *Config) { c.MaxConns, c.WriteTimeout = 1, 0 })
@@ -246,7 +250,7 @@
 		cancels = append(cancels, cancel)
 	}
 	cancels[0]()
-	h.waitForStats("the cancellation was not offered", func(Stats) bool { return s.blockedCalls() > 1 })
+	h.waitForStats("the cancellation was not offered", func(Stats) bool { return s.callsAfterSteps() > 1 })
 	if stats := h.pool.Stats(); stats.Conns != 1 || stats.InFlight != 1 {
 		t.Errorf("with another attempt in flight: %+v", stats)
 	}
@@ -254,17 +258,17 @@
 	h.waitForStats("the connection stays", func(s Stats) bool { return s.Conns == 0 })
 }
 
-// TestPostponedAttemptIsRechecked: the system accepts no byte of an attempt for a while, and the attempt is over meanwhile.
-// It does not begin once bytes are accepted again.
+// TestPostponedAttemptIsRechecked: the system accepts no byte of an attempt at first. The attempt ends or must no
+// longer be sent before the system accepts bytes again, so it must not be written.
 func TestPostponedAttemptIsRechecked(t *testing.T) {
 	type state struct {
-		h      *harness
-		cancel func()
-		left   *atomic.Bool
+		h          *harness
+		cancel     func()
+		clientLeft *atomic.Bool
 	}
 	for name, end := range map[string]func(state){
 		"cancelled":   func(s state) { s.cancel() },
-		"client left": func(s state) { s.left.Store(true) },
+		"client left": func(s state) { s.clientLeft.Store(true) },
 		"worker drains": func(s state) {
 			s.h.endpoints[0].State = dispatch.EndpointDraining
 			s.h.router.SetEndpoints(s.h.endpoints)
@@ -273,14 +277,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var accepts, left atomic.Bool
+			var accepts, clientLeft atomic.Bool
 			script := &scriptedSend{blocked: func() bool { return !accepts.Load() }}
 			w := &fakeplatform.Worker{ID: "w"}
 			h := newSendHarness(t, script, w, nil)
 			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: make(testClient, 2),
-				ClientLeft: left.Load, Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
-			h.waitForStats("the attempt was not offered", func(Stats) bool { return script.blockedCalls() > 0 })
-			end(state{h, cancel, &left})
+				ClientLeft: clientLeft.Load,
+				Request:    &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
+			h.waitForStats("the attempt was not offered", func(Stats) bool { return script.callsAfterSteps() > 0 })
+			end(state{h, cancel, &clientLeft})
 			ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome")
 			accepts.Store(true)
 			if ended.Result != dispatch.NotSent && (name != "cancelled" || ended.Result != dispatch.Cancelled) {
@@ -291,7 +296,7 @@
 			testsupport.Await(t, checked, "a health check behind it")
 			for _, r := range w.Received() {
 				if r.Command == "exec" {
-					t.Errorf("the worker got %+v", r)
+					t.Errorf("the worker received %+v", r)
 				}
 			}
 		})
--- a/internal/upstream/respupstream/socket.go
+++ b/internal/upstream/respupstream/socket.go
@@ -9,24 +9,25 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
-// sendFunc writes to a non-blocking socket once and returns how many bytes the system accepted: none if there is an error.
+// sendFunc writes to a non-blocking socket once. It returns how many bytes the system accepted, which is none after
+// an error.
 type sendFunc func(fd int, p []byte) (accepted int, err error)
 
-// sendmsg is the sendFunc of the system.
+// sendmsg is the sendFunc that makes the system call.
 func sendmsg(fd int, p []byte) (int, error) { return unix.SendmsgN(fd, p, nil, nil, 0) }
 
-// socket is the writing side of a connection. netpoll reads from the descriptor and closes it. Its Write is not used, because
-// it does not return how many bytes of a message the system accepted before an error.
+// socket is the writing side of a connection. netpoll reads from the descriptor and closes it. netpoll's own Write is
+// not used, because it does not return how many bytes of a message the system accepted before an error.
 type socket struct {
 	send sendFunc
 
-	mu     sync.Mutex // held during the system calls, which don't wait, so that the descriptor stays open meanwhile
+	mu     sync.Mutex // held during system calls, which don't block, so that fd stays open during them
 	fd     int
-	closed bool // the number may be another descriptor's
+	closed bool // fd must not be used any more: the system may reuse its number
 }
 
-// write writes once, without waiting. The error is unix.EAGAIN if the system accepts nothing now, and net.ErrClosed once the
-// connection has ended.
+// write makes one non-blocking write. The error is unix.EAGAIN if the system accepts no byte now, and net.ErrClosed
+// after markClosed.
 func (s *socket) write(p []byte) (accepted int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +45,7 @@
 	}
 }
 
-// writable reports whether a write would not have to wait. It is true also if the write would fail.
+// writable reports whether a write would not block. It also returns true if a write would fail.
 func (s *socket) writable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	return err != nil || ready != 0
 }
 
-// markClosed ends the use of the descriptor. It has to be called before netpoll closes it.
+// markClosed makes later writes fail. It must be called before netpoll closes the descriptor.
 func (s *socket) markClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/respupstream/sweep.go
+++ b/internal/upstream/respupstream/sweep.go
@@ -5,8 +5,9 @@
 // sweepInterval is the time between two sweeps.
 const sweepInterval = 50 * time.Millisecond
 
-// sweep closes connections that were idle for too long, have drained, or have a stalled response, and assigns exchanges
-// that wait although no connect is in progress. It runs on one goroutine from New until Close.
+// sweep periodically closes connections that have been idle for too long, have drained, or have a stalled response,
+// and assigns exchanges that wait although no connect is in progress. It runs on its own goroutine from New until
+// Close.
 func (p *Pool) sweep() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -20,8 +21,8 @@
 	}
 }
 
-// sweepOnce makes one sweep. Its cost grows with the connections and the workers with waiting exchanges, not with all
-// workers.
+// sweepOnce makes one sweep. Its cost grows with the number of connections and of workers with waiting exchanges, not
+// with the number of all workers.
 func (p *Pool) sweepOnce() {
 	now := time.Now()
 	var stalled, idle []*conn
--- a/internal/upstream/respupstream/write.go
+++ b/internal/upstream/respupstream/write.go
@@ -10,29 +10,30 @@
 	"github.com/topazfront/topazfront/internal/upstream"
 )
 
-// writablePollInterval is the pause between checks of whether a full socket accepts bytes again.
+// writablePollInterval is the pause between two checks of whether a full socket accepts bytes again.
 const writablePollInterval = time.Millisecond
 
-// maxRejectedWrites is how many connections may fail to accept a whole message and the exchange still moves to another. One
-// failure more ends the exchange: without a bound it would move from connection to connection until its deadline.
-const maxRejectedWrites = 3
+// maxFailedWrites is how many failed writes move an exchange to another connection. The next failure ends the
+// exchange, which would otherwise move from connection to connection until its deadline.
+const maxFailedWrites = 3
 
-// errWriteAbandoned ends the write of a message whose exchange has ended meanwhile, or that takes too long.
+// errWriteAbandoned is the reason for ending a partial write that must not continue: the exchange has ended, its
+// deadline or the write timeout has passed, the client has disconnected, or the connection is closed.
 var errWriteAbandoned = errors.New("respupstream: message abandoned before it was written whole")
 
-// writeLoop writes the queue until it is empty or the connection is closed. It runs on a goroutine of its own, at most one
-// a connection.
+// writeLoop writes the queue until it is empty or the connection is closed. It runs on its own goroutine, at most one
+// per connection.
 func (c *conn) writeLoop() {
 	for c.writeNext() {
 	}
 }
 
-// writeNext writes the first exchange of the queue, or ends it if it may no longer be sent. The check is made once the
-// socket accepts bytes, so that it and the remaining deadline in the message hold when the first byte is written. writeNext
-// reports whether the loop goes on.
+// writeNext writes the first exchange of the queue, or ends it if it may no longer be sent. It checks the exchange
+// after it has polled the socket, right before the first byte is written, so that the check and the remaining deadline
+// in the message are current then. It reports whether writeLoop continues.
 func (c *conn) writeNext() bool {
 	p := c.pool
-	writable := c.socket.writable() // a system call: made without the lock
+	writable := c.socket.writable() // makes a system call, so it is called without the lock
 	p.mu.Lock()
 	if c.closed || len(c.queue) == 0 {
 		drained := c.stopWriting()
@@ -62,8 +63,8 @@
 	return c.writeMessage(x, x.encode(x.writeBefore.Sub(now)), now)
 }
 
-// stopWriting records that the write loop ends. It reports whether the connection has drained, and is to be closed. The lock
-// is held.
+// stopWriting records that the write loop ends. It reports whether the connection has drained, so that the caller
+// must close it. The lock is held.
 func (c *conn) stopWriting() (drained bool) {
 	c.writing = false
 	return c.draining && len(c.inFlight) == 0
@@ -74,11 +75,12 @@
 	x.writtenAt = now
 	x.partlyWritten = true
 	c.inFlight[x.id] = x
-	c.rememberID(x.id, now)
+	c.markIDUsed(x.id, now)
 	c.pool.stats.Written++
 }
 
-// markUnwritten takes back that an exchange is in flight. The lock is held.
+// markUnwritten reverts markInFlight for an exchange that was not written whole. The counter Stats.Written and the
+// used ids stay. The lock is held.
 func (c *conn) markUnwritten(x *exchange) {
 	if c.inFlight[x.id] == x {
 		delete(c.inFlight, x.id)
@@ -87,20 +89,20 @@
 	x.partlyWritten = false
 }
 
-// writeMessage writes the message of an exchange that is marked as in flight. It reports whether the write loop goes on.
+// writeMessage writes the message of an exchange that is marked as in flight. It reports whether writeLoop continues.
 func (c *conn) writeMessage(x *exchange, message []byte, startedAt time.Time) bool {
 	for rest := message; len(rest) > 0; {
 		accepted, err := c.socket.write(rest)
 		rest = rest[accepted:]
 		switch {
-		case err == nil: // after a short write, the rest is written at once
+		case err == nil: // after a short write, the rest is tried at once
 		case !isTransientSendError(err):
 			c.writeFailed(x, err)
 			return false
-		case len(rest) == len(message): // nothing is written yet: the exchange can be checked again before its first byte
+		case len(rest) == len(message): // no byte was accepted, so the exchange is checked again
 			c.postponeWrite(x)
 			return c.waitToWrite()
-		case !c.mayGoOnWriting(x, startedAt):
+		case !c.mayContinueWriting(x, startedAt):
 			c.writeFailed(x, errWriteAbandoned)
 			return false
 		default:
@@ -111,8 +113,8 @@
 	return true
 }
 
-// isTransientSendError reports whether the same bytes may be written later on the same connection after an error of
-// sendmsg: a signal came, the socket's buffer is full, or the system had no memory (sendmsg(2)).
+// isTransientSendError reports whether the same bytes can be written to the same connection later: a signal
+// interrupted sendmsg, the socket's buffer is full, or the system had no memory (sendmsg(2)).
 func isTransientSendError(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, errno) {
@@ -122,9 +124,9 @@
 	return false
 }
 
-// mayGoOnWriting reports whether the rest of a message that is partly written may be written. A worker starts an attempt
-// when the message is complete, so one that has ended meanwhile must not be completed.
-func (c *conn) mayGoOnWriting(x *exchange, startedAt time.Time) bool {
+// mayContinueWriting reports whether the rest of a partly written message may be written. A worker starts an attempt
+// as soon as its message is complete, so the message of an exchange that has ended meanwhile must not be completed.
+func (c *conn) mayContinueWriting(x *exchange, startedAt time.Time) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	now := time.Now()
@@ -139,8 +141,8 @@
 	return !x.ended && now.Before(x.writeBefore) && x.clientWaiting()
 }
 
-// postponeWrite takes back the write of an exchange of which no byte was written. The exchange goes back to the head of the
-// queue, where it is checked again. If the connection has closed meanwhile, it is assigned to another one.
+// postponeWrite reverts the start of a write if no byte was written. The exchange goes back to the head of the queue,
+// where it is checked again. If the connection has been closed meanwhile, the exchange is assigned to another one.
 func (c *conn) postponeWrite(x *exchange) {
 	p := c.pool
 	var callback func()
@@ -161,16 +163,16 @@
 	runCallbacks(callback)
 }
 
-// moveUnwritten assigns an exchange that was not completely written to another connection. The lock is held; the returned
-// callback is run without it.
+// moveUnwritten assigns an exchange that was not written whole to another connection. The lock is held; the caller
+// runs the callback without it.
 func (c *conn) moveUnwritten(x *exchange) (callback func()) {
 	c.markUnwritten(x)
 	x.conn = nil
 	return c.pool.assignConn(x)
 }
 
-// waitToWrite pauses until the socket is checked again. It reports whether the write loop goes on. If only cancellations are
-// left, it closes the connection instead: the close gives up everything open on the connection, as the cancellations would.
+// waitToWrite pauses before the next check of a full socket. If only cancellations are outstanding, it closes the
+// connection instead, which cancels their attempts, too. It reports whether writeLoop continues.
 func (c *conn) waitToWrite() bool {
 	c.pool.mu.Lock()
 	onlyCancellations := c.hasOnlyCancellations()
@@ -183,22 +185,23 @@
 	return true
 }
 
-// hasOnlyCancellations reports whether cancellations are queued and nothing else is outstanding. The lock is held.
+// hasOnlyCancellations reports whether cancellations and nothing else are outstanding. The lock is held.
 func (c *conn) hasOnlyCancellations() bool {
 	isRequest := func(x *exchange) bool { return x.kind != kindCancel }
 	return len(c.inFlight) == 0 && len(c.queue) > 0 && !slices.ContainsFunc(c.queue, isRequest)
 }
 
-// writeFailed closes the connection after a failed write and moves the exchange to another one. That is safe: a worker runs
-// nothing of a message without its last byte. After more than maxRejectedWrites failures the exchange ends instead.
+// writeFailed closes the connection after a failed write and moves the exchange to another connection. That is safe,
+// because a worker runs nothing until it has received the last byte of the message. After more than maxFailedWrites
+// failures the exchange ends instead.
 func (c *conn) writeFailed(x *exchange, err error) {
 	p := c.pool
 	var callback func()
 	p.mu.Lock()
 	c.drain()
 	if !x.ended && x.kind != kindCancel {
-		x.rejectedWrites++
-		if x.rejectedWrites <= maxRejectedWrites {
+		x.failedWrites++
+		if x.failedWrites <= maxFailedWrites {
 			callback = c.moveUnwritten(x)
 		} else {
 			c.markUnwritten(x)
@@ -215,8 +218,8 @@
 	}
 }
 
-// writeCompleted records that the system accepted the whole message. If the connection has closed meanwhile, the exchange
-// may have run, and ends as ConnectionReset.
+// writeCompleted records that the system accepted the whole message. If the connection has been closed meanwhile, the
+// exchange ends as ConnectionReset, because it may have run.
 func (c *conn) writeCompleted(x *exchange) {
 	p := c.pool
 	var callback func()
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -15,8 +15,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestQueuedExchangeIsRecheckedBeforeWrite: while a connect hung the worker began to drain, was removed, was replaced at its
-// address or under its id, or the deadline passed. Nothing is written then, and the result is NotSent.
+// TestQueuedExchangeIsRecheckedBeforeWrite: during a slow connect the exchange is cancelled, its worker drains, is
+// removed, is replaced at its address or under its id, or loses its lease, the deadline passes, or the client
+// disconnects. The exchange must then not be written and must end as NotSent.
 func TestQueuedExchangeIsRecheckedBeforeWrite(t *testing.T) {
 	names := map[exchangeKind]string{kindAttempt: "attempt", kindLoad: "load command"}
 	for name, change := range map[string]func(h *harness, x *exchange){
@@ -47,7 +48,7 @@
 				w := &fakeplatform.Worker{ID: "w"}
 				h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 				h.waitForEndpoints()
-				x, ended := queueUnwritten(t, h, kind)
+				x, ended := addWaitingExchange(t, h, kind)
 				change(h, x)
 				h.router.SetEndpoints(h.endpoints)
 				h.waitForEndpoints()
@@ -56,35 +57,37 @@
 					t.Errorf("result %v", result)
 				}
 				if got := w.Received(); len(got) > 0 {
-					t.Errorf("the worker got %v", got)
+					t.Errorf("the worker received %v", got)
 				}
 			})
 		}
 	}
 }
 
-// TestQueuedExchangeIsWrittenIfNothingChanged is the control of the test above: without a change the exchange is written.
+// TestQueuedExchangeIsWrittenIfNothingChanged checks that without any of the changes in the test above the exchange
+// is written.
 func TestQueuedExchangeIsWrittenIfNothingChanged(t *testing.T) {
 	w := &fakeplatform.Worker{ID: "w"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w"}}, w)
 	h.waitForEndpoints()
-	x, _ := queueUnwritten(t, h, kindHealthCheck)
+	x, _ := addWaitingExchange(t, h, kindHealthCheck)
 	h.pool.dial(x.worker)
 	testsupport.Await(t, w.Arrivals(), "the queued exchange")
 }
 
-// TestNoRetryAfterClientLeft: the client leaves during the first attempt, and the router has not yet been notified when that
-// ends. The retry that follows is not written.
+// TestNoRetryAfterClientLeft: the client disconnects during the first attempt, and the attempt ends before the router
+// has been notified of that. The retry that the dispatcher then starts must not be written.
 func TestNoRetryAfterClientLeft(t *testing.T) {
-	var left atomic.Bool
+	var clientLeft atomic.Bool
 	first := &fakeplatform.Worker{ID: "w", Handle: func(r fakeplatform.Request) {
-		left.Store(true)
+		clientLeft.Store(true)
 		r.Conn.WriteMessage(r.ID, "error", "-", "")
 	}}
 	second := &fakeplatform.Worker{ID: "x"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "x"}}, first, second)
 	client := make(testClient, 1)
-	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: client, ClientLeft: left.Load,
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second,
+		Client: client, ClientLeft: clientLeft.Load,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
 	for _, want := range []dispatch.Result{dispatch.Errored, dispatch.NotSent} {
 		if ended := testsupport.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != want {
@@ -93,13 +96,13 @@
 	}
 	testsupport.Await(t, client, "the final answer")
 	if got := second.Received(); len(got) > 0 {
-		t.Errorf("the second worker got %v", got)
+		t.Errorf("the second worker received %v", got)
 	}
 }
 
-// TestExchangeBehindBlockedWriteIsRechecked: a worker does not read, so that one request fills the socket and another is
-// queued behind it. When the socket accepts bytes again the worker drains, or the client of the second has left: only the
-// first is written.
+// TestExchangeBehindBlockedWriteIsRechecked: a worker does not read, so one request fills the socket and a second one
+// is queued behind it. Before the socket accepts bytes again, the worker starts to drain, or the client of the second
+// request disconnects. Only the first request must be written.
 func TestExchangeBehindBlockedWriteIsRechecked(t *testing.T) {
 	t.Run("worker drains", func(t *testing.T) { testBlockedWrite(t, false) })
 	t.Run("client left", func(t *testing.T) { testBlockedWrite(t, true) })
@@ -108,37 +111,39 @@
 func testBlockedWrite(t *testing.T, clientLeaves bool) {
 	t.Helper()
 	startReading := make(chan struct{})
-	addr, received := listenWithoutReading(t, startReading, 0)
+	addr, received := listenWithDelayedReading(t, startReading, 0)
 	h := newHarness(t, func(c *Config) { c.MaxConns = 1 }, &scriptedDispatcher{attemptWorkers: []string{"w"}})
 	h.endpoints = []endpoints.Worker{{Endpoint: dispatch.Endpoint{ID: "w"}, Address: addr}}
 	h.router.SetEndpoints(h.endpoints)
-	big := make(testClient, 1)
-	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second, Client: big,
+	firstClient := make(testClient, 1)
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second,
+		Client:  firstClient,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction, Body: make([]byte, 32<<20)}})
 	h.waitForStats("the first is not being written", func(s Stats) bool { return s.Written == 1 })
-	var left atomic.Bool
-	small := make(testClient, 1)
-	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second, Client: small, ClientLeft: left.Load,
+	var clientLeft atomic.Bool
+	secondClient := make(testClient, 1)
+	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second,
+		Client: secondClient, ClientLeft: clientLeft.Load,
 		Request: &invocation.Request{ID: strings.Repeat("b", 16), Class: "c", Function: testFunction}})
 	h.waitForStats("the second is not queued", func(s Stats) bool { return s.Queued == 1 })
 	if clientLeaves {
-		left.Store(true)
+		clientLeft.Store(true)
 	} else {
 		h.endpoints[0].State = dispatch.EndpointDraining
 		h.router.SetEndpoints(h.endpoints)
 		h.waitForEndpoints()
 	}
 	close(startReading)
-	if final := testsupport.Await(t, big, "the answer to the first"); string(final.Attempt.Body) != "answer" {
+	if final := testsupport.Await(t, firstClient, "the answer to the first"); string(final.Attempt.Body) != "answer" {
 		t.Errorf("%+v", final)
 	}
-	testsupport.Await(t, small, "the final answer to the second")
+	testsupport.Await(t, secondClient, "the final answer to the second")
 	for range 2 {
 		if ended := testsupport.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != dispatch.OK && ended.Result != dispatch.NotSent {
 			t.Errorf("%+v", ended)
 		}
 	}
 	if id := testsupport.Await(t, received, "the first request"); id != strings.Repeat("a", 16) || len(received) > 0 {
-		t.Errorf("the worker got %s and %d more", id, len(received))
+		t.Errorf("the worker received %s and %d more", id, len(received))
 	}
 }
