--- a/internal/upstream/errno.go
+++ b/internal/upstream/errno.go
@@ -1,4 +1,5 @@
-// Package upstream holds what the upstreams of all protocols share: the evidence in the errors of system calls.
+// Package upstream classifies the errors of system calls for the upstreams of all protocols: whether a request can
+// have run, and whether the error counts against the worker.
 package upstream
 
 import (
@@ -8,31 +9,31 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// SystemCall names the system calls that an exchange with a worker depends on.
+// SystemCall is a system call, or a group of them, that an exchange with a worker depends on.
 type SystemCall int
 
-// The system calls.
+// The system calls of an exchange.
 const (
-	Connect SystemCall = iota // socket, epoll_ctl and connect: all that comes before a connection is up
-	Send                      // sendmsg, where it did not accept the last byte of a message
-	Receive                   // readv, on a connection that carries messages which were accepted whole
+	Connect SystemCall = iota // socket, epoll_ctl and connect: all calls that establish a connection
+	Send                      // sendmsg, if it did not accept the last byte of a message
+	Receive                   // readv, on a connection to which whole messages were written
 )
 
-// Evidence is what the error of a system call says of the exchange that it was made for.
+// Evidence is what the error of a system call proves about the exchange that made the call.
 type Evidence struct {
-	NeverRan      bool // no worker can have received the whole message
-	AgainstWorker bool // the fault is the worker's, or on the way to it, and not this host's
+	NeverRan            bool // no worker can have received the whole message
+	CountsAgainstWorker bool // the fault is at the worker or on the path to it, not at this host
 }
 
 var (
-	localFault    = Evidence{NeverRan: true}
-	workerFault   = Evidence{NeverRan: true, AgainstWorker: true}
-	mayHaveRun    = Evidence{AgainstWorker: true}
-	callEvidences = map[SystemCall]struct {
-		byErrno   map[syscall.Errno]Evidence
-		otherwise Evidence // for time-outs, which have no errno, and for errnos that are not listed
+	localFault     = Evidence{NeverRan: true}
+	workerFault    = Evidence{NeverRan: true, CountsAgainstWorker: true}
+	mayHaveRun     = Evidence{CountsAgainstWorker: true}
+	evidenceByCall = map[SystemCall]struct {
+		byErrno  map[syscall.Errno]Evidence
+		fallback Evidence // for timeouts, which have no errno, and for unlisted errnos
 	}{
-		Connect: {otherwise: workerFault, byErrno: map[syscall.Errno]Evidence{
+		Connect: {fallback: workerFault, byErrno: map[syscall.Errno]Evidence{
 			syscall.EADDRINUSE:    localFault, // no local port is free
 			syscall.EADDRNOTAVAIL: localFault, // no local port is free
 			syscall.EAGAIN:        localFault, // no local port or routing cache entry is free
@@ -43,9 +44,9 @@
 			syscall.ENOMEM:        localFault,
 			syscall.ENOSPC:        localFault, // epoll_ctl: too many watched descriptors
 			syscall.EAFNOSUPPORT:  localFault,
-			syscall.ENETDOWN:      localFault, // this host's interface
-			// A route or a firewall rule of this host may concern this one address. Another worker has to be tried, and where
-			// it concerns all of them the dispatcher sees that most are suspected.
+			syscall.ENETDOWN:      localFault, // this host's network interface is down
+			// A route or a firewall rule of this host may affect only this worker's address, so another worker is
+			// tried. If it affects all workers, the dispatcher sees that most of them are suspected.
 			syscall.EACCES:       workerFault,
 			syscall.EPERM:        workerFault,
 			syscall.ENETUNREACH:  workerFault,
@@ -53,36 +54,37 @@
 			syscall.ECONNRESET:   workerFault,
 			syscall.ECONNABORTED: workerFault,
 			syscall.ETIMEDOUT:    workerFault,
-			syscall.EHOSTUNREACH: workerFault, // the network is there, and the worker's host does not answer in it
+			syscall.EHOSTUNREACH: workerFault, // the network is reachable, but the worker's host does not answer
 			syscall.EHOSTDOWN:    workerFault,
 		}},
-		// A message without its last byte is no request: the protocol counts an attempt from the moment it has come whole.
-		// A connection that is found broken may have been forgotten while it was idle, which says nothing of the worker: the
-		// connect that follows tells.
-		Send: {otherwise: localFault},
-		// The worker may have the message whatever ended the connection: a reset, ETIMEDOUT, EHOSTUNREACH or the end of the stream.
-		Receive: {otherwise: mayHaveRun},
+		// A worker runs an attempt only after it has received the last byte of its message. A broken connection may
+		// have been dropped while it was idle, for example by a firewall, which proves nothing about the worker. The
+		// next connect shows whether the worker can be reached.
+		Send: {fallback: localFault},
+		// The worker may have received the message, whether the connection ended by a reset, ETIMEDOUT, EHOSTUNREACH
+		// or the end of the stream.
+		Receive: {fallback: mayHaveRun},
 	}
 )
 
-// EvidenceOf returns what the error of a system call says.
+// EvidenceOf returns what the error of a system call proves.
 func EvidenceOf(call SystemCall, err error) Evidence {
-	evidences := callEvidences[call]
+	evidences := evidenceByCall[call]
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
 		if listed, ok := evidences.byErrno[errno]; ok {
 			return listed
 		}
 	}
-	return evidences.otherwise
+	return evidences.fallback
 }
 
-// Result returns the result of an exchange that ends by the fault.
+// Result returns the result of an exchange that ends because of the error.
 func (e Evidence) Result() dispatch.Result {
 	switch {
 	case !e.NeverRan:
 		return dispatch.ConnectionReset
-	case e.AgainstWorker:
+	case e.CountsAgainstWorker:
 		return dispatch.ConnectFailed
 	default:
 		return dispatch.NotSent
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -12,8 +12,9 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// TestErrnoEvidence holds, for each system call and errno, what it proves and whom it blames: ConnectFailed proves that
-// nothing ran and counts against the worker, NotSent only the first, ConnectionReset only the second.
+// TestErrnoEvidence checks the result for each system call and errno. ConnectFailed means that nothing ran and that
+// the error counts against the worker; NotSent means only that nothing ran; ConnectionReset only counts against the
+// worker.
 func TestErrnoEvidence(t *testing.T) {
 	timeout := errors.New("i/o timeout")
 	for _, test := range []struct {
@@ -28,7 +29,8 @@
 			syscall.ENETDOWN}},
 		{"connect, a fault of the worker or of the way to it", Connect, dispatch.ConnectFailed, []error{
 			syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
-			syscall.EACCES, syscall.EPERM, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EPROTO, netpoll.ErrDialTimeout, netpoll.ErrConnClosed, timeout}},
+			syscall.EACCES, syscall.EPERM, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EPROTO,
+			netpoll.ErrDialTimeout, netpoll.ErrConnClosed, timeout}},
 		{"send of a message that did not come whole", Send, dispatch.NotSent, []error{
 			syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN,
 			syscall.EHOSTDOWN, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EBADF, timeout}},
