--- a/internal/transport/resp/resp.go
+++ b/internal/transport/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp reads and writes arrays of bulk strings of RESP, the Redis serialization protocol. The reader is
-// incremental and rejects a length beyond its limits before it buffers any of the bytes that the length announces.
+// Package resp reads and writes messages of RESP, the Redis serialization protocol, that are arrays of bulk strings.
+// The reader is incremental and rejects a length beyond its limits before it buffers the bytes that follow.
 package resp
 
 import (
@@ -8,36 +8,36 @@
 	"strconv"
 )
 
-// Limits bounds one message.
+// Limits are the largest sizes of a message.
 type Limits struct {
-	Items int // bulk strings
-	Bytes int // of all items together
+	Items int // number of bulk strings
+	Bytes int // total size of all items
 }
 
-// The errors of a Reader. After one of them the stream cannot be resynchronized and must be closed.
+// The errors of a Reader. After either, the stream cannot be resynchronized and must be closed.
 var (
 	ErrSyntax = errors.New("resp: not an array of bulk strings")
 	ErrLimit  = errors.New("resp: message exceeds its limits")
 )
 
-// maxLineLength is the longest line in bytes: a type prefix, the digits of a length, CR and LF.
+// maxLineLength is the longest line in bytes, with its type prefix, the digits of a length, CR and LF.
 const maxLineLength = 16
 
 // Reader parses a stream that arrives in chunks into complete messages. It is not safe for concurrent use.
 type Reader struct {
 	limits   Limits
 	buffer   []byte
-	minBytes int // parsing is not tried again before the buffer holds as many
+	minBytes int // parsing is not tried until this many bytes have arrived
 }
 
 // NewReader returns a Reader that rejects messages beyond the limits.
 func NewReader(limits Limits) *Reader { return &Reader{limits: limits} }
 
-// Partial reports whether a message has begun and is not complete.
+// Partial reports whether the bytes read so far end within a message.
 func (r *Reader) Partial() bool { return len(r.buffer) > 0 }
 
-// Feed parses the next bytes of the stream and calls handle with the items of each complete message. The items are valid
-// until handle returns; Feed does not retain p. An error of handle ends the parsing and is returned as it is.
+// Feed parses the next bytes of the stream and calls handle with the items of each complete message. The items are
+// valid until handle returns; Feed does not retain p. If handle returns an error, Feed stops and returns that error.
 func (r *Reader) Feed(p []byte, handle func(items [][]byte) error) error {
 	if len(r.buffer) > 0 {
 		r.buffer = append(r.buffer, p...)
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// readMessage parses one message at the start of p into items and returns its length n. If the message is not complete, n
-// is 0 and minBytes is the least length of p at which it may be.
+// readMessage parses the message at the start of p into items and returns its length n in bytes. If the message is
+// incomplete, n is 0 and minBytes is the smallest length of p at which it may be complete.
 func (r *Reader) readMessage(p []byte, items *[][]byte) (n, minBytes int, err error) {
 	count, offset, err := readLength(p, '*')
 	if err != nil || offset == 0 {
@@ -107,8 +107,9 @@
 	return offset, 0, nil
 }
 
-// readLength parses a line of a prefix and a decimal length, and returns the length of the line as n. If the line is not
-// complete, n is 0. An invalid line is rejected as soon as it shows.
+// readLength parses a line that consists of a prefix and a decimal length. It returns that length as value and the
+// size of the line in bytes as n. If the line is incomplete, n is 0. An incomplete line is rejected as soon as it is
+// seen to be invalid.
 func readLength(p []byte, prefix byte) (value, n int, err error) {
 	if len(p) == 0 {
 		return 0, 0, nil
@@ -146,7 +147,7 @@
 	return value, end + 1, nil
 }
 
-// Append appends a message of the items to dst and returns the extended slice.
+// Append appends a message with the items to dst and returns the extended slice.
 func Append(dst []byte, items ...[]byte) []byte {
 	dst = append(dst, '*')
 	dst = strconv.AppendInt(dst, int64(len(items)), 10)
--- a/internal/transport/resp/resp_test.go
+++ b/internal/transport/resp/resp_test.go
@@ -10,7 +10,7 @@
 
 var testLimits = Limits{Items: 8, Bytes: 1 << 10}
 
-// feedAll feeds the chunks and returns the messages, each as its items joined by "|".
+// feedAll feeds the chunks to a new Reader and returns the messages, each as its items joined by "|".
 func feedAll(chunks ...[]byte) (out []string, err error) {
 	r := NewReader(testLimits)
 	for _, p := range chunks {
@@ -19,7 +19,7 @@
 			out = append(out, string(bytes.Join(items, []byte("|"))))
 			return nil
 		})
-		for i := range p { // the reader must not retain them
+		for i := range p { // the reader must not retain the chunk
 			p[i] = '#'
 		}
 		if err != nil {
@@ -29,7 +29,8 @@
 	return out, nil
 }
 
-// TestMessagesDoNotDependOnChunks: the messages are the same wherever the stream is cut into chunks.
+// TestMessagesDoNotDependOnChunks cuts a stream into chunks at every pair of positions. The messages are always the
+// same.
 func TestMessagesDoNotDependOnChunks(t *testing.T) {
 	stream := Append(nil, []byte("id1"), []byte("ok"), []byte("-"), []byte("a\r\nbody"))
 	stream = Append(stream, []byte("id2"), []byte("refused"), []byte("company=3"), nil)
@@ -44,14 +45,14 @@
 	}
 }
 
-// TestInvalidInputIsRejectedEarly: too much is rejected by the length that announces it, before any of it arrives; what
-// cannot become a message is rejected as soon as that shows, not when more has arrived.
+// TestInvalidInputIsRejectedEarly checks that a message beyond the limits is rejected when its length is read, before
+// its bytes arrive, and that a syntax error is rejected without waiting for more input.
 func TestInvalidInputIsRejectedEarly(t *testing.T) {
 	for in, want := range map[string]error{
 		"*4\r\n$3221225472\r\n": ErrLimit, // 3 GB
 		"*4\r\n$1025\r\n":       ErrLimit,
 		"*9\r\n":                ErrLimit,
-		"*2\r\n$1000\r\n" + strings.Repeat("x", 1000) + "\r\n$100\r\n": ErrLimit, // of all items together
+		"*2\r\n$1000\r\n" + strings.Repeat("x", 1000) + "\r\n$100\r\n": ErrLimit, // total of all items
 		"*99999999999999999999\r\n":                                    ErrLimit,
 		"*4\r\n$00000000000000001":                                     ErrLimit,
 		"*0\r\n":                                                       ErrSyntax,
@@ -63,7 +64,7 @@
 		"+OK\r\n":                                                      ErrSyntax,
 		"x":                                                            ErrSyntax,
 		"*4\r\n:":                                                      ErrSyntax,
-		"*1\r\n$2\r\nabcd":                                             ErrSyntax, // longer than its length
+		"*1\r\n$2\r\nabcd":                                             ErrSyntax, // no CR LF after 2 bytes
 		"*4x":                                                          ErrSyntax,
 	} {
 		t.Run(fmt.Sprintf("%.24q", in), func(t *testing.T) {
@@ -74,20 +75,20 @@
 	}
 }
 
-// TestIdleReaderHoldsNoBuffer: between messages no buffer is kept, and a message that has begun is reported.
+// TestIdleReaderHoldsNoBuffer checks that the reader keeps no buffer between messages, and reports a partial message.
 func TestIdleReaderHoldsNoBuffer(t *testing.T) {
 	r := NewReader(testLimits)
-	none := func([][]byte) error { return nil }
+	ignore := func([][]byte) error { return nil }
 	m := Append(nil, []byte("a"), bytes.Repeat([]byte("b"), 900))
-	if err := r.Feed(m[:500], none); err != nil || !r.Partial() {
+	if err := r.Feed(m[:500], ignore); err != nil || !r.Partial() {
 		t.Fatalf("%v, partial %v", err, r.Partial())
 	}
-	if err := r.Feed(m[500:], none); err != nil || r.Partial() || r.buffer != nil {
+	if err := r.Feed(m[500:], ignore); err != nil || r.Partial() || r.buffer != nil {
 		t.Fatalf("%v, partial %v, %d bytes buffered", err, r.Partial(), len(r.buffer))
 	}
 }
 
-// FuzzReader: no input panics, and chunks give the same messages as the whole.
+// FuzzReader checks that no input causes a panic, and that input in two chunks gives the same messages as in one.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("*2\r\n$1\r\na\r\n$2\r\nok\r\n"), 3)
 	f.Add([]byte("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$2\r\nok\r\n$21\r\ncompany=2,meter=inflight:7\r\n$0\r\n\r\n"), 20)
