--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,4 +1,4 @@
-// Package durable writes files that survive a loss of power once the call that wrote them has returned.
+// Package durable writes files whose content survives a power loss after the write has returned.
 package durable
 
 import (
@@ -8,30 +8,30 @@
 	"path/filepath"
 )
 
-// FileSystem is what a writer of durable files needs of the system. Tests put one that fails in its place.
+// FileSystem has the file operations that durable writes need. Tests replace it with one that injects errors.
 type FileSystem interface {
-	// Create opens a file for writing, which is emptied if it exists.
+	// Create opens a file for writing. It truncates an existing file.
 	Create(path string, mode fs.FileMode) (File, error)
-	// CreateTemp opens a new file in a directory, as os.CreateTemp does.
+	// CreateTemp creates a new file in a directory, like os.CreateTemp.
 	CreateTemp(dir, pattern string) (File, error)
-	// MkdirAll creates a directory with its parents where they don't exist.
+	// MkdirAll creates a directory and any missing parents.
 	MkdirAll(path string, mode fs.FileMode) error
-	// Rename gives a file another name, and replaces what has that name.
+	// Rename renames a file and replaces a file that has the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// SyncDirectory makes the names in a directory durable.
+	// SyncDirectory makes the directory's entries durable.
 	SyncDirectory(path string) error
 }
 
-// File is a file that is being written.
+// File is a file opened for writing.
 type File interface {
 	io.WriteCloser
 	Name() string
 	Sync() error
 }
 
-// OS is the system's own FileSystem.
+// OS is the FileSystem of the operating system.
 var OS FileSystem = osFileSystem{}
 
 type osFileSystem struct{}
@@ -58,28 +58,29 @@
 	return err
 }
 
-// temporarySuffix ends the name of a file that ReplaceFile is writing.
+// temporarySuffix is appended to the name of the temporary file that ReplaceFile writes.
 const temporarySuffix = ".new"
 
-// ReplaceFile replaces a file's content. It is durable once ReplaceFile returns nil. After an error, or a crash at any
-// step, the file has its old content or the new one as a whole. A call after an error writes everything again, as a sync
-// that has failed says nothing about what a later one would write.
-func ReplaceFile(system FileSystem, path string, content []byte, mode fs.FileMode) error {
-	temporary := path + temporarySuffix
-	err := writeSynced(system, temporary, content, mode)
+// ReplaceFile atomically replaces a file's content, which is durable once ReplaceFile returns nil. After an error, or
+// a crash at any step, the file has either its old content or the whole new content. To retry after an error, call
+// ReplaceFile again: it writes everything again, because after a failed sync a later successful one does not prove
+// that the data is on disk.
+func ReplaceFile(fsys FileSystem, path string, content []byte, mode fs.FileMode) error {
+	temporaryPath := path + temporarySuffix
+	err := writeSynced(fsys, temporaryPath, content, mode)
 	if err == nil {
-		err = system.Rename(temporary, path)
+		err = fsys.Rename(temporaryPath, path)
 	}
 	if err != nil {
-		_ = system.Remove(temporary)
+		_ = fsys.Remove(temporaryPath)
 		return err
 	}
-	return system.SyncDirectory(filepath.Dir(path))
+	return fsys.SyncDirectory(filepath.Dir(path))
 }
 
-// writeSynced writes a file whose bytes are durable, but not yet its name.
-func writeSynced(system FileSystem, path string, content []byte, mode fs.FileMode) error {
-	file, err := system.Create(path, mode)
+// writeSynced writes and syncs a file. Its content is then durable, but its directory entry is not.
+func writeSynced(fsys FileSystem, path string, content []byte, mode fs.FileMode) error {
+	file, err := fsys.Create(path, mode)
 	if err != nil {
 		return err
 	}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -16,15 +16,16 @@
 
 var (
 	before, after = []byte("old content"), []byte("new content, longer")
-	// healthy are the calls of a replacement that succeeds.
-	healthy = []faultyfs.Operation{faultyfs.Create, faultyfs.Write, faultyfs.Sync, faultyfs.Close, faultyfs.Rename,
-		faultyfs.SyncDirectory}
+	// successfulCalls are the calls of a replacement that succeeds.
+	successfulCalls = []faultyfs.Operation{faultyfs.Create, faultyfs.Write, faultyfs.Sync, faultyfs.Close,
+		faultyfs.Rename, faultyfs.SyncDirectory}
 )
 
-// TestReplaceFileWithFaults fails each call in turn, and cuts the write at each byte. The file then has its old content
-// or the new one; the caller gets the cause; once the disk works again, the same call succeeds and syncs everything.
+// TestReplaceFileWithFaults makes each file operation fail in turn, and the write after each number of bytes. The
+// file must then have its old content or the whole new content, and the caller must get the cause of the error. Once
+// the disk works again, the same call must succeed and repeat every operation.
 func TestReplaceFileWithFaults(t *testing.T) {
-	for call, operation := range healthy {
+	for call, operation := range successfulCalls {
 		cuts := 1
 		if operation == faultyfs.Write {
 			cuts = len(after) + 1
@@ -39,7 +40,7 @@
 	}
 }
 
-// replaceWithFault has one call of a replacement fail, and then replaces the file on a disk that works.
+// replaceWithFault replaces a file while one operation fails, and again after the disk works.
 func replaceWithFault(t *testing.T, call int, cause error, cut int) {
 	path := filepath.Join(t.TempDir(), "key.pem")
 	if err := os.WriteFile(path, before, 0o600); err != nil {
@@ -48,19 +49,19 @@
 	disk := &faultyfs.FS{}
 	disk.Break(call, cause, cut)
 	if err := durable.ReplaceFile(disk, path, after, 0o600); !errors.Is(err, cause) {
-		t.Errorf("%v, want %v", err, cause)
+		t.Errorf("error %v, want %v", err, cause)
 	}
 	if got, _ := os.ReadFile(path); !bytes.Equal(got, before) && !bytes.Equal(got, after) {
-		t.Errorf("left %q", got)
+		t.Errorf("content %q, want the old or the new one", got)
 	}
 	disk.Repair()
 	if err := durable.ReplaceFile(disk, path, after, 0o600); err != nil {
 		t.Error(err)
 	}
-	if calls := disk.Calls(); !slices.Equal(calls, healthy) {
-		t.Errorf("the next call did %v, want %v", calls, healthy)
+	if calls := disk.Calls(); !slices.Equal(calls, successfulCalls) {
+		t.Errorf("operations of the retry: %v, want %v", calls, successfulCalls)
 	}
 	if got, _ := os.ReadFile(path); !bytes.Equal(got, after) {
-		t.Errorf("after a repair: %q", got)
+		t.Errorf("content after the retry: %q", got)
 	}
 }
