--- a/internal/upstream/errno.go
+++ b/internal/upstream/errno.go
@@ -69,14 +69,14 @@
 
 // EvidenceOf returns what the error of a system call proves.
 func EvidenceOf(call SystemCall, err error) Evidence {
-	evidences := evidenceByCall[call]
+	callEvidence := evidenceByCall[call]
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
-		if listed, ok := evidences.byErrno[errno]; ok {
+		if listed, ok := callEvidence.byErrno[errno]; ok {
 			return listed
 		}
 	}
-	return evidences.fallback
+	return callEvidence.fallback
 }
 
 // Result returns the result of an exchange that ends because of the error.
--- a/internal/upstream/respupstream/send_test.go
+++ b/internal/upstream/respupstream/send_test.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestWritesFailEverywhere checks that an attempt ends as NotSent if the writes to all connections fail, because it
-// cannot have run.
-func TestWritesFailEverywhere(t *testing.T) {
+// TestAttemptEndsAfterFailedWrites checks that an attempt ends as NotSent if the writes to all connections fail, because
+// it cannot have run.
+func TestAttemptEndsAfterFailedWrites(t *testing.T) {
 	var steps []sendStep
 	for range maxFailedWrites + 1 {
 		steps = append(steps, sendStep{accept: 9}, sendStep{err: syscall.ETIMEDOUT})
@@ -156,9 +156,10 @@
 			s := &scriptedSend{steps: []sendStep{{accept: 5}}, blocked: func() bool { return true }}
 			w := &fakeplatform.Worker{ID: "w"}
 			h := newSendHarness(t, s, w, func(c *Config) { c.WriteTimeout = 0 })
-			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: test.remaining,
-				Client:  make(testClient, 2),
-				Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
+			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c",
+				RemainingDeadline: test.remaining,
+				Client:            make(testClient, 2),
+				Request:           &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
 			h.waitForStats("the attempt is not being written", func(Stats) bool { return s.callsAfterSteps() > 0 })
 			test.end(func() { cancel() })
 			if ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome"); ended.Result != test.want && ended.Result != dispatch.NotSent {
