--- a/internal/upstream/respupstream/send_test.go
+++ b/internal/upstream/respupstream/send_test.go
@@ -263,13 +263,13 @@
 // longer be sent before the system accepts bytes again, so it must not be written.
 func TestPostponedAttemptIsRechecked(t *testing.T) {
 	type state struct {
-		h          *harness
-		cancel     func()
-		clientLeft *atomic.Bool
+		h               *harness
+		cancel          func()
+		clientCancelled *atomic.Bool
 	}
 	for name, end := range map[string]func(state){
 		"cancelled":   func(s state) { s.cancel() },
-		"client left": func(s state) { s.clientLeft.Store(true) },
+		"client left": func(s state) { s.clientCancelled.Store(true) },
 		"worker drains": func(s state) {
 			s.h.endpoints[0].State = dispatch.EndpointDraining
 			s.h.router.SetEndpoints(s.h.endpoints)
@@ -278,15 +278,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var accepts, clientLeft atomic.Bool
+			var accepts, clientCancelled atomic.Bool
 			script := &scriptedSend{blocked: func() bool { return !accepts.Load() }}
 			w := &fakeplatform.Worker{ID: "w"}
 			h := newSendHarness(t, script, w, nil)
 			cancel, _ := h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second, Client: make(testClient, 2),
-				ClientLeft: clientLeft.Load,
-				Request:    &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
+				ClientCancelled: clientCancelled.Load,
+				Request:         &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
 			h.waitForStats("the attempt was not offered", func(Stats) bool { return script.callsAfterSteps() > 0 })
-			end(state{h, cancel, &clientLeft})
+			end(state{h, cancel, &clientCancelled})
 			ended := testsupport.Await(t, h.dispatcher.outcomes, "the outcome")
 			accepts.Store(true)
 			if ended.Result != dispatch.NotSent && (name != "cancelled" || ended.Result != dispatch.Cancelled) {
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -38,7 +38,7 @@
 		},
 		"client left": func(h *harness, x *exchange) {
 			h.pool.mu.Lock()
-			x.call = &router.Call{ClientLeft: func() bool { return true }}
+			x.call = &router.Call{ClientCancelled: func() bool { return true }}
 			h.pool.mu.Unlock()
 		},
 	} {
@@ -75,19 +75,19 @@
 	testsupport.Await(t, w.Arrivals(), "the queued exchange")
 }
 
-// TestNoRetryAfterClientLeft: the client disconnects during the first attempt, and the attempt ends before the router
+// TestNoRetryAfterClientCancelled: the client disconnects during the first attempt, and the attempt ends before the router
 // has been notified of that. The retry that the dispatcher then starts must not be written.
-func TestNoRetryAfterClientLeft(t *testing.T) {
-	var clientLeft atomic.Bool
+func TestNoRetryAfterClientCancelled(t *testing.T) {
+	var clientCancelled atomic.Bool
 	first := &fakeplatform.Worker{ID: "w", Handle: func(r fakeplatform.Request) {
-		clientLeft.Store(true)
+		clientCancelled.Store(true)
 		r.Conn.WriteMessage(r.ID, "error", "-", "")
 	}}
 	second := &fakeplatform.Worker{ID: "x"}
 	h := newHarness(t, nil, &scriptedDispatcher{attemptWorkers: []string{"w", "x"}}, first, second)
 	client := make(testClient, 1)
 	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 15 * time.Second,
-		Client: client, ClientLeft: clientLeft.Load,
+		Client: client, ClientCancelled: clientCancelled.Load,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction}})
 	for _, want := range []dispatch.Result{dispatch.Errored, dispatch.NotSent} {
 		if ended := testsupport.Await(t, h.dispatcher.outcomes, "an outcome"); ended.Result != want {
@@ -108,7 +108,7 @@
 	t.Run("client left", func(t *testing.T) { testBlockedWrite(t, true) })
 }
 
-func testBlockedWrite(t *testing.T, clientLeaves bool) {
+func testBlockedWrite(t *testing.T, clientCancels bool) {
 	t.Helper()
 	startReading := make(chan struct{})
 	addr, received := listenWithDelayedReading(t, startReading, 0)
@@ -120,14 +120,14 @@
 		Client:  firstClient,
 		Request: &invocation.Request{ID: strings.Repeat("a", 16), Class: "c", Function: testFunction, Body: make([]byte, 32<<20)}})
 	h.waitForStats("the first is not being written", func(s Stats) bool { return s.Written == 1 })
-	var clientLeft atomic.Bool
+	var clientCancelled atomic.Bool
 	secondClient := make(testClient, 1)
 	h.router.Submit(&router.Call{Function: testFunction, Class: "c", RemainingDeadline: 30 * time.Second,
-		Client: secondClient, ClientLeft: clientLeft.Load,
+		Client: secondClient, ClientCancelled: clientCancelled.Load,
 		Request: &invocation.Request{ID: strings.Repeat("b", 16), Class: "c", Function: testFunction}})
 	h.waitForStats("the second is not queued", func(s Stats) bool { return s.Queued == 1 })
-	if clientLeaves {
-		clientLeft.Store(true)
+	if clientCancels {
+		clientCancelled.Store(true)
 	} else {
 		h.endpoints[0].State = dispatch.EndpointDraining
 		h.router.SetEndpoints(h.endpoints)
