--- a/dispatch/acceptance.go
+++ b/dispatch/acceptance.go
@@ -6,7 +6,7 @@
 
 // acceptRequest takes a new request.
 func (d *Dispatcher) acceptRequest(e Request) {
-	c := d.classNamed(e.Class)
+	c := d.ensureClass(e.Class)
 	r := &request{
 		Request:    e,
 		class:      c,
@@ -20,7 +20,7 @@
 		logRunTime = 0
 		c.meanWork += workerSmoothing * (r.workUnit - c.meanWork)
 	}
-	f := d.functionNamed(e.Function, logRunTime, r.workUnit)
+	f := d.ensureFunction(e.Function, logRunTime, r.workUnit)
 	r.function = f
 	f.lastClass = c
 	f.lastRequestAt = d.now
@@ -45,7 +45,7 @@
 	}
 	w := d.selectWorker(r)
 	switch {
-	case w == nil && d.isUnservable() && r.inFlight == 0:
+	case w == nil && d.hasNoUsableWorker() && r.inFlight == 0:
 		d.finishUnserved(r, CauseNoLease)
 	case w == nil:
 		if r.inFlight == 0 {
@@ -55,7 +55,7 @@
 		d.awaitLease(r, w)
 	case d.loadInProgress(r.function, w):
 		d.awaitLoad(r, r.function.ensurePlacement(w))
-	case d.drawLoadReportWait(r, w):
+	case d.shouldAwaitLoadReport(r, w):
 		d.awaitLoadReport(r, w)
 	default:
 		d.startAttempt(r, w)
@@ -73,8 +73,8 @@
 	d.setRequestTimer(r, p.loadCommandedAt+d.loadOverdueAfter(r.function)+timerSlack)
 }
 
-// classNamed returns a class of the settings, or one of which nothing may be assumed.
-func (d *Dispatcher) classNamed(name string) *class {
+// ensureClass returns a class of the settings, or one of which nothing may be assumed.
+func (d *Dispatcher) ensureClass(name string) *class {
 	c := d.classes[name]
 	if c == nil {
 		c = &class{Class: Class{Name: name}, meanWork: defaultRunTime.Seconds()}
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -11,9 +11,9 @@
 
 const (
 	capacityHeadroom         = 0.2                    // epsilon of the paper: capacity beyond the demand
-	unansweredInstances      = 0.1                    // copies of a function before it was served
+	unservedCopies           = 0.1                    // copies of a function before it was served
 	rateSmoothing            = 0.3                    // weight of the newest interval: 6 s of memory
-	requestsPerWorker        = 3.0                    // least that a rate covers, for each worker
+	minRequestsPerWorker     = 3.0                    // least that a rate covers, for each worker
 	idleFunctionTTL          = 2 * time.Minute        // without requests, a function is forgotten,
 	unservedFunctionTTL      = 10 * time.Second       // one never served sooner: names may be made up
 	slowThreshold            = 1.0                    // slowness from which a worker is reported
@@ -22,7 +22,7 @@
 	negligible               = 1e-9                   // demand or capacity that counts as none
 	reassignInterval         = 100 * time.Millisecond // between assignments after endpoint updates,
 	immediateReassignWorkers = 128                    // except in fleets of no more workers
-	maxUnassignable          = 128                    // passed over in a row at an assignment's end
+	maxPassedOver            = 128                    // passed over in a row at an assignment's end
 )
 
 // rebalance measures the rates of the interval that ends, forgets what is idle and assigns capacity anew.
@@ -31,7 +31,7 @@
 	d.lastRebalance = d.now
 	d.rebalanceCount++
 	requestGain := d.requestRateGain(interval)
-	d.measureServed(interval)
+	d.measureServedRates(interval)
 	d.measureRequestRates(interval, requestGain)
 	d.forgetIdleFunctions()
 	for _, f := range d.functionsInOrder {
@@ -48,12 +48,12 @@
 // would place every function by chance, and at each router differently, so few requests are remembered for
 // longer. With enough of them a burst shows within some intervals.
 func (d *Dispatcher) requestRateGain(interval float64) float64 {
-	remembered := requestsPerWorker * float64(max(len(d.activeWorkers), 1))
+	remembered := minRequestsPerWorker * float64(max(len(d.activeWorkers), 1))
 	return max(min(d.requestRate*interval/remembered, rateSmoothing), 1/d.rebalanceCount)
 }
 
-// measureServed updates the rates of what was served.
-func (d *Dispatcher) measureServed(interval float64) {
+// measureServedRates updates the rates of what was served.
+func (d *Dispatcher) measureServedRates(interval float64) {
 	gain := max(rateSmoothing, 1/d.rebalanceCount)
 	d.workRate += gain * (d.workServed/interval - d.workRate)
 	d.servedRate += gain * (d.servedCount/interval - d.servedRate)
@@ -123,7 +123,7 @@
 // measureDemand sets every function's demand and returns the sum.
 func (d *Dispatcher) measureDemand() (total float64) {
 	for _, f := range d.functionsInOrder {
-		copies := unansweredInstances
+		copies := unservedCopies
 		if f.served {
 			copies = f.requestRate * math.Exp(f.logRunTime) * f.meanWorkUnit / f.concurrency
 		}
@@ -156,7 +156,7 @@
 	unassigned := f.demand
 	f.assignment = f.assignment[:0]
 	passedOver := 0
-	for i := 0; unassigned > negligible && passedOver < maxUnassignable; i++ {
+	for i := 0; unassigned > negligible && passedOver < maxPassedOver; i++ {
 		w := d.rankedWorker(f, i)
 		if w == nil {
 			return
--- a/dispatch/attemptrules.go
+++ b/dispatch/attemptrules.go
@@ -10,7 +10,7 @@
 // admitAttempt reports whether the rules let a request go to a worker now. It brings the token bucket of a
 // worker in slow start up to date.
 func (d *Dispatcher) admitAttempt(r *request, w *worker) bool {
-	if !d.isOpen(r) || w.State != EndpointActive {
+	if !d.mayGetAttempt(r) || w.State != EndpointActive {
 		return false
 	}
 	isHedged := r.inFlight > 0
@@ -22,11 +22,11 @@
 			return false
 		}
 	}
-	return d.admitToSlowStart(w)
+	return d.slowStartAllowsAttempt(w)
 }
 
-// isOpen reports whether a request may get a further attempt at some worker.
-func (d *Dispatcher) isOpen(r *request) bool {
+// mayGetAttempt reports whether a request may get a further attempt at some worker.
+func (d *Dispatcher) mayGetAttempt(r *request) bool {
 	if r.done || r.streaming != nil {
 		return false
 	}
@@ -62,7 +62,7 @@
 		return CauseNone
 	case r.class.Idempotency == NonIdempotent:
 		return CauseMayHaveRun
-	case r.inFlight > 0 || d.repeatableSomewhere(r):
+	case r.inFlight > 0 || d.mayRepeatOnAnyWorker(r):
 		return CauseNone
 	default:
 		return CauseMayHaveRun
@@ -78,7 +78,7 @@
 	return n > 0 && r.attempts[n-1].failed && d.retryBudget < 1
 }
 
-// repeatableSomewhere reports whether any worker may take a request that may have run.
-func (d *Dispatcher) repeatableSomewhere(r *request) bool {
+// mayRepeatOnAnyWorker reports whether any worker may take a request that may have run.
+func (d *Dispatcher) mayRepeatOnAnyWorker(r *request) bool {
 	return slices.ContainsFunc(d.activeWorkers, func(w *worker) bool { return d.admitAttempt(r, w) })
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -41,13 +41,13 @@
 	return a
 }
 
-// responseStarted takes the start of a streamed response. The client has a part of it, so nothing more is
+// handleResponseStarted takes the start of a streamed response. The client has a part of it, so nothing more is
 // started for the request, it is not rejected, and only its deadline ends it, with a FailRequest. The length
 // of the stream tells nothing of the worker's health, as its reader may be slow: the attempt raises no
 // suspicion. It counts against the concurrency limits only until it would be overdue, or slow readers would
 // use them up.
-func (d *Dispatcher) responseStarted(e ResponseStarted) {
-	a := d.openAttempt(e.ID, e.Attempt)
+func (d *Dispatcher) handleResponseStarted(e ResponseStarted) {
+	a := d.attemptInFlight(e.ID, e.Attempt)
 	if a == nil || a.request.done || a.request.streaming != nil {
 		return
 	}
@@ -60,10 +60,10 @@
 	a.worker.removeAttempt(a)
 }
 
-// attemptEnded takes the end of an attempt: first what it says of the worker, then what it means for the
+// handleAttemptEnded takes the end of an attempt: first what it says of the worker, then what it means for the
 // request.
-func (d *Dispatcher) attemptEnded(e AttemptEnded) {
-	a := d.openAttempt(e.ID, e.Attempt)
+func (d *Dispatcher) handleAttemptEnded(e AttemptEnded) {
+	a := d.attemptInFlight(e.ID, e.Attempt)
 	if a == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 	a.mayHaveRun = !e.Result.provesNotRun()
 	a.failed = e.Result != OK && e.Result != NotResident && e.Result != NotSent
-	d.recordAttempt(a, e)
+	d.recordAttemptEnd(a, e)
 	switch {
 	case e.Final || r.done:
 		d.closeRequest(r)
@@ -83,8 +83,8 @@
 	}
 }
 
-// recordAttempt learns from the end of an attempt.
-func (d *Dispatcher) recordAttempt(a *attempt, e AttemptEnded) {
+// recordAttemptEnd learns from the end of an attempt.
+func (d *Dispatcher) recordAttemptEnd(a *attempt, e AttemptEnded) {
 	r := a.request
 	w := a.worker
 	d.removeAttempt(a)
@@ -124,7 +124,7 @@
 			d.backOffLoads(p) // no memory for a load, more likely than a full queue
 		}
 	case ConnectFailed, ConnectionReset:
-		d.loseContact(w)
+		d.recordContactLoss(w)
 		d.suspect(w)
 	case Errored, TimedOut, Cancelled, NotSent:
 		// An error counts in isClassFault, a timeout in countTimeout; the others tell nothing of the worker.
--- a/dispatch/causes.go
+++ b/dispatch/causes.go
@@ -41,7 +41,7 @@
 // The causes of load commands.
 const (
 	LoadForRequest LoadCause = iota // a request waits for it, or was answered that the function is not resident
-	LoadAhead                       // for requests to come: another worker serves this one
+	LoadPrefetch                    // for requests to come: another worker serves this one
 	loadCauseCount
 )
 
@@ -49,7 +49,7 @@
 const LoadCauseCount = int(loadCauseCount)
 
 func (c LoadCause) String() string {
-	if c == LoadAhead {
+	if c == LoadPrefetch {
 		return "ahead"
 	}
 	return "request"
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -63,7 +63,7 @@
 		d.subscribe()
 	}
 	for _, e := range events {
-		d.handle(e)
+		d.handleEvent(e)
 	}
 	d.updateListState()
 	for d.timers.due(d.now) {
@@ -80,31 +80,31 @@
 	return d.actions
 }
 
-// handle passes an event to the method that decides on it.
-func (d *Dispatcher) handle(e Event) {
+// handleEvent passes an event to the method that decides on it.
+func (d *Dispatcher) handleEvent(e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
 		d.updateEndpoints(e)
 	case ConnectionLost:
 		if w := d.workers[e.Worker]; w != nil {
-			d.loseContact(w)
+			d.recordContactLoss(w)
 		}
 	case EndpointListConfirmed:
 		d.confirmList(e)
 	case EndpointListRequested:
-		d.askListAgain(e)
+		d.recordListRequest(e)
 	case Request:
 		d.acceptRequest(e)
 	case AttemptEnded:
-		d.attemptEnded(e)
+		d.handleAttemptEnded(e)
 	case ResponseStarted:
-		d.responseStarted(e)
+		d.handleResponseStarted(e)
 	case RequestCancelled:
 		if r := d.requests[e.ID]; r != nil {
 			d.closeRequest(r)
 		}
 	case FunctionLoaded:
-		d.functionLoaded(e)
+		d.handleFunctionLoaded(e)
 	case HealthChecked:
 		d.recordHealthCheck(e)
 	case GossipUpdate:
@@ -112,7 +112,7 @@
 	case ShutdownStarted:
 		d.shutDown(e)
 	case TimerFired:
-		d.timerFired()
+		d.handleTimerFired()
 	}
 }
 
@@ -125,8 +125,8 @@
 	}
 }
 
-// timerFired notes that no timer is in force, if the one set is due: callers may round it down.
-func (d *Dispatcher) timerFired() {
+// handleTimerFired notes that no timer is in force, if the one set is due: callers may round it down.
+func (d *Dispatcher) handleTimerFired() {
 	if d.now > d.timerDue-timerSlack {
 		d.timerDue = 0
 	}
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -57,7 +57,7 @@
 		d.setRequestTimer(r, at)
 		return
 	}
-	respondsToOthers := w.lastHeard > a.startedAt
+	respondsToOthers := w.lastResponseAt > a.startedAt
 	if !respondsToOthers {
 		return
 	}
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -12,7 +12,7 @@
 	if update.SubscriptionLost {
 		d.subscribe()
 	}
-	d.endpointUpdates++
+	d.endpointUpdateCount++
 	for _, e := range update.Endpoints {
 		d.updateEndpoint(e)
 	}
@@ -36,8 +36,8 @@
 	}
 	w.Endpoint = e
 	w.memoryMB = d.memoryByKind[e.Kind]
-	w.listedIn = d.endpointUpdates
-	d.noteStateChange(w)
+	w.listedInUpdate = d.endpointUpdateCount
+	d.queueStateChange(w)
 	warmingUp := e.StartedAt > 0 && d.now-e.StartedAt < d.settings.SlowStartDuration
 	if warmingUp != w.warmingUp {
 		w.warmingUp = warmingUp
@@ -48,9 +48,9 @@
 // markUnlistedRemoved marks the workers as removed that the snapshot under way does not list.
 func (d *Dispatcher) markUnlistedRemoved() {
 	for _, w := range d.workers {
-		if w.listedIn != d.endpointUpdates {
+		if w.listedInUpdate != d.endpointUpdateCount {
 			w.State = EndpointRemoved
-			d.noteStateChange(w)
+			d.queueStateChange(w)
 		}
 	}
 }
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -5,10 +5,10 @@
 // This file detects unresponsive workers: suspected.
 
 const (
-	phiThreshold        = 6                      // expected responses overdue at a suspicion
-	minSilence          = 400 * time.Millisecond // before a suspicion: longer than a usual stall
-	minExpectedSeconds  = 0.02                   // of an attempt, for phi
-	healthCheckInterval = time.Second            // between health checks of a suspected worker
+	phiThreshold         = 6                      // expected responses overdue at a suspicion
+	minSilence           = 400 * time.Millisecond // before a suspicion: longer than a usual stall
+	minExpectedSeconds   = 0.02                   // of an attempt, for phi
+	suspectCheckInterval = time.Second            // between health checks of a suspected worker
 )
 
 // updateSuspicion suspects a worker that is silent for longer than chance explains. A suspected worker is
@@ -17,9 +17,9 @@
 	if !w.suspected && d.phi(w) > phiThreshold {
 		d.suspect(w)
 	}
-	checkDue := w.suspected && d.now-w.lastChecked >= healthCheckInterval
+	checkDue := w.suspected && d.now-w.lastSuspicionCheckAt >= suspectCheckInterval
 	if checkDue && d.settings.HealthChecksAllowed {
-		w.lastChecked = d.now
+		w.lastSuspicionCheckAt = d.now
 		d.emit(CheckHealth{Worker: w.ID})
 	}
 }
@@ -28,12 +28,12 @@
 // its attempts has waited since it was last heard, in units of the attempt's expected time. A silence that a
 // usual stall explains counts as 0.
 func (d *Dispatcher) phi(w *worker) float64 {
-	if len(w.attempts) == 0 || d.now-max(w.lastHeard, w.attempts[0].startedAt) <= minSilence {
+	if len(w.attempts) == 0 || d.now-max(w.lastResponseAt, w.attempts[0].startedAt) <= minSilence {
 		return 0
 	}
 	phi := 0.0
 	for _, a := range w.attempts {
-		silence := d.now - max(a.startedAt, w.lastHeard)
+		silence := d.now - max(a.startedAt, w.lastResponseAt)
 		phi += silence.Seconds() / max(a.expectedSeconds, minExpectedSeconds)
 	}
 	return phi
@@ -48,14 +48,14 @@
 
 // markResponsive notes a response of w, which ends its suspicion.
 func (d *Dispatcher) markResponsive(w *worker) {
-	w.lastHeard = d.now
+	w.lastResponseAt = d.now
 	d.setSuspected(w, false)
 }
 
 // suspect marks w as unresponsive, until its next response.
 func (d *Dispatcher) suspect(w *worker) {
 	d.setSuspected(w, true)
-	w.lastChecked = d.now
+	w.lastSuspicionCheckAt = d.now
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID})
 }
 
--- a/dispatch/function.go
+++ b/dispatch/function.go
@@ -27,9 +27,9 @@
 
 // workerShare is the share of a function's demand that is assigned to a worker.
 type workerShare struct {
-	worker    *worker
-	share     float64
-	choiceKey float64 // the least is tried first by the request at hand
+	worker  *worker
+	share   float64
+	sortKey float64 // the least is tried first by the request at hand
 }
 
 // placement is a function on a worker.
@@ -60,8 +60,8 @@
 	return p
 }
 
-// functionNamed returns a function, made with these run time and work unit if it isn't known.
-func (d *Dispatcher) functionNamed(key string, logRunTime, workUnit float64) *function {
+// ensureFunction returns a function, made with these run time and work unit if it isn't known.
+func (d *Dispatcher) ensureFunction(key string, logRunTime, workUnit float64) *function {
 	f := d.functions[key]
 	if f == nil {
 		f = &function{key: key, logRunTime: logRunTime, meanWorkUnit: workUnit, placements: map[*worker]*placement{}}
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -20,7 +20,7 @@
 		if w == nil || w.State != EndpointActive || w.suspected {
 			continue
 		}
-		if silence := d.now - w.lastHeard; silence > minSilence {
+		if silence := d.now - w.lastResponseAt; silence > minSilence {
 			d.suspect(w)
 		}
 	}
--- a/dispatch/leasechecks.go
+++ b/dispatch/leasechecks.go
@@ -8,20 +8,20 @@
 // This file has workers without a lease checked for the requests that could go there: workerLease.awaiting.
 
 const (
-	// checkInterval is the time between health checks of a worker for its lease, if the first was not
+	// leaseCheckInterval is the time between health checks of a worker for its lease, if the first was not
 	// answered.
-	checkInterval = 100 * time.Millisecond
-	// patienceDivisor: a request waits for this part of its remaining time for one worker's health check,
+	leaseCheckInterval = 100 * time.Millisecond
+	// leaseCheckTimeoutDivisor: a request waits for this part of its remaining time for one worker's health check,
 	// then another is checked.
-	patienceDivisor = 4
+	leaseCheckTimeoutDivisor = 4
 )
 
 // mayCheckLease reports whether a health check may renew the lease of a worker for a request now, or one is
 // under way that is not overdue for the request. Workers that are unlikely to serve the request are not
 // checked for it.
 func (d *Dispatcher) mayCheckLease(r *request, w *worker) bool {
-	silent := w.suspected && !d.majoritySuspected()
-	unlikelyToServe := silent || r.failedOn(w) || d.now < w.ejections[r.class].until
+	unresponsive := w.suspected && !d.majoritySuspected()
+	unlikelyToServe := unresponsive || r.failedOn(w) || d.now < w.ejections[r.class].until
 	if !d.settings.HealthChecksAllowed || r.inFlight > 0 || unlikelyToServe {
 		return false
 	}
@@ -30,15 +30,15 @@
 	case w.lease.checkedAt == 0:
 		return true
 	case w.lease.checkInFlight:
-		return waited < d.leasePatience(r)
+		return waited < d.leaseCheckTimeout(r)
 	default:
-		return waited >= checkInterval
+		return waited >= leaseCheckInterval
 	}
 }
 
-// leasePatience is how long a request waits for the health check of one worker.
-func (d *Dispatcher) leasePatience(r *request) time.Duration {
-	return min(pendingBackoff, (r.deadline-r.acceptedAt)/patienceDivisor)
+// leaseCheckTimeout is how long a request waits for the health check of one worker.
+func (d *Dispatcher) leaseCheckTimeout(r *request) time.Duration {
+	return min(pendingBackoff, (r.deadline-r.acceptedAt)/leaseCheckTimeoutDivisor)
 }
 
 // awaitLease has a request wait until a health check has renewed the lease of a worker. One check serves
@@ -50,40 +50,40 @@
 		d.emit(CheckHealth{Worker: w.ID, ForLease: true})
 	}
 	w.lease.awaiting = append(w.lease.awaiting, r)
-	d.setRequestTimer(r, d.now+d.leasePatience(r))
+	d.setRequestTimer(r, d.now+d.leaseCheckTimeout(r))
 }
 
-// leaseChecked takes the result of a health check of a worker and lets go the requests that waited for it.
+// recordLeaseCheck takes the result of a health check of a worker and lets go the requests that waited for it.
 // A check counts from when it was sent.
-func (d *Dispatcher) leaseChecked(w *worker, e HealthChecked) {
+func (d *Dispatcher) recordLeaseCheck(w *worker, e HealthChecked) {
 	d.pending = append(d.pending, w.lease.awaiting...)
 	w.lease.awaiting = nil
 	w.lease.checkInFlight = false
 	switch {
 	case e.Result == OK && e.Draining:
-		d.loseContact(w)
+		d.recordContactLoss(w)
 	case e.Result == OK:
 		w.lease.checkedAt = 0
 		d.renewLease(w, d.now-e.Duration)
 	case e.Result == ConnectFailed || e.Result == ConnectionReset:
-		d.loseContact(w)
-		d.suspectWithoutList(w)
+		d.recordContactLoss(w)
+		d.suspectIfListOutdated(w)
 	case e.Result == TimedOut:
-		d.suspectWithoutList(w)
+		d.suspectIfListOutdated(w)
 	}
 }
 
-// suspectWithoutList suspects a worker that did not answer a health check, unless the endpoint list is
+// suspectIfListOutdated suspects a worker that did not answer a health check, unless the endpoint list is
 // believed: then the ends of its attempts tell.
-func (d *Dispatcher) suspectWithoutList(w *worker) {
+func (d *Dispatcher) suspectIfListOutdated(w *worker) {
 	if !d.listIsCurrent() {
 		d.suspect(w)
 	}
 }
 
-// isUnservable reports whether nothing can be sent to any worker until the endpoint list is back: it is not
+// hasNoUsableWorker reports whether nothing can be sent to any worker until the endpoint list is back: it is not
 // believed, no worker holds a lease, and health checks are not allowed.
-func (d *Dispatcher) isUnservable() bool {
+func (d *Dispatcher) hasNoUsableWorker() bool {
 	if d.settings.HealthChecksAllowed || d.listIsCurrent() {
 		return false
 	}
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -29,8 +29,8 @@
 // leaseEnd is when the lease of a worker ends.
 func (d *Dispatcher) leaseEnd(w *worker) time.Duration {
 	end := d.listLeaseEnd()
-	if w.lease.activeAt > w.lease.lostContactAt {
-		end = max(end, w.lease.activeAt+d.leaseDuration())
+	if w.lease.knownActiveAt > w.lease.lostContactAt {
+		end = max(end, w.lease.knownActiveAt+d.leaseDuration())
 	}
 	return end
 }
@@ -50,44 +50,44 @@
 
 // renewLease notes that a worker is known not to have drained at a time.
 func (d *Dispatcher) renewLease(w *worker, at time.Duration) {
-	w.lease.activeAt = max(w.lease.activeAt, at)
-	d.noteRestart(w)
+	w.lease.knownActiveAt = max(w.lease.knownActiveAt, at)
+	d.handlePossibleRestart(w)
 }
 
 // endLease has a worker checked before it gets anything new, unless the endpoint list is believed. It is
 // called when the worker rejects something, which may mean that it drains.
 func (d *Dispatcher) endLease(w *worker) {
 	if !d.listIsCurrent() {
-		w.lease.activeAt = 0
+		w.lease.knownActiveAt = 0
 	}
 }
 
-// loseContact notes that a worker may have ended: a connection to it failed, or it said that it drains.
-func (d *Dispatcher) loseContact(w *worker) {
+// recordContactLoss notes that a worker may have ended: a connection to it failed, or it said that it drains.
+func (d *Dispatcher) recordContactLoss(w *worker) {
 	w.lease.lostContactAt = d.now
 }
 
-// noteRestart has a worker go through slow start if the router lost contact with it, it is back, and the
+// handlePossibleRestart has a worker go through slow start if the router lost contact with it, it is back, and the
 // endpoint list can't tell whether it was restarted meanwhile. The list corrects the start when it changes.
 // False positives: a worker that only lost its connections, or ended a drain without a restart, gets less
 // for a while.
-func (d *Dispatcher) noteRestart(w *worker) {
-	isBack := w.lease.activeAt > w.lease.lostContactAt
+func (d *Dispatcher) handlePossibleRestart(w *worker) {
+	isBack := w.lease.knownActiveAt > w.lease.lostContactAt
 	lostSinceConfirmed := w.lease.lostContactAt > d.list.confirmedAt
 	if d.listIsCurrent() || !isBack || !lostSinceConfirmed {
 		return
 	}
-	d.releaseWaiting(w)
-	activeAt := w.lease.activeAt
+	d.requeueWaiting(w)
+	activeAt := w.lease.knownActiveAt
 	endpoint := w.Endpoint
 	endpoint.StartedAt = d.now
 	memoryMB := w.memoryMB
-	listedIn := w.listedIn
+	listedIn := w.listedInUpdate
 	d.resetWorker(w)
 	w.Endpoint = endpoint
 	w.memoryMB = memoryMB
-	w.listedIn = listedIn
-	w.lease.activeAt = activeAt
+	w.listedInUpdate = listedIn
+	w.lease.knownActiveAt = activeAt
 	w.warmingUp = d.settings.SlowStartDuration > 0
 	d.resetSlowStartTokens(w)
 	d.recountSuspectedWorkers()
--- a/dispatch/leases_test.go
+++ b/dispatch/leases_test.go
@@ -34,7 +34,7 @@
 }
 
 // passLease lets time pass until the lease of the list is over.
-func (h *leaseHarness) passLease() { h.advance(lossNotifiedAfter + testDrainGrace) }
+func (h *leaseHarness) passLease() { h.advance(lossNotificationDelay + testDrainGrace) }
 
 // outcome says what a request led to: "attempt", "check" or "rejected".
 func outcome(actions []Action) string {
@@ -67,26 +67,26 @@
 		event func(h *leaseHarness) // 1 s after the list was confirmed
 		end   time.Duration         // of the lease, since then
 	}{
-		{"the list is lost", func(*leaseHarness) {}, lossNotifiedAfter + lease},
+		{"the list is lost", func(*leaseHarness) {}, lossNotificationDelay + lease},
 		{"it is asked for again", func(h *leaseHarness) { h.step(EndpointListRequested{At: h.now}) }, time.Second + lease},
 		{"it is asked for again, several times", func(h *leaseHarness) {
 			h.step(EndpointListRequested{At: h.now})
 			h.advance(100 * time.Millisecond)
 			h.step(EndpointListRequested{At: h.now})
 		}, time.Second + lease},
-		{"it is confirmed again", func(h *leaseHarness) { h.confirm() }, time.Second + lossNotifiedAfter + lease},
+		{"it is confirmed again", func(h *leaseHarness) { h.confirm() }, time.Second + lossNotificationDelay + lease},
 		{"it is confirmed late, for a time long ago", func(h *leaseHarness) {
 			h.step(EndpointListConfirmed{At: h.confirmedAt + 100*time.Millisecond})
-		}, 100*time.Millisecond + lossNotifiedAfter + lease},
+		}, 100*time.Millisecond + lossNotificationDelay + lease},
 		{"asked for again and confirmed", func(h *leaseHarness) {
 			h.step(EndpointListRequested{At: h.now})
 			h.now += 10 * time.Millisecond
 			h.confirm()
-		}, time.Second + 10*time.Millisecond + lossNotifiedAfter + lease},
+		}, time.Second + 10*time.Millisecond + lossNotificationDelay + lease},
 		{"asked for again and answered with events", func(h *leaseHarness) {
 			h.step(EndpointListRequested{At: h.now})
 			h.step(EndpointListConfirmed{At: h.now})
-		}, time.Second + lossNotifiedAfter + lease},
+		}, time.Second + lossNotificationDelay + lease},
 		{"asked for again twice, and the first question is answered late", func(h *leaseHarness) {
 			first := h.now
 			h.step(EndpointListRequested{At: first})
@@ -97,7 +97,7 @@
 		}, time.Second + 200*time.Millisecond + lease},
 		{"confirmed for a time to come", func(h *leaseHarness) {
 			h.step(EndpointListConfirmed{At: h.now + time.Hour})
-		}, time.Second + lossNotifiedAfter + lease},
+		}, time.Second + lossNotificationDelay + lease},
 		{"the process is paused", func(h *leaseHarness) {
 			h.now += testDrainGrace
 			h.step()
@@ -133,7 +133,7 @@
 	if got := h.startAttempt("f", classIdempotent).SendBefore - h.now; got != testDrainGrace-leaseMargin {
 		t.Errorf("to be sent within %v", got)
 	}
-	h.advance(lossNotifiedAfter + testDrainGrace - leaseMargin - harnessTick)
+	h.advance(lossNotificationDelay + testDrainGrace - leaseMargin - harnessTick)
 	if got := h.startAttempt("g", classIdempotent).SendBefore; got != h.dispatcher.listLeaseEnd() {
 		t.Errorf("to be sent before %v, the list's lease ends at %v", got, h.dispatcher.listLeaseEnd())
 	}
@@ -230,7 +230,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newLeaseHarness(t, nil)
-			h.advance(lossNotifiedAfter + testDrainGrace - leaseMargin - 300*time.Millisecond)
+			h.advance(lossNotificationDelay + testDrainGrace - leaseMargin - 300*time.Millisecond)
 			started := h.startAttempt("f", classIdempotent)
 			startedAt := h.now
 			h.advance(400 * time.Millisecond)
@@ -362,7 +362,7 @@
 	h := newLeaseHarness(t, nil)
 	const outage = 10 * time.Second
 	expired := actionsOf[EndpointListStateChanged](h.advance(outage))
-	if len(expired) != 1 || expired[0].Current || expired[0].Age < lossNotifiedAfter {
+	if len(expired) != 1 || expired[0].Current || expired[0].Age < lossNotificationDelay {
 		t.Errorf("%v, want one report that the list is out of date", expired)
 	}
 	current := actionsOf[EndpointListStateChanged](h.confirm())
@@ -377,13 +377,13 @@
 	h := newLeaseHarness(t, nil)
 	h.advance(time.Second)
 	first := h.now
-	for range 10 * maxQuestions {
+	for range 10 * maxListRequests {
 		h.step(EndpointListRequested{At: h.now})
 		h.advance(100 * time.Millisecond)
 	}
 	newest := h.now - 100*time.Millisecond
-	kept := h.dispatcher.list.askedAgainAt
-	if len(kept) != maxQuestions || kept[0] != first || kept[maxQuestions-1] != newest {
-		t.Errorf("%v, want %d, from %v to %v", kept, maxQuestions, first, newest)
+	kept := h.dispatcher.list.requestedAt
+	if len(kept) != maxListRequests || kept[0] != first || kept[maxListRequests-1] != newest {
+		t.Errorf("%v, want %d, from %v to %v", kept, maxListRequests, first, newest)
 	}
 }
--- a/dispatch/listfreshness.go
+++ b/dispatch/listfreshness.go
@@ -10,16 +10,16 @@
 // Where a caller does not report on the list at all, it is always believed.
 
 const (
-	// lossNotifiedAfter is how long after the endpoint list was lost what it would have shown counts as
+	// lossNotificationDelay is how long after the endpoint list was lost what it would have shown counts as
 	// notified (the platform's protocol: 2 s after a break; its other clocks are later, or run out when the
 	// list is asked for again).
-	lossNotifiedAfter = 2 * time.Second
+	lossNotificationDelay = 2 * time.Second
 	// minPause is the shortest time without a Step that counts as a pause of the process.
 	minPause = 150 * time.Millisecond
-	// maxQuestions bounds the questions that are remembered. Answers are no later than some seconds, and
+	// maxListRequests bounds the questions that are remembered. Answers are no later than some seconds, and
 	// questions no more frequent than their backoff.
-	maxQuestions = 16
-	forever      = time.Duration(math.MaxInt64)
+	maxListRequests = 16
+	forever         = time.Duration(math.MaxInt64)
 )
 
 // listLeaseEnd is when the lease ends that the endpoint list gives to its active workers. What the list did
@@ -31,9 +31,9 @@
 	if !list.tracked {
 		return forever
 	}
-	notifiedAt := list.confirmedAt + lossNotifiedAfter
-	if len(list.askedAgainAt) > 0 {
-		notifiedAt = min(notifiedAt, list.askedAgainAt[0])
+	notifiedAt := list.confirmedAt + lossNotificationDelay
+	if len(list.requestedAt) > 0 {
+		notifiedAt = min(notifiedAt, list.requestedAt[0])
 	}
 	if list.pausedUntil > list.confirmedAt {
 		notifiedAt = list.confirmedAt
@@ -51,17 +51,17 @@
 	d.list.tracked = d.settings.DrainGrace > 0
 	d.list.confirmedAt = max(d.list.confirmedAt, min(e.At, d.now))
 	isAnswered := func(askedAt time.Duration) bool { return askedAt <= d.list.confirmedAt }
-	d.list.askedAgainAt = slices.DeleteFunc(d.list.askedAgainAt, isAnswered)
+	d.list.requestedAt = slices.DeleteFunc(d.list.requestedAt, isAnswered)
 }
 
-// askListAgain notes that the endpoint list is asked for again. Answers may come late and confirm the list
+// recordListRequest notes that the endpoint list is asked for again. Answers may come late and confirm the list
 // for a time before some of these questions, so the first and the newest ones are kept.
-func (d *Dispatcher) askListAgain(e EndpointListRequested) {
+func (d *Dispatcher) recordListRequest(e EndpointListRequested) {
 	list := &d.list
-	if len(list.askedAgainAt) == maxQuestions {
-		list.askedAgainAt = slices.Delete(list.askedAgainAt, 1, 2)
+	if len(list.requestedAt) == maxListRequests {
+		list.requestedAt = slices.Delete(list.requestedAt, 1, 2)
 	}
-	list.askedAgainAt = append(list.askedAgainAt, e.At)
+	list.requestedAt = append(list.requestedAt, e.At)
 }
 
 // detectPause notes when the process did not run for a while. Whatever the list has shown since it was
@@ -95,6 +95,6 @@
 	d.list.expired = !current
 	d.emit(EndpointListStateChanged{Current: current, Age: d.now - d.list.confirmedAt})
 	for _, w := range d.activeWorkers {
-		d.noteRestart(w)
+		d.handlePossibleRestart(w)
 	}
 }
--- a/dispatch/loading.go
+++ b/dispatch/loading.go
@@ -8,11 +8,11 @@
 // This file sends load commands under their rate limit: placement, requestTimes, loadCommandTimes.
 
 const (
-	defaultLoadTime = 800 * time.Millisecond // before any load time is known
-	maxPendingLoads = 4                      // own load commands in flight at one worker
-	loadBackoff     = 500 * time.Millisecond // first backoff after a failed load
-	prefetchRatio   = 0.5                    // of the rate limit, for loads that nobody waits for
-	minMeasuredLoad = 20 * time.Millisecond  // a quicker result came from a copy that was loaded already
+	defaultLoadTime  = 800 * time.Millisecond // before any load time is known
+	maxLoadsInFlight = 4                      // own load commands in flight at one worker
+	loadBackoff      = 500 * time.Millisecond // first backoff after a failed load
+	prefetchRatio    = 0.5                    // of the rate limit, for loads that nobody waits for
+	minMeasuredLoad  = 20 * time.Millisecond  // a quicker result came from a copy that was loaded already
 )
 
 // expectedLoadTime is how long a load of f should take.
@@ -51,11 +51,11 @@
 		return false
 	}
 	backingOff := d.now < f.placementOn(w).loadBackoffUntil
-	if w.pendingLoads >= maxPendingLoads || backingOff || !d.takeLoadPermit(limitFraction) {
+	if w.loadsInFlight >= maxLoadsInFlight || backingOff || !d.takeLoadPermit(limitFraction) {
 		return false
 	}
 	f.ensurePlacement(w).loadCommandedAt = d.now
-	w.pendingLoads++
+	w.loadsInFlight++
 	d.emit(LoadFunction{Worker: w.ID, Function: f.key, Copies: 1, SendBefore: d.sendBefore(w), Cause: cause})
 	return true
 }
@@ -86,8 +86,8 @@
 	}
 }
 
-// functionLoaded takes the result of a load command and lets go the requests that waited for it.
-func (d *Dispatcher) functionLoaded(e FunctionLoaded) {
+// handleFunctionLoaded takes the result of a load command and lets go the requests that waited for it.
+func (d *Dispatcher) handleFunctionLoaded(e FunctionLoaded) {
 	w := d.workers[e.Worker]
 	f := d.functions[e.Function]
 	if w != nil && (e.Result == OK || e.Result == Rejected || e.Result == Errored) {
@@ -100,7 +100,7 @@
 		return // forgotten, or commanded before the worker was restarted
 	}
 	p := f.ensurePlacement(w)
-	w.pendingLoads = max(w.pendingLoads-1, 0)
+	w.loadsInFlight = max(w.loadsInFlight-1, 0)
 	p.loadCommandedAt = 0
 	if e.Result == OK || e.Copies > 0 {
 		if e.Duration > minMeasuredLoad {
--- a/dispatch/loadreports.go
+++ b/dispatch/loadreports.go
@@ -32,10 +32,10 @@
 	d.meanReportedInFlight += meanSmoothing * (inFlight - d.meanReportedInFlight)
 }
 
-// drawLoadReportWait draws whether a request should wait for a load report of w before its attempt goes
+// shouldAwaitLoadReport draws whether a request should wait for a load report of w before its attempt goes
 // there. It waits at most once, where reports are cheap, and as often as this router's share of the fleet
 // allows.
-func (d *Dispatcher) drawLoadReportWait(r *request, w *worker) bool {
+func (d *Dispatcher) shouldAwaitLoadReport(r *request, w *worker) bool {
 	cheap := d.settings.HealthChecksAllowed && d.settings.HealthCheckCost < maxHealthCheckCost
 	stale := d.settings.LoadReports != ReportsNone && d.now-w.reportedAt > loadReportTTL
 	if !cheap || !stale || r.loadReportAwaited {
@@ -60,7 +60,7 @@
 	if w == nil {
 		return
 	}
-	d.leaseChecked(w, e)
+	d.recordLeaseCheck(w, e)
 	if e.Result == OK {
 		d.markResponsive(w)
 		if e.LoadReport.InFlight >= 0 {
--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -11,10 +11,10 @@
 // This file ranks the active workers for each function by rendezvous hashing, the same way at every router.
 
 const (
-	rankPrefix       = maxRankedCandidates * 5 / 4 // workers that a ranking holds at first, on average
-	minRankPrefix    = 32                          // what is left, at the least, of one that is cut
-	rankPrefixGrowth = 4                           // factor by which it grows when more are asked for
-	rankPrefixExcess = 2                           // a longer one than this multiple of a new one is cut
+	initialRankPrefix = maxRankedCandidates * 5 / 4 // workers that a ranking holds at first, on average
+	minRankPrefix     = 32                          // what is left, at the least, of one that is cut
+	rankPrefixGrowth  = 4                           // factor by which it grows when more are asked for
+	rankPrefixExcess  = 2                           // a longer one than this multiple of a new one is cut
 )
 
 // ranking is the beginning of the order in which a function prefers the active workers: all those whose score
@@ -52,7 +52,7 @@
 		if r.built && r.minScore == 0 {
 			return nil
 		}
-		d.extendRanking(f, max(rankPrefix, rankPrefixGrowth*(i+1)))
+		d.extendRanking(f, max(initialRankPrefix, rankPrefixGrowth*(i+1)))
 	}
 	r.used = max(r.used, i+1)
 	return r.entries[i].worker
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -27,7 +27,7 @@
 	streaming         *attempt      // the one whose streamed response has begun
 	needsAttempt      bool          // it waits for its next attempt
 	loadReportAwaited bool          // it has waited for a load report once
-	backoffs          int           // waits between its attempts so far
+	backoffCount      int           // waits between its attempts so far
 	retryOrder        time.Duration // its place among the pending requests, the latest first
 	done              bool          // it has its final answer, or needs none
 }
@@ -49,8 +49,8 @@
 	failed            bool // no retry goes to its worker
 }
 
-// openAttempt returns an attempt that has not ended, or nil.
-func (d *Dispatcher) openAttempt(id RequestID, number int) *attempt {
+// attemptInFlight returns an attempt that has not ended, or nil.
+func (d *Dispatcher) attemptInFlight(id RequestID, number int) *attempt {
 	r := d.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
 		return nil
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -10,10 +10,10 @@
 // This file retries requests: after an attempt that failed, after a wait, and while no worker was available.
 
 const (
-	pendingBackoff     = 30 * time.Millisecond // first wait of a request between attempts, doubled each time
-	maxBackoffDouble   = 5                     // so many times at the most
-	maxBackoffExponent = 4                     // of backoffWithJitter
-	latePenalty        = idleFunctionTTL       // puts requests that miss their objective last
+	pendingBackoff      = 30 * time.Millisecond // first wait of a request between attempts, doubled each time
+	maxBackoffDoublings = 5                     // so many times at the most
+	maxBackoffExponent  = 4                     // of backoffWithJitter
+	latePenalty         = idleFunctionTTL       // puts requests that miss their objective last
 )
 
 // requestTimerFired looks at a request again: at its deadline, while its attempt is in flight, or after a
@@ -39,11 +39,11 @@
 		d.finishUnserved(r, obstacle)
 	case result == NotResident && d.commandLoad(r.function, w, 1, LoadForRequest):
 		d.routeRequest(r)
-	case result == NotResident && w.pendingLoads < maxPendingLoads,
+	case result == NotResident && w.loadsInFlight < maxLoadsInFlight,
 		result == Rejected && len(r.attempts) >= 2:
 		r.needsAttempt = true
-		d.setRequestTimer(r, d.now+pendingBackoff<<min(r.backoffs, maxBackoffDouble))
-		r.backoffs++
+		d.setRequestTimer(r, d.now+pendingBackoff<<min(r.backoffCount, maxBackoffDoublings))
+		r.backoffCount++
 	default:
 		d.routeRequest(r)
 	}
@@ -95,7 +95,7 @@
 
 // backoffWithJitter draws a backoff that doubles with each time. The jitter keeps routers from acting at one
 // moment.
-func (d *Dispatcher) backoffWithJitter(base time.Duration, times int) time.Duration {
-	factor := math.Exp2(float64(min(times, maxBackoffExponent)))
+func (d *Dispatcher) backoffWithJitter(base time.Duration, failures int) time.Duration {
+	factor := math.Exp2(float64(min(failures, maxBackoffExponent)))
 	return time.Duration(float64(base) * factor * (0.75 + d.random.Float64()/2))
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -34,7 +34,7 @@
 // checked first. Where the preferred worker does not hold the function and another does, the first is sent
 // a load command and the second serves: no request waits for a load because an assignment moved or grew.
 func (d *Dispatcher) selectWorker(r *request) *worker {
-	d.selections++
+	d.selectionCount++
 	s := selection{request: r, majoritySuspected: d.majoritySuspected()}
 	s.avoidOverloaded = d.random.Float64() < max(d.residentChance, 1/d.fleetShare)
 	d.drawAssignmentOrder(r.function)
@@ -73,7 +73,7 @@
 // prefetch commands a load at the preferred worker, for the requests to come: another worker serves this one.
 func (d *Dispatcher) prefetch(s *selection) {
 	if s.preferred != nil && d.settings.LoadCommandsAllowed {
-		d.commandLoad(s.request.function, s.preferred, 1, LoadAhead)
+		d.commandLoad(s.request.function, s.preferred, 1, LoadPrefetch)
 	}
 }
 
@@ -97,11 +97,11 @@
 func (d *Dispatcher) drawAssignmentOrder(f *function) {
 	for i := range f.assignment {
 		s := &f.assignment[i]
-		s.worker.candidateIn = d.selections
+		s.worker.candidateInSelection = d.selectionCount
 		inFlight := float64(f.placementOn(s.worker).inFlight)
-		s.choiceKey = (inFlight + d.random.ExpFloat64()) / s.share
+		s.sortKey = (inFlight + d.random.ExpFloat64()) / s.share
 	}
-	slices.SortFunc(f.assignment, func(a, b workerShare) int { return cmp.Compare(a.choiceKey, b.choiceKey) })
+	slices.SortFunc(f.assignment, func(a, b workerShare) int { return cmp.Compare(a.sortKey, b.sortKey) })
 }
 
 // candidates yields the workers for a function in the order of choice: its assigned workers in their present
@@ -118,13 +118,13 @@
 			if w == nil {
 				return
 			}
-			seen := w.candidateIn == d.selections
-			w.candidateIn = d.selections
+			seen := w.candidateInSelection == d.selectionCount
+			w.candidateInSelection = d.selectionCount
 			if !seen && !yield(w) {
 				return
 			}
 		}
-		for _, w := range d.residentWorkersBehind(f) {
+		for _, w := range d.remainingResidentWorkers(f) {
 			if !yield(w) {
 				return
 			}
@@ -132,12 +132,12 @@
 	}
 }
 
-// residentWorkersBehind returns the active workers that hold f and are not among the candidates of the
+// remainingResidentWorkers returns the active workers that hold f and are not among the candidates of the
 // selection under way so far, in the order of the ranking.
-func (d *Dispatcher) residentWorkersBehind(f *function) []*worker {
+func (d *Dispatcher) remainingResidentWorkers(f *function) []*worker {
 	var entries []rankedWorker
 	for w, p := range f.placements {
-		if w.State == EndpointActive && w.candidateIn != d.selections && d.now < p.residentUntil {
+		if w.State == EndpointActive && w.candidateInSelection != d.selectionCount && d.now < p.residentUntil {
 			entries = append(entries, rankedWorker{d.rendezvousScore(f, w), w})
 		}
 	}
@@ -176,7 +176,7 @@
 		s.residentLimited = s.residentLimited || resident
 		return false
 	}
-	if !resident && w.pendingLoads < maxPendingLoads {
+	if !resident && w.loadsInFlight < maxLoadsInFlight {
 		s.preferred = cmp.Or(s.preferred, w)
 	}
 	return resident
@@ -196,8 +196,8 @@
 func (d *Dispatcher) isUnlikelyToServe(s *selection, w *worker, p placement) bool {
 	r := s.request
 	d.updateSuspicion(w)
-	silent := w.suspected && !s.majoritySuspected
+	unresponsive := w.suspected && !s.majoritySuspected
 	ejected := d.now < w.ejections[r.class].until
 	loadFailing := d.now < p.loadBackoffUntil || d.loadOverdue(r.function, p)
-	return silent || ejected || loadFailing || r.failedOn(w)
+	return unresponsive || ejected || loadFailing || r.failedOn(w)
 }
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -103,7 +103,7 @@
 // TestAssignmentStopsWhereNoWorkerCanTakeAny: while all workers have ejected a class, its functions rank no more than a
 // part of a large fleet, and the others are assigned as before.
 func TestAssignmentStopsWhereNoWorkerCanTakeAny(t *testing.T) {
-	const workers = 8 * maxUnassignable
+	const workers = 8 * maxPassedOver
 	r := newBenchmarkRouter(t, workers)
 	d := r.dispatcher
 	for range 10 {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -18,23 +18,23 @@
 	timers   timers
 	timerDue time.Duration // of the SetTimer in force; 0: none
 
-	list            endpointList
-	workers         map[string]*worker
-	activeWorkers   []*worker          // those that attempts may go to, sorted by id
-	suspectedCount  int                // of activeWorkers
-	removedWorkers  map[string]*worker // those that the endpoint list no longer has, until they are forgotten
-	changedWorkers  []*worker          // those whose state changed in the endpoint update under way
-	endpointUpdates int                // counts the endpoint updates
-	hashInput       []byte             // scratch space of rendezvousScore
+	list                endpointList
+	workers             map[string]*worker
+	activeWorkers       []*worker          // those that attempts may go to, sorted by id
+	suspectedCount      int                // of activeWorkers
+	removedWorkers      map[string]*worker // those that the endpoint list no longer has, until they are forgotten
+	changedWorkers      []*worker          // those whose state changed in the endpoint update under way
+	endpointUpdateCount int                // counts the endpoint updates
+	hashInput           []byte             // scratch space of rendezvousScore
 
 	memoryByKind     map[string]float64
 	classes          map[string]*class
 	functions        map[string]*function
 	functionsInOrder []*function // in the order of their first requests
 
-	requests   map[RequestID]*request
-	pending    []*request // those that wait for a worker to become available
-	selections int        // counts the calls of selectWorker
+	requests       map[RequestID]*request
+	pending        []*request // those that wait for a worker to become available
+	selectionCount int        // counts the calls of selectWorker
 
 	// The two sliding windows of the load rate limit.
 	requestTimes     []time.Duration
@@ -65,11 +65,11 @@
 
 // endpointList is what is known of how current the endpoint list is.
 type endpointList struct {
-	tracked      bool            // the caller reports on it
-	confirmedAt  time.Duration   // the list held all changes up to then
-	askedAgainAt []time.Duration // when it was asked for again after failures since then, the oldest first
-	pausedUntil  time.Duration   // when the process last went on after a pause
-	expired      bool            // the list is not believed, as was last reported
+	tracked     bool            // the caller reports on it
+	confirmedAt time.Duration   // the list held all changes up to then
+	requestedAt []time.Duration // when it was asked for again after failures since then, the oldest first
+	pausedUntil time.Duration   // when the process last went on after a pause
+	expired     bool            // the list is not believed, as was last reported
 }
 
 // seconds converts to a duration.
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -11,17 +11,17 @@
 // worker is what this router knows of one worker.
 type worker struct {
 	Endpoint
-	memoryMB    float64 // of its kind
-	active      bool    // it stands in Dispatcher.activeWorkers
-	forgotten   bool    // it is no longer in Dispatcher.workers
-	listedIn    int     // the endpoint update that last listed it, see Dispatcher.endpointUpdates
-	candidateIn int     // the selection that it was last a candidate of, see Dispatcher.selections
-
-	lastHeard   time.Duration // last response of any kind
-	lastChecked time.Duration // last health check sent because of a suspicion
-	suspected   bool          // held to be unresponsive
-	slowness    float64       // logarithm of its response times over the expected ones
-	ejections   map[*class]ejection
+	memoryMB             float64 // of its kind
+	active               bool    // it stands in Dispatcher.activeWorkers
+	forgotten            bool    // it is no longer in Dispatcher.workers
+	listedInUpdate       int     // the endpoint update that last listed it, see Dispatcher.endpointUpdates
+	candidateInSelection int     // the selection that it was last a candidate of, see Dispatcher.selections
+
+	lastResponseAt       time.Duration // last response of any kind
+	lastSuspicionCheckAt time.Duration // last health check sent because of a suspicion
+	suspected            bool          // held to be unresponsive
+	slowness             float64       // logarithm of its response times over the expected ones
+	ejections            map[*class]ejection
 
 	reportedAt       time.Duration // of its last load report
 	reportedInFlight float64       // requests that it then held
@@ -33,7 +33,7 @@
 	attempts          []*attempt // of this router, in flight, oldest first
 	inFlight          float64    // their weights
 	concurrencyLimit  float64    // for inFlight
-	pendingLoads      int        // load commands of this router without a result
+	loadsInFlight     int        // load commands of this router without a result
 	remainingCapacity float64    // in MB, while capacity is being assigned
 
 	warmingUp       bool          // started less than Settings.SlowStartDuration ago
@@ -43,7 +43,7 @@
 
 // workerLease is what shows that a worker does not drain, beside the endpoint list.
 type workerLease struct {
-	activeAt      time.Duration // the newest time at which it is known not to have drained; 0: none
+	knownActiveAt time.Duration // the newest time at which it is known not to have drained; 0: none
 	lostContactAt time.Duration // when a connection to it last failed, or it said that it drains
 	checkedAt     time.Duration // when the last health check for the lease was sent; 0: none, or it was answered
 	checkInFlight bool
@@ -66,7 +66,7 @@
 	fresh.attempts = w.attempts
 	fresh.inFlight = w.inFlight
 	fresh.active = w.active
-	fresh.lastHeard = d.now
+	fresh.lastResponseAt = d.now
 	*w = *fresh
 }
 
@@ -76,7 +76,7 @@
 		return
 	}
 	for _, w := range forgotten {
-		d.releaseWaiting(w)
+		d.requeueWaiting(w)
 		w.forgotten = true
 		delete(d.workers, w.ID)
 		delete(d.removedWorkers, w.ID)
@@ -86,8 +86,8 @@
 	}
 }
 
-// releaseWaiting moves the requests that wait for a worker to the pending ones, and drops its placements.
-func (d *Dispatcher) releaseWaiting(w *worker) {
+// requeueWaiting moves the requests that wait for a worker to the pending ones, and drops its placements.
+func (d *Dispatcher) requeueWaiting(w *worker) {
 	d.pending = append(d.pending, w.awaitingReport...)
 	d.pending = append(d.pending, w.lease.awaiting...)
 	w.awaitingReport = nil
@@ -135,8 +135,8 @@
 	}
 }
 
-// noteStateChange queues a worker for updateActiveWorkers and forgetRemovedWorkers, if they have work with it.
-func (d *Dispatcher) noteStateChange(w *worker) {
+// queueStateChange queues a worker for updateActiveWorkers and forgetRemovedWorkers, if they have work with it.
+func (d *Dispatcher) queueStateChange(w *worker) {
 	if w.active != (w.State == EndpointActive) {
 		d.changedWorkers = append(d.changedWorkers, w)
 	}
