--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -2,76 +2,76 @@
 
 import "time"
 
-// Action is something for the router to do: one of the types below.
+// Action is an output of Dispatcher.Step, for the router to execute: one of the types below.
 type Action interface{ action() }
 
 // StartAttempt forwards a request to a worker. A request's attempts are numbered from 0 in the order of these actions.
 type StartAttempt struct {
 	ID      RequestID
 	Worker  string
-	Timeout time.Duration // 0: until the request's deadline
-	// SendBefore is the time, on the clock of Step, before which the first byte has to be written; the attempt is not sent
-	// later, and ends as NotSent. 0: there is no such time.
+	Timeout time.Duration // 0 means until the request's deadline
+	// SendBefore is the time, on the clock of Step, before which the first byte has to be written. Otherwise the attempt
+	// is not sent and ends with the result NotSent. 0 means no limit.
 	SendBefore time.Duration
 }
 
-// CancelAttempt stops waiting for one attempt; its AttemptEnded still comes.
+// CancelAttempt cancels one attempt. Its AttemptEnded still follows.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt int
 }
 
-// RejectRequest is a final answer which promises that a retry by the client does no harm.
+// RejectRequest is a final answer without a response. It guarantees that the client can safely retry.
 type RejectRequest struct {
 	ID         RequestID
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0 means no Retry-After
 	Cause      EndCause
 }
 
-// FailRequest is a final answer which promises nothing: the request may have run.
+// FailRequest is a final answer without a response. It guarantees nothing: the request may have run.
 type FailRequest struct {
 	ID    RequestID
 	Cause EndCause
 }
 
-// LoadFunction commands a worker to hold Copies of a function; 0 only asks how many it holds. It is answered by a
-// FunctionLoaded.
+// LoadFunction commands a worker to hold the given number of copies of a function. With 0 copies it only queries the
+// present number. FunctionLoaded reports the result.
 type LoadFunction struct {
 	Worker     string
 	Function   string
 	Copies     int
-	SendBefore time.Duration // as of StartAttempt
+	SendBefore time.Duration // see StartAttempt.SendBefore
 	Cause      LoadCause
 }
 
-// CheckHealth sends a health check to a worker. It is answered by a HealthChecked.
+// CheckHealth sends a health check to a worker. HealthChecked reports the result.
 type CheckHealth struct {
 	Worker   string
-	ForLease bool // it is to show whether the worker drains, as the endpoint list is not believed
+	ForLease bool // checks whether the worker drains, because the endpoint list is out of date
 }
 
-// EndpointListStateChanged says that the endpoint list is believed no longer, or again.
+// EndpointListStateChanged reports that the endpoint list has gone out of date or is current again.
 type EndpointListStateChanged struct {
 	Current bool
-	Age     time.Duration // since the list was last confirmed
+	Age     time.Duration // time since the list was last confirmed
 }
 
 // SubscribeEndpoints subscribes to changes of the endpoint list.
 type SubscribeEndpoints struct{}
 
-// SetTimer asks for a TimerFired after a while. It replaces the timer set before.
+// SetTimer requests a TimerFired after a delay. It replaces the previous timer.
 type SetTimer struct{ After time.Duration }
 
-// ReportSuspicion tells other routers what this one suspects of a worker by its own evidence: that it is unresponsive
-// (no Class and not Slow), that it fails a class, or that it is slow. It is returned only with
-// Settings.SuspicionsReported.
+// ReportSuspicion reports to other routers what this router suspects of a worker from its own evidence: that the worker
+// is unresponsive (no Class and not Slow), that it fails a class, or that it is slow. It is returned only if
+// Settings.SuspicionsReported is set.
 type ReportSuspicion struct {
 	Worker string
 	Class  string // the class that it fails, or ""
 	Slow   bool
 }
 
-// LogMessage is a line for the log.
+// LogMessage writes a line to the log.
 type LogMessage struct{ Text string }
 
 func (StartAttempt) action()             {}
--- a/dispatch/causes.go
+++ b/dispatch/causes.go
@@ -1,26 +1,26 @@
 package dispatch
 
-// EndCause is why a request was ended without a response.
+// EndCause is the reason why a request got no response.
 type EndCause int
 
-// The causes, by which routers count and log rejections and failures.
+// The end causes. Routers count and log rejections and failures by them.
 const (
 	CauseNone              EndCause = iota
 	CauseDeadline                   // its deadline has passed
 	CauseTooLate                    // too little time is left for an attempt
-	CauseAttemptsExhausted          // it has had as many attempts as it may have
-	CauseRetryBudget                // too many requests are being retried
+	CauseAttemptsExhausted          // it has had the maximum number of attempts
+	CauseRetryBudget                // the retry budget is used up
 	CauseMayHaveRun                 // it may have run, and no worker may repeat it
-	CauseLoadTooLate                // a load that it would have to wait for takes too long
-	CauseOverload                   // it waits for a worker and misses its latency objective
-	CauseNoLease                    // the endpoint list is out of date, and no worker may be used without it
+	CauseLoadTooLate                // the load that it would have to wait for ends too late
+	CauseOverload                   // no worker is available, and it will miss its latency objective
+	CauseNoLease                    // the endpoint list is out of date, and no worker holds a lease
 	endCauseCount
 )
 
-// EndCauseCount is the number of causes.
+// EndCauseCount is the number of end causes.
 const EndCauseCount = int(endCauseCount)
 
-// endCauseNames are the causes as logs and metrics have them.
+// endCauseNames holds the names of the end causes in logs and metrics.
 var endCauseNames = [EndCauseCount]string{
 	CauseNone:              "none",
 	CauseDeadline:          "deadline",
@@ -35,17 +35,17 @@
 
 func (c EndCause) String() string { return endCauseNames[c] }
 
-// LoadCause is why a load command was sent.
+// LoadCause is the reason for a load command.
 type LoadCause int
 
-// The causes of load commands.
+// The load causes.
 const (
 	LoadForRequest LoadCause = iota // a request waits for it, or was answered that the function is not resident
 	LoadPrefetch                    // for requests to come: another worker serves this one
 	loadCauseCount
 )
 
-// LoadCauseCount is the number of causes of load commands.
+// LoadCauseCount is the number of load causes.
 const LoadCauseCount = int(loadCauseCount)
 
 func (c LoadCause) String() string {
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,30 +1,33 @@
-// Package dispatch decides for one router where each request goes, when workers load functions, and how a request
-// ends. It follows Algorithm 2.2 of "Consistent Load Balancing Via Spread Minimization" (Kleinberg, Leighton, STOC 2003).
+// Package dispatch is the decision core of one router: it chooses a worker for each request, decides when workers
+// load functions, and decides how each request ends. It follows Algorithm 2.2 of "Consistent Load Balancing Via
+// Spread Minimization" (Kleinberg, Leighton, STOC 2003).
 //
-// A [Dispatcher] is a state machine without goroutines, clock, I/O or globals; its randomness comes from a seed. Its
-// caller has these duties:
+// A [Dispatcher] is a deterministic state machine. It has no goroutines, clock, I/O or global state, and its random
+// numbers come from a seed. Its caller must follow these rules:
 //
-//   - All calls of [Dispatcher.Step] come from one goroutine at a time.
-//   - Events are handed over in the order in which they arrived, with the time of the call. Time is a duration since
-//     any fixed moment and never runs backwards.
-//   - The returned actions are carried out in their order, at the time of the call. Each [StartAttempt] is answered by
-//     exactly one [AttemptEnded], each [LoadFunction] by a [FunctionLoaded], each [CheckHealth] by a [HealthChecked].
-//   - After a [SetTimer] has run out, Step is called with a [TimerFired]; the newest SetTimer replaces the ones before.
-//   - Events and their slices belong to the caller again when Step returns. The returned slice is valid until the next
-//     call.
+//   - Only one goroutine at a time calls [Dispatcher.Step].
+//   - Events are passed in the order in which they arrived, with the current time. Time is a duration since an
+//     arbitrary fixed moment and never goes backwards.
+//   - The returned actions are executed immediately, in order. The caller reports the result of each [StartAttempt]
+//     with exactly one [AttemptEnded], of each [LoadFunction] with a [FunctionLoaded], and of each [CheckHealth] with
+//     a [HealthChecked].
+//   - When the timer of a [SetTimer] expires, the caller calls Step with a [TimerFired]. Each SetTimer replaces the
+//     previous one.
+//   - The caller may reuse events and their slices after Step returns. The returned slice is valid until the next call.
 //
-// The interface stands in settings.go, events.go, actions.go and causes.go. What is remembered stands in state.go, worker.go,
-// function.go, request.go and timers.go, which take no decision. Every decision and every tuned value stands in the other
-// files, which deploy/balancer.toml lists under "policy":
+// settings.go, events.go, actions.go and causes.go define the interface. state.go, worker.go, function.go, request.go
+// and timers.go hold the state and make no decisions. All decisions and tuning constants are in the other files, which
+// deploy/balancer.toml lists under "policy":
 //
-//   - dispatcher.go: the step, which passes events on and sets the timer
-//   - listfreshness.go, leases.go, leasechecks.go: how long the endpoint list is believed, which workers may get something
-//     new, and the health checks that show it while the list can't be reached
-//   - endpoints.go, slowstart.go: which workers there are, and how much those that have just started may get
+//   - dispatcher.go: Step, which dispatches the events to their handlers and sets the timer
+//   - listfreshness.go, leases.go, leasechecks.go: how long the endpoint list counts as current, which workers may get
+//     new attempts and load commands, and the health checks that replace the list while it is out of date
+//   - endpoints.go, slowstart.go: the known workers, and the reduced load of those that have just started
 //   - ranking.go, assignment.go, selection.go: the order in which a function prefers workers, the share of its demand
-//     that each is assigned, and the choice of one for a request
+//     that each worker is assigned, and the choice of a worker for a request
 //   - loading.go: load commands
-//   - acceptance.go, attemptrules.go, attempts.go, retries.go, completion.go: a request from its arrival to its answer
-//   - limits.go, runtimes.go: concurrency limits, and the run times that they are judged by
-//   - loadreports.go, failuredetection.go, ejection.go, gossip.go: what is learned of the workers' health
+//   - acceptance.go, attemptrules.go, attempts.go, retries.go, completion.go: a request from its arrival to its final
+//     answer
+//   - limits.go, runtimes.go: concurrency limits, and the run time estimates that they depend on
+//   - loadreports.go, failuredetection.go, ejection.go, gossip.go: the health and load of workers
 package dispatch
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -23,18 +23,18 @@
 	Cell      int
 	State     EndpointState
 	Weight    float64
-	StartedAt time.Duration // when its process last started; 0 for long ago
+	StartedAt time.Duration // when its process last started; 0 means long ago
 }
 
-// LoadReport is what a worker reports of its load, in requests or loads; a negative field was not reported.
+// LoadReport is a worker's report of its own load, in requests or loads. A negative value was not reported.
 type LoadReport struct {
 	InFlight, Queued, Loading float64
 }
 
-// NoLoadReport reports nothing.
+// NoLoadReport is a LoadReport without any reported value.
 var NoLoadReport = LoadReport{InFlight: -1, Queued: -1, Loading: -1}
 
-// Result is how an attempt, a load command or a health check ended.
+// Result is the result of an attempt, a load command or a health check.
 type Result int
 
 // The results. Rejected, ConnectFailed, NotSent and NotResident prove that the attempt never ran.
@@ -54,7 +54,7 @@
 // ResultCount is the number of results.
 const ResultCount = int(resultCount)
 
-// resultNames are the results as logs and metrics have them.
+// resultNames holds the names of the results in logs and metrics.
 var resultNames = [ResultCount]string{
 	OK:              "ok",
 	Errored:         "error",
@@ -69,27 +69,28 @@
 
 func (r Result) String() string { return resultNames[r] }
 
-// provesNotRun reports whether an attempt that ended so never ran.
+// provesNotRun reports whether r proves that the attempt never ran.
 func (r Result) provesNotRun() bool {
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == NotResident
 }
 
-// CacheStatus is what a response tells of the copy of the function that served it.
+// CacheStatus reports whether the copy of the function that served a response had to be loaded first.
 type CacheStatus int
 
 // The cache statuses.
 const (
 	CacheUnknown     CacheStatus = iota
-	CacheHit                     // a copy was loaded
-	CacheLoadStarted             // this request started a load
-	CacheLoadJoined              // it waited for a load that another request had started
-	CacheLoadFailed              // the load that it waited for failed
+	CacheHit                     // a copy was already loaded
+	CacheLoadStarted             // the request started a load
+	CacheLoadJoined              // the request waited for a load that another request had started
+	CacheLoadFailed              // the load that the request waited for failed
 )
 
-// Event is something that happened: one of the types below.
+// Event is an input of Dispatcher.Step: one of the types below.
 type Event interface{ event() }
 
-// Request is a new request. It gets exactly one final answer: its first OK attempt, a RejectRequest or a FailRequest.
+// Request is a new request. It gets exactly one final answer: the response of its first OK attempt, a RejectRequest or
+// a FailRequest.
 type Request struct {
 	ID                     RequestID
 	Function               string
@@ -97,28 +98,29 @@
 	Tenant                 string
 	MemoryMB               float64       // of one loaded copy of the function
 	ConcurrencyPerInstance int           // requests that one copy runs at a time
-	LoadTime               time.Duration // usual time of a load; 0: unknown
-	ExpectedWork           time.Duration // on a standard core; 0: unknown
+	LoadTime               time.Duration // usual time of a load; 0 means unknown
+	ExpectedWork           time.Duration // run time on a standard core; 0 means unknown
 	RemainingDeadline      time.Duration // until the client gives up
 }
 
-// AttemptEnded is the end of an attempt; each StartAttempt gets exactly one.
+// AttemptEnded reports the end of an attempt. There is exactly one for each StartAttempt.
 type AttemptEnded struct {
 	ID               RequestID
 	Attempt          int
 	Worker           string
 	Result           Result
 	Duration         time.Duration
-	Final            bool // the request has ended
+	Final            bool // the attempt's response is the final answer of the request
 	CacheStatus      CacheStatus
-	FunctionInFlight int // requests of the function that the worker held; -1: unknown
+	FunctionInFlight int // requests of the function that the worker held; -1 means unknown
 	LoadReport       LoadReport
 }
 
-// RequestCancelled says that the client has left; the request needs no answer any more.
+// RequestCancelled reports that the client has cancelled a request, which needs no answer any more.
 type RequestCancelled struct{ ID RequestID }
 
-// ResponseStarted says that a streamed response has begun: from now on the attempt belongs to the client.
+// ResponseStarted reports that the client has received the start of a streamed response. The request is not retried
+// from then on.
 type ResponseStarted struct {
 	ID       RequestID
 	Attempt  int
@@ -126,55 +128,54 @@
 	Duration time.Duration // since the attempt was started
 }
 
-// FunctionLoaded answers a LoadFunction.
+// FunctionLoaded reports the result of a LoadFunction, successful or not.
 type FunctionLoaded struct {
 	Worker   string
 	Function string
 	Result   Result
 	Duration time.Duration
-	Copies   int // how many are loaded now
+	Copies   int // number of copies that are loaded now
 }
 
-// HealthChecked answers a CheckHealth.
+// HealthChecked reports the result of a CheckHealth.
 type HealthChecked struct {
 	Worker     string
 	Result     Result
-	Draining   bool // of an OK: the worker answered that it takes nothing new
+	Draining   bool // with an OK result: the worker answered that it is draining
 	Duration   time.Duration
 	LoadReport LoadReport
 }
 
-// EndpointListConfirmed says that the endpoint list held all changes up to At. A caller that reports this once has to do so
-// regularly, and with EndpointListRequested: without them the list is no longer believed. One that never does is taken
-// to have a list that is always complete.
+// EndpointListConfirmed reports that the endpoint list contained all changes up to At. A caller that has sent this event
+// once has to keep sending it, together with EndpointListRequested; otherwise the list goes out of date. If a caller
+// never sends it, the list always counts as current.
 type EndpointListConfirmed struct{ At time.Duration }
 
-// EndpointListRequested says that the list is asked for again at a time, after a failure, or for the first time. A
-// confirmation for the same time is the answer.
+// EndpointListRequested reports that the list was requested at At, for the first time or after a failed request. The
+// answer is an EndpointListConfirmed with the same time.
 type EndpointListRequested struct{ At time.Duration }
 
-// ConnectionLost says that a connection to a worker was ended, and not by this router. The attempts on it end by events of
-// their own.
+// ConnectionLost reports that a connection to a worker was closed, but not by this router. Each attempt on it still gets
+// its AttemptEnded.
 type ConnectionLost struct{ Worker string }
 
-// EndpointUpdate brings the endpoint list, or what changed in it.
+// EndpointUpdate carries the endpoint list or changes of it.
 type EndpointUpdate struct {
-	Snapshot         bool // the list is complete: a worker that is absent has been removed
+	Snapshot         bool // Endpoints is the complete list: workers that are not in it have been removed
 	SubscriptionLost bool
 	Endpoints        []Endpoint
 }
 
-// GossipUpdate brings what other routers reported.
+// GossipUpdate carries reports of other routers.
 type GossipUpdate struct {
-	Routers          int      // the highest number of live routers seen so far; 0: unknown. It only ever lowers this router's shares
+	Routers          int      // the highest number of live routers seen so far, 0 means unknown; it can only lower limits
 	SuspectedWorkers []string // workers that did not answer a health check of this router either
 }
 
-// ShutdownStarted says that this router shuts down: each request, also one that is still to come, gets its final answer
-// within AnswerWithin from now.
+// ShutdownStarted reports that this router shuts down. Each request gets its final answer within AnswerWithin from now.
 type ShutdownStarted struct{ AnswerWithin time.Duration }
 
-// TimerFired says that a SetTimer has run out.
+// TimerFired reports that the timer of the last SetTimer has expired.
 type TimerFired struct{}
 
 func (Request) event()               {}
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Idempotency says what repeating a request of a class does.
+// Idempotency is whether a request of a class may run more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	NonIdempotent   Idempotency = iota // must never run twice
-	IdempotentByKey                    // workers of one deduplication scope drop a repeat for a while
+	IdempotentByKey                    // workers of one deduplication scope drop repeats within a time window
 	Idempotent                         // may run any number of times
 )
 
-// DeduplicationScope is the group of workers that drop each other's repeats of a request that is idempotent by key.
+// DeduplicationScope is the group of workers that recognize and drop repeats of a request that is idempotent by key.
 type DeduplicationScope int
 
 // The deduplication scopes.
@@ -22,7 +22,7 @@
 	ScopeCell
 )
 
-// covers reports whether workers a and b drop each other's repeats.
+// covers reports whether b drops a repeat of a request that ran on a.
 func (s DeduplicationScope) covers(a, b Endpoint) bool {
 	switch s {
 	case ScopeAll:
@@ -35,7 +35,7 @@
 	return false
 }
 
-// ReportSource says how workers report their load.
+// ReportSource is how workers report their load.
 type ReportSource int
 
 // The sources of load reports.
@@ -55,7 +55,7 @@
 	LateValueFraction   float64
 	Idempotency         Idempotency
 	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow time.Duration // how long a repeat of a request that is idempotent by key is dropped
+	DeduplicationWindow time.Duration // how long repeats of a request that is idempotent by key are dropped
 }
 
 // Tenant is one of several customers that share the fleet.
@@ -71,39 +71,38 @@
 	MemoryMB float64
 }
 
-// Settings are what a router is told at its start. A duration or rate of zero means that the rule it names does not
-// apply.
+// Settings configure a Dispatcher. A duration or rate of zero disables the rule that it belongs to.
 type Settings struct {
 	Zone            string
-	Routers         int // routers that share the fleet, this one included
+	Routers         int // routers that share the fleet, including this one
 	Classes         []Class
 	Tenants         []Tenant
 	OverQuotaWeight float64 // priority weight of a request beyond its tenant's share
 	WorkerKinds     []WorkerKind
 
-	WorkersLoadOnMiss   bool // a worker that lacks a function loads it; otherwise it answers NotResident
+	WorkersLoadOnMiss   bool // a worker without the function loads it; otherwise the attempt ends as NotResident
 	LoadCommandsAllowed bool
 	CacheStatusReported bool          // responses carry a CacheStatus
 	IdleResidency       time.Duration // a copy stays loaded for this long after its last use
-	LoadRateWindow      time.Duration // span of the load rate limit; 0: no limit
+	LoadRateWindow      time.Duration // sliding window of the load rate limit; 0 means no limit
 	LoadRateBurst       float64       // load commands per window that are always allowed
-	LoadRateRatio       float64       // further load commands for each request in the window
+	LoadRateRatio       float64       // additional load commands per request in the window
 
 	LoadReports         ReportSource
 	CancelAllowed       bool
 	HealthChecksAllowed bool
-	HealthCheckCost     float64 // price of one health check per request, as a fraction of the weight offered
+	HealthCheckCost     float64 // cost of one health check per request, as a fraction of the offered priority weight
 	HedgingAllowed      bool    // two attempts of a request may be in flight at once
 	MaxAttempts         int
-	MaxRetryAfter       time.Duration // the longest Retry-After that clients follow; 0: they follow none
-	ResponseGrace       time.Duration // a final answer may come this long after the deadline
-	DrainGrace          time.Duration // attempts may start this long after a worker was reported as draining
+	MaxRetryAfter       time.Duration // the longest Retry-After that clients obey; 0 means that they obey none
+	ResponseGrace       time.Duration // a final answer may arrive this long after the deadline
+	DrainGrace          time.Duration // a worker may get attempts for this long after it was reported as draining
 
-	SlowStartShare    float64       // fraction of its capacity that a worker has, at the least, when it starts
-	SlowStartDuration time.Duration // until it has all of its capacity
+	SlowStartShare    float64       // minimum fraction of its capacity that a worker has when it starts
+	SlowStartDuration time.Duration // time from the start of a worker until it has its full capacity
 	OverloadMultiple  float64       // a starting worker fails at this multiple of its present capacity
-	OverloadWindow    time.Duration // over which that is measured
+	OverloadWindow    time.Duration // window over which the load of a starting worker is measured
 
-	SuspicionsReported      bool // ReportSuspicion actions are wanted
-	EndpointsBySubscription bool // endpoint updates come only after a SubscribeEndpoints
+	SuspicionsReported      bool // Step returns ReportSuspicion actions
+	EndpointsBySubscription bool // endpoint updates arrive only after a SubscribeEndpoints
 }
