--- a/dispatch/acceptance.go
+++ b/dispatch/acceptance.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// This file takes new requests, and decides whether one starts an attempt at once or has to wait.
+// This file accepts new requests and decides whether a request starts an attempt now or has to wait.
 
-// acceptRequest takes a new request.
+// acceptRequest records a new request and routes it.
 func (d *Dispatcher) acceptRequest(e Request) {
 	c := d.ensureClass(e.Class)
 	r := &request{
@@ -34,7 +34,8 @@
 	d.routeRequest(r)
 }
 
-// routeRequest starts an attempt, has the request wait for a load, a load report or a worker, or ends it.
+// routeRequest starts an attempt of a request, makes it wait for a lease check, a load, a load report or an
+// available worker, or ends it.
 func (d *Dispatcher) routeRequest(r *request) {
 	r.needsAttempt = true
 	if obstacle := d.attemptObstacle(r); obstacle != CauseNone {
@@ -62,7 +63,7 @@
 	}
 }
 
-// awaitLoad has a request wait for a load, or ends it if the load is too late for it.
+// awaitLoad makes a request wait for a load, or ends it if the load would end too late.
 func (d *Dispatcher) awaitLoad(r *request, p *placement) {
 	loadedAt := p.loadCommandedAt + d.expectedLoadTime(r.function)
 	if loadedAt+r.expectedRunTime()/minRunTimeDivisor >= r.deadline {
@@ -73,7 +74,8 @@
 	d.setRequestTimer(r, p.loadCommandedAt+d.loadOverdueAfter(r.function)+timerSlack)
 }
 
-// ensureClass returns a class of the settings, or one of which nothing may be assumed.
+// ensureClass returns a class. A class that the settings do not have is added as non-idempotent, without a
+// latency objective.
 func (d *Dispatcher) ensureClass(name string) *class {
 	c := d.classes[name]
 	if c == nil {
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -7,25 +7,27 @@
 	"time"
 )
 
-// This file assigns demand to workers: demand, assignment, remainingCapacity, and the rates.
+// This file measures the demand of functions and assigns it to workers: the rates, function.demand,
+// function.assignment and worker.remainingCapacity.
 
 const (
-	capacityHeadroom         = 0.2                    // epsilon of the paper: capacity beyond the demand
-	unservedCopies           = 0.1                    // copies of a function before it was served
+	capacityHeadroom         = 0.2                    // epsilon of the paper: excess of capacity over demand
+	unservedCopies           = 0.1                    // copies counted for a function never served
 	rateSmoothing            = 0.3                    // weight of the newest interval: 6 s of memory
-	minRequestsPerWorker     = 3.0                    // least that a rate covers, for each worker
-	idleFunctionTTL          = 2 * time.Minute        // without requests, a function is forgotten,
-	unservedFunctionTTL      = 10 * time.Second       // one never served sooner: names may be made up
+	minRequestsPerWorker     = 3.0                    // request rates cover this many per active worker
+	idleFunctionTTL          = 2 * time.Minute        // until a function without requests is deleted
+	unservedFunctionTTL      = 10 * time.Second       // if it was never served: clients can invent names
 	slowThreshold            = 1.0                    // slowness from which a worker is reported
 	suspectedCapacity        = 0.01                   // capacity factor of a suspected worker
-	maxSpeedFactor           = 1.5                    // most that a fast worker's capacity is raised by
-	negligible               = 1e-9                   // demand or capacity that counts as none
-	reassignInterval         = 100 * time.Millisecond // between assignments after endpoint updates,
-	immediateReassignWorkers = 128                    // except in fleets of no more workers
-	maxPassedOver            = 128                    // passed over in a row at an assignment's end
+	maxSpeedFactor           = 1.5                    // limits the capacity factor of a fast worker
+	negligible               = 1e-9                   // smaller demands and capacities count as 0
+	reassignInterval         = 100 * time.Millisecond // between assignments after updates of a large fleet
+	immediateReassignWorkers = 128                    // a fleet of more workers is large
+	maxPassedOver            = 128                    // stops an assignment: full workers in a row
 )
 
-// rebalance measures the rates of the interval that ends, forgets what is idle and assigns capacity anew.
+// rebalance measures the rates of the past interval, deletes idle functions and placements, and assigns
+// capacity.
 func (d *Dispatcher) rebalance() {
 	interval := (d.now - d.lastRebalance).Seconds()
 	d.lastRebalance = d.now
@@ -37,22 +39,22 @@
 	for _, f := range d.functionsInOrder {
 		d.expirePlacements(f)
 		if !f.served {
-			f.ranking.trim() // anyone may make up names, and each had a ranking when it was called
+			f.ranking.trim() // clients can invent any number of names, and each of them has a ranking
 		}
 	}
 	d.expireRateWindow()
 	d.assignCapacity()
 }
 
-// requestRateGain is the weight of the newest interval in the request rates. A rate from one or two requests
-// would place every function by chance, and at each router differently, so few requests are remembered for
-// longer. With enough of them a burst shows within some intervals.
+// requestRateGain returns the weight of the newest interval in the request rates. With few requests it is
+// small: rates from one or two requests would place each function at random, and differently at each
+// router. With many requests a burst changes the rates within a few intervals.
 func (d *Dispatcher) requestRateGain(interval float64) float64 {
 	remembered := minRequestsPerWorker * float64(max(len(d.activeWorkers), 1))
 	return max(min(d.requestRate*interval/remembered, rateSmoothing), 1/d.rebalanceCount)
 }
 
-// measureServedRates updates the rates of what was served.
+// measureServedRates updates the rates of served requests and of their work.
 func (d *Dispatcher) measureServedRates(interval float64) {
 	gain := max(rateSmoothing, 1/d.rebalanceCount)
 	d.workRate += gain * (d.workServed/interval - d.workRate)
@@ -71,7 +73,7 @@
 	}
 }
 
-// forgetIdleFunctions forgets the functions without requests for long.
+// forgetIdleFunctions deletes the functions that have had no request for a long time.
 func (d *Dispatcher) forgetIdleFunctions() {
 	d.functionsInOrder = slices.DeleteFunc(d.functionsInOrder, func(f *function) bool {
 		idle := d.now - f.lastRequestAt
@@ -83,10 +85,10 @@
 	})
 }
 
-// reassignAfterUpdate assigns capacity anew after an endpoint update. In a large fleet, where updates come
-// often and each concerns a small part of it, this is put off until reassignInterval has passed since the
-// last assignment. Until then workers that came get nothing, and those that are no longer active are passed
-// over.
+// reassignAfterUpdate assigns capacity after an endpoint update. In a large fleet, where updates are
+// frequent and each changes only a small part, it defers the assignment until reassignInterval has passed
+// since the last one. Until then new workers have no assigned demand, and workers that are no longer active
+// are passed over.
 func (d *Dispatcher) reassignAfterUpdate() {
 	if !d.started || d.lastRebalance >= d.now {
 		return
@@ -97,15 +99,16 @@
 	}
 }
 
-// reassignIfDue makes an assignment that was put off.
+// reassignIfDue makes a deferred assignment when it is due.
 func (d *Dispatcher) reassignIfDue() {
 	if d.assignmentStale && d.now-d.assignedAt >= reassignInterval {
 		d.assignCapacity()
 	}
 }
 
-// assignCapacity fills the workers with the functions, lightest first. The workers' capacities add up to the
-// demand and the headroom, so all of it is assigned while there is a worker that may take it.
+// assignCapacity assigns the demand of all functions to workers, starting with the least demand. The
+// capacities of the workers add up to the total demand plus the headroom, so all demand is assigned as long
+// as there are workers that may take it.
 func (d *Dispatcher) assignCapacity() {
 	d.assignedAt = d.now
 	d.assignmentStale = false
@@ -133,7 +136,7 @@
 	return total
 }
 
-// divideCapacity gives each active worker its part of the capacity.
+// divideCapacity divides a capacity among the active workers in proportion to memory and capacity factor.
 func (d *Dispatcher) divideCapacity(capacity float64) {
 	sum := 0.0
 	for _, w := range d.activeWorkers {
@@ -150,8 +153,8 @@
 }
 
 // assignWorkers assigns a function's demand to the first workers of its ranking that have capacity left. It
-// gives up where maxUnassignable workers in a row have none or have ejected the class: no more than a few
-// have any then.
+// stops after maxPassedOver workers in a row that have none or have ejected the class, because then only
+// few workers can have any.
 func (d *Dispatcher) assignWorkers(f *function) {
 	unassigned := f.demand
 	f.assignment = f.assignment[:0]
@@ -173,21 +176,21 @@
 	}
 }
 
-// capacityFactor is the fraction of its memory that counts as a worker's capacity. It moves functions away
-// from workers that are slow, overloaded by other routers, warming up or unresponsive, whatever the cause;
-// they return as responses do. False positives: a worker whose functions are slow by themselves loses
-// capacity.
+// capacityFactor returns the fraction of its memory that counts as a worker's capacity. It moves functions
+// away from workers that are slow, overloaded by other routers, warming up or unresponsive, whatever the
+// cause. The functions return as soon as responses do. False positives: a worker whose functions are slow
+// by nature loses capacity.
 func (d *Dispatcher) capacityFactor(w *worker) float64 {
 	if w.suspected && !d.majoritySuspected() {
 		return suspectedCapacity
 	}
 	if w.loadExcess == 0 && w.slowness == 0 {
-		return d.slowStartFraction(w) // most workers of a large fleet: this router has not heard from them
+		return d.slowStartFraction(w) // most workers of a large fleet have sent this router no response yet
 	}
 	return math.Exp(-w.loadExcess) * min(math.Exp(-w.slowness), maxSpeedFactor) * d.slowStartFraction(w)
 }
 
-// expirePlacements drops the placements of f that no longer tell anything.
+// expirePlacements deletes the placements of f that hold no information any more.
 func (d *Dispatcher) expirePlacements(f *function) {
 	for w, p := range f.placements {
 		if d.isExpired(p) {
@@ -196,7 +199,7 @@
 	}
 }
 
-// isExpired reports whether a placement tells no more than none would.
+// isExpired reports whether a placement holds no more information than a missing one.
 func (d *Dispatcher) isExpired(p *placement) bool {
 	inUse := p.inFlight > 0 || p.loadCommandedAt > 0 || len(p.awaitingLoad) > 0
 	backingOff := p.loadFailures > 0 && d.now < p.loadBackoffUntil+idleFunctionTTL
--- a/dispatch/attemptrules.go
+++ b/dispatch/attemptrules.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// This file holds the rules that every attempt has to satisfy.
+// This file contains the rules that every attempt has to satisfy.
 
-// minRunTimeDivisor: no attempt is started with less than this part of its expected run time left.
+// minRunTimeDivisor defines the minimum time until the deadline with which an attempt is started: the
+// expected run time divided by this.
 const minRunTimeDivisor = 2
 
-// admitAttempt reports whether the rules let a request go to a worker now. It brings the token bucket of a
-// worker in slow start up to date.
+// admitAttempt reports whether the rules allow an attempt of a request at a worker now. It refills the
+// token bucket of a worker in slow start.
 func (d *Dispatcher) admitAttempt(r *request, w *worker) bool {
 	if !d.mayGetAttempt(r) || w.State != EndpointActive {
 		return false
@@ -25,7 +26,7 @@
 	return d.slowStartAllowsAttempt(w)
 }
 
-// mayGetAttempt reports whether a request may get a further attempt at some worker.
+// mayGetAttempt reports whether a request may get another attempt, at any worker.
 func (d *Dispatcher) mayGetAttempt(r *request) bool {
 	if r.done || r.streaming != nil {
 		return false
@@ -33,7 +34,7 @@
 	return d.now < r.deadline && len(r.attempts) < d.settings.MaxAttempts
 }
 
-// repeatAllowed reports whether a request whose attempt a may have run may run again on w.
+// repeatAllowed reports whether a request may run again on w after an attempt that may have run.
 func (d *Dispatcher) repeatAllowed(r *request, a *attempt, w *worker) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
@@ -47,9 +48,9 @@
 	return false
 }
 
-// attemptObstacle returns what keeps a request from a further attempt, CauseNone if nothing does: it has
-// had its attempts, it can't be served before its deadline, the retry budget is used up, or an earlier
-// attempt may have run and no worker may repeat it.
+// attemptObstacle returns why a request may not get another attempt, or CauseNone if it may. The reasons:
+// its attempts are used up, it can't be served before its deadline, the retry budget is used up, or an
+// earlier attempt may have run and no worker may repeat it.
 func (d *Dispatcher) attemptObstacle(r *request) EndCause {
 	switch {
 	case r.streaming != nil || len(r.attempts) >= d.settings.MaxAttempts:
@@ -70,15 +71,15 @@
 }
 
 // isOverRetryBudget reports whether the next attempt of a request would be a retry that the budget does not
-// allow. The budget grows with responses, so what many workers reject at once, in an overload, for want of
-// memory or because the store stands still, is not multiplied by retries. False positives: a few workers that
-// reject much use up the budget of the others.
+// allow. The budget grows only with responses. So retries do not multiply the load when many workers reject
+// requests at the same time because of an overload, a lack of memory or a stalled store. False positives: a
+// few workers that reject many requests use up the budget for all.
 func (d *Dispatcher) isOverRetryBudget(r *request) bool {
 	n := len(r.attempts)
 	return n > 0 && r.attempts[n-1].failed && d.retryBudget < 1
 }
 
-// mayRepeatOnAnyWorker reports whether any worker may take a request that may have run.
+// mayRepeatOnAnyWorker reports whether at least one worker may repeat a request that may have run.
 func (d *Dispatcher) mayRepeatOnAnyWorker(r *request) bool {
 	return slices.ContainsFunc(d.activeWorkers, func(w *worker) bool { return d.admitAttempt(r, w) })
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -41,11 +41,11 @@
 	return a
 }
 
-// handleResponseStarted takes the start of a streamed response. The client has a part of it, so nothing more is
-// started for the request, it is not rejected, and only its deadline ends it, with a FailRequest. The length
-// of the stream tells nothing of the worker's health, as its reader may be slow: the attempt raises no
-// suspicion. It counts against the concurrency limits only until it would be overdue, or slow readers would
-// use them up.
+// handleResponseStarted takes the start of a streamed response. The client has a part of it, so nothing
+// more is started for the request, it is not rejected, and only its deadline ends it, with a FailRequest.
+// The length of the stream tells nothing of the worker's health, as its reader may be slow: the attempt
+// raises no suspicion. It counts against the concurrency limits only until it would be overdue, or slow
+// readers would use them up.
 func (d *Dispatcher) handleResponseStarted(e ResponseStarted) {
 	a := d.attemptInFlight(e.ID, e.Attempt)
 	if a == nil || a.request.done || a.request.streaming != nil {
@@ -60,8 +60,8 @@
 	a.worker.removeAttempt(a)
 }
 
-// handleAttemptEnded takes the end of an attempt: first what it says of the worker, then what it means for the
-// request.
+// handleAttemptEnded takes the end of an attempt: first what it says of the worker, then what it means for
+// the request.
 func (d *Dispatcher) handleAttemptEnded(e AttemptEnded) {
 	a := d.attemptInFlight(e.ID, e.Attempt)
 	if a == nil {
@@ -103,7 +103,8 @@
 	d.recordResult(a, e, classFault)
 }
 
-// recordResult learns from the result of an attempt, and from what its response tells of the function's copy.
+// recordResult learns from the result of an attempt, and from what its response tells of the function's
+// copy.
 func (d *Dispatcher) recordResult(a *attempt, e AttemptEnded, classFault bool) {
 	w := a.worker
 	p := a.request.function.ensurePlacement(w)
@@ -127,7 +128,8 @@
 		d.recordContactLoss(w)
 		d.suspect(w)
 	case Errored, TimedOut, Cancelled, NotSent:
-		// An error counts in isClassFault, a timeout in countTimeout; the others tell nothing of the worker.
+		// An error counts in isClassFault, a timeout in countTimeout; the others tell nothing of the
+		// worker.
 	}
 	if e.CacheStatus == CacheLoadFailed {
 		d.backOffLoads(p)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// This file holds a Dispatcher's life: its start, its step and its timer.
+// This file creates a Dispatcher, passes events to their handlers and sets the timer.
 
 const (
 	rebalanceInterval = 2 * time.Second  // short enough to follow a burst
-	timerSlack        = time.Millisecond // timers are this exact
+	timerSlack        = time.Millisecond // precision of timers: the caller may round them down
 )
 
-// New returns a Dispatcher with no knowledge but its settings. All its random draws follow from seed.
+// New returns a Dispatcher for a router that knows no worker yet. Its random numbers are derived from seed.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	switch {
 	case len(s.Classes) == 0:
@@ -51,7 +51,7 @@
 	return d, nil
 }
 
-// Step takes the events up to now and returns what to do about them.
+// Step handles the events that arrived up to now and returns the actions that the caller has to execute.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
 	lastStep := d.now
 	d.now = max(now, d.now)
@@ -80,7 +80,7 @@
 	return d.actions
 }
 
-// handleEvent passes an event to the method that decides on it.
+// handleEvent passes an event to its handler.
 func (d *Dispatcher) handleEvent(e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
@@ -116,7 +116,7 @@
 	}
 }
 
-// shutDown brings the deadlines of all requests forward.
+// shutDown moves the deadlines of all open requests forward.
 func (d *Dispatcher) shutDown(e ShutdownStarted) {
 	for _, id := range slices.Sorted(maps.Keys(d.requests)) {
 		r := d.requests[id]
@@ -125,14 +125,15 @@
 	}
 }
 
-// handleTimerFired notes that no timer is in force, if the one set is due: callers may round it down.
+// handleTimerFired records that no timer is set any more, unless the event came too early for the timer
+// that is set. Callers may round a timer down.
 func (d *Dispatcher) handleTimerFired() {
 	if d.now > d.timerDue-timerSlack {
 		d.timerDue = 0
 	}
 }
 
-// setTimer asks for the next Step, unless the timer in force comes early enough.
+// setTimer requests a timer for the next Step, unless the one that is set fires early enough.
 func (d *Dispatcher) setTimer() {
 	next := min(d.lastRebalance+rebalanceInterval, d.now+d.maxStepInterval())
 	if at, ok := d.timers.next(); ok {
@@ -147,5 +148,5 @@
 	}
 }
 
-// emit adds an action to those of the Step under way.
+// emit appends an action to the result of the current Step.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -44,8 +44,8 @@
 
 // countTimeout counts an attempt that is overdue at a worker which has responded to others since, or sets a
 // timer to look again. Several such attempts in a row eject their class: the worker hangs for this class
-// only, which updateSuspicion does not see. False positives: a class whose requests run far longer than their
-// expected work is ejected too early.
+// only, which updateSuspicion does not see. False positives: a class whose requests run far longer than
+// their expected work is ejected too early.
 func (d *Dispatcher) countTimeout(a *attempt) {
 	w := a.worker
 	r := a.request
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// This file follows the endpoint list: Dispatcher.workers, activeWorkers and removedWorkers.
+// This file keeps Dispatcher.workers, activeWorkers and removedWorkers up to date with the endpoint list.
 
-// updateEndpoints takes a snapshot or a change of the endpoint list.
+// updateEndpoints applies a snapshot or a change of the endpoint list.
 func (d *Dispatcher) updateEndpoints(update EndpointUpdate) {
 	if update.SubscriptionLost {
 		d.subscribe()
@@ -25,7 +25,8 @@
 	d.reassignAfterUpdate()
 }
 
-// updateEndpoint takes one line of the list. A worker with a new start holds no function and is warming up.
+// updateEndpoint applies one entry of the endpoint list. A restarted worker holds no function and is
+// warming up.
 func (d *Dispatcher) updateEndpoint(e Endpoint) {
 	w := d.workers[e.ID]
 	if w == nil {
@@ -45,7 +46,7 @@
 	}
 }
 
-// markUnlistedRemoved marks the workers as removed that the snapshot under way does not list.
+// markUnlistedRemoved marks the workers that the current snapshot does not list as removed.
 func (d *Dispatcher) markUnlistedRemoved() {
 	for _, w := range d.workers {
 		if w.listedInUpdate != d.endpointUpdateCount {
@@ -55,8 +56,9 @@
 	}
 }
 
-// forgetRemovedWorkers forgets the removed workers without attempts in flight, and lets go the requests that
-// waited for one. It bounds the state in a fleet whose workers are replaced all day by others under new ids.
+// forgetRemovedWorkers deletes the removed workers that have no attempt in flight and requeues the requests
+// that waited for them. This bounds the state in a fleet whose workers are continually replaced by new ones
+// with other ids.
 func (d *Dispatcher) forgetRemovedWorkers() {
 	var forgotten []*worker
 	for _, id := range slices.Sorted(maps.Keys(d.removedWorkers)) {
@@ -67,7 +69,7 @@
 	d.forgetWorkers(forgotten)
 }
 
-// subscribe asks for endpoint updates where they don't come by themselves.
+// subscribe requests endpoint updates, if the settings require a subscription.
 func (d *Dispatcher) subscribe() {
 	if d.settings.EndpointsBySubscription {
 		d.emit(SubscribeEndpoints{})
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -110,7 +110,7 @@
 	Worker           string
 	Result           Result
 	Duration         time.Duration
-	Final            bool // the attempt's response is the final answer of the request
+	Final            bool // the request has its final answer
 	CacheStatus      CacheStatus
 	FunctionInFlight int // requests of the function that the worker held; -1 means unknown
 	LoadReport       LoadReport
@@ -172,7 +172,7 @@
 	SuspectedWorkers []string // workers that did not answer a health check of this router either
 }
 
-// ShutdownStarted reports that this router shuts down. Each request gets its final answer within AnswerWithin from now.
+// ShutdownStarted reports that this router shuts down. Each open request gets its final answer within AnswerWithin.
 type ShutdownStarted struct{ AnswerWithin time.Duration }
 
 // TimerFired reports that the timer of the last SetTimer has expired.
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -25,8 +25,8 @@
 }
 
 // phi is how unlikely the silence of a worker is, as in an accrual failure detector: the time that each of
-// its attempts has waited since it was last heard, in units of the attempt's expected time. A silence that a
-// usual stall explains counts as 0.
+// its attempts has waited since it was last heard, in units of the attempt's expected time. A silence that
+// a usual stall explains counts as 0.
 func (d *Dispatcher) phi(w *worker) float64 {
 	if len(w.attempts) == 0 || d.now-max(w.lastResponseAt, w.attempts[0].startedAt) <= minSilence {
 		return 0
@@ -39,9 +39,9 @@
 	return phi
 }
 
-// majoritySuspected reports whether more than half of the fleet looks unresponsive. The fault is then in the
-// store, the endpoint list or this router's own network, and passing these workers over would only overload
-// the others.
+// majoritySuspected reports whether more than half of the fleet looks unresponsive. The fault is then in
+// the store, the endpoint list or this router's own network, and passing these workers over would only
+// overload the others.
 func (d *Dispatcher) majoritySuspected() bool {
 	return 2*d.suspectedCount > len(d.activeWorkers)
 }
--- a/dispatch/leasechecks.go
+++ b/dispatch/leasechecks.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// This file has workers without a lease checked for the requests that could go there: workerLease.awaiting.
+// This file sends health checks to workers without a lease. The requests that could go to a worker wait for
+// its check in workerLease.awaiting.
 
 const (
-	// leaseCheckInterval is the time between health checks of a worker for its lease, if the first was not
-	// answered.
+	// leaseCheckInterval is the time between health checks of a worker if the first did not renew its
+	// lease.
 	leaseCheckInterval = 100 * time.Millisecond
-	// leaseCheckTimeoutDivisor: a request waits for this part of its remaining time for one worker's health check,
-	// then another is checked.
+	// leaseCheckTimeoutDivisor limits how long a request waits for the health check of one worker: at most
+	// the time from its arrival to its deadline, divided by this. Then another worker is checked.
 	leaseCheckTimeoutDivisor = 4
 )
 
-// mayCheckLease reports whether a health check may renew the lease of a worker for a request now, or one is
-// under way that is not overdue for the request. Workers that are unlikely to serve the request are not
-// checked for it.
+// mayCheckLease reports whether a request may wait for a health check that renews the lease of a worker: a
+// new check, or one in flight that is not overdue for the request. Workers that are unlikely to serve the
+// request are not checked for it.
 func (d *Dispatcher) mayCheckLease(r *request, w *worker) bool {
 	unresponsive := w.suspected && !d.majoritySuspected()
 	unlikelyToServe := unresponsive || r.failedOn(w) || d.now < w.ejections[r.class].until
@@ -36,13 +37,13 @@
 	}
 }
 
-// leaseCheckTimeout is how long a request waits for the health check of one worker.
+// leaseCheckTimeout returns how long a request waits for the health check of one worker.
 func (d *Dispatcher) leaseCheckTimeout(r *request) time.Duration {
 	return min(pendingBackoff, (r.deadline-r.acceptedAt)/leaseCheckTimeoutDivisor)
 }
 
-// awaitLease has a request wait until a health check has renewed the lease of a worker. One check serves
-// all requests that wait for it.
+// awaitLease makes a request wait for a health check that renews the lease of a worker. All requests that
+// wait for the same worker share one check.
 func (d *Dispatcher) awaitLease(r *request, w *worker) {
 	if !w.lease.checkInFlight {
 		w.lease.checkInFlight = true
@@ -53,8 +54,8 @@
 	d.setRequestTimer(r, d.now+d.leaseCheckTimeout(r))
 }
 
-// recordLeaseCheck takes the result of a health check of a worker and lets go the requests that waited for it.
-// A check counts from when it was sent.
+// recordLeaseCheck applies the result of a health check to the lease of a worker and requeues the requests
+// that waited for it. A renewed lease starts when the check was sent.
 func (d *Dispatcher) recordLeaseCheck(w *worker, e HealthChecked) {
 	d.pending = append(d.pending, w.lease.awaiting...)
 	w.lease.awaiting = nil
@@ -74,15 +75,15 @@
 }
 
 // suspectIfListOutdated suspects a worker that did not answer a health check, unless the endpoint list is
-// believed: then the ends of its attempts tell.
+// current. In that case the results of its attempts show whether it responds.
 func (d *Dispatcher) suspectIfListOutdated(w *worker) {
 	if !d.listIsCurrent() {
 		d.suspect(w)
 	}
 }
 
-// hasNoUsableWorker reports whether nothing can be sent to any worker until the endpoint list is back: it is not
-// believed, no worker holds a lease, and health checks are not allowed.
+// hasNoUsableWorker reports whether no worker may get an attempt until the endpoint list is current again:
+// it is out of date, no worker holds a lease, and health checks are not allowed.
 func (d *Dispatcher) hasNoUsableWorker() bool {
 	if d.settings.HealthChecksAllowed || d.listIsCurrent() {
 		return false
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// This file decides which workers may get something new: worker.lease.
+// This file decides which workers may get attempts and load commands, by their worker.lease.
 //
 // A worker may get an attempt or a load command only while it holds a lease. The endpoint list gives a
-// lease to all of its active workers, for as long as a drain that it does not show yet can't have been
-// notified for longer than the drain grace. Beyond that, a worker holds a lease for the drain grace after
-// the newest moment at which it is known not to have drained: that of an attempt which it served, or of a
-// health check that it answered as ready.
+// lease to all of its active workers. This lease ends when a drain that the list does not show yet might
+// have been notified for longer than the drain grace. Independently of the list, a worker holds a lease for
+// the drain grace after the last time at which it is known not to have drained: the start of an attempt
+// that it served, or the sending of a health check that it answered as ready.
 
 const (
-	// minDrainGrace and leaseMargin: a lease ends so much before the drain grace does, which leaves time
-	// for the send, and where the settings give hardly any grace there is a lease nevertheless, within the
-	// 50 ms of allowance that the platform has for each time limit.
+	// minDrainGrace is the shortest drain grace that leases are based on. The platform tolerates 50 ms
+	// beyond each of its time limits, so workers get a lease even if the settings allow less.
 	minDrainGrace = 50 * time.Millisecond
-	leaseMargin   = 25 * time.Millisecond
-	// minSendWindow is the least time that a send has for its first byte while the endpoint list is
-	// believed: a connection may have to be made first.
+	// leaseMargin is the time from the end of a lease to the end of the drain grace, for the send.
+	leaseMargin = 25 * time.Millisecond
+	// minSendWindow is the shortest time limit for the first byte of a send while the endpoint list is
+	// current: the router may have to open a connection first.
 	minSendWindow = 200 * time.Millisecond
 )
 
-// leaseDuration is how long a worker may get something new after it was known not to drain.
+// leaseDuration returns the length of a lease, from the time at which the worker was known not to drain.
 func (d *Dispatcher) leaseDuration() time.Duration {
 	return max(d.settings.DrainGrace, minDrainGrace) - leaseMargin
 }
 
-// leaseEnd is when the lease of a worker ends.
+// leaseEnd returns the time at which the lease of a worker ends.
 func (d *Dispatcher) leaseEnd(w *worker) time.Duration {
 	end := d.listLeaseEnd()
 	if w.lease.knownActiveAt > w.lease.lostContactAt {
@@ -35,12 +35,12 @@
 	return end
 }
 
-// holdsLease reports whether a worker may get something new now.
+// holdsLease reports whether a worker may get an attempt or a load command now.
 func (d *Dispatcher) holdsLease(w *worker) bool { return d.now < d.leaseEnd(w) }
 
-// sendBefore is the time before which the first byte of what is sent to a worker now has to be written; 0:
-// there is none. A send that is delayed beyond the drain grace is decided anew: the list may have changed
-// meanwhile.
+// sendBefore returns the time before which the first byte of an attempt or load command that is sent to a
+// worker now has to be written; 0 means no limit. If a send is delayed beyond the drain grace, the request
+// is routed again, because the endpoint list may have changed.
 func (d *Dispatcher) sendBefore(w *worker) time.Duration {
 	if !d.list.tracked {
 		return 0
@@ -48,29 +48,31 @@
 	return min(d.leaseEnd(w), d.now+max(d.leaseDuration(), minSendWindow))
 }
 
-// renewLease notes that a worker is known not to have drained at a time.
+// renewLease records that a worker is known not to have drained at a time.
 func (d *Dispatcher) renewLease(w *worker, at time.Duration) {
 	w.lease.knownActiveAt = max(w.lease.knownActiveAt, at)
 	d.handlePossibleRestart(w)
 }
 
-// endLease has a worker checked before it gets anything new, unless the endpoint list is believed. It is
-// called when the worker rejects something, which may mean that it drains.
+// endLease ends the lease of a worker, unless the endpoint list is current, so that a health check has to
+// renew it. It is called when the worker rejects an attempt or a load command, which may mean that it
+// drains.
 func (d *Dispatcher) endLease(w *worker) {
 	if !d.listIsCurrent() {
 		w.lease.knownActiveAt = 0
 	}
 }
 
-// recordContactLoss notes that a worker may have ended: a connection to it failed, or it said that it drains.
+// recordContactLoss records that a worker may have stopped: a connection to it failed, or it reported that
+// it drains.
 func (d *Dispatcher) recordContactLoss(w *worker) {
 	w.lease.lostContactAt = d.now
 }
 
-// handlePossibleRestart has a worker go through slow start if the router lost contact with it, it is back, and the
-// endpoint list can't tell whether it was restarted meanwhile. The list corrects the start when it changes.
-// False positives: a worker that only lost its connections, or ended a drain without a restart, gets less
-// for a while.
+// handlePossibleRestart starts the slow start of a worker that responds again after a loss of contact, if
+// the endpoint list is too old to show whether the worker was restarted. The next update of the list
+// corrects the start time. False positives: a worker that only lost its connections, or ended a drain
+// without a restart, gets less work until its slow start ends.
 func (d *Dispatcher) handlePossibleRestart(w *worker) {
 	isBack := w.lease.knownActiveAt > w.lease.lostContactAt
 	lostSinceConfirmed := w.lease.lostContactAt > d.list.confirmedAt
@@ -78,7 +80,7 @@
 		return
 	}
 	d.requeueWaiting(w)
-	activeAt := w.lease.knownActiveAt
+	knownActiveAt := w.lease.knownActiveAt
 	endpoint := w.Endpoint
 	endpoint.StartedAt = d.now
 	memoryMB := w.memoryMB
@@ -87,7 +89,7 @@
 	w.Endpoint = endpoint
 	w.memoryMB = memoryMB
 	w.listedInUpdate = listedIn
-	w.lease.knownActiveAt = activeAt
+	w.lease.knownActiveAt = knownActiveAt
 	w.warmingUp = d.settings.SlowStartDuration > 0
 	d.resetSlowStartTokens(w)
 	d.recountSuspectedWorkers()
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -22,8 +22,8 @@
 	return &worker{concurrencyLimit: initialLimit / float64(d.settings.Routers)}
 }
 
-// atConcurrencyLimit reports whether w, or the fleet, has as many attempts of this router in flight as it may
-// have.
+// atConcurrencyLimit reports whether w, or the fleet, has as many attempts of this router in flight as it
+// may have.
 func (d *Dispatcher) atConcurrencyLimit(w *worker) bool {
 	return w.inFlight >= max(w.concurrencyLimit, 1) || d.inFlight >= max(d.fleetLimit*d.fleetShare, 1)
 }
@@ -36,11 +36,11 @@
 	}
 }
 
-// adjustFleetLimit adapts the limit of what this router has in flight. Each of many routers has less than one
-// attempt in flight at a worker, so one limit holds for all workers. It shrinks when a request that is light
-// by its expected work gets no response, or a later one than a load explains. Attempts at copies not known to
-// be loaded count by the chance that they are. False positives: a few workers that make many responses late
-// lower the limit of all.
+// adjustFleetLimit adapts the limit of what this router has in flight. Each of many routers has less than
+// one attempt in flight at a worker, so one limit holds for all workers. It shrinks when a request that is
+// light by its expected work gets no response, or a later one than a load explains. Attempts at copies not
+// known to be loaded count by the chance that they are. False positives: a few workers that make many
+// responses late lower the limit of all.
 func (d *Dispatcher) adjustFleetLimit(r *request, e AttemptEnded, weight float64) {
 	late := e.Duration > r.class.LatencyObjective
 	if late && d.settings.WorkersLoadOnMiss {
--- a/dispatch/listfreshness.go
+++ b/dispatch/listfreshness.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// This file decides how long the endpoint list is believed after it was last confirmed: Dispatcher.list.
-// Where a caller does not report on the list at all, it is always believed.
+// This file decides how long the endpoint list counts as current after its last confirmation, in
+// Dispatcher.list. If the caller never confirms the list, it is always current.
 
 const (
-	// lossNotificationDelay is how long after the endpoint list was lost what it would have shown counts as
-	// notified (the platform's protocol: 2 s after a break; its other clocks are later, or run out when the
-	// list is asked for again).
+	// lossNotificationDelay is the time after the loss of the endpoint list at which the platform counts a
+	// change that the router did not receive as notified. The platform's protocol says 2 s after a broken
+	// connection. Its other deadlines are later, or expire when the list is requested again.
 	lossNotificationDelay = 2 * time.Second
 	// minPause is the shortest time without a Step that counts as a pause of the process.
 	minPause = 150 * time.Millisecond
-	// maxListRequests bounds the questions that are remembered. Answers are no later than some seconds, and
-	// questions no more frequent than their backoff.
+	// maxListRequests bounds the stored times of unanswered list requests. Answers take a few seconds at
+	// most, and requests are no more frequent than their backoff.
 	maxListRequests = 16
 	forever         = time.Duration(math.MaxInt64)
 )
 
-// listLeaseEnd is when the lease ends that the endpoint list gives to its active workers. What the list did
-// not show counts as notified when the list has been lost for lossNotifiedAfter, or as soon as it is asked
-// for again. If the process was paused, a change may have been notified at any time since the list was
-// confirmed.
+// listLeaseEnd returns the end of the lease that the endpoint list gives to its active workers. A change
+// that the router did not receive counts as notified lossNotificationDelay after the loss of the list, or
+// when the list is requested again. If the process was paused, the change may have been notified at any
+// time since the list was confirmed.
 func (d *Dispatcher) listLeaseEnd() time.Duration {
 	list := &d.list
 	if !list.tracked {
@@ -41,12 +41,12 @@
 	return notifiedAt + d.leaseDuration()
 }
 
-// listIsCurrent reports whether the endpoint list is believed.
+// listIsCurrent reports whether the endpoint list is recent enough to rely on.
 func (d *Dispatcher) listIsCurrent() bool { return d.now < d.listLeaseEnd() }
 
-// confirmList notes that the endpoint list was complete at a time. The questions until then are answered by
-// that. Where the settings give no drain grace there is no rule on drains to keep, and the list is always
-// believed.
+// confirmList records that the endpoint list was complete at a time, which answers all requests for the
+// list up to that time. If the settings have no drain grace, no rule on drains applies and the list is
+// always current.
 func (d *Dispatcher) confirmList(e EndpointListConfirmed) {
 	d.list.tracked = d.settings.DrainGrace > 0
 	d.list.confirmedAt = max(d.list.confirmedAt, min(e.At, d.now))
@@ -54,8 +54,8 @@
 	d.list.requestedAt = slices.DeleteFunc(d.list.requestedAt, isAnswered)
 }
 
-// recordListRequest notes that the endpoint list is asked for again. Answers may come late and confirm the list
-// for a time before some of these questions, so the first and the newest ones are kept.
+// recordListRequest records a request for the endpoint list. A late answer may confirm the list for a time
+// before some of the requests, so the first request and the newest ones are kept.
 func (d *Dispatcher) recordListRequest(e EndpointListRequested) {
 	list := &d.list
 	if len(list.requestedAt) == maxListRequests {
@@ -64,19 +64,19 @@
 	list.requestedAt = append(list.requestedAt, e.At)
 }
 
-// detectPause notes when the process did not run for a while. Whatever the list has shown since it was
-// confirmed may then wait to be read. Steps come often enough, see maxStepInterval.
+// detectPause records that the process was paused. Changes of the endpoint list since its last confirmation
+// may then still be unread. Without a pause, Step is called at least every maxStepInterval.
 func (d *Dispatcher) detectPause(lastStep time.Duration) {
 	if d.list.tracked && d.now-lastStep > d.pauseThreshold() {
 		d.list.pausedUntil = d.now
 	}
 }
 
-// pauseThreshold is the time without a Step that counts as a pause of the process. A shorter one delays the
-// news of a drain by less than the drain grace.
+// pauseThreshold returns the time without a Step that counts as a pause of the process. A shorter pause
+// delays the notification of a drain by less than the drain grace.
 func (d *Dispatcher) pauseThreshold() time.Duration { return max(d.leaseDuration()/2, minPause) }
 
-// maxStepInterval is the longest time between two Steps without an event.
+// maxStepInterval returns the longest time between two Steps without an event.
 func (d *Dispatcher) maxStepInterval() time.Duration {
 	if !d.list.tracked {
 		return rebalanceInterval
@@ -84,9 +84,9 @@
 	return d.pauseThreshold() / 2
 }
 
-// updateListState reports when the endpoint list is no longer believed, and when it is again. At the
-// beginning of such a time, the workers that the router had lost contact with may have been restarted since
-// the list was confirmed.
+// updateListState reports when the endpoint list goes out of date and when it is current again. When it
+// goes out of date, workers that the router had lost contact with may have been restarted since the list
+// was confirmed.
 func (d *Dispatcher) updateListState() {
 	current := d.listIsCurrent()
 	if current != d.list.expired {
--- a/dispatch/loading.go
+++ b/dispatch/loading.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// This file sends load commands under their rate limit: placement, requestTimes, loadCommandTimes.
+// This file sends load commands within their rate limit: placement, requestTimes and loadCommandTimes.
 
 const (
-	defaultLoadTime  = 800 * time.Millisecond // before any load time is known
-	maxLoadsInFlight = 4                      // own load commands in flight at one worker
-	loadBackoff      = 500 * time.Millisecond // first backoff after a failed load
-	prefetchRatio    = 0.5                    // of the rate limit, for loads that nobody waits for
-	minMeasuredLoad  = 20 * time.Millisecond  // a quicker result came from a copy that was loaded already
+	defaultLoadTime   = 800 * time.Millisecond // before any load time is known
+	maxLoadsInFlight  = 4                      // load commands of this router in flight at one worker
+	loadBackoff       = 500 * time.Millisecond // first backoff after a failed load
+	extraCopyFraction = 0.5                    // of the load rate limit, for loads while the copies are busy
+	minMeasuredLoad   = 20 * time.Millisecond  // a quicker result means that a copy was already loaded
 )
 
-// expectedLoadTime is how long a load of f should take.
+// expectedLoadTime returns how long a load of f should take.
 func (d *Dispatcher) expectedLoadTime(f *function) time.Duration {
 	if f.loadTime > 0 {
 		return f.loadTime
@@ -23,26 +23,26 @@
 	return seconds(math.Exp(d.logLoadTime))
 }
 
-// loadOverdueAfter is how long a load command may take, also from an overloaded store.
+// loadOverdueAfter returns how long a load command may take. It allows for an overloaded store.
 func (d *Dispatcher) loadOverdueAfter(f *function) time.Duration {
 	return overdueMultiple*d.expectedLoadTime(f) + 2*overdueMargin
 }
 
-// loadOverdue reports whether a load command should long have had its result.
+// loadOverdue reports whether the load command in flight has taken longer than loadOverdueAfter.
 func (d *Dispatcher) loadOverdue(f *function, p placement) bool {
 	return p.loadCommandedAt > 0 && d.now-p.loadCommandedAt > d.loadOverdueAfter(f)
 }
 
-// loadInProgress reports whether w will hold f when its load command in flight has its result.
+// loadInProgress reports whether w does not hold f yet, but a load command in flight should change that.
 func (d *Dispatcher) loadInProgress(f *function, w *worker) bool {
 	p := f.placementOn(w)
 	return p.loadCommandedAt > 0 && d.now >= p.residentUntil && !d.loadOverdue(f, p)
 }
 
 // commandLoad sends a load command, unless one is in flight, and reports whether a load is in progress. It
-// keeps to the backoff after a failed load, to the bound of commands in flight and to the given fraction of
-// the rate limit, and sends none to a worker that is not active or holds no lease. There is no other way to
-// send a load command.
+// respects the backoff after a failed load, the limit of loads in flight and the given fraction of the rate
+// limit. It sends nothing to a worker that is not active or holds no lease. All load commands are sent
+// here.
 func (d *Dispatcher) commandLoad(f *function, w *worker, limitFraction float64, cause LoadCause) bool {
 	if f.placementOn(w).loadCommandedAt > 0 {
 		return true
@@ -60,8 +60,8 @@
 	return true
 }
 
-// takeLoadPermit counts a load command against the rate limit and reports whether it is within the fraction
-// given.
+// takeLoadPermit reports whether another load command is within the given fraction of the rate limit, and
+// counts it if so.
 func (d *Dispatcher) takeLoadPermit(limitFraction float64) bool {
 	if d.settings.LoadRateWindow == 0 {
 		return true
@@ -75,7 +75,7 @@
 	return true
 }
 
-// expireRateWindow drops what lies before the sliding window of the rate limit.
+// expireRateWindow drops the times that lie before the sliding window of the rate limit.
 func (d *Dispatcher) expireRateWindow() {
 	from := d.now - d.settings.LoadRateWindow
 	for len(d.requestTimes) > 0 && d.requestTimes[0] <= from {
@@ -86,7 +86,7 @@
 	}
 }
 
-// handleFunctionLoaded takes the result of a load command and lets go the requests that waited for it.
+// handleFunctionLoaded records the result of a load command and requeues the requests that waited for it.
 func (d *Dispatcher) handleFunctionLoaded(e FunctionLoaded) {
 	w := d.workers[e.Worker]
 	f := d.functions[e.Function]
@@ -97,7 +97,7 @@
 		d.endLease(w)
 	}
 	if w == nil || f == nil || f.placementOn(w).loadCommandedAt == 0 {
-		return // forgotten, or commanded before the worker was restarted
+		return // the worker or function was deleted, or the worker was restarted after the command
 	}
 	p := f.ensurePlacement(w)
 	w.loadsInFlight = max(w.loadsInFlight-1, 0)
@@ -115,8 +115,8 @@
 	p.awaitingLoad = nil
 }
 
-// backOffLoads holds back load commands from a placement after a failed load, so that an overloaded store or
-// worker is not flooded.
+// backOffLoads stops load commands for a placement for a while after a failed load, to protect an
+// overloaded store or worker.
 func (d *Dispatcher) backOffLoads(p *placement) {
 	p.residentUntil = 0
 	p.loadBackoffUntil = d.now + d.backoffWithJitter(loadBackoff, p.loadFailures)
--- a/dispatch/loadreports.go
+++ b/dispatch/loadreports.go
@@ -19,8 +19,8 @@
 
 // recordLoadReport takes a worker's report of the requests that it holds. It lowers the share of a worker
 // that reports more than the others, also where this router hears from each only once in many seconds: a
-// report counts by the time since the last one, and its noise averages out over the routers. False positives:
-// a worker whose requests run long reports many although it is not overloaded.
+// report counts by the time since the last one, and its noise averages out over the routers. False
+// positives: a worker whose requests run long reports many although it is not overloaded.
 func (d *Dispatcher) recordLoadReport(w *worker, inFlight float64) {
 	gain := loadReportWeight * (1 - math.Exp(-float64(d.now-w.reportedAt)/float64(loadReportSpan)))
 	deviation := math.Log((inFlight + 1) / (d.meanReportedInFlight + 1))
--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -8,22 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file ranks the active workers for each function by rendezvous hashing, the same way at every router.
+// This file ranks the active workers for each function by rendezvous hashing. All routers compute the same
+// rankings.
 
 const (
-	initialRankPrefix = maxRankedCandidates * 5 / 4 // workers that a ranking holds at first, on average
-	minRankPrefix     = 32                          // what is left, at the least, of one that is cut
-	rankPrefixGrowth  = 4                           // factor by which it grows when more are asked for
-	rankPrefixExcess  = 2                           // a longer one than this multiple of a new one is cut
+	initialRankPrefix = maxRankedCandidates * 5 / 4 // average length of a new ranking
+	minRankPrefix     = 32                          // minimum length of a trimmed ranking
+	rankPrefixGrowth  = 4                           // a ranking grows to this multiple of the index needed
+	rankPrefixExcess  = 2                           // trimmed if longer than this multiple of the new length
 )
 
-// ranking is the beginning of the order in which a function prefers the active workers: all those whose score
-// is at least minScore. As scores are spread evenly, it holds a known part of a fleet of any size, and a
-// change of the fleet concerns it only by the workers that changed.
+// ranking is a prefix of a function's rendezvous ranking: all active workers whose score is at least
+// minScore. As scores are evenly distributed, minScore determines which part of a fleet of any size the
+// ranking holds. After a change of the fleet only the workers that changed have to be inserted or removed.
 type ranking struct {
 	entries  []rankedWorker // by descending score, then by id
 	minScore uint64
-	used     int  // entries that were asked for since the last trim
+	used     int  // number of entries that were needed since the last trim
 	built    bool // entries and minScore are set
 }
 
@@ -37,7 +38,7 @@
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
-// rendezvousScore is the score of a worker for a function.
+// rendezvousScore returns the score of a worker for a function.
 func (d *Dispatcher) rendezvousScore(f *function, w *worker) uint64 {
 	d.hashInput = append(d.hashInput[:0], f.key...)
 	d.hashInput = append(d.hashInput, 0)
@@ -45,7 +46,7 @@
 	return xxhash.Sum64(d.hashInput)
 }
 
-// rankedWorker returns the i-th worker of a function's ranking, from 0, or nil behind the last.
+// rankedWorker returns the worker at index i of a function's ranking, or nil after the last.
 func (d *Dispatcher) rankedWorker(f *function, i int) *worker {
 	r := &f.ranking
 	for i >= len(r.entries) {
@@ -58,7 +59,8 @@
 	return r.entries[i].worker
 }
 
-// extendRanking lowers the least score of a ranking so that it holds as many workers as wanted, on average.
+// extendRanking lowers the minimum score of a ranking, so that it holds the wanted number of workers on
+// average.
 func (d *Dispatcher) extendRanking(f *function, wanted int) {
 	r := &f.ranking
 	minScore := uint64(0)
@@ -77,7 +79,7 @@
 	r.built = true
 }
 
-// updateRanking follows a change of the active workers.
+// updateRanking applies a change of the active workers to a function's ranking.
 func (d *Dispatcher) updateRanking(f *function, added, removed []*worker) {
 	r := &f.ranking
 	if !r.built {
@@ -110,8 +112,7 @@
 	}
 }
 
-// trim drops the end of a ranking that has become much longer than what is used of it, as in a fleet that
-// grew.
+// trim shortens a ranking that is much longer than the part of it that is used, as in a fleet that grew.
 func (r *ranking) trim() {
 	kept := max(minRankPrefix, rankPrefixGrowth*r.used/2)
 	if len(r.entries) > rankPrefixExcess*kept {
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// This file retries requests: after an attempt that failed, after a wait, and while no worker was available.
+// This file retries requests: after an attempt that failed, after a wait, and while no worker was
+// available.
 
 const (
 	pendingBackoff      = 30 * time.Millisecond // first wait of a request between attempts, doubled each time
@@ -52,8 +53,8 @@
 // retryPending routes the pending requests again. Those that can still meet their objective go first, the
 // newest before the others: in an overload the older ones are late anyway and would make these late, too.
 // Once a request finds no worker, the others of its function wait without a search. One that finds none and
-// misses its objective is rejected at once, not at its deadline. Cost: a late response that would still have
-// earned a part of its value is lost.
+// misses its objective is rejected at once, not at its deadline. Cost: a late response that would still
+// have earned a part of its value is lost.
 func (d *Dispatcher) retryPending() {
 	waiting := d.pending
 	d.pending = nil
@@ -93,8 +94,8 @@
 	return d.now-r.acceptedAt+r.expectedRunTime() > r.class.LatencyObjective
 }
 
-// backoffWithJitter draws a backoff that doubles with each time. The jitter keeps routers from acting at one
-// moment.
+// backoffWithJitter draws a backoff that doubles with each time. The jitter keeps routers from acting at
+// one moment.
 func (d *Dispatcher) backoffWithJitter(base time.Duration, failures int) time.Duration {
 	factor := math.Exp2(float64(min(failures, maxBackoffExponent)))
 	return time.Duration(float64(base) * factor * (0.75 + d.random.Float64()/2))
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -21,8 +21,8 @@
 )
 
 // recordResponse learns from a response: the retry budget, the chance that a copy is loaded, the function's
-// run time, and the worker's limit and slowness. A response that may have waited for a load tells nothing of
-// the last three.
+// run time, and the worker's limit and slowness. A response that may have waited for a load tells nothing
+// of the last three.
 func (d *Dispatcher) recordResponse(a *attempt, e AttemptEnded) {
 	r := a.request
 	r.function.served = true
@@ -55,7 +55,8 @@
 	}
 }
 
-// recordRunTime divides what a response took more or less than expected between the function and the worker.
+// recordRunTime divides what a response took more or less than expected between the function and the
+// worker.
 func (d *Dispatcher) recordRunTime(a *attempt, took float64) {
 	r := a.request
 	f := r.function
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -9,9 +9,9 @@
 // This file chooses a worker for a request.
 
 const (
-	overloadedRatio = 1.5 // multiple of the mean report at which a worker is passed over
-	// maxRankedCandidates bounds how far down its ranking a function looks for a worker. Behind it, only the
-	// workers that hold the function are looked at. It binds in fleets of more workers than this.
+	overloadedRatio = 1.5 // a worker that reports more than this multiple of the mean is passed over
+	// maxRankedCandidates bounds how many workers of its ranking a function considers. Of the workers after
+	// them, only those that hold the function are considered. It takes effect in fleets of more workers.
 	maxRankedCandidates = 128
 )
 
@@ -21,18 +21,19 @@
 	majoritySuspected bool
 	avoidOverloaded   bool
 	preferred         *worker // the first that may take the request after a load
-	fallback          *worker // the first that is unlikely to serve it
+	fallback          *worker // the first that is unlikely to serve the request
 	overloaded        *worker // the first that reports too many requests
-	limited           bool    // a worker was passed over at its concurrency limit,
-	residentLimited   bool    // and one of these holds the function
+	limited           bool    // a worker was passed over at its concurrency limit
+	residentLimited   bool    // one of the workers at their concurrency limit holds the function
 	backingOff        bool    // a worker was passed over because a load failed there
 	unleased          *worker // the first that may take the request once a health check has renewed its lease
-	unleasedResident  bool    // that one holds the function
+	unleasedResident  bool    // unleased holds the function
 }
 
-// selectWorker chooses where a request goes; nil: nowhere for now. A worker without a lease has to be
-// checked first. Where the preferred worker does not hold the function and another does, the first is sent
-// a load command and the second serves: no request waits for a load because an assignment moved or grew.
+// selectWorker returns the worker for a request, or nil if the request has to wait. If the worker holds no
+// lease, it needs a health check first. If the preferred worker does not hold the function but another one
+// does, the preferred worker gets a load command and the other one serves the request. So no request waits
+// for a load because an assignment moved or grew.
 func (d *Dispatcher) selectWorker(r *request) *worker {
 	d.selectionCount++
 	s := selection{request: r, majoritySuspected: d.majoritySuspected()}
@@ -57,8 +58,8 @@
 	return d.selectWithoutResident(&s)
 }
 
-// evaluateUnleased notes a worker that holds no lease, if it is worth a health check: it holds the
-// function, or nothing better came before it in the order of choice.
+// evaluateUnleased stores a worker without a lease in the selection, if it is worth a health check: it
+// holds the function, or no better candidate came before it.
 func (d *Dispatcher) evaluateUnleased(s *selection, w *worker) {
 	d.updateSuspicion(w)
 	resident := d.now < s.request.function.placementOn(w).residentUntil
@@ -70,18 +71,18 @@
 	}
 }
 
-// prefetch commands a load at the preferred worker, for the requests to come: another worker serves this one.
+// prefetch commands a load at the preferred worker for later requests. Another worker serves this one.
 func (d *Dispatcher) prefetch(s *selection) {
 	if s.preferred != nil && d.settings.LoadCommandsAllowed {
 		d.commandLoad(s.request.function, s.preferred, 1, LoadPrefetch)
 	}
 }
 
-// selectWithoutResident ends a selection that found no worker which holds the function and may take the
+// selectWithoutResident completes a selection in which no worker both holds the function and may take the
 // request.
 func (d *Dispatcher) selectWithoutResident(s *selection) *worker {
 	if s.preferred != nil && s.residentLimited && d.settings.LoadCommandsAllowed {
-		d.commandLoad(s.request.function, s.preferred, prefetchRatio, LoadForRequest)
+		d.commandLoad(s.request.function, s.preferred, extraCopyFraction, LoadForRequest)
 		return nil // the request waits for the load or for the concurrency limit, whichever comes first
 	}
 	nothingToWaitFor := s.preferred == nil && !s.limited && !s.backingOff
@@ -91,9 +92,9 @@
 	return s.preferred
 }
 
-// drawAssignmentOrder sorts a function's assigned workers into the order of choice for one request: the
-// fewest own attempts in flight per share first, with a draw in proportion to the shares where there are
-// hardly any.
+// drawAssignmentOrder sorts a function's assigned workers into the order in which one request tries them:
+// by the attempts of this router in flight per share. With few attempts in flight the order is random,
+// weighted by the shares.
 func (d *Dispatcher) drawAssignmentOrder(f *function) {
 	for i := range f.assignment {
 		s := &f.assignment[i]
@@ -104,8 +105,9 @@
 	slices.SortFunc(f.assignment, func(a, b workerShare) int { return cmp.Compare(a.sortKey, b.sortKey) })
 }
 
-// candidates yields the workers for a function in the order of choice: its assigned workers in their present
-// order, then the first of the others down the ranking, and at last those behind them that hold the function.
+// candidates yields the workers for a function in the order in which a request tries them: the assigned
+// workers in their present order, then the others among the first maxRankedCandidates of the ranking, then
+// the remaining workers that hold the function.
 func (d *Dispatcher) candidates(f *function) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for _, s := range f.assignment {
@@ -132,8 +134,8 @@
 	}
 }
 
-// remainingResidentWorkers returns the active workers that hold f and are not among the candidates of the
-// selection under way so far, in the order of the ranking.
+// remainingResidentWorkers returns the active workers that hold f and were not yet candidates of the
+// current selection, in the order of the ranking.
 func (d *Dispatcher) remainingResidentWorkers(f *function) []*worker {
 	var entries []rankedWorker
 	for w, p := range f.placements {
@@ -149,8 +151,8 @@
 	return workers
 }
 
-// evaluateCandidate reports whether w holds the function and may take the request now. If not, it notes in
-// the selection what w is good for.
+// evaluateCandidate reports whether w holds the function and may take the request now. If not, it records
+// in the selection why w was passed over and whether it can be used otherwise.
 func (d *Dispatcher) evaluateCandidate(s *selection, w *worker) bool {
 	r := s.request
 	p := r.function.placementOn(w)
@@ -182,17 +184,18 @@
 	return resident
 }
 
-// reportsOverload reports whether the current load report of a worker shows it overloaded, whatever the
-// cause. Other routers' requests had copies loaded further down the ranking, so passing the worker over costs
-// little. False positives: where no other worker holds the function, the request waits for a load.
+// reportsOverload reports whether a worker's load report is current and shows an overload, whatever the
+// cause. Passing the worker over costs little, because requests of other routers have caused loads at the
+// next workers of the ranking. False positives: if no other worker holds the function, the request waits
+// for a load.
 func (d *Dispatcher) reportsOverload(w *worker) bool {
 	reportIsCurrent := d.now-w.reportedAt < loadReportTTL
 	return reportIsCurrent && w.reportedInFlight > overloadedRatio*(d.meanReportedInFlight+1)
 }
 
-// isUnlikelyToServe reports whether another worker should be tried first: w is suspected, has ejected the
-// class or failed the request, or a load of the function failed or is overdue there. It updates the suspicion
-// of w.
+// isUnlikelyToServe reports whether another worker should be tried first: w is suspected, the class is
+// ejected from w, an attempt of the request failed at w or is in flight there, or a load of the function
+// failed or is overdue at w. It updates the suspicion of w.
 func (d *Dispatcher) isUnlikelyToServe(s *selection, w *worker, p placement) bool {
 	r := s.request
 	d.updateSuspicion(w)
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -16,10 +16,10 @@
 	return min(max(fraction, minSlowStartFraction), 1)
 }
 
-// slowStartAllowsAttempt reports whether slow start lets a worker have an attempt. If the worker is warming up, its
-// token bucket is refilled first. The bucket holds this router's part of what such a worker can take: an even
-// share of the work that this router has served, which no overload raises, times the fraction of its capacity
-// that the worker has at the least.
+// slowStartAllowsAttempt reports whether slow start lets a worker have an attempt. If the worker is warming
+// up, its token bucket is refilled first. The bucket holds this router's part of what such a worker can
+// take: an even share of the work that this router has served, which no overload raises, times the fraction
+// of its capacity that the worker has at the least.
 func (d *Dispatcher) slowStartAllowsAttempt(w *worker) bool {
 	if !w.warmingUp {
 		return true
