--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// This file starts attempts and takes their ends.
+// This file starts attempts and handles their results.
 
-// startAttempt forwards a request to a worker, if the rules allow it. There is no other way to start one.
+// startAttempt starts an attempt of a request at a worker, if the rules allow it. All attempts are started
+// here.
 func (d *Dispatcher) startAttempt(r *request, w *worker) {
 	if !d.admitAttempt(r, w) || !d.holdsLease(w) {
 		return
@@ -20,7 +21,7 @@
 	d.emit(StartAttempt{ID: r.ID, Worker: w.ID, SendBefore: d.sendBefore(w)})
 }
 
-// newAttempt returns an attempt with what is expected of it.
+// newAttempt returns an attempt with its expected duration and its weight.
 func (d *Dispatcher) newAttempt(r *request, w *worker) *attempt {
 	a := &attempt{
 		request:          r,
@@ -41,11 +42,11 @@
 	return a
 }
 
-// handleResponseStarted takes the start of a streamed response. The client has a part of it, so nothing
-// more is started for the request, it is not rejected, and only its deadline ends it, with a FailRequest.
-// The length of the stream tells nothing of the worker's health, as its reader may be slow: the attempt
-// raises no suspicion. It counts against the concurrency limits only until it would be overdue, or slow
-// readers would use them up.
+// handleResponseStarted handles the start of a streamed response. As the client already has a part of it, the
+// request gets no further attempt and is not rejected; at its deadline it ends with a FailRequest. The length
+// of the stream says nothing about the worker's health, because the client may read slowly: the attempt
+// causes no suspicion. It counts against the concurrency limits only until it would be overdue, because slow
+// readers would use them up otherwise.
 func (d *Dispatcher) handleResponseStarted(e ResponseStarted) {
 	a := d.attemptInFlight(e.ID, e.Attempt)
 	if a == nil || a.request.done || a.request.streaming != nil {
@@ -60,8 +61,8 @@
 	a.worker.removeAttempt(a)
 }
 
-// handleAttemptEnded takes the end of an attempt: first what it says of the worker, then what it means for
-// the request.
+// handleAttemptEnded handles the end of an attempt: it first updates the state of the worker, then retries or
+// closes the request.
 func (d *Dispatcher) handleAttemptEnded(e AttemptEnded) {
 	a := d.attemptInFlight(e.ID, e.Attempt)
 	if a == nil {
@@ -70,7 +71,7 @@
 	r := a.request
 	a.ended = true
 	if a.firstMessageAfter > 0 {
-		e.Duration = a.firstMessageAfter // how long the client read the stream is not the worker's time
+		e.Duration = a.firstMessageAfter // without the time in which the client read the stream
 	}
 	a.mayHaveRun = !e.Result.provesNotRun()
 	a.failed = e.Result != OK && e.Result != NotResident && e.Result != NotSent
@@ -83,7 +84,7 @@
 	}
 }
 
-// recordAttemptEnd learns from the end of an attempt.
+// recordAttemptEnd updates the state of the worker and the concurrency limits after the end of an attempt.
 func (d *Dispatcher) recordAttemptEnd(a *attempt, e AttemptEnded) {
 	r := a.request
 	w := a.worker
@@ -103,8 +104,8 @@
 	d.recordResult(a, e, classFault)
 }
 
-// recordResult learns from the result of an attempt, and from what its response tells of the function's
-// copy.
+// recordResult updates lease, suspicion and placement after the end of an attempt, by its result and its
+// cache status.
 func (d *Dispatcher) recordResult(a *attempt, e AttemptEnded, classFault bool) {
 	w := a.worker
 	p := a.request.function.ensurePlacement(w)
@@ -122,14 +123,13 @@
 		if classFault || a.expectedResident {
 			d.lowerLimit(w)
 		} else {
-			d.backOffLoads(p) // no memory for a load, more likely than a full queue
+			d.backOffLoads(p) // more likely a lack of memory for a load than a full queue
 		}
 	case ConnectFailed, ConnectionReset:
 		d.recordContactLoss(w)
 		d.suspect(w)
 	case Errored, TimedOut, Cancelled, NotSent:
-		// An error counts in isClassFault, a timeout in countTimeout; the others tell nothing of the
-		// worker.
+		// isClassFault handles errors, countTimeout handles timeouts. The others say nothing about the worker.
 	}
 	if e.CacheStatus == CacheLoadFailed {
 		d.backOffLoads(p)
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// This file ends requests, each with one final answer.
+// This file ends requests. Each request gets one final answer.
 
-// graceDivisor: this part of the response grace is used after a deadline, to wait for a response that is on
-// its way.
+// graceDivisor: after the deadline of a request, the router waits for a late response for the response grace
+// divided by this.
 const graceDivisor = 4
 
-// minServedRate bounds the advised wait where nothing was served, in requests a second.
+// minServedRate, in requests a second, replaces a lower rate in the calculation of Retry-After.
 const minServedRate = 1e-3
 
-// closeRequest ends a request: its attempts still in flight are cancelled.
+// closeRequest ends a request and cancels its attempts in flight.
 func (d *Dispatcher) closeRequest(r *request) {
 	if r.inFlight == 0 {
 		delete(d.requests, r.ID)
@@ -24,8 +24,8 @@
 	r.done = true
 }
 
-// finishUnserved gives a final answer that is not a response. It is a rejection where a retry by the client
-// is harmless, and a failure elsewhere. There is no other way to end a request without a response.
+// finishUnserved gives a request a final answer without a response: a rejection if a retry by the client is
+// harmless, otherwise a failure. All requests that end without a response end here.
 func (d *Dispatcher) finishUnserved(r *request, cause EndCause) {
 	if r.done {
 		return
@@ -51,8 +51,8 @@
 	return !r.mayHaveRun()
 }
 
-// retryAfter advises a client when to retry: when this router's requests should be served at its present
-// rate, with jitter, as those rejected together must not return together.
+// retryAfter returns the Retry-After of a rejection: the time in which this router would serve all of its
+// requests at the present rate. The jitter keeps clients that are rejected together from returning together.
 func (d *Dispatcher) retryAfter() time.Duration {
 	queue := float64(len(d.requests))
 	wait := min(queue/max(d.servedRate, minServedRate), d.settings.MaxRetryAfter.Seconds())
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// This file ejects a class from a worker that fails it: ejections.
+// This file ejects classes from workers that fail them: worker.ejections. An ejected class is not sent to the
+// worker for a while.
 
 const (
 	ejectionBase    = 3 * time.Second // first ejection of a class from a worker
-	timeoutsToEject = 8               // attempts of a class in a row without a response
+	timeoutsToEject = 8               // overdue attempts of a class in a row that eject it
 	slowRejection   = 20              // a rejection is slow after the latency objective divided by this
 )
 
-// isClassFault reports whether an attempt's end is the worker's fault for the class: an error, or a slow
-// rejection by a worker that holds fewer requests than the mean, at a copy that should be loaded.
+// isClassFault reports whether the end of an attempt counts as a failure of its class at the worker: an
+// error, or a slow rejection by a worker that holds fewer requests than the mean, of a function that should
+// be loaded there.
 func (d *Dispatcher) isClassFault(a *attempt, e AttemptEnded) bool {
 	shouldBeLoaded := a.expectedResident || !d.settings.WorkersLoadOnMiss
 	hasCapacity := e.LoadReport.InFlight >= 0 && e.LoadReport.InFlight < d.meanReportedInFlight
@@ -22,9 +24,9 @@
 	return shouldBeLoaded && (e.Result == Errored || e.Result == Rejected && hasCapacity && slowly)
 }
 
-// ejectClass stops sending a class to a worker that fails it, with exponential backoff, and assignCapacity
-// passes the worker over for it. Other classes are still served there. False positives: an error that the
-// request itself caused ejects its class.
+// ejectClass ejects a class from a worker that fails it, with exponential backoff. Attempts and
+// assignCapacity then pass the worker over for the class, but other classes are still served there. False
+// positives: an error that the request itself caused ejects its class.
 func (d *Dispatcher) ejectClass(w *worker, c *class) {
 	count := w.ejections[c].count
 	w.ensureEjections()[c] = ejection{
@@ -34,18 +36,18 @@
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID, Class: c.Name})
 }
 
-// recordClassServed shortens the next ejection of a class, and resets its consecutive timeouts, after a
-// response.
+// recordClassServed resets the consecutive timeouts of a class at a worker after a response, and shortens its
+// next ejection.
 func (d *Dispatcher) recordClassServed(w *worker, c *class) {
 	if e, known := w.ejections[c]; known {
 		w.ejections[c] = ejection{until: e.until, count: max(e.count-1, 0)}
 	}
 }
 
-// countTimeout counts an attempt that is overdue at a worker which has responded to others since, or sets a
-// timer to look again. Several such attempts in a row eject their class: the worker hangs for this class
-// only, which updateSuspicion does not see. False positives: a class whose requests run far longer than
-// their expected work is ejected too early.
+// countTimeout counts an overdue attempt at a worker that has responded to other attempts since its start, or
+// sets a timer for the time at which it is overdue. Several such attempts in a row eject their class: the
+// worker hangs for this class only, which updateSuspicion does not detect. False positives: a class whose
+// requests run far longer than their expected work is ejected too early.
 func (d *Dispatcher) countTimeout(a *attempt) {
 	w := a.worker
 	r := a.request
@@ -70,8 +72,8 @@
 	}
 }
 
-// retryOverdue retries the overdue attempts of a class at a worker elsewhere, where the rules and the retry
-// budget allow it.
+// retryOverdue retries the overdue attempts of a class at a worker on other workers, if the rules and the
+// retry budget allow it.
 func (d *Dispatcher) retryOverdue(w *worker, c *class) {
 	for _, a := range slices.Clone(w.attempts) {
 		r := a.request
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// This file detects unresponsive workers: suspected.
+// This file detects unresponsive workers: worker.suspected.
 
 const (
-	phiThreshold         = 6                      // expected responses overdue at a suspicion
+	phiThreshold         = 6                      // phi above which a worker is suspected
 	minSilence           = 400 * time.Millisecond // before a suspicion: longer than a usual stall
-	minExpectedSeconds   = 0.02                   // of an attempt, for phi
+	minExpectedSeconds   = 0.02                   // minimum expected time of an attempt, for phi
 	suspectCheckInterval = time.Second            // between health checks of a suspected worker
 )
 
-// updateSuspicion suspects a worker that is silent for longer than chance explains. A suspected worker is
-// health-checked from time to time, and any response ends the suspicion.
+// updateSuspicion suspects a worker that has been silent for longer than chance explains. It sends health
+// checks to a suspected worker at intervals; any response ends the suspicion.
 func (d *Dispatcher) updateSuspicion(w *worker) {
 	if !w.suspected && d.phi(w) > phiThreshold {
 		d.suspect(w)
@@ -24,9 +24,9 @@
 	}
 }
 
-// phi is how unlikely the silence of a worker is, as in an accrual failure detector: the time that each of
-// its attempts has waited since it was last heard, in units of the attempt's expected time. A silence that
-// a usual stall explains counts as 0.
+// phi returns how unlikely a worker's silence is, as in an accrual failure detector: for each attempt in
+// flight, the time since its start or since the worker's last response, divided by its expected time. It
+// returns 0 for a silence that a usual stall explains.
 func (d *Dispatcher) phi(w *worker) float64 {
 	if len(w.attempts) == 0 || d.now-max(w.lastResponseAt, w.attempts[0].startedAt) <= minSilence {
 		return 0
@@ -39,27 +39,27 @@
 	return phi
 }
 
-// majoritySuspected reports whether more than half of the fleet looks unresponsive. The fault is then in
-// the store, the endpoint list or this router's own network, and passing these workers over would only
-// overload the others.
+// majoritySuspected reports whether more than half of the active workers are suspected. The fault is then
+// likely in the store, in the endpoint list or in this router's own network, and passing these workers over
+// would only overload the others.
 func (d *Dispatcher) majoritySuspected() bool {
 	return 2*d.suspectedCount > len(d.activeWorkers)
 }
 
-// markResponsive notes a response of w, which ends its suspicion.
+// markResponsive records a response of w, which ends a suspicion.
 func (d *Dispatcher) markResponsive(w *worker) {
 	w.lastResponseAt = d.now
 	d.setSuspected(w, false)
 }
 
-// suspect marks w as unresponsive, until its next response.
+// suspect marks w as unresponsive until its next response.
 func (d *Dispatcher) suspect(w *worker) {
 	d.setSuspected(w, true)
 	w.lastSuspicionCheckAt = d.now
 	d.reportSuspicion(ReportSuspicion{Worker: w.ID})
 }
 
-// provesResponsive reports whether an attempt that ended so shows that its worker, or the worker's host,
+// provesResponsive reports whether the result of an attempt shows that the worker, or at least its host,
 // responds.
 func (r Result) provesResponsive() bool {
 	return r != TimedOut && r != NotSent && r != Cancelled
--- a/dispatch/function.go
+++ b/dispatch/function.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// This file holds the record of a function and of its placements on workers.
+// This file defines the records of functions and of their placements on workers.
 
-// function is what this router knows of one function.
+// function is the state of one function, as this router knows it.
 type function struct {
 	key           string
-	lastClass     *class // of its last request
+	lastClass     *class // class of its last request
 	lastRequestAt time.Duration
 	served        bool // it has been served at least once
 
 	memoryMB     float64 // of one copy
 	concurrency  float64 // requests that one copy runs at a time
 	loadTime     time.Duration
-	requestCount int     // in the rebalance interval under way
-	requestRate  float64 // requests of this router a second
-	logRunTime   float64 // logarithm of the response time over request.workUnit
-	meanWorkUnit float64 // seconds
-	demand       float64 // memory, in MB, that this router's requests need
+	requestCount int     // in the current rebalance interval
+	requestRate  float64 // requests of this router per second
+	logRunTime   float64 // logarithm of the ratio of response time to request.workUnit
+	meanWorkUnit float64 // mean of request.workUnit, in seconds
+	demand       float64 // memory that this router's requests need, in MB
 
 	ranking    ranking
 	assignment []workerShare
@@ -29,20 +29,20 @@
 type workerShare struct {
 	worker  *worker
 	share   float64
-	sortKey float64 // the least is tried first by the request at hand
+	sortKey float64 // the current request tries the workers in this order
 }
 
-// placement is a function on a worker.
+// placement is the state of a function on a worker.
 type placement struct {
 	inFlight         int           // attempts of this router
-	residentUntil    time.Duration // a copy was seen or used there, and stays until then
-	loadCommandedAt  time.Duration // when the load command in flight was sent; 0: there is none
-	loadBackoffUntil time.Duration // no load command before
-	loadFailures     int           // in a row
-	awaitingLoad     []*request    // requests that wait for the load command's result
+	residentUntil    time.Duration // a copy was loaded or used there and stays resident until then
+	loadCommandedAt  time.Duration // when the load command in flight was sent; 0 means that there is none
+	loadBackoffUntil time.Duration // no load command is sent before this time
+	loadFailures     int           // failed loads in a row
+	awaitingLoad     []*request    // requests that wait for the result of the load command
 }
 
-// placementOn returns what is known of f on w, which may be nothing.
+// placementOn returns the placement of f on w, or an empty one if there is none.
 func (f *function) placementOn(w *worker) placement {
 	if p := f.placements[w]; p != nil {
 		return *p
@@ -50,7 +50,7 @@
 	return placement{}
 }
 
-// ensurePlacement returns the placement of f on w and makes it if there is none.
+// ensurePlacement returns the placement of f on w and creates it if there is none.
 func (f *function) ensurePlacement(w *worker) *placement {
 	p := f.placements[w]
 	if p == nil {
@@ -60,7 +60,7 @@
 	return p
 }
 
-// ensureFunction returns a function, made with these run time and work unit if it isn't known.
+// ensureFunction returns a function. If it is unknown, it is created with the given run time and work unit.
 func (d *Dispatcher) ensureFunction(key string, logRunTime, workUnit float64) *function {
 	f := d.functions[key]
 	if f == nil {
@@ -71,7 +71,7 @@
 	return f
 }
 
-// recordRequest counts a request and notes what it says of the function.
+// recordRequest counts a request and stores its properties of the function.
 func (f *function) recordRequest(e Request) {
 	f.requestCount++
 	f.memoryMB = max(e.MemoryMB, 1)
--- a/dispatch/gossip.go
+++ b/dispatch/gossip.go
@@ -1,11 +1,11 @@
 package dispatch
 
-// This file takes in what other routers reported, and reports suspicions to them.
+// This file applies the reports of other routers and reports suspicions to them.
 
-// applyGossip takes what other routers reported. It ends no suspicion and raises no share: the routers that
-// share the fleet are those of the settings, or more where more were seen. Routers that vanish still count,
-// as they may only be partitioned from this one. A worker reported as unresponsive is suspected, unless it
-// has responded here meanwhile.
+// applyGossip applies reports of other routers. They never end a suspicion and never raise the limits of this
+// router: the number of routers that share the fleet is that of the settings, or the highest number seen if
+// that is higher. Routers that vanish still count, because they may only be partitioned from this one. A
+// worker that is reported as unresponsive is suspected, unless it has responded to this router recently.
 func (d *Dispatcher) applyGossip(e GossipUpdate) {
 	if e.Routers > d.settings.Routers {
 		factor := float64(d.settings.Routers) / float64(e.Routers)
@@ -26,7 +26,7 @@
 	}
 }
 
-// reportSuspicion emits a suspicion where the settings want it.
+// reportSuspicion emits a suspicion if the settings ask for these reports.
 func (d *Dispatcher) reportSuspicion(a ReportSuspicion) {
 	if d.settings.SuspicionsReported {
 		d.emit(a)
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -84,11 +84,11 @@
 	endpoint := w.Endpoint
 	endpoint.StartedAt = d.now
 	memoryMB := w.memoryMB
-	listedIn := w.listedInUpdate
+	listedInUpdate := w.listedInUpdate
 	d.resetWorker(w)
 	w.Endpoint = endpoint
 	w.memoryMB = memoryMB
-	w.listedInUpdate = listedIn
+	w.listedInUpdate = listedInUpdate
 	w.lease.knownActiveAt = knownActiveAt
 	w.warmingUp = d.settings.SlowStartDuration > 0
 	d.resetSlowStartTokens(w)
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -2,45 +2,45 @@
 
 import "math"
 
-// This file limits concurrency and retries: concurrencyLimit, fleetLimit and retryBudget.
+// This file limits concurrency and retries: worker.concurrencyLimit, fleetLimit and retryBudget.
 
 const (
-	initialLimit          = 12.0 // first limit of a worker, over all routers,
-	minLimit              = 3.0  // and the least
-	limitIncrease         = 0.1  // for a response in time while the limit is in use,
-	limitDecrease         = 0.2  // for a late one: in balance when a third are late
-	fleetLimitDecrease    = 0.5  // of the fleet's limit: in balance when a sixth are late
-	rejectionFactor       = 0.7  // what a rejection leaves of the worker's limit
-	lateMultiple          = 1.5  // a response is late at this multiple of its run time,
+	initialLimit          = 12.0 // initial concurrency limit of a worker, summed over all routers
+	minLimit              = 3.0  // minimum concurrency limit of a worker, summed over all routers
+	limitIncrease         = 0.1  // increase for a response in time, if the limit is in use
+	limitDecrease         = 0.2  // decrease for a late response: stable when a third are late
+	fleetLimitDecrease    = 0.5  // decrease of the fleet limit: stable when a sixth are late
+	rejectionFactor       = 0.7  // a rejection multiplies the worker's limit by this
+	lateMultiple          = 1.5  // a response is late after this multiple of its run time
 	lateObjectiveFraction = 0.25 // but not before this fraction of its latency objective
-	lightObjectiveDivisor = 4    // a light request has less work than this part
-	retryBudgetBurst      = 10.0 // most retries saved up: each response earns one
+	lightObjectiveDivisor = 4    // light: expected work below the latency objective divided by this
+	retryBudgetBurst      = 10.0 // maximum of the retry budget; each response adds one retry
 )
 
-// newWorker returns a worker of which nothing is known.
+// newWorker returns a worker with the initial concurrency limit.
 func (d *Dispatcher) newWorker() *worker {
 	return &worker{concurrencyLimit: initialLimit / float64(d.settings.Routers)}
 }
 
-// atConcurrencyLimit reports whether w, or the fleet, has as many attempts of this router in flight as it
-// may have.
+// atConcurrencyLimit reports whether this router has reached its concurrency limit for w or for the fleet.
 func (d *Dispatcher) atConcurrencyLimit(w *worker) bool {
 	return w.inFlight >= max(w.concurrencyLimit, 1) || d.inFlight >= max(d.fleetLimit*d.fleetShare, 1)
 }
 
-// releaseConcurrency takes an attempt out of the limits when it has ended, or has taken far longer than
-// responses took recently. Attempts that are never answered would use up the limits otherwise.
+// releaseConcurrency stops counting an attempt against the concurrency limits if it has ended, or if it has
+// taken far longer than recent responses. Otherwise attempts that never get a response would use up the
+// limits.
 func (d *Dispatcher) releaseConcurrency(a *attempt) {
 	if a.ended || (d.now-a.startedAt).Seconds() > overdueMultiple*d.meanResponseTime {
 		d.removeWeight(a)
 	}
 }
 
-// adjustFleetLimit adapts the limit of what this router has in flight. Each of many routers has less than
-// one attempt in flight at a worker, so one limit holds for all workers. It shrinks when a request that is
-// light by its expected work gets no response, or a later one than a load explains. Attempts at copies not
-// known to be loaded count by the chance that they are. False positives: a few workers that make many
-// responses late lower the limit of all.
+// adjustFleetLimit adjusts the limit of this router's attempts in flight at all workers. If there are many
+// routers, each has less than one attempt in flight at a worker, so a limit for each worker would be too
+// coarse. The limit decreases when a request with little expected work gets no response, or gets it later
+// than a load explains. An attempt at a worker that may not hold the function counts by the chance that it
+// does. False positives: a few workers that cause many late responses lower the limit for all.
 func (d *Dispatcher) adjustFleetLimit(r *request, e AttemptEnded, weight float64) {
 	late := e.Duration > r.class.LatencyObjective
 	if late && d.settings.WorkersLoadOnMiss {
@@ -60,7 +60,7 @@
 	w.concurrencyLimit = max(w.concurrencyLimit*rejectionFactor, minLimit/float64(d.settings.Routers))
 }
 
-// adjustLimit moves a worker's concurrency limit by a response that took so many seconds.
+// adjustLimit adjusts a worker's concurrency limit after a response that took the given seconds.
 func (d *Dispatcher) adjustLimit(w *worker, r *request, took float64) {
 	late := lateMultiple * math.Exp(r.function.logRunTime) * r.workUnit
 	if took > max(late, r.class.LatencyObjective.Seconds()*lateObjectiveFraction) {
--- a/dispatch/loadreports.go
+++ b/dispatch/loadreports.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// This file uses the load that workers report of themselves: loadExcess, awaitingReport.
+// This file uses the load reports of workers: worker.loadExcess and worker.awaitingReport.
 
 const (
-	loadReportTTL      = 300 * time.Millisecond // a load report is current for so long
-	loadReportSpan     = 10 * time.Second       // time in which load reports change a worker's load excess,
-	loadReportWeight   = 2.0                    // by this much of the log ratio to the others' reports
-	maxReportDeviation = 2.0                    // most that one report may be off, in logs
-	loadExcessDecay    = 20.0                   // a lasting deviation settles at this multiple of it
-	maxLoadExcess      = 4.0                    // in logs
-	maxHealthCheckCost = 0.02                   // a health check before each attempt may earn this much
+	loadReportTTL      = 300 * time.Millisecond // how long a load report is current
+	loadReportSpan     = 10 * time.Second       // time constant of the weight of a load report
+	loadReportWeight   = 2.0                    // weight of a report that comes long after the last one
+	maxReportDeviation = 2.0                    // limit of the deviation of one report, as a logarithm
+	loadExcessDecay    = 20.0                   // a constant deviation converges to this multiple of it
+	maxLoadExcess      = 4.0                    // limit of the load excess, as a logarithm
+	maxHealthCheckCost = 0.02                   // checks before attempts pay off below this cost
 )
 
-// recordLoadReport takes a worker's report of the requests that it holds. It lowers the share of a worker
-// that reports more than the others, also where this router hears from each only once in many seconds: a
-// report counts by the time since the last one, and its noise averages out over the routers. False
-// positives: a worker whose requests run long reports many although it is not overloaded.
+// recordLoadReport records a worker's report of the requests that it holds. The demand that is assigned to a
+// worker shrinks if it reports more than the others. This also works if a router gets a report from each
+// worker only once in many seconds: the weight of a report grows with the time since the last one, and noise
+// averages out over the routers. False positives: a worker with long requests reports many although it is not
+// overloaded.
 func (d *Dispatcher) recordLoadReport(w *worker, inFlight float64) {
 	gain := loadReportWeight * (1 - math.Exp(-float64(d.now-w.reportedAt)/float64(loadReportSpan)))
 	deviation := math.Log((inFlight + 1) / (d.meanReportedInFlight + 1))
@@ -32,9 +33,9 @@
 	d.meanReportedInFlight += meanSmoothing * (inFlight - d.meanReportedInFlight)
 }
 
-// shouldAwaitLoadReport draws whether a request should wait for a load report of w before its attempt goes
-// there. It waits at most once, where reports are cheap, and as often as this router's share of the fleet
-// allows.
+// shouldAwaitLoadReport reports whether a request should wait for a load report of w before its attempt
+// there. A request waits at most once, and only if health checks are cheap and the last report is old. The
+// decision is random: the larger this router's share of the fleet, the fewer requests wait.
 func (d *Dispatcher) shouldAwaitLoadReport(r *request, w *worker) bool {
 	cheap := d.settings.HealthChecksAllowed && d.settings.HealthCheckCost < maxHealthCheckCost
 	stale := d.settings.LoadReports != ReportsNone && d.now-w.reportedAt > loadReportTTL
@@ -44,7 +45,7 @@
 	return d.random.Float64()*d.fleetShare < 1
 }
 
-// awaitLoadReport has a request wait for the health check of a worker.
+// awaitLoadReport makes a request wait for the health check of a worker.
 func (d *Dispatcher) awaitLoadReport(r *request, w *worker) {
 	if len(w.awaitingReport) == 0 {
 		d.emit(CheckHealth{Worker: w.ID})
@@ -54,7 +55,7 @@
 	d.setRequestTimer(r, d.now+pendingBackoff)
 }
 
-// recordHealthCheck takes the result of a health check and lets go the requests that waited for it.
+// recordHealthCheck records the result of a health check and requeues the requests that waited for it.
 func (d *Dispatcher) recordHealthCheck(e HealthChecked) {
 	w := d.workers[e.Worker]
 	if w == nil {
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// This file holds the records of requests, their classes and their attempts, and counts the attempts in flight.
+// This file defines the records of requests, classes and attempts, and counts the attempts in flight.
 
 // class is a class of requests.
 type class struct {
 	Class
-	meanWork float64 // seconds, learned
+	meanWork float64 // estimated mean work of a request, in seconds
 }
 
-// request is a request without its final answer, or with attempts still in flight.
+// request is a request that has no final answer yet or still has attempts in flight.
 type request struct {
 	Request
 	function   *function
 	class      *class
 	acceptedAt time.Duration
 	deadline   time.Duration
-	workUnit   float64 // seconds that its run time is measured in: its expected work, or one second if that is unknown
+	workUnit   float64 // unit of its run time, in seconds: its expected work, or one second if that is unknown
 
 	attempts          []*attempt
 	inFlight          int
-	streaming         *attempt      // the one whose streamed response has begun
+	streaming         *attempt      // the attempt whose streamed response has started
 	needsAttempt      bool          // it waits for its next attempt
 	loadReportAwaited bool          // it has waited for a load report once
-	backoffCount      int           // waits between its attempts so far
-	retryOrder        time.Duration // its place among the pending requests, the latest first
-	done              bool          // it has its final answer, or needs none
+	backoffCount      int           // number of delayed retries so far
+	retryOrder        time.Duration // sort key of the pending requests, the latest first
+	done              bool          // it has its final answer or was cancelled
 }
 
 // attempt is one attempt of a request.
@@ -37,19 +37,19 @@
 	request           *request
 	worker            *worker
 	number            int // from 0
-	concurrent        int // attempts of this router that were in flight at the worker when it was started
+	concurrent        int // attempts of this router in flight at the worker when this one was started
 	startedAt         time.Duration
 	expectedSeconds   float64
-	expectedResident  bool    // the worker was thought to hold the function
-	weight            float64 // what it counts against the concurrency limits: the chance that it needs no load
+	expectedResident  bool    // the worker was expected to hold the function
+	weight            float64 // its weight in the concurrency limits: the chance that it needs no load
 	firstMessageAfter time.Duration
 	countedAsTimeout  bool
 	ended             bool
-	mayHaveRun        bool // of an ended one: nothing proves that it did not run
-	failed            bool // no retry goes to its worker
+	mayHaveRun        bool // it has ended, and nothing proves that it did not run
+	failed            bool // it failed, so that its worker gets no retry
 }
 
-// attemptInFlight returns an attempt that has not ended, or nil.
+// attemptInFlight returns an attempt, or nil if it is unknown or has ended.
 func (d *Dispatcher) attemptInFlight(id RequestID, number int) *attempt {
 	r := d.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
@@ -68,12 +68,12 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended || a.mayHaveRun })
 }
 
-// awaitsResponse reports whether the request of an attempt in flight still needs the start of a response.
+// awaitsResponse reports whether a is in flight and its request still waits for the start of a response.
 func (a *attempt) awaitsResponse() bool {
 	return !a.ended && !a.request.done && a.request.streaming == nil
 }
 
-// addAttempt counts a started attempt as in flight.
+// addAttempt adds a started attempt to those in flight.
 func (d *Dispatcher) addAttempt(a *attempt) {
 	a.request.attempts = append(a.request.attempts, a)
 	a.request.needsAttempt = false
@@ -84,7 +84,7 @@
 	d.inFlight += a.weight
 }
 
-// removeAttempt counts an ended attempt as no longer in flight, but for its weight.
+// removeAttempt removes an ended attempt from those in flight, except for its weight.
 func (d *Dispatcher) removeAttempt(a *attempt) {
 	p := a.request.function.ensurePlacement(a.worker)
 	p.inFlight = max(p.inFlight-1, 0)
@@ -92,14 +92,14 @@
 	a.worker.removeAttempt(a)
 }
 
-// removeWeight takes an attempt out of the concurrency limits.
+// removeWeight stops counting an attempt against the concurrency limits.
 func (d *Dispatcher) removeWeight(a *attempt) {
 	a.worker.inFlight -= a.weight
 	d.inFlight -= a.weight
 	a.weight = 0
 }
 
-// setRequestTimer has requestTimerFired called for a request, at the earliest in the next moment.
+// setRequestTimer sets a timer that calls requestTimerFired for a request, always after the current time.
 func (d *Dispatcher) setRequestTimer(r *request, at time.Duration) {
 	d.timers.set(max(at, d.now+1), r.ID)
 }
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// This file retries requests: after an attempt that failed, after a wait, and while no worker was
-// available.
+// This file retries requests: after a failed attempt, after a delay, and when a worker may be available
+// again.
 
 const (
-	pendingBackoff      = 30 * time.Millisecond // first wait of a request between attempts, doubled each time
-	maxBackoffDoublings = 5                     // so many times at the most
-	maxBackoffExponent  = 4                     // of backoffWithJitter
-	latePenalty         = idleFunctionTTL       // puts requests that miss their objective last
+	pendingBackoff      = 30 * time.Millisecond // first delay of a retry, doubled each time
+	maxBackoffDoublings = 5                     // limit of the doublings of pendingBackoff
+	maxBackoffExponent  = 4                     // limit of the doublings in backoffWithJitter
+	latePenalty         = idleFunctionTTL       // moves requests that miss their objective to the end
 )
 
-// requestTimerFired looks at a request again: at its deadline, while its attempt is in flight, or after a
-// wait.
+// requestTimerFired handles a timer of a request: its deadline, an attempt that may be overdue, or the end of
+// a delay.
 func (d *Dispatcher) requestTimerFired(r *request) {
 	switch {
 	case d.now >= r.deadline:
@@ -50,11 +50,11 @@
 	}
 }
 
-// retryPending routes the pending requests again. Those that can still meet their objective go first, the
-// newest before the others: in an overload the older ones are late anyway and would make these late, too.
-// Once a request finds no worker, the others of its function wait without a search. One that finds none and
-// misses its objective is rejected at once, not at its deadline. Cost: a late response that would still
-// have earned a part of its value is lost.
+// retryPending routes the pending requests again. Requests that can still meet their latency objective go
+// first, the newest of them before the others: in an overload the older ones would be late anyway and would
+// make the newer ones late, too. Once a request finds no worker, the other requests of its function stay
+// pending without a search. A request that finds no worker and misses its objective is rejected at once
+// instead of at its deadline. Cost: a late response would still have had a part of its value.
 func (d *Dispatcher) retryPending() {
 	waiting := d.pending
 	d.pending = nil
@@ -73,7 +73,7 @@
 	}
 }
 
-// retryOnePending routes a pending request, unless one of its function just found no worker.
+// retryOnePending routes a pending request, unless another request of its function has just found no worker.
 func (d *Dispatcher) retryOnePending(r *request, blocked map[*function]bool) {
 	late := r.retryOrder < r.acceptedAt
 	before := len(d.pending)
@@ -94,8 +94,8 @@
 	return d.now-r.acceptedAt+r.expectedRunTime() > r.class.LatencyObjective
 }
 
-// backoffWithJitter draws a backoff that doubles with each time. The jitter keeps routers from acting at
-// one moment.
+// backoffWithJitter returns a random backoff that doubles with each failure. The jitter keeps routers from
+// retrying at the same time.
 func (d *Dispatcher) backoffWithJitter(base time.Duration, failures int) time.Duration {
 	factor := math.Exp2(float64(min(failures, maxBackoffExponent)))
 	return time.Duration(float64(base) * factor * (0.75 + d.random.Float64()/2))
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// This file learns from responses how long requests run, at each worker and of each function.
+// This file estimates run times from responses, by function and by worker.
 
 const (
 	defaultRunTime   = 100 * time.Millisecond // before any run time is known
-	overdueMultiple  = 3                      // an attempt is overdue at this multiple of its time,
-	overdueMargin    = 100 * time.Millisecond // and not before this has been added to it
+	overdueMultiple  = 3                      // overdue after this multiple of the usual time
+	overdueMargin    = 100 * time.Millisecond // added to the multiple
 	runTimeSmoothing = 0.1                    // weight of one response in a function's run time
 	workerSmoothing  = 0.06                   // weight of one response in a worker's slowness
 	meanSmoothing    = 0.05                   // weight of one report or response in the mean of all
-	maxRunTimeError  = 1.5                    // most that a response may be off, in logs
+	maxRunTimeError  = 1.5                    // limit of the deviation of one response, as a logarithm
 	minSlowness      = -1.0
 	maxSlowness      = 2.5
 	minResponseTime  = 1e-4 // seconds
 )
 
-// recordResponse learns from a response: the retry budget, the chance that a copy is loaded, the function's
-// run time, and the worker's limit and slowness. A response that may have waited for a load tells nothing
-// of the last three.
+// recordResponse updates the retry budget, the chance that a copy is loaded, the function's run time, and the
+// worker's concurrency limit and slowness. A response that may have waited for a load does not change the
+// last three.
 func (d *Dispatcher) recordResponse(a *attempt, e AttemptEnded) {
 	r := a.request
 	r.function.served = true
@@ -42,7 +42,7 @@
 	d.servedCount++
 }
 
-// recordResidency learns how often a worker holds a copy that this router does not know of.
+// recordResidency updates the chance that a worker holds a copy that this router does not know of.
 func (d *Dispatcher) recordResidency(a *attempt, e AttemptEnded) {
 	if a.expectedResident {
 		return
@@ -55,8 +55,8 @@
 	}
 }
 
-// recordRunTime divides what a response took more or less than expected between the function and the
-// worker.
+// recordRunTime updates the run time of the function and the slowness of the worker with the deviation of a
+// response from the expected time.
 func (d *Dispatcher) recordRunTime(a *attempt, took float64) {
 	r := a.request
 	f := r.function
@@ -70,12 +70,12 @@
 	}
 }
 
-// expectedRunTime is how long a request should take to run.
+// expectedRunTime returns the expected run time of a request, without a load.
 func (r *request) expectedRunTime() time.Duration {
 	return seconds(math.Exp(r.function.logRunTime) * r.workUnit)
 }
 
-// overdueAt is when an attempt is overdue.
+// overdueAt returns the time at which an attempt becomes overdue.
 func (d *Dispatcher) overdueAt(a *attempt) time.Duration {
 	return a.startedAt + seconds(a.expectedSeconds+overdueMultiple*d.meanResponseTime)
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -98,7 +98,7 @@
 func (d *Dispatcher) drawAssignmentOrder(f *function) {
 	for i := range f.assignment {
 		s := &f.assignment[i]
-		s.worker.candidateInSelection = d.selectionCount
+		s.worker.lastSelection = d.selectionCount
 		inFlight := float64(f.placementOn(s.worker).inFlight)
 		s.sortKey = (inFlight + d.random.ExpFloat64()) / s.share
 	}
@@ -120,8 +120,8 @@
 			if w == nil {
 				return
 			}
-			seen := w.candidateInSelection == d.selectionCount
-			w.candidateInSelection = d.selectionCount
+			seen := w.lastSelection == d.selectionCount
+			w.lastSelection = d.selectionCount
 			if !seen && !yield(w) {
 				return
 			}
@@ -139,7 +139,7 @@
 func (d *Dispatcher) remainingResidentWorkers(f *function) []*worker {
 	var entries []rankedWorker
 	for w, p := range f.placements {
-		if w.State == EndpointActive && w.candidateInSelection != d.selectionCount && d.now < p.residentUntil {
+		if w.State == EndpointActive && w.lastSelection != d.selectionCount && d.now < p.residentUntil {
 			entries = append(entries, rankedWorker{d.rendezvousScore(f, w), w})
 		}
 	}
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -1,12 +1,12 @@
 package dispatch
 
-// This file holds slow start: warmingUp and slowStartTokens.
+// This file implements slow start: worker.warmingUp and worker.slowStartTokens.
 
-// minSlowStartFraction keeps the rate of a bucket above zero where the settings give a starting worker no
+// minSlowStartFraction keeps the rate of a token bucket above zero if the settings give a starting worker no
 // capacity.
 const minSlowStartFraction = 0.01
 
-// slowStartFraction is the fraction of its capacity that a worker has at the least.
+// slowStartFraction returns the minimum fraction of its capacity that a worker has at present.
 func (d *Dispatcher) slowStartFraction(w *worker) float64 {
 	if !w.warmingUp || d.settings.SlowStartDuration == 0 {
 		return 1
@@ -16,10 +16,10 @@
 	return min(max(fraction, minSlowStartFraction), 1)
 }
 
-// slowStartAllowsAttempt reports whether slow start lets a worker have an attempt. If the worker is warming
-// up, its token bucket is refilled first. The bucket holds this router's part of what such a worker can
-// take: an even share of the work that this router has served, which no overload raises, times the fraction
-// of its capacity that the worker has at the least.
+// slowStartAllowsAttempt reports whether slow start allows an attempt at a worker. If the worker is warming
+// up, its token bucket is refilled first. The refill rate is this router's part of the work that the worker
+// can take: an even share of the work that this router has served, times the minimum fraction of its capacity
+// that the worker has. As only served work counts, an overload does not raise the rate.
 func (d *Dispatcher) slowStartAllowsAttempt(w *worker) bool {
 	if !w.warmingUp {
 		return true
@@ -31,9 +31,9 @@
 	return w.slowStartTokens > 0
 }
 
-// resetSlowStartTokens empties the bucket of a worker that begins or ends its slow start. The rate of one
-// router among many is far below one request, so the buckets start at random levels, or all routers would
-// send their first at once.
+// resetSlowStartTokens resets the token bucket of a worker at the start or end of its slow start. With many
+// routers, the rate of each is far below one request in the window, so the buckets start at random negative
+// levels. Otherwise all routers would send their first request at the same time.
 func (d *Dispatcher) resetSlowStartTokens(w *worker) {
 	meanWork := max(d.workRate/max(d.requestRate, negligible), defaultRunTime.Seconds())
 	w.slowStartTokens = -d.random.Float64() * meanWork
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// This file holds what a Dispatcher remembers. The records of workers, functions and requests stand in worker.go,
-// function.go and request.go. None of these files takes a decision or has a tuned value.
+// This file defines the state of a Dispatcher. worker.go, function.go and request.go define the records of workers,
+// functions and requests. None of these files makes decisions or has tuning constants.
 
-// Dispatcher decides for one router. See the package comment for its caller's duties.
+// Dispatcher is the decision core of one router. The package comment lists the rules that its caller must follow.
 type Dispatcher struct {
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration
 	started  bool     // the first Step has begun
-	actions  []Action // of the Step under way
+	actions  []Action // result of the current Step
 	timers   timers
-	timerDue time.Duration // of the SetTimer in force; 0: none
+	timerDue time.Duration // when the last SetTimer fires; 0 means that no timer is set
 
 	list                endpointList
 	workers             map[string]*worker
-	activeWorkers       []*worker          // those that attempts may go to, sorted by id
-	suspectedCount      int                // of activeWorkers
-	removedWorkers      map[string]*worker // those that the endpoint list no longer has, until they are forgotten
-	changedWorkers      []*worker          // those whose state changed in the endpoint update under way
-	endpointUpdateCount int                // counts the endpoint updates
+	activeWorkers       []*worker          // those that may get attempts, sorted by id
+	suspectedCount      int                // number of suspected workers in activeWorkers
+	removedWorkers      map[string]*worker // those that the endpoint list no longer has, until they are deleted
+	changedWorkers      []*worker          // those whose state changed in the current endpoint update
+	endpointUpdateCount int                // number of endpoint updates so far
 	hashInput           []byte             // scratch space of rendezvousScore
 
 	memoryByKind     map[string]float64
@@ -33,28 +33,28 @@
 	functionsInOrder []*function // in the order of their first requests
 
 	requests       map[RequestID]*request
-	pending        []*request // those that wait for a worker to become available
-	selectionCount int        // counts the calls of selectWorker
+	pending        []*request // those that wait for an available worker
+	selectionCount int        // number of calls of selectWorker so far
 
-	// The two sliding windows of the load rate limit.
+	// Sliding windows of the load rate limit.
 	requestTimes     []time.Duration
 	loadCommandTimes []time.Duration
 
-	// Measured once every rebalance interval; the counts are of the interval under way.
+	// Rates are measured once per rebalance interval. Counts are of the current interval.
 	lastRebalance   time.Duration
 	assignedAt      time.Duration // when capacity was last assigned
-	assignmentStale bool          // the fleet has changed since
+	assignmentStale bool          // the active workers have changed since
 	rebalanceCount  float64
-	requestRate     float64 // requests of this router a second
-	workRate        float64 // seconds of work served a second
+	requestRate     float64 // requests of this router per second
+	workRate        float64 // seconds of work served per second
 	workServed      float64
-	servedRate      float64 // requests served a second
+	servedRate      float64 // requests served per second
 	servedCount     float64
 
-	// Learned from responses and load reports.
-	logLoadTime          float64 // logarithm of the seconds that a load takes
+	// Estimates from responses and load reports.
+	logLoadTime          float64 // logarithm of the time of a load in seconds
 	meanResponseTime     float64 // seconds
-	meanReportedInFlight float64 // requests that a worker reports to hold
+	meanReportedInFlight float64 // mean number of requests that a worker reports
 	residentChance       float64 // chance that a worker holds a copy that this router does not know of
 
 	inFlight    float64 // weighted attempts of this router in flight, see attempt.weight
@@ -63,14 +63,14 @@
 	retryBudget float64 // retries that may still be started
 }
 
-// endpointList is what is known of how current the endpoint list is.
+// endpointList tracks how current the endpoint list is.
 type endpointList struct {
-	tracked     bool            // the caller reports on it
-	confirmedAt time.Duration   // the list held all changes up to then
-	requestedAt []time.Duration // when it was asked for again after failures since then, the oldest first
-	pausedUntil time.Duration   // when the process last went on after a pause
-	expired     bool            // the list is not believed, as was last reported
+	tracked     bool            // the caller confirms the list, and drains matter
+	confirmedAt time.Duration   // the list contained all changes up to this time
+	requestedAt []time.Duration // requests for the list after confirmedAt, the oldest first
+	pausedUntil time.Duration   // end of the last pause of the process
+	expired     bool            // the last EndpointListStateChanged reported that the list is out of date
 }
 
-// seconds converts to a duration.
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timers are the moments at which requests are to be looked at again. A request may have several.
+// timers holds the timers of requests. A request may have several.
 type timers struct {
 	heap     timerHeap
 	sequence int
@@ -31,7 +31,7 @@
 	return ok && at <= now
 }
 
-// pop removes the earliest timer and returns its request.
+// pop removes the earliest timer and returns the id of its request.
 func (t *timers) pop() RequestID { return heap.Pop(&t.heap).(timer).request }
 
 type timer struct {
@@ -40,7 +40,7 @@
 	request  RequestID
 }
 
-// timerHeap orders timers by time, and by the order in which they were set within a moment.
+// timerHeap orders timers by time. Timers with the same time stay in the order in which they were set.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// This file holds the record of a worker and keeps the indexes of workers consistent.
+// This file defines the record of a worker and keeps the indexes of workers consistent.
 
-// worker is what this router knows of one worker.
+// worker is the state of one worker, as this router knows it.
 type worker struct {
 	Endpoint
-	memoryMB             float64 // of its kind
-	active               bool    // it stands in Dispatcher.activeWorkers
-	forgotten            bool    // it is no longer in Dispatcher.workers
-	listedInUpdate       int     // the endpoint update that last listed it, see Dispatcher.endpointUpdates
-	candidateInSelection int     // the selection that it was last a candidate of, see Dispatcher.selections
+	memoryMB       float64 // of its kind
+	active         bool    // it is in Dispatcher.activeWorkers
+	forgotten      bool    // it is no longer in Dispatcher.workers
+	listedInUpdate int     // the endpoint update that last listed it, see Dispatcher.endpointUpdateCount
+	lastSelection  int     // the selection that it was last a candidate of, see Dispatcher.selectionCount
 
 	lastResponseAt       time.Duration // last response of any kind
-	lastSuspicionCheckAt time.Duration // last health check sent because of a suspicion
-	suspected            bool          // held to be unresponsive
-	slowness             float64       // logarithm of its response times over the expected ones
+	lastSuspicionCheckAt time.Duration // when the last health check because of a suspicion was sent
+	suspected            bool          // it is assumed to be unresponsive
+	slowness             float64       // logarithm of the ratio of its response times to the expected ones
 	ejections            map[*class]ejection
 
-	reportedAt       time.Duration // of its last load report
-	reportedInFlight float64       // requests that it then held
-	loadExcess       float64       // logarithm of what it reports over what the others report
+	reportedAt       time.Duration // time of its last load report
+	reportedInFlight float64       // requests in that report
+	loadExcess       float64       // logarithm of the ratio of its reports to those of the others
 	awaitingReport   []*request    // requests that wait for its next load report
 
 	lease workerLease
 
 	attempts          []*attempt // of this router, in flight, oldest first
-	inFlight          float64    // their weights
-	concurrencyLimit  float64    // for inFlight
+	inFlight          float64    // sum of the weights of the attempts that count against the limit
+	concurrencyLimit  float64    // limit of inFlight
 	loadsInFlight     int        // load commands of this router without a result
-	remainingCapacity float64    // in MB, while capacity is being assigned
+	remainingCapacity float64    // in MB, during an assignment of capacity
 
 	warmingUp       bool          // started less than Settings.SlowStartDuration ago
-	slowStartTokens float64       // seconds of work that may go there while it is warming up
-	tokensUpdatedAt time.Duration // when slowStartTokens was brought up to date
+	slowStartTokens float64       // seconds of work that it may get while it is warming up
+	tokensUpdatedAt time.Duration // when slowStartTokens was last refilled
 }
 
-// workerLease is what shows that a worker does not drain, beside the endpoint list.
+// workerLease is the evidence, besides the endpoint list, that a worker does not drain.
 type workerLease struct {
-	knownActiveAt time.Duration // the newest time at which it is known not to have drained; 0: none
-	lostContactAt time.Duration // when a connection to it last failed, or it said that it drains
-	checkedAt     time.Duration // when the last health check for the lease was sent; 0: none, or it was answered
+	knownActiveAt time.Duration // the latest time at which it is known not to have drained; 0 means none
+	lostContactAt time.Duration // when a connection to it last failed or it reported that it drains
+	checkedAt     time.Duration // when the last health check for the lease was sent; 0 means none, or that it renewed the lease
 	checkInFlight bool
 	awaiting      []*request // requests that wait for that health check
 }
 
-// ejection keeps a class from a worker.
+// ejection stops the requests of one class to a worker until a time.
 type ejection struct {
 	until               time.Duration
 	count               int // recent ejections, for the backoff
-	consecutiveTimeouts int // attempts of the class without a response, while others got theirs
+	consecutiveTimeouts int // overdue attempts of the class in a row, while the worker responded to others
 }
 
-// resetWorker forgets what is known of a worker but its attempts in flight.
+// resetWorker resets the state of a worker, except for its attempts in flight.
 func (d *Dispatcher) resetWorker(w *worker) {
 	for _, f := range d.functionsInOrder {
 		delete(f.placements, w)
@@ -70,7 +70,7 @@
 	*w = *fresh
 }
 
-// forgetWorkers drops what is known of workers, and moves the requests that wait for one to the pending ones.
+// forgetWorkers deletes workers and requeues the requests that wait for them.
 func (d *Dispatcher) forgetWorkers(forgotten []*worker) {
 	if len(forgotten) == 0 {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// requeueWaiting moves the requests that wait for a worker to the pending ones, and drops its placements.
+// requeueWaiting moves the requests that wait for a worker to the pending requests and deletes its placements.
 func (d *Dispatcher) requeueWaiting(w *worker) {
 	d.pending = append(d.pending, w.awaitingReport...)
 	d.pending = append(d.pending, w.lease.awaiting...)
@@ -100,12 +100,12 @@
 	}
 }
 
-// removeAttempt takes a out of the attempts in flight at its worker.
+// removeAttempt removes an attempt from those in flight at the worker.
 func (w *worker) removeAttempt(a *attempt) {
 	w.attempts = slices.DeleteFunc(w.attempts, func(other *attempt) bool { return other == a })
 }
 
-// ensureEjections returns the ejections of w and makes the map if there is none.
+// ensureEjections returns the ejections of w and creates the map if there is none.
 func (w *worker) ensureEjections() map[*class]ejection {
 	if w.ejections == nil {
 		w.ejections = map[*class]ejection{}
@@ -113,7 +113,7 @@
 	return w.ejections
 }
 
-// setSuspected sets whether w is suspected.
+// setSuspected sets whether w is suspected and keeps suspectedCount consistent.
 func (d *Dispatcher) setSuspected(w *worker, suspected bool) {
 	if w.active && w.suspected != suspected {
 		if suspected {
@@ -125,7 +125,7 @@
 	w.suspected = suspected
 }
 
-// recountSuspectedWorkers counts the active workers that are suspected.
+// recountSuspectedWorkers sets suspectedCount to the number of active workers that are suspected.
 func (d *Dispatcher) recountSuspectedWorkers() {
 	d.suspectedCount = 0
 	for _, w := range d.activeWorkers {
@@ -135,7 +135,7 @@
 	}
 }
 
-// queueStateChange queues a worker for updateActiveWorkers and forgetRemovedWorkers, if they have work with it.
+// queueStateChange queues a worker for updateActiveWorkers and forgetRemovedWorkers, if its state requires it.
 func (d *Dispatcher) queueStateChange(w *worker) {
 	if w.active != (w.State == EndpointActive) {
 		d.changedWorkers = append(d.changedWorkers, w)
@@ -147,8 +147,7 @@
 	}
 }
 
-// updateActiveWorkers brings activeWorkers, all rankings and the count of suspected workers up to date with the states
-// of changedWorkers.
+// updateActiveWorkers updates activeWorkers, all rankings and suspectedCount to the states of changedWorkers.
 func (d *Dispatcher) updateActiveWorkers() {
 	var added, removed []*worker
 	for _, w := range d.changedWorkers {
