--- a/dispatch/assignment_test.go
+++ b/dispatch/assignment_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Routers that disagree on a function's worker would load it at more workers than needed, also before the first
-// rebalance has assigned anything.
+// Routers that prefer different workers for a function would load it on more workers than needed. They have to agree
+// even before the first rebalance.
 func TestRoutersAgreeOnFirstRankedWorkerBeforeFirstRebalance(t *testing.T) {
 	a := newHarness(t, testSettings(), "w1", "w2", "w3", "w4")
 	b := newHarness(t, testSettings(), "w4", "w3", "w2", "w1")
@@ -61,19 +61,20 @@
 	}
 }
 
-// Many routers must agree on the ranking, and a function with half of all requests must be spread over many workers.
+// Many routers must compute the same ranking, and a function with half of all requests must be spread over many
+// workers.
 func TestManyRoutersAgreeOnRankingAndSpreadLoad(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
 	const routers, workers = 120, 30
 	g := newRouterGroup(t, routers, s, workers)
-	functionOf := func(router, request int) string { // half of the requests for one function, the others for a hundred
+	functionOf := func(router, request int) string { // half of the requests are for one function, the others for 100
 		if (router+request)%2 == 0 {
 			return "hot"
 		}
 		return fmt.Sprintf("f%d", (router*7+request*13)%100)
 	}
-	g.play(30*time.Second, 200*time.Millisecond, 50*time.Millisecond, functionOf)
+	g.run(30*time.Second, 200*time.Millisecond, 50*time.Millisecond, functionOf)
 	first := g.routers[0].dispatcher
 	for _, h := range g.routers[1:] {
 		for key, f := range h.dispatcher.functions {
@@ -83,7 +84,7 @@
 			}
 		}
 	}
-	started := actionsOf[StartAttempt](g.play(5*time.Second, 200*time.Millisecond, 50*time.Millisecond,
+	started := actionsOf[StartAttempt](g.run(5*time.Second, 200*time.Millisecond, 50*time.Millisecond,
 		func(int, int) string { return "hot" }))
 	attempts, most := map[string]int{}, 0 // attempts by worker
 	for _, a := range started {
@@ -117,7 +118,7 @@
 	}
 }
 
-// Function names that anyone may make up, and that no worker ever serves, must not be kept for long.
+// Clients can invent function names. Functions that no worker ever serves must be deleted soon.
 func TestUnservedFunctionsAreForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	for i := range 3000 {
@@ -133,8 +134,8 @@
 	}
 }
 
-// TestReassignmentAfterUpdates: in a large fleet, updates that follow each other closely are answered by one assignment,
-// soon after; in a small one each is followed at once.
+// In a large fleet, several updates within a short time cause one deferred assignment. In a small fleet, each update
+// causes an assignment at once.
 func TestReassignmentAfterUpdates(t *testing.T) {
 	for workers, immediate := range map[int]bool{immediateReassignWorkers / 2: true, 3 * immediateReassignWorkers: false} {
 		t.Run(fmt.Sprint(workers, " workers"), func(t *testing.T) {
@@ -143,7 +144,7 @@
 				r.request()
 			}
 			d := r.dispatcher
-			r.now += time.Second // behind the last response
+			r.now += time.Second // after the last response
 			assignments := 0
 			var last time.Duration
 			for i := range 10 {
@@ -160,7 +161,7 @@
 			r.now += reassignInterval
 			d.Step(r.now, []Event{TimerFired{}})
 			if d.assignmentStale {
-				t.Error("the assignment is still that of the fleet before")
+				t.Error("the assignment does not include the last updates")
 			}
 		})
 	}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,10 +10,10 @@
 // benchmarkFunctions is the number of functions that the router of a benchmark knows.
 const benchmarkFunctions = 300
 
-// benchmarkSizes are the fleets of the benchmarks, in workers.
+// benchmarkSizes are the fleet sizes of the benchmarks, in workers.
 var benchmarkSizes = []int{16, 80, 120, 320, 1920, 3200}
 
-// benchmarkRouter is one router that is called by one client, in a fleet of many routers.
+// benchmarkRouter is one of many routers of a fleet, and gets its requests from one client.
 type benchmarkRouter struct {
 	dispatcher *Dispatcher
 	now        time.Duration
@@ -41,7 +41,7 @@
 	return Endpoint{ID: fmt.Sprintf("w%02d", i), Kind: "big"}
 }
 
-// request plays a request of the next function and its response.
+// request sends a request for the next function and its response.
 func (r *benchmarkRouter) request() {
 	r.now += 50 * time.Millisecond
 	r.requests++
@@ -55,7 +55,7 @@
 	}
 }
 
-// forEachSize runs a benchmark in fleets of every size.
+// forEachSize runs a benchmark for every fleet size.
 func forEachSize(b *testing.B, run func(b *testing.B, workers int)) {
 	b.Helper()
 	for _, workers := range benchmarkSizes {
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkStep measures a request and its response, with 300 functions known.
+// BenchmarkStep measures a request and its response at a router that knows 300 functions.
 func BenchmarkStep(b *testing.B) {
 	forEachSize(b, func(b *testing.B, workers int) {
 		r := newBenchmarkRouter(b, workers)
@@ -73,7 +73,7 @@
 	})
 }
 
-// BenchmarkEndpointUpdate measures an update in which one worker has been replaced, with 300 functions known.
+// BenchmarkEndpointUpdate measures an update that replaces one worker, at a router that knows 300 functions.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	forEachSize(b, func(b *testing.B, workers int) {
 		r := newBenchmarkRouter(b, workers)
@@ -89,7 +89,7 @@
 	})
 }
 
-// BenchmarkHeap measures what a router remembers after 4,000 requests: its heap in use, in MB.
+// BenchmarkHeap measures the heap in use of a router after 4,000 requests, in MB.
 func BenchmarkHeap(b *testing.B) {
 	const requests = 4000
 	forEachSize(b, func(b *testing.B, workers int) {
@@ -105,7 +105,7 @@
 	})
 }
 
-// heapInUse returns the bytes of the objects that are still reachable.
+// heapInUse returns the size of all reachable objects in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/dispatch/characterization_test.go
+++ b/dispatch/characterization_test.go
@@ -18,16 +18,16 @@
 	characterizationSeeds = 40
 )
 
-// TestCharacterization guards against a decision that changes while the code is only restructured: the actions of
-// seeded simulations are hashed by fixed tags and numbers, without any name of the code, and compared with recorded
-// sums.
+// TestCharacterization guards against unintended changes of decisions in a refactoring. It compares hashes of the
+// actions of seeded simulations with recorded ones. The hashes contain fixed tags and numbers, but no names of the
+// code.
 func TestCharacterization(t *testing.T) {
 	sums := make([]string, characterizationSeeds)
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range sums {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				sums[seed] = newSimulation(t, uint64(seed)).play()
+				sums[seed] = newSimulation(t, uint64(seed)).simulate()
 			})
 		}
 	})
@@ -52,7 +52,7 @@
 	}
 }
 
-// actionHash hashes actions by fixed tags.
+// actionHash hashes actions with a fixed tag for each type.
 type actionHash struct{ sum hash.Hash }
 
 func (h actionHash) number(values ...int64) {
@@ -97,6 +97,6 @@
 		h.text(a.Worker)
 		h.text(a.Class)
 	default:
-		t.Errorf("an action of an unknown kind: %T", a)
+		t.Errorf("unknown action type %T", a)
 	}
 }
--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// checker watches a Dispatcher's events and actions for violations of its invariants: one final answer in time, no
-// second run that may do harm, no attempt and no load command at a draining worker, no more attempts and load
-// commands than the settings allow. It keeps its own account, from events and actions alone.
+// checker checks the events and actions of a Dispatcher for violations of its invariants: one final answer in time, no
+// harmful second run, no attempt and no load command at a draining worker, no more attempts and load commands than the
+// settings allow. It derives its own state from events and actions alone.
 type checker struct {
 	settings      Settings
 	requests      map[RequestID]*checkedRequest
@@ -22,7 +22,7 @@
 	class     Class
 	deadline  time.Duration
 	done      bool
-	streaming bool // a streamed response has begun
+	streaming bool // a streamed response has started
 	attempts  []checkedAttempt
 }
 
@@ -30,7 +30,7 @@
 	worker     Endpoint
 	startedAt  time.Duration
 	inFlight   bool
-	mayHaveRun bool // of an ended one
+	mayHaveRun bool // it has ended, and nothing proves that it did not run
 }
 
 func newChecker(s Settings) *checker {
@@ -38,7 +38,7 @@
 		endpoints: map[string]Endpoint{}}
 }
 
-// step takes the events and actions of one Step and returns the first violation.
+// step checks the events and actions of one Step and returns the first violation.
 func (c *checker) step(now time.Duration, events []Event, actions []Action) error {
 	for _, e := range events {
 		c.recordEvent(now, e)
@@ -130,7 +130,7 @@
 		return c.checkFail(now, a)
 	case CancelAttempt:
 		if r := c.requests[a.ID]; r != nil && r.streaming && !r.done {
-			return fmt.Errorf("request %d: attempt cancelled after its response began", a.ID)
+			return fmt.Errorf("request %d: attempt cancelled after its response started", a.ID)
 		}
 	case LoadFunction:
 		if a.Copies > 0 {
@@ -146,7 +146,7 @@
 	case r == nil || r.done:
 		return fmt.Errorf("request %d: attempt started after the final answer", a.ID)
 	case r.streaming:
-		return fmt.Errorf("request %d: attempt started after the response began", a.ID)
+		return fmt.Errorf("request %d: attempt started after the response started", a.ID)
 	case c.drained(now, a.Worker):
 		return fmt.Errorf("request %d: attempt started at %s, which is draining", a.ID, a.Worker)
 	case len(r.attempts) >= c.settings.MaxAttempts:
@@ -182,7 +182,7 @@
 		return fmt.Errorf("request %d rejected after its final answer", a.ID)
 	}
 	if r.streaming {
-		return fmt.Errorf("request %d rejected after its response began", a.ID)
+		return fmt.Errorf("request %d rejected after its response started", a.ID)
 	}
 	clientMayRetry := r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotentByKey && r.class.DeduplicationScope == ScopeAll
@@ -202,7 +202,7 @@
 	}
 	inFlight := slices.ContainsFunc(r.attempts, func(a checkedAttempt) bool { return a.inFlight })
 	if inFlight && r.streaming && now < r.deadline {
-		return fmt.Errorf("request %d failed before its deadline, after its response began", a.ID)
+		return fmt.Errorf("request %d failed before its deadline, after its response started", a.ID)
 	}
 	r.done = true
 	return nil
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// drained reports whether a worker has been draining for longer than the grace time.
+// drained reports whether a worker has been draining for longer than the drain grace.
 func (c *checker) drained(now time.Duration, worker string) bool {
 	since, ok := c.drainingSince[worker]
 	return ok && now > since+c.settings.DrainGrace
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// Incident i8c6ef0: a caller that rounded a timer down called Step too early, and no other timer was set.
+// Callers may round timers down. After a Step that came too early for its timer, no new timer was set, and a request
+// got no answer (incident i8c6ef0).
 func TestTimerRoundedDownIsSetAgain(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.lastID++
@@ -40,8 +41,8 @@
 	t.Error("the request was never answered")
 }
 
-// A graceful shutdown gives every request its answer in time: a rejection where a retry by the client is harmless, a
-// failure elsewhere. A request whose deadline comes sooner keeps it.
+// A graceful shutdown gives every request its final answer in time: a rejection if a retry by the client is harmless,
+// otherwise a failure. A request with an earlier deadline keeps it.
 func TestShutdownAnswersAllRequestsInTime(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
--- a/dispatch/ejection_test.go
+++ b/dispatch/ejection_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A class that a worker fails is ejected there for a while; other classes are still served by the worker.
+// A class that a worker fails is ejected from it for a while. The worker still serves other classes.
 func TestFailingClassIsEjectedAndOthersAreServed(t *testing.T) {
 	for name, failure := range map[string]AttemptEnded{
 		"error": {Result: Errored, Duration: 40 * time.Millisecond, LoadReport: NoLoadReport},
@@ -30,7 +30,7 @@
 			}
 			h.advance(loadReportTTL) // the report of 9 requests in flight is then out of date
 			if h.startAttempt(other, classIdempotent).Worker != worker {
-				t.Error("another class was moved away from the worker too")
+				t.Error("the worker does not serve the other class any more")
 			}
 			h.advance(30 * time.Second)
 			e := h.dispatcher.workers[worker].ejections[h.dispatcher.classes[classNonIdempotent]]
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveFunctionOn serves functions until a worker has served one, and returns that function.
+// serveFunctionOn serves new functions until the given worker has served one, and returns that function.
 func (h *harness) serveFunctionOn(worker string) string {
 	h.t.Helper()
 	for i := 0; ; i++ {
@@ -51,15 +51,15 @@
 	}
 }
 
-// A worker may leave one class without responses while it serves others. It is heard, so silence detection never
-// suspects it: the class must be ejected, and overdue attempts retried elsewhere where that does no harm.
+// A worker may hang for one class while it serves others. As it still sends responses, the failure detector never
+// suspects it. The class must be ejected, and overdue attempts must be retried on other workers where that is harmless.
 func TestTimedOutClassIsEjectedAndRetriedElsewhere(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
 	f := &hangingFleet{harness: newHarness(t, s, "a", "b"), attempts: map[RequestID]int{}}
 	for range 100 {
-		f.requestOf("fsafe", classIdempotent)
-		f.requestOf("fonce", classNonIdempotent)
+		f.sendRequest("fsafe", classIdempotent)
+		f.sendRequest("fonce", classNonIdempotent)
 		f.answer(f.advance(20 * time.Millisecond))
 	}
 	a := f.dispatcher.workers["a"]
@@ -75,20 +75,20 @@
 			retried++
 		}
 	}
-	// At 45 requests a second, those of the first second are overdue only once a load could have ended.
+	// At 45 requests per second, those of the first second become overdue only after the time of a load.
 	if f.hung == 0 || f.hung > 60 || retried == 0 {
 		t.Errorf("%d of 100 requests hung at a, %d were retried", f.hung, retried)
 	}
 }
 
-// hangingFleet answers every attempt at once, but none of the class classIdempotent at worker a.
+// hangingFleet answers every attempt at once, except those of classIdempotent at worker a.
 type hangingFleet struct {
 	*harness
-	attempts map[RequestID]int // by request of the class that hangs
+	attempts map[RequestID]int // by request of classIdempotent
 	hung     int
 }
 
-func (f *hangingFleet) requestOf(function, class string) {
+func (f *hangingFleet) sendRequest(function, class string) {
 	f.t.Helper()
 	r := f.newRequest(function, class)
 	r.ExpectedWork = 20 * time.Millisecond
@@ -114,7 +114,7 @@
 	}
 }
 
-// Single requests without a response, with responses between them, must not eject the class.
+// Single requests without a response must not eject the class if other requests get responses in between.
 func TestResponseResetsConsecutiveTimeouts(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
@@ -137,8 +137,8 @@
 	}
 }
 
-// The timers of a request may fire several times while its attempt is in flight, as it waited for a load report or a
-// load before. However often they do, it is one attempt without a response.
+// A request that has waited for a load report or a load has several timers, which may fire while its attempt is in
+// flight. They must count the attempt as one timeout only.
 func TestAttemptCountsAsOneTimeout(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
@@ -148,7 +148,7 @@
 	for range 2 * timeoutsToEject { // timers set before the attempt was started
 		h.dispatcher.setRequestTimer(r, h.now)
 	}
-	other := h.startAttempt("g", classNonIdempotent) // the worker responds to others meanwhile
+	other := h.startAttempt("g", classNonIdempotent) // the worker responds to another request
 	h.now += 10 * time.Millisecond
 	h.endAttempt(other, 0, outcomeOf(OK, 10*time.Millisecond))
 	h.advance(2 * time.Second)
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// Endpoint churn: in a fleet whose workers are replaced all day by others under new ids, what is remembered of workers
-// and placements must stay that of the fleet.
+// In a fleet whose workers are continually replaced by new ones with other ids, the stored workers and placements must
+// stay bounded by the size of the fleet.
 func TestEndpointChurnKeepsStateBounded(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
@@ -36,7 +36,7 @@
 		}})
 	}
 	if n := len(h.dispatcher.workers); n > 4 {
-		t.Errorf("%d workers are remembered of a fleet of 3", n)
+		t.Errorf("%d workers stored for a fleet of 3", n)
 	}
 	for _, f := range h.dispatcher.functionsInOrder {
 		if n := len(f.placements); n > 4 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A request that waits for a load must not wait on when the worker is removed.
+// A request that waits for a load must be retried on another worker when its worker is removed.
 func TestRequestAwaitingLoadMovesOnWhenWorkerIsRemoved(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	started := h.startAttempt("f", classIdempotent)
--- a/dispatch/functionrelease_test.go
+++ b/dispatch/functionrelease_test.go
@@ -15,27 +15,27 @@
 	releaseRequestTime = 3 * time.Second // deadline of a request
 )
 
-// A function release under moderate load makes every loaded copy invalid at once. There must be no storm of loads: the
-// checker watches the load rate limit, and no function is loaded at more than a few workers. Every request still gets
-// its answer, and service is back within seconds.
+// A function release under moderate load invalidates all loaded copies at once. It must not cause a load storm: the
+// checker verifies the load rate limit, and each function is loaded on a few workers only. Every request still gets its
+// final answer, and within seconds nearly all requests are served again.
 func TestFunctionReleaseCausesNoLoadStorm(t *testing.T) {
 	for name, loadOnMiss := range map[string]bool{"loads by command": false, "workers load on a miss": true} {
 		t.Run(name, func(t *testing.T) {
 			f := newReleaseFleet(t, loadOnMiss)
-			f.play(20 * time.Second) // every function is loaded
-			if requests := f.play(4 * time.Second); f.served < requests-5 {
+			f.run(20 * time.Second) // every function is loaded
+			if requests := f.run(4 * time.Second); f.served < requests-5 {
 				t.Fatalf("before the release %d of %d requests served", f.served, requests)
 			}
 			clear(f.loadedAt)
 			f.loadCommands, f.workerLoads = 0, 0
-			f.play(3 * time.Second)
+			f.run(3 * time.Second)
 			t.Logf("%d load commands and %d loads by the workers for %d functions in the 3 s after the release",
 				f.loadCommands, f.workerLoads, releasedFunctions)
 			if f.loadCommands > 3*releasedFunctions || f.workerLoads > 3*releasedFunctions {
 				t.Errorf("%d load commands and %d loads by the workers for %d functions, want at most 3 each",
 					f.loadCommands, f.workerLoads, releasedFunctions)
 			}
-			if requests := f.play(4 * time.Second); f.served < requests-10 {
+			if requests := f.run(4 * time.Second); f.served < requests-10 {
 				t.Errorf("three seconds after the release %d of %d requests served, %d rejected or failed", f.served,
 					requests, f.unserved)
 			}
@@ -47,13 +47,13 @@
 type releaseFleet struct {
 	*harness
 	loadOnMiss bool
-	loadedAt   map[string]time.Duration // by function and worker: when the copy has been loaded
+	loadedAt   map[string]time.Duration // by function and worker: when the load of the copy ends
 	functions  map[RequestID]string
 	attempts   map[RequestID]int
 	answered   map[RequestID]bool
 	queue      []dueEvent
 
-	served, unserved          int // requests since the last play began
+	served, unserved          int // requests since the start of the last run
 	loadCommands, workerLoads int
 }
 
@@ -67,8 +67,8 @@
 		answered: map[RequestID]bool{}}
 }
 
-// play hands over a request every releaseInterval, the functions in turn, and returns the number of requests.
-func (f *releaseFleet) play(span time.Duration) (requests int) {
+// run hands over a request every releaseInterval, the functions in turn, and returns the number of requests.
+func (f *releaseFleet) run(span time.Duration) (requests int) {
 	f.t.Helper()
 	f.served, f.unserved = 0, 0
 	next := f.now
@@ -80,7 +80,7 @@
 			requests++
 			events = append(events, f.functionRequest(fmt.Sprint("f", requests%releasedFunctions)))
 		}
-		f.carryOut(f.step(events...))
+		f.executeActions(f.step(events...))
 	}
 	return requests
 }
@@ -93,7 +93,7 @@
 	return r
 }
 
-// dueEvents takes the events that are due and counts the requests that they answer.
+// dueEvents removes and returns the events that are due, and counts the requests that they answer.
 func (f *releaseFleet) dueEvents() (due []Event) {
 	remaining := f.queue[:0]
 	for _, queued := range f.queue {
@@ -111,8 +111,8 @@
 	return due
 }
 
-// carryOut takes what the router decided.
-func (f *releaseFleet) carryOut(actions []Action) {
+// executeActions executes the actions of the router.
+func (f *releaseFleet) executeActions(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
@@ -133,7 +133,8 @@
 	}
 }
 
-// attemptOutcome is how an attempt will end: after the load under way, after a load of its own, or as NotResident.
+// attemptOutcome returns how an attempt will end: after a load in progress, after a load that it starts, or as
+// NotResident.
 func (f *releaseFleet) attemptOutcome(a StartAttempt) AttemptEnded {
 	outcome := outcomeOf(OK, releaseRunTime)
 	outcome.ID, outcome.Attempt, outcome.Worker, outcome.Final = a.ID, f.attempts[a.ID], a.Worker, true
--- a/dispatch/fuzz_test.go
+++ b/dispatch/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// FuzzStep plays unusual but legal sequences of events, decoded from the bytes, under the checker.
+// FuzzStep decodes unusual but legal sequences of events from the input and checks the actions with the checker.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte("\x00\x10\x20\x31\x05\x42\x07\x53\x11\x64\x99\x02\x31\x44\x17\x2a"))
 	f.Add([]byte("0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"))
@@ -16,18 +16,19 @@
 		}
 		d := newFuzzDriver(t, data)
 		for i := 0; i+1 < len(data); i += 2 {
-			d.play(data[i], int(data[i+1]))
+			d.applyOperation(data[i], int(data[i+1]))
 		}
-		d.advance(4 * time.Second) // what is left must be answered
+		d.advance(4 * time.Second) // all requests must be answered by then
 	})
 }
 
-// fuzzDriver decodes events from bytes: an operation and its argument, the time in between, the fleet and ids.
+// fuzzDriver decodes events from pairs of bytes: the first holds an operation and the time since the last one, the
+// second an argument, from which workers, functions and ids are derived.
 type fuzzDriver struct {
 	*harness
 	inFlight []fuzzAttempt
 	attempts map[RequestID]int
-	final    map[RequestID]bool // whatever ends an attempt of the request ends the request
+	final    map[RequestID]bool // the next end of an attempt of the request is final
 }
 
 type fuzzAttempt struct {
@@ -50,8 +51,8 @@
 		final: map[RequestID]bool{}}
 }
 
-// play lets time pass, plays one operation and takes the actions that follow.
-func (d *fuzzDriver) play(code byte, argument int) {
+// applyOperation advances the time, applies one operation and records the resulting actions.
+func (d *fuzzDriver) applyOperation(code byte, argument int) {
 	d.now += time.Duration(code/8) * 5 * time.Millisecond
 	worker := fmt.Sprintf("w%d", argument%5)
 	var actions []Action
@@ -63,14 +64,14 @@
 		if len(d.inFlight) == 0 {
 			return
 		}
-		actions = d.playAttemptEnd(argument)
+		actions = d.applyAttemptEnd(argument)
 	case 5:
-		actions = d.playRouterEvent(worker, argument)
+		actions = d.applyRouterEvent(worker, argument)
 	case 6:
-		actions = d.playEndpointUpdate(worker, argument)
+		actions = d.applyEndpointUpdate(worker, argument)
 	case 7:
 		if argument >= 128 && len(d.inFlight) > 0 {
-			actions = d.playResponseStart(argument)
+			actions = d.applyResponseStart(argument)
 		} else {
 			id := RequestID(argument) % (d.lastID + 1)
 			d.final[id] = true
@@ -80,7 +81,7 @@
 	d.record(append(actions, d.advance(10*time.Millisecond)...))
 }
 
-func (d *fuzzDriver) playAttemptEnd(argument int) []Action {
+func (d *fuzzDriver) applyAttemptEnd(argument int) []Action {
 	i := argument % len(d.inFlight)
 	a := d.inFlight[i]
 	d.inFlight = append(d.inFlight[:i], d.inFlight[i+1:]...)
@@ -90,8 +91,8 @@
 		Duration: 30 * time.Millisecond, CacheStatus: CacheStatus(argument % 5), LoadReport: NoLoadReport})
 }
 
-// playRouterEvent plays a shutdown, gossip or the result of a load.
-func (d *fuzzDriver) playRouterEvent(worker string, argument int) []Action {
+// applyRouterEvent applies a shutdown, a gossip update or the result of a load.
+func (d *fuzzDriver) applyRouterEvent(worker string, argument int) []Action {
 	switch {
 	case argument > 250:
 		return d.step(ShutdownStarted{AnswerWithin: time.Duration(argument-250) * 100 * time.Millisecond})
@@ -102,7 +103,7 @@
 	return d.step(FunctionLoaded{Worker: worker, Function: function, Result: Result(argument / 8 % 8)})
 }
 
-func (d *fuzzDriver) playEndpointUpdate(worker string, argument int) []Action {
+func (d *fuzzDriver) applyEndpointUpdate(worker string, argument int) []Action {
 	endpoint := Endpoint{ID: worker, Kind: "small", Cell: argument % 5 / 2, State: EndpointState(argument / 5 % 3)}
 	if argument > 200 {
 		endpoint.StartedAt = d.now
@@ -110,7 +111,7 @@
 	return d.step(EndpointUpdate{Snapshot: argument == 77, Endpoints: []Endpoint{endpoint}})
 }
 
-func (d *fuzzDriver) playResponseStart(argument int) []Action {
+func (d *fuzzDriver) applyResponseStart(argument int) []Action {
 	a := d.inFlight[argument%len(d.inFlight)]
 	actions := d.step(ResponseStarted{ID: a.id, Attempt: a.number, Worker: a.worker, Duration: 20 * time.Millisecond})
 	if r := d.checker.requests[a.id]; r != nil && !r.done {
@@ -119,7 +120,7 @@
 	return actions
 }
 
-// record notes the attempts that were started and the requests that were answered.
+// record stores the attempts that were started and the requests that were answered.
 func (d *fuzzDriver) record(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/dispatch/gossip_test.go
+++ b/dispatch/gossip_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A worker that other routers report as unresponsive is passed over. Gossip ends no suspicion; a response of the worker
-// does, and a later report of an older silence does not bring it back.
+// A worker that other routers report as unresponsive is passed over. Only a response of the worker ends the suspicion,
+// and a later report about an earlier silence does not renew it.
 func TestGossipSuspicionMovesRequestsUntilWorkerResponds(t *testing.T) {
 	s := testSettings()
 	s.SuspicionsReported = true
@@ -24,17 +24,17 @@
 	}
 	actions = h.step(GossipUpdate{SuspectedWorkers: []string{worker}})
 	if reports := actionsOf[ReportSuspicion](actions); len(reports) > 0 {
-		t.Errorf("a suspicion that was in force already was reported again: %v", reports)
+		t.Errorf("suspicion of a suspected worker was reported again: %v", reports)
 	}
 	h.step(HealthChecked{Worker: worker, Result: OK, LoadReport: NoLoadReport})
-	h.step(GossipUpdate{SuspectedWorkers: []string{worker}}) // it was heard a moment ago
+	h.step(GossipUpdate{SuspectedWorkers: []string{worker}}) // it has just responded
 	if h.dispatcher.workers[worker].suspected {
-		t.Error("gossip outweighed the worker's own response")
+		t.Error("gossip renewed the suspicion of a worker that has just responded")
 	}
 }
 
-// More routers than configured lower this router's concurrency limits; when they vanish, perhaps only cut off, nothing
-// is given back.
+// A higher number of routers than configured lowers this router's concurrency limits. When the other routers vanish,
+// the limits stay, because the routers may only be partitioned.
 func TestGossipNeverRaisesConcurrencyLimits(t *testing.T) {
 	s := testSettings()
 	s.Routers = 4
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// This file holds what the tests share: settings, a harness for one Dispatcher, and the ends of attempts.
+// This file contains shared test helpers: settings, a harness for one Dispatcher, and results of attempts.
 
 // The classes of testSettings.
 const (
@@ -14,10 +14,10 @@
 	classKeyed         = "keyed" // idempotent by key, within a cell
 )
 
-// harnessTick is the time between two steps of harness.advance.
+// harnessTick is the time between two steps in harness.advance.
 const harnessTick = 10 * time.Millisecond
 
-// testSettings are those of a fleet whose workers answer NotResident; tests change what they are about.
+// testSettings returns settings of a fleet whose workers answer NotResident. Tests change the settings they examine.
 func testSettings() Settings {
 	testClass := func(name string, idempotency Idempotency) Class {
 		return Class{Name: name, LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1,
@@ -35,7 +35,7 @@
 	}
 }
 
-// harness drives one Dispatcher and has a checker watch every step.
+// harness drives one Dispatcher and checks every step with a checker.
 type harness struct {
 	t          *testing.T
 	dispatcher *Dispatcher
@@ -44,7 +44,7 @@
 	lastID     RequestID
 }
 
-// newHarness starts a router in a fleet of these workers, two in each cell.
+// newHarness starts a router in a fleet of the given workers, two in each cell.
 func newHarness(t *testing.T, s Settings, workers ...string) *harness {
 	t.Helper()
 	h := newHarnessWithoutEndpoints(t, s, 1)
@@ -56,7 +56,7 @@
 	return h
 }
 
-// newHarnessWithoutEndpoints starts a router that has had no endpoint list yet.
+// newHarnessWithoutEndpoints starts a router that has not received an endpoint list yet.
 func newHarnessWithoutEndpoints(t *testing.T, s Settings, seed uint64) *harness {
 	t.Helper()
 	d, err := New(s, seed)
@@ -75,7 +75,7 @@
 	return actions
 }
 
-// advance lets time pass, with a TimerFired at every tick.
+// advance advances the time, with a TimerFired at every tick.
 func (h *harness) advance(span time.Duration) (actions []Action) {
 	h.t.Helper()
 	for end := h.now + span; h.now < end; {
@@ -85,28 +85,28 @@
 	return actions
 }
 
-// newRequest is a request with a new id.
+// newRequest returns a request with a new id.
 func (h *harness) newRequest(function, class string) Request {
 	h.lastID++
 	return Request{ID: h.lastID, Function: function, Class: class, MemoryMB: 300, ConcurrencyPerInstance: 1,
 		RemainingDeadline: 3 * time.Second}
 }
 
-// request hands over a new request of a function.
+// request passes a new request for a function to the router.
 func (h *harness) request(function, class string) (RequestID, []Action) {
 	h.t.Helper()
 	r := h.newRequest(function, class)
 	return r.ID, h.step(r)
 }
 
-// startAttempt hands over a new request and returns its one attempt.
+// startAttempt passes a new request to the router and returns the one attempt that it starts.
 func (h *harness) startAttempt(function, class string) StartAttempt {
 	h.t.Helper()
 	_, actions := h.request(function, class)
 	return h.onlyAttempt(actions)
 }
 
-// endAttempt ends an attempt with an outcome, which needs no ids; OK is final.
+// endAttempt ends an attempt with an outcome, whose ids it fills in. The result OK is final.
 func (h *harness) endAttempt(started StartAttempt, number int, outcome AttemptEnded) []Action {
 	h.t.Helper()
 	outcome.ID, outcome.Worker, outcome.Attempt = started.ID, started.Worker, number
@@ -114,7 +114,7 @@
 	return h.step(outcome)
 }
 
-// serveOnce serves one request of a function and returns its worker, which is then known to hold the function.
+// serveOnce serves one request for a function and returns its worker, which is then known to hold the function.
 func (h *harness) serveOnce(function, class string) string {
 	h.t.Helper()
 	started := h.startAttempt(function, class)
@@ -132,7 +132,7 @@
 	return started[0]
 }
 
-// outcomeOf is the end of an attempt whose worker reports nothing of its load.
+// outcomeOf returns the end of an attempt without a load report.
 func outcomeOf(result Result, duration time.Duration) AttemptEnded {
 	return AttemptEnded{Result: result, Duration: duration, FunctionInFlight: -1, LoadReport: NoLoadReport}
 }
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Silence detection: a worker that leaves its attempts without responses is passed over until it responds.
+// A worker that sends no responses to its attempts is passed over until it responds.
 func TestSilentWorkerIsSuspectedUntilItResponds(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
@@ -17,7 +17,7 @@
 	}
 	h.advance(1500 * time.Millisecond)
 	if h.startAttempt("f", classIdempotent).Worker == first.Worker {
-		t.Fatal("attempt started at a silent worker")
+		t.Fatal("attempt started at an unresponsive worker")
 	}
 	h.step(HealthChecked{Worker: first.Worker})
 	if h.dispatcher.workers[first.Worker].suspected {
--- a/dispatch/leases_test.go
+++ b/dispatch/leases_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leaseHarness is a router in a fleet of three workers that load functions by themselves, whose endpoint list was confirmed
-// when the test began and not since.
+// leaseHarness is a router in a fleet of three workers that load functions on a miss. Its endpoint list is confirmed
+// once, at the start of the test.
 type leaseHarness struct {
 	*harness
 	confirmedAt time.Duration
@@ -33,11 +33,11 @@
 	return h.step(EndpointListConfirmed{At: h.now})
 }
 
-// passLease lets time pass until the lease of the list is over.
-func (h *leaseHarness) passLease() { h.advance(lossNotificationDelay + testDrainGrace) }
+// expireListLease advances the time until the lease of the endpoint list has ended.
+func (h *leaseHarness) expireListLease() { h.advance(lossNotificationDelay + testDrainGrace) }
 
-// outcome says what a request led to: "attempt", "check" or "rejected".
-func outcome(actions []Action) string {
+// requestOutcome returns what the router did with a request: "attempt", "check", "rejected" or "nothing".
+func requestOutcome(actions []Action) string {
 	switch {
 	case len(actionsOf[StartAttempt](actions)) > 0:
 		return "attempt"
@@ -53,19 +53,19 @@
 func (h *leaseHarness) requireOutcome(want, why string) []Action {
 	h.t.Helper()
 	_, actions := h.request("f", classIdempotent)
-	if got := outcome(actions); got != want {
+	if got := requestOutcome(actions); got != want {
 		h.t.Errorf("%s: %s, want %s", why, got, want)
 	}
 	return actions
 }
 
-// TestListLeaseEnds holds how long the endpoint list is believed after it was last confirmed, by what happens to it.
+// TestListLeaseEnds checks how long the endpoint list is current after its last confirmation, for several events.
 func TestListLeaseEnds(t *testing.T) {
 	const lease = testDrainGrace - leaseMargin
 	for _, test := range []struct {
 		name  string
 		event func(h *leaseHarness) // 1 s after the list was confirmed
-		end   time.Duration         // of the lease, since then
+		end   time.Duration         // end of the lease, from the confirmation
 	}{
 		{"the list is lost", func(*leaseHarness) {}, lossNotificationDelay + lease},
 		{"it is asked for again", func(h *leaseHarness) { h.step(EndpointListRequested{At: h.now}) }, time.Second + lease},
@@ -115,42 +115,41 @@
 	}
 }
 
-// TestUnreportedListIsBelieved checks that a caller which does not report on the list is not bothered by its age.
-func TestUnreportedListIsBelieved(t *testing.T) {
+// An endpoint list that the caller never confirms is current at any age.
+func TestListWithoutConfirmationsIsCurrent(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
 	h := newHarness(t, s, "w1", "w2")
 	h.advance(time.Minute)
 	_, actions := h.request("f", classIdempotent)
 	if started := h.onlyAttempt(actions); started.SendBefore != 0 {
-		t.Errorf("to be sent before %v", started.SendBefore)
+		t.Errorf("send time limit %v, want none", started.SendBefore)
 	}
 }
 
-// TestSendIsDecidedAnewAfterDrainGrace checks the time limits of sends, while the list is believed and at its lease's end.
-func TestSendIsDecidedAnewAfterDrainGrace(t *testing.T) {
+// TestSendIsLimitedToDrainGrace checks the time limit of a send while the list is current and at the end of its lease.
+func TestSendIsLimitedToDrainGrace(t *testing.T) {
 	h := newLeaseHarness(t, nil)
 	if got := h.startAttempt("f", classIdempotent).SendBefore - h.now; got != testDrainGrace-leaseMargin {
-		t.Errorf("to be sent within %v", got)
+		t.Errorf("time to send is %v, want the drain grace less the margin", got)
 	}
 	h.advance(lossNotificationDelay + testDrainGrace - leaseMargin - harnessTick)
 	if got := h.startAttempt("g", classIdempotent).SendBefore; got != h.dispatcher.listLeaseEnd() {
-		t.Errorf("to be sent before %v, the list's lease ends at %v", got, h.dispatcher.listLeaseEnd())
+		t.Errorf("send time limit %v, want the end of the list's lease, %v", got, h.dispatcher.listLeaseEnd())
 	}
 }
 
-// TestSendHasTimeToConnectInShortGrace has settings that give hardly any drain grace. A send still has the time of a connect
-// while the list is believed.
-func TestSendHasTimeToConnectInShortGrace(t *testing.T) {
+// Even with a very short drain grace, a send has enough time to open a connection while the list is current.
+func TestShortDrainGraceLeavesTimeToConnect(t *testing.T) {
 	h := newLeaseHarness(t, func(s *Settings) { s.DrainGrace = time.Millisecond })
 	if got := h.startAttempt("f", classIdempotent).SendBefore - h.now; got != minSendWindow {
-		t.Errorf("to be sent within %v", got)
+		t.Errorf("time to send is %v, want minSendWindow", got)
 	}
 }
 
-// TestWithoutDrainGraceListIsBelieved has settings without a drain grace, and so without a rule on drains, and without health
-// checks. Requests are served however old the list is.
-func TestWithoutDrainGraceListIsBelieved(t *testing.T) {
+// Without a drain grace in the settings, no rule on drains applies. Requests are then served at any age of the list,
+// also without health checks.
+func TestWithoutDrainGraceListIsCurrent(t *testing.T) {
 	h := newLeaseHarness(t, func(s *Settings) {
 		s.DrainGrace = 0
 		s.HealthChecksAllowed = false
@@ -158,15 +157,15 @@
 	h.step(EndpointListRequested{At: h.now})
 	h.advance(time.Minute)
 	if started := h.startAttempt("f", classIdempotent); started.SendBefore != 0 {
-		t.Errorf("to be sent before %v", started.SendBefore)
+		t.Errorf("send time limit %v, want none", started.SendBefore)
 	}
 }
 
-// TestOneCheckServesAllRequests has requests come while the list is out of date. One health check is made for them; when
-// the worker is ready all are forwarded to it, and within its lease further requests need no check.
+// Requests that arrive while the list is out of date share one health check. If the worker is ready, all of them are
+// forwarded to it, and further requests need no check until its lease ends.
 func TestOneCheckServesAllRequests(t *testing.T) {
 	h := newLeaseHarness(t, nil)
-	h.passLease()
+	h.expireListLease()
 	checks := actionsOf[CheckHealth](h.requireOutcome("check", "the first request"))
 	h.requireOutcome("nothing", "the second, while the check is under way")
 	h.now += 2 * time.Millisecond
@@ -179,10 +178,10 @@
 	h.requireOutcome("check", "after the lease")
 }
 
-// TestDrainingWorkerIsPassedOver has the first worker that is checked answer that it drains. The next is checked.
+// If the first worker answers its health check as draining, the next worker is checked.
 func TestDrainingWorkerIsPassedOver(t *testing.T) {
 	h := newLeaseHarness(t, nil)
-	h.passLease()
+	h.expireListLease()
 	first := actionsOf[CheckHealth](h.requireOutcome("check", "the request"))[0].Worker
 	actions := h.step(HealthChecked{Worker: first, Draining: true, LoadReport: NoLoadReport},
 		EndpointUpdate{Endpoints: []Endpoint{{ID: first, Kind: "big", State: EndpointDraining}}})
@@ -192,13 +191,13 @@
 	}
 }
 
-// TestUnansweredCheckDoesNotHoldRequest has the first worker not answer its health check. Another is checked while the
-// request has most of its time left, also where that is short.
-func TestUnansweredCheckDoesNotHoldRequest(t *testing.T) {
+// If the first worker does not answer its health check, another one is checked while the request has most of its time
+// left, even if its deadline is short.
+func TestUnansweredCheckDoesNotBlockRequest(t *testing.T) {
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			h := newLeaseHarness(t, nil)
-			h.passLease()
+			h.expireListLease()
 			request := h.newRequest("f", classIdempotent)
 			request.RemainingDeadline = deadline
 			request.ExpectedWork = 5 * time.Millisecond
@@ -211,9 +210,9 @@
 	}
 }
 
-// TestWhatRenewsLease holds which ends of an attempt show, and from when, that a worker does not drain. The attempt starts
-// 300 ms before the lease of the list ends and ends 100 ms after that.
-func TestWhatRenewsLease(t *testing.T) {
+// TestResultsThatRenewLease checks which results of an attempt renew the lease of a worker, and from which time. The
+// attempt starts 300 ms before the end of the list's lease and ends 100 ms after it.
+func TestResultsThatRenewLease(t *testing.T) {
 	for name, test := range map[string]struct {
 		result Result
 		renews bool
@@ -240,14 +239,13 @@
 				t.Errorf("holds a lease: %v, want %v", got, test.renews)
 			}
 			if want := startedAt + testDrainGrace - leaseMargin; test.renews && h.dispatcher.leaseEnd(w) != want {
-				t.Errorf("lease ends at %v, want %v: it counts from the attempt's start", h.dispatcher.leaseEnd(w), want)
+				t.Errorf("lease ends at %v, want %v, counted from the start of the attempt", h.dispatcher.leaseEnd(w), want)
 			}
 		})
 	}
 }
 
-// TestRejectionEndsLease has a worker serve a request and reject the next while the list is out of date: it may drain, and
-// is checked before it gets anything else.
+// A worker that rejects an attempt or a load command while the list is out of date may be draining. Its lease ends.
 func TestRejectionEndsLease(t *testing.T) {
 	for name, reject := range map[string]func(h *leaseHarness, worker string) []Action{
 		"an attempt": func(h *leaseHarness, _ string) []Action {
@@ -259,7 +257,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newLeaseHarness(t, nil)
-			h.passLease()
+			h.expireListLease()
 			check := actionsOf[CheckHealth](h.requireOutcome("check", "the first request"))[0]
 			h.step(HealthChecked{Worker: check.Worker, LoadReport: NoLoadReport})
 			reject(h, check.Worker)
@@ -270,19 +268,19 @@
 	}
 }
 
-// TestNoLoadCommandWithoutLease checks that a worker without a lease gets no load command, for whatever reason.
+// A worker without a lease must not get a load command.
 func TestNoLoadCommandWithoutLease(t *testing.T) {
 	h := newLeaseHarness(t, func(s *Settings) { s.WorkersLoadOnMiss = false })
 	h.startAttempt("f", classIdempotent)
-	h.passLease()
+	h.expireListLease()
 	d := h.dispatcher
 	if d.commandLoad(d.functions["f"], d.workers["w2"], 1, LoadForRequest) {
 		t.Error("a load command was sent")
 	}
 }
 
-// TestWithoutHealthChecks has settings that allow no health checks. What workers serve renews their leases; once none is
-// left, requests are rejected at once, with advice when to retry.
+// Without health checks, leases are renewed only by served requests. When no worker holds a lease, requests are
+// rejected at once, with a Retry-After.
 func TestWithoutHealthChecks(t *testing.T) {
 	h := newLeaseHarness(t, func(s *Settings) { s.HealthChecksAllowed = false })
 	const step = 200 * time.Millisecond
@@ -292,18 +290,18 @@
 		h.endAttempt(started, 0, outcomeOf(OK, step))
 	}
 	if h.dispatcher.listIsCurrent() {
-		t.Fatal("the list is still believed")
+		t.Fatal("the list is still current")
 	}
 	h.advance(testDrainGrace)
 	actions := h.requireOutcome("rejected", "no lease is left")
 	if rejected := actionsOf[RejectRequest](actions); rejected[0].RetryAfter <= 0 {
-		t.Error("no advice when to retry")
+		t.Error("rejected without a Retry-After")
 	}
 }
 
-// TestReturnOfLostWorkerIsSlowStart has contact with a worker lost and found again. If that happens while the endpoint list
-// can't tell of a restart, the worker goes through slow start; the list ends that if it says otherwise.
-func TestReturnOfLostWorkerIsSlowStart(t *testing.T) {
+// A worker that responds again after a loss of contact goes through slow start, if the endpoint list is too old to show
+// whether it was restarted. An update of the list that shows no restart ends the slow start.
+func TestLostWorkerReturnsInSlowStart(t *testing.T) {
 	for name, test := range map[string]struct {
 		lost      Event
 		confirmed bool // the list was confirmed after contact was lost
@@ -325,7 +323,7 @@
 			if test.confirmed {
 				h.confirm()
 			}
-			h.passLease()
+			h.expireListLease()
 			h.step(HealthChecked{Worker: "w2", LoadReport: NoLoadReport})
 			w := h.dispatcher.workers["w2"]
 			if w.warmingUp != test.slowStart {
@@ -333,14 +331,13 @@
 			}
 			h.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "w2", Kind: "big"}}})
 			if w.warmingUp {
-				t.Error("still in slow start after the list said that it was not restarted")
+				t.Error("still in slow start after the list showed no restart")
 			}
 		})
 	}
 }
 
-// TestLostWorkerReturnsBeforeListExpires has a worker return while the list is still believed. The slow start begins when
-// the list is no longer believed.
+// If a lost worker responds again while the list is current, its slow start begins when the list goes out of date.
 func TestLostWorkerReturnsBeforeListExpires(t *testing.T) {
 	h := newLeaseHarness(t, nil)
 	h.advance(time.Second)
@@ -349,15 +346,15 @@
 	h.step(HealthChecked{Worker: "w2", LoadReport: NoLoadReport})
 	w := h.dispatcher.workers["w2"]
 	if w.warmingUp {
-		t.Error("in slow start while the list is believed")
+		t.Error("in slow start while the list is current")
 	}
 	h.advance(time.Second)
 	if !w.warmingUp {
-		t.Error("not in slow start when the list is no longer believed")
+		t.Error("not in slow start when the list is out of date")
 	}
 }
 
-// TestListStateIsReported checks that each change of whether the list is believed is reported, once.
+// TestListStateIsReported checks that each change between current and out of date is reported once.
 func TestListStateIsReported(t *testing.T) {
 	h := newLeaseHarness(t, nil)
 	const outage = 10 * time.Second
@@ -371,9 +368,9 @@
 	}
 }
 
-// TestQuestionsForListAreBounded checks that an outage without an end costs no memory, and that the first question since the
-// list was confirmed and the newest ones are kept.
-func TestQuestionsForListAreBounded(t *testing.T) {
+// An endless outage must not use up memory: only the first request for the list after its confirmation and the newest
+// ones are stored.
+func TestListRequestsAreBounded(t *testing.T) {
 	h := newLeaseHarness(t, nil)
 	h.advance(time.Second)
 	first := h.now
@@ -384,6 +381,6 @@
 	newest := h.now - 100*time.Millisecond
 	kept := h.dispatcher.list.requestedAt
 	if len(kept) != maxListRequests || kept[0] != first || kept[maxListRequests-1] != newest {
-		t.Errorf("%v, want %d, from %v to %v", kept, maxListRequests, first, newest)
+		t.Errorf("stored requests %v, want %d, from %v to %v", kept, maxListRequests, first, newest)
 	}
 }
--- a/dispatch/limits_test.go
+++ b/dispatch/limits_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Late responses shrink the fleet's limit only where they show that requests queue: not where the request is heavy
-// itself, nor where it may have waited for a load.
+// Late responses lower the fleet limit only if they show that requests queue. They must not do so if the request itself
+// takes long, or if it may have waited for a load.
 func TestFleetLimitShrinksForQueueingNotForHeavyRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		expectedWork time.Duration
-		loadTime     time.Duration // if not 0, workers load on a miss
+		loadTime     time.Duration // workers load on a miss if it is not 0
 		shrinks      bool
 	}{
 		"light":                          {20 * time.Millisecond, 0, true},
@@ -64,8 +64,8 @@
 	}
 }
 
-// Heavy-tailed scenarios of abuja-boxes: requests that could not meet their latency objective any more took the
-// concurrency of those that still could.
+// Pending requests that can no longer meet their latency objective must not take the concurrency of those that can.
+// This happened in scenarios with heavy-tailed run times.
 func TestPendingRequestsThatCanMeetTheirObjectiveGoFirst(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss, s.Routers = true, 12 // a concurrency limit of one
@@ -89,8 +89,8 @@
 	}
 }
 
-// A request pending for want of concurrency was once answered when its client left; it must be shed as soon as it
-// cannot meet its latency objective.
+// A request that is pending at the concurrency limit must be rejected as soon as it cannot meet its latency objective.
+// It used to be answered only when its client gave up.
 func TestPendingRequestIsShedWhenItMissesItsObjective(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.Routers, s.HedgingAllowed = true, time.Second, 12, false
@@ -105,7 +105,7 @@
 	}
 	start := h.now
 	for len(actionsOf[RejectRequest](actions)) == 0 && h.now < start+3*time.Second {
-		h.step(HealthChecked{Worker: "w1", LoadReport: NoLoadReport}) // it responds, but stays at its limit
+		h.step(HealthChecked{Worker: "w1", LoadReport: NoLoadReport}) // the worker responds, but stays at its limit
 		actions = h.advance(10 * time.Millisecond)
 	}
 	rejected := actionsOf[RejectRequest](actions)
@@ -114,8 +114,9 @@
 	}
 }
 
-// Incident i654813: a fifth of the attempts never got a response and used up a router's share of the fleet limit, 1.8
-// attempts, for the five seconds until their clients left; 60% of the requests were rejected meanwhile.
+// Attempts that never get a response must not use up the fleet limit. In incident i654813, a fifth of the attempts got
+// none and used up the router's share of the limit, 1.8 attempts, for the five seconds until their clients gave up. 60%
+// of the requests were rejected in that time.
 func TestUnansweredAttemptsDoNotUseUpFleetLimit(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss, s.HedgingAllowed, s.Routers = true, false, 60
@@ -126,7 +127,7 @@
 	limitReached := func() bool {
 		return h.dispatcher.inFlight+1 > h.dispatcher.fleetLimit*h.dispatcher.fleetShare
 	}
-	for range 20 { // no response to any of these
+	for range 20 { // none of these requests gets a response
 		for i := range 9 {
 			h.request(fmt.Sprintf("f%d", i), classIdempotent)
 		}
--- a/dispatch/loading_test.go
+++ b/dispatch/loading_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Scenario big-1 of abuja-boxes: after a rejected load command, requests used up their attempts on NotResident within
-// milliseconds and were rejected.
+// After a rejected load command, requests must not use up their attempts on NotResident within milliseconds and end in
+// a rejection, as happened in a scenario.
 func TestLoadBackoffDoesNotUseUpAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), "w1")
 	started := h.startAttempt("f", classIdempotent)
@@ -61,14 +61,14 @@
 		h.dispatcher.backOffLoads(p)
 		backoff := p.loadBackoffUntil - h.dispatcher.now
 		if backoff <= last {
-			t.Errorf("backoff of %v after one of %v", backoff, last)
+			t.Errorf("backoff %v after a backoff of %v, want a longer one", backoff, last)
 		} else {
 			last = backoff
 		}
 	}
 }
 
-// A request once waited for a load that could not end before its client left, and was answered only then.
+// A request must not wait for a load that ends after its deadline. It used to be answered only when its client gave up.
 func TestRequestIsRejectedWhenLoadEndsTooLate(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = time.Second
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -9,7 +9,7 @@
 const (
 	overloadRouters  = 60
 	overloadWorkers  = 20
-	calmInterval     = 60 * time.Millisecond // between the requests of one router; the fleet can serve one in 30 ms
+	calmInterval     = 60 * time.Millisecond // between requests of one router; the fleet can serve one per 30 ms
 	overloadInterval = 10 * time.Millisecond
 	overloadTick     = 5 * time.Millisecond
 
@@ -18,23 +18,24 @@
 	queueingRunTime     = 100 * time.Millisecond
 )
 
-// Issue 10: in a burst of 2.7 times the usual load, 186 routers made 9.8 attempts a request, as neither concurrency
-// limit counted attempts at copies not known to be loaded and each rejection was retried at once.
+// Retries must not multiply an overload, and service must recover after it. In issue 10, 186 routers made 9.8 attempts
+// per request in a burst of 2.7 times the usual load, because the concurrency limits did not count attempts at copies
+// not known to be loaded, and each rejection was retried at once.
 func TestOverloadIsNotMultipliedByRetriesAndEnds(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss, s.MaxRetryAfter, s.MaxAttempts, s.HedgingAllowed = true, time.Second, 5, false
 	s.LoadRateWindow, s.LoadRateBurst, s.LoadRateRatio = 5*time.Second, 4, 0.1
 	f := newQueueingFleet(t, s)
 
-	f.play(8*time.Second, calmInterval)
-	f.play(2*time.Second, calmInterval)
+	f.run(8*time.Second, calmInterval)
+	f.run(2*time.Second, calmInterval)
 	attemptsPerRequest := float64(f.started) / float64(f.offered)
 	if f.inTime < f.offered*98/100 || len(f.retryAfters) > f.offered/100 {
 		t.Errorf("before the overload: %d of %d requests in time, %d rejected: want nearly all served", f.inTime, f.offered,
 			len(f.retryAfters))
 	}
 
-	f.play(3*time.Second, overloadInterval) // three times what the fleet can serve
+	f.run(3*time.Second, overloadInterval) // three times what the fleet can serve
 	t.Logf("overload: %d requests, %d attempts, %d in time, %d rejected", f.offered, f.started, f.inTime,
 		len(f.retryAfters))
 	if most := f.offered + f.offered/3 + overloadRouters*int(retryBudgetBurst); f.started > most {
@@ -45,15 +46,15 @@
 	}
 	checkRetryAfters(t, f.retryAfters, s.MaxRetryAfter)
 
-	f.play(3*time.Second, calmInterval)
-	f.play(2*time.Second, calmInterval)
+	f.run(3*time.Second, calmInterval)
+	f.run(2*time.Second, calmInterval)
 	if f.inTime < f.offered*95/100 || float64(f.started) > 1.1*attemptsPerRequest*float64(f.offered) {
 		t.Errorf("after the overload: %d of %d requests in time with %d attempts, want service as before", f.inTime,
 			f.offered, f.started)
 	}
 }
 
-// checkRetryAfters guards against clients that are rejected together and return together.
+// checkRetryAfters checks that clients which are rejected together do not all return together.
 func checkRetryAfters(t *testing.T, retryAfters []time.Duration, longest time.Duration) {
 	t.Helper()
 	distinct := map[time.Duration]bool{}
@@ -68,15 +69,15 @@
 	}
 }
 
-// queueingFleet answers the attempts of many routers as workers do that run a few requests at a time, queue some and
-// reject the others. Time runs for all routers together.
+// queueingFleet simulates workers that run a few requests at a time, queue some and reject the others. All routers
+// share one clock.
 type queueingFleet struct {
 	*routerGroup
 	queues   map[string][]queuedAttempt // by worker, in the order of arrival
 	attempts map[string]int             // by router and request
 	events   [][]Event                  // by router, handed over at the next tick
 
-	// Counted since the last play began.
+	// Counts since the start of the last run.
 	offered, started, inTime int
 	retryAfters              []time.Duration // of the rejected requests
 }
@@ -85,7 +86,7 @@
 type queuedAttempt struct {
 	router    int
 	arrivedAt time.Duration
-	runSince  time.Duration // 0: it does not run yet
+	runSince  time.Duration // 0 means that it does not run yet
 	outcome   AttemptEnded
 }
 
@@ -95,8 +96,8 @@
 		queues: map[string][]queuedAttempt{}, attempts: map[string]int{}, events: make([][]Event, overloadRouters)}
 }
 
-// play gives each router a request every interval, each router with a phase of its own.
-func (f *queueingFleet) play(span, interval time.Duration) {
+// run sends each router one request per interval, each router with a different phase.
+func (f *queueingFleet) run(span, interval time.Duration) {
 	f.offered, f.started, f.inTime, f.retryAfters = 0, 0, 0, nil
 	for end := f.routers[0].now + span; f.routers[0].now < end; {
 		for i, h := range f.routers {
@@ -107,7 +108,7 @@
 			if (h.now+phase)%interval < overloadTick {
 				events = append(events, f.newRequest(h))
 			}
-			f.carryOut(i, h.step(events...))
+			f.executeActions(i, h.step(events...))
 		}
 		f.serve(f.routers[0].now)
 	}
@@ -121,8 +122,8 @@
 	return r
 }
 
-// carryOut takes what a router decided.
-func (f *queueingFleet) carryOut(router int, actions []Action) {
+// executeActions executes the actions of a router.
+func (f *queueingFleet) executeActions(router int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
@@ -143,7 +144,7 @@
 	return inFlightReport(float64(len(f.queues[worker])))
 }
 
-// enqueue has a worker queue or reject an attempt.
+// enqueue queues an attempt at its worker, or rejects it if the worker is full.
 func (f *queueingFleet) enqueue(router int, a StartAttempt) {
 	key := fmt.Sprint(router, "/", a.ID)
 	outcome := AttemptEnded{ID: a.ID, Worker: a.Worker, Attempt: f.attempts[key], FunctionInFlight: -1,
@@ -159,7 +160,7 @@
 	f.queues[a.Worker] = append(f.queues[a.Worker], queued)
 }
 
-// serve ends the attempts that have run for their time and starts the first ones queued.
+// serve ends the attempts that have run for queueingRunTime and starts the first queued ones.
 func (f *queueingFleet) serve(now time.Duration) {
 	for _, endpoint := range f.endpoints {
 		remaining := f.queues[endpoint.ID][:0]
--- a/dispatch/ranking_test.go
+++ b/dispatch/ranking_test.go
@@ -12,8 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// rankAnew is the rendezvous ranking of a function by its definition: all active workers, sorted.
-func rankAnew(d *Dispatcher, key string) (ids []string) {
+// referenceRanking computes the rendezvous ranking of a function by its definition: all active workers, sorted by
+// score.
+func referenceRanking(d *Dispatcher, key string) (ids []string) {
 	for _, w := range d.workers {
 		if w.State == EndpointActive {
 			ids = append(ids, w.ID)
@@ -24,8 +25,9 @@
 	return ids
 }
 
-// TestRankingFollowsAnyUpdates has rankings, of which prefixes of any length were used, equal those made anew after
-// random updates: snapshots and changes, of workers that come, drain, leave, restart and return, also within one update.
+// TestRankingFollowsAnyUpdates compares rankings, of which prefixes of random lengths were used, with newly computed
+// ones after random updates: snapshots and changes, in which workers join, drain, leave, restart and return, also
+// within one update.
 func TestRankingFollowsAnyUpdates(t *testing.T) {
 	functions := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -41,7 +43,7 @@
 		update.Snapshot = true
 		for now := time.Second; ; now += time.Second {
 			events := []Event{update}
-			for i, key := range functions { // one of them becomes known in mid-churn
+			for i, key := range functions { // their first requests come at different times
 				if now > time.Duration(2*i)*time.Second {
 					events = append(events, Request{ID: RequestID(int(now/time.Second)*10 + i), Function: key,
 						Class: classIdempotent, MemoryMB: 1, RemainingDeadline: time.Second})
@@ -57,22 +59,22 @@
 	})
 }
 
-// requireRankings compares prefixes of drawn lengths with the rankings made anew.
+// requireRankings compares prefixes of random lengths with newly computed rankings.
 func requireRankings(t *rapid.T, d *Dispatcher) {
 	for key, f := range d.functions {
-		want := rankAnew(d, key)
+		want := referenceRanking(d, key)
 		for i := range rapid.IntRange(0, len(want)).Draw(t, "used") {
 			if got := d.rankedWorker(f, i); got == nil || got.ID != want[i] {
 				t.Fatalf("function %s: worker %d of %d is not %s", key, i, len(want), want[i])
 			}
 		}
 		if len(want) == len(f.ranking.entries) && d.rankedWorker(f, len(want)) != nil {
-			t.Fatalf("function %s: a worker behind the last", key)
+			t.Fatalf("function %s: ranking has a worker after the last one", key)
 		}
 	}
 }
 
-// drawUpdate draws an update in which up to half of the fleet has changed, and a worker may stand twice.
+// drawUpdate draws an update in which up to half of the fleet has changed. It may list a worker twice.
 func drawUpdate(t *rapid.T, fleet int, now time.Duration) EndpointUpdate {
 	update := EndpointUpdate{Snapshot: rapid.IntRange(0, 9).Draw(t, "snapshot") == 0}
 	for range rapid.IntRange(0, fleet/2+1).Draw(t, "changes") {
@@ -86,8 +88,8 @@
 	return update
 }
 
-// TestChurnOfLargeFleet replaces 600 of 1,000 workers within 7 s, in updates of some workers each, while functions are
-// called. The rankings, the list and the count of suspected workers stay those of the fleet, and state does not grow.
+// TestChurnOfLargeFleet replaces 600 of 1,000 workers within 7 s, in updates of 10 workers each, while requests arrive.
+// The workers and the rankings must match the fleet, and the state must not grow.
 func TestChurnOfLargeFleet(t *testing.T) {
 	const workers, replaced, perUpdate = 1000, 600, 10
 	r := newBenchmarkRouter(t, workers)
@@ -108,7 +110,7 @@
 		t.Errorf("%d workers known, %d active, %d removed", len(d.workers), len(d.activeWorkers), len(d.removedWorkers))
 	}
 	for key, f := range d.functions {
-		want := rankAnew(d, key)
+		want := referenceRanking(d, key)
 		for i := range 50 {
 			if got := d.rankedWorker(f, i); got.ID != want[i] {
 				t.Fatalf("function %s: worker %d is %s, want %s", key, i, got.ID, want[i])
@@ -122,7 +124,7 @@
 	}
 }
 
-// TestSuspectedWorkersAreCounted compares the count that is kept with the workers.
+// TestSuspectedWorkersAreCounted compares suspectedCount with the workers.
 func TestSuspectedWorkersAreCounted(t *testing.T) {
 	h := newHarness(t, testSettings(), "w1", "w2", "w3", "w4")
 	d := h.dispatcher
@@ -144,7 +146,7 @@
 	}
 	requireCount("three suspicions", 3)
 	if !d.majoritySuspected() {
-		t.Error("three of four are no majority")
+		t.Error("three suspected workers of four are not counted as a majority")
 	}
 	h.step(HealthChecked{Worker: "w1", Result: OK, LoadReport: NoLoadReport})
 	requireCount("a response", 2)
@@ -156,8 +158,8 @@
 	requireCount("a restart", 0)
 }
 
-// TestManyFunctionNamesAreForgotten calls 20,000 names within ten seconds in a fleet of 1,920 workers: memory stays
-// bounded meanwhile, and the names that were never served are forgotten.
+// TestManyFunctionNamesAreForgotten sends requests for 20,000 unknown functions within ten seconds in a fleet of 1,920
+// workers. Memory must stay bounded, and functions that were never served must be deleted.
 func TestManyFunctionNamesAreForgotten(t *testing.T) {
 	const names, workers, maxMB = 20_000, 1920, 80
 	before := heapInUse()
@@ -174,7 +176,7 @@
 		}
 	}
 	if grown := float64(heapInUse()-before) / 1e6; grown > maxMB {
-		t.Errorf("%.0f MB for %d names", grown, names)
+		t.Errorf("heap grew by %.0f MB for %d names", grown, names)
 	}
 	r.now += time.Minute
 	r.dispatcher.Step(r.now, []Event{TimerFired{}})
@@ -184,8 +186,7 @@
 	runtime.KeepAlive(r)
 }
 
-// TestFleetWithoutAnyUsableWorker: a large fleet of which all workers are suspected serves on, and one without an
-// active worker rejects.
+// A large fleet in which all workers are suspected still serves requests. One without active workers rejects them.
 func TestFleetWithoutAnyUsableWorker(t *testing.T) {
 	for name, usable := range map[string]bool{"all suspected": true, "none active": false} {
 		t.Run(name, func(t *testing.T) {
@@ -207,7 +208,7 @@
 			}
 			actions = r.dispatcher.Step(r.now+2*time.Second, []Event{TimerFired{}})
 			if rejected := len(actionsOf[RejectRequest](actions)) == 1; !usable && !rejected {
-				t.Error("no final answer where no worker is active")
+				t.Error("no rejection although no worker is active")
 			}
 		})
 	}
--- a/dispatch/requests_test.go
+++ b/dispatch/requests_test.go
@@ -29,7 +29,7 @@
 }
 
 // A request that is idempotent by key may run again only where its repeat is recognized: in the deduplication scope of
-// the first attempt, here a cell, and within the deduplication window. The checker watches what follows the window.
+// the first attempt, here a cell, and within the deduplication window. The checker verifies the time after the window.
 func TestKeyedRequestIsRetriedOnlyInScopeAndWindow(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
@@ -54,7 +54,7 @@
 	}
 }
 
-// A request that gets no further attempt is answered in the step that decides so, and a rejection has a Retry-After.
+// A request that gets no further attempt is answered in the same step, and a rejection has a Retry-After.
 func TestRequestWithoutFurtherAttemptIsAnsweredAtOnce(t *testing.T) {
 	rejected := outcomeOf(Rejected, 2*time.Millisecond)
 	for name, c := range map[string]unservedCase{
@@ -72,12 +72,12 @@
 	}
 }
 
-// unservedCase is a request whose last outcome, or its start, leaves no further attempt.
+// unservedCase is a request that gets no further attempt after its last outcome, or no attempt at all.
 type unservedCase struct {
 	class    string
 	deadline time.Duration
 	outcomes []AttemptEnded
-	fails    bool           // it is failed, and not rejected
+	fails    bool           // it ends in a failure, not in a rejection
 	prepare  func(*harness) // called before the first outcome
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// awaitAttempt returns the one attempt that the actions, or else a step of the next 400 ms, starts.
+// awaitAttempt returns the one attempt that the actions start, or that is started within the next 400 ms.
 func (h *harness) awaitAttempt(actions []Action) StartAttempt {
 	h.t.Helper()
 	for range 40 {
--- a/dispatch/routergroup_test.go
+++ b/dispatch/routergroup_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// noResponse, as the response time of routerGroup.play, leaves every attempt without a response.
+// noResponse, as the response time of routerGroup.run, means that no attempt gets a response.
 const noResponse = time.Duration(-1)
 
 // routerGroup is many routers of one fleet.
@@ -15,7 +15,7 @@
 	endpoints []Endpoint
 }
 
-// newRouterGroup starts n routers of one fleet, each with a seed of its own; a cell has four workers.
+// newRouterGroup starts n routers of one fleet with different seeds. A cell has four workers.
 func newRouterGroup(t *testing.T, n int, s Settings, workers int) *routerGroup {
 	t.Helper()
 	g := &routerGroup{}
@@ -30,26 +30,26 @@
 	return g
 }
 
-// sendSnapshot hands the complete endpoint list to every router.
+// sendSnapshot passes the complete endpoint list to every router.
 func (g *routerGroup) sendSnapshot() {
 	for _, h := range g.routers {
 		h.step(EndpointUpdate{Snapshot: true, Endpoints: g.endpoints})
 	}
 }
 
-// restartWorker gives a worker a new start and announces it to every router.
+// restartWorker restarts a worker and announces the restart to every router.
 func (g *routerGroup) restartWorker(i int) {
 	g.endpoints[i].StartedAt = g.routers[0].now
 	g.sendSnapshot()
 }
 
-// play gives each router a request every interval, each router with a phase of its own, of the function that
-// functionOf names, and answers the attempts after responseTime. It returns the actions of all routers.
-func (g *routerGroup) play(span, interval, responseTime time.Duration,
+// run sends each router one request per interval, each router with a different phase, for the function that functionOf
+// returns. Attempts get a response after responseTime. It returns the actions of all routers.
+func (g *routerGroup) run(span, interval, responseTime time.Duration,
 	functionOf func(router, request int) string) (actions []Action) {
 	for i, h := range g.routers {
 		phase := interval * time.Duration(i) / time.Duration(len(g.routers))
-		p := routerPlay{harness: h, responseTime: responseTime, lastRequest: h.now + phase - interval,
+		p := routerRun{harness: h, responseTime: responseTime, lastRequest: h.now + phase - interval,
 			attempts: map[RequestID]int{}}
 		count := 0
 		for end := h.now + span; h.now < end; {
@@ -68,24 +68,24 @@
 	return actions
 }
 
-// routerPlay is one router's part of routerGroup.play.
-type routerPlay struct {
+// routerRun is the run of one router in routerGroup.run.
+type routerRun struct {
 	*harness
 	responseTime time.Duration
 	lastRequest  time.Duration
 	attempts     map[RequestID]int
-	responses    []dueEvent // in the order of their times
-	loads        []Event    // results of load commands, handed over at the next tick
+	responses    []dueEvent // sorted by time
+	loads        []Event    // results of load commands, passed to the router at the next tick
 }
 
-// dueEvent is an event to be handed over at its time.
+// dueEvent is an event that is passed to a router at a given time.
 type dueEvent struct {
 	at    time.Duration
 	event Event
 }
 
-// dueEvents takes the load results and the responses that are due.
-func (p *routerPlay) dueEvents() []Event {
+// dueEvents removes and returns the load results and the responses that are due.
+func (p *routerRun) dueEvents() []Event {
 	events := p.loads
 	p.loads = nil
 	for len(p.responses) > 0 && p.responses[0].at <= p.now {
@@ -95,7 +95,7 @@
 }
 
 // answer schedules the responses to the attempts and load commands of one step.
-func (p *routerPlay) answer(actions []Action) {
+func (p *routerRun) answer(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// The grown deployments: a router heard from a worker once in ten seconds and started attempts at workers with forty
-// requests while others had three.
+// Overloaded workers must be passed over even if there are many routers. In large deployments, a router got a response
+// from a given worker only every ten seconds and started attempts at workers with forty requests while others had
+// three.
 func TestOverloadedWorkerIsPassedOverByManyRouters(t *testing.T) {
 	for name, c := range map[string]struct {
 		checked    HealthChecked
@@ -41,10 +42,10 @@
 	}
 }
 
-// inFlightReport is the load report of a worker that holds so many requests.
+// inFlightReport returns the load report of a worker that holds n requests.
 func inFlightReport(n float64) LoadReport { return LoadReport{InFlight: n, Queued: -1, Loading: -1} }
 
-// The only router of a fleet hears its workers often: it needs few load reports by health checks.
+// The only router of a fleet gets responses from its workers often, so it needs few health checks for load reports.
 func TestSingleRouterSeldomChecksBeforeAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), "w1", "w2", "w3", "w4")
 	h.dispatcher.settings.LoadReports = ReportsWithResponses
@@ -53,7 +54,7 @@
 	}
 }
 
-// Health checks before attempts are worth their cost in most deployments, and not where they are expensive.
+// Health checks are sent before attempts if they are cheap, as in most deployments, but not if they are expensive.
 func TestHealthChecksBeforeAttemptsDependOnTheirCost(t *testing.T) {
 	for cost, wanted := range map[float64]bool{0: true, 0.01: true, 0.08: false} {
 		t.Run(fmt.Sprint("cost ", cost), func(t *testing.T) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// healthChecksBeforeAttempts hands over requests, each of another function, and counts the health checks at once.
+// healthChecksBeforeAttempts sends requests for different functions and counts the health checks sent at once.
 func (h *harness) healthChecksBeforeAttempts(requests int) (n int) {
 	h.t.Helper()
 	for i := range requests {
@@ -77,8 +78,8 @@
 	return n
 }
 
-// TestSelectionInLargeFleet: a function looks at no more than maxRankedCandidates workers of its ranking, and finds the
-// worker that holds it behind them all the same.
+// In a large fleet, a selection considers only the first maxRankedCandidates workers of the ranking, but still finds a
+// worker after them that holds the function.
 func TestSelectionInLargeFleet(t *testing.T) {
 	const workers = 4 * maxRankedCandidates
 	r := newBenchmarkRouter(t, workers)
@@ -100,9 +101,9 @@
 	}
 }
 
-// TestAssignmentStopsWhereNoWorkerCanTakeAny: while all workers have ejected a class, its functions rank no more than a
-// part of a large fleet, and the others are assigned as before.
-func TestAssignmentStopsWhereNoWorkerCanTakeAny(t *testing.T) {
+// While a class is ejected from all workers of a large fleet, the assignment of its functions ranks only a part of the
+// fleet. When the ejections have ended, workers are assigned again.
+func TestAssignmentStopsWithoutWorkerCapacity(t *testing.T) {
 	const workers = 8 * maxPassedOver
 	r := newBenchmarkRouter(t, workers)
 	d := r.dispatcher
--- a/dispatch/simulation_faults_test.go
+++ b/dispatch/simulation_faults_test.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// This file holds the faults and the endpoint updates of a simulation.
+// This file contains the faults and the endpoint updates of a simulation.
 
-// endpoint is a worker's line of the endpoint list.
+// endpoint returns a worker's entry of the endpoint list.
 func (s *simulation) endpoint(w *simulatedWorker) Endpoint {
 	return Endpoint{ID: w.id, Zone: w.zone, Kind: w.kind, Cell: w.cell, State: w.state, Weight: 1, StartedAt: w.startedAt}
 }
 
-// announceEndpoints sends the endpoint list, or what changed in it, to every router after a delay of its own.
+// announceEndpoints sends the endpoint list, or changes of it, to every router, each after a random delay.
 func (s *simulation) announceEndpoints(snapshot bool, changed ...*simulatedWorker) {
 	announced := changed
 	if snapshot {
@@ -27,7 +27,7 @@
 	}
 }
 
-// scheduleFaults draws the fleet's faults and schedules the graceful shutdown at its end.
+// scheduleFaults schedules random faults and the graceful shutdown at the end.
 func (s *simulation) scheduleFaults() {
 	pick := func() *simulatedWorker { return s.workers[s.rng.IntN(len(s.workers))] }
 	faults := []func(){
@@ -50,7 +50,7 @@
 		func() { pick().hangs = "safe" },
 		func() { pick().fails = []string{"safe", "once", "all"}[s.rng.IntN(3)] },
 		func() { pick().speed *= 6 },
-		func() { // a function release: no loaded copy is valid any more
+		func() { // a function release invalidates all loaded copies
 			for _, w := range s.workers {
 				clear(w.resident)
 			}
--- a/dispatch/simulation_queue_test.go
+++ b/dispatch/simulation_queue_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// This file holds the event queue of a simulation.
+// This file contains the event queue of a simulation.
 
 // scheduledEvent is an event that is due at a router, or a function that changes the fleet.
 type scheduledEvent struct {
 	at     time.Duration
 	order  int
-	router int // -1: of the fleet
+	router int // -1 for a change of the fleet
 	event  Event
 	run    func()
 }
 
-// eventQueue is a heap of scheduled events, the earliest first, those of one moment in the order of their
-// scheduling.
+// eventQueue is a heap of scheduled events, sorted by time. Events at the same time keep the order in which they were
+// scheduled.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -36,18 +36,18 @@
 	return last
 }
 
-// scheduleAt schedules an event at a router, or, if there is none, a function.
+// scheduleAt schedules an event at a router. If e is nil, it schedules the function run.
 func (s *simulation) scheduleAt(at time.Duration, router int, e Event, run func()) {
 	s.order++
 	heap.Push(&s.queue, scheduledEvent{max(at, s.now), s.order, router, e, run})
 }
 
-// uniform draws a duration of a uniform distribution.
+// uniform returns a random duration from a uniform distribution.
 func (s *simulation) uniform(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Float64()*float64(to-from))
 }
 
-// scheduleAfter schedules an event at a router; it is dropped if the router is killed before.
+// scheduleAfter schedules an event at a router after a delay. The event is dropped if the router is killed before.
 func (s *simulation) scheduleAfter(router int, after time.Duration, e Event) {
 	r, dispatcher := s.routers[router], s.routers[router].dispatcher
 	s.scheduleAt(s.now+after, router, nil, func() {
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -12,7 +12,7 @@
 )
 
 // This file simulates a seeded fleet for TestCharacterization: workers that fail in many ways, routers that are
-// killed, and their requests. Each draw from the random source keeps its place, as the recorded sums depend on it.
+// killed, and their requests. The order of the random draws must not change, because the recorded hashes depend on it.
 
 // simulatedRouter is one Dispatcher and its requests.
 type simulatedRouter struct {
@@ -40,7 +40,7 @@
 	order    int
 	workers  []*simulatedWorker
 	routers  []*simulatedRouter
-	rate     float64 // requests a second of one router
+	rate     float64 // requests per second of one router
 }
 
 const (
@@ -67,7 +67,8 @@
 	return s
 }
 
-// drawSettings covers, over the seeds, every idempotency, deduplication scope, report source and way to load.
+// drawSettings returns settings by seed. Over all seeds they cover every idempotency, deduplication scope, report
+// source and way to load functions.
 func (s *simulation) drawSettings(seed uint64) Settings {
 	bit := func(n uint) bool { return seed>>n&1 == 1 }
 	drawn := Settings{
@@ -119,7 +120,7 @@
 	return drawn
 }
 
-// startRouter starts a router, the first time or after a kill.
+// startRouter starts a router, or restarts it after a kill.
 func (s *simulation) startRouter(i int) {
 	r := s.routers[i]
 	dispatcher, err := New(s.settings, s.rng.Uint64())
@@ -132,17 +133,17 @@
 		endpoints = append(endpoints, s.endpoint(w))
 	}
 	s.step(i, EndpointUpdate{Snapshot: true, Endpoints: endpoints})
-	s.scheduleAt(s.now, i, nil, func() { s.arrive(i, dispatcher) })
+	s.scheduleAt(s.now, i, nil, func() { s.arriveRequest(i, dispatcher) })
 }
 
-// arrive hands a new request to a router and schedules the next.
-func (s *simulation) arrive(i int, dispatcher *Dispatcher) {
+// arriveRequest passes a new request to a router and schedules the next one.
+func (s *simulation) arriveRequest(i int, dispatcher *Dispatcher) {
 	r := s.routers[i]
 	if r.dispatcher != dispatcher {
 		return
 	}
 	next := s.now + time.Duration(s.rng.ExpFloat64()/s.rate*float64(time.Second))
-	s.scheduleAt(next, i, nil, func() { s.arrive(i, dispatcher) })
+	s.scheduleAt(next, i, nil, func() { s.arriveRequest(i, dispatcher) })
 	r.lastID++
 	function := fmt.Sprint("f", int(simulatedFunctions*math.Pow(s.rng.Float64(), 2)))
 	class := []string{"safe", "safe", "once", "cell", "zone", "all", "unheard of"}[s.rng.IntN(7)]
@@ -169,8 +170,8 @@
 	}
 }
 
-// play runs the simulation to its end and returns the hash of all actions.
-func (s *simulation) play() string {
+// simulate runs the simulation to its end and returns the hash of all actions.
+func (s *simulation) simulate() string {
 	for len(s.queue) > 0 {
 		next := heap.Pop(&s.queue).(scheduledEvent)
 		if next.at > simulationEnd {
@@ -181,7 +182,7 @@
 			next.run()
 			continue
 		}
-		events := []Event{next.event} // events due at one moment are handed over in one step
+		events := []Event{next.event} // events that are due at the same time are passed in one step
 		for len(s.queue) > 0 && s.queue[0].at == s.now && s.queue[0].router == next.router && s.queue[0].event != nil {
 			events = append(events, heap.Pop(&s.queue).(scheduledEvent).event)
 		}
@@ -190,7 +191,7 @@
 	return hex.EncodeToString(s.hash.sum.Sum(nil))
 }
 
-// step hands events to a router and carries out what it decides.
+// step passes events to a router and executes the resulting actions.
 func (s *simulation) step(router int, events ...Event) {
 	r := s.routers[router]
 	s.hash.number(int64(s.now), int64(router))
--- a/dispatch/simulation_workers_test.go
+++ b/dispatch/simulation_workers_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// This file holds the workers of a simulation, and how they answer.
+// This file contains the workers of a simulation and their responses.
 
-// simulatedWorker is a worker as it is, which no router sees.
+// simulatedWorker is the actual state of a worker, which the routers can't observe directly.
 type simulatedWorker struct {
 	id, zone, kind string
 	cell           int
 	state          EndpointState
 	startedAt      time.Duration
-	resident       map[string]time.Duration // by function: when its copy has been loaded
+	resident       map[string]time.Duration // by function: when the load of its copy ends
 	inFlight       int
 	silentUntil    time.Duration
-	hangs, fails   string  // a class without responses, and one that gets only errors
-	speed          float64 // multiple of the usual run time
+	hangs, fails   string  // a class that gets no responses, and one that gets only errors
+	speed          float64 // its run times as a multiple of the usual ones
 }
 
 // startWorker adds a worker to the fleet.
@@ -66,7 +66,7 @@
 		LoadReport: s.loadReport(w, ReportsFromHealthChecks)})
 }
 
-// loadReport is what a worker reports of its load, if the settings name this source of load reports.
+// loadReport returns a worker's load report, or NoLoadReport if the settings have another source of load reports.
 func (s *simulation) loadReport(w *simulatedWorker, source ReportSource) LoadReport {
 	if s.settings.LoadReports != source {
 		return NoLoadReport
--- a/dispatch/slowstart_router_test.go
+++ b/dispatch/slowstart_router_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// This file holds the routers of TestSlowStartBoundsAttemptsOfAllRouters.
+// This file contains the routers of TestSlowStartBoundsAttemptsOfAllRouters.
 
 // slowStartRouter is one router of a fleet in which a worker starts.
 type slowStartRouter struct {
 	t           *testing.T
 	settings    Settings
 	rng         *rand.Rand
-	rate        float64 // requests a second
+	rate        float64 // requests per second
 	endpoints   []Endpoint
 	announcedAt time.Duration // when the router learns of the worker that starts
 
 	dispatcher      *Dispatcher
 	now             time.Duration
-	queue           []dueEvent // in the order of their times
+	queue           []dueEvent // sorted by time
 	attempts        map[RequestID]int
 	lastID          RequestID
-	lastArrival     RequestID       // the request after which the next arrives; others are retries by clients
+	lastArrival     RequestID       // the last new request; the others are retries by clients
 	warmingAttempts []time.Duration // when attempts at the worker that starts were started
 }
 
-// play runs the router until slowStartEnd. A killed one is started anew in the middle.
-func (r *slowStartRouter) play(killed bool) {
+// run runs the router until slowStartEnd. A killed router is restarted in the middle.
+func (r *slowStartRouter) run(killed bool) {
 	r.t.Helper()
 	r.start()
 	killAt := time.Duration(math.MaxInt64)
@@ -53,7 +53,7 @@
 	}
 }
 
-// start starts the router without any memory.
+// start starts the router with an empty state.
 func (r *slowStartRouter) start() {
 	r.t.Helper()
 	var err error
@@ -74,7 +74,7 @@
 	}
 }
 
-// schedule queues an event behind those that are due no later.
+// schedule adds an event to the queue, after the events with the same or an earlier time.
 func (r *slowStartRouter) schedule(at time.Duration, e Event) {
 	i, _ := slices.BinarySearchFunc(r.queue, at, func(queued dueEvent, at time.Duration) int {
 		if queued.at <= at {
@@ -98,7 +98,7 @@
 	r.schedule(r.now+time.Duration(r.rng.ExpFloat64()/r.rate*float64(time.Second)), request)
 }
 
-// step hands events to the router and carries out what it decides. Half of the rejected clients retry.
+// step passes events to the router and executes the resulting actions. Half of the rejected clients retry.
 func (r *slowStartRouter) step(events ...Event) {
 	for _, a := range r.dispatcher.Step(r.now, events) {
 		switch a := a.(type) {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -17,24 +17,24 @@
 const (
 	slowStartWorkers     = 12  // without the one that starts
 	slowStartUtilization = 0.9 // of their capacity
-	slowStartRate        = 4.0 // requests a second of an average router
+	slowStartRate        = 4.0 // requests per second of an average router
 	slowStartBegin       = 8 * time.Second
 	slowStartEnd         = 18 * time.Second
-	routerKillDelay      = 4 * time.Second // of the killed routers, since slowStartBegin
+	routerKillDelay      = 4 * time.Second // from slowStartBegin to the kill of a router
 
-	// The rendezvous ranking depends on the id, and the recorded results on the ranking.
+	// The rendezvous ranking depends on this id, and the recorded results depend on the ranking.
 	warmingWorkerID = "cold"
 )
 
-// slowStartFleet is a fleet in which a worker starts, and what its routers go through meanwhile.
+// slowStartFleet is a fleet in which a worker starts, with the faults of its routers during the slow start.
 type slowStartFleet struct {
 	name            string
 	routers         int
 	seeds           float64
-	killed          float64       // fraction of the routers that are killed and started anew in the middle
-	announcedWithin time.Duration // of the start, at most, until a router is notified of it
+	killed          float64       // fraction of the routers that are killed and restarted in the middle
+	announcedWithin time.Duration // longest time until a router is notified of the start
 	uneven          float64       // the first router's rate as a multiple of the others'
-	crashed         bool          // the worker served before, and starts again under its id
+	crashed         bool          // the worker served before and restarts with the same id
 }
 
 // slowStartFleets are the fleets of TestSlowStartBoundsAttemptsOfAllRouters.
@@ -61,30 +61,30 @@
 	return fleets
 }
 
-// A worker starts while 1 to 900 routers serve. They learn of it at different times, attempts fail and are retried by
-// router and client, and most routers are killed and start anew in the middle. In no span of the overload window may
-// the worker get more than N + 2 root N + 2 attempts (N under 30: N + 3 root N + 3) from the routers that were notified, N
-// being what the settings allow it at the beginning of the span.
+// A worker starts while 1 to 900 routers serve requests. They are notified at different times, failed attempts are
+// retried by router and client, and most routers are killed and restarted in the middle. Within any overload window the
+// worker may get at most N + 2 sqrt(N) + 2 attempts (for N below 30: N + 3 sqrt(N) + 3) from the notified routers,
+// where N is the number that the settings allow at the start of the window.
 func TestSlowStartBoundsAttemptsOfAllRouters(t *testing.T) {
 	for _, fleet := range slowStartFleets() {
 		t.Run(fleet.name, func(t *testing.T) {
 			t.Parallel()
 			worst, attempts := 0.0, 0
 			for seed := range int(fleet.seeds * *slowStartSeeds) {
-				most, n := fleet.play(t, uint64(seed))
+				most, n := fleet.run(t, uint64(seed))
 				worst, attempts = max(worst, most), attempts+n
 			}
 			t.Logf("%d attempts at the warming worker, at worst %.2f of the bound", attempts, worst)
 			if worst > 1 || attempts == 0 {
-				t.Errorf("%.2f of the bound for a warming worker, %d attempts", worst, attempts)
+				t.Errorf("warming worker got %.2f times its bound, %d attempts in total", worst, attempts)
 			}
 		})
 	}
 }
 
-// play plays one start of a worker under one seed. It returns the most attempts in any span, as a fraction of the
-// bound, and the number of attempts at the worker since it started.
-func (fleet slowStartFleet) play(t *testing.T, seed uint64) (most float64, attempts int) {
+// run simulates one start of a worker with one seed. It returns the maximum number of attempts within an overload
+// window, as a fraction of the bound, and the number of attempts at the worker since it started.
+func (fleet slowStartFleet) run(t *testing.T, seed uint64) (most float64, attempts int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, uint64(fleet.routers)))
 	s := testSettings()
@@ -108,7 +108,7 @@
 		killed := rng.Float64() < fleet.killed
 		r := slowStartRouter{t: t, settings: s, rng: rng, rate: rate, endpoints: endpoints, announcedAt: announcedAt,
 			attempts: map[RequestID]int{}}
-		r.play(killed)
+		r.run(killed)
 		attemptTimes = append(attemptTimes, r.warmingAttempts...)
 	}
 	slices.Sort(attemptTimes)
@@ -127,7 +127,8 @@
 	return most, len(attemptTimes)
 }
 
-// slowStartBound is the most requests of mean work that the platform lets a worker get where the settings allow it n.
+// slowStartBound returns the number of requests of mean work that the platform tolerates at a worker if the settings
+// allow n.
 func slowStartBound(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -135,17 +136,17 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Each of many routers may start far less than one request at a worker that warms up: together they must keep to its
-// slow start, and still start some there.
+// With many routers, each may start far less than one attempt at a warming worker. Together they must respect its slow
+// start, but still start some attempts there.
 func TestManyRoutersTogetherKeepToSlowStart(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
 	const routers, workers, requestsPerSecond = 250, 20, 5
 	g := newRouterGroup(t, routers, s, workers)
 	functionOf := func(_, request int) string { return fmt.Sprintf("f%d", request%40) }
-	g.play(8*time.Second, time.Second/requestsPerSecond, 50*time.Millisecond, functionOf)
+	g.run(8*time.Second, time.Second/requestsPerSecond, 50*time.Millisecond, functionOf)
 	g.restartWorker(7)
-	actions := g.play(s.OverloadWindow, time.Second/requestsPerSecond, 50*time.Millisecond, functionOf)
+	actions := g.run(s.OverloadWindow, time.Second/requestsPerSecond, 50*time.Millisecond, functionOf)
 	attempts := countAttemptsAt(g.endpoints[7].ID, actions)
 	evenShare := requestsPerSecond * s.OverloadWindow.Seconds() * routers / workers // attempts of all routers at a worker
 	if most := 1.2 * evenShare * (s.SlowStartShare + 0.1); attempts == 0 || float64(attempts) > most {
@@ -153,16 +154,16 @@
 	}
 }
 
-// Slow start tokens follow the work that was served; requests without responses, as in an overload, must not raise
+// Slow start tokens follow the work that was served. Requests without responses, as in an overload, must not raise
 // them.
 func TestUnservedWorkRaisesNoSlowStartTokens(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss = true
 	g := newRouterGroup(t, 50, s, 10)
 	functionOf := func(_, request int) string { return fmt.Sprintf("f%d", request%20) }
-	g.play(8*time.Second, 50*time.Millisecond, noResponse, functionOf)
+	g.run(8*time.Second, 50*time.Millisecond, noResponse, functionOf)
 	g.restartWorker(3)
-	actions := g.play(s.OverloadWindow, 50*time.Millisecond, noResponse, functionOf)
+	actions := g.run(s.OverloadWindow, 50*time.Millisecond, noResponse, functionOf)
 	if n := countAttemptsAt(g.endpoints[3].ID, actions); n > 0 {
 		t.Fatalf("%d attempts at a warming worker by routers without any response", n)
 	}
--- a/dispatch/streaming_test.go
+++ b/dispatch/streaming_test.go
@@ -8,7 +8,7 @@
 // firstMessageAfter is when the streamed responses of these tests begin.
 const firstMessageAfter = 20 * time.Millisecond
 
-// startStream starts an attempt, whose streamed response begins at once.
+// startStream starts an attempt whose streamed response starts at once.
 func (h *harness) startStream(class string) StartAttempt {
 	h.t.Helper()
 	started := h.startAttempt("f", class)
@@ -16,7 +16,7 @@
 	return started
 }
 
-// Once a streamed response has begun, the attempt belongs to the client, and only the deadline ends it.
+// Once a streamed response has started, the router neither retries nor cancels it. Only the deadline ends it.
 func TestStartedStreamIsLeftToTheClient(t *testing.T) {
 	for _, class := range []string{classIdempotent, classNonIdempotent, classKeyed} {
 		t.Run(class, func(t *testing.T) {
@@ -32,7 +32,7 @@
 			n := len(actionsOf[StartAttempt](actions)) + len(actionsOf[CancelAttempt](actions)) +
 				len(actionsOf[RejectRequest](actions)) + len(actionsOf[FailRequest](actions))
 			if n > 0 {
-				t.Fatalf("%v, want the stream left alone", actions)
+				t.Fatalf("%v, want no action on the started stream", actions)
 			}
 			actions = h.advance(600 * time.Millisecond)
 			if len(actionsOf[FailRequest](actions)) != 1 || len(actionsOf[RejectRequest](actions)) != 0 {
@@ -75,14 +75,14 @@
 			LoadReport: NoLoadReport})
 	}
 	if after := h.dispatcher.meanResponseTime; after > before {
-		t.Errorf("mean response time %v s, before %v s: the length of the streams was learned", after, before)
+		t.Errorf("mean response time %v s, before %v s: it includes the length of the streams", after, before)
 	}
 }
 
-// Streams that are read slowly must not use up the concurrency limits for good.
+// Streams that are read slowly must not use up the concurrency limits permanently.
 func TestSlowReadersDoNotUseUpConcurrencyLimits(t *testing.T) {
 	h := newHarness(t, testSettings(), "w1")
-	for range 4 { // the worker is then known to hold the function, and each attempt counts in full
+	for range 4 { // after that the worker is known to hold the function, and each attempt has full weight
 		started := h.startAttempt("f", classIdempotent)
 		h.now += 20 * time.Millisecond
 		h.step(AttemptEnded{ID: started.ID, Worker: started.Worker, Result: OK, Final: true,
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -1,5 +1,5 @@
-// Package baseline holds plain policies behind the dispatcher's events, to measure the dispatcher against. They
-// are not meant for service.
+// Package baseline contains simple dispatch policies with the interface of dispatch.Dispatcher. The dispatcher is
+// measured against them. They are not meant for production.
 package baseline
 
 import (
@@ -19,9 +19,8 @@
 	maxTimer = time.Second
 )
 
-// Random starts each attempt on a worker drawn at random from the active ones of the endpoint list. It retries a
-// request as long as no earlier attempt can have run, or its class is idempotent. It keeps deadlines and drains
-// and does nothing else.
+// Random starts each attempt on a random active worker of the endpoint list. It retries a request if no earlier
+// attempt can have run or if its class is idempotent. It observes deadlines and drains, and has no other rules.
 type Random struct {
 	settings dispatch.Settings
 	rng      *rand.Rand
@@ -29,7 +28,7 @@
 	active   []string // IDs of the active workers, sorted
 	states   map[string]dispatch.EndpointState
 	requests map[dispatch.RequestID]*request
-	arrivals []dispatch.RequestID // by arrival, to find those past their deadline; may hold ended requests
+	arrivals []dispatch.RequestID // in the order of arrival, for expireRequests; may contain ended requests
 }
 
 // request is a request without a final answer.
@@ -38,11 +37,11 @@
 	deadline         time.Duration
 	attempts         int
 	attemptsInFlight int
-	mayHaveRun       bool // an attempt ended without proof that it never ran
+	mayHaveRun       bool // an attempt has ended, and nothing proves that it never ran
 	responseStarted  bool
 }
 
-// NewRandom returns a Random that knows no worker.
+// NewRandom returns a Random that knows no worker yet. Its random numbers are derived from seed.
 func NewRandom(settings dispatch.Settings, seed uint64) *Random {
 	p := &Random{
 		settings: settings,
@@ -81,7 +80,7 @@
 	return p.expireRequests(now, actions)
 }
 
-// expireRequests answers the requests that are past their deadline and sets the timer for the next one.
+// expireRequests answers the requests that are past their deadline and sets a timer for the next deadline.
 func (p *Random) expireRequests(now time.Duration, actions []dispatch.Action) []dispatch.Action {
 	next := now + maxTimer
 	p.arrivals = slices.DeleteFunc(p.arrivals, func(id dispatch.RequestID) bool {
@@ -115,8 +114,8 @@
 	slices.Sort(p.active)
 }
 
-// startAttempt starts an attempt on a random worker, or answers the request where no worker is active or no attempt
-// is left.
+// startAttempt starts an attempt on a random worker, or answers the request if no worker is active or its attempts
+// are used up.
 func (p *Random) startAttempt(actions []dispatch.Action, id dispatch.RequestID, r *request) []dispatch.Action {
 	if len(p.active) == 0 || r.attempts >= p.settings.MaxAttempts {
 		return p.answerWithoutResponse(actions, id, r)
@@ -154,8 +153,8 @@
 	return false
 }
 
-// answerWithoutResponse gives the final answer to a request that no attempt has served: a failure where it may have
-// run and must not run twice, or where its response has started; otherwise a rejection.
+// answerWithoutResponse gives a request a final answer without a response: a failure if it may have run and must not
+// run twice, or if its response has started; otherwise a rejection.
 func (p *Random) answerWithoutResponse(actions []dispatch.Action, id dispatch.RequestID, r *request) []dispatch.Action {
 	delete(p.requests, id)
 	if r.responseStarted || r.class.Idempotency != dispatch.Idempotent && (r.mayHaveRun || r.attemptsInFlight > 0) {
