--- a/dispatch/listfreshness.go
+++ b/dispatch/listfreshness.go
@@ -10,9 +10,9 @@
 // Dispatcher.list. If the caller never confirms the list, it is always current.
 
 const (
-	// lossNotificationDelay is the time after the loss of the endpoint list at which the platform counts a
-	// change that the router did not receive as notified. The platform's protocol says 2 s after a broken
-	// connection. Its other deadlines are later, or expire when the list is requested again.
+	// lossNotificationDelay is the time after the loss of the endpoint list at which the platform regards
+	// the router as notified of a change that it did not receive. The platform's protocol sets it to 2 s
+	// after a broken connection. Its other deadlines are later, or expire when the list is requested again.
 	lossNotificationDelay = 2 * time.Second
 	// minPause is the shortest time without a Step that counts as a pause of the process.
 	minPause = 150 * time.Millisecond
@@ -22,10 +22,10 @@
 	forever         = time.Duration(math.MaxInt64)
 )
 
-// listLeaseEnd returns the end of the lease that the endpoint list gives to its active workers. A change
-// that the router did not receive counts as notified lossNotificationDelay after the loss of the list, or
-// when the list is requested again. If the process was paused, the change may have been notified at any
-// time since the list was confirmed.
+// listLeaseEnd returns the end of the lease that the endpoint list gives to its active workers. The
+// platform regards the router as notified of a change that it did not receive lossNotificationDelay after
+// the loss of the list, or when the list is requested again. If the process was paused, the notification
+// may date from any time since the list was confirmed.
 func (d *Dispatcher) listLeaseEnd() time.Duration {
 	list := &d.list
 	if !list.tracked {
@@ -50,7 +50,7 @@
 func (d *Dispatcher) confirmList(e EndpointListConfirmed) {
 	d.list.tracked = d.settings.DrainGrace > 0
 	d.list.confirmedAt = max(d.list.confirmedAt, min(e.At, d.now))
-	isAnswered := func(askedAt time.Duration) bool { return askedAt <= d.list.confirmedAt }
+	isAnswered := func(requestedAt time.Duration) bool { return requestedAt <= d.list.confirmedAt }
 	d.list.requestedAt = slices.DeleteFunc(d.list.requestedAt, isAnswered)
 }
 
