--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -14,16 +14,16 @@
 	capacityHeadroom         = 0.2                    // epsilon of the paper: excess of capacity over demand
 	unservedCopies           = 0.1                    // copies counted for a function never served
 	rateSmoothing            = 0.3                    // weight of the newest interval: 6 s of memory
-	minRequestsPerWorker     = 3.0                    // request rates cover this many per active worker
+	minRequestsPerWorker     = 3.0                    // request rates average over this many per worker
 	idleFunctionTTL          = 2 * time.Minute        // until a function without requests is deleted
 	unservedFunctionTTL      = 10 * time.Second       // if it was never served: clients can invent names
 	slowThreshold            = 1.0                    // slowness from which a worker is reported
 	suspectedCapacity        = 0.01                   // capacity factor of a suspected worker
-	maxSpeedFactor           = 1.5                    // limits the capacity factor of a fast worker
+	maxSpeedFactor           = 1.5                    // maximum factor of the capacity of a fast worker
 	negligible               = 1e-9                   // smaller demands and capacities count as 0
 	reassignInterval         = 100 * time.Millisecond // between assignments after updates of a large fleet
 	immediateReassignWorkers = 128                    // a fleet of more workers is large
-	maxPassedOver            = 128                    // stops an assignment: full workers in a row
+	maxPassedOver            = 128                    // full workers in a row that end an assignment
 )
 
 // rebalance measures the rates of the past interval, deletes idle functions and placements, and assigns
@@ -35,7 +35,7 @@
 	requestGain := d.requestRateGain(interval)
 	d.measureServedRates(interval)
 	d.measureRequestRates(interval, requestGain)
-	d.forgetIdleFunctions()
+	d.deleteIdleFunctions()
 	for _, f := range d.functionsInOrder {
 		d.expirePlacements(f)
 		if !f.served {
@@ -73,8 +73,8 @@
 	}
 }
 
-// forgetIdleFunctions deletes the functions that have had no request for a long time.
-func (d *Dispatcher) forgetIdleFunctions() {
+// deleteIdleFunctions deletes the functions that have had no request for a long time.
+func (d *Dispatcher) deleteIdleFunctions() {
 	d.functionsInOrder = slices.DeleteFunc(d.functionsInOrder, func(f *function) bool {
 		idle := d.now - f.lastRequestAt
 		keep := idle <= unservedFunctionTTL || f.served && idle <= idleFunctionTTL
--- a/dispatch/assignment_test.go
+++ b/dispatch/assignment_test.go
@@ -119,7 +119,7 @@
 }
 
 // Clients can invent function names. Functions that no worker ever serves must be deleted soon.
-func TestUnservedFunctionsAreForgotten(t *testing.T) {
+func TestUnservedFunctionsAreDeleted(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	for i := range 3000 {
 		_, actions := h.request(fmt.Sprint("made up ", i), classIdempotent)
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -129,7 +129,7 @@
 		d.recordContactLoss(w)
 		d.suspect(w)
 	case Errored, TimedOut, Cancelled, NotSent:
-		// isClassFault handles errors, countTimeout handles timeouts. The others say nothing about the worker.
+		// isClassFault handles errors, countTimeout timeouts. The others say nothing about the worker.
 	}
 	if e.CacheStatus == CacheLoadFailed {
 		d.backOffLoads(p)
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -8,7 +8,7 @@
 // divided by this.
 const graceDivisor = 4
 
-// minServedRate, in requests a second, replaces a lower rate in the calculation of Retry-After.
+// minServedRate, in requests per second, replaces a lower rate in the calculation of Retry-After.
 const minServedRate = 1e-3
 
 // closeRequest ends a request and cancels its attempts in flight.
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -20,7 +20,7 @@
 		d.markUnlistedRemoved()
 	}
 	d.updateActiveWorkers()
-	d.forgetRemovedWorkers()
+	d.deleteRemovedWorkers()
 	d.fleetShare = float64(max(len(d.activeWorkers), 1)) / float64(d.settings.Routers)
 	d.reassignAfterUpdate()
 }
@@ -56,17 +56,17 @@
 	}
 }
 
-// forgetRemovedWorkers deletes the removed workers that have no attempt in flight and requeues the requests
+// deleteRemovedWorkers deletes the removed workers that have no attempt in flight and requeues the requests
 // that waited for them. This bounds the state in a fleet whose workers are continually replaced by new ones
 // with other ids.
-func (d *Dispatcher) forgetRemovedWorkers() {
-	var forgotten []*worker
+func (d *Dispatcher) deleteRemovedWorkers() {
+	var deleted []*worker
 	for _, id := range slices.Sorted(maps.Keys(d.removedWorkers)) {
 		if w := d.removedWorkers[id]; len(w.attempts) == 0 {
-			forgotten = append(forgotten, w)
+			deleted = append(deleted, w)
 		}
 	}
-	d.forgetWorkers(forgotten)
+	d.deleteWorkers(deleted)
 }
 
 // subscribe requests endpoint updates, if the settings require a subscription.
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -5,7 +5,7 @@
 // This file detects unresponsive workers: worker.suspected.
 
 const (
-	phiThreshold         = 6                      // phi above which a worker is suspected
+	phiThreshold         = 6                      // suspected above this phi, in overdue responses
 	minSilence           = 400 * time.Millisecond // before a suspicion: longer than a usual stall
 	minExpectedSeconds   = 0.02                   // minimum expected time of an attempt, for phi
 	suspectCheckInterval = time.Second            // between health checks of a suspected worker
--- a/dispatch/function.go
+++ b/dispatch/function.go
@@ -9,7 +9,7 @@
 	key           string
 	lastClass     *class // class of its last request
 	lastRequestAt time.Duration
-	served        bool // it has been served at least once
+	served        bool // a request for it has been served at least once
 
 	memoryMB     float64 // of one copy
 	concurrency  float64 // requests that one copy runs at a time
@@ -22,7 +22,7 @@
 
 	ranking    ranking
 	assignment []workerShare
-	placements map[*worker]*placement // only where something is resident, in flight or backing off
+	placements map[*worker]*placement // only those with a resident copy, something in flight or a load backoff
 }
 
 // workerShare is the share of a function's demand that is assigned to a worker.
--- a/dispatch/functionrelease_test.go
+++ b/dispatch/functionrelease_test.go
@@ -67,7 +67,7 @@
 		answered: map[RequestID]bool{}}
 }
 
-// run hands over a request every releaseInterval, the functions in turn, and returns the number of requests.
+// run sends a request every releaseInterval, for one function after another, and returns the number of requests.
 func (f *releaseFleet) run(span time.Duration) (requests int) {
 	f.t.Helper()
 	f.served, f.unserved = 0, 0
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -12,7 +12,7 @@
 	fleetLimitDecrease    = 0.5  // decrease of the fleet limit: stable when a sixth are late
 	rejectionFactor       = 0.7  // a rejection multiplies the worker's limit by this
 	lateMultiple          = 1.5  // a response is late after this multiple of its run time
-	lateObjectiveFraction = 0.25 // but not before this fraction of its latency objective
+	lateObjectiveFraction = 0.25 // minimum time of a late response, as a fraction of its latency objective
 	lightObjectiveDivisor = 4    // light: expected work below the latency objective divided by this
 	retryBudgetBurst      = 10.0 // maximum of the retry budget; each response adds one retry
 )
--- a/dispatch/loadreports.go
+++ b/dispatch/loadreports.go
@@ -9,10 +9,10 @@
 
 const (
 	loadReportTTL      = 300 * time.Millisecond // how long a load report is current
-	loadReportSpan     = 10 * time.Second       // time constant of the weight of a load report
+	loadReportSpan     = 10 * time.Second       // time constant by which the weight of a report grows
 	loadReportWeight   = 2.0                    // weight of a report that comes long after the last one
 	maxReportDeviation = 2.0                    // limit of the deviation of one report, as a logarithm
-	loadExcessDecay    = 20.0                   // a constant deviation converges to this multiple of it
+	loadExcessDecay    = 20.0                   // load excess per unit of a constant deviation
 	maxLoadExcess      = 4.0                    // limit of the load excess, as a logarithm
 	maxHealthCheckCost = 0.02                   // checks before attempts pay off below this cost
 )
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -75,7 +75,7 @@
 	*routerGroup
 	queues   map[string][]queuedAttempt // by worker, in the order of arrival
 	attempts map[string]int             // by router and request
-	events   [][]Event                  // by router, handed over at the next tick
+	events   [][]Event                  // by router, passed to it at the next tick
 
 	// Counts since the start of the last run.
 	offered, started, inTime int
--- a/dispatch/ranking_test.go
+++ b/dispatch/ranking_test.go
@@ -158,9 +158,9 @@
 	requireCount("a restart", 0)
 }
 
-// TestManyFunctionNamesAreForgotten sends requests for 20,000 unknown functions within ten seconds in a fleet of 1,920
+// TestManyFunctionNamesAreDeleted sends requests for 20,000 unknown functions within ten seconds in a fleet of 1,920
 // workers. Memory must stay bounded, and functions that were never served must be deleted.
-func TestManyFunctionNamesAreForgotten(t *testing.T) {
+func TestManyFunctionNamesAreDeleted(t *testing.T) {
 	const names, workers, maxMB = 20_000, 1920, 80
 	before := heapInUse()
 	r := newBenchmarkRouter(t, workers)
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -10,7 +10,7 @@
 const (
 	defaultRunTime   = 100 * time.Millisecond // before any run time is known
 	overdueMultiple  = 3                      // overdue after this multiple of the usual time
-	overdueMargin    = 100 * time.Millisecond // added to the multiple
+	overdueMargin    = 100 * time.Millisecond // added to that multiple
 	runTimeSmoothing = 0.1                    // weight of one response in a function's run time
 	workerSmoothing  = 0.06                   // weight of one response in a worker's slowness
 	meanSmoothing    = 0.05                   // weight of one report or response in the mean of all
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -92,12 +92,12 @@
 	for w := range f.placements {
 		delete(f.placements, w)
 	}
-	behind := d.rankedWorker(f, workers-1)
-	f.ensurePlacement(behind).residentUntil = r.now + time.Minute
+	lastRanked := d.rankedWorker(f, workers-1)
+	f.ensurePlacement(lastRanked).residentUntil = r.now + time.Minute
 	request := Request{ID: 1000, Function: f.key, Class: classIdempotent, MemoryMB: 300, RemainingDeadline: time.Second}
 	started := actionsOf[StartAttempt](d.Step(r.now, []Event{request}))
-	if len(started) != 1 || started[0].Worker != behind.ID {
-		t.Errorf("started %v, want an attempt at %s, which holds the function", started, behind.ID)
+	if len(started) != 1 || started[0].Worker != lastRanked.ID {
+		t.Errorf("started %v, want an attempt at %s, which holds the function", started, lastRanked.ID)
 	}
 }
 
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -13,7 +13,7 @@
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration
-	started  bool     // the first Step has begun
+	started  bool     // Step has been called
 	actions  []Action // result of the current Step
 	timers   timers
 	timerDue time.Duration // when the last SetTimer fires; 0 means that no timer is set
@@ -52,7 +52,7 @@
 	servedCount     float64
 
 	// Estimates from responses and load reports.
-	logLoadTime          float64 // logarithm of the time of a load in seconds
+	logLoadTime          float64 // logarithm of the mean time of a load in seconds
 	meanResponseTime     float64 // seconds
 	meanReportedInFlight float64 // mean number of requests that a worker reports
 	residentChance       float64 // chance that a worker holds a copy that this router does not know of
@@ -65,7 +65,7 @@
 
 // endpointList tracks how current the endpoint list is.
 type endpointList struct {
-	tracked     bool            // the caller confirms the list, and drains matter
+	tracked     bool            // the caller confirms the list, and the settings have a drain grace
 	confirmedAt time.Duration   // the list contained all changes up to this time
 	requestedAt []time.Duration // requests for the list after confirmedAt, the oldest first
 	pausedUntil time.Duration   // end of the last pause of the process
--- a/dispatch/streaming_test.go
+++ b/dispatch/streaming_test.go
@@ -27,7 +27,7 @@
 			if len(actionsOf[StartAttempt](actions)) > 0 {
 				t.Fatalf("another attempt: %v", actions)
 			}
-			// Long past the latency objective and the mean response time. The checker watches too.
+			// This is long past the latency objective and the mean response time. The checker checks the actions too.
 			actions = h.advance(2500 * time.Millisecond)
 			n := len(actionsOf[StartAttempt](actions)) + len(actionsOf[CancelAttempt](actions)) +
 				len(actionsOf[RejectRequest](actions)) + len(actionsOf[FailRequest](actions))
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -13,11 +13,11 @@
 	Endpoint
 	memoryMB       float64 // of its kind
 	active         bool    // it is in Dispatcher.activeWorkers
-	forgotten      bool    // it is no longer in Dispatcher.workers
+	deleted        bool    // it is no longer in Dispatcher.workers
 	listedInUpdate int     // the endpoint update that last listed it, see Dispatcher.endpointUpdateCount
 	lastSelection  int     // the selection that it was last a candidate of, see Dispatcher.selectionCount
 
-	lastResponseAt       time.Duration // last response of any kind
+	lastResponseAt       time.Duration // time of the last response of any kind
 	lastSuspicionCheckAt time.Duration // when the last health check because of a suspicion was sent
 	suspected            bool          // it is assumed to be unresponsive
 	slowness             float64       // logarithm of the ratio of its response times to the expected ones
@@ -45,7 +45,7 @@
 type workerLease struct {
 	knownActiveAt time.Duration // the latest time at which it is known not to have drained; 0 means none
 	lostContactAt time.Duration // when a connection to it last failed or it reported that it drains
-	checkedAt     time.Duration // when the last health check for the lease was sent; 0 means none, or that it renewed the lease
+	checkedAt     time.Duration // when the last lease check was sent; 0 means none, or that it renewed the lease
 	checkInFlight bool
 	awaiting      []*request // requests that wait for that health check
 }
@@ -70,19 +70,19 @@
 	*w = *fresh
 }
 
-// forgetWorkers deletes workers and requeues the requests that wait for them.
-func (d *Dispatcher) forgetWorkers(forgotten []*worker) {
-	if len(forgotten) == 0 {
+// deleteWorkers deletes workers and requeues the requests that wait for them.
+func (d *Dispatcher) deleteWorkers(deleted []*worker) {
+	if len(deleted) == 0 {
 		return
 	}
-	for _, w := range forgotten {
+	for _, w := range deleted {
 		d.requeueWaiting(w)
-		w.forgotten = true
+		w.deleted = true
 		delete(d.workers, w.ID)
 		delete(d.removedWorkers, w.ID)
 	}
 	for _, f := range d.functionsInOrder {
-		f.assignment = slices.DeleteFunc(f.assignment, func(s workerShare) bool { return s.worker.forgotten })
+		f.assignment = slices.DeleteFunc(f.assignment, func(s workerShare) bool { return s.worker.deleted })
 	}
 }
 
