--- a/dispatch/functionrelease_test.go
+++ b/dispatch/functionrelease_test.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	releasedFunctions  = 12
-	releaseInterval    = 25 * time.Millisecond // between two requests
-	releaseLoadTime    = 300 * time.Millisecond
-	releaseRunTime     = 20 * time.Millisecond
-	releaseTick        = 5 * time.Millisecond
-	releaseRequestTime = 3 * time.Second // deadline of a request
+	releasedFunctions = 12
+	releaseInterval   = 25 * time.Millisecond // between two requests
+	releaseLoadTime   = 300 * time.Millisecond
+	releaseRunTime    = 20 * time.Millisecond
+	releaseTick       = 5 * time.Millisecond
+	releaseDeadline   = 3 * time.Second // deadline of a request
 )
 
 // A function release under moderate load invalidates all loaded copies at once. It must not cause a load storm: the
@@ -88,7 +88,7 @@
 func (f *releaseFleet) functionRequest(function string) Request {
 	r := f.newRequest(function, classIdempotent)
 	r.ConcurrencyPerInstance, r.LoadTime, r.ExpectedWork = 4, releaseLoadTime, releaseRunTime
-	r.RemainingDeadline = releaseRequestTime
+	r.RemainingDeadline = releaseDeadline
 	f.functions[r.ID] = function
 	return r
 }
--- a/dispatch/limits_test.go
+++ b/dispatch/limits_test.go
@@ -65,7 +65,7 @@
 }
 
 // Pending requests that can no longer meet their latency objective must not take the concurrency of those that can.
-// This happened in scenarios with heavy-tailed run times.
+// This happened in the heavy-tailed scenarios of abuja-boxes.
 func TestPendingRequestsThatCanMeetTheirObjectiveGoFirst(t *testing.T) {
 	s := testSettings()
 	s.WorkersLoadOnMiss, s.Routers = true, 12 // a concurrency limit of one
--- a/dispatch/loading_test.go
+++ b/dispatch/loading_test.go
@@ -39,7 +39,7 @@
 }
 
 // After a rejected load command, requests must not use up their attempts on NotResident within milliseconds and end in
-// a rejection, as happened in a scenario.
+// a rejection, as happened in scenario big-1 of abuja-boxes.
 func TestLoadBackoffDoesNotUseUpAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), "w1")
 	started := h.startAttempt("f", classIdempotent)
--- a/dispatch/streaming_test.go
+++ b/dispatch/streaming_test.go
@@ -17,7 +17,7 @@
 }
 
 // Once a streamed response has started, the router neither retries nor cancels it. Only the deadline ends it.
-func TestStartedStreamIsLeftToTheClient(t *testing.T) {
+func TestStartedStreamIsNeitherRetriedNorCancelled(t *testing.T) {
 	for _, class := range []string{classIdempotent, classNonIdempotent, classKeyed} {
 		t.Run(class, func(t *testing.T) {
 			h := newHarness(t, testSettings(), "w1", "w2", "w3")
