--- a/dispatch/function.go
+++ b/dispatch/function.go
@@ -29,7 +29,7 @@
 type workerShare struct {
 	worker  *worker
 	share   float64
-	sortKey float64 // the current request tries the workers in this order
+	sortKey float64 // order in which the current request tries the workers, the least first
 }
 
 // placement is the state of a function on a worker.
--- a/dispatch/listfreshness.go
+++ b/dispatch/listfreshness.go
@@ -50,7 +50,7 @@
 func (d *Dispatcher) confirmList(e EndpointListConfirmed) {
 	d.list.tracked = d.settings.DrainGrace > 0
 	d.list.confirmedAt = max(d.list.confirmedAt, min(e.At, d.now))
-	isAnswered := func(requestedAt time.Duration) bool { return requestedAt <= d.list.confirmedAt }
+	isAnswered := func(at time.Duration) bool { return at <= d.list.confirmedAt }
 	d.list.requestedAt = slices.DeleteFunc(d.list.requestedAt, isAnswered)
 }
 
