--- a/dispatch/acceptance.go
+++ b/dispatch/acceptance.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// This file takes new requests, and decides whether one starts an attempt at once or has to wait.
+// This file accepts new requests and decides whether a request starts an attempt now or has to wait.
 
-// acceptRequest takes a new request.
+// acceptRequest records a new request and routes it.
 func (d *Dispatcher) acceptRequest(e Request) {
-	c := d.classNamed(e.Class)
+	c := d.ensureClass(e.Class)
 	r := &request{
 		Request:    e,
 		class:      c,
@@ -20,7 +20,7 @@
 		logRunTime = 0
 		c.meanWork += workerSmoothing * (r.workUnit - c.meanWork)
 	}
-	f := d.functionNamed(e.Function, logRunTime, r.workUnit)
+	f := d.ensureFunction(e.Function, logRunTime, r.workUnit)
 	r.function = f
 	f.lastClass = c
 	f.lastRequestAt = d.now
@@ -34,7 +34,8 @@
 	d.routeRequest(r)
 }
 
-// routeRequest starts an attempt, has the request wait for a load, a load report or a worker, or ends it.
+// routeRequest starts an attempt of a request, makes it wait for a lease check, a load, a load report or an
+// available worker, or ends it.
 func (d *Dispatcher) routeRequest(r *request) {
 	r.needsAttempt = true
 	if obstacle := d.attemptObstacle(r); obstacle != CauseNone {
@@ -45,7 +46,7 @@
 	}
 	w := d.selectWorker(r)
 	switch {
-	case w == nil && d.isUnservable() && r.inFlight == 0:
+	case w == nil && d.hasNoUsableWorker() && r.inFlight == 0:
 		d.finishUnserved(r, CauseNoLease)
 	case w == nil:
 		if r.inFlight == 0 {
@@ -55,14 +56,14 @@
 		d.awaitLease(r, w)
 	case d.loadInProgress(r.function, w):
 		d.awaitLoad(r, r.function.ensurePlacement(w))
-	case d.drawLoadReportWait(r, w):
+	case d.shouldAwaitLoadReport(r, w):
 		d.awaitLoadReport(r, w)
 	default:
 		d.startAttempt(r, w)
 	}
 }
 
-// awaitLoad has a request wait for a load, or ends it if the load is too late for it.
+// awaitLoad makes a request wait for a load, or ends it if the load would end too late.
 func (d *Dispatcher) awaitLoad(r *request, p *placement) {
 	loadedAt := p.loadCommandedAt + d.expectedLoadTime(r.function)
 	if loadedAt+r.expectedRunTime()/minRunTimeDivisor >= r.deadline {
@@ -73,8 +74,9 @@
 	d.setRequestTimer(r, p.loadCommandedAt+d.loadOverdueAfter(r.function)+timerSlack)
 }
 
-// classNamed returns a class of the settings, or one of which nothing may be assumed.
-func (d *Dispatcher) classNamed(name string) *class {
+// ensureClass returns a class. A class that the settings do not have is added as non-idempotent, without a
+// latency objective.
+func (d *Dispatcher) ensureClass(name string) *class {
 	c := d.classes[name]
 	if c == nil {
 		c = &class{Class: Class{Name: name}, meanWork: defaultRunTime.Seconds()}
