--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -50,8 +50,8 @@
 	return Record{At: at, Kind: LoadCommandReceived, Router: "r", Worker: "w", Copies: 1}
 }
 
-// slowStart is a worker's start and so many attempts at it within the overload window. At 0.4 cores, a multiple of 2
-// and a window of 1 s, with one call of 0.1 s on top, nine calls fit.
+// slowStart returns the start of a worker and a number of attempts at it within the overload window. The limit is nine
+// calls of 0.1 s: 0.4 cores times the overload multiple of 2 over a window of 1 s, plus one call.
 func slowStart(attempts int) []Record {
 	records := []Record{
 		{At: 1 * ms, Kind: WorkerStarted, Worker: "w"},
@@ -64,7 +64,7 @@
 	return records
 }
 
-// loadCommands is so many calls and then so many load commands, all within the window.
+// loadCommands returns a number of calls followed by a number of load commands, all within the window.
 func loadCommands(calls, commands int) []Record {
 	var records []Record
 	for i := range calls {
@@ -78,10 +78,11 @@
 	return records
 }
 
-// TestSlowStartByChance holds the allowance for calls that come at random: of 8 calls, 3 sqrt 8 + 3 = 11 more.
-func TestSlowStartByChance(t *testing.T) {
+// TestSlowStartWithRandomArrivals checks the allowance for calls that arrive at random: a limit of 8 calls may be exceeded
+// by 3 sqrt(8) + 3 calls, which is 11 whole calls.
+func TestSlowStartWithRandomArrivals(t *testing.T) {
 	s := testSettings()
-	s.OverloadByChance = true
+	s.RandomArrivals = true
 	for attempts, want := range map[int]int{19: 0, 20: 1} {
 		if violations := Check(s, slowStart(attempts)); len(violations) != want {
 			t.Errorf("%d attempts: %v, want %d violations", attempts, violations, want)
@@ -89,15 +90,15 @@
 	}
 }
 
-// ruleCase is a sequence of records and the one rule that they violate.
+// ruleCase is a sequence of records and the rule that they violate.
 type ruleCase struct {
 	name    string
-	rule    int // 0: satisfied
+	rule    int // 0 means that no rule is violated
 	records []Record
 }
 
-// testRule checks records that violate a rule beside the nearest ones that don't.
-func testRule(t *testing.T, cases []ruleCase) {
+// testRuleCases checks sequences of records that just violate a rule and others that just satisfy it.
+func testRuleCases(t *testing.T, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,7 +115,7 @@
 }
 
 func TestFinalAnswerRule(t *testing.T) {
-	testRule(t, []ruleCase{
+	testRuleCases(t, []ruleCase{
 		{"answered once", 0, []Record{callSent(1*ms, "a", "quote"), finalAnswer(9*ms, "a", "quote", Served)}},
 		{"never answered", RuleFinalAnswer, []Record{callSent(1*ms, "a", "quote")}},
 		{"answered twice", RuleFinalAnswer, []Record{
@@ -170,7 +171,7 @@
 }
 
 func TestSideEffectRule(t *testing.T) {
-	testRule(t, []ruleCase{
+	testRuleCases(t, []ruleCase{
 		{"idempotent, ran twice", 0, []Record{
 			callSent(1*ms, "a", "quote"),
 			atWorker(2*ms, RunStarted, "a", "quote", "v"),
@@ -203,7 +204,7 @@
 }
 
 func TestDrainRule(t *testing.T) {
-	testRule(t, []ruleCase{
+	testRuleCases(t, []ruleCase{
 		{"sent within the drain grace", 0, []Record{
 			endpointNotified(1*ms, true),
 			atWorker(500*ms, AttemptReceived, "-", "quote", "w"),
@@ -249,7 +250,7 @@
 }
 
 func TestSlowStartRule(t *testing.T) {
-	testRule(t, []ruleCase{
+	testRuleCases(t, []ruleCase{
 		{"slow start within the limit", 0, slowStart(9)},
 		{"slow start beyond the limit", RuleSlowStart, slowStart(10)},
 		{"overloaded at start", RuleSlowStart, []Record{{At: 5 * ms, Kind: WorkerOverloaded, Worker: "w"}}},
@@ -257,7 +258,7 @@
 }
 
 func TestLoadRateRule(t *testing.T) {
-	testRule(t, []ruleCase{
+	testRuleCases(t, []ruleCase{
 		{"load commands within the limit", 0, loadCommands(20, 4)},
 		{"one load command beyond the limit", RuleLoadRate, loadCommands(20, 5)},
 		{"over a restart of the router", 0, append(loadCommands(20, 5), Record{At: 402 * ms, Kind: RouterStarted, Router: "r"})},
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// notification is what a router was notified of: a worker's drain.
-type notification struct{ router, worker string }
+// routerWorker identifies a worker as seen by one router.
+type routerWorker struct{ router, worker string }
 
-// drainTimes holds when each router was first notified of each drain that is not over.
-type drainTimes map[notification]time.Duration
+// drainTimes holds, for each drain that has not ended, when the router was first notified of it.
+type drainTimes map[routerWorker]time.Duration
 
-// add keeps the first time of a notification.
-func (d drainTimes) add(n notification, at time.Duration) {
-	if _, ok := d[n]; !ok {
-		d[n] = at
+// add records a notification, unless an earlier one of the same drain is known.
+func (d drainTimes) add(pair routerWorker, at time.Duration) {
+	if _, ok := d[pair]; !ok {
+		d[pair] = at
 	}
 }
 
 // checkDrains checks rule 3: no attempt and no load command reaches a worker later than the drain grace after its
 // router was notified of the drain, by the endpoint list or by the worker itself.
 func (c *checker) checkDrains() {
-	byList, byWorker := drainTimes{}, drainTimes{}
+	reportedByList, reportedByWorker := drainTimes{}, drainTimes{}
 	for _, r := range c.records {
-		n := notification{r.Router, r.Worker}
+		pair := routerWorker{r.Router, r.Worker}
 		switch r.Kind {
 		case EndpointNotified:
 			if r.Unavailable {
-				byList.add(n, r.At)
+				reportedByList.add(pair, r.At)
 				continue
 			}
-			delete(byList, n)
-			delete(byWorker, n)
+			delete(reportedByList, pair)
+			delete(reportedByWorker, pair)
 		case WorkerDraining:
-			byWorker.add(n, r.At)
+			reportedByWorker.add(pair, r.At)
 		case WorkerReady:
-			delete(byWorker, n) // takes back only what the worker itself reported: what the list reported stays valid
+			delete(reportedByWorker, pair) // a worker's own report does not override the endpoint list's
 		case AttemptReceived, LoadCommandReceived:
 			if r.Kind == LoadCommandReceived && r.Copies == 0 {
 				continue // a query of the state is allowed
 			}
-			c.checkDrain(r, n, byList, byWorker)
+			c.checkDrain(r, pair, reportedByList, reportedByWorker)
 		case CallSent, FinalAnswer, CallAbandoned, RunStarted, WorkerStarted, WorkerOverloaded, RouterKilled, RouterStarted:
-			// no drain begins or ends, and nothing is sent to a worker
+			// these neither begin or end a drain nor are sent to a worker
 		}
 	}
 }
 
-// checkDrain reports at most one violation for a record.
-func (c *checker) checkDrain(r Record, n notification, sources ...drainTimes) {
+// checkDrain reports a message that reached a worker after the drain grace. It reports at most one violation for a
+// record, even if both the endpoint list and the worker had announced the drain.
+func (c *checker) checkDrain(r Record, pair routerWorker, sources ...drainTimes) {
 	for _, source := range sources {
-		if at, ok := source[n]; ok && r.At > at+c.settings.DrainGrace+c.settings.RecordingDelay {
+		if at, ok := source[pair]; ok && r.At > at+c.settings.DrainGrace+c.settings.RecordingDelay {
 			c.report(RuleDrain, r, r.At, "%s sent to %s %v after it was notified of the drain", r.Router, r.Worker, r.At-at)
 			return
 		}
--- a/internal/invariants/final_answers.go
+++ b/internal/invariants/final_answers.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// callState is what the records say of one call.
+// callState is the state of one call, built from its records.
 type callState struct {
-	sent, answered Record // answered: the first final answer
-	answers        int
-	abandoned      bool
-	abandonedAt    time.Duration
+	sent, firstAnswer Record
+	answers           int // number of final answers
+	abandoned         bool
+	abandonedAt       time.Duration
 }
 
 // checkFinalAnswers checks rule 1: a call that a running router accepted gets exactly one final answer before the
@@ -28,14 +28,14 @@
 		case RouterKilled:
 			killedAt[r.Router] = append(killedAt[r.Router], r.At)
 		case FinalAnswer, CallAbandoned, AttemptReceived:
-			// followed below, when all calls are known
+			// handled below, once all calls are known
 		case RunStarted, LoadCommandReceived, EndpointNotified, WorkerDraining, WorkerReady, WorkerStarted, WorkerOverloaded, RouterStarted:
-			// not part of a call's answer
+			// rule 1 does not depend on these
 		}
 	}
 	for _, r := range c.records {
 		if call := calls[r.Call]; call != nil {
-			c.followCall(call, r)
+			c.checkCallRecord(call, r)
 		}
 	}
 	for _, id := range order {
@@ -47,15 +47,15 @@
 	}
 }
 
-// followCall takes the next record of a call.
-func (c *checker) followCall(call *callState, r Record) {
+// checkCallRecord updates the state of a call by its next record and reports violations that the record shows.
+func (c *checker) checkCallRecord(call *callState, r Record) {
 	switch r.Kind {
 	case FinalAnswer:
 		if call.answers++; call.answers > 1 {
 			c.report(RuleFinalAnswer, r, r.At, "call %s got another final answer", r.Call)
 			return
 		}
-		call.answered = r
+		call.firstAnswer = r
 		if r.At > call.sent.Deadline+c.settings.ResponseGrace {
 			c.report(RuleFinalAnswer, r, r.At, "call %s answered %v after its deadline", r.Call, r.At-call.sent.Deadline)
 		}
@@ -63,19 +63,19 @@
 		call.abandoned = true
 		call.abandonedAt = r.At
 	case AttemptReceived:
-		if call.answers > 0 && r.At > call.answered.At+c.settings.RecordingDelay {
+		if call.answers > 0 && r.At > call.firstAnswer.At+c.settings.RecordingDelay {
 			c.report(RuleFinalAnswer, r, r.At, "call %s forwarded to %s after its final answer", r.Call, r.Worker)
 		}
 		c.checkClientWaits(call, r)
 		c.checkRemaining(call, r)
 	case CallSent, RouterKilled:
-		// taken up before, by checkFinalAnswers
+		// handled in checkFinalAnswers
 	case RunStarted, LoadCommandReceived, EndpointNotified, WorkerDraining, WorkerReady, WorkerStarted, WorkerOverloaded, RouterStarted:
-		// not part of a call's answer
+		// rule 1 does not depend on these
 	}
 }
 
-// checkClientWaits checks that an attempt does not begin after its client has left.
+// checkClientWaits checks that no attempt starts after its client has left.
 func (c *checker) checkClientWaits(call *callState, r Record) {
 	limit := c.settings.LeaveGrace
 	if limit > 0 && call.abandoned && r.At > call.abandonedAt+limit+c.settings.RecordingDelay {
@@ -83,7 +83,7 @@
 	}
 }
 
-// checkRemaining checks that a worker is told no more time than the client has left.
+// checkRemaining checks that the remaining deadline sent to a worker does not exceed the client's.
 func (c *checker) checkRemaining(call *callState, r Record) {
 	slack := c.settings.DeadlineSlack
 	if slack > 0 && r.At+r.Remaining > call.sent.Deadline+slack+c.settings.RecordingDelay {
--- a/internal/invariants/load_rate.go
+++ b/internal/invariants/load_rate.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// checkLoadRate checks rule 5: at each load command, the commands of this router within the window number at most the
-// burst and the ratio of the calls that it received in that time.
+// checkLoadRate checks rule 5: at each load command, the number of load commands that its router sent within the window
+// is at most the burst plus the ratio times the calls that the router received within the window.
 func (c *checker) checkLoadRate() {
 	window := c.settings.LoadRateWindow
 	if window == 0 {
@@ -26,26 +26,28 @@
 	}
 	for router, times := range commands {
 		for _, at := range times {
-			// A call reaches its router before the load command reaches a worker: both ends of the window may be off.
+			// A call is recorded before its router receives it, and a load command after its router has sent it. Both
+			// windows therefore allow for the recording delay: that of commands is shorter, that of calls longer.
 			from := max(at-window+c.settings.RecordingDelay, latestBefore(starts[router], at))
-			loads := countWithin(times, from, at)
-			received := countWithin(calls[router], at-window-c.settings.RecordingDelay, at)
-			limit := c.settings.LoadRateBurst + c.settings.LoadRateRatio*float64(received)
-			if float64(loads) > limit {
-				c.report(RuleLoadRate, Record{At: at, Kind: LoadCommandReceived, Router: router}, at, "%s sent %d load commands within %v, at most %.1f", router, loads, window, limit)
+			commandCount := countWithin(times, from, at)
+			callCount := countWithin(calls[router], at-window-c.settings.RecordingDelay, at)
+			limit := c.settings.LoadRateBurst + c.settings.LoadRateRatio*float64(callCount)
+			if float64(commandCount) > limit {
+				c.report(RuleLoadRate, Record{At: at, Kind: LoadCommandReceived, Router: router}, at, "%s sent %d load commands within %v, at most %.1f", router, commandCount, window, limit)
 			}
 		}
 	}
 }
 
-// countWithin counts the times after from and not after to; times are ordered.
+// countWithin counts the times in (from, to]. The times must be sorted.
 func countWithin(times []time.Duration, from, to time.Duration) int {
 	i := sort.Search(len(times), func(i int) bool { return times[i] > from })
 	j := sort.Search(len(times), func(i int) bool { return times[i] > to })
 	return max(j-i, 0)
 }
 
-// latestBefore returns the latest time that is not after at, or a time before all others; times are ordered.
+// latestBefore returns the latest time that is not after at, or math.MinInt64 if there is none. The times must be
+// sorted.
 func latestBefore(times []time.Duration, at time.Duration) time.Duration {
 	i := sort.Search(len(times), func(i int) bool { return times[i] > at })
 	if i == 0 {
--- a/internal/invariants/slow_start.go
+++ b/internal/invariants/slow_start.go
@@ -11,25 +11,25 @@
 	work float64 // seconds on a core of speed 1
 }
 
-// workerStart is a worker's latest start and what arrived since.
+// workerStart is the latest start of a worker, with the attempts that arrived since.
 type workerStart struct {
 	at       time.Duration
 	arrivals []arrival
 	reported bool // at most one violation for each start
 }
 
-// checkSlowStart checks rule 4: the work that reaches a worker within any overload window while it warms up stays
-// under the overload multiple of what it can do in that time. One largest call of each router is allowed on top, as
-// routers decide independently.
+// checkSlowStart checks rule 4: while a worker is warming up, the work that reaches it within any overload window is at
+// most the overload multiple of what it can do in that time. One call of the largest class is allowed in addition for
+// each router, because routers decide independently.
 func (c *checker) checkSlowStart() {
 	if c.settings.SlowStartDuration == 0 || c.settings.OverloadWindow == 0 {
 		return
 	}
 	starts := map[string]*workerStart{}
 	routers := map[string]bool{}
-	largestCall := 0.0
+	largestWork := 0.0
 	for _, class := range c.settings.Classes {
-		largestCall = max(largestCall, class.MeanWork.Seconds())
+		largestWork = max(largestWork, class.MeanWork.Seconds())
 	}
 	for _, r := range c.records {
 		switch r.Kind {
@@ -45,22 +45,22 @@
 				continue
 			}
 			start.arrivals = append(start.arrivals, arrival{r.At, c.settings.Classes[r.Class].MeanWork.Seconds()})
-			c.checkWindow(r, start, largestCall*float64(len(routers)))
+			c.checkOverloadWindow(r, start, largestWork*float64(len(routers)))
 		case FinalAnswer, CallAbandoned, RunStarted, LoadCommandReceived, EndpointNotified, WorkerDraining, WorkerReady,
 			RouterKilled, RouterStarted:
-			// no worker starts, and no work arrives at one
+			// these neither start a worker nor bring work to one
 		}
 	}
 }
 
-// checkWindow compares the work of the overload window that ends with r with the worker's present capacity.
-func (c *checker) checkWindow(r Record, start *workerStart, allowance float64) {
+// checkOverloadWindow compares the work in the overload window that ends with r to the worker's current capacity.
+func (c *checker) checkOverloadWindow(r Record, start *workerStart, allowance float64) {
 	s := c.settings
 	age := float64(r.At - start.at)
 	share := s.SlowStartShare + (1-s.SlowStartShare)*age/float64(s.SlowStartDuration)
 	limit := s.OverloadMultiple * share * s.Capacity[r.Worker] * s.OverloadWindow.Seconds()
-	if s.OverloadByChance {
-		allowance = chanceAllowance(limit, s.Classes[r.Class].MeanWork.Seconds())
+	if s.RandomArrivals {
+		allowance = randomArrivalAllowance(limit, s.Classes[r.Class].MeanWork.Seconds())
 	}
 	limit += allowance
 	sum := 0.0
@@ -75,8 +75,8 @@
 		s.OverloadWindow, limit)
 }
 
-// chanceAllowance returns the work by which calls that come at random may exceed a limit, in seconds.
-func chanceAllowance(limit, meanWork float64) float64 {
+// randomArrivalAllowance returns the work, in seconds, by which calls that arrive at random may exceed a limit.
+func randomArrivalAllowance(limit, meanWork float64) float64 {
 	const fewCalls = 30
 	calls := limit / meanWork
 	factor := 2.0
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -70,7 +70,7 @@
 		SlowStartDuration: slowStartDuration,
 		OverloadMultiple:  overloadMultiple,
 		OverloadWindow:    overloadWindow,
-		OverloadByChance:  true,
+		RandomArrivals:    true,
 		LoadRateWindow:    loadRateWindow,
 		LoadRateBurst:     loadRateBurst + 1,
 		LoadRateRatio:     loadRateRatio * 1.15,
