--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -78,8 +78,8 @@
 	return records
 }
 
-// TestSlowStartWithRandomArrivals checks the allowance for calls that arrive at random: a limit of 8 calls may be exceeded
-// by 3 sqrt(8) + 3 calls, which is 11 whole calls.
+// TestSlowStartWithRandomArrivals checks the allowance for calls that arrive at random: a limit of 8 calls may be
+// exceeded by 3 sqrt(8) + 3 calls, which is 11 whole calls.
 func TestSlowStartWithRandomArrivals(t *testing.T) {
 	s := testSettings()
 	s.RandomArrivals = true
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,48 +13,50 @@
 )
 
 const (
-	dialTimeout    = time.Second
-	clientIdleTime = 4 * time.Second        // clients close connections that were idle for so long
-	crossedClose   = 50 * time.Millisecond  // a request that crosses a close within this time is sent once more
-	answerPatience = 3 * time.Second        // beyond the deadline, for an answer that is late
-	newConnsUntil  = 300 * time.Millisecond // after SIGTERM
+	dialTimeout       = time.Second
+	clientIdleTimeout = 4 * time.Second // after which clients close idle connections
+	// crossedCloseWindow is how soon an idle connection has to fail after a request was sent on it for the request to
+	// be sent again: the router may have closed the connection while the request was on its way.
+	crossedCloseWindow = 50 * time.Millisecond
+	lateAnswerTimeout  = 3 * time.Second        // after the deadline, in which a late answer is still read
+	newConnPeriod      = 300 * time.Millisecond // after SIGTERM, in which clients open new connections
 )
 
-// client is all clients of one router. They keep connections open.
-type client struct {
+// clientGroup represents all clients of one router. It keeps idle connections open for reuse.
+type clientGroup struct {
 	router  int
 	address string
 	records *invariants.Log
 	slack   func() time.Duration // by which the machine may have delayed a close
 
-	mu       sync.Mutex
-	idle     []*clientConn
-	oldOnly  bool // no new connections: the router is about to end
-	paused   bool // no calls: there is no router
-	killed   bool // the router was killed without notice: its clients have to repeat what it held
-	wrong    []string
-	answered map[int]int // by status
+	mu              sync.Mutex
+	idle            []*clientConn
+	openConnsOnly   bool // no new connections, because the router is about to end
+	paused          bool // no calls, because no router is running
+	killed          bool // the router was killed without notice; its clients have to repeat the calls in flight
+	wrongResponses  []string
+	answersByStatus map[int]int
 }
 
-// clientConn is one connection of a client.
+// clientConn is a connection to the router.
 type clientConn struct {
 	net.Conn
-	reader *bufio.Reader
-	usedAt time.Time
+	reader     *bufio.Reader
+	lastUsedAt time.Time
 }
 
 // call is one call of a client.
 type call struct {
 	id, class, function string
 	deadline            time.Duration
-	leaveAfter          time.Duration // the client closes its connection then; 0: it waits for the answer
+	leaveAfter          time.Duration // until the client closes its connection; 0 means it waits for the answer
 }
 
-// make makes a call and records what comes of it.
-func (c *client) make(call call) {
-	conn, reused := c.takeConn()
+// sendCall sends a call and records its result.
+func (c *clientGroup) sendCall(call call) {
+	conn, reused := c.takeConnection()
 	if conn == nil {
-		return // nobody to send to: nothing was taken
+		return // there is no connection, so the router has accepted no call
 	}
 	sentAt := c.records.Now()
 	c.records.Add(invariants.Record{Kind: invariants.CallSent, Call: call.id, Request: call.id, Class: call.class,
@@ -65,7 +67,7 @@
 	}
 	startedAt := time.Now()
 	status, body, err := conn.exchange(call)
-	crossed := err != nil && reused && time.Since(startedAt) <= crossedClose+c.slack()
+	crossed := err != nil && reused && time.Since(startedAt) <= crossedCloseWindow+c.slack()
 	if crossed {
 		_ = conn.Close()
 		if conn = c.dial(); conn == nil {
@@ -79,28 +81,28 @@
 		if c.routerKilled() {
 			c.abandon(call)
 		}
-		return // else the judge finds that no answer is recorded
+		return // unless the router was killed, the missing answer violates rule 1
 	}
 	c.recordAnswer(call, status, body)
 	c.release(conn)
 }
 
-// leaveEarly sends a call and closes the connection while it is under way.
-func (c *client) leaveEarly(conn *clientConn, call call) {
+// leaveEarly sends a call and closes the connection after call.leaveAfter without waiting for the answer.
+func (c *clientGroup) leaveEarly(conn *clientConn, call call) {
 	_, _ = io.WriteString(conn, call.request())
 	time.Sleep(call.leaveAfter)
 	c.abandon(call)
 	_ = conn.Close()
 }
 
-// abandon records that no answer is due to a call.
-func (c *client) abandon(call call) {
+// abandon records that no final answer to a call is required.
+func (c *clientGroup) abandon(call call) {
 	c.records.Add(invariants.Record{Kind: invariants.CallAbandoned, Call: call.id, Request: call.id, Class: call.class,
 		Router: routerName(c.router)})
 }
 
-// recordAnswer records a final answer. One that serves must be the worker's for this call.
-func (c *client) recordAnswer(call call, status int, body string) {
+// recordAnswer records a final answer, and checks that a successful one has the worker's body for this call.
+func (c *clientGroup) recordAnswer(call call, status int, body string) {
 	answer := invariants.Failed
 	switch status {
 	case http.StatusOK:
@@ -112,14 +114,14 @@
 		Router: routerName(c.router), Answer: answer})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered[status]++
+	c.answersByStatus[status]++
 	if answer == invariants.Served && body != "done "+call.id {
-		c.wrong = append(c.wrong, fmt.Sprintf("call %s was served with %.40q", call.id, body))
+		c.wrongResponses = append(c.wrongResponses, fmt.Sprintf("call %s was served with %.40q", call.id, body))
 	}
 }
 
-// takeConn returns an idle connection or a new one, nil if there is none to be had.
-func (c *client) takeConn() (conn *clientConn, reused bool) {
+// takeConnection returns an idle connection or a new one. It returns nil if neither is available.
+func (c *clientGroup) takeConnection() (conn *clientConn, reused bool) {
 	c.mu.Lock()
 	if c.paused {
 		c.mu.Unlock()
@@ -128,22 +130,22 @@
 	for len(c.idle) > 0 {
 		conn = c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if time.Since(conn.usedAt) < clientIdleTime {
+		if time.Since(conn.lastUsedAt) < clientIdleTimeout {
 			c.mu.Unlock()
 			return conn, true
 		}
 		_ = conn.Close()
 	}
-	oldOnly := c.oldOnly
+	openConnsOnly := c.openConnsOnly
 	c.mu.Unlock()
-	if oldOnly {
+	if openConnsOnly {
 		return nil, false
 	}
 	return c.dial(), false
 }
 
-// dial returns a new connection, nil if the router accepts none.
-func (c *client) dial() *clientConn {
+// dial returns a new connection, or nil if the router accepts none.
+func (c *clientGroup) dial() *clientConn {
 	conn, err := net.DialTimeout("tcp", c.address, dialTimeout)
 	if err != nil {
 		return nil
@@ -151,19 +153,19 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// release keeps a connection for further calls.
-func (c *client) release(conn *clientConn) {
-	conn.usedAt = time.Now()
+// release keeps a connection open for further calls.
+func (c *clientGroup) release(conn *clientConn) {
+	conn.lastUsedAt = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn.reader.Buffered() > 0 {
-		c.wrong = append(c.wrong, "bytes behind an answer")
+		c.wrongResponses = append(c.wrongResponses, "bytes behind an answer")
 	}
 	c.idle = append(c.idle, conn)
 }
 
-// closeIdle closes all connections without a call.
-func (c *client) closeIdle() {
+// closeIdle closes all idle connections.
+func (c *clientGroup) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle {
@@ -172,29 +174,29 @@
 	c.idle = nil
 }
 
-// setOldOnly sets whether calls use open connections only.
-func (c *client) setOldOnly(oldOnly bool) {
+// setOpenConnsOnly sets whether calls may use only connections that are already open.
+func (c *clientGroup) setOpenConnsOnly(openConnsOnly bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.oldOnly = oldOnly
+	c.openConnsOnly = openConnsOnly
 }
 
-// setPaused sets whether no calls are made.
-func (c *client) setPaused(paused bool) {
+// setPaused sets whether calls are suspended.
+func (c *clientGroup) setPaused(paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.paused = paused
 }
 
-// setKilled sets whether the router was killed without notice. No calls are made then.
-func (c *client) setKilled(killed bool) {
+// setKilled sets whether the router was killed without notice, which also suspends calls.
+func (c *clientGroup) setKilled(killed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.killed = killed
 	c.paused = killed
 }
 
-func (c *client) routerKilled() bool {
+func (c *clientGroup) routerKilled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.killed
@@ -202,7 +204,7 @@
 
 // exchange sends a call and waits for the answer.
 func (conn *clientConn) exchange(call call) (status int, body string, err error) {
-	_ = conn.SetDeadline(time.Now().Add(call.deadline + answerPatience))
+	_ = conn.SetDeadline(time.Now().Add(call.deadline + lateAnswerTimeout))
 	if _, err := io.WriteString(conn, call.request()); err != nil {
 		return 0, "", err
 	}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	slowResponse      = 2 * time.Second
-	crowdedAnswersOne = 8                       // of so many polls while discovery is crowded
-	oldAddressServes  = 1500 * time.Millisecond // how long a discovery server that has moved keeps its connections
-	cutResponse       = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"cursor\":99,\"cmds\":[{\"cursor\":98,\"nodes\":{"
-	garbageResponse   = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{]\"cursor\":]"
-	crowdedResponse   = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	slowResponseDelay     = 2 * time.Second
+	crowdedAnswerInterval = 8                       // while discovery is crowded, one of this many polls is answered
+	oldServerLifetime     = 1500 * time.Millisecond // how long the old server keeps its connections after a move
+	cutResponse           = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"cursor\":99,\"cmds\":[{\"cursor\":98,\"nodes\":{"
+	garbageResponse       = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{]\"cursor\":]"
+	crowdedResponse       = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
 // discovery is the discovery server of one router.
@@ -26,7 +26,7 @@
 	server *fakeplatform.DiscoveryServer
 	moves  int
 	polls  []time.Duration // when polls arrived, since the start of the records
-	ended  sync.WaitGroup  // of the goroutines that read polls, and of old servers
+	ended  sync.WaitGroup  // goroutines that read polls and that stop old servers
 	stop   chan struct{}
 }
 
@@ -38,7 +38,7 @@
 	return d, nil
 }
 
-// startServer starts a server at the present address.
+// startServer starts a server at the current address.
 func (d *discovery) startServer(events ...string) error {
 	server, err := fakeplatform.StartDiscoveryServerAt(d.address, events...)
 	if err != nil {
@@ -69,8 +69,8 @@
 	d.server.AddEvent(event)
 }
 
-// known returns the events up to now, for a router's configuration.
-func (d *discovery) known() string {
+// allEvents returns all events so far, for a router's configuration.
+func (d *discovery) allEvents() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.server.AllEvents()
@@ -82,14 +82,15 @@
 	return d.address
 }
 
-// pollTimes returns when polls arrived so far.
+// pollTimes returns the times of all polls so far.
 func (d *discovery) pollTimes() []time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]time.Duration(nil), d.polls...)
 }
 
-// beginFault has the server misbehave. The faults that are over at once are carried out by move and restart.
+// beginFault makes the server misbehave until endFault. It does not handle the faults that have no duration: move and
+// restart implement these.
 func (d *discovery) beginFault(kind FaultKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,24 +98,26 @@
 		d.server.Suspend()
 		return
 	}
-	d.server.SetRespond(responses[kind])
+	d.server.SetRespond(faultyResponses[kind])
 }
 
-// responses are how a server responds to polls during a fault.
-var responses = map[FaultKind]func(poll int, body string) (raw string, hold bool){
+// faultyResponses holds, for each kind of fault, the function that responds to polls while it lasts. The function
+// returns the raw bytes to send, and with hold keeps the connection open afterwards. An empty response without hold
+// stands for the usual one.
+var faultyResponses = map[FaultKind]func(poll int, body string) (raw string, hold bool){
 	DiscoverySilent:  func(int, string) (string, bool) { return "", true },
-	DiscoverySlow:    func(int, string) (string, bool) { time.Sleep(slowResponse); return "", false },
+	DiscoverySlow:    func(int, string) (string, bool) { time.Sleep(slowResponseDelay); return "", false },
 	DiscoveryCut:     func(int, string) (string, bool) { return cutResponse, true },
 	DiscoveryGarbage: func(int, string) (string, bool) { return garbageResponse, false },
 	DiscoveryCrowded: func(poll int, _ string) (string, bool) {
-		if poll%crowdedAnswersOne == 0 {
+		if poll%crowdedAnswerInterval == 0 {
 			return "", false
 		}
 		return crowdedResponse, false
 	},
 }
 
-// endFault has the server respond as usual again.
+// endFault makes the server respond as usual again.
 func (d *discovery) endFault(kind FaultKind) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,18 +128,18 @@
 	return nil
 }
 
-// move starts a server at another address, which has the same events under the same numbers. The old one accepts nothing
-// more that it would answer, and closes its connections after a while.
+// move starts a server at another address with the same events under the same numbers. The old server answers no more
+// polls, and stops after oldServerLifetime.
 func (d *discovery) move(block *addressBlock, router int, events []string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.server
-	old.SetRespond(responses[DiscoverySilent])
+	old.SetRespond(faultyResponses[DiscoverySilent])
 	d.moves++
 	d.address = block.discovery(router, d.moves)
 	d.ended.Go(func() {
 		select {
-		case <-time.After(oldAddressServes):
+		case <-time.After(oldServerLifetime):
 		case <-d.stop:
 		}
 		old.Stop()
@@ -144,8 +147,8 @@
 	return d.startServer(events...)
 }
 
-// restart replaces the server by one that has forgotten its events. It numbers its events from 1 again, which is a
-// snapshot.
+// restart replaces the server by one that has lost its events and numbers them from 1 again. Its first event is the
+// given snapshot.
 func (d *discovery) restart(snapshot string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,18 +1,16 @@
-// Package soak plays schedules of faults against real router processes on the loopback interface and judges what comes
-// of it by the five rules.
+// Package soak runs real router processes on the loopback interface under schedules of faults and checks the five rules
+// of package invariants. It is used by `topazfront soak` and by the tests of this package.
 //
-// Job: a Schedule says how large the fleet is, what its settings are, and which faults begin and end at which times. Draw
-// makes one from a seed, and the same seed always makes the same schedule. Run starts fake workers, one fake discovery
-// server for each router, the routers as processes and clients that send calls at random times of the same seed; it
-// carries out the faults and returns a Report. What clients, workers and discovery recorded at their own ends of the
-// sockets is judged by package invariants; nothing that a router says of itself is. Shrink removes faults from a schedule
-// that fails for as long as it goes on failing.
+// A Schedule holds the size of the fleet, the settings of the routers, and the faults with their start times and
+// durations. DrawSchedule makes one from a seed; the same seed always makes the same schedule. Run starts fake workers,
+// a fake discovery server for each router, the routers as processes, and clients that send calls at random times drawn
+// from the same seed. It injects the faults and returns a Report. The rules are checked on what clients, workers and
+// discovery servers recorded at their own ends of the sockets; nothing that a router says about itself is used. Shrink
+// removes faults from a failing schedule as long as the rest still fails.
 //
-// State: one run owns its fleet, processes and records; nothing outlives it. Runs beside each other use loopback
-// addresses of their own.
+// A run owns its fleet, processes and records, and nothing outlives it. Concurrent runs use separate blocks of loopback
+// addresses.
 //
-// Not reproducible: the moment at which a message arrives, and so how calls and faults interleave within some
-// milliseconds, depends on the machine.
-//
-// Callers: `topazfront soak` and the tests of this package.
+// The times at which messages arrive, and therefore the order of calls and faults within a few milliseconds, depend on
+// the machine and are not reproducible.
 package soak
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// The parts of a drawn schedule.
+// Properties of drawn schedules.
 const (
-	drawnDuration  = 18 * time.Second // of the traffic
-	firstFaultAt   = 1500 * time.Millisecond
-	lastFaultAt    = 12 * time.Second
-	discoveryAfter = 500 * time.Millisecond // least time between two faults of discovery
-	drawnSkew      = 1.3
-	// The least share of the calls that has to be served. What clients lose beside it are calls at workers that hang, calls
-	// in a burst, and, without health checks, most calls while the endpoint list is out of date.
-	minServedOfDrains  = 0.95 // with faults of discovery, drains and restarts of routers only
-	minServedOfFaults  = 0.6
-	minServedUnchecked = 0.2
+	drawnDuration     = 18 * time.Second // of the traffic
+	firstFaultAt      = 1500 * time.Millisecond
+	lastFaultAt       = 12 * time.Second
+	discoveryFaultGap = 500 * time.Millisecond // minimum time between two faults of discovery
+	drawnSkew         = 1.3
+	// Minimum shares of the calls that have to be served. The remaining calls may be lost at hung workers, in bursts,
+	// and, without health checks, while the endpoint list is out of date, which loses most calls.
+	minServedWithMildFaults      = 0.95 // only faults of the kinds in requiredServedShare
+	minServedWithAnyFaults       = 0.6
+	minServedWithoutHealthChecks = 0.2
 )
 
-// shape is how a kind of fault is drawn.
-type shape struct {
-	kind           FaultKind
-	shortest, most time.Duration
+// faultTemplate is a kind of fault with the range from which its duration is drawn.
+type faultTemplate struct {
+	kind                     FaultKind
+	minDuration, maxDuration time.Duration
 }
 
-var discoveryShapes = []shape{
+var discoveryTemplates = []faultTemplate{
 	{DiscoveryRefused, 3 * time.Second, 11 * time.Second},
 	{DiscoverySilent, 3 * time.Second, 11 * time.Second},
 	{DiscoverySlow, 3 * time.Second, 8 * time.Second},
@@ -37,9 +37,9 @@
 	{kind: DiscoveryRestarted},
 }
 
-var workerShapes = []shape{
+var workerTemplates = []faultTemplate{
+	{WorkerDrained, 1 * time.Second, 9 * time.Second}, // three entries, so that drains are three times as likely
 	{WorkerDrained, 1 * time.Second, 9 * time.Second},
-	{WorkerDrained, 1 * time.Second, 9 * time.Second}, // three times as often as the others
 	{WorkerDrained, 4 * time.Second, 9 * time.Second},
 	{WorkerReplaced, 500 * time.Millisecond, 4 * time.Second},
 	{WorkerKilled, 300 * time.Millisecond, 3 * time.Second},
@@ -49,7 +49,7 @@
 	{WorkerResets, 1 * time.Second, 4 * time.Second},
 }
 
-var routerShapes = []shape{
+var routerTemplates = []faultTemplate{
 	{kind: RouterTerminated},
 	{kind: RouterKilled},
 	{RouterStopped, 700 * time.Millisecond, 2500 * time.Millisecond},
@@ -57,13 +57,13 @@
 	{ConnectionCrowd, 1 * time.Second, 4 * time.Second},
 }
 
-var trafficShapes = []shape{
+var trafficTemplates = []faultTemplate{
 	{TrafficBurst, 1 * time.Second, 3 * time.Second},
 	{ClientsLeave, 2 * time.Second, 6 * time.Second},
 	{kind: ClockStepped},
 }
 
-// DrawSchedule returns the schedule of a seed.
+// DrawSchedule returns the schedule of a seed. The same seed always gives the same schedule.
 func DrawSchedule(seed uint64) Schedule {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pick := func(values ...time.Duration) time.Duration { return values[random.IntN(len(values))] }
@@ -81,41 +81,41 @@
 		},
 	}
 	s.Faults = drawDiscoveryFaults(random)
-	workerFaults := drawTargeted(random, workerShapes, 2+random.IntN(max(s.Workers/4, 1)+1), s.Workers)
+	workerFaults := drawFaultsOfTargets(random, workerTemplates, 2+random.IntN(max(s.Workers/4, 1)+1), s.Workers)
 	moveIntoOutage(random, workerFaults, s.Faults[0])
 	s.Faults = append(s.Faults, workerFaults...)
-	s.Faults = append(s.Faults, drawTargeted(random, routerShapes, random.IntN(s.Routers+1), s.Routers)...)
-	s.Faults = append(s.Faults, drawTargeted(random, trafficShapes, random.IntN(3), len(trafficShapes))...)
+	s.Faults = append(s.Faults, drawFaultsOfTargets(random, routerTemplates, random.IntN(s.Routers+1), s.Routers)...)
+	s.Faults = append(s.Faults, drawFaultsOfTargets(random, trafficTemplates, random.IntN(3), len(trafficTemplates))...)
 	slices.SortFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	s.MinServedShare = s.leastServed()
+	s.MinServedShare = s.requiredServedShare()
 	return s
 }
 
-// drawDiscoveryFaults draws one or two faults of discovery, one after the other.
+// drawDiscoveryFaults draws one or two faults of discovery that do not overlap.
 func drawDiscoveryFaults(random *rand.Rand) (faults []Fault) {
 	at := firstFaultAt + time.Duration(random.Int64N(int64(2*time.Second)))
 	for range 1 + random.IntN(2) {
-		fault := discoveryShapes[random.IntN(len(discoveryShapes))].draw(random)
+		fault := discoveryTemplates[random.IntN(len(discoveryTemplates))].draw(random)
 		fault.At = at
 		faults = append(faults, fault)
-		at += fault.Duration + discoveryAfter + time.Duration(random.Int64N(int64(time.Second)))
+		at += fault.Duration + discoveryFaultGap + time.Duration(random.Int64N(int64(time.Second)))
 	}
 	return faults
 }
 
-// moveIntoOutage lets half of the faults begin while discovery is out of reach.
-func moveIntoOutage(random *rand.Rand, faults []Fault, outage Fault) {
+// moveIntoOutage moves each fault, with a probability of one half, into the time of a fault of discovery.
+func moveIntoOutage(random *rand.Rand, faults []Fault, discoveryFault Fault) {
 	for i := range faults {
-		if random.IntN(2) == 0 && outage.Duration > 0 {
-			faults[i].At = outage.At + time.Duration(random.Int64N(int64(outage.Duration)))
+		if random.IntN(2) == 0 && discoveryFault.Duration > 0 {
+			faults[i].At = discoveryFault.At + time.Duration(random.Int64N(int64(discoveryFault.Duration)))
 		}
 	}
 }
 
-// drawTargeted draws faults of so many different targets.
-func drawTargeted(random *rand.Rand, shapes []shape, count, targets int) (faults []Fault) {
+// drawFaultsOfTargets draws count faults, each with a different target.
+func drawFaultsOfTargets(random *rand.Rand, templates []faultTemplate, count, targets int) (faults []Fault) {
 	for _, target := range random.Perm(targets)[:min(count, targets)] {
-		fault := shapes[random.IntN(len(shapes))].draw(random)
+		fault := templates[random.IntN(len(templates))].draw(random)
 		fault.At = firstFaultAt + time.Duration(random.Int64N(int64(lastFaultAt-firstFaultAt)))
 		fault.Target = target
 		faults = append(faults, fault)
@@ -123,25 +123,27 @@
 	return faults
 }
 
-// draw returns a fault of the shape, without a time and a target.
-func (s shape) draw(random *rand.Rand) Fault {
-	fault := Fault{Kind: s.kind, Duration: s.shortest}
-	if s.most > s.shortest {
-		fault.Duration += time.Duration(random.Int64N(int64(s.most - s.shortest)))
+// draw returns a fault with a random duration. The caller sets its time and target.
+func (f faultTemplate) draw(random *rand.Rand) Fault {
+	fault := Fault{Kind: f.kind, Duration: f.minDuration}
+	if f.maxDuration > f.minDuration {
+		fault.Duration += time.Duration(random.Int64N(int64(f.maxDuration - f.minDuration)))
 	}
 	return fault
 }
 
-// leastServed returns the least share of the calls that has to be served.
-func (s Schedule) leastServed() float64 {
+// requiredServedShare returns the share of the calls that has to be served under the faults and settings of the
+// schedule.
+func (s Schedule) requiredServedShare() float64 {
 	if !s.Settings.HealthChecksAllowed {
-		return minServedUnchecked
+		return minServedWithoutHealthChecks
 	}
-	mild := []FaultKind{WorkerDrained, WorkerReplaced, WorkerKilled, RouterReloaded, RouterTerminated, ClientsLeave, ClockStepped}
+	mildKinds := []FaultKind{WorkerDrained, WorkerReplaced, WorkerKilled, RouterReloaded, RouterTerminated,
+		ClientsLeave, ClockStepped}
 	for _, fault := range s.Faults {
-		if !fault.Kind.concernsDiscovery() && !slices.Contains(mild, fault.Kind) {
-			return minServedOfFaults
+		if !fault.Kind.concernsDiscovery() && !slices.Contains(mildKinds, fault.Kind) {
+			return minServedWithAnyFaults
 		}
 	}
-	return minServedOfDrains
+	return minServedWithMildFaults
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,94 +14,81 @@
 )
 
 const (
-	removedTime     = 1200 * time.Millisecond // from a worker's removal until it comes back
+	removalDuration = 1200 * time.Millisecond // time between a worker's removal from the list and its return
 	resetInterval   = 300 * time.Millisecond  // between the resets of a worker that resets its connections
-	reloads         = 4
+	reloadCount     = 4
 	reloadInterval  = 60 * time.Millisecond
 	signalInterval  = 150 * time.Millisecond // between further signals to a router that ends
-	crowdSize       = 300                    // connections
-	clockStep       = time.Hour
+	crowdConnCount  = 300                    // connections of a connection crowd
+	clockStep       = time.Hour              // of the clock for start times in the endpoint list
 	restartDelay    = 300 * time.Millisecond // from a router's end to its next start
-	quietBeforeKill = 60 * time.Millisecond  // longer than crossedClose: what clients sent before is owed
+	quietBeforeKill = 60 * time.Millisecond  // above crossedCloseWindow: the router owes an answer to earlier requests
 )
 
-// run is a run of a schedule under way.
-type run struct {
-	schedule Schedule
-	platform *platform
-	nodes    []*node
-	clients  []*client
-	traffic  []*traffic
-
-	mu        sync.Mutex
-	intervals []interval // of the faults carried out so far
-	errs      []error
-}
-
-// interval is a fault and when it truly began and ended, since the start of the records.
+// interval is an injected fault with its actual start and end, since the start of the records.
 type interval struct {
 	Fault
-	from, to time.Duration // to is 0 while it lasts
+	from, to time.Duration // to is 0 while the fault lasts
 }
 
-// playFaults carries out all faults at their times and returns when the last has ended.
-func (r *run) playFaults(startedAt time.Time, stop <-chan struct{}) {
-	var playing sync.WaitGroup
+// injectFaults injects all faults of the schedule at their times and returns when the last has ended.
+func (r *run) injectFaults(startedAt time.Time, stop <-chan struct{}) {
+	var injecting sync.WaitGroup
 	for _, fault := range r.schedule.Faults {
-		playing.Go(func() {
+		injecting.Go(func() {
 			select {
 			case <-time.After(time.Until(startedAt.Add(fault.At))):
-				r.play(fault)
+				r.inject(fault)
 			case <-stop:
 			}
 		})
 	}
-	playing.Wait()
+	injecting.Wait()
 }
 
-// play carries out one fault from its begin to its end.
-func (r *run) play(fault Fault) {
-	index := r.begin(fault)
-	r.end(index, players[fault.Kind](r, fault))
+// inject injects one fault and returns when it has ended.
+func (r *run) inject(fault Fault) {
+	index := r.recordFaultStart(fault)
+	r.recordFaultEnd(index, injectors[fault.Kind](r, fault))
 }
 
-// players carry out each kind of fault from its begin to its end.
-var players = map[FaultKind]func(*run, Fault) error{
-	DiscoveryRefused:   (*run).playDiscovery,
-	DiscoverySilent:    (*run).playDiscovery,
-	DiscoverySlow:      (*run).playDiscovery,
-	DiscoveryCut:       (*run).playDiscovery,
-	DiscoveryGarbage:   (*run).playDiscovery,
-	DiscoveryCrowded:   (*run).playDiscovery,
+// injectors holds the function that injects each kind of fault. It returns when the fault has ended.
+var injectors = map[FaultKind]func(*run, Fault) error{
+	DiscoveryRefused:   (*run).disruptDiscovery,
+	DiscoverySilent:    (*run).disruptDiscovery,
+	DiscoverySlow:      (*run).disruptDiscovery,
+	DiscoveryCut:       (*run).disruptDiscovery,
+	DiscoveryGarbage:   (*run).disruptDiscovery,
+	DiscoveryCrowded:   (*run).disruptDiscovery,
 	DiscoveryMoved:     (*run).moveDiscovery,
 	DiscoveryRestarted: (*run).restartDiscovery,
 	WorkerDrained:      (*run).drainWorker,
 	WorkerReplaced:     (*run).drainWorker,
 	WorkerKilled:       (*run).killWorker,
-	WorkerHung:         misbehave(answersNoCalls),
-	WorkerVanished:     misbehave(answersNothing),
-	WorkerSlow:         misbehave(answersSlowly),
+	WorkerHung:         changeBehaviour(ignoresCalls),
+	WorkerVanished:     changeBehaviour(ignoresEverything),
+	WorkerSlow:         changeBehaviour(answersSlowly),
 	WorkerResets:       (*run).resetWorkerConns,
 	ClockStepped:       (*run).stepClock,
 	RouterTerminated:   (*run).terminateRouter,
 	RouterKilled:       (*run).killRouter,
 	RouterStopped:      (*run).stopRouter,
 	RouterReloaded:     (*run).reloadRouter,
-	ConnectionCrowd:    (*run).crowd,
+	ConnectionCrowd:    (*run).crowdConnections,
 	TrafficBurst:       changeTraffic(func(t *traffic, on bool) { t.burst.Store(on) }),
 	ClientsLeave:       changeTraffic(func(t *traffic, on bool) { t.leaving.Store(on) }),
 }
 
-// begin notes that a fault begins.
-func (r *run) begin(fault Fault) (index int) {
+// recordFaultStart records that a fault starts, and returns its index in r.intervals.
+func (r *run) recordFaultStart(fault Fault) (index int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.intervals = append(r.intervals, interval{Fault: fault, from: r.platform.records.Now()})
 	return len(r.intervals) - 1
 }
 
-// end notes that a fault has ended. An error says that it could not be carried out.
-func (r *run) end(index int, err error) {
+// recordFaultEnd records that a fault has ended. A non-nil err says that the fault could not be injected.
+func (r *run) recordFaultEnd(index int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.intervals[index].to = r.platform.records.Now()
@@ -110,8 +97,8 @@
 	}
 }
 
-// playDiscovery has all discovery servers misbehave for a while.
-func (r *run) playDiscovery(fault Fault) error {
+// disruptDiscovery makes all discovery servers misbehave for the duration of the fault.
+func (r *run) disruptDiscovery(fault Fault) error {
 	for _, server := range r.platform.discovery {
 		server.beginFault(fault.Kind)
 	}
@@ -123,7 +110,8 @@
 	return errors.Join(errs...)
 }
 
-// moveDiscovery moves all discovery servers to other addresses, which the routers get by SIGHUP.
+// moveDiscovery moves all discovery servers to other addresses and has the routers reload their configuration, which
+// names the new address.
 func (r *run) moveDiscovery(Fault) error {
 	if err := r.platform.move(); err != nil {
 		return err
@@ -135,45 +123,45 @@
 	return errors.Join(errs...)
 }
 
-// restartDiscovery has all discovery servers forget their events.
+// restartDiscovery restarts all discovery servers, which lose their events.
 func (r *run) restartDiscovery(Fault) error { return r.platform.restartDiscovery() }
 
-// drainWorker has a worker drain and end, and starts it again, or another in its place.
+// drainWorker drains and stops a worker, and then restarts it or starts a replacement at its address.
 func (r *run) drainWorker(fault Fault) error {
 	worker := r.platform.worker(fault.Target)
 	r.platform.drain(fault.Target)
 	time.Sleep(fault.Duration)
 	r.platform.setState(fault.Target, stateRemoved)
 	worker.stop()
-	time.Sleep(removedTime)
+	time.Sleep(removalDuration)
 	id := worker.id
 	if fault.Kind == WorkerReplaced {
 		id = r.platform.replacementID(fault.Target)
 	}
-	return r.platform.startAgain(fault.Target, id)
+	return r.platform.restartWorker(fault.Target, id)
 }
 
-// killWorker ends a worker's process and starts it again.
+// killWorker kills a worker and restarts it when the fault ends.
 func (r *run) killWorker(fault Fault) error {
 	worker := r.platform.worker(fault.Target)
 	r.platform.setState(fault.Target, stateRemoved)
 	worker.stop()
 	time.Sleep(fault.Duration)
-	return r.platform.startAgain(fault.Target, worker.id)
+	return r.platform.restartWorker(fault.Target, worker.id)
 }
 
-// misbehave returns what has a worker behave differently for a while.
-func misbehave(b behaviour) func(*run, Fault) error {
+// changeBehaviour returns an injector that changes a worker's behaviour for the duration of the fault.
+func changeBehaviour(b behaviour) func(*run, Fault) error {
 	return func(r *run, fault Fault) error {
 		worker := r.platform.worker(fault.Target)
 		worker.setBehaviour(b)
 		time.Sleep(fault.Duration)
-		worker.setBehaviour(behavesWell)
+		worker.setBehaviour(healthy)
 		return nil
 	}
 }
 
-// resetWorkerConns resets all connections to a worker several times.
+// resetWorkerConns resets all connections to a worker repeatedly.
 func (r *run) resetWorkerConns(fault Fault) error {
 	worker := r.platform.worker(fault.Target)
 	for end := time.Now().Add(fault.Duration); time.Now().Before(end); time.Sleep(resetInterval) {
@@ -182,16 +170,16 @@
 	return nil
 }
 
-// terminateRouter plays a planned restart: SIGTERM, then SIGKILL as early as it may come. Clients send on new connections
-// for a while and on open ones until right before SIGKILL.
+// terminateRouter performs a planned restart: SIGTERM, then SIGKILL as early as the platform may send it. Clients
+// open new connections for newConnPeriod, and use open ones until shortly before SIGKILL.
 func (r *run) terminateRouter(fault Fault) error {
 	n := r.nodes[fault.Target]
 	c := r.clients[fault.Target]
 	ended := n.expectEnd()
 	n.signal(syscall.SIGTERM)
-	killAt := time.Now().Add(min(r.schedule.Settings.Deadline, maxSIGKILLWait) + sigkillGrace)
-	time.Sleep(newConnsUntil)
-	c.setOldOnly(true)
+	killAt := time.Now().Add(min(r.schedule.Settings.Deadline, maxDeadlineWait) + sigkillGrace)
+	time.Sleep(newConnPeriod)
+	c.setOpenConnsOnly(true)
 	for time.Until(killAt) > quietBeforeKill+signalInterval {
 		time.Sleep(signalInterval)
 		n.signal(syscall.SIGHUP)
@@ -205,7 +193,7 @@
 	return r.restartRouter(n, c)
 }
 
-// killRouter plays the sudden end of a router, and its next start.
+// killRouter kills a router without notice and restarts it.
 func (r *run) killRouter(fault Fault) error {
 	n := r.nodes[fault.Target]
 	c := r.clients[fault.Target]
@@ -216,19 +204,19 @@
 	return r.restartRouter(n, c)
 }
 
-// restartRouter starts a router anew and lets clients call it. It gets the list as it is now.
-func (r *run) restartRouter(n *node, c *client) error {
+// restartRouter starts a router's next process with the current endpoint list and lets clients call it.
+func (r *run) restartRouter(n *node, c *clientGroup) error {
 	c.closeIdle()
 	r.platform.records.Add(invariants.Record{Kind: invariants.RouterStarted, Router: routerName(n.router)})
 	if err := n.start(); err != nil {
 		return err
 	}
 	c.setKilled(false)
-	c.setOldOnly(false)
+	c.setOpenConnsOnly(false)
 	return nil
 }
 
-// stepClock steps the clock by which start times in the endpoint list are told, to and fro by the fault's target.
+// stepClock steps the clock for the start times in the endpoint list: forward for an even target, back for an odd one.
 func (r *run) stepClock(fault Fault) error {
 	step := clockStep
 	if fault.Target%2 == 1 {
@@ -238,13 +226,14 @@
 	return nil
 }
 
-// crowd opens connections to a router that send nothing or the beginning of a request, and closes them after a while.
-func (r *run) crowd(fault Fault) error {
+// crowdConnections opens many connections to a router that send nothing or the beginning of a request, and closes them
+// when the fault ends.
+func (r *run) crowdConnections(fault Fault) error {
 	var conns []net.Conn
-	for i := range crowdSize {
+	for i := range crowdConnCount {
 		conn, err := net.DialTimeout("tcp", r.clients[fault.Target].address, dialTimeout)
 		if err != nil {
-			continue // the router accepts no more
+			continue // the router accepts no more connections
 		}
 		if i%2 == 1 {
 			_, _ = io.WriteString(conn, "POST /call/")
@@ -258,7 +247,7 @@
 	return nil
 }
 
-// stopRouter stops a router's process for a while.
+// stopRouter suspends a router's process with SIGSTOP for the duration of the fault.
 func (r *run) stopRouter(fault Fault) error {
 	n := r.nodes[fault.Target]
 	n.signal(syscall.SIGSTOP)
@@ -269,7 +258,7 @@
 
 // reloadRouter has a router reload its configuration several times in a row.
 func (r *run) reloadRouter(fault Fault) error {
-	for range reloads {
+	for range reloadCount {
 		if err := r.nodes[fault.Target].reload(); err != nil {
 			return err
 		}
@@ -278,7 +267,7 @@
 	return nil
 }
 
-// changeTraffic returns what changes the traffic of all routers for a while.
+// changeTraffic returns an injector that changes the traffic to all routers for the duration of the fault.
 func changeTraffic(set func(t *traffic, on bool)) func(*run, Fault) error {
 	return func(r *run, fault Fault) error {
 		for _, t := range r.traffic {
--- a/internal/soak/harness_test.go
+++ b/internal/soak/harness_test.go
@@ -14,12 +14,12 @@
 	"github.com/topazfront/topazfront/internal/httprouter"
 )
 
-// nodeConfigVariable is the environment variable that has the test binary run a router, by the configuration file that it
-// names, in place of the tests.
-const nodeConfigVariable = "SOAK_TEST_CONFIG"
+// routerConfigVariable is an environment variable with the path of a configuration file. If it is set, the test
+// binary runs a router with this configuration in place of the tests.
+const routerConfigVariable = "SOAK_TEST_CONFIG"
 
 func TestMain(m *testing.M) {
-	path := os.Getenv(nodeConfigVariable)
+	path := os.Getenv(routerConfigVariable)
 	if path == "" {
 		os.Exit(m.Run())
 	}
@@ -34,25 +34,25 @@
 // nodeCommand runs the test binary as a router.
 func nodeCommand(configPath string) *exec.Cmd {
 	command := exec.Command(os.Args[0])
-	const exitAtOnce = "GORACE=atexit_sleep_ms=0" // the race detector else sleeps for a second at the end
-	command.Env = append(os.Environ(), nodeConfigVariable+"="+configPath, exitAtOnce)
+	const exitAtOnce = "GORACE=atexit_sleep_ms=0" // otherwise the race detector sleeps for a second on exit
+	command.Env = append(os.Environ(), routerConfigVariable+"="+configPath, exitAtOnce)
 	return command
 }
 
-// requirePassed plays a schedule and fails the test with the timeline of its first violation.
+// requirePassed runs a schedule. If the run does not pass, the test fails and logs the timeline of the first violation.
 func requirePassed(t *testing.T, s Schedule) {
 	t.Helper()
-	playing <- struct{}{}
-	defer func() { <-playing }()
+	runSlots <- struct{}{}
+	defer func() { <-runSlots }()
 	report, err := Run(s, Options{NodeCommand: nodeCommand})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d calls, %.4f served, slack %v", report.Calls, report.ServedShare, report.Slack)
-	const most = 8 // lines of each kind
+	const maxFailureLines = 8
 	for i, failure := range report.Failures {
-		if i == most {
-			t.Errorf("and %d more", len(report.Failures)-most)
+		if i == maxFailureLines {
+			t.Errorf("and %d more", len(report.Failures)-maxFailureLines)
 			break
 		}
 		t.Error(failure)
@@ -62,8 +62,8 @@
 	}
 }
 
-// usualSchedule is a small fleet without faults.
-func usualSchedule() Schedule {
+// baseSchedule returns the schedule of a small fleet without faults.
+func baseSchedule() Schedule {
 	return Schedule{
 		Seed:           1,
 		Routers:        3,
@@ -76,5 +76,5 @@
 	}
 }
 
-// playing limits how many schedules are played at once: on a machine that is busy, the routers would wait for a processor.
-var playing = make(chan struct{}, 3)
+// runSlots limits the number of concurrent runs. With more of them, the routers would have to wait for a processor.
+var runSlots = make(chan struct{}, 3)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	readyTimeout  = 30 * time.Second // from a router's start until it answers
+	readyTimeout  = 30 * time.Second // for a router that starts, until it answers
 	readyInterval = 10 * time.Millisecond
 	keptLogLines  = 400 // of each router, for the timeline of a run that failed
 )
 
-// node is one router, over all its processes.
+// node is one router. It runs one process at a time and keeps its name and address over restarts.
 type node struct {
 	schedule  Schedule
 	platform  *platform
 	router    int
 	path      string // of the configuration file
 	command   func(configPath string) *exec.Cmd
-	processes sync.WaitGroup // the goroutines that wait for them
+	followers sync.WaitGroup // goroutines that read the log of a process and wait for its end
 
-	mu       sync.Mutex
-	life     int
-	process  *exec.Cmd
-	ended    chan struct{} // closed when the process has ended
-	expected bool          // the process is to end
-	crashes  []string
-	log      []string
+	mu          sync.Mutex
+	startCount  int
+	process     *exec.Cmd
+	ended       chan struct{} // closed when the process has ended
+	endExpected bool          // whether the end of the process is not a crash
+	crashes     []string
+	log         []string
 }
 
 // start starts the router's process and waits until it answers.
 func (n *node) start() error {
 	n.mu.Lock()
-	config := n.schedule.routerConfig(n.platform, n.router, n.life)
-	n.life++
+	config := n.schedule.routerConfig(n.platform, n.router, n.startCount)
+	n.startCount++
 	n.mu.Unlock()
 	if err := os.WriteFile(n.path, []byte(config), 0o600); err != nil {
 		return err
@@ -58,24 +58,24 @@
 	}
 	ended := make(chan struct{})
 	n.mu.Lock()
-	n.process, n.ended, n.expected = command, ended, false
+	n.process, n.ended, n.endExpected = command, ended, false
 	n.mu.Unlock()
-	n.processes.Go(func() { n.follow(command, output, ended) })
+	n.followers.Go(func() { n.followProcess(command, output, ended) })
 	return n.awaitReady(ended)
 }
 
-// follow keeps the log of a process and notes its end.
-func (n *node) follow(command *exec.Cmd, output io.Reader, ended chan struct{}) {
+// followProcess keeps the last lines of a process's log, and records a crash if the process ends unexpectedly.
+func (n *node) followProcess(command *exec.Cmd, output io.Reader, ended chan struct{}) {
 	for scanner := bufio.NewScanner(output); scanner.Scan(); {
 		n.mu.Lock()
 		n.log = append(n.log, scanner.Text())
 		n.log = n.log[max(len(n.log)-keptLogLines, 0):]
 		n.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, output) // after a line that is too long
+	_, _ = io.Copy(io.Discard, output) // the scanner stops at a line that is too long
 	err := command.Wait()
 	n.mu.Lock()
-	if !n.expected {
+	if !n.endExpected {
 		n.crashes = append(n.crashes, fmt.Sprintf("%s ended: %v", routerName(n.router), err))
 	}
 	n.mu.Unlock()
@@ -102,32 +102,32 @@
 	return errors.New("soak: " + routerName(n.router) + " is not ready")
 }
 
-// signal sends a signal to the process. It may have ended meanwhile.
+// signal sends a signal to the process, which may already have ended.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.process.Process.Signal(s)
 }
 
-// expectEnd notes that the process is to end, and returns the channel that tells when it has.
+// expectEnd records that the process is expected to end, and returns a channel that is closed when it has ended.
 func (n *node) expectEnd() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.expected = true
+	n.endExpected = true
 	return n.ended
 }
 
-// kill ends the process by SIGKILL.
+// kill sends SIGKILL and waits until the process has ended.
 func (n *node) kill() {
 	ended := n.expectEnd()
 	n.signal(syscall.SIGKILL)
 	<-ended
 }
 
-// reload writes the configuration with the present address of discovery and sends SIGHUP.
+// reload writes the configuration with the current address of the discovery server and sends SIGHUP.
 func (n *node) reload() error {
 	n.mu.Lock()
-	config := n.schedule.routerConfig(n.platform, n.router, n.life)
+	config := n.schedule.routerConfig(n.platform, n.router, n.startCount)
 	n.mu.Unlock()
 	temporary := n.path + ".new"
 	if err := os.WriteFile(temporary, []byte(config), 0o600); err != nil {
@@ -140,14 +140,14 @@
 	return nil
 }
 
-// report returns the unexpected ends of processes, and the last lines of the log.
+// report returns the crashes of the router's processes, and the last lines of the log.
 func (n *node) report() (crashes, log []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.crashes), slices.Clone(n.log)
 }
 
-// newNode returns the node of a router, whose configuration file stands in dir.
+// newNode returns the node of a router. Its configuration file is written to dir.
 func newNode(s Schedule, p *platform, router int, dir string, command func(string) *exec.Cmd) *node {
 	return &node{schedule: s, platform: p, router: router, command: command,
 		path: filepath.Join(dir, fmt.Sprintf("%s.json", routerName(router)))}
--- a/internal/soak/outage_test.go
+++ b/internal/soak/outage_test.go
@@ -5,25 +5,20 @@
 	"time"
 )
 
-// TestWorkersDrainWhileDiscoveryIsOutOfReach replays an incident of the users.
+// TestWorkersDrainWhileDiscoveryIsOutOfReach reproduces an incident that users reported. Discovery was out of reach
+// for all routers (connections refused, or polls accepted and never answered), and right afterwards two busy workers
+// began to drain; their processes stayed up. The outage outlasted the time after which routers count as notified of a
+// drain. From 7.6 s after its start, all routers still sent these workers 2,472 attempts and 741 load commands. Each
+// was rejected, and the calls were served elsewhere.
 //
-// What they saw: discovery was out of reach for all routers for longer than the time after which what it would have
-// reported counts as notified. Right after the outage began two busy workers began to drain; their processes stayed up.
-// From 7.6 s after the begin of the outage on, all routers sent these workers 2,472 attempts and 741 load commands. Each was
-// rejected, and the calls were served elsewhere.
-//
-// Order of events: the list is current; discovery stops answering (connects refused, or polls accepted and never answered);
-// two workers drain; the routers go on by the last list; the time passes after which the drains count as notified, and the
-// grace; attempts and load commands go on.
-//
-// Cause: the routers believed the last endpoint list without a limit on its age, and a worker's rejection told them nothing
-// of drains. Evidence: the same schedule, with the age of the list and the workers' answers recorded at the sockets.
+// The routers used the last endpoint list without a limit on its age, and did not treat a worker's rejection as a
+// sign of a drain.
 func TestWorkersDrainWhileDiscoveryIsOutOfReach(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []FaultKind{DiscoveryRefused, DiscoverySilent} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			s := usualSchedule()
+			s := baseSchedule()
 			s.Duration = 13 * time.Second
 			s.Faults = []Fault{
 				{Kind: kind, At: time.Second, Duration: 11 * time.Second},
--- a/internal/soak/parse.go
+++ b/internal/soak/parse.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ParseFaults parses faults in the form in which schedules are printed, such as "worker-drained@2.5s+4s#7", set apart by
-// spaces.
+// ParseFaults parses faults separated by spaces, in the form in which schedules are printed:
+// kind@start+duration#target, such as "worker-drained@2.5s+4s#7".
 func ParseFaults(text string) (faults []Fault, err error) {
 	for _, word := range strings.Fields(text) {
 		fault, err := parseFault(word)
@@ -20,12 +20,13 @@
 	return faults, nil
 }
 
+// parseFault parses a single fault.
 func parseFault(word string) (fault Fault, err error) {
 	kind, rest, _ := strings.Cut(word, "@")
 	at, rest, _ := strings.Cut(rest, "+")
 	duration, target, _ := strings.Cut(rest, "#")
 	fault.Kind = FaultKind(kind)
-	if players[fault.Kind] == nil {
+	if injectors[fault.Kind] == nil {
 		return fault, fmt.Errorf("unknown kind %q", kind)
 	}
 	if fault.At, err = time.ParseDuration(at); err != nil {
--- a/internal/soak/platform.go
+++ b/internal/soak/platform.go
@@ -18,23 +18,23 @@
 	stateRemoved  = "left"
 )
 
-// platform is the workers and discovery servers of a run. It knows the true state of each worker.
+// platform holds the workers and discovery servers of a run, with the true state of each worker.
 type platform struct {
 	block     *addressBlock
 	records   *invariants.Log
 	discovery []*discovery // by router
 
-	mu       sync.Mutex
-	workers  []*worker
-	states   []string                         // of workers, by index
-	keys     [workerCells]fakeplatform.KeySet // of the requests that ran, by cell
-	events   [][]string
-	changes  []listChange
-	clock    time.Duration // by which the clock of start times is ahead
-	replaced int           // workers that others have replaced so far
+	mu           sync.Mutex
+	workers      []*worker
+	states       []string                         // of the workers in the endpoint list, by index
+	executedKeys [workerCells]fakeplatform.KeySet // of the requests that ran, by cell
+	events       [][]string                       // of the endpoint list, by router
+	changes      []listChange
+	clockOffset  time.Duration // added to the clock for start times in the endpoint list
+	replacements int           // workers that were replaced so far
 }
 
-// listChange is a change of a worker's state in the endpoint list, as it truly was.
+// listChange is a change of a worker's state in the endpoint list, at the time when it happened.
 type listChange struct {
 	at     time.Duration
 	worker string
@@ -78,18 +78,19 @@
 	return nil
 }
 
-// startWorker starts a worker whose cell drops the repeats of its requests.
+// startWorker starts a worker. It shares the keys of executed requests with the workers of its cell, which drop
+// requests with a repeated key.
 func (p *platform) startWorker(index int, id string, startedUnix uint64, addresses []string) (*worker, error) {
 	w := &worker{index: index, id: id, startedUnix: startedUnix, addresses: addresses}
-	return w, w.start(p.records, &p.keys[index%workerCells])
+	return w, w.start(p.records, &p.executedKeys[index%workerCells])
 }
 
-// snapshot returns the event that has all listed workers, as a router sees them.
+// snapshot returns the event with all listed workers, at the addresses for a router.
 func (p *platform) snapshot(router int) string {
 	var lines []string
 	for i, worker := range p.workers {
 		if p.states[i] != stateRemoved {
-			lines = append(lines, worker.line(router, p.states[i]))
+			lines = append(lines, worker.listLine(router, p.states[i]))
 		}
 	}
 	return fakeplatform.EndpointsEvent(true, lines...)
@@ -103,29 +104,29 @@
 	worker := p.workers[index]
 	p.changes = append(p.changes, listChange{p.records.Now(), worker.id, state})
 	for router, server := range p.discovery {
-		event := fakeplatform.EndpointsEvent(false, worker.line(router, state))
+		event := fakeplatform.EndpointsEvent(false, worker.listLine(router, state))
 		p.events[router] = append(p.events[router], event)
 		server.addEvent(event)
 	}
 }
 
-// drain has a worker drain, which the list shows at once.
+// drain makes a worker drain and lists it as draining at the same time.
 func (p *platform) drain(index int) {
 	p.worker(index).setDraining(true)
 	p.setState(index, stateDraining)
 }
 
-// worker returns the worker that is at an index now.
+// worker returns the current worker at an index.
 func (p *platform) worker(index int) *worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.workers[index]
 }
 
-// startAgain starts a worker's process in place of one that was stopped, under the given id, and lists it.
-func (p *platform) startAgain(index int, id string) error {
-	old := p.worker(index)
-	started, err := p.startWorker(index, id, p.startTime(), old.addresses)
+// restartWorker starts a worker under the given id in place of one that was stopped, and lists it as active.
+func (p *platform) restartWorker(index int, id string) error {
+	oldWorker := p.worker(index)
+	started, err := p.startWorker(index, id, p.startTime(), oldWorker.addresses)
 	if err != nil {
 		return err
 	}
@@ -137,29 +138,29 @@
 	return nil
 }
 
-// startTime returns the present time in Unix milliseconds, by the clock of start times.
+// startTime returns the current time in Unix milliseconds, by the clock for start times in the endpoint list.
 func (p *platform) startTime() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return wallclock.FromTime(time.Now()).Add(p.clock).UnixMilli()
+	return wallclock.FromTime(time.Now()).Add(p.clockOffset).UnixMilli()
 }
 
-// stepClock steps the clock of start times.
+// stepClock steps the clock for start times in the endpoint list.
 func (p *platform) stepClock(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.clock += by
+	p.clockOffset += by
 }
 
-// replacementID returns the id of the worker that comes in place of the one at an index.
+// replacementID returns a new id for the worker that replaces the one at an index.
 func (p *platform) replacementID(index int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replaced++
-	return fmt.Sprintf("w%02dr%d", index, p.replaced)
+	p.replacements++
+	return fmt.Sprintf("w%02dr%d", index, p.replacements)
 }
 
-// move has all discovery servers move to other addresses.
+// move moves all discovery servers to other addresses.
 func (p *platform) move() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,14 +183,14 @@
 	return errors.Join(errs...)
 }
 
-// history returns the changes of the list so far.
-func (p *platform) history() []listChange {
+// listChanges returns the changes of the endpoint list so far.
+func (p *platform) listChanges() []listChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]listChange(nil), p.changes...)
 }
 
-// close stops everything.
+// close stops the discovery servers and workers and releases the addresses.
 func (p *platform) close() {
 	for _, server := range p.discovery {
 		server.close()
--- a/internal/soak/related_paths_test.go
+++ b/internal/soak/related_paths_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestRelatedPathsOfAnOutage plays what else can meet a router whose view of the workers is old.
-func TestRelatedPathsOfAnOutage(t *testing.T) {
+// TestFaultsWhileEndpointListIsOutdated combines a router's outdated view of the workers with other faults and
+// settings: drains, stopped and restarted routers, a move of discovery, no health checks, and short deadlines.
+func TestFaultsWhileEndpointListIsOutdated(t *testing.T) {
 	t.Parallel()
 	const outage = 8 * time.Second
 	drain := func(at, lasts time.Duration, worker int) Fault {
@@ -42,7 +43,7 @@
 			drain(3*time.Second, 4*time.Second, 2),
 		}, func(s *Schedule) {
 			s.Settings.HealthChecksAllowed = false
-			s.MinServedShare = minServedUnchecked
+			s.MinServedShare = minServedWithoutHealthChecks
 		}},
 		{"deadlines are short", []Fault{
 			{Kind: DiscoverySilent, At: time.Second, Duration: outage},
@@ -54,7 +55,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			s := usualSchedule()
+			s := baseSchedule()
 			s.Duration = 10 * time.Second
 			s.Faults = test.faults
 			if test.change != nil {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -7,35 +7,49 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"github.com/topazfront/topazfront/internal/invariants"
 )
 
 const (
-	stallInterval = 5 * time.Millisecond
-	baseSlack     = 100 * time.Millisecond // between a message's send and its record, on a machine that is not busy
+	stallSampleInterval = 5 * time.Millisecond
+	baseSlack           = 100 * time.Millisecond // between sending and recording a message, on an idle machine
 )
 
-// Options are what a run needs beside its schedule.
+// Options are the parameters of a run that are not part of its schedule.
 type Options struct {
-	// NodeCommand returns the command that runs a router by a configuration file. It logs to standard error.
+	// NodeCommand returns the command that runs a router with a configuration file. The router logs to standard error.
 	NodeCommand func(configPath string) *exec.Cmd
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Schedule    Schedule
-	Failures    []string // one line each; none: passed
-	ServedShare float64  // share of the calls
-	Calls       int
-	Slack       time.Duration // allowed between sending and recording: the longest stall of the machine on top of the usual
-	Timeline    []string      // around the first violation; nil if there is none
+	Failures    []string // one line each; empty if the run passed
+	ServedShare float64  // served calls divided by Calls
+	Calls       int      // calls that were not abandoned by their client
+	// Slack is the time allowed between sending and recording a message: baseSlack plus the longest stall of the
+	// machine.
+	Slack    time.Duration
+	Timeline []string // events around the first violation; nil if there is none
 }
 
-// Passed reports whether all rules were kept and enough was served.
+// Passed reports whether the run violated no rule, no router crashed, all responses were as expected, and a sufficient
+// share of the calls was served.
 func (r *Report) Passed() bool { return len(r.Failures) == 0 }
 
-// Run plays a schedule. An error means that the machine did not let it: nothing is said of the routers.
+// run is a schedule that is being executed.
+type run struct {
+	schedule Schedule
+	platform *platform
+	nodes    []*node
+	clients  []*clientGroup
+	traffic  []*traffic
+
+	mu        sync.Mutex
+	intervals []interval // of the faults injected so far
+	errs      []error
+}
+
+// Run executes a schedule. An error means that the run could not be carried out; it says nothing about the routers.
 func Run(s Schedule, options Options) (*Report, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -55,19 +69,20 @@
 	defer stalls.stop()
 	for router := range s.Routers {
 		r.nodes = append(r.nodes, newNode(s, p, router, dir, options.NodeCommand))
-		c := &client{router: router, address: p.block.router(router), records: p.records, slack: stalls.slack, answered: map[int]int{}}
+		c := &clientGroup{router: router, address: p.block.router(router), records: p.records, slack: stalls.slack,
+			answersByStatus: map[int]int{}}
 		r.clients = append(r.clients, c)
-		r.traffic = append(r.traffic, &traffic{schedule: s, client: c})
+		r.traffic = append(r.traffic, &traffic{schedule: s, clientGroup: c})
 	}
 	defer r.killAll()
 	if err := r.startAll(); err != nil {
 		return nil, err
 	}
-	r.playAll()
+	r.runTrafficAndFaults()
 	return r.report(stalls.slack())
 }
 
-// startAll starts all routers at once.
+// startAll starts all routers concurrently and waits until they answer.
 func (r *run) startAll() error {
 	errs := make([]error, len(r.nodes))
 	var starting sync.WaitGroup
@@ -78,45 +93,46 @@
 	return errors.Join(errs...)
 }
 
-// playAll plays traffic and faults, and returns when both have ended.
-func (r *run) playAll() {
+// runTrafficAndFaults generates the traffic, injects the faults, and returns when both have ended.
+func (r *run) runTrafficAndFaults() {
 	stop := make(chan struct{})
 	startedAt := time.Now()
-	var playing sync.WaitGroup
-	playing.Go(func() { r.playFaults(startedAt, stop) })
+	var running sync.WaitGroup
+	running.Go(func() { r.injectFaults(startedAt, stop) })
 	for _, t := range r.traffic {
-		playing.Go(func() { t.run(stop) })
+		running.Go(func() { t.run(stop) })
 	}
-	playing.Wait()
+	running.Wait()
 	close(stop)
 }
 
-// killAll ends all routers.
+// killAll kills all routers and waits until their processes have ended.
 func (r *run) killAll() {
 	for _, n := range r.nodes {
 		if n.process == nil {
 			continue
 		}
 		n.kill()
-		n.processes.Wait()
+		n.followers.Wait()
 	}
 }
 
-// report judges the run.
+// report checks the rules and returns the result of the run, or the errors of faults that could not be injected.
 func (r *run) report(slack time.Duration) (*Report, error) {
 	if err := errors.Join(r.errs...); err != nil {
 		return nil, err
 	}
-	records, violations := r.judge(slack)
+	records, violations := r.checkRules(slack)
 	share, calls := servedShare(records)
-	report := &Report{Schedule: r.schedule, ServedShare: share, Calls: calls, Slack: slack, Failures: r.failures(violations, share, slack)}
+	report := &Report{Schedule: r.schedule, ServedShare: share, Calls: calls, Slack: slack,
+		Failures: r.failures(violations, share, slack)}
 	if len(violations) > 0 {
 		report.Timeline = r.timeline(records, violations[0])
 	}
 	return report, nil
 }
 
-// stallMeter measures how long goroutines of this process have to wait for a processor.
+// stallMeter measures the longest time for which a goroutine of this process had to wait for a processor.
 type stallMeter struct {
 	longest atomic.Int64 // nanoseconds
 	ended   chan struct{}
@@ -134,29 +150,14 @@
 		select {
 		case <-m.ended:
 			return
-		case <-time.After(stallInterval):
+		case <-time.After(stallSampleInterval):
 		}
-		stall := time.Since(sleptAt) - stallInterval
+		stall := time.Since(sleptAt) - stallSampleInterval
 		m.longest.Store(max(m.longest.Load(), int64(stall)))
 	}
 }
 
-// slack is what the machine may have delayed a record by.
+// slack returns the time by which the machine may have delayed a record.
 func (m *stallMeter) slack() time.Duration { return baseSlack + time.Duration(m.longest.Load()) }
 
 func (m *stallMeter) stop() { close(m.ended) }
-
-// timelineSpan is how much before and after a violation its timeline shows.
-const timelineSpan = 1500 * time.Millisecond
-
-// isCallRecord reports whether a record belongs to a call.
-func isCallRecord(kind invariants.RecordKind) bool {
-	switch kind {
-	case invariants.CallSent, invariants.FinalAnswer, invariants.CallAbandoned, invariants.AttemptReceived, invariants.RunStarted:
-		return true
-	case invariants.LoadCommandReceived, invariants.EndpointNotified, invariants.WorkerDraining, invariants.WorkerReady,
-		invariants.WorkerStarted, invariants.WorkerOverloaded, invariants.RouterKilled, invariants.RouterStarted:
-		return false
-	}
-	return false
-}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -17,51 +17,51 @@
 	DiscoveryCut       FaultKind = "discovery-cut"       // responses end in the middle of an event
 	DiscoveryGarbage   FaultKind = "discovery-garbage"   // responses are not JSON
 	DiscoveryCrowded   FaultKind = "discovery-crowded"   // seven of eight polls get status 503
-	DiscoveryMoved     FaultKind = "discovery-moved"     // to another address, with SIGHUP to every router
-	DiscoveryRestarted FaultKind = "discovery-restarted" // it numbers its events from 1 again
-	ClockStepped       FaultKind = "clock-stepped"       // start times in the list are off by an hour from now on
+	DiscoveryMoved     FaultKind = "discovery-moved"     // the servers move to other addresses; each router gets SIGHUP
+	DiscoveryRestarted FaultKind = "discovery-restarted" // the servers restart and number their events from 1 again
+	ClockStepped       FaultKind = "clock-stepped"       // from now on, start times in the list are off by an hour
 	WorkerDrained      FaultKind = "worker-drained"      // drains, is removed, and comes back cold at its address
 	WorkerKilled       FaultKind = "worker-killed"       // its connections are reset; it comes back cold
-	WorkerHung         FaultKind = "worker-hung"         // accepts requests and answers nothing
-	WorkerVanished     FaultKind = "worker-vanished"     // its connections fall silent, health checks too
-	WorkerReplaced     FaultKind = "worker-replaced"     // by another one, with another id, at its address
+	WorkerHung         FaultKind = "worker-hung"         // answers health checks and load commands, but no calls
+	WorkerVanished     FaultKind = "worker-vanished"     // answers nothing, not even health checks
+	WorkerReplaced     FaultKind = "worker-replaced"     // drains; a worker with another id takes its address
 	WorkerSlow         FaultKind = "worker-slow"         // requests take ten times as long
 	WorkerResets       FaultKind = "worker-resets"       // its connections are reset several times
-	RouterTerminated   FaultKind = "router-terminated"   // SIGTERM, more signals, and SIGKILL as early as the platform may send it
+	RouterTerminated   FaultKind = "router-terminated"   // SIGTERM, more signals, and the earliest allowed SIGKILL
 	RouterKilled       FaultKind = "router-killed"       // SIGKILL
 	RouterStopped      FaultKind = "router-stopped"      // SIGSTOP, then SIGCONT
 	RouterReloaded     FaultKind = "router-reloaded"     // SIGHUP four times in a row, with the same configuration
 	TrafficBurst       FaultKind = "traffic-burst"       // three times as many calls
 	ClientsLeave       FaultKind = "clients-leave"       // one client in five closes its connection early
-	ConnectionCrowd    FaultKind = "connection-crowd"    // hundreds of connections to a router that send nothing or half a request
+	ConnectionCrowd    FaultKind = "connection-crowd"    // hundreds of connections that send nothing or half a request
 )
 
 // Fault is one fault of a schedule.
 type Fault struct {
 	Kind     FaultKind
-	At       time.Duration // since the traffic began
+	At       time.Duration // since the start of the traffic
 	Duration time.Duration
-	Target   int // index of the worker or router that is concerned, if one is
+	Target   int // index of the worker or router, for kinds that affect a single one
 }
 
 func (f Fault) String() string {
 	return fmt.Sprintf("%s@%v+%v#%d", f.Kind, f.At.Round(time.Millisecond), f.Duration.Round(time.Millisecond), f.Target)
 }
 
-// Schedule is what a run plays.
+// Schedule describes a run: the fleet, the traffic, the routers' settings and the faults.
 type Schedule struct {
 	Seed           uint64
 	Routers        int
 	Workers        int
-	CallRate       float64       // calls a second to each router
+	CallRate       float64       // calls per second to each router
 	Duration       time.Duration // of the traffic
 	Settings       Settings
 	Faults         []Fault
-	MinServedShare float64 // the share of the calls that has to be served
+	MinServedShare float64 // a run fails if a smaller share of the calls is served
 	FunctionSkew   float64 // exponent of the functions' Zipf distribution, above 1
 }
 
-// Settings are what the routers are told, as far as schedules differ in it.
+// Settings are the router settings that vary between schedules.
 type Settings struct {
 	DrainGrace          time.Duration
 	Deadline            time.Duration // of every call and class
@@ -78,10 +78,10 @@
 		s.Settings.HealthChecksAllowed, strings.Join(faults, " "))
 }
 
-// validate returns an error if a fault has a target that the fleet lacks.
+// validate returns an error if a fault's target does not exist or the fleet is too large.
 func (s Schedule) validate() error {
 	for _, fault := range s.Faults {
-		targets := len(s.Faults) + fault.Target + 1 // any
+		targets := len(s.Faults) + fault.Target + 1 // kinds without a target accept any
 		switch group, _, _ := strings.Cut(string(fault.Kind), "-"); group {
 		case "worker":
 			targets = s.Workers
@@ -98,5 +98,5 @@
 	return nil
 }
 
-// concernsDiscovery reports whether routers can't rely on discovery while the fault lasts.
+// concernsDiscovery reports whether routers cannot rely on discovery while the fault lasts.
 func (k FaultKind) concernsDiscovery() bool { return strings.HasPrefix(string(k), "discovery-") }
--- a/internal/soak/seeds_test.go
+++ b/internal/soak/seeds_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestSeeds plays schedules of fixed seeds: of each kind of fault of discovery one at least, and the seeds on which the soak
-// found something before (all four).
+// TestSeeds runs the schedules of fixed seeds. Together they cover each kind of fault of discovery, and earlier soaks
+// found a fault with each of them.
 func TestSeeds(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{3, 51, 113, 141} {
@@ -19,8 +19,9 @@
 	}
 }
 
-// TestDrawIsReproducible checks that a seed always draws the same schedule, and different ones different schedules.
-func TestDrawIsReproducible(t *testing.T) {
+// TestDrawScheduleIsReproducible checks that a seed always gives the same schedule, and different seeds different
+// faults.
+func TestDrawScheduleIsReproducible(t *testing.T) {
 	for seed := range uint64(50) {
 		s := DrawSchedule(seed)
 		if !reflect.DeepEqual(s, DrawSchedule(seed)) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// TestFaultsAreParsedAsPrinted checks that a printed schedule can be played again.
+// TestFaultsAreParsedAsPrinted checks that the faults of a printed schedule can be parsed and so run again.
 func TestFaultsAreParsedAsPrinted(t *testing.T) {
 	for seed := range uint64(20) {
 		var words []string
@@ -60,22 +61,23 @@
 	}
 }
 
-// TestFaultsWithoutTargetAreNotPlayed checks that a schedule whose faults don't fit its fleet is an error.
-func TestFaultsWithoutTargetAreNotPlayed(t *testing.T) {
+// TestSchedulesWithMissingTargetsAreRejected checks that Run rejects faults whose target is not in the fleet.
+func TestSchedulesWithMissingTargetsAreRejected(t *testing.T) {
 	for _, fault := range []Fault{{Kind: WorkerHung, Target: 16}, {Kind: RouterKilled, Target: 3}, {Kind: ConnectionCrowd, Target: -1}} {
-		s := usualSchedule()
+		s := baseSchedule()
 		s.Faults = []Fault{fault}
 		if _, err := Run(s, Options{NodeCommand: nodeCommand}); err == nil {
-			t.Errorf("%v was played", fault)
+			t.Errorf("%v was not rejected", fault)
 		}
 	}
 }
 
-// isKnown reports whether a run can carry the kind out.
-func (k FaultKind) isKnown() bool { return players[k] != nil }
+// isKnown reports whether a run can inject faults of the kind.
+func (k FaultKind) isKnown() bool { return injectors[k] != nil }
 
-// TestShrinkKeepsWhatFails has schedules fail if two of five faults are there. Shrink finds these two.
-func TestShrinkKeepsWhatFails(t *testing.T) {
+// TestShrinkKeepsFailingFaults uses schedules that fail if two certain faults of five are present. Shrink finds these
+// two with enough runs, and stops after the given number of runs otherwise.
+func TestShrinkKeepsFailingFaults(t *testing.T) {
 	s := Schedule{}
 	for target := range 5 {
 		s.Faults = append(s.Faults, Fault{Kind: WorkerHung, Target: target})
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -7,7 +7,7 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// Limits and figures that all schedules share.
+// Settings and limits that all schedules share.
 const (
 	routerMemoryMB    = 64
 	routerDescriptors = 512
@@ -18,15 +18,15 @@
 	slowStartDuration = 8 * time.Second
 	overloadMultiple  = 3
 	overloadWindow    = 1500 * time.Millisecond
-	maxSIGKILLWait    = 3 * time.Second        // of the longest deadline, for which a planned restart waits
-	sigkillGrace      = 700 * time.Millisecond // from then until SIGKILL
+	maxDeadlineWait   = 3 * time.Second        // longest deadline that a planned restart waits for
+	sigkillGrace      = 700 * time.Millisecond // from then on until SIGKILL
 )
 
-// classNames are the classes of the settings: idempotent, idempotent by key, and neither.
+// classNames are the request classes: idempotent, idempotent by key, and non-idempotent.
 var classNames = []string{"safe", keyedClass, "unsafe"}
 
-// settingsForm is the settings of a router. Times are in microseconds.
-const settingsForm = `{"az":"z","balancers":%d,"host_types":["k"],
+// settingsTemplate is the format of a router's settings. Times are in microseconds.
+const settingsTemplate = `{"az":"z","balancers":%d,"host_types":["k"],
  "classes":[{"name":"safe","semantics":"read_like","target":%[2]d,"deadline":%[2]d,"worth":1.0},
   {"name":"keyed","semantics":"idempotency_key","dedup_scope":"cell","window":6000000,"target":%[2]d,"deadline":%[2]d,"worth":1.0},
   {"name":"unsafe","semantics":"non_idempotent","target":%[2]d,"deadline":%[2]d,"worth":1.0}],
@@ -40,20 +40,21 @@
 
 // settingsJSON returns the settings of the routers.
 func (s Schedule) settingsJSON() string {
-	return fmt.Sprintf(settingsForm, s.Routers, s.Settings.Deadline.Microseconds(), loadRateBurst, loadRateRatio,
+	return fmt.Sprintf(settingsTemplate, s.Routers, s.Settings.Deadline.Microseconds(), loadRateBurst, loadRateRatio,
 		loadRateWindow.Microseconds(), s.Settings.HealthChecksAllowed, s.Settings.DrainGrace.Microseconds(), slowStartShare,
 		slowStartDuration.Microseconds(), overloadMultiple, overloadWindow.Microseconds())
 }
 
-// routerConfig returns the configuration file of a router; life counts its starts.
-func (s Schedule) routerConfig(p *platform, router, life int) string {
+// routerConfig returns the content of a router's configuration file. The seed differs for each start of the router,
+// which startCount numbers from 0.
+func (s Schedule) routerConfig(p *platform, router, startCount int) string {
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
- "channel":%q,"known":%s,"settings":%s}`, routerName(router), p.block.router(router), s.Seed+uint64(100*life+router),
-		routerMemoryMB, routerDescriptors, p.discovery[router].currentAddress(), p.discovery[router].known(), s.settingsJSON())
+ "channel":%q,"known":%s,"settings":%s}`, routerName(router), p.block.router(router), s.Seed+uint64(100*startCount+router),
+		routerMemoryMB, routerDescriptors, p.discovery[router].currentAddress(), p.discovery[router].allEvents(), s.settingsJSON())
 }
 
-// invariantSettings are the limits by which a run is judged. The capacity of a worker is what the traffic needs, so that a
-// router that sends a worker in slow start its usual share breaks the rule.
+// invariantSettings returns the limits that a run is checked against. The capacity of a worker is its share of the
+// work in the traffic, so that routers that send a worker in slow start its usual share violate rule 4.
 func (s Schedule) invariantSettings(workers []string, slack time.Duration) invariants.Settings {
 	settings := invariants.Settings{
 		Classes: map[string]invariants.Class{
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -1,8 +1,8 @@
 package soak
 
-// Shrink removes faults from a schedule that fails, one after the other, for as long as the rest fails too, and returns the
-// smallest schedule that failed. It makes at most runs runs. What depends on the machine's timing may not fail again, so the
-// result may keep faults that have no part in the failure.
+// Shrink removes the faults of a failed schedule one by one, keeps each removal after which the schedule still fails,
+// and returns the smallest schedule that failed. It calls fails at most runs times. A failure that depends on the
+// timing of the machine may not occur again, so the result may keep faults that do not contribute to the failure.
 func Shrink(failed Schedule, runs int, fails func(Schedule) bool) Schedule {
 	smallest := failed
 	for i := len(smallest.Faults) - 1; i >= 0 && runs > 0; i-- {
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -4,11 +4,15 @@
 	"fmt"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// recordNames are the kinds of records as timelines have them.
+// timelineSpan is how long before and after a violation the timeline covers.
+const timelineSpan = 1500 * time.Millisecond
+
+// recordNames holds the names of the kinds of records in timelines.
 var recordNames = map[invariants.RecordKind]string{
 	invariants.CallSent:            "client sends call",
 	invariants.FinalAnswer:         "client is answered:",
@@ -22,22 +26,22 @@
 	invariants.RouterStarted:       "router starts",
 }
 
-// timeline returns one list of what happened around a violation: the faults of the run, the whole story of the call that
-// is concerned, what reached the worker that is concerned, and the router's log.
+// timeline returns the events around a violation: the faults of the run, all records of the call concerned, the records
+// of the worker concerned near the violation, and the end of the router's log.
 func (r *run) timeline(records []invariants.Record, violation invariants.Violation) (lines []string) {
 	for _, fault := range r.intervals {
 		lines = append(lines, fmt.Sprintf("%8.3f to %.3f fault %v", fault.from.Seconds(), fault.to.Seconds(), fault.Fault))
 	}
-	about := violation.Record
+	subject := violation.Record
 	for _, record := range records {
 		isNear := record.At > violation.At-timelineSpan && record.At < violation.At+timelineSpan
-		sameCall := about.Call != "" && record.Call == about.Call
-		sameWorker := about.Worker != "" && record.Worker == about.Worker && record.Router == about.Router
+		sameCall := subject.Call != "" && record.Call == subject.Call
+		sameWorker := subject.Worker != "" && record.Worker == subject.Worker && record.Router == subject.Router
 		if sameCall || sameWorker && isNear || sameWorker && record.Kind == invariants.EndpointNotified {
 			lines = append(lines, recordLine(record))
 		}
 	}
-	index := slices.IndexFunc(r.nodes, func(n *node) bool { return routerName(n.router) == about.Router })
+	index := slices.IndexFunc(r.nodes, func(n *node) bool { return routerName(n.router) == subject.Router })
 	if index >= 0 {
 		_, log := r.nodes[index].report()
 		lines = append(lines, log...)
@@ -45,6 +49,19 @@
 	return lines
 }
 
+// isCallRecord reports whether records of a kind belong to a call.
+func isCallRecord(kind invariants.RecordKind) bool {
+	switch kind {
+	case invariants.CallSent, invariants.FinalAnswer, invariants.CallAbandoned, invariants.AttemptReceived, invariants.RunStarted:
+		return true
+	case invariants.LoadCommandReceived, invariants.EndpointNotified, invariants.WorkerDraining, invariants.WorkerReady,
+		invariants.WorkerStarted, invariants.WorkerOverloaded, invariants.RouterKilled, invariants.RouterStarted:
+		return false
+	}
+	return false
+}
+
+// recordLine returns the line of a record in a timeline.
 func recordLine(record invariants.Record) string {
 	words := []string{fmt.Sprintf("%8.3f", record.At.Seconds()), record.Router, recordNames[record.Kind]}
 	if isCallRecord(record.Kind) {
@@ -59,7 +76,7 @@
 	return strings.Join(words, " ")
 }
 
-// recordDetail returns what only records of the kind have.
+// recordDetail returns the part of a record's line that is specific to its kind.
 func recordDetail(record invariants.Record) string {
 	switch {
 	case record.Kind == invariants.FinalAnswer:
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -18,22 +18,23 @@
 	execCommand  = "exec"
 )
 
-// behaviour is how a worker treats what it receives.
+// behaviour is the way in which a worker handles messages.
 type behaviour int32
 
 const (
-	behavesWell    behaviour = iota
-	answersNoCalls           // it answers health checks and load commands
-	answersNothing
+	healthy      behaviour = iota
+	ignoresCalls           // but answers health checks and load commands
+	ignoresEverything
 	answersSlowly
 )
 
-// worker is one fake worker. It has one address for each router, so that its records name the router that sent.
+// worker is a fake worker. It has a separate server and address for each router, so that its records can name the
+// router that sent a message.
 type worker struct {
 	index       int
 	id          string
-	startedUnix uint64 // milliseconds; 0: long before the run
-	sides       []*fakeplatform.Worker
+	startedUnix uint64 // start time in Unix milliseconds; 0 means long before the run
+	servers     []*fakeplatform.Worker
 	addresses   []string
 	behaviour   atomic.Int32
 }
@@ -41,58 +42,58 @@
 // start starts the worker at its addresses.
 func (w *worker) start(records *invariants.Log, keys *fakeplatform.KeySet) error {
 	for router, address := range w.addresses {
-		side := &fakeplatform.Worker{ID: w.id, Router: routerName(router), Records: records, WorkDuration: workDuration,
+		server := &fakeplatform.Worker{ID: w.id, Router: routerName(router), Records: records, WorkDuration: workDuration,
 			DeduplicatedClass: keyedClass, ExecutedKeys: keys}
-		side.Handle = func(r fakeplatform.Request) { w.handle(side, r) }
-		if err := side.Start(address); err != nil {
+		server.Handle = func(r fakeplatform.Request) { w.handle(server, r) }
+		if err := server.Start(address); err != nil {
 			w.stop()
 			return fmt.Errorf("soak: worker %s: %w", w.id, err)
 		}
-		w.sides = append(w.sides, side)
+		w.servers = append(w.servers, server)
 	}
 	return nil
 }
 
-// handle treats a message by the worker's present behaviour.
-func (w *worker) handle(side *fakeplatform.Worker, r fakeplatform.Request) {
+// handle handles a message according to the worker's current behaviour.
+func (w *worker) handle(server *fakeplatform.Worker, r fakeplatform.Request) {
 	now := behaviour(w.behaviour.Load())
 	isCall := r.Command == execCommand
-	if now == answersNothing || now == answersNoCalls && isCall {
+	if now == ignoresEverything || now == ignoresCalls && isCall {
 		return
 	}
 	go func() {
 		if now == answersSlowly && isCall {
 			time.Sleep((slowFactor - 1) * workDuration)
 		}
-		side.HandleHealthy(r)
+		server.HandleHealthy(r)
 	}()
 }
 
 func (w *worker) setBehaviour(b behaviour) { w.behaviour.Store(int32(b)) }
 
-// setDraining has the worker drain, or end its drain.
+// setDraining starts or ends the worker's drain.
 func (w *worker) setDraining(draining bool) {
-	for _, side := range w.sides {
-		side.SetDraining(draining)
+	for _, server := range w.servers {
+		server.SetDraining(draining)
 	}
 }
 
-// failConns ends all connections to the worker by a fault.
+// failConns applies a fault to all connections of the worker.
 func (w *worker) failConns(fault fakeplatform.ConnFault) {
-	for _, side := range w.sides {
-		side.FailConns(fault)
+	for _, server := range w.servers {
+		server.FailConns(fault)
 	}
 }
 
-// stop ends the worker's process: all its connections are reset.
+// stop simulates the end of the worker's process: all its connections are reset.
 func (w *worker) stop() {
-	for _, side := range w.sides {
-		side.Stop()
+	for _, server := range w.servers {
+		server.Stop()
 	}
 }
 
-// line is the worker's line in an event of the endpoint list, as a router sees it.
-func (w *worker) line(router int, state string) string {
+// listLine returns the worker's line in an event of the endpoint list, with its address for a router.
+func (w *worker) listLine(router int, state string) string {
 	return fmt.Sprintf("%s %s %s %d %d", w.id, w.addresses[router], state, w.index%workerCells, w.startedUnix)
 }
 
