--- a/internal/scenario/endpoints.go
+++ b/internal/scenario/endpoints.go
@@ -8,10 +8,10 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// watchInterval is how often dead workers are looked for and the progress is reported.
+// watchInterval is the interval at which dead workers are removed from the endpoint list and the progress is reported.
 const watchInterval = 250 * time.Millisecond
 
-// endpointList is the list of workers as it is now.
+// endpointList returns the current endpoint list.
 func (h *Harness) endpointList() (list config.WorkerList) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -24,7 +24,7 @@
 	return list
 }
 
-// publishEndpoints sends the present list to every router, to each after a delay of its own.
+// publishEndpoints delivers the current endpoint list to every router, to each after a random delay.
 func (h *Harness) publishEndpoints() {
 	list := h.endpointList()
 	h.mu.Lock()
@@ -35,11 +35,12 @@
 		h.mu.Lock()
 		jittered := time.Duration(float64(delay) * (0.8 + 0.4*h.rng.Float64()))
 		h.mu.Unlock()
-		h.after(jittered, func() { h.deliverEndpoints(slot, version, list) })
+		h.afterFunc(jittered, func() { h.deliverEndpoints(slot, version, list) })
 	}
 }
 
-// deliverEndpoints writes a router's list and records what changed in it. An older version than the last is dropped.
+// deliverEndpoints writes a router's endpoint list and records its changes. It ignores versions older than the last one
+// delivered.
 func (h *Harness) deliverEndpoints(slot *routerSlot, version int, list config.WorkerList) {
 	slot.mu.Lock()
 	defer slot.mu.Unlock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// watchWorkers removes dead workers from the endpoint list and reports the progress, until stop is closed.
+// watchWorkers periodically removes dead workers from the endpoint list and reports the progress, until stop is closed.
 func (h *Harness) watchWorkers(stop <-chan struct{}, startedAt time.Time) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -87,7 +88,8 @@
 	}
 }
 
-// removeDeadWorkers reports whether it removed any, whether the scenario has ended, and which faults are active.
+// removeDeadWorkers removes dead workers from the endpoint list. It returns whether it removed any, whether the
+// scenario has ended, and the progress without the counts of requests.
 func (h *Harness) removeDeadWorkers(startedAt time.Time) (removed, stopped bool, progress Progress) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -14,13 +14,14 @@
 // throttleDelay is how long a throttled worker takes to reject a call.
 const throttleDelay = 100 * time.Millisecond
 
-// faultKind is one kind of fault. inject starts it and returns what ends it, or nil if it ends by itself.
+// faultKind describes a kind of fault.
 type faultKind struct {
-	description string // with what share and magnitude mean
-	inject      func(h *Harness, f Fault, class string) (end func())
+	description string // says what share and magnitude mean
+	// inject starts the fault and returns the function that ends it, or nil if the fault ends by itself.
+	inject func(h *Harness, f Fault, class string) (end func())
 }
 
-// faultKinds are the kinds of fault by their names in scenario files.
+// faultKinds holds the kinds of faults by their names in scenario files.
 var faultKinds = map[string]faultKind{
 	"balancer_roll": {"a share of the routers is killed and restarted, one after another within the time",
 		func(h *Harness, f Fault, _ string) func() { h.restartRouters(f); return nil }},
@@ -59,10 +60,11 @@
 		(*Harness).injectDeath},
 }
 
-// FaultKindNames lists the kinds of fault in alphabetical order.
+// FaultKindNames returns the names of the kinds of faults in alphabetical order.
 func FaultKindNames() []string { return slices.Sorted(maps.Keys(faultKinds)) }
 
-// FaultDescription says what a kind of fault does, with what its share and magnitude mean; empty: there is none.
+// FaultDescription describes a kind of fault, including the meaning of its share and magnitude. It returns "" for an
+// unknown kind.
 func FaultDescription(kind string) string { return faultKinds[kind].description }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -74,7 +76,7 @@
 	h.activeFaults[f.Kind]++
 	h.mu.Unlock()
 	end := h.injectFault(f)
-	h.after(f.Length.Duration(), func() {
+	h.afterFunc(f.Length.Duration(), func() {
 		if end != nil {
 			end()
 		}
@@ -84,7 +86,7 @@
 	})
 }
 
-// injectFault returns what ends the fault, or nil.
+// injectFault starts a fault and returns the function that ends it, or nil if it ends by itself.
 func (h *Harness) injectFault(f Fault) (end func()) {
 	kind, ok := faultKinds[f.Kind]
 	if !ok {
@@ -97,14 +99,16 @@
 	return kind.inject(h, f, class)
 }
 
-// workerFault sets what a fault changes of a worker's faults. What several change, the one that began last has.
+// workerFault is a fault that is active at a worker. set changes the worker's faults; if several active faults change
+// the same field, the one that started last takes effect.
 type workerFault struct{ set func(*fakeworker.Faults) }
 
-// injectWorkerFault begins a fault of a random share of the workers and returns what ends it.
+// injectWorkerFault starts a fault at a random share of the workers and returns the function that ends it.
 func (h *Harness) injectWorkerFault(share float64, set func(*fakeworker.Faults)) (end func()) {
 	return h.beginWorkerFault(h.randomWorkers(share), set)
 }
 
+// beginWorkerFault starts a fault at some workers and returns the function that ends it.
 func (h *Harness) beginWorkerFault(workers []*fleetWorker, set func(*fakeworker.Faults)) (end func()) {
 	fault := &workerFault{set}
 	h.changeWorkerFaults(workers, func(active []*workerFault) []*workerFault { return append(active, fault) })
@@ -115,7 +119,7 @@
 	}
 }
 
-// changeWorkerFaults changes the list of each worker's faults and puts what is on it into effect.
+// changeWorkerFaults changes each worker's list of active faults, and applies the new list to the worker.
 func (h *Harness) changeWorkerFaults(workers []*fleetWorker, change func([]*workerFault) []*workerFault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -175,8 +179,8 @@
 	return h.injectWorkerFault(f.Share, func(faults *fakeworker.Faults) { faults.HandshakeDelay = delay })
 }
 
-// injectRelease makes copies and images of some models outdated. Classes are taken in the scenario's order, so that a
-// seed draws the same models each time.
+// injectRelease makes the copies and cached images of some models outdated. It draws the models class by class in the
+// scenario's order, so that the same seed always gives the same models.
 func (h *Harness) injectRelease(f Fault, _ string) func() {
 	h.mu.Lock()
 	released := map[string]bool{}
@@ -197,7 +201,7 @@
 	workers := h.randomWorkers(f.Share)
 	pause := seconds(f.Magnitude)
 	for at := time.Duration(0); at < f.Length.Duration(); at += pauseInterval {
-		h.after(at, func() {
+		h.afterFunc(at, func() {
 			for _, w := range workers {
 				w.worker.Pause(pause)
 			}
@@ -235,29 +239,28 @@
 	return func() { h.resumeWorkers(workers) }
 }
 
-// drainWorkers makes workers drain. With goAway they report so on their connections.
+// drainWorkers makes workers drain. With goAway, they report the drain on their connections.
 func (h *Harness) drainWorkers(workers []*fleetWorker, goAway bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, w := range workers {
-		w.drains++
+		w.drainCount++
 		w.worker.Drain(goAway)
 	}
 }
 
-// resumeWorkers ends one drain of each worker. A worker resumes when no other fault has it drain.
+// resumeWorkers ends one drain of each worker. A worker resumes once none of the faults that made it drain is active.
 func (h *Harness) resumeWorkers(workers []*fleetWorker) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, w := range workers {
-		if w.drains--; w.drains == 0 {
+		if w.drainCount--; w.drainCount == 0 {
 			w.worker.Resume()
 		}
 	}
 }
 
-// preemptWorkers takes workers away: they are listed as draining, die after the notice, and are replaced by new ones
-// that start cold.
+// preemptWorkers lists workers as draining, kills them after a notice period, and starts cold replacements.
 func (h *Harness) preemptWorkers(f Fault) {
 	workers := h.randomWorkers(f.Share)
 	h.mu.Lock()
@@ -268,16 +271,16 @@
 	h.drainWorkers(workers, false)
 	h.publishEndpoints()
 	notice := seconds(f.Magnitude)
-	h.after(notice, func() { killAll(workers) })
-	h.after(notice+f.Length.Duration()/2, func() { h.startReplacements(len(workers)) })
+	h.afterFunc(notice, func() { killAll(workers) })
+	h.afterFunc(notice+f.Length.Duration()/2, func() { h.startReplacements(len(workers)) })
 }
 
 func (h *Harness) startReplacements(n int) {
 	for range n {
 		h.mu.Lock()
-		place := h.workersStarted
+		index := h.workersStarted
 		h.mu.Unlock()
-		if err := h.startWorker(place, true); err != nil {
+		if err := h.startWorker(index, true); err != nil {
 			h.options.Logger.Error("replacement worker not started", "error", err)
 		}
 	}
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -9,8 +9,8 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeworker"
 )
 
-// TestOverlappingFaults lets two faults overlap, in either order of their ends: each has effect until its own end, and
-// when both have ended all is as before. fmt's form of a value tells it from others.
+// TestOverlappingFaults overlaps two faults that end in either order. Each takes effect until its own end, and when
+// both have ended, the initial state is restored. States are compared by their formatted values.
 func TestOverlappingFaults(t *testing.T) {
 	workerFaults := func(h *Harness) (faults string) {
 		h.workers[0].worker.ChangeFaults(func(f *fakeworker.Faults) { faults = fmt.Sprintf("%+v", *f) })
@@ -28,14 +28,14 @@
 		{Fault{Kind: "hot_key", Share: 0.2}, Fault{Kind: "hot_key", Share: 0.3},
 			func(h *Harness) string { return fmt.Sprint(h.newModelShare.value()) }},
 		{Fault{Kind: "heavy_tail", Share: 1, Magnitude: 2}, Fault{Kind: "heavy_tail", Share: 1, Magnitude: 3},
-			func(h *Harness) string { return fmt.Sprint(h.drawTail(classes(h)[0], h.rng)) }},
+			func(h *Harness) string { return fmt.Sprint(h.drawWorkMultiple(classes(h)[0], h.rng)) }},
 		{Fault{Kind: "slow", Magnitude: 2}, Fault{Kind: "neighbour", Magnitude: 3}, workerFaults},
 		{Fault{Kind: "hang"}, Fault{Kind: "slow", Magnitude: 3}, workerFaults},
 		{Fault{Kind: "handshake_slow", Magnitude: 2}, Fault{Kind: "handshake_slow", Magnitude: 3}, workerFaults},
 		{Fault{Kind: "class_fail"}, Fault{Kind: "class_fail", Class: "second"}, workerFaults},
 		{Fault{Kind: "throttle", Magnitude: 2}, Fault{Kind: "throttle", Magnitude: 3, Class: "second"}, workerFaults},
 		{Fault{Kind: "goaway"}, Fault{Kind: "goaway"},
-			func(h *Harness) string { return fmt.Sprint(h.workers[0].drains > 0) }},
+			func(h *Harness) string { return fmt.Sprint(h.workers[0].drainCount > 0) }},
 	} {
 		t.Run(test.first.Kind+" and "+test.second.Kind, func(t *testing.T) {
 			h := newHarness(shortScenario(t, 1), Options{})
@@ -46,13 +46,14 @@
 			if test.second.Class != "" {
 				test.second.Class = classes(h)[1]
 			}
-			checkOverlap(t, h, test.first, test.second, test.value)
+			checkOverlappingFaults(t, h, test.first, test.second, test.value)
 		})
 	}
 }
 
-// checkOverlap notes what each fault does alone and expects it whenever it alone is left.
-func checkOverlap(t *testing.T, h *Harness, first, second Fault, value func(*Harness) string) {
+// checkOverlappingFaults determines the effect of each fault alone, and checks that the remaining fault has this effect
+// after the other has ended.
+func checkOverlappingFaults(t *testing.T, h *Harness, first, second Fault, value func(*Harness) string) {
 	t.Helper()
 	alone := func(f Fault) string {
 		end := h.injectFault(f)
@@ -77,12 +78,13 @@
 	}
 }
 
-// TestEndWaitsForTimers: what a timer has begun is complete when the scenario ends, and nothing begins afterwards.
+// TestEndWaitsForTimers checks that functions of timers are complete when the scenario ends, and that none starts
+// afterwards.
 func TestEndWaitsForTimers(t *testing.T) {
 	h := newHarness(shortScenario(t, 1), Options{})
 	begun := make(chan struct{})
 	var complete, late atomic.Bool
-	h.after(0, func() {
+	h.afterFunc(0, func() {
 		close(begun)
 		time.Sleep(50 * time.Millisecond)
 		complete.Store(true)
@@ -90,11 +92,11 @@
 	<-begun
 	h.stopTimers()
 	if !complete.Load() {
-		t.Error("a timer was under way")
+		t.Error("stopTimers returned while a timer function was running")
 	}
-	h.after(0, func() { late.Store(true) })
-	time.Sleep(10 * time.Millisecond) // if nothing is to begin, there is nothing to wait for
+	h.afterFunc(0, func() { late.Store(true) })
+	time.Sleep(10 * time.Millisecond) // there is no event to wait for if the function does not start
 	if late.Load() {
-		t.Error("a timer began after the end")
+		t.Error("a timer function started after the end")
 	}
 }
--- a/internal/scenario/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -12,8 +12,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-// fill sets every field to a value of its own, in the order of declaration, so that the goldens name no Go field.
-func fill(v reflect.Value, n *int) {
+// fillFields sets every field to a distinct value, in the order of declaration, so that the goldens identify fields
+// without their Go names.
+func fillFields(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
 	case reflect.String:
@@ -28,19 +29,19 @@
 		v.SetFloat(float64(*n) + 0.25)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fillFields(v.Elem(), n)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fillFields(v.Index(i), n)
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fillFields(v.Index(i), n)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), n)
+			fillFields(v.Field(i), n)
 		}
 	default:
 		panic("no value for " + v.Type().String())
@@ -50,7 +51,7 @@
 func TestGoldenReport(t *testing.T) {
 	var r Report
 	n := 0
-	fill(reflect.ValueOf(&r).Elem(), &n)
+	fillFields(reflect.ValueOf(&r).Elem(), &n)
 	raw, err := json.MarshalIndent(&r, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -74,8 +75,8 @@
 	golden.Compare(t, "report.txt", text.Bytes())
 }
 
-// TestGoldenScenarioFile reads a file with every key: each value must reach the field that it always reached, by
-// the order of the fields, and be written back under the same key.
+// TestGoldenScenarioFile reads a file with every key. Each value must be stored in the same field as before,
+// identified by the order of the fields, and be written back under the same key.
 func TestGoldenScenarioFile(t *testing.T) {
 	raw, err := os.ReadFile("testdata/golden/every-key.json")
 	if err != nil {
--- a/internal/scenario/gossip.go
+++ b/internal/scenario/gossip.go
@@ -25,16 +25,17 @@
 	maxSeeds        = 3
 	membersFile     = "members.json"
 
-	// verificationTimeoutMS is how long a router waits for a suspected worker, in milliseconds.
+	// verificationTimeoutMS is how long a router waits for a suspected worker to answer a health check, in
+	// milliseconds.
 	verificationTimeoutMS = 400
 )
 
 // gossipCluster is the gossip between a scenario's routers: keys, the network with its faults, and the attackers.
 //
-// It owns the goroutines of forgers and liars, which stopAttackers ends and waits for.
+// It owns the goroutines of forgers and liars; stopAttackers stops them and waits for their end.
 type gossipCluster struct {
 	settings *Gossip
-	dir      string // of key files and the file of members
+	dir      string // for key files and the member list
 	seed     uint64
 	network  *fakepeer.Network
 	meters   []*fakepeer.Meter // by router
@@ -44,9 +45,9 @@
 	wg       sync.WaitGroup
 
 	mu      sync.Mutex
-	addrs   []string         // by router; empty: not started yet
+	addrs   []string         // by router; empty before its first start
 	conns   []*fakepeer.Conn // by router
-	dropped agent.Dropped    // by incarnations that ended
+	dropped agent.Dropped    // sum over the incarnations that have ended
 }
 
 func newGossipCluster(s *Scenario, dir string) (*gossipCluster, error) {
@@ -70,7 +71,8 @@
 
 func routerID(i int) string { return fmt.Sprintf("r%d", i) }
 
-// privateKey makes a member's key of a name from the scenario's seed, as such keys protect nothing.
+// privateKey derives a member's key of a given name from the scenario's seed. These keys are for tests only and need
+// not be secret.
 func (c *gossipCluster) privateKey(id, name string) ed25519.PrivateKey {
 	seed := sha256.Sum256(fmt.Appendf(nil, "%d %s %s", c.seed, id, name))
 	return ed25519.NewKeyFromSeed(seed[:])
@@ -78,7 +80,8 @@
 
 func (c *gossipCluster) membersPath() string { return filepath.Join(c.dir, membersFile) }
 
-// writeMembers writes the file of admitted members, routers and liars, with the keys of these names for each.
+// writeMembers writes the list of admitted members, which are the routers and liars, each with the keys of the given
+// names.
 func (c *gossipCluster) writeMembers(routers int, keyNames ...string) error {
 	var list config.MemberList
 	add := func(id string) {
@@ -102,7 +105,7 @@
 	return filepath.Join(c.dir, fmt.Sprintf("key-%d.pem", i))
 }
 
-// writeKey replaces a router's key file in one step.
+// writeKey atomically replaces a router's key file.
 func (c *gossipCluster) writeKey(i int, name string) error {
 	raw, err := config.FormatKey(agent.Key{Name: name, Private: c.privateKey(routerID(i), name)})
 	if err != nil {
@@ -111,14 +114,14 @@
 	return durable.ReplaceFile(durable.OS, c.keyPath(i), raw, 0o600)
 }
 
-// routerSettings are the gossip settings of a router's next incarnation.
+// routerSettings returns the gossip settings of a router's next incarnation.
 func (c *gossipCluster) routerSettings(i int) *config.Gossip {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := &config.Gossip{ID: routerID(i), Listen: loopbackAddress, Preset: gossipPreset, BytesPerSecond: c.settings.BytesPerSecond,
 		VerificationTimeout: verificationTimeoutMS, MembersFile: c.membersPath(), KeyFile: c.keyPath(i)}
 	if c.addrs[i] != "" {
-		g.Listen = c.addrs[i] // a later incarnation is found where the earlier one was
+		g.Listen = c.addrs[i] // a later incarnation keeps the address of the first
 	}
 	for _, addr := range c.addrs {
 		if addr != "" && addr != c.addrs[i] && len(g.Seeds) < maxSeeds {
@@ -128,7 +131,7 @@
 	return g
 }
 
-// hooks put the network and the router's meter between its agent and its sockets.
+// hooks returns hooks that put the fake network and the router's meter between its agent and its sockets.
 func (c *gossipCluster) hooks(i int) agent.Hooks {
 	meter := c.meters[i]
 	return agent.Hooks{WrapPacketConn: func(socket net.PacketConn) net.PacketConn {
@@ -140,14 +143,14 @@
 	}, AllowStream: func(_ string, n int) bool { meter.Add(n); return true }}
 }
 
-// routerStarted notes where a router's incarnation listens.
+// routerStarted records the gossip address of a router's incarnation.
 func (c *gossipCluster) routerStarted(i int, gateway *grpcgateway.Gateway) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addrs[i] = gateway.GossipAgent().Addr()
 }
 
-// routerStopping keeps the counters of an incarnation that is about to end.
+// routerStopping saves the counters of an incarnation that is about to end.
 func (c *gossipCluster) routerStopping(gateway *grpcgateway.Gateway) {
 	dropped := gateway.GossipAgent().Status().Dropped
 	c.mu.Lock()
--- a/internal/scenario/gossip_attackers.go
+++ b/internal/scenario/gossip_attackers.go
@@ -15,10 +15,11 @@
 const (
 	liarPrefix = "liar"
 
-	// liarInterval is how often a liar withdraws its suspicions and reports all workers as silent again.
+	// liarInterval is the interval at which a liar withdraws its reports and reports all workers as silent again.
 	liarInterval = 1500 * time.Millisecond
 
-	// Steps of a key rotation: first both keys are admitted, then routers sign with the new one, then the old one goes.
+	// Steps of a key rotation, after its start: the start admits both keys, rotationSignDelay later the routers sign
+	// with the new key, and rotationRemoveDelay after the start the old key is removed.
 	rotationSignDelay   = 1500 * time.Millisecond
 	rotationRemoveDelay = 4 * time.Second
 )
@@ -27,7 +28,7 @@
 
 func isLiar(id string) bool { return len(id) > len(liarPrefix) && strings.HasPrefix(id, liarPrefix) }
 
-// start starts the attackers and schedules what else is to happen to the gossip, once all routers run.
+// start starts the attackers and schedules the muting of routers and the key rotation. All routers must be running.
 func (c *gossipCluster) start(h *Harness) error {
 	c.mu.Lock()
 	addrs := slices.Clone(c.addrs)
@@ -45,7 +46,7 @@
 		}
 	}
 	if c.settings.MutedRouters > 0 {
-		h.after(c.settings.MutedAt.Duration(), c.muteRouters)
+		h.afterFunc(c.settings.MutedAt.Duration(), c.muteRouters)
 	}
 	if at := c.settings.KeyRotationAt.Duration(); at > 0 {
 		c.scheduleKeyRotation(h, at)
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// startForger starts an outsider that forges packets of all routers to all routers.
+// startForger starts an outsider that sends forged packets of all routers to all routers.
 func (c *gossipCluster) startForger(i int, addrs []string) error {
 	var names, keyNames []string
 	for i := range addrs {
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// startLiar starts an admitted member that reports every worker as silent, and in turn as well again: the dead, the
-// drained and the fresh ones alike.
+// startLiar starts an admitted member that periodically reports every worker as silent and withdraws the report again,
+// whether the worker is dead, draining or has just started.
 func (c *gossipCluster) startLiar(h *Harness, i int, addrs []string, started map[string]uint64) error {
 	id := liarID(i)
 	settings := c.agentConfig(&config.Gossip{Listen: loopbackAddress, Preset: gossipPreset,
@@ -116,7 +117,7 @@
 	}
 }
 
-// muteRouters drops all further packets of the last routers.
+// muteRouters drops all further packets of the routers with the highest indices.
 func (c *gossipCluster) muteRouters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +126,7 @@
 	}
 }
 
-// scheduleKeyRotation replaces the keys of all routers; no packet is to be rejected meanwhile.
+// scheduleKeyRotation schedules the replacement of all routers' keys. The steps are such that no packet is rejected.
 func (c *gossipCluster) scheduleKeyRotation(h *Harness, at time.Duration) {
 	routers := len(h.routers)
 	logError := func(err error) {
@@ -133,16 +134,16 @@
 			h.options.Logger.Error("gossip key not rotated", "error", err)
 		}
 	}
-	h.after(at, func() { logError(c.writeMembers(routers, firstKey, secondKey)) })
-	h.after(at+rotationSignDelay, func() {
+	h.afterFunc(at, func() { logError(c.writeMembers(routers, firstKey, secondKey)) })
+	h.afterFunc(at+rotationSignDelay, func() {
 		for i := range routers {
 			logError(c.writeKey(i, secondKey))
 		}
 	})
-	h.after(at+rotationRemoveDelay, func() { logError(c.writeMembers(routers, secondKey)) })
+	h.afterFunc(at+rotationRemoveDelay, func() { logError(c.writeMembers(routers, secondKey)) })
 }
 
-// stopAttackers stops forgers and liars and waits for their goroutines. Further calls do nothing.
+// stopAttackers stops the forgers and liars and waits for their goroutines. Further calls have no effect.
 func (c *gossipCluster) stopAttackers() {
 	select {
 	case <-c.stop:
--- a/internal/scenario/gossip_report.go
+++ b/internal/scenario/gossip_report.go
@@ -8,13 +8,13 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// Forged packets that are still under way at the end are waited for, so often and so long.
+// At the end, the report waits for forged packets in transit by polling the counters of dropped packets.
 const (
-	forgedPolls        = 50
+	forgedPollCount    = 50
 	forgedPollInterval = 20 * time.Millisecond
 )
 
-// GossipReport is the gossip's figures. Bytes are counted at a router's socket, over the whole scenario.
+// GossipReport holds the figures of the gossip. Bytes are counted at a router's socket, over the whole scenario.
 type GossipReport struct {
 	CapBytesPerSecond  float64       `json:"cap_bytes_per_s"`
 	MaxBytesPerSecond  float64       `json:"most_bytes_per_s"` // of any router
@@ -23,7 +23,7 @@
 	ForgedSent         int           `json:"forged_sent"`
 	Dropped            agent.Dropped `json:"dropped"`
 	Claims             uint64        `json:"claims"`
-	Verifications      uint64        `json:"looks"` // of workers, after a quorum of suspicions
+	Verifications      uint64        `json:"looks"` // health checks of workers after a quorum of suspicions
 	ConfirmedSilent    uint64        `json:"found_silent"`
 	Contradicted       uint64        `json:"looks_that_found_a_worker_well"`
 	MinLiveMembers     int           `json:"least_live_seen"`
@@ -31,8 +31,8 @@
 	KeysInUse          []string      `json:"keys_in_use"`
 }
 
-// report reads the routers' counters; the routers must still run. It stops the attackers first and waits until the
-// packets under way have arrived.
+// report stops the attackers, waits until packets in transit have arrived, and reads the routers' counters. The routers
+// must still be running.
 func (c *gossipCluster) report(h *Harness) *GossipReport {
 	c.stopAttackers()
 	report := &GossipReport{CapBytesPerSecond: c.meters[0].BytesPerSecond, MinLiveMembers: math.MaxInt32}
@@ -64,9 +64,10 @@
 	return report
 }
 
-// waitForForged returns what was dropped, once that is as much as was forged or after a while.
+// waitForForged waits until at least as many packets were dropped as were forged, or until its polls are used up. It
+// returns the counts of dropped packets over all incarnations.
 func (c *gossipCluster) waitForForged(h *Harness, forged uint64) (dropped agent.Dropped) {
-	for range forgedPolls {
+	for range forgedPollCount {
 		dropped = c.dropped
 		for _, slot := range h.routers {
 			dropped = dropped.Add(slot.gateway.GossipAgent().Status().Dropped)
--- a/internal/scenario/hangs.go
+++ b/internal/scenario/hangs.go
@@ -7,22 +7,23 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// HangReport is what was sent to workers while they hung. Times are in seconds from the start of the hang.
+// HangReport holds the attempts that were sent to workers while they hung. Times are in seconds since the start of the
+// hang.
 type HangReport struct {
 	Workers         int     `json:"workers"`
 	Attempts        int     `json:"attempts"`
-	P50             float64 `json:"p50_s"`  // over the attempts
-	P95             float64 `json:"p95_s"`  // over the attempts
-	MeanLastAttempt float64 `json:"stop_s"` // mean, over routers that sent any, of their last attempt at a worker
+	P50             float64 `json:"p50_s"`  // median time of the attempts
+	P95             float64 `json:"p95_s"`  // 95th percentile of the times of the attempts
+	MeanLastAttempt float64 `json:"stop_s"` // of each router's last attempt at a worker, if it sent any
 }
 
-// hang is the time in which a worker hung.
+// hang is the period in which a worker hung.
 type hang struct {
 	worker      string
 	from, until time.Duration
 }
 
-// reportHangs wants the records ordered by time.
+// reportHangs returns the figures of the attempts sent to hung workers. The records must be ordered by time.
 func reportHangs(hangs []hang, records []invariants.Record) *HangReport {
 	type pair struct{ router, worker string }
 	report := &HangReport{Workers: len(hangs)}
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -16,24 +16,26 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// answerWait is how long requests that are pending at the end are waited for, beyond the longest deadline.
-const answerWait = 3 * time.Second
+// answerTimeout is how long, beyond the longest deadline, Run waits for requests that are pending when the traffic
+// ends.
+const answerTimeout = 3 * time.Second
 
-// Options are how a scenario is run.
+// Options are the options of Run.
 type Options struct {
-	Dir            string // for endpoint lists and keys; empty: a temporary folder
-	Logger         *slog.Logger
-	NewDispatcher  func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: the module's own
-	Progress       func(Progress)                                             // called four times a second, from one goroutine
-	Started        func(*Harness)                                             // called once all routers and workers run
-	Stop           <-chan struct{}                                            // ends the traffic early
-	ChangeSettings func(*config.Gateway)                                      // changes the routers' settings before their start
+	Dir    string       // for endpoint lists and keys; empty means a temporary directory
+	Logger *slog.Logger // nil discards all messages
+	// NewDispatcher returns the dispatcher of a router; nil means dispatch.New.
+	NewDispatcher  func(dispatch.Settings, uint64) (router.Dispatcher, error)
+	Progress       func(Progress)        // called four times a second, from one goroutine
+	Started        func(*Harness)        // called once all routers and workers run
+	Stop           <-chan struct{}       // closed to end the traffic early
+	ChangeSettings func(*config.Gateway) // changes a router's settings before it starts
 }
 
-// Harness is a scenario while it runs: workers, routers and clients on loopback.
+// Harness is a running scenario: workers, routers and clients on loopback.
 //
-// It owns the goroutine that watches the workers and timers (see after). Run waits for the goroutine and for the timers
-// that are under way; the others do nothing once the scenario has ended.
+// It owns the goroutine that watches the workers, and timers (see afterFunc). Run waits for the goroutine and for the
+// timer functions that are running; timers that fire after the end of the scenario do nothing.
 type Harness struct {
 	scenario   *Scenario
 	options    Options
@@ -51,18 +53,19 @@
 	workersStarted   int
 	deduplicators    map[int]*fakeworker.Deduplicator // by cell
 	listVersion      int
-	extraListDelay   overridden[time.Duration] // on top of the scenario's notification delay
-	trafficMultiple  overridden[float64]       // of the scenario's call rate
-	firstRouterShare overridden[float64]       // of the traffic that goes to the first router in any case
-	newModelShare    overridden[float64]       // of the calls that go to models nobody called before
-	heavyTails       map[string]*overridden[heavyTail]
-	activeFaults     map[string]int // by kind
-	hangs            []hang         // of the workers, for the report
+	extraListDelay   overridden[time.Duration]         // added to the scenario's notification delay
+	trafficMultiple  overridden[float64]               // of the scenario's call rate
+	firstRouterShare overridden[float64]               // of the traffic; goes to the first router, not a random one
+	newModelShare    overridden[float64]               // of the calls; goes to the class's extra model (see models)
+	heavyTails       map[string]*overridden[heavyTail] // by class
+	activeFaults     map[string]int                    // by kind
+	hangs            []hang                            // of the workers, for the report
 	stopped          bool
-	timers           sync.WaitGroup // functions of after that run; none begins once stopped is set
+	timers           sync.WaitGroup // running functions of afterFunc; none starts once stopped is set
 }
 
-// Run runs a scenario to its end and reports. It returns an error if a worker, a router or the gossip does not start.
+// Run runs a scenario to its end and returns its report, or an error if a worker, a router or the gossip fails to
+// start.
 func Run(s *Scenario, o Options) (*Report, error) {
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
@@ -95,7 +98,7 @@
 	if o.Started != nil {
 		o.Started(h)
 	}
-	h.play()
+	h.runTrafficAndFaults()
 	return h.finish(), nil
 }
 
@@ -126,7 +129,8 @@
 	randomClasses
 )
 
-// models are those of every class, and one more of each that is called only while a hot_key fault lasts.
+// models returns the models of all classes. Each class has one more model, which is called only while a hot_key
+// fault lasts.
 func models(s *Scenario) map[string]fakeworker.Model {
 	all := map[string]fakeworker.Model{}
 	for _, c := range s.Classes {
@@ -146,7 +150,7 @@
 
 func newModelName(class string) string { return class + "-new" }
 
-// startRouters starts the routers one after another, and the gossip's attackers once all run.
+// startRouters starts the routers one after another and then the attackers on the gossip.
 func (h *Harness) startRouters() error {
 	for i := range h.scenario.Routers {
 		slot := &routerSlot{
@@ -166,23 +170,24 @@
 	return nil
 }
 
-// play schedules the faults, generates the traffic, and returns once no request is pending any more.
-func (h *Harness) play() {
+// runTrafficAndFaults schedules the faults, generates the traffic, and returns once no request is pending or after
+// answerTimeout.
+func (h *Harness) runTrafficAndFaults() {
 	startedAt := time.Now()
 	for _, f := range h.scenario.Faults {
-		h.after(f.Start.Duration(), func() { h.startFault(f) })
+		h.afterFunc(f.Start.Duration(), func() { h.startFault(f) })
 	}
 	stop := make(chan struct{})
 	var watcher sync.WaitGroup
 	watcher.Go(func() { h.watchWorkers(stop, startedAt) })
 	h.generateTraffic(startedAt)
 	h.stopTimers()
-	h.statistics.waitUntilIdle(h.longestDeadline() + answerWait)
+	h.statistics.waitUntilIdle(h.longestDeadline() + answerTimeout)
 	close(stop)
 	watcher.Wait()
 }
 
-// finish stops the routers and reports. The gossip is reported first, as its figures come from running routers.
+// finish stops the routers and returns the report. It reads the gossip counters first, while the routers still run.
 func (h *Harness) finish() *Report {
 	var gossip *GossipReport
 	if h.gossip != nil {
@@ -203,8 +208,8 @@
 	return longest
 }
 
-// after runs f in a goroutine of its own once d has passed, unless the scenario has ended by then.
-func (h *Harness) after(d time.Duration, f func()) {
+// afterFunc runs f in its own goroutine once d has passed, unless the scenario has ended by then.
+func (h *Harness) afterFunc(d time.Duration, f func()) {
 	time.AfterFunc(d, func() {
 		h.mu.Lock()
 		if h.stopped {
@@ -218,7 +223,7 @@
 	})
 }
 
-// stopTimers lets no further function of after begin, and waits for those that run.
+// stopTimers prevents further functions of afterFunc from starting, and waits for those that are running.
 func (h *Harness) stopTimers() {
 	h.mu.Lock()
 	h.stopped = true
@@ -226,7 +231,7 @@
 	h.timers.Wait()
 }
 
-// close kills whatever still runs.
+// close kills the clients, routers and workers that are still running.
 func (h *Harness) close() {
 	h.stopTimers()
 	for _, slot := range h.routers {
--- a/internal/scenario/overrides.go
+++ b/internal/scenario/overrides.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// overridden is a value that faults replace while they last. Of several at once the one that began last has effect; when
-// it ends, the latest of the others has it again, whatever the order in which they end.
+// overridden is a value that faults replace while they are active. If several faults are active, the value of the one
+// that started last is in effect. Faults may end in any order.
 type overridden[T any] struct {
 	usual  T
 	active []*T // oldest first
@@ -17,7 +17,7 @@
 	return o.usual
 }
 
-// begin puts a value into effect and returns what ends it.
+// begin puts a value into effect and returns the function that ends it.
 func (o *overridden[T]) begin(value T) (end func()) {
 	begun := &value
 	o.active = append(o.active, begun)
@@ -26,7 +26,7 @@
 	}
 }
 
-// override begins a value of the harness and returns what ends it.
+// override overrides a value of the harness, under the harness's lock, and returns the function that ends it.
 func override[T any](h *Harness, o *overridden[T], value T) func() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Bounds of a scenario file.
+// Upper limits for the values in a scenario file.
 const (
 	maxLengthSeconds  = 600
 	maxRouters        = 100
@@ -24,7 +24,7 @@
 //go:embed scenarios/*.json
 var embedded embed.FS
 
-// Names lists the scenarios that come with the program.
+// Names returns the names of the embedded scenarios.
 func Names() []string {
 	files, err := fs.Glob(embedded, "scenarios/*.json")
 	if err != nil {
@@ -36,7 +36,7 @@
 	return files
 }
 
-// Load reads a scenario that comes with the program, by its name, or else a file.
+// Load reads the embedded scenario of a name or, if there is none, the file of that name.
 func Load(name string) (*Scenario, error) {
 	if raw, err := embedded.ReadFile("scenarios/" + name + ".json"); err == nil {
 		return Parse(name, raw)
@@ -48,7 +48,8 @@
 	return Parse(name, raw)
 }
 
-// Parse reads and validates a scenario file. Errors start with name; those of the JSON name the line, others the key.
+// Parse parses and validates a scenario file. Errors start with name and give the line of a JSON error or the key of an
+// invalid value.
 func Parse(name string, raw []byte) (*Scenario, error) {
 	var s Scenario
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -79,7 +80,7 @@
 	case len(s.Fleet.Kinds) == 0 || s.Fleet.CellSize < 1 || s.Fleet.Zones < 1:
 		return errors.New("fleet: needs kinds, cell_size and zones")
 	case len(s.Classes) == 0:
-		return errors.New("classes: none")
+		return errors.New("classes: needs at least one class")
 	case s.Traffic.CallsPerSecond <= 0 || s.Traffic.CallsPerSecond > maxCallsPerSecond:
 		return fmt.Errorf("traffic.calls_per_s: %v is not within 0 to %d", s.Traffic.CallsPerSecond, maxCallsPerSecond)
 	}
@@ -99,14 +100,14 @@
 func (s *Scenario) validateFault(i int) error {
 	f := s.Faults[i]
 	if _, ok := faultKinds[f.Kind]; !ok {
-		return fmt.Errorf("troubles[%d].kind: %q is none of %s", i, f.Kind, strings.Join(FaultKindNames(), ", "))
+		return fmt.Errorf("troubles[%d].kind: %q is not one of %s", i, f.Kind, strings.Join(FaultKindNames(), ", "))
 	}
 	known := f.Class == "" || slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class })
 	if !known {
-		return fmt.Errorf("troubles[%d].class: %q is none of the classes", i, f.Class)
+		return fmt.Errorf("troubles[%d].class: %q is not one of the classes", i, f.Class)
 	}
 	if f.Start < 0 || f.Length < 0 || f.Share < 0 || f.Share > 1 {
-		return fmt.Errorf("troubles[%d]: times below 0, or part not within 0 to 1", i)
+		return fmt.Errorf("troubles[%d]: at_s or for_s is below 0, or part is not within 0 to 1", i)
 	}
 	return nil
 }
--- a/internal/scenario/parse_test.go
+++ b/internal/scenario/parse_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestParseErrorsNameThePlace(t *testing.T) {
+func TestParseErrorsNameLineOrKey(t *testing.T) {
 	valid, err := embedded.ReadFile("scenarios/demo.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scenario/print.go
+++ b/internal/scenario/print.go
@@ -16,7 +16,7 @@
 	progressBarWidth  = 24
 )
 
-// Progress is the state of a scenario while it runs.
+// Progress is the state of a running scenario.
 type Progress struct {
 	Elapsed, Length        time.Duration
 	Sent, Served, Rejected int // requests
@@ -24,7 +24,7 @@
 	ActiveFaults           []string
 }
 
-// Line is the progress on one line.
+// Line formats the progress on one line.
 func (p Progress) Line() string {
 	full := min(int(float64(progressBarWidth)*float64(p.Elapsed)/float64(max(p.Length, 1))), progressBarWidth)
 	return fmt.Sprintf("[%s%s] %5.1fs  sent %d  served %d  rejected %d  failed %d  pending %d  %s",
@@ -32,7 +32,7 @@
 		p.Rejected, p.Failed, p.Pending, strings.Join(slices.Compact(p.ActiveFaults), "+"))
 }
 
-// Print writes the report as tables for a person.
+// Print writes the report as text for people.
 func (r *Report) Print(w io.Writer) error {
 	var text strings.Builder
 	if err := r.formatClasses(&text); err != nil {
@@ -60,7 +60,7 @@
 
 func (r *Report) formatTotals(text *strings.Builder) {
 	fmt.Fprintf(text, "service %.3f (value served over value requested); %d attempts, %d load commands, "+
-		"%d fetches from the store, %d rejected\n\n", r.Service, r.Attempts, r.LoadCommands, r.StoreFetches, r.StoreRejections)
+		"%d fetches from the store, %d rejected\n\n", r.ServedValueFraction, r.Attempts, r.LoadCommands, r.StoreFetches, r.StoreRejections)
 	if h := r.Hangs; h != nil {
 		fmt.Fprintf(text, "hanging workers: %d; %d attempts went there, half within %.2f s, 95 of 100 within %.2f s; a router's "+
 			"last after %.2f s\n", h.Workers, h.Attempts, h.P50, h.P95, h.MeanLastAttempt)
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -11,35 +11,35 @@
 const (
 	// reportedViolations is how many violations a report describes; all are counted.
 	reportedViolations = 100
-	// responseGrace is allowed for a final answer after its deadline.
+	// responseGrace is how long after its deadline a final answer may reach the client.
 	responseGrace = 250 * time.Millisecond
-	// recordingDelay is allowed between sending and recording.
+	// recordingDelay is the longest time allowed between sending and recording a message.
 	recordingDelay = 250 * time.Millisecond
 )
 
 // Report is the result of a scenario.
 type Report struct {
-	Scenario         string        `json:"day"`
-	Seed             uint64        `json:"seed"`
-	Length           float64       `json:"length_s"`
-	Routers          int           `json:"routers"`
-	Workers          int           `json:"workers"`
-	Service          float64       `json:"service"` // value of the served requests over that of all
-	Classes          []ClassReport `json:"classes"`
-	Attempts         int           `json:"attempts"`
-	LoadCommands     int           `json:"load_orders"`
-	StoreFetches     int           `json:"store_fetches"`
-	StoreRejections  int           `json:"store_refusals"`
-	Faults           []string      `json:"troubles"`
-	Records          int           `json:"records"`
-	Violations       []string      `json:"breaches"` // the first ones
-	ViolationsByRule [5]int        `json:"breaches_by_rule"`
-	Hangs            *HangReport   `json:"silence,omitempty"`
-	Gossip           *GossipReport `json:"gossip,omitempty"`
+	Scenario            string        `json:"day"`
+	Seed                uint64        `json:"seed"`
+	Length              float64       `json:"length_s"`
+	Routers             int           `json:"routers"`
+	Workers             int           `json:"workers"`
+	ServedValueFraction float64       `json:"service"` // value of served requests over value of all requests
+	Classes             []ClassReport `json:"classes"`
+	Attempts            int           `json:"attempts"`
+	LoadCommands        int           `json:"load_orders"`
+	StoreFetches        int           `json:"store_fetches"`
+	StoreRejections     int           `json:"store_refusals"`
+	Faults              []string      `json:"troubles"`
+	Records             int           `json:"records"`
+	Violations          []string      `json:"breaches"` // the first reportedViolations of them
+	ViolationsByRule    [5]int        `json:"breaches_by_rule"`
+	Hangs               *HangReport   `json:"silence,omitempty"`
+	Gossip              *GossipReport `json:"gossip,omitempty"`
 }
 
-// ClassReport is one class's figures. Response times are in seconds, over the served requests, from the moment when
-// each was due.
+// ClassReport holds the figures of a class. Response times are in seconds, over the served requests, from the scheduled
+// arrival of each request.
 type ClassReport struct {
 	Class        string  `json:"class"`
 	Idempotency  string  `json:"effect"`
@@ -67,13 +67,13 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// report counts and checks what was recorded. Nothing may run any more.
+// report counts the records and checks the rules. The routers must have stopped.
 func (h *Harness) report() *Report {
 	s := h.scenario
 	records := h.records.Records()
 	report := &Report{Scenario: s.Name, Seed: s.Seed, Length: float64(s.Length), Routers: s.Routers, Workers: s.Fleet.Workers,
 		Records: len(records), Violations: []string{}, Faults: []string{}}
-	report.Classes, report.Service = h.statistics.report(s.Classes)
+	report.Classes, report.ServedValueFraction = h.statistics.report(s.Classes)
 	for _, r := range records {
 		switch {
 		case r.Kind == invariants.AttemptReceived:
@@ -98,8 +98,9 @@
 	return report
 }
 
-// report gives the classes' figures in the scenario's order, and the service over all.
-func (s *statistics) report(classes []Class) (reports []ClassReport, service float64) {
+// report returns the figures of the classes in the scenario's order, and the fraction of the requested value that was
+// served.
+func (s *statistics) report(classes []Class) (reports []ClassReport, servedValueFraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	value, offered := 0.0, 0.0
@@ -123,11 +124,12 @@
 		offered += c.PriorityWeight * float64(st.requests)
 	}
 	if offered > 0 {
-		service = value / offered
+		servedValueFraction = value / offered
 	}
-	return reports, service
+	return reports, servedValueFraction
 }
 
+// checkerSettings returns the limits that the records are checked against.
 func (h *Harness) checkerSettings() invariants.Settings {
 	limits := h.scenario.Limits
 	settings := invariants.Settings{
--- a/internal/scenario/routers.go
+++ b/internal/scenario/routers.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// routerDrainTimeout bounds a router's shutdown. No call is pending by then, unless a rule is violated.
+	// routerDrainTimeout limits the time of a router's shutdown. No call is pending at a shutdown unless a rule is
+	// violated.
 	routerDrainTimeout = 2 * time.Second
 	// listCheckMS is how often a router checks the file of its endpoint list, in milliseconds.
 	listCheckMS = 500
-	// responseMarginMS is how long before a deadline a router answers, in milliseconds.
+	// responseMarginMS is how long before a deadline a router answers at the latest, in milliseconds.
 	responseMarginMS = 50
 )
 
-// routerSlot is the place of one router and its successors after a kill.
+// routerSlot holds the current incarnation of a router. A kill ends an incarnation, and the restart begins the next.
 type routerSlot struct {
 	index, incarnations int
 	endpointsFile       string
 
 	mu          sync.Mutex
-	name        string // of the present incarnation
+	name        string // of the current incarnation
 	gateway     *grpcgateway.Gateway
 	client      *fakeclient.Client
-	listVersion int             // of the endpoint list delivered last
-	notified    map[string]bool // what the list says of each worker: is it active?
+	listVersion int             // of the last endpoint list delivered
+	notified    map[string]bool // by worker: whether that list has it as active
 }
 
 // startRouter starts a router's next incarnation.
@@ -43,7 +44,7 @@
 	}
 	slot.mu.Lock()
 	slot.name = name
-	for id, active := range slot.notified { // a new incarnation is notified by the list that it finds
+	for id, active := range slot.notified { // a new incarnation starts with the last list delivered
 		h.records.Add(invariants.Record{Kind: invariants.EndpointNotified, Router: name, Worker: id, Unavailable: !active})
 	}
 	slot.mu.Unlock()
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// routerSettings are those of a router's present incarnation.
+// routerSettings returns the settings of a router's current incarnation.
 func (h *Harness) routerSettings(slot *routerSlot) *config.Gateway {
 	s, g := h.scenario, config.Defaults()
 	g.Name, g.Listen, g.Routers = slot.name, "127.0.0.1:0", s.Routers
@@ -99,7 +100,7 @@
 
 func (s Seconds) milliseconds() config.Milliseconds { return config.Milliseconds(s * 1000) }
 
-// settings are a class as routers have it.
+// settings returns the class as configured in routers.
 func (c *Class) settings() config.Class {
 	return config.Class{
 		Name:                c.Name,
@@ -113,7 +114,7 @@
 	}
 }
 
-// apply gives a router the limits that the rules set.
+// apply sets the limits in a router's settings.
 func (l *Limits) apply(g *config.Gateway) {
 	g.Loading.RateWindow, g.Loading.RateBurst = l.LoadRateWindow.milliseconds(), l.LoadRateBurst
 	g.Loading.RateRatio = l.LoadRateRatio
@@ -122,7 +123,7 @@
 	g.Safety.OverloadMultiple, g.Safety.OverloadWindow = l.OverloadMultiple, l.OverloadWindow.milliseconds()
 }
 
-// Addresses are the routers' gRPC addresses.
+// Addresses returns the gRPC addresses of the routers.
 func (h *Harness) Addresses() (addresses []string) {
 	for _, slot := range h.routers {
 		slot.mu.Lock()
@@ -132,14 +133,15 @@
 	return addresses
 }
 
-// restartRouters kills some routers one after another and starts each again with nothing but its last endpoint list.
+// restartRouters kills a share of the routers one after another and restarts each of them. A restarted router keeps
+// only its last endpoint list.
 func (h *Harness) restartRouters(f Fault) {
 	n := max(int(f.Share*float64(len(h.routers))+0.5), 1)
 	h.mu.Lock()
 	order := h.rng.Perm(len(h.routers))[:n]
 	h.mu.Unlock()
 	for k, i := range order {
-		h.after(f.Length.Duration()*time.Duration(k)/time.Duration(n), func() { h.restartRouter(h.routers[i]) })
+		h.afterFunc(f.Length.Duration()*time.Duration(k)/time.Duration(n), func() { h.restartRouter(h.routers[i]) })
 	}
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,27 +1,27 @@
 // Package scenario runs scripted scenarios over loopback sockets: a fleet of fake workers, routers, clients and an
-// endpoint list, with faults injected at set times. What clients, workers and list recorded at their ends of the
-// sockets is then checked against the five rules of package invariants.
+// endpoint list, with faults injected at set times. The five rules of package invariants are then checked on what
+// clients, workers and the endpoint list recorded at their own ends of the sockets.
 //
-// A scenario is a JSON file (see Parse); those that come with the program stand in the folder scenarios. Run plays one
-// and returns its Report. All random choices are drawn from the scenario's seed, but runs are in real time: two runs
-// of one scenario are alike, not equal.
+// A scenario is a JSON file (see Parse); the folder scenarios holds those embedded in the program. Run runs one and
+// returns its Report. All random choices are drawn from the scenario's seed, but runs happen in real time, so two runs
+// of the same scenario differ in detail.
 package scenario
 
 import "time"
 
-// Seconds is a time as scenario files have it.
+// Seconds is a duration in seconds, as in scenario files.
 type Seconds float64
 
-// Duration converts it.
+// Duration converts s to a time.Duration.
 func (s Seconds) Duration() time.Duration { return seconds(float64(s)) }
 
-// Values of Class.Idempotency that the harness itself needs.
+// Values of Class.Idempotency that this package compares with.
 const (
 	idempotent      = "safe"
 	idempotentByKey = "keyed"
 )
 
-// Scenario is what is run, as a scenario file has it.
+// Scenario is the content of a scenario file.
 type Scenario struct {
 	Name         string       `json:"name"`
 	Description  string       `json:"about"`
@@ -34,16 +34,16 @@
 	Traffic      Traffic      `json:"traffic"`
 	EndpointList EndpointList `json:"list"`
 	Limits       Limits       `json:"rules"`
-	Gossip       *Gossip      `json:"gossip,omitempty"` // nil: the routers share nothing
+	Gossip       *Gossip      `json:"gossip,omitempty"` // nil disables gossip between the routers
 	Faults       []Fault      `json:"troubles"`
 }
 
-// Fleet is the workers and how they work.
+// Fleet describes the workers and their behaviour.
 type Fleet struct {
 	Workers            int          `json:"workers"`
 	CellSize           int          `json:"cell_size"`
 	Zones              int          `json:"zones"`
-	Kinds              []WorkerKind `json:"kinds"` // assigned to the workers in turn
+	Kinds              []WorkerKind `json:"kinds"` // assigned to the workers in rotation
 	QueueLength        int          `json:"queue"`
 	ConcurrentLoads    int          `json:"loads_at_once"`
 	IdleResidency      Seconds      `json:"idle_keep_s"`
@@ -58,17 +58,17 @@
 type WorkerKind struct {
 	Name     string  `json:"name"`
 	Cores    int     `json:"cores"`
-	Speed    float64 `json:"speed"` // of a core; work is given for speed 1
+	Speed    float64 `json:"speed"` // of each core; amounts of work are for speed 1
 	MemoryMB float64 `json:"memory_mb"`
 }
 
-// Store is the store from which all workers fetch functions.
+// Store limits the store from which all workers fetch functions.
 type Store struct {
 	FetchesPerSecond float64 `json:"fetches_per_s"`
 	MaxInFlight      int     `json:"in_hand"`
 }
 
-// Class is a class of calls and the models that they call.
+// Class is a class of requests and the models that they call.
 type Class struct {
 	Name                   string  `json:"name"`
 	Idempotency            string  `json:"effect"`
@@ -78,7 +78,7 @@
 	Deadline               Seconds `json:"deadline_s"`
 	PriorityWeight         float64 `json:"worth"`
 	LateValueFraction      float64 `json:"late_share"`
-	TrafficShare           float64 `json:"share"` // of all calls, relative to the other classes'
+	TrafficShare           float64 `json:"share"` // of all requests, relative to the other classes
 	ModelCount             int     `json:"models"`
 	MemoryMB               float64 `json:"memory_mb"`
 	ConcurrencyPerInstance int     `json:"lanes"`
@@ -90,27 +90,27 @@
 	BytesPerMessage        int     `json:"bytes"`
 }
 
-// meanWork is a call's mean work on a core of speed 1.
+// meanWork returns the mean work of a call on a core of speed 1.
 func (c *Class) meanWork() time.Duration {
 	return time.Duration(c.MeanWorkMS * float64(time.Millisecond))
 }
 
-// Traffic is the rate of calls and the habits of clients.
+// Traffic describes the rate of requests and the behaviour of clients.
 type Traffic struct {
 	CallsPerSecond   float64 `json:"calls_per_s"` // over all routers
 	ZipfExponent     float64 `json:"zipf"`        // exponent of the models' popularity
 	MaxRetries       int     `json:"retries"`
 	Backoff          Seconds `json:"backoff_s"` // before the first retry; doubled for each further one
-	WorkHints        bool    `json:"hints"`     // clients estimate the work of their calls
-	CallTimeoutShare float64 `json:"try_share"` // of the class's deadline, after which a client gives a call up; 0: all of it
+	WorkHints        bool    `json:"hints"`     // whether clients send an estimate of the work of a call
+	CallTimeoutShare float64 `json:"try_share"` // timeout of a call as a fraction of the class's deadline; 0 means 1
 }
 
-// EndpointList is how the routers get the list of workers.
+// EndpointList describes the delivery of the endpoint list to the routers.
 type EndpointList struct {
-	NotificationDelay Seconds `json:"delay_s"` // of a change; each router's differs by up to a fifth
+	NotificationDelay Seconds `json:"delay_s"` // until a router gets a change; drawn for each router within 20 percent
 }
 
-// Limits are what the rules set; see invariants.Settings.
+// Limits are the limits of the rules; see invariants.Settings.
 type Limits struct {
 	DrainGrace        Seconds `json:"drain_grace_s"`
 	SlowStartShare    float64 `json:"cold_share"`
@@ -122,24 +122,24 @@
 	LoadRateRatio     float64 `json:"load_share"`
 }
 
-// Gossip is the gossip between the routers and the attacks on it.
+// Gossip describes the gossip between the routers and the attacks on it.
 type Gossip struct {
-	Forgers         int     `json:"forgers"`        // outsiders that forge other members' packets
-	ForgedPerSecond float64 `json:"forged_per_s"`   // of each forger
+	Forgers         int     `json:"forgers"`        // outsiders that forge packets of members
+	ForgedPerSecond float64 `json:"forged_per_s"`   // packets sent by each forger
 	Liars           int     `json:"liars"`          // admitted members that report every worker as silent
-	MutedRouters    int     `json:"mute"`           // routers whose packets stop arriving
-	MutedAt         Seconds `json:"mute_at_s"`      // when they do
-	BytesPerSecond  float64 `json:"bytes_per_s"`    // each router's limit; 0: the preset's
-	PacketLoss      float64 `json:"loss"`           // share of the datagrams
-	KeyRotationAt   Seconds `json:"key_exchange_s"` // when all routers replace their keys; 0: never
+	MutedRouters    int     `json:"mute"`           // routers whose packets are dropped from MutedAt on
+	MutedAt         Seconds `json:"mute_at_s"`      // since the start of the gossip
+	BytesPerSecond  float64 `json:"bytes_per_s"`    // limit of each router; 0 means the limit of the preset
+	PacketLoss      float64 `json:"loss"`           // share of the datagrams that are lost
+	KeyRotationAt   Seconds `json:"key_exchange_s"` // when all routers replace their keys; 0 means never
 }
 
-// Fault is something that is made to fail.
+// Fault is a fault to inject.
 type Fault struct {
 	Kind      string  `json:"kind"` // one of FaultKindNames
 	Start     Seconds `json:"at_s"`
 	Length    Seconds `json:"for_s"`
-	Share     float64 `json:"part"`  // of the workers, routers, models or calls concerned
-	Magnitude float64 `json:"size"`  // how strong; its meaning depends on the kind
-	Class     string  `json:"class"` // concerned; empty: the first
+	Share     float64 `json:"part"`  // of the workers, routers, models or calls that are affected
+	Magnitude float64 `json:"size"`  // its meaning depends on the kind; see FaultDescription
+	Class     string  `json:"class"` // of the calls that are affected; empty means the first class
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -13,7 +13,7 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// shortScenario is the demo's fleet with less traffic and without faults.
+// shortScenario returns the demo scenario with less traffic and without faults.
 func shortScenario(t *testing.T, length Seconds) *Scenario {
 	t.Helper()
 	s, err := Load("demo")
@@ -37,20 +37,20 @@
 	return slog.New(slog.NewTextHandler(testWriter{t}, &slog.HandlerOptions{Level: level}))
 }
 
-// mutation breaks one part of a router on purpose, so that a rule is violated under a scenario that satisfies it
-// otherwise.
+// mutation deliberately breaks one part of a router, so that a rule is violated in a scenario that otherwise
+// satisfies it.
 type mutation struct {
 	rule     int
 	scenario func(*Scenario)
 	settings func(*dispatch.Settings)
 	event    func(dispatch.Event) dispatch.Event
-	action   func(dispatch.Action) bool // false: the action is dropped
+	action   func(dispatch.Action) bool // returns false for actions to drop
 }
 
 var mutations = []mutation{
 	{rule: invariants.RuleFinalAnswer, scenario: func(s *Scenario) {
 		s.Faults = []Fault{{Kind: "hang", Start: 0.5, Length: 5, Share: 0.34}}
-	}, action: func(a dispatch.Action) bool { // no failure reaches its client
+	}, action: func(a dispatch.Action) bool { // drop failures and rejections
 		_, failed := a.(dispatch.FailRequest)
 		_, rejected := a.(dispatch.RejectRequest)
 		return !failed && !rejected
@@ -58,14 +58,14 @@
 	{rule: invariants.RuleSideEffect, scenario: func(s *Scenario) {
 		s.Classes[2].StreamedShare, s.Classes[2].TrafficShare = 1, 1
 		s.Faults = []Fault{{Kind: "mid_stream", Start: 0.5, Length: 1, Share: 0.5, Class: "points"}}
-	}, settings: func(s *dispatch.Settings) { // what may have run is retried
+	}, settings: func(s *dispatch.Settings) { // retry requests that may have run
 		for i := range s.Classes {
 			s.Classes[i].Idempotency = dispatch.Idempotent
 		}
 	}},
 	{rule: invariants.RuleDrain, scenario: func(s *Scenario) {
 		s.Faults = []Fault{{Kind: "preempt", Start: 0.3, Length: 1, Share: 0.5, Magnitude: 2.5}}
-	}, event: func(e dispatch.Event) dispatch.Event { // drains are not noticed
+	}, event: func(e dispatch.Event) dispatch.Event { // hide drains
 		if update, ok := e.(dispatch.EndpointUpdate); ok {
 			for i := range update.Endpoints {
 				if update.Endpoints[i].State == dispatch.EndpointDraining {
@@ -79,27 +79,27 @@
 		s.Fleet.Workers, s.Limits.SlowStartShare, s.Limits.OverloadMultiple, s.Limits.SlowStartDuration = 3, 0.05, 1.1, 8
 		s.Traffic.CallsPerSecond, s.Store.FetchesPerSecond = 150, 100
 		s.Faults = []Fault{{Kind: "vanish", Start: 0.3, Length: 0.5, Share: 0.34}}
-	}, event: onlyFreshWorkers},
+	}, event: onlyColdWorkers},
 	{rule: invariants.RuleLoadRate, scenario: func(s *Scenario) {
 		s.Fleet.OnCacheMiss, s.Limits.LoadRateBurst, s.Limits.LoadRateRatio = "refuse", 1, 0.02
 	}, settings: func(s *dispatch.Settings) { s.LoadRateWindow = 0 }}, // no rate limit
 }
 
-// onlyFreshWorkers makes workers that have just started look warm, and like the only ones.
-func onlyFreshWorkers(e dispatch.Event) dispatch.Event {
+// onlyColdWorkers changes an update so that cold workers look warm and all other workers look removed.
+func onlyColdWorkers(e dispatch.Event) dispatch.Event {
 	update, ok := e.(dispatch.EndpointUpdate)
-	fresh := slices.DeleteFunc(slices.Clone(update.Endpoints), func(e dispatch.Endpoint) bool { return e.StartedAt == 0 })
-	if !ok || len(fresh) == 0 {
+	cold := slices.DeleteFunc(slices.Clone(update.Endpoints), func(e dispatch.Endpoint) bool { return e.StartedAt == 0 })
+	if !ok || len(cold) == 0 {
 		return e
 	}
-	for i := range fresh {
-		fresh[i].StartedAt = 0
+	for i := range cold {
+		cold[i].StartedAt = 0
 	}
-	update.Snapshot, update.Endpoints = true, fresh // the others are gone
+	update.Snapshot, update.Endpoints = true, cold // a snapshot removes all others
 	return update
 }
 
-// newDispatcher returns the module with the mutation.
+// newDispatcher returns a dispatcher with the mutation.
 func (m mutation) newDispatcher(settings dispatch.Settings, seed uint64) (router.Dispatcher, error) {
 	if m.settings != nil {
 		m.settings(&settings)
@@ -108,7 +108,7 @@
 	return mutant{d, m}, err
 }
 
-// mutant is a module with a mutation of its events and actions.
+// mutant is a dispatcher whose events and actions are mutated.
 type mutant struct {
 	router.Dispatcher
 	mutation mutation
@@ -133,8 +133,8 @@
 	return remaining
 }
 
-// TestCheckerFindsEachViolation runs the same short scenario with the module as it is, which satisfies all rules, and
-// with one part of the router broken on purpose, which the checker must see at the sockets.
+// TestCheckerFindsEachViolation runs the same short scenario with the unchanged dispatcher, which satisfies all
+// rules, and with each mutation, whose violation the checker must find in the records made at the sockets.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(fmt.Sprintf("rule %d satisfied", m.rule), func(t *testing.T) {
@@ -146,7 +146,7 @@
 		t.Run(fmt.Sprintf("rule %d violated", m.rule), func(t *testing.T) {
 			t.Parallel()
 			if r := m.run(t, Options{NewDispatcher: m.newDispatcher}); r.ViolationsByRule[m.rule-1] == 0 {
-				t.Errorf("rule %d was violated on purpose and the checker saw nothing; violations by rule %v", m.rule, r.ViolationsByRule)
+				t.Errorf("the checker did not find the violation of rule %d; violations by rule %v", m.rule, r.ViolationsByRule)
 			}
 		})
 	}
@@ -164,9 +164,9 @@
 	return r
 }
 
-// TestGossipWithAttackers has liars that report every worker as silent, forgers, muted routers, packet loss and a key
-// rotation, while workers hang, drain, and come back cold. The rules are satisfied, nobody sends more than its limit,
-// what was forged was dropped, and the liars have lost weight.
+// TestGossipWithAttackers runs gossip with liars that report every worker as silent, forgers, muted routers, packet
+// loss and a key rotation, while workers hang, drain, and restart cold. The rules must be satisfied, no router may
+// exceed its limit, forged packets must be dropped, and the liars must have lost weight.
 func TestGossipWithAttackers(t *testing.T) {
 	s := shortScenario(t, 9)
 	s.Routers, s.Fleet.Workers, s.Traffic.CallsPerSecond = 8, 8, 100
@@ -187,8 +187,8 @@
 	if g.TimesOverCap > 0 {
 		t.Errorf("the limit was exceeded %d times", g.TimesOverCap)
 	}
-	// Beyond the forged packets, copies of honest ones are dropped, none of which arrives twice here, and those with
-	// the old key.
+	// Besides forged packets, duplicates of valid packets and packets signed with an old key are dropped. The network
+	// of this test duplicates no packets.
 	dropped, forged := g.Dropped.TotalPackets(), uint64(g.ForgedSent)
 	if dropped < forged || dropped-g.Dropped.UnknownKey-g.Dropped.RateLimited > forged {
 		t.Errorf("%d forged, dropped %+v", forged, g.Dropped)
@@ -202,5 +202,5 @@
 	if g.Claims == 0 || g.Verifications == 0 {
 		t.Error("no claim was made, or none was verified")
 	}
-	t.Logf("service %.3f, %+v, %+v", r.Service, *g, r.Hangs)
+	t.Logf("service %.3f, %+v, %+v", r.ServedValueFraction, *g, r.Hangs)
 }
--- a/internal/scenario/statistics.go
+++ b/internal/scenario/statistics.go
@@ -10,18 +10,18 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// Range and precision of the response times' histograms.
+// Range and precision of the histograms of response times.
 const (
 	maxLatencyMicros = 60_000_000
 	latencyDigits    = 3
 )
 
-// statistics counts what clients got. It may be used from any goroutine.
+// statistics counts the results of requests. It is safe for concurrent use.
 type statistics struct {
 	mu      sync.Mutex
 	classes map[string]*classStatistics
 	pending int
-	idle    chan struct{} // has an element when nothing is pending, or was a short while ago
+	idle    chan struct{} // holds an element if no request is pending; it may be outdated
 }
 
 type classStatistics struct {
@@ -45,8 +45,8 @@
 	s.pending++
 }
 
-// requestEnded takes the result of a request's last call.
-func (s *statistics) requestEnded(c *Class, result fakeclient.Result, took time.Duration, calls int) {
+// requestEnded counts a request by the result of its last call.
+func (s *statistics) requestEnded(c *Class, result fakeclient.Result, elapsed time.Duration, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	class := s.classes[c.Name]
@@ -55,7 +55,7 @@
 	switch {
 	case !result.Answered:
 		class.unanswered++
-	case result.Answer == invariants.Served && took <= c.LatencyObjective.Duration():
+	case result.Answer == invariants.Served && elapsed <= c.LatencyObjective.Duration():
 		class.onTime++
 	case result.Answer == invariants.Served:
 		class.late++
@@ -65,7 +65,7 @@
 		class.failed++
 	}
 	if result.Answered && result.Answer == invariants.Served {
-		_ = class.latency.RecordValue(took.Microseconds()) // fails beyond the range, which deadlines rule out
+		_ = class.latency.RecordValue(elapsed.Microseconds()) // fails only above maxLatencyMicros, which no deadline reaches
 	}
 	if s.pending--; s.pending == 0 {
 		select {
@@ -75,7 +75,7 @@
 	}
 }
 
-// waitUntilIdle returns when nothing is pending, or after the timeout.
+// waitUntilIdle returns when no request is pending, or after the timeout.
 func (s *statistics) waitUntilIdle(timeout time.Duration) {
 	timedOut := time.After(timeout)
 	for {
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -14,26 +14,26 @@
 
 const (
 	hintSigma       = 0.2                   // of the log-normal error of a work hint
-	minRetryTimeout = 10 * time.Millisecond // a retry that would have less time than this is not made
+	minRetryTimeout = 10 * time.Millisecond // clients do not retry with less time before the deadline
 )
 
-// trafficSource draws requests. Each quantity has a random stream of its own, drawn from the scenario's seed.
+// trafficSource draws requests. Each quantity has its own random stream, seeded from the scenario's seed.
 type trafficSource struct {
-	scenario *Scenario
-	gaps     distuv.Exponential // between arrivals, of mean 1
-	choices  *rand.Rand
-	classes  distuv.Categorical
-	models   map[string]distuv.Categorical // by class
-	work     map[string]distuv.LogNormal   // by class, in seconds
+	scenario      *Scenario
+	interarrivals distuv.Exponential // times between arrivals, with mean 1
+	choices       *rand.Rand
+	classes       distuv.Categorical
+	models        map[string]distuv.Categorical // by class
+	work          map[string]distuv.LogNormal   // by class, in seconds
 }
 
 func newTrafficSource(s *Scenario) *trafficSource {
 	t := &trafficSource{
-		scenario: s,
-		gaps:     distuv.Exponential{Rate: 1, Src: rand.NewPCG(s.Seed, randomArrivals)},
-		choices:  rand.New(rand.NewPCG(s.Seed, randomChoices)),
-		models:   map[string]distuv.Categorical{},
-		work:     map[string]distuv.LogNormal{},
+		scenario:      s,
+		interarrivals: distuv.Exponential{Rate: 1, Src: rand.NewPCG(s.Seed, randomArrivals)},
+		choices:       rand.New(rand.NewPCG(s.Seed, randomChoices)),
+		models:        map[string]distuv.Categorical{},
+		work:          map[string]distuv.LogNormal{},
 	}
 	shares := make([]float64, 0, len(s.Classes))
 	for _, c := range s.Classes {
@@ -51,7 +51,7 @@
 	return t
 }
 
-// generateTraffic sends requests at the scenario's rate until it ends. Arrivals don't wait for answers.
+// generateTraffic sends requests at the scenario's rate until the scenario ends. Arrivals do not depend on answers.
 func (h *Harness) generateTraffic(startedAt time.Time) {
 	s := h.scenario
 	source := newTrafficSource(s)
@@ -61,7 +61,7 @@
 		rate := s.Traffic.CallsPerSecond * h.trafficMultiple.value()
 		firstRouterShare, newModelShare := h.firstRouterShare.value(), h.newModelShare.value()
 		h.mu.Unlock()
-		at += time.Duration(source.gaps.Rand() / rate * float64(time.Second))
+		at += time.Duration(source.interarrivals.Rand() / rate * float64(time.Second))
 		if at >= s.Length.Duration() {
 			return
 		}
@@ -74,7 +74,7 @@
 		request := fakeclient.Request{ID: fmt.Sprintf("q%d", n), Class: class.Name, Messages: max(class.MessagesPerAnswer, 1),
 			BytesPerMessage: class.BytesPerMessage}
 		request.Model = modelName(class.Name, int(source.models[class.Name].Rand()))
-		work := source.work[class.Name].Rand() * h.drawTail(class.Name, source.choices)
+		work := source.work[class.Name].Rand() * h.drawWorkMultiple(class.Name, source.choices)
 		request.Work = time.Duration(work * float64(time.Second))
 		if source.choices.Float64() < newModelShare {
 			request.Model = newModelName(class.Name)
@@ -93,8 +93,8 @@
 	}
 }
 
-// drawTail is what a class's work is multiplied by while a heavy_tail fault lasts, and else 1.
-func (h *Harness) drawTail(class string, choices *rand.Rand) float64 {
+// drawWorkMultiple returns the factor for the work of a call of a class. It is 1 unless a heavy_tail fault is active.
+func (h *Harness) drawWorkMultiple(class string, choices *rand.Rand) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if tails := h.heavyTails[class]; tails != nil && len(tails.active) > 0 {
@@ -105,8 +105,8 @@
 	return 1
 }
 
-// sendCall sends one call of a request, and another after it where the traffic's settings and the class allow a retry.
-// due is when the request arrived; n counts the calls before this one.
+// sendCall sends a call of a request, and retries where the traffic's settings and the class allow it. due is the
+// arrival time of the request; n is the number of its earlier calls.
 func (h *Harness) sendCall(c *Class, request fakeclient.Request, slot *routerSlot, due time.Time, n int) {
 	share := h.scenario.Traffic.CallTimeoutShare
 	if share == 0 {
@@ -125,15 +125,15 @@
 			return
 		}
 		next := slot
-		if !result.Answered { // as a load balancer in front would, by sending it to another router
+		if !result.Answered { // retry at another router, as a load balancer in front of the routers would
 			next = h.routers[(slot.index+1)%len(h.routers)]
 		}
 		time.AfterFunc(wait, func() { h.sendCall(c, request, next, due, n+1) })
 	})
 }
 
-// mayRetry reports whether a client repeats a call: after a rejection always, after a failure or no answer only where
-// that does no harm and the router did not forbid it.
+// mayRetry reports whether a client may repeat a call: always after a rejection; after a failure or without an answer
+// only if the class is idempotent and the router has not forbidden it by a negative Retry-After.
 func mayRetry(c *Class, result fakeclient.Result) bool {
 	switch {
 	case !result.Answered:
--- a/internal/scenario/workers.go
+++ b/internal/scenario/workers.go
@@ -14,23 +14,23 @@
 	stateDraining = "draining"
 )
 
-// fleetWorker is a worker and its entry in the endpoint list.
+// fleetWorker is a worker with its entry in the endpoint list.
 type fleetWorker struct {
 	worker   *fakeworker.Worker
 	entry    config.Worker
 	capacity float64 // in cores of speed 1
-	removed  bool    // from the list, as it was found dead
+	removed  bool    // from the endpoint list, because the worker is dead
 
 	// Guarded by the harness's lock.
-	faults []*workerFault // that last, oldest first
-	drains int            // faults because of which the worker drains
+	faults     []*workerFault // active ones, oldest first
+	drainCount int            // active faults that make the worker drain
 }
 
-// startWorker starts a worker; its place in the fleet decides on its kind, cell and zone.
-func (h *Harness) startWorker(place int, coldStart bool) error {
+// startWorker starts a worker. Its index determines its kind, cell and zone.
+func (h *Harness) startWorker(index int, coldStart bool) error {
 	fleet := h.scenario.Fleet
-	kind := fleet.Kinds[place%len(fleet.Kinds)]
-	cell := place / fleet.CellSize
+	kind := fleet.Kinds[index%len(fleet.Kinds)]
+	cell := index / fleet.CellSize
 	c := h.workerConfig(kind, cell, coldStart)
 	for _, class := range h.scenario.Classes {
 		if class.Idempotency == idempotentByKey {
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// workerConfig gives the next worker its name and its random seed, and its cell's deduplicator.
+// workerConfig returns the configuration of the next worker, with a new id and random seed and the deduplicator of its
+// cell.
 func (h *Harness) workerConfig(kind WorkerKind, cell int, coldStart bool) fakeworker.Config {
 	fleet, limits := h.scenario.Fleet, h.scenario.Limits
 	h.mu.Lock()
@@ -97,7 +98,7 @@
 
 func zoneName(i int) string { return fmt.Sprintf("hall-%c", 'a'+i) }
 
-// randomWorkers draws a share of the workers that are active and run, at least one.
+// randomWorkers draws a share of the running workers that are listed as active. It draws at least one if there is any.
 func (h *Harness) randomWorkers(share float64) (drawn []*fleetWorker) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,7 +115,7 @@
 	return drawn
 }
 
-// restartWorkers starts the dead ones of some workers again, cold and under their old names.
+// restartWorkers restarts those of the workers that are dead, cold and under their previous ids.
 func (h *Harness) restartWorkers(workers []*fleetWorker) {
 	for _, w := range workers {
 		if !w.worker.Down() {
