--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -39,7 +39,7 @@
 			}
 			c.checkDrain(r, pair, reportedByList, reportedByWorker)
 		case CallSent, FinalAnswer, CallAbandoned, RunStarted, WorkerStarted, WorkerOverloaded, RouterKilled, RouterStarted:
-			// these neither begin or end a drain nor are sent to a worker
+			// these do not start or end a drain, and are not sent to a worker
 		}
 	}
 }
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -56,13 +56,13 @@
 
 // handle handles a message according to the worker's current behaviour.
 func (w *worker) handle(server *fakeplatform.Worker, r fakeplatform.Request) {
-	now := behaviour(w.behaviour.Load())
+	current := behaviour(w.behaviour.Load())
 	isCall := r.Command == execCommand
-	if now == ignoresEverything || now == ignoresCalls && isCall {
+	if current == ignoresEverything || current == ignoresCalls && isCall {
 		return
 	}
 	go func() {
-		if now == answersSlowly && isCall {
+		if current == answersSlowly && isCall {
 			time.Sleep((slowFactor - 1) * workDuration)
 		}
 		server.HandleHealthy(r)
