--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -58,7 +58,7 @@
 	defer conn.Close()
 	head := append(grpc.RequestHeaders(c.Address, path, c.Timeout), hpack.Field{Name: "grpc-accept-encoding", Value: grpc.AcceptedEncodings})
 	body := append(grpc.AppendPrefix(nil, len(raw), false), raw...)
-	stream, err := conn.Open(p, head, body, true)
+	stream, err := conn.OpenStream(p, head, body, true)
 	if err != nil {
 		return err
 	}
@@ -114,8 +114,8 @@
 
 func (p *answerPrinter) finish(err error) { p.once.Do(func() { p.done <- err }) }
 
-// Open implements http2.Handler.
-func (p *answerPrinter) Open(*http2.Stream) http2.Receiver { return nil }
+// StreamOpened implements http2.Handler.
+func (p *answerPrinter) StreamOpened(*http2.Stream) http2.Receiver { return nil }
 
 // GoAway implements http2.Handler.
 func (p *answerPrinter) GoAway(*http2.Conn, http2.ErrCode) {}
--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -63,8 +63,8 @@
 	return &Client{addr: addr, router: router, records: records, config: config}
 }
 
-// Open implements http2.Handler.
-func (c *Client) Open(*http2.Stream) http2.Receiver { return nil }
+// StreamOpened implements http2.Handler.
+func (c *Client) StreamOpened(*http2.Stream) http2.Receiver { return nil }
 
 // GoAway implements http2.Handler.
 func (c *Client) GoAway(conn *http2.Conn, _ http2.ErrCode) { c.dropConn(conn) }
@@ -132,7 +132,7 @@
 	call.timer = time.AfterFunc(deadline+lateAnswerWait, func() {
 		call.finish(Result{Status: grpc.Status{Code: grpc.DeadlineExceeded, Message: "no answer in time"}})
 	})
-	stream, err := conn.Open(call, grpc.RequestHeaders(c.addr, path, deadline), body, true)
+	stream, err := conn.OpenStream(call, grpc.RequestHeaders(c.addr, path, deadline), body, true)
 	if err != nil {
 		call.recordAbandoned()
 		return fail(err)
--- a/internal/fake/fakeworker/rpc.go
+++ b/internal/fake/fakeworker/rpc.go
@@ -21,8 +21,8 @@
 // connHandler is the handler of a router's connection.
 type connHandler struct{ worker *Worker }
 
-// Open implements http2.Handler.
-func (h connHandler) Open(s *http2.Stream) http2.Receiver {
+// StreamOpened implements http2.Handler.
+func (h connHandler) StreamOpened(s *http2.Stream) http2.Receiver {
 	return &rpc{worker: h.worker, stream: s, reader: grpc.MessageReader{MaxSize: maxRequestBytes}}
 }
 
--- a/internal/grpcgateway/forward_bench_test.go
+++ b/internal/grpcgateway/forward_bench_test.go
@@ -19,9 +19,9 @@
 // connEvents is an http2.Handler, to embed, for peers that open no streams and don't look at how connections end.
 type connEvents struct{}
 
-func (connEvents) Open(*http2.Stream) http2.Receiver { return nil }
-func (connEvents) GoAway(*http2.Conn, http2.ErrCode) {}
-func (connEvents) ConnClosed(*http2.Conn, error)     {}
+func (connEvents) StreamOpened(*http2.Stream) http2.Receiver { return nil }
+func (connEvents) GoAway(*http2.Conn, http2.ErrCode)         {}
+func (connEvents) ConnClosed(*http2.Conn, error)             {}
 
 // floodingWorker answers a stream by a number of equal messages, as fast as flow control allows.
 type floodingWorker struct {
@@ -36,7 +36,7 @@
 	reader grpc.MessageReader
 }
 
-func (w *floodingWorker) Open(*http2.Stream) http2.Receiver {
+func (w *floodingWorker) StreamOpened(*http2.Stream) http2.Receiver {
 	return &floodedStream{worker: w, reader: grpc.MessageReader{MaxSize: 1 << 20}}
 }
 
@@ -149,7 +149,7 @@
 	b.SetBytes(int64(len(worker.message)))
 	b.ReportAllocs()
 	b.ResetTimer()
-	if _, err := conn.Open(client, requestFields(oip.StreamInfer), request, true); err != nil {
+	if _, err := conn.OpenStream(client, requestFields(oip.StreamInfer), request, true); err != nil {
 		b.Fatal(err)
 	}
 	if status := <-client.done; status != "0" || client.counter.Messages != b.N {
--- a/internal/grpcgateway/proxy_comparison_children_test.go
+++ b/internal/grpcgateway/proxy_comparison_children_test.go
@@ -113,7 +113,7 @@
 // says, then the end.
 type instantWorker struct{ connEvents }
 
-func (instantWorker) Open(*http2.Stream) http2.Receiver {
+func (instantWorker) StreamOpened(*http2.Stream) http2.Receiver {
 	return &instantCall{reader: wire.MessageReader{MaxSize: 1 << 24}}
 }
 
--- a/internal/grpcgateway/proxy_comparison_test.go
+++ b/internal/grpcgateway/proxy_comparison_test.go
@@ -95,7 +95,7 @@
 	request := prefixedMessage(t, &inference.ModelInferRequest{ModelName: "m", Id: holdRequestID})
 	for range openStreamCount {
 		call := &loadCall{done: func(time.Time, bool) {}}
-		if _, err := conn.Open(call, timedRequestFields(oip.StreamInfer), request, true); err != nil {
+		if _, err := conn.OpenStream(call, timedRequestFields(oip.StreamInfer), request, true); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
@@ -149,7 +149,7 @@
 		}
 		wg.Add(1)
 		call := &loadCall{due: due, done: done}
-		if _, err := conns[i%len(conns)].Open(call, fields, request, true); err != nil {
+		if _, err := conns[i%len(conns)].OpenStream(call, fields, request, true); err != nil {
 			call.end(false)
 		}
 	}
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -108,10 +108,10 @@
 
 func newResponseReader() *responseReader { return &responseReader{done: make(chan error, 4)} }
 
-func (r *responseReader) Open(*http2.Stream) http2.Receiver { return nil }
-func (r *responseReader) GoAway(*http2.Conn, http2.ErrCode) {}
-func (r *responseReader) ConnClosed(*http2.Conn, error)     {}
-func (r *responseReader) Sent(*http2.Stream, int)           {}
+func (r *responseReader) StreamOpened(*http2.Stream) http2.Receiver { return nil }
+func (r *responseReader) GoAway(*http2.Conn, http2.ErrCode)         {}
+func (r *responseReader) ConnClosed(*http2.Conn, error)             {}
+func (r *responseReader) Sent(*http2.Stream, int)                   {}
 func (r *responseReader) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
 		r.header = append(r.header, fields...)
@@ -173,7 +173,7 @@
 func openStream(t *testing.T, s *Server, header []hpack.Field, body []byte, end bool) *responseReader {
 	t.Helper()
 	r := newResponseReader()
-	if _, err := dial(t, s, r).Open(r, header, body, end); err != nil {
+	if _, err := dial(t, s, r).OpenStream(r, header, body, end); err != nil {
 		t.Fatal(err)
 	}
 	return r
--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -78,8 +78,8 @@
 // connHandler handles the events of one client connection.
 type connHandler struct{ server *Server }
 
-// Open implements http2.Handler.
-func (h connHandler) Open(http2Stream *http2.Stream) http2.Receiver {
+// StreamOpened implements http2.Handler.
+func (h connHandler) StreamOpened(http2Stream *http2.Stream) http2.Receiver {
 	return &stream{server: h.server, http2Stream: http2Stream,
 		messageReader: grpc.MessageReader{MaxSize: h.server.cfg.CallBuilder.MaxMessageBytes}}
 }
--- a/internal/server/grpcserver/shutdown_test.go
+++ b/internal/server/grpcserver/shutdown_test.go
@@ -36,7 +36,7 @@
 		opened := make([]bool, len(responses))
 		for i, conn := range conns {
 			openers.Go(func() {
-				_, err := conn.Open(responses[i], requestHeader(oip.StreamInfer), nil, false)
+				_, err := conn.OpenStream(responses[i], requestHeader(oip.StreamInfer), nil, false)
 				opened[i] = err == nil
 			})
 		}
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	s.draining = true // as Drain does, but the client gets no GOAWAY yet
 	s.mu.Unlock()
-	if _, err := conn.Open(response, requestHeader(oip.StreamInfer), nil, false); err != nil {
+	if _, err := conn.OpenStream(response, requestHeader(oip.StreamInfer), nil, false); err != nil {
 		t.Fatal(err)
 	}
 	response.wait(t)
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -16,8 +16,8 @@
 
 // Handler receives the events of a whole connection. Its methods must not block.
 type Handler interface {
-	// Open is called at a server for each new stream, before the stream's headers are delivered.
-	Open(s *Stream) Receiver
+	// StreamOpened is called at a server for each new stream, before the stream's headers are delivered.
+	StreamOpened(s *Stream) Receiver
 	// GoAway reports that the peer accepts no further streams. Streams that it has not processed are closed
 	// as Unprocessed right after.
 	GoAway(c *Conn, code ErrCode)
--- a/internal/transport/http2/errors_test.go
+++ b/internal/transport/http2/errors_test.go
@@ -47,7 +47,7 @@
 	s, _ := startServer(t, Config{})
 	c, _ := dialServer(t, s, Config{})
 	r := newRecordingReceiver()
-	if _, err := c.Open(r, requestFields, nil, false); err != nil {
+	if _, err := c.OpenStream(r, requestFields, nil, false); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
--- a/internal/transport/http2/flowcontrol_test.go
+++ b/internal/transport/http2/flowcontrol_test.go
@@ -35,7 +35,7 @@
 		body := bytes.Repeat([]byte{byte(i + 1)}, n)
 		wg.Go(func() {
 			r := newRecordingReceiver()
-			if _, err := c.Open(r, requestFields, body, true); err != nil {
+			if _, err := c.OpenStream(r, requestFields, body, true); err != nil {
 				t.Error(err)
 				return
 			}
@@ -58,13 +58,13 @@
 	c, _ := dialServer(t, s, Config{StreamWindow: 32 << 10})
 	slow := newRecordingReceiver()
 	slow.withholdWindow = true
-	stream, err := c.Open(slow, requestFields, make([]byte, 500<<10), true)
+	stream, err := c.OpenStream(slow, requestFields, make([]byte, 500<<10), true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 20 {
 		r := newRecordingReceiver()
-		if _, err := c.Open(r, requestFields, make([]byte, 100<<10), true); err != nil {
+		if _, err := c.OpenStream(r, requestFields, make([]byte, 100<<10), true); err != nil {
 			t.Fatal(err)
 		}
 		if err := testsupport.Await(t, r.ended, "another stream's end"); err != nil || r.body.Len() != 100<<10 {
--- a/internal/transport/http2/golden_test.go
+++ b/internal/transport/http2/golden_test.go
@@ -134,11 +134,11 @@
 	hold     bool // consume nothing
 }
 
-func (*goldenReceiver) Open(*http2.Stream) http2.Receiver { return &goldenReceiver{} }
-func (*goldenReceiver) GoAway(*http2.Conn, http2.ErrCode) {}
-func (*goldenReceiver) ConnClosed(*http2.Conn, error)     {}
-func (*goldenReceiver) Sent(*http2.Stream, int)           {}
-func (*goldenReceiver) Closed(*http2.Stream, error)       {}
+func (*goldenReceiver) StreamOpened(*http2.Stream) http2.Receiver { return &goldenReceiver{} }
+func (*goldenReceiver) GoAway(*http2.Conn, http2.ErrCode)         {}
+func (*goldenReceiver) ConnClosed(*http2.Conn, error)             {}
+func (*goldenReceiver) Sent(*http2.Stream, int)                   {}
+func (*goldenReceiver) Closed(*http2.Stream, error)               {}
 func (r *goldenReceiver) Headers(s *http2.Stream, fields []hpack.Field, end bool) {
 	for _, f := range fields {
 		switch f.Name {
@@ -340,7 +340,7 @@
 		{Name: "grpc-timeout", Value: "250m"}, {Name: "secret", Value: "x", Sensitive: true}}
 	open := func(body string, end bool) *http2.Stream {
 		t.Helper()
-		s, err := c.Open(&goldenReceiver{}, request, []byte(body), end)
+		s, err := c.OpenStream(&goldenReceiver{}, request, []byte(body), end)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/transport/http2/headers.go
+++ b/internal/transport/http2/headers.go
@@ -117,7 +117,7 @@
 	s := &Stream{conn: c, id: streamID, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow),
 		headersReceived: true, endReceived: end}
 	c.mu.Unlock()
-	s.receiver = c.handler.Open(s)
+	s.receiver = c.handler.StreamOpened(s)
 	c.mu.Lock()
 	closed := c.closed
 	if !closed {
--- a/internal/transport/http2/headers_test.go
+++ b/internal/transport/http2/headers_test.go
@@ -18,7 +18,7 @@
 		fields = append(fields, hpack.Field{Name: fmt.Sprintf("x-%d", i), Value: strings.Repeat("z", 900)})
 	}
 	r := newRecordingReceiver()
-	if _, err := c.Open(r, fields, []byte("body"), true); err != nil {
+	if _, err := c.OpenStream(r, fields, []byte("body"), true); err != nil {
 		t.Fatal(err)
 	}
 	if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "body" {
--- a/internal/transport/http2/helpers_test.go
+++ b/internal/transport/http2/helpers_test.go
@@ -20,7 +20,7 @@
 	withholdWindow bool // consume nothing
 }
 
-func (e *echoHandler) Open(*Stream) Receiver { return e }
+func (e *echoHandler) StreamOpened(*Stream) Receiver { return e }
 
 func (e *echoHandler) GoAway(*Conn, ErrCode) {}
 
@@ -215,7 +215,7 @@
 	return &recordingHandler{goAway: make(chan ErrCode, 4), closed: make(chan error, 4)}
 }
 
-func (*recordingHandler) Open(*Stream) Receiver { return nil }
+func (*recordingHandler) StreamOpened(*Stream) Receiver { return nil }
 
 func (c *recordingHandler) GoAway(_ *Conn, code ErrCode) { c.goAway <- code }
 
--- a/internal/transport/http2/lifecycle_test.go
+++ b/internal/transport/http2/lifecycle_test.go
@@ -19,7 +19,7 @@
 	s, _ := startServer(t, Config{})
 	c, h := dialServer(t, s, Config{})
 	r := newRecordingReceiver()
-	stream, err := c.Open(r, requestFields, nil, false)
+	stream, err := c.OpenStream(r, requestFields, nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	if code := testsupport.Await(t, h.goAway, "GOAWAY"); code != NoError {
 		t.Fatalf("GOAWAY with %v", code)
 	}
-	if _, err := c.Open(newRecordingReceiver(), requestFields, nil, true); !errors.Is(err, ErrGoAway) {
+	if _, err := c.OpenStream(newRecordingReceiver(), requestFields, nil, true); !errors.Is(err, ErrGoAway) {
 		t.Errorf("a stream after GOAWAY: %v", err)
 	}
 	if _, err := stream.Write([]byte(" and last"), true); err != nil {
@@ -78,7 +78,7 @@
 	var receivers [3]*recordingReceiver
 	for i := range receivers {
 		receivers[i] = newRecordingReceiver()
-		if _, err := c.Open(receivers[i], requestFields, nil, true); err != nil {
+		if _, err := c.OpenStream(receivers[i], requestFields, nil, true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -119,7 +119,7 @@
 		c, _ := dialServer(t, s, Config{})
 		for range 5 {
 			r := newRecordingReceiver()
-			if _, err := c.Open(r, requestFields, []byte("hello"), true); err != nil {
+			if _, err := c.OpenStream(r, requestFields, []byte("hello"), true); err != nil {
 				t.Fatal(err)
 			}
 			if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "hello" {
@@ -135,7 +135,7 @@
 // panicHandler panics on a request whose body is "panic".
 type panicHandler struct{ echoHandler }
 
-func (h *panicHandler) Open(*Stream) Receiver { return h }
+func (h *panicHandler) StreamOpened(*Stream) Receiver { return h }
 
 func (h *panicHandler) Data(s *Stream, p []byte, end bool) {
 	if string(p) == "panic" {
@@ -156,14 +156,14 @@
 	bad, h := dialServer(t, s, Config{})
 	for range 3 {
 		r := newRecordingReceiver()
-		if _, err := bad.Open(r, requestFields, []byte("panic"), true); err == nil {
+		if _, err := bad.OpenStream(r, requestFields, []byte("panic"), true); err == nil {
 			var streamErr *StreamError
 			if err := testsupport.Await(t, r.ended, "the end"); !errors.As(err, &streamErr) || !streamErr.ConnLost {
 				t.Errorf("the call that panicked: %v", err)
 			}
 		}
 		r = newRecordingReceiver()
-		if _, err := good.Open(r, requestFields, []byte("fine"), true); err != nil {
+		if _, err := good.OpenStream(r, requestFields, []byte("fine"), true); err != nil {
 			t.Fatal(err)
 		}
 		if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "fine" {
@@ -192,7 +192,7 @@
 	s, _ := startServer(t, Config{})
 	c, _ := dialServer(t, s, Config{})
 	r := newRecordingReceiver()
-	if _, err := c.Open(r, requestFields, nil, true); err != nil {
+	if _, err := c.OpenStream(r, requestFields, nil, true); err != nil {
 		t.Fatal(err)
 	}
 	if err := testsupport.Await(t, r.ended, "the response"); err != nil {
--- a/internal/transport/http2/stream.go
+++ b/internal/transport/http2/stream.go
@@ -93,9 +93,9 @@
 // maxLocalStreams returns how many streams this end may have open. c.mu is held.
 func (c *Conn) maxLocalStreams() int { return int(min(c.peerMaxStreams, maxOpenStreams)) }
 
-// Open opens a stream at a client with its headers, and its body if there is one already. What is written is
+// OpenStream opens a stream at a client with its headers, and its body if there is one already. What is written is
 // copied. After an error nothing was sent.
-func (c *Conn) Open(receiver Receiver, fields []hpack.Field, body []byte, end bool) (*Stream, error) {
+func (c *Conn) OpenStream(receiver Receiver, fields []hpack.Field, body []byte, end bool) (*Stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -80,7 +80,7 @@
 		fields = append(fields, hpack.Field{Name: "grpc-accept-encoding", Value: a.request.AcceptEncoding})
 	}
 	fields = append(fields, a.request.Metadata...)
-	stream, err := c.Open(a, fields, a.request.Message, true)
+	stream, err := c.OpenStream(a, fields, a.request.Message, true)
 	if err == nil {
 		a.stream = stream
 	}
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -119,8 +119,8 @@
 	ended        bool // guarded by pool.mu
 }
 
-// Open implements http2.Handler. Servers open no streams to a client.
-func (h *connHandler) Open(*http2.Stream) http2.Receiver { return nil }
+// StreamOpened implements http2.Handler. Servers open no streams to a client.
+func (h *connHandler) StreamOpened(*http2.Stream) http2.Receiver { return nil }
 
 // GoAway implements http2.Handler. Without an error code it means that the worker drains.
 func (h *connHandler) GoAway(c *http2.Conn, code http2.ErrCode) {
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -70,7 +70,7 @@
 	if cc.ended {
 		return nil
 	}
-	stream, err := c.Open(cc, cc.pool.requestHeaders(cc.path, time.Until(cc.deadline)), cc.body, true)
+	stream, err := c.OpenStream(cc, cc.pool.requestHeaders(cc.path, time.Until(cc.deadline)), cc.body, true)
 	if err == nil {
 		cc.stream = stream
 	}
