--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -52,9 +52,9 @@
 
 // The faults of connections.
 const (
-	CloseConn  ConnFault = iota // an orderly end
-	ResetConn                   // a reset, as the process of a worker that dies causes
-	ForgetConn                  // nothing is said: what still comes is not looked at
+	CloseConn ConnFault = iota // an orderly end
+	ResetConn                  // a reset, as the process of a worker that dies causes
+	HangConn                   // nothing is said: what still comes is not looked at
 )
 
 // Conn is one connection to a worker. Its writes may be called from any goroutine.
@@ -68,7 +68,7 @@
 
 // Fail ends the connection by a fault.
 func (c *Conn) Fail(fault ConnFault) {
-	if fault == ForgetConn {
+	if fault == HangConn {
 		c.forgotten.Store(true)
 		return
 	}
--- a/internal/httprouter/idle_conns_test.go
+++ b/internal/httprouter/idle_conns_test.go
@@ -14,16 +14,16 @@
 var connFaults = map[string]fakeplatform.ConnFault{
 	"close":  fakeplatform.CloseConn,
 	"reset":  fakeplatform.ResetConn,
-	"forget": fakeplatform.ForgetConn,
+	"forget": fakeplatform.HangConn,
 }
 
 // isAttempt reports whether a message to a worker is an attempt of a call.
 func isAttempt(r fakeplatform.Request) bool { return r.Command == "exec" }
 
-// connFaultDeadline returns the deadline of calls during a fault. It is short for ForgetConn, which the router detects
+// connFaultDeadline returns the deadline of calls during a fault. It is short for HangConn, which the router detects
 // only by a timeout.
 func connFaultDeadline(fault fakeplatform.ConnFault) time.Duration {
-	if fault == fakeplatform.ForgetConn {
+	if fault == fakeplatform.HangConn {
 		return 300 * time.Millisecond
 	}
 	return generousDeadline
@@ -81,7 +81,7 @@
 		served += h.makeCallsWithin(callsPerClass, deadline)
 	}
 	h.t.Logf("%d of %d served", served, rounds*callsPerRound)
-	if fault != fakeplatform.ForgetConn && served < rounds*callsPerRound/2 {
+	if fault != fakeplatform.HangConn && served < rounds*callsPerRound/2 {
 		h.t.Errorf("%d of %d served", served, rounds*callsPerRound)
 	}
 	h.requireRecovery(recoveryRounds, deadline)
