--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -89,7 +89,7 @@
 	limits := s.cfg.Limits
 	s.upstream = respupstream.New(respupstream.Config{
 		ConnectTimeout:     limits.ConnectTimeout,
-		IdleTimeout:        limits.IdleClose / 2,
+		IdleTimeout:        limits.WorkerIdleTimeout / 2,
 		WriteTimeout:       writeTimeout,
 		StallTimeout:       responseStallTimeout,
 		MaxConns:           budget.WorkerConns,
--- a/internal/simwire/json.go
+++ b/internal/simwire/json.go
@@ -15,10 +15,10 @@
 
 // ConnectionLimits are the settings that concern a router's connections rather than its decisions.
 type ConnectionLimits struct {
-	ConnectTimeout  time.Duration
-	IdleClose       time.Duration // a worker closes a connection that was idle for so long
-	LoadTimeout     time.Duration
-	RequestsPerConn int // open at once on one connection to a worker
+	ConnectTimeout    time.Duration
+	WorkerIdleTimeout time.Duration // a worker closes a connection that has been idle for this long
+	LoadTimeout       time.Duration
+	RequestsPerConn   int // open at once on one connection to a worker
 }
 
 // maxDepth bounds the nesting of settings.
@@ -40,10 +40,10 @@
 	f.flatten("", v, 0)
 	s := readSettings(f)
 	l := ConnectionLimits{
-		ConnectTimeout:  f.nonNegative("limits.connect_timeout"),
-		IdleClose:       f.nonNegative("limits.idle_close"),
-		LoadTimeout:     f.nonNegative("family_info.order_timeout"),
-		RequestsPerConn: int(f.integer("limits.streams_per_conn", false)),
+		ConnectTimeout:    f.nonNegative("limits.connect_timeout"),
+		WorkerIdleTimeout: f.nonNegative("limits.idle_close"),
+		LoadTimeout:       f.nonNegative("family_info.order_timeout"),
+		RequestsPerConn:   int(f.integer("limits.streams_per_conn", false)),
 	}
 	if len(s.Classes) == 0 {
 		f.fail(errors.New("classes: none is named"))
