--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs dispatchers behind a simulator's line protocol, from standard input to standard output.
+// Command simadapter runs dispatchers for a simulator. It reads events from standard input and writes the dispatchers'
+// actions to standard output, in the simulator's line protocol.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	}
 }
 
-// run answers every batch of in until it ends.
+// run processes the batches in the input until it ends, and writes a reply to each.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := simwire.NewReader(in), simwire.NewWriter(out)
 	dispatchers := map[int64]*dispatch.Dispatcher{}
@@ -30,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		if err := answer(batch, dispatchers, writer); err != nil {
+		if err := processBatch(batch, dispatchers, writer); err != nil {
 			return err
 		}
 		if err := writer.End(batch.Serial); err != nil {
@@ -39,9 +40,9 @@
 	}
 }
 
-// answer hands the parts of a batch to their dispatchers, by instance, and writes what they decide.
-func answer(batch simwire.Batch, dispatchers map[int64]*dispatch.Dispatcher, writer *simwire.Writer) error {
-	lastStop := map[int64]int{} // by instance: the part that voids those before it
+// processBatch passes each part of a batch to the dispatcher of its instance and writes the dispatcher's actions.
+func processBatch(batch simwire.Batch, dispatchers map[int64]*dispatch.Dispatcher, writer *simwire.Writer) error {
+	lastStop := map[int64]int{} // by instance: index of its last stop; parts up to this one have no effect
 	for i, part := range batch.Parts {
 		if part.Stop {
 			lastStop[part.Instance] = i
@@ -61,9 +62,9 @@
 		}
 		d := dispatchers[part.Instance]
 		if d == nil {
-			return fmt.Errorf("batch %s: event for instance %d, which has not begun", batch.Serial, part.Instance)
+			return fmt.Errorf("batch %s: event for instance %d, which has not started", batch.Serial, part.Instance)
 		}
-		writer.Actions(part.Instance, d.Step(batch.Clock, part.Events))
+		writer.Actions(part.Instance, d.Step(batch.Now, part.Events))
 	}
 	return nil
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-var resultNames = map[string]dispatch.Result{
+var resultByName = map[string]dispatch.Result{
 	"Ok":           dispatch.OK,
 	"Failed":       dispatch.Errored,
 	"QueueFull":    dispatch.Rejected,
@@ -20,22 +20,23 @@
 	"Miss":         dispatch.NotResident,
 }
 
-var endpointStateNames = map[string]dispatch.EndpointState{
+var endpointStateByName = map[string]dispatch.EndpointState{
 	"on":     dispatch.EndpointActive,
 	"fading": dispatch.EndpointDraining,
 	"off":    dispatch.EndpointRemoved,
 }
 
-// An attempt's note holds the cache status in its lowest bits and the function's requests in flight above.
+// The note field of an ended attempt holds the cache status in its lowest 3 bits and, above them, the number of the
+// function's requests in flight.
 const (
 	cacheStatusMask = 7
 	inFlightShift   = 3
 )
 
-// expectedWorkKnown is the bit of a request's attributes which says that its expected work is known.
+// expectedWorkKnown is the bit of a request's attrs field that is set if the expected work is known.
 const expectedWorkKnown = 1
 
-// parseEvent reads one event line; known is false for a name that the protocol has got since.
+// parseEvent parses an event line. known is false for an event that this version doesn't support.
 func parseEvent(name string, f *fields) (event dispatch.Event, known bool) {
 	switch name {
 	case "ACCEPT":
@@ -49,10 +50,10 @@
 			Worker: f.text("server", false), Duration: f.duration("time_taken", false)}, true
 	case "LOAD_RESULT":
 		return dispatch.FunctionLoaded{Worker: f.text("server", true), Function: f.text("callee", true),
-			Result: enum(f, "ending", resultNames), Duration: f.duration("time_taken", false),
+			Result: enum(f, "ending", resultByName), Duration: f.duration("time_taken", false),
 			Copies: int(f.integer("count", false))}, true
 	case "SAMPLED":
-		return dispatch.HealthChecked{Worker: f.text("server", true), Result: enum(f, "ending", resultNames),
+		return dispatch.HealthChecked{Worker: f.text("server", true), Result: enum(f, "ending", resultByName),
 			Duration: f.duration("time_taken", false), LoadReport: parseLoadReport(f.text("usage", false))}, true
 	case "ROSTER_CHANGE":
 		scope := f.text("scope", true)
@@ -86,7 +87,7 @@
 		ID:         f.requestID(),
 		Attempt:    int(f.integer("shot", false)),
 		Worker:     f.text("server", true),
-		Result:     enum(f, "ending", resultNames),
+		Result:     enum(f, "ending", resultByName),
 		Duration:   f.duration("time_taken", false),
 		Final:      f.integer("terminal", false) != 0,
 		LoadReport: parseLoadReport(f.text("usage", false)),
@@ -106,11 +107,11 @@
 		Weight:    f.number("share"),
 		StartedAt: f.duration("born", false),
 	}
-	e.State = enum(f, "health", endpointStateNames)
+	e.State = enum(f, "health", endpointStateByName)
 	return e
 }
 
-// parseLoadReport reads name:value pairs set apart by commas.
+// parseLoadReport parses name:value pairs separated by commas. It ignores unknown names and invalid values.
 func parseLoadReport(s string) dispatch.LoadReport {
 	report := dispatch.NoLoadReport
 	for s != "" {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -10,10 +10,11 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// settingsPrefix stands before the name of each setting in the line protocol.
+// settingsPrefix is the prefix of the name of each setting in the line protocol.
 const settingsPrefix = "profile_data."
 
-// fields are the name=value pairs of a line. The first error stays in err; what can't be read has the zero value.
+// fields holds the name=value pairs of a line. err is the first error that parsing or a read method found. A read method
+// returns the zero value for a missing or invalid value.
 type fields struct {
 	pairs map[string]string
 	err   error
@@ -25,7 +26,7 @@
 		name, value, ok := strings.Cut(w, "=")
 		if !ok {
 			if w != "" {
-				f.fail(fmt.Errorf("%q is not name=value", w))
+				f.fail(fmt.Errorf("%q is not a name=value pair", w))
 			}
 			continue
 		}
@@ -34,7 +35,7 @@
 	return f
 }
 
-// fail keeps the first error.
+// fail records an error unless there is one already.
 func (f *fields) fail(err error) {
 	if f.err == nil {
 		f.err = err
@@ -49,7 +50,7 @@
 	return v
 }
 
-// integer reads a whole number; true and false are 1 and 0.
+// integer reads an integer. It accepts true and false as 1 and 0.
 func (f *fields) integer(name string, required bool) int64 {
 	s := f.text(name, required)
 	switch s {
@@ -78,7 +79,7 @@
 	return v
 }
 
-// duration reads microseconds.
+// duration reads a duration in microseconds.
 func (f *fields) duration(name string, required bool) time.Duration {
 	us := f.integer(name, required)
 	if us > math.MaxInt64/1000 || us < math.MinInt64/1000 {
@@ -88,8 +89,8 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// nonNegative reads a duration that can't be negative.
-func (f *fields) nonNegative(name string) time.Duration {
+// nonNegativeDuration reads an optional duration in microseconds, which must not be negative.
+func (f *fields) nonNegativeDuration(name string) time.Duration {
 	d := f.duration(name, false)
 	if d < 0 {
 		f.fail(fmt.Errorf("%s=%d is negative", name, d.Microseconds()))
@@ -101,7 +102,7 @@
 
 func (f *fields) requestID() dispatch.RequestID { return dispatch.RequestID(f.integer("rid", true)) }
 
-// list reads plain values set apart by commas.
+// list reads scalar values separated by commas.
 func (f *fields) list(name string) []string {
 	s := f.text(name, false)
 	if s == "" {
@@ -110,22 +111,22 @@
 	return strings.Split(s, ",")
 }
 
-// length reads how many objects a list holds; no list holds more than the pairs there are.
+// length reads the number of objects in a list. It rejects a number above that of the pairs, which no valid list has.
 func (f *fields) length(name string) int {
 	n := f.integer(name, false)
 	if n < 0 || n > int64(len(f.pairs)) {
-		f.fail(fmt.Errorf("%s=%d does not fit the line", name, n))
+		f.fail(fmt.Errorf("%s=%d is negative or exceeds the number of pairs", name, n))
 		return 0
 	}
 	return int(n)
 }
 
-// enum reads a required value that must be one of the names.
-func enum[T any](f *fields, name string, names map[string]T) T {
+// enum reads a required value, which must be a key of values.
+func enum[T any](f *fields, name string, values map[string]T) T {
 	s := f.text(name, true)
-	v, ok := names[s]
+	v, ok := values[s]
 	if !ok && s != "" {
-		f.fail(fmt.Errorf("%s=%q is not a known word", name, s))
+		f.fail(fmt.Errorf("%s=%q is not a known value", name, s))
 	}
 	return v
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -11,7 +11,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-// TestGoldenActions holds the lines that the Writer writes, one of each kind of action. A ReportSuspicion has no line of its own.
+// TestGoldenActions checks the line that the Writer writes for each type of action. The protocol has no line for a
+// ReportSuspicion, so its line is empty.
 func TestGoldenActions(t *testing.T) {
 	var out bytes.Buffer
 	writer := NewWriter(&out)
@@ -34,7 +35,7 @@
 	golden.Compare(t, "actions.out", out.Bytes())
 }
 
-// TestGoldenEvents holds what the Reader makes of one event of each kind and of an instance's start.
+// TestGoldenEvents checks how the Reader parses each type of event and the start of an instance.
 func TestGoldenEvents(t *testing.T) {
 	input, err := os.ReadFile("testdata/golden/events.in")
 	if err != nil {
@@ -45,7 +46,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	out.WriteString(golden.PlainValue(batch.Clock) + " " + golden.PlainValue(batch.Serial) + "\n")
+	out.WriteString(golden.PlainValue(batch.Now) + " " + golden.PlainValue(batch.Serial) + "\n")
 	for _, part := range batch.Parts {
 		out.WriteString(golden.PlainValue([]any{part.Instance, part.Start, part.Stop}) + "\n")
 		for _, event := range part.Events {
@@ -55,7 +56,7 @@
 	golden.Compare(t, "events.out", []byte(out.String()))
 }
 
-// TestGoldenSettings holds what SettingsOf makes of an object with every key.
+// TestGoldenSettings checks how ParseSettings parses an object that has every key.
 func TestGoldenSettings(t *testing.T) {
 	input, err := os.ReadFile("testdata/golden/settings.json")
 	if err != nil {
--- a/internal/simwire/json.go
+++ b/internal/simwire/json.go
@@ -13,19 +13,19 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// ConnectionLimits are the settings that concern a router's connections rather than its decisions.
+// ConnectionLimits holds the settings for a router's exchanges with workers. The dispatcher doesn't use them.
 type ConnectionLimits struct {
 	ConnectTimeout    time.Duration
 	WorkerIdleTimeout time.Duration // a worker closes a connection that has been idle for this long
 	LoadTimeout       time.Duration
-	RequestsPerConn   int // open at once on one connection to a worker
+	RequestsPerConn   int // limit of concurrent requests on a connection to a worker
 }
 
-// maxDepth bounds the nesting of settings.
+// maxDepth is the maximum nesting depth of settings.
 const maxDepth = 16
 
-// ParseSettings reads the settings of an instance from nested JSON: the object that the line protocol writes as pairs,
-// with the same names and units. The error names the setting that can't be used.
+// ParseSettings parses the settings of an instance from nested JSON. Names and units are those of the line protocol,
+// which has the same object in the form of name=value pairs. The error names the invalid setting.
 func ParseSettings(raw []byte) (dispatch.Settings, ConnectionLimits, error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
@@ -34,19 +34,19 @@
 		return dispatch.Settings{}, ConnectionLimits{}, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return dispatch.Settings{}, ConnectionLimits{}, errors.New("settings: more than one value")
+		return dispatch.Settings{}, ConnectionLimits{}, errors.New("settings: more than one JSON value")
 	}
 	f := &fields{pairs: map[string]string{}}
 	f.flatten("", v, 0)
 	s := readSettings(f)
 	l := ConnectionLimits{
-		ConnectTimeout:    f.nonNegative("limits.connect_timeout"),
-		WorkerIdleTimeout: f.nonNegative("limits.idle_close"),
-		LoadTimeout:       f.nonNegative("family_info.order_timeout"),
+		ConnectTimeout:    f.nonNegativeDuration("limits.connect_timeout"),
+		WorkerIdleTimeout: f.nonNegativeDuration("limits.idle_close"),
+		LoadTimeout:       f.nonNegativeDuration("family_info.order_timeout"),
 		RequestsPerConn:   int(f.integer("limits.streams_per_conn", false)),
 	}
 	if len(s.Classes) == 0 {
-		f.fail(errors.New("classes: none is named"))
+		f.fail(errors.New("classes: needs at least one class"))
 	}
 	if f.err != nil {
 		return s, l, fmt.Errorf("settings: %w", f.err)
@@ -54,11 +54,11 @@
 	return s, l, nil
 }
 
-// flatten adds a value in the form of the line protocol: lists of objects by length and index, lists of plain values
-// joined by commas.
+// flatten adds a value as pairs of the line protocol. A list of objects becomes its length and the pairs of each object
+// with its index in their names. Scalar values in a list are joined by commas.
 func (f *fields) flatten(name string, v any, depth int) {
 	if depth > maxDepth {
-		f.fail(fmt.Errorf("%s nests too deep", name))
+		f.fail(fmt.Errorf("%s is nested too deeply", name))
 		return
 	}
 	qualified := func(key string) string {
--- a/internal/simwire/json_test.go
+++ b/internal/simwire/json_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestParseSettingsMatchesLineProtocol: nested JSON and the pairs of the line protocol give the same settings.
+// TestParseSettingsMatchesLineProtocol checks that nested JSON and the pairs of the line protocol give the same settings.
 func TestParseSettingsMatchesLineProtocol(t *testing.T) {
 	line := "NEW_INSTANCE router=3 init_seed=9 profile_data.az=hall-a profile_data.balancers=3 " +
 		"profile_data.family_info.when_absent=load profile_data.family_info.may_order=true " +
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestParseSettingsNamesInvalidSetting(t *testing.T) {
+func TestParseSettingsErrorNamesInvalidSetting(t *testing.T) {
 	for in, want := range map[string]string{
 		`{`:                                    "settings",
 		`[]`:                                   "settings",
@@ -61,7 +61,7 @@
 		`{"a":` + strings.Repeat(`{"a":`, 40) + "1" + strings.Repeat("}", 41): "too deep",
 	} {
 		if _, _, err := ParseSettings([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.40s: %v, want it to name %s", in, err, want)
+			t.Errorf("%.40s: error %v, want one that contains %s", in, err, want)
 		}
 	}
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,5 +1,5 @@
-// Package simwire reads and writes the line protocol between a simulator and the dispatchers that it hosts. It
-// translates the protocol's words and units, which stand only here, and decides nothing.
+// Package simwire reads and writes the line protocol between a simulator and the dispatchers that it hosts. Only this
+// package knows the names and units of the protocol. It makes no decisions.
 package simwire
 
 import (
@@ -13,38 +13,39 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// readBufferSize holds a whole batch of most simulations.
+// readBufferSize is enough for a whole batch in most simulations.
 const readBufferSize = 1 << 20
 
-// InstanceBatch is a run of one instance's events within a batch.
+// InstanceBatch holds events of one instance within a batch. An instance that starts or stops within the batch can have
+// several InstanceBatches.
 type InstanceBatch struct {
 	Instance int64
-	Start    *Start // not nil: a new life of the instance begins
-	Stop     bool   // the instance ends
+	Start    *InstanceStart // not nil if the instance starts or restarts before the events
+	Stop     bool           // the instance stops
 	Events   []dispatch.Event
 }
 
-// Start is what an instance is told when it begins.
-type Start struct {
+// InstanceStart holds the parameters of an instance that starts.
+type InstanceStart struct {
 	Seed     uint64
 	Settings dispatch.Settings
 }
 
-// Batch is one batch of events, all of one moment.
+// Batch is a batch of events that all occur at the same time.
 type Batch struct {
-	Clock  time.Duration
-	Serial string // to be repeated in the reply
+	Now    time.Duration
+	Serial string // the reply repeats it
 	Parts  []InstanceBatch
 }
 
-// Reader reads batches. It keeps the endpoint lists that batches refer to.
+// Reader reads batches. It keeps all endpoint lists read so far, as later batches can refer to them.
 type Reader struct {
 	in            *bufio.Reader
 	line          int // number of the last line read
 	endpointLists map[int64][]dispatch.Endpoint
 }
 
-// NewReader returns a Reader of the events in r.
+// NewReader returns a Reader that reads batches from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, readBufferSize), endpointLists: map[int64][]dispatch.Endpoint{}}
 }
@@ -66,13 +67,12 @@
 	}
 }
 
-// errorf returns an error that names the line.
+// errorf returns an error that includes the line number.
 func (r *Reader) errorf(format string, args ...any) error {
 	return fmt.Errorf("line %d: %w", r.line, fmt.Errorf(format, args...))
 }
 
-// Next reads one batch. It returns io.EOF at the end of the input, and an error that names the line where the input
-// makes no sense.
+// Next reads one batch. It returns io.EOF at the end of the input. The error for invalid input includes the line number.
 func (r *Reader) Next() (Batch, error) {
 	words, err := r.nextLine()
 	if errors.Is(err, io.EOF) {
@@ -85,11 +85,11 @@
 	if err != nil {
 		return Batch{}, err
 	}
-	open := map[int64]int{} // by instance: the part that its next event joins
+	currentPart := map[int64]int{} // by instance: index of the part that its next event is added to
 	for {
 		words, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
-			return Batch{}, r.errorf("input ends inside a batch")
+			return Batch{}, r.errorf("unexpected end of input inside a batch")
 		}
 		if err != nil {
 			return Batch{}, r.errorf("read: %w", err)
@@ -102,7 +102,7 @@
 		case "CENSUS":
 			err = r.readEndpointList(words[1:])
 		default:
-			err = r.readPart(&b, open, words)
+			err = r.readPart(&b, currentPart, words)
 		}
 		if err != nil {
 			return Batch{}, err
@@ -110,13 +110,13 @@
 	}
 }
 
-// readHeader reads the line that begins a batch.
+// readHeader reads the first line of a batch.
 func (r *Reader) readHeader(words []string) (Batch, error) {
 	if words[0] != "MARK" {
 		return Batch{}, r.errorf("expected MARK, found %q", words[0])
 	}
 	f := parseFields(words[1:])
-	b := Batch{Clock: f.duration("clock", true), Serial: f.text("serial", true)}
+	b := Batch{Now: f.duration("clock", true), Serial: f.text("serial", true)}
 	if b.Serial != "" {
 		f.integer("serial", true)
 	}
@@ -126,19 +126,19 @@
 	return b, nil
 }
 
-// readPart reads the start, the stop or an event of an instance and adds it to the batch. Lines with an unknown name are
-// skipped.
-func (r *Reader) readPart(b *Batch, open map[int64]int, words []string) error {
+// readPart reads the start, the stop or an event of an instance and adds it to the batch. It skips lines with an unknown
+// name.
+func (r *Reader) readPart(b *Batch, currentPart map[int64]int, words []string) error {
 	f := parseFields(words[1:])
 	switch words[0] {
 	case "PEER_DATA":
 		return nil
 	case "NEW_INSTANCE":
 		instance := f.integer("router", true)
-		start := &Start{Seed: uint64(f.integer("init_seed", true)), Settings: readSettings(f)}
-		b.begin(open, InstanceBatch{Instance: instance, Start: start})
+		start := &InstanceStart{Seed: uint64(f.integer("init_seed", true)), Settings: readSettings(f)}
+		b.begin(currentPart, InstanceBatch{Instance: instance, Start: start})
 	case "EXIT":
-		b.begin(open, InstanceBatch{Instance: f.integer("router", true), Stop: true})
+		b.begin(currentPart, InstanceBatch{Instance: f.integer("router", true), Stop: true})
 	default:
 		event, known := parseEvent(words[0], f)
 		if !known {
@@ -146,14 +146,14 @@
 		}
 		instance := f.integer("router", true)
 		if update, ok := event.(dispatch.EndpointUpdate); ok && !update.SubscriptionLost && f.err == nil {
-			list, listed := r.endpointLists[f.integer("set_id", true)]
-			if !listed && f.err == nil {
-				return r.errorf("ROSTER_CHANGE: no list of that set_id")
+			list, found := r.endpointLists[f.integer("set_id", true)]
+			if !found && f.err == nil {
+				return r.errorf("ROSTER_CHANGE: set_id of an unknown endpoint list")
 			}
 			update.Endpoints = list
 			event = update
 		}
-		b.add(open, instance, event)
+		b.add(currentPart, instance, event)
 	}
 	if f.err != nil {
 		return r.errorf("%s: %w", words[0], f.err)
@@ -161,22 +161,22 @@
 	return nil
 }
 
-// begin adds a part that the instance's next events join.
-func (b *Batch) begin(open map[int64]int, part InstanceBatch) {
-	open[part.Instance] = len(b.Parts)
+// begin adds a part to the batch. The instance's next events are added to this part.
+func (b *Batch) begin(currentPart map[int64]int, part InstanceBatch) {
+	currentPart[part.Instance] = len(b.Parts)
 	b.Parts = append(b.Parts, part)
 }
 
-// add appends an event to its instance's part.
-func (b *Batch) add(open map[int64]int, instance int64, event dispatch.Event) {
-	if _, ok := open[instance]; !ok {
-		b.begin(open, InstanceBatch{Instance: instance})
+// add appends an event to the current part of its instance.
+func (b *Batch) add(currentPart map[int64]int, instance int64, event dispatch.Event) {
+	if _, ok := currentPart[instance]; !ok {
+		b.begin(currentPart, InstanceBatch{Instance: instance})
 	}
-	part := &b.Parts[open[instance]]
+	part := &b.Parts[currentPart[instance]]
 	part.Events = append(part.Events, event)
 }
 
-// readEndpointList reads a numbered list of endpoints, one line each.
+// readEndpointList reads an endpoint list with its set_id. Each endpoint has a line.
 func (r *Reader) readEndpointList(words []string) error {
 	f := parseFields(words)
 	id, n := f.integer("set_id", true), f.integer("elements", true)
@@ -190,7 +190,7 @@
 	for ; n > 0; n-- {
 		words, err := r.nextLine()
 		if err != nil {
-			return r.errorf("input ends inside a CENSUS")
+			return r.errorf("unexpected end of input inside a CENSUS")
 		}
 		if words[0] != "M" {
 			return r.errorf("expected M, found %q", words[0])
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -10,12 +10,12 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-const start = "NEW_INSTANCE router=3 init_seed=5 az=a classes.count=1 classes.0.name=q " +
+const newInstanceLine = "NEW_INSTANCE router=3 init_seed=5 az=a classes.count=1 classes.0.name=q " +
 	"classes.0.semantics=read_like classes.0.deadline=3000000 host_types=big,small " +
 	"family_info.kind_memory_mb=16128.0,14016.0 limits.send_cap=5 limits.cancel=true new_key=x\n"
 
 func TestReadBatch(t *testing.T) {
-	in := "MARK clock=8412250 serial=12\n" + start +
+	in := "MARK clock=8412250 serial=12\n" + newInstanceLine +
 		"CENSUS set_id=0 elements=1\nM server=s1 az=a family_type=big bay=2 health=on born=6100000\n" +
 		"ROSTER_CHANGE router=3 seq_no=1 scope=stale_copy set_id=0\n" +
 		"ACCEPT router=3 rid=7 bringup_ms=900 attrs=1 category=q expected=12000 at_once=2 time_left=240000 " +
@@ -27,25 +27,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := b.Parts[0]
-	if b.Serial != "12" || p.Start == nil || p.Start.Settings.WorkerKinds[1].MemoryMB != 14016 || !p.Start.Settings.CancelAllowed {
-		t.Errorf("%+v", p.Start)
+	part := b.Parts[0]
+	if b.Serial != "12" || part.Start == nil ||
+		part.Start.Settings.WorkerKinds[1].MemoryMB != 14016 || !part.Start.Settings.CancelAllowed {
+		t.Errorf("%+v", part.Start)
 	}
-	if ro := p.Events[0].(dispatch.EndpointUpdate); !ro.Snapshot || ro.Endpoints[0].Cell != 2 || ro.Endpoints[0].StartedAt != 6100*time.Millisecond {
-		t.Errorf("%+v", ro)
+	if update := part.Events[0].(dispatch.EndpointUpdate); !update.Snapshot || update.Endpoints[0].Cell != 2 ||
+		update.Endpoints[0].StartedAt != 6100*time.Millisecond {
+		t.Errorf("%+v", update)
 	}
-	if q := p.Events[1].(dispatch.Request); q.ExpectedWork != 12*time.Millisecond || q.ConcurrencyPerInstance != 2 || q.LoadTime != 900*time.Millisecond {
-		t.Errorf("%+v", q)
+	if request := part.Events[1].(dispatch.Request); request.ExpectedWork != 12*time.Millisecond || request.ConcurrencyPerInstance != 2 ||
+		request.LoadTime != 900*time.Millisecond {
+		t.Errorf("%+v", request)
 	}
-	if o := p.Events[2].(dispatch.AttemptEnded); o.CacheStatus != dispatch.CacheHit || o.FunctionInFlight != 2 || o.LoadReport.InFlight != 7 || !o.Final {
-		t.Errorf("%+v", o)
+	if ended := part.Events[2].(dispatch.AttemptEnded); ended.CacheStatus != dispatch.CacheHit || ended.FunctionInFlight != 2 ||
+		ended.LoadReport.InFlight != 7 || !ended.Final {
+		t.Errorf("%+v", ended)
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("error %v at the end of the input, want io.EOF", err)
 	}
 }
 
-func TestReadErrorsNameTheLine(t *testing.T) {
+func TestReadErrorIncludesLineNumber(t *testing.T) {
 	for name, in := range map[string]string{
 		"no MARK":           "ACCEPT router=1\n",
 		"cut short":         "MARK clock=1 serial=1\n",
@@ -60,7 +64,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := NewReader(strings.NewReader(in)).Next(); err == nil || !strings.Contains(err.Error(), "line ") {
-				t.Errorf("%v, want it to name a line", err)
+				t.Errorf("error %v, want one with a line number", err)
 			}
 		})
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,19 +7,19 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-var idempotencyNames = map[string]dispatch.Idempotency{
+var idempotencyByName = map[string]dispatch.Idempotency{
 	"read_like":       dispatch.Idempotent,
 	"idempotency_key": dispatch.IdempotentByKey,
 	"non_idempotent":  dispatch.NonIdempotent,
 }
 
-var scopeNames = map[string]dispatch.DeduplicationScope{
+var scopeByName = map[string]dispatch.DeduplicationScope{
 	"all":  dispatch.ScopeAll,
 	"zone": dispatch.ScopeZone,
 	"cell": dispatch.ScopeCell,
 }
 
-// readSettings reads the settings of a new instance. Names that are not known are skipped.
+// readSettings reads the settings of a new instance. It ignores unknown names.
 func readSettings(f *fields) dispatch.Settings {
 	s := dispatch.Settings{
 		Zone:                    f.text("az", false),
@@ -28,25 +28,25 @@
 		WorkersLoadOnMiss:       f.text("family_info.when_absent", false) == "load",
 		LoadCommandsAllowed:     f.bool("family_info.may_order"),
 		CacheStatusReported:     f.bool("family_info.tells_warm"),
-		IdleResidency:           f.nonNegative("family_info.linger_idle"),
-		LoadRateWindow:          f.nonNegative("family_info.load_span"),
+		IdleResidency:           f.nonNegativeDuration("family_info.linger_idle"),
+		LoadRateWindow:          f.nonNegativeDuration("family_info.load_span"),
 		LoadRateBurst:           f.number("family_info.free_loads"),
 		LoadRateRatio:           f.number("family_info.load_ratio"),
 		CancelAllowed:           f.bool("limits.cancel"),
 		HealthChecksAllowed:     f.bool("limits.may_probe"),
 		HealthCheckCost:         f.number("deductions.probe"),
 		HedgingAllowed:          f.bool("limits.second_copies"),
-		ResponseGrace:           f.nonNegative("safety.grace_to_answer"),
-		DrainGrace:              f.nonNegative("safety.drain_grace"),
+		ResponseGrace:           f.nonNegativeDuration("safety.grace_to_answer"),
+		DrainGrace:              f.nonNegativeDuration("safety.drain_grace"),
 		SlowStartShare:          f.number("safety.start_capacity"),
-		SlowStartDuration:       f.nonNegative("safety.warm_within"),
+		SlowStartDuration:       f.nonNegativeDuration("safety.warm_within"),
 		OverloadMultiple:        f.number("safety.overload_factor"),
-		OverloadWindow:          f.nonNegative("safety.fall"),
+		OverloadWindow:          f.nonNegativeDuration("safety.fall"),
 		EndpointsBySubscription: f.text("registry_mode", false) == "ask",
 	}
 	s.MaxAttempts = readMaxAttempts(f)
 	if f.bool("limits.retry_after") {
-		s.MaxRetryAfter = f.nonNegative("limits.max_retry_after")
+		s.MaxRetryAfter = f.nonNegativeDuration("limits.max_retry_after")
 	}
 	s.LoadReports = readReportSource(f)
 	s.WorkerKinds = readWorkerKinds(f)
@@ -55,7 +55,7 @@
 	return s
 }
 
-// readMaxAttempts reads the limit of attempts; where nothing is said, there are no retries.
+// readMaxAttempts reads the limit of attempts for a request. The default is one attempt, so no retries.
 func readMaxAttempts(f *fields) int {
 	if f.pairs["limits.send_cap"] == "" {
 		return 1
@@ -98,15 +98,15 @@
 		prefix := fmt.Sprintf("classes.%d.", i)
 		c := dispatch.Class{
 			Name:                f.text(prefix+"name", true),
-			LatencyObjective:    f.nonNegative(prefix + "target"),
-			Deadline:            f.nonNegative(prefix + "deadline"),
+			LatencyObjective:    f.nonNegativeDuration(prefix + "target"),
+			Deadline:            f.nonNegativeDuration(prefix + "deadline"),
 			PriorityWeight:      f.number(prefix + "worth"),
 			LateValueFraction:   f.number(prefix + "late_share"),
-			DeduplicationWindow: f.nonNegative(prefix + "window"),
-			Idempotency:         enum(f, prefix+"semantics", idempotencyNames),
+			DeduplicationWindow: f.nonNegativeDuration(prefix + "window"),
+			Idempotency:         enum(f, prefix+"semantics", idempotencyByName),
 		}
 		if c.Idempotency == dispatch.IdempotentByKey {
-			c.DeduplicationScope = enum(f, prefix+"dedup_scope", scopeNames)
+			c.DeduplicationScope = enum(f, prefix+"dedup_scope", scopeByName)
 		}
 		classes = append(classes, c)
 	}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -9,13 +9,13 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// Writer writes replies, one line for each action. A reply leaves as a whole, at its End.
+// Writer writes replies, with one line for each action. It buffers a reply until End.
 type Writer struct {
 	out    io.Writer
 	buffer bytes.Buffer
 }
 
-// NewWriter returns a Writer of replies to w.
+// NewWriter returns a Writer that writes replies to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
 func (w *Writer) begin(name string, instance int64) {
@@ -34,7 +34,8 @@
 
 func (w *Writer) duration(name string, v time.Duration) { w.integer(name, v.Microseconds()) }
 
-// Actions writes the actions of one instance. A ReportSuspicion has no line of the protocol and is left empty.
+// Actions writes the actions of one instance. The protocol has no line for a ReportSuspicion, so an empty line is written
+// for it.
 func (w *Writer) Actions(instance int64, actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// End closes the reply to a batch and writes it.
+// End ends the reply to the batch with this serial and writes it to the output.
 func (w *Writer) End(serial string) error {
 	w.buffer.WriteString("END")
 	w.text("serial", serial)
