--- a/cmd/topazfront/call.go
+++ b/cmd/topazfront/call.go
@@ -22,21 +22,21 @@
 type callCmd struct {
 	Address string            `required:"" help:"host:port of a gateway, or of any server of the Open Inference Protocol."`
 	Model   string            `required:"" help:"Model to call."`
-	Version string            `help:"Its version."`
+	Version string            `help:"Version of the model."`
 	ID      string            `help:"Identifier of the request." default:"call"`
-	Stream  bool              `help:"Ask for a streamed answer (ModelStreamInfer)."`
-	Timeout time.Duration     `default:"5s" help:"Give up after this long."`
+	Stream  bool              `help:"Request a streamed response (ModelStreamInfer)."`
+	Timeout time.Duration     `default:"5s" help:"Timeout of the call."`
 	Param   map[string]string `help:"Request parameters, as name=value; numbers are sent as numbers."`
-	Request string            `type:"existingfile" help:"A whole ModelInferRequest as JSON; the flags above take precedence."`
+	Request string            `type:"existingfile" help:"File with a complete ModelInferRequest as JSON; the other flags take precedence."`
 }
 
-// answerDelay is how long an answer is waited for beyond the deadline that the gateway was given.
-const answerDelay = time.Second
+// responseGrace is how long the call waits for the response after the deadline that it sent to the gateway.
+const responseGrace = time.Second
 
-// maxMessage bounds a message of the answer, in bytes.
-const maxMessage = 1 << 30
+// maxMessageSize is the size limit of a response message in bytes.
+const maxMessageSize = 1 << 30
 
-// Run makes the call and returns once its answer has ended.
+// Run makes the call and returns when the response has ended.
 func (c callCmd) Run(ctx context.Context) error {
 	request, err := c.request()
 	if err != nil {
@@ -50,15 +50,16 @@
 	if c.Stream {
 		path = oip.StreamInfer
 	}
-	p := &answerPrinter{stream: c.Stream, reader: grpc.MessageReader{MaxSize: maxMessage}, done: make(chan error, 1)}
+	p := &answerPrinter{stream: c.Stream, reader: grpc.MessageReader{MaxSize: maxMessageSize}, done: make(chan error, 1)}
 	conn, err := http2.Dial("tcp", c.Address, c.Timeout, http2.Config{}, p)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	head := append(grpc.RequestHeaders(c.Address, path, c.Timeout), hpack.Field{Name: "grpc-accept-encoding", Value: grpc.AcceptedEncodings})
+	headers := append(grpc.RequestHeaders(c.Address, path, c.Timeout),
+		hpack.Field{Name: "grpc-accept-encoding", Value: grpc.AcceptedEncodings})
 	body := append(grpc.AppendPrefix(nil, len(raw), false), raw...)
-	stream, err := conn.OpenStream(p, head, body, true)
+	stream, err := conn.OpenStream(p, headers, body, true)
 	if err != nil {
 		return err
 	}
@@ -68,13 +69,14 @@
 	case <-ctx.Done():
 		stream.Reset(http2.Cancel)
 		return ctx.Err()
-	case <-time.After(c.Timeout + answerDelay):
+	case <-time.After(c.Timeout + responseGrace):
 		stream.Reset(http2.Cancel)
-		return errors.New("no answer in time")
+		return errors.New("no response before the timeout")
 	}
 }
 
-// request is the file's message, if there is one, with the flags' values in place of its own.
+// request returns the request message: that of the request file, if there is one, with the values of the flags in place
+// of those in the file.
 func (c callCmd) request() (*inference.ModelInferRequest, error) {
 	m := &inference.ModelInferRequest{}
 	if c.Request != "" {
@@ -103,12 +105,12 @@
 	return &inference.InferParameter{ParameterChoice: &inference.InferParameter_StringParam{StringParam: value}}
 }
 
-// answerPrinter prints an answer's messages as they come. The connection's reading goroutine calls it.
+// answerPrinter prints the messages of a response as they arrive. The reading goroutine of the connection calls it.
 type answerPrinter struct {
 	stream   bool
 	reader   grpc.MessageReader
 	encoding string
-	done     chan error // gets the result, once
+	done     chan error // receives the result of the call, once
 	once     sync.Once
 }
 
@@ -157,7 +159,7 @@
 }
 
 func (p *answerPrinter) print(m []byte) {
-	body, err := grpc.MessageBody(m, p.encoding, maxMessage)
+	body, err := grpc.MessageBody(m, p.encoding, maxMessageSize)
 	var out proto.Message = &inference.ModelInferResponse{}
 	if p.stream {
 		out = &inference.ModelStreamInferResponse{}
--- a/cmd/topazfront/demo.go
+++ b/cmd/topazfront/demo.go
@@ -11,15 +11,16 @@
 
 const demoScenario = "demo"
 
-// After the demo its fleet may be held for as long as a scenario may last, with little traffic.
+// With --hold, a scenario without faults and with little traffic follows the demo. It has the maximum length of a
+// scenario.
 const (
 	holdSeconds        = 600
 	holdCallsPerSecond = 1
 )
 
 type demoCmd struct {
-	Hold   bool   `help:"Keep routers and workers running afterwards, and print the addresses."`
-	Report string `help:"Write the report as JSON." placeholder:"FILE"`
+	Hold   bool   `help:"Keep the routers and workers running after the demo, and print the routers' addresses."`
+	Report string `help:"Write the report as JSON to this file." placeholder:"FILE"`
 }
 
 // Run runs the demo scenario. It fails if a rule was violated.
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// holdDemo runs the demo's fleet without faults until the program is stopped.
+// holdDemo runs the demo's fleet without faults until the program is stopped or holdSeconds have passed.
 func holdDemo(options scenario.Options) error {
 	s, err := scenario.Load(demoScenario)
 	if err != nil {
--- a/cmd/topazfront/experiment.go
+++ b/cmd/topazfront/experiment.go
@@ -14,26 +14,26 @@
 )
 
 type experimentCmd struct {
-	Growth growthCmd `cmd:"" help:"How what a router needs grows with the number of workers: real routers against fake platforms of several sizes."`
+	Growth growthCmd `cmd:"" help:"Measure how the resource usage of a router grows with the number of workers, with real routers on fake platforms of several sizes."`
 }
 
 type growthCmd struct {
-	Usual       []int         `default:"60,120" help:"Usual numbers of workers, that the others are compared with."`
-	Workers     []int         `default:"960,1920,3200" help:"Numbers of workers to judge."`
-	Runs        []string      `enum:"calm,rolling,surge,outage" default:"calm,rolling,surge,outage" help:"Runs at each size (calm, rolling, surge, outage): no change, half of the workers replaced over the run, half of them within 7 s, discovery out of reach for half of the run."`
-	Routers     int           `default:"1" help:"Routers to run; the figures are their mean."`
-	Duration    time.Duration `default:"20s" help:"Time of the traffic in each run."`
-	Rate        float64       `default:"40" help:"Calls a second to each router."`
-	Functions   int           `default:"300" help:"Functions that are called, the first ones most often."`
-	Memory      int           `default:"64" help:"Limit of a router's memory in MB."`
-	Cores       float64       `default:"1" help:"Limit of a router's processors."`
-	Descriptors int           `default:"512" help:"Limit of a router's descriptors."`
+	Usual       []int         `default:"60,120" help:"Usual numbers of workers, with which the others are compared."`
+	Workers     []int         `default:"960,1920,3200" help:"Numbers of workers to check against the limits."`
+	Runs        []string      `enum:"calm,rolling,surge,outage" default:"calm,rolling,surge,outage" help:"Runs at each size: no change (calm), half of the workers replaced over the whole run (rolling) or within 7 s (surge), discovery unreachable for half of the run (outage)."`
+	Routers     int           `default:"1" help:"Number of routers to run; the figures are the means over these routers."`
+	Duration    time.Duration `default:"20s" help:"Duration of the traffic in each run."`
+	Rate        float64       `default:"40" help:"Calls per second to each router."`
+	Functions   int           `default:"300" help:"Number of functions that are called, the first ones most often."`
+	Memory      int           `default:"64" help:"Memory limit of a router in MB."`
+	Cores       float64       `default:"1" help:"Processor limit of a router, in cores."`
+	Descriptors int           `default:"512" help:"File descriptor limit of a router."`
 	Seed        uint64        `default:"1" help:"Seed of the traffic and of the routers."`
 	Out         string        `type:"path" help:"Folder for the figures (growth.json) and the plot (growth.svg)."`
 	Quiet       bool          `help:"Print no progress."`
 }
 
-// Run plays the experiment and fails unless every figure is within its allowance.
+// Run runs the experiment. It fails unless every figure is within its allowance.
 func (c *growthCmd) Run(ctx context.Context) error {
 	executable, err := os.Executable()
 	if err != nil {
--- a/cmd/topazfront/fake_worker.go
+++ b/cmd/topazfront/fake_worker.go
@@ -13,7 +13,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeworker"
 )
 
-// What the fake workers are like.
+// Properties of the fake workers, their models and their store.
 const (
 	fakeWorkerKind     = "box"
 	fakeWorkerMemoryMB = 4000
@@ -26,10 +26,10 @@
 )
 
 type fakeWorkerCmd struct {
-	Workers int      `default:"3" help:"How many."`
-	Dir     string   `default:"." type:"existingdir" help:"Where the list of workers and a gateway's settings are written."`
-	Model   []string `default:"quote,award" help:"Models that they know."`
-	Listen  string   `default:"127.0.0.1:9000" help:"Address that the written settings give the gateway."`
+	Workers int      `default:"3" help:"Number of workers."`
+	Dir     string   `default:"." type:"existingdir" help:"Folder for the worker list (workers.json) and the gateway's settings (gateway.json)."`
+	Model   []string `default:"quote,award" help:"Models that the workers can load."`
+	Listen  string   `default:"127.0.0.1:9000" help:"Listen address of the gateway in the written settings."`
 }
 
 // Run starts the workers, writes workers.json and gateway.json, and waits until ctx ends.
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// writeSettings writes the settings of a gateway in front of the workers and returns the file's path.
+// writeSettings writes the settings of a gateway for these workers and returns the path of the file.
 func (c fakeWorkerCmd) writeSettings() (string, error) {
 	settings := map[string]any{
 		"listen":  c.Listen,
--- a/cmd/topazfront/gossip.go
+++ b/cmd/topazfront/gossip.go
@@ -17,23 +17,23 @@
 )
 
 type gossipCmd struct {
-	Status     gossipStatusCmd     `cmd:"" help:"State of a running router's gossip: members, traffic, what was dropped."`
-	Peers      gossipPeersCmd      `cmd:"" help:"The routers that it knows."`
-	Suspicions gossipSuspicionsCmd `cmd:"" help:"Suspicions of workers: what is suspected, by whom, and with what weight."`
-	Keys       gossipKeysCmd       `cmd:"" help:"The keys that it admits."`
-	Keygen     gossipKeygenCmd     `cmd:"" help:"Make a router's key, and print its line for the file of admitted routers."`
-	Simulate   gossipSimulateCmd   `cmd:"" help:"Run many routers' gossip over a simulated network, and plot it."`
+	Status     gossipStatusCmd     `cmd:"" help:"Show the gossip state of a running router: members, traffic, dropped packets."`
+	Peers      gossipPeersCmd      `cmd:"" help:"List the routers that a running router knows."`
+	Suspicions gossipSuspicionsCmd `cmd:"" help:"List the suspected workers with the kind of suspicion, its weight and the routers that signed it."`
+	Keys       gossipKeysCmd       `cmd:"" help:"List the keys that a running router admits."`
+	Keygen     gossipKeygenCmd     `cmd:"" help:"Generate a router's key and print its line for the file of admitted routers."`
+	Simulate   gossipSimulateCmd   `cmd:"" help:"Run the gossip of many routers over a simulated network and plot the results."`
 }
 
-// adminQuery is the flags of a query to a running router.
+// adminQuery holds the flags of a query to a running router.
 type adminQuery struct {
-	Socket  string        `required:"" type:"path" help:"Operators' socket of the router (control.socket of its settings)."`
-	Timeout time.Duration `default:"3s" help:"Give up after this long."`
-	JSON    bool          `help:"Print the answer as JSON."`
+	Socket  string        `required:"" type:"path" help:"Admin socket of the router (control.socket in its settings)."`
+	Timeout time.Duration `default:"3s" help:"Timeout of the query."`
+	JSON    bool          `help:"Print the reply as JSON."`
 }
 
-// printReply calls a method of the admin API and prints its reply: as JSON, or as the table whose rows format writes,
-// with tabs between the columns.
+// printReply calls a method of the admin API and prints its reply as JSON or as a table. format writes the rows of the
+// table, with tabs between the columns.
 func printReply[T any](q *adminQuery, method string, format func(rows *strings.Builder, reply T)) error {
 	var raw json.RawMessage
 	if err := adminapi.Call(q.Socket, method, nil, &raw, q.Timeout); err != nil {
@@ -45,7 +45,7 @@
 	}
 	var reply T
 	if err := json.Unmarshal(raw, &reply); err != nil {
-		return fmt.Errorf("%s: the answer is not that of %s: %w", q.Socket, method, err)
+		return fmt.Errorf("%s: invalid reply to %s: %w", q.Socket, method, err)
 	}
 	var rows strings.Builder
 	format(&rows, reply)
--- a/cmd/topazfront/gossip_keygen.go
+++ b/cmd/topazfront/gossip_keygen.go
@@ -15,11 +15,11 @@
 )
 
 type gossipKeygenCmd struct {
-	ID   string `required:"" help:"Router that the key is for."`
-	Key  string `required:"" help:"Name of the key, such as its month."`
-	File string `required:"" type:"path" help:"Where the private key goes; a file that exists is not replaced unless asked for."`
+	ID   string `required:"" help:"ID of the router that the key is for."`
+	Key  string `required:"" help:"Name of the key, such as the month in which it was generated."`
+	File string `required:"" type:"path" help:"File for the private key; an existing file is replaced only with --overwrite."`
 
-	Overwrite bool `aliases:"over" help:"Replace a file that exists, in one step."`
+	Overwrite bool `aliases:"over" help:"Replace an existing file atomically."`
 }
 
 // Run writes the private key and prints the public one.
@@ -32,14 +32,14 @@
 	if err != nil {
 		return err
 	}
-	if _, err := config.ParseKey(c.File, raw); err != nil { // a name that could not be read back
+	if _, err := config.ParseKey(c.File, raw); err != nil { // the name of the key is invalid
 		return err
 	}
 	if _, err := os.Stat(c.File); !errors.Is(err, fs.ErrNotExist) && !c.Overwrite {
-		if err != nil { // it may exist: it is not replaced on a guess
+		if err != nil { // the file may exist, so it is not replaced
 			return err
 		}
-		return fmt.Errorf("%s exists already; --overwrite replaces it", c.File)
+		return fmt.Errorf("%s already exists; use --overwrite to replace it", c.File)
 	}
 	if err := durable.ReplaceFile(durable.OS, c.File, raw, 0o600); err != nil {
 		return err
--- a/cmd/topazfront/gossip_keygen_test.go
+++ b/cmd/topazfront/gossip_keygen_test.go
@@ -8,9 +8,9 @@
 	"github.com/topazfront/topazfront/internal/config"
 )
 
-// TestKeygenReplacesNothingByMistake: a file that exists, or may exist, is replaced only when asked for, and what is there
-// afterwards is a whole key or what was there before.
-func TestKeygenReplacesNothingByMistake(t *testing.T) {
+// TestKeygenKeepsExistingFile checks that keygen replaces a file only with --overwrite if the file exists or if it can't
+// tell, and that the file then has either a complete key or its previous content.
+func TestKeygenKeepsExistingFile(t *testing.T) {
 	dir := t.TempDir()
 	existing, blocked := filepath.Join(dir, "existing"), filepath.Join(dir, "existing", "below a file")
 	if err := os.WriteFile(existing, []byte("old"), 0o600); err != nil {
@@ -19,7 +19,7 @@
 	for _, test := range []struct {
 		name, file string
 		overwrite  bool
-		fails      bool
+		wantErr    bool
 		wantKey    bool
 	}{
 		{"new", filepath.Join(dir, "new"), false, false, true},
@@ -30,15 +30,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			command := gossipKeygenCmd{ID: "r0", Key: "k1", File: test.file, Overwrite: test.overwrite}
-			if err := command.Run(); (err != nil) != test.fails {
-				t.Errorf("%v, failure expected: %v", err, test.fails)
+			if err := command.Run(); (err != nil) != test.wantErr {
+				t.Errorf("error %v, want an error: %v", err, test.wantErr)
 			}
 			raw, _ := os.ReadFile(test.file)
 			if _, err := config.ParseKey(test.file, raw); (err == nil) != test.wantKey {
-				t.Errorf("holds %q", raw)
+				t.Errorf("file content %q", raw)
 			}
-			if left, _ := filepath.Glob(test.file + ".new"); len(left) > 0 {
-				t.Errorf("left behind: %v", left)
+			if temporary, _ := filepath.Glob(test.file + ".new"); len(temporary) > 0 {
+				t.Errorf("temporary files not removed: %v", temporary)
 			}
 		})
 	}
--- a/cmd/topazfront/gossip_simulate.go
+++ b/cmd/topazfront/gossip_simulate.go
@@ -14,22 +14,23 @@
 
 type gossipSimulateCmd struct {
 	Members []int         `default:"50,500" help:"Numbers of routers to simulate."`
-	Seeds   int           `default:"1" help:"Seeds for each."`
+	Seeds   int           `default:"1" help:"Number of seeds for each number of routers."`
 	Steady  time.Duration `default:"20s" help:"Simulated time over which traffic is measured."`
-	After   time.Duration `default:"60s" help:"Simulated time for which a death is followed."`
+	After   time.Duration `default:"60s" help:"Simulated time after a router's death in which its detection is measured."`
 	Out     string        `type:"path" help:"Folder for the plots (SVG) and the figures (JSON)."`
 }
 
-// gcPercent keeps the heap small: thousands of members that each know thousands would not fit otherwise.
+// gcPercent keeps the heap small. With the default, simulations of thousands of members, each of which knows thousands of
+// others, would not fit into memory.
 const gcPercent = 40
 
 // warmUp is the simulated time before traffic is measured.
 const warmUp = 10 * time.Second
 
-// conditions are the networks that each size is simulated on.
+// conditions are the network conditions under which each number of routers is simulated.
 var conditions = []gossipsim.Trial{{}, {Loss: 0.05}, {SlowShare: 0.1}}
 
-// Run simulates each size under each condition and prints a line for each seed.
+// Run simulates each number of routers under each condition and prints a line for each seed.
 func (c *gossipSimulateCmd) Run(ctx context.Context) error {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	var results []gossipsim.Result
@@ -61,7 +62,7 @@
 		r.Reached, r.FirstDetection, r.DetectionTo99, r.FalseDeaths, r.SuspicionsPerMemberMinute, r.WallSeconds)
 }
 
-// save writes figures and plots after each trial, as the large ones take long.
+// save writes the figures and the plots. It is called after each trial, as large simulations take long.
 func (c *gossipSimulateCmd) save(results []gossipsim.Result) error {
 	if c.Out == "" {
 		return nil
--- a/cmd/topazfront/main.go
+++ b/cmd/topazfront/main.go
@@ -15,25 +15,25 @@
 	"github.com/topazfront/topazfront/internal/grpcgateway"
 )
 
-// program is the command line. Commands and flags that have been renamed keep their old names as aliases.
+// program defines the commands and flags. Renamed commands and flags keep their former names as aliases.
 type program struct {
-	Demo       demoCmd       `cmd:"" help:"Run a short scenario with faults on loopback: workers, two routers, streaming clients; then print the results and the rules."`
-	Serve      serveCmd      `cmd:"" help:"Run a gateway until SIGTERM or SIGINT; pending calls get their answers first."`
-	Node       nodeCmd       `cmd:"" help:"Run one router on the platform, by the configuration that GW_CONFIG names, until SIGTERM."`
-	FakeWorker fakeWorkerCmd `cmd:"" aliases:"standin" help:"Run fake workers and write their list, for trying a gateway."`
-	Scenario   scenarioCmd   `cmd:"" aliases:"day" help:"Scripted scenarios over real sockets."`
-	Check      checkCmd      `cmd:"" help:"Check a settings file, or a list of workers, and name each wrong value by its path."`
-	Gossip     gossipCmd     `cmd:"" help:"Gossip between routers about suspected workers: query a running router, make keys, simulate."`
-	Experiment experimentCmd `cmd:"" help:"Experiments on fake platforms, on loopback."`
-	Soak       soakCmd       `cmd:"" help:"Real routers on a fake platform, on loopback, under faults that a seed draws; judged by the five rules."`
-	Call       callCmd       `cmd:"" help:"Make one inference call and print the answer as it comes."`
+	Demo       demoCmd       `cmd:"" help:"Run a short scenario with faults on loopback (workers, two routers, streaming clients), then print the results and whether the rules held."`
+	Serve      serveCmd      `cmd:"" help:"Run a gateway until SIGTERM or SIGINT; pending calls are completed before it exits."`
+	Node       nodeCmd       `cmd:"" help:"Run one router on the platform until SIGTERM, with the configuration file that GW_CONFIG names."`
+	FakeWorker fakeWorkerCmd `cmd:"" aliases:"standin" help:"Run fake workers for trying out a gateway, and write the worker list and the gateway's settings."`
+	Scenario   scenarioCmd   `cmd:"" aliases:"day" help:"Run or list scripted scenarios, which use real sockets."`
+	Check      checkCmd      `cmd:"" help:"Check settings files or worker lists and print the path of each invalid value."`
+	Gossip     gossipCmd     `cmd:"" help:"Gossip between routers about suspected workers: query a running router, generate keys, simulate."`
+	Experiment experimentCmd `cmd:"" help:"Run experiments on fake platforms, on loopback."`
+	Soak       soakCmd       `cmd:"" help:"Run real routers on a fake platform, on loopback, with faults drawn from a seed, and check the five rules."`
+	Call       callCmd       `cmd:"" help:"Make one inference call and print each response message as it arrives."`
 	Version    versionCmd    `cmd:"" help:"Print the version."`
 
 	LogLevel  string `enum:"debug,info,warn,error," default:"" help:"Log level (debug, info, warn, error)."`
 	LogFormat string `enum:"text,json," default:"" help:"Log format (text, json)."`
 }
 
-// errReported ends the program with exit code 1 and no message, as the failure has been printed already.
+// errReported makes the program exit with code 1 without a message, as the failure has already been printed.
 var errReported = errors.New("failed")
 
 func main() {
@@ -52,7 +52,8 @@
 	}
 }
 
-// logger writes to standard error. Flags take precedence over the level and format of the settings.
+// logger returns a logger that writes to standard error. level and format come from the settings; the flags --log-level
+// and --log-format take precedence.
 func (p *program) logger(level, format string) *slog.Logger {
 	if p.LogLevel != "" {
 		level = p.LogLevel
--- a/cmd/topazfront/main_test.go
+++ b/cmd/topazfront/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/alecthomas/kong"
 )
 
-func parser(t *testing.T) *kong.Kong {
+func newParser(t *testing.T) *kong.Kong {
 	t.Helper()
 	k, err := kong.New(&program{}, kong.Name("topazfront"))
 	if err != nil {
@@ -19,10 +19,10 @@
 	return k
 }
 
-// TestGoldenCommandLine holds the sub-commands, their flags with the default values and their arguments.
+// TestGoldenCommandLine checks the sub-commands, their flags with default values, and their arguments.
 func TestGoldenCommandLine(t *testing.T) {
 	var out bytes.Buffer
-	for _, leaf := range parser(t).Model.Leaves(false) {
+	for _, leaf := range newParser(t).Model.Leaves(false) {
 		fmt.Fprintln(&out, leaf.Path())
 		for _, f := range leaf.Flags {
 			fmt.Fprintf(&out, "  --%s default %q enum %q required %v\n", f.Name, f.Default, f.Enum, f.Required)
@@ -36,13 +36,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("the command line differs; got\n%s", out.Bytes())
+		t.Errorf("commands differ from testdata/commands.txt; got\n%s", out.Bytes())
 	}
 }
 
-// TestCommandLinesParse parses each command line that a page for operators, the README or a script names, also by the
-// names that commands and flags had before.
-func TestCommandLinesParse(t *testing.T) {
+// TestDocumentedCommandLinesParse checks that the program accepts the command lines in the operators' documentation, the
+// README and scripts, also with the former names of commands and flags.
+func TestDocumentedCommandLinesParse(t *testing.T) {
 	dir := t.TempDir()
 	file := dir + "/settings.json"
 	if err := os.WriteFile(file, []byte("{}"), 0o600); err != nil {
@@ -78,15 +78,16 @@
 		{"version", []string{"version"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := parser(t).Parse(c.args); err != nil {
+			if _, err := newParser(t).Parse(c.args); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// TestOldNamesSetTheSameFlags parses the old and the new spelling of what was renamed and compares the results.
-func TestOldNamesSetTheSameFlags(t *testing.T) {
+// TestFormerNamesSetSameFlags checks that the former names of renamed commands and flags have the same effect as their
+// present names.
+func TestFormerNamesSetSameFlags(t *testing.T) {
 	dir := t.TempDir()
 	for _, c := range []struct {
 		name     string
--- a/cmd/topazfront/node.go
+++ b/cmd/topazfront/node.go
@@ -12,7 +12,7 @@
 	Config string `env:"GW_CONFIG" help:"The router's configuration (JSON)."`
 }
 
-// Run serves on the platform until SIGTERM.
+// Run runs a router on the platform until SIGTERM.
 func (c nodeCmd) Run(ctx context.Context, p *program) error {
 	if c.Config == "" {
 		return errors.New("node: no configuration: set GW_CONFIG or --config")
--- a/cmd/topazfront/scenario.go
+++ b/cmd/topazfront/scenario.go
@@ -15,7 +15,7 @@
 
 type scenarioCmd struct {
 	Run  scenarioRunCmd  `cmd:"" help:"Run a scenario."`
-	List scenarioListCmd `cmd:"" help:"List the scenarios that come with the program, and the kinds of fault."`
+	List scenarioListCmd `cmd:"" help:"List the built-in scenarios and the kinds of faults."`
 }
 
 type scenarioListCmd struct{}
@@ -36,25 +36,26 @@
 	return nil
 }
 
-// Policies of scenario run.
+// Values of the flag --policy.
 const (
 	policyModule = "module"
 	policyRandom = "random"
 )
 
+// gossipOff is the value of the flag --gossip that turns gossip off.
 const gossipOff = "off"
 
 type scenarioRunCmd struct {
 	Scenario string   `arg:"" help:"Name of a built-in scenario, or a file."`
-	Report   string   `help:"Write the report as JSON." placeholder:"FILE"`
-	Policy   []string `enum:"module,random" default:"module" help:"What decides: the module, or a baseline; several are run one after another (module, random)."`
-	Seed     uint64   `help:"Another seed than the scenario's."`
+	Report   string   `help:"Write the report as JSON to this file." placeholder:"FILE"`
+	Policy   []string `enum:"module,random" default:"module" help:"Policies that make the dispatch decisions: the dispatch module, or random decisions as a baseline. Several are run one after another (module, random)."`
+	Seed     uint64   `help:"Seed to use instead of the scenario's."`
 	Quiet    bool     `aliases:"quietly" help:"Print no progress."`
-	Gossip   string   `enum:"script,off" default:"script" help:"Gossip between the routers: as the scenario has it, or off (script, off)."`
+	Gossip   string   `enum:"script,off" default:"script" help:"Gossip between the routers: as the scenario defines it, or off (script, off)."`
 	NoFaults bool     `aliases:"calm" help:"Run without the scenario's faults."`
 }
 
-// Run runs the scenario under each policy. It fails if the module violates a rule; the baselines may.
+// Run runs the scenario under each policy. It fails if the module violates a rule. A baseline may violate rules.
 func (c scenarioRunCmd) Run(ctx context.Context, p *program) error {
 	s, err := c.load()
 	if err != nil {
@@ -121,7 +122,7 @@
 	return report, nil
 }
 
-// saveReports writes one report as an object, several as an array.
+// saveReports writes a single report as a JSON object, and several as an array.
 func saveReports(path string, reports []*scenario.Report) error {
 	if len(reports) == 1 {
 		return reports[0].Save(path)
@@ -133,7 +134,7 @@
 	return os.WriteFile(path, raw, 0o644)
 }
 
-// scenarioOptions end the scenario early when ctx ends. The routers log only if a level was asked for.
+// scenarioOptions returns options that end the scenario early if ctx is done. The routers log only if --log-level is set.
 func scenarioOptions(ctx context.Context, p *program, quiet bool) scenario.Options {
 	o := scenario.Options{Stop: ctx.Done()}
 	if p.LogLevel != "" {
@@ -145,10 +146,12 @@
 	return o
 }
 
-// progressEvery is how many progress reports pass for each line that is written to a file: about two seconds.
-const progressEvery = 8
+// progressReportsPerLine is the number of progress reports for each line that is written if the output is not a terminal:
+// a line about every two seconds.
+const progressReportsPerLine = 8
 
-// progressPrinter rewrites one line on a terminal, and writes a line now and then elsewhere.
+// progressPrinter returns a function that prints progress reports. On a terminal each report overwrites the one before.
+// Elsewhere one of progressReportsPerLine reports is written as a line.
 func progressPrinter(file *os.File) func(scenario.Progress) {
 	info, err := file.Stat()
 	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0
@@ -160,9 +163,9 @@
 		line := p.Line() + "\n"
 		if terminal {
 			line = "\r\033[K" + p.Line()
-		} else if reports++; reports%progressEvery != 0 {
+		} else if reports++; reports%progressReportsPerLine != 0 {
 			return
 		}
-		_, _ = file.WriteString(line) // progress that can't be shown must not end the scenario
+		_, _ = file.WriteString(line) // a failure to print progress must not end the scenario
 	}
 }
--- a/cmd/topazfront/serve.go
+++ b/cmd/topazfront/serve.go
@@ -13,7 +13,7 @@
 	Config string `required:"" type:"existingfile" help:"Settings file (JSON)."`
 }
 
-// Run serves until ctx ends, then shuts down and prints the totals.
+// Run runs a gateway until ctx is done, then shuts it down and prints the totals.
 func (c serveCmd) Run(ctx context.Context, p *program) error {
 	settings, err := config.Load(c.Config)
 	if err != nil {
@@ -32,10 +32,10 @@
 
 type checkCmd struct {
 	Files   []string `arg:"" type:"existingfile" help:"Files to check."`
-	Workers bool     `help:"The files are lists of workers."`
+	Workers bool     `help:"Treat the files as worker lists."`
 }
 
-// Run checks all files, also after one that is wrong.
+// Run checks all files, even if one of them is invalid.
 func (c checkCmd) Run() error {
 	failed := false
 	for _, file := range c.Files {
--- a/cmd/topazfront/soak.go
+++ b/cmd/topazfront/soak.go
@@ -13,21 +13,21 @@
 )
 
 type soakCmd struct {
-	Seed     uint64        `default:"1" help:"First seed. A seed draws the fleet, its settings and its faults."`
-	Seeds    int           `default:"1" help:"How many seeds to play, from the first one on."`
-	Parallel int           `default:"2" help:"Schedules to play at once."`
-	Shrink   int           `default:"0" help:"After a failure, at most so many runs to find the fewest faults that still fail."`
-	Router   string        `type:"existingfile" help:"Program whose command node runs the routers, such as an earlier release; this one by default."`
-	Faults   string        `help:"Faults to play in place of the drawn ones, as schedules are printed, set apart by spaces."`
-	Routers  int           `help:"Routers in place of the drawn number, 254 at most."`
-	Workers  int           `help:"Workers in place of the drawn number, 199 at most."`
-	Rate     float64       `help:"Calls a second to each router in place of the drawn rate."`
-	Duration time.Duration `help:"Time of the traffic."`
+	Seed     uint64        `default:"1" help:"First seed. A seed determines the fleet, its settings and the faults."`
+	Seeds    int           `default:"1" help:"Number of consecutive seeds to run."`
+	Parallel int           `default:"2" help:"Number of schedules to run concurrently."`
+	Shrink   int           `default:"0" help:"After a failure, maximum number of runs for finding the smallest set of faults that still fails."`
+	Router   string        `type:"existingfile" help:"Program that runs the routers with its node command, such as an earlier release; by default this program."`
+	Faults   string        `help:"Faults to inject in place of the drawn ones, separated by spaces, in the format of printed schedules."`
+	Routers  int           `help:"Number of routers in place of the drawn one, at most 254."`
+	Workers  int           `help:"Number of workers in place of the drawn one, at most 199."`
+	Rate     float64       `help:"Calls per second to each router in place of the drawn rate."`
+	Duration time.Duration `help:"Duration of the traffic in place of the drawn one."`
 	Deadline time.Duration `help:"Deadline of the calls in place of the drawn one."`
-	List     bool          `help:"Print the schedules and play none."`
+	List     bool          `help:"Print the schedules without running them."`
 }
 
-// Run plays the seeds and fails if any of them does.
+// Run runs the schedules of all seeds. It fails if any of them fails.
 func (c *soakCmd) Run(ctx context.Context) error {
 	executable, err := os.Executable()
 	if err != nil {
@@ -49,7 +49,7 @@
 		}
 		return nil
 	}
-	failed := c.playAll(ctx, faults, options)
+	failed := c.runAll(ctx, faults, options)
 	fmt.Printf("%d schedules, %d failed\n", c.Seeds, failed)
 	if failed > 0 {
 		return errReported
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// schedule returns what a seed draws, with what the flags give in its place.
+// schedule returns the schedule drawn from a seed, with the values of the flags in place of the drawn ones.
 func (c *soakCmd) schedule(seed uint64, faults []soak.Fault) soak.Schedule {
 	s := soak.DrawSchedule(seed)
 	s.Routers = cmp.Or(c.Routers, s.Routers)
@@ -71,23 +71,23 @@
 	return s
 }
 
-// playAll plays all seeds, some of them at once, and returns how many failed.
-func (c *soakCmd) playAll(ctx context.Context, faults []soak.Fault, options soak.Options) (failed int) {
+// runAll runs the schedules of all seeds, c.Parallel of them concurrently, and returns the number of failures.
+func (c *soakCmd) runAll(ctx context.Context, faults []soak.Fault, options soak.Options) (failed int) {
 	seeds := make(chan uint64)
-	var playing sync.WaitGroup
-	var printing sync.Mutex
+	var runners sync.WaitGroup
+	var outputMutex sync.Mutex
 	for range max(c.Parallel, 1) {
-		playing.Go(func() {
+		runners.Go(func() {
 			for seed := range seeds {
-				passed, lines := c.play(c.schedule(seed, faults), options)
-				printing.Lock()
+				passed, lines := c.runSchedule(c.schedule(seed, faults), options)
+				outputMutex.Lock()
 				for _, line := range lines {
 					fmt.Println(line)
 				}
 				if !passed {
 					failed++
 				}
-				printing.Unlock()
+				outputMutex.Unlock()
 			}
 		})
 	}
@@ -98,12 +98,12 @@
 		seeds <- c.Seed + uint64(i)
 	}
 	close(seeds)
-	playing.Wait()
+	runners.Wait()
 	return failed
 }
 
-// play plays a schedule and returns what to print about it.
-func (c *soakCmd) play(schedule soak.Schedule, options soak.Options) (passed bool, lines []string) {
+// runSchedule runs a schedule and returns whether it passed and the lines to print about it.
+func (c *soakCmd) runSchedule(schedule soak.Schedule, options soak.Options) (passed bool, lines []string) {
 	report, err := soak.Run(schedule, options)
 	if err != nil {
 		return false, []string{fmt.Sprintf("seed %d could not be played: %v", schedule.Seed, err)}
@@ -121,8 +121,8 @@
 	lines = append(lines, report.Timeline...)
 	if c.Shrink > 0 {
 		smallest := soak.Shrink(schedule, c.Shrink, func(s soak.Schedule) bool {
-			again, err := soak.Run(s, options)
-			return err == nil && !again.Passed()
+			rerun, err := soak.Run(s, options)
+			return err == nil && !rerun.Passed()
 		})
 		lines = append(lines, fmt.Sprintf("fewest faults that failed: %v", smallest))
 	}
