--- a/dispatch/characterization_test.go
+++ b/dispatch/characterization_test.go
@@ -11,7 +11,7 @@
 )
 
 var updateCharacterization = flag.Bool("characterization.update", false,
-	"write the sums anew: only with an intended change of decisions")
+	"overwrite the recorded hashes; use it only for an intended change of decisions")
 
 const (
 	characterizationFile  = "testdata/characterization.txt"
--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the results of the tests")
 
 // Compare compares bytes with the file of that name under testdata/golden. With the test flag -update it writes the
 // file first.
