--- a/cmd/topazfront/gossip_keygen_test.go
+++ b/cmd/topazfront/gossip_keygen_test.go
@@ -8,8 +8,8 @@
 	"github.com/topazfront/topazfront/internal/config"
 )
 
-// TestKeygenKeepsExistingFile checks that keygen replaces a file only with --overwrite if the file exists or if it can't
-// tell, and that the file then has either a complete key or its previous content.
+// TestKeygenKeepsExistingFile checks that keygen replaces a file only with --overwrite if the file exists or if it
+// can't tell, and that the file then has either a complete key or its previous content.
 func TestKeygenKeepsExistingFile(t *testing.T) {
 	dir := t.TempDir()
 	existing, blocked := filepath.Join(dir, "existing"), filepath.Join(dir, "existing", "below a file")
--- a/cmd/topazfront/gossip_simulate.go
+++ b/cmd/topazfront/gossip_simulate.go
@@ -20,8 +20,8 @@
 	Out     string        `type:"path" help:"Folder for the plots (SVG) and the figures (JSON)."`
 }
 
-// gcPercent keeps the heap small. With the default, simulations of thousands of members, each of which knows thousands of
-// others, would not fit into memory.
+// gcPercent keeps the heap small. With the default, simulations of thousands of members, each of which knows thousands
+// of others, would not fit into memory.
 const gcPercent = 40
 
 // warmUp is the simulated time before traffic is measured.
--- a/cmd/topazfront/main_test.go
+++ b/cmd/topazfront/main_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestDocumentedCommandLinesParse checks that the program accepts the command lines in the operators' documentation, the
-// README and scripts, also with the former names of commands and flags.
+// TestDocumentedCommandLinesParse checks that the program accepts the command lines in the operators' documentation,
+// the README and scripts, also with the former names of commands and flags.
 func TestDocumentedCommandLinesParse(t *testing.T) {
 	dir := t.TempDir()
 	file := dir + "/settings.json"
--- a/cmd/topazfront/scenario.go
+++ b/cmd/topazfront/scenario.go
@@ -134,7 +134,8 @@
 	return os.WriteFile(path, raw, 0o644)
 }
 
-// scenarioOptions returns options that end the scenario early if ctx is done. The routers log only if --log-level is set.
+// scenarioOptions returns options that end the scenario early if ctx is done. The routers log only if --log-level is
+// set.
 func scenarioOptions(ctx context.Context, p *program, quiet bool) scenario.Options {
 	o := scenario.Options{Stop: ctx.Done()}
 	if p.LogLevel != "" {
@@ -146,8 +147,8 @@
 	return o
 }
 
-// progressReportsPerLine is the number of progress reports for each line that is written if the output is not a terminal:
-// a line about every two seconds.
+// progressReportsPerLine is the number of progress reports for each line that is written if the output is not a
+// terminal: a line about every two seconds.
 const progressReportsPerLine = 8
 
 // progressPrinter returns a function that prints progress reports. On a terminal each report overwrites the one before.
--- a/internal/experiment/growth/doc.go
+++ b/internal/experiment/growth/doc.go
@@ -1,11 +1,12 @@
-// Package growth measures how the needs of a router grow with the number of workers.
+// Package growth measures how the resource usage of a router grows with the number of workers.
 //
-// Job: it runs routers in processes of their own against fake platforms of several sizes, with the same traffic, limits and
-// total capacity for each router. It compares each size with a usual one in six rows: processor time, peak memory,
-// descriptors, connections made to workers, bytes of endpoint lists and the share of the calls that are served.
+// It runs routers in separate processes on fake platforms of several sizes. Each router has the same traffic and limits
+// at all sizes, and the total memory of the workers is in proportion to the number of routers. Each size is compared
+// with a usual size, the baseline, by six criteria: processor time, peak memory, descriptors, connections made to
+// workers, bytes of endpoint lists and the share of the calls that are served.
 //
-// State: measure owns all of a run: a temporary directory, the fleet, the routers and their traffic. They end with it. One
-// run follows another, so that they don't compete for processors.
+// A run at one size has its own temporary directory, fleet, routers and traffic, which are removed or stopped at its
+// end. Runs take place one after another, so that they don't compete for processors.
 //
-// Caller: `topazfront experiment growth`, by Run, which prints the report and writes it as JSON and as a plot.
+// The command `topazfront experiment growth` calls Run, prints the report and writes it as JSON and as a plot.
 package growth
--- a/internal/experiment/growth/experiment.go
+++ b/internal/experiment/growth/experiment.go
@@ -26,25 +26,25 @@
 	return !slices.ContainsFunc(r.Verdicts, func(v Verdict) bool { return !v.Passed })
 }
 
-// validate returns an error if no experiment can be made with the options.
+// validate returns an error if the options are invalid.
 func (o Options) validate() error {
 	isInvalidSize := func(size int) bool { return size < 1 }
 	hasTraffic := o.Functions >= 2 && o.CallsPerSecond > 0 && o.Duration > 0
 	switch {
 	case len(o.UsualSizes) == 0 || len(o.Disruptions) == 0:
-		return errors.New("growth: no usual size, or no run")
+		return errors.New("growth: needs at least one usual size and one run")
 	case slices.ContainsFunc(o.allSizes(), isInvalidSize):
-		return errors.New("growth: a size is less than one worker")
+		return errors.New("growth: each size must be at least one worker")
 	case o.Nodes < 1 || !hasTraffic:
-		return errors.New("growth: a router, two functions, calls and time are needed")
+		return errors.New("growth: needs at least one router and two functions, and a call rate and a duration above 0")
 	case o.NodeCommand == nil:
-		return errors.New("growth: no command that runs a router")
+		return errors.New("growth: needs a command that runs a router")
 	}
 	return nil
 }
 
-// Run makes a run of every disruption at every size, one after another, and judges them. If a run fails, the report that is
-// returned with the error has the measurements before it.
+// Run measures every disruption at every size, one run after another, and compares the sizes with the usual ones. If a
+// run fails, Run returns the error and a report of the runs before it.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 	return report, nil
 }
 
-// allSizes returns the sizes to measure, each once, in ascending order.
+// allSizes returns the sizes to measure in ascending order, without duplicates.
 func (o Options) allSizes() []int {
 	sizes := slices.Concat(o.UsualSizes, o.Sizes)
 	slices.Sort(sizes)
--- a/internal/experiment/growth/experiment_test.go
+++ b/internal/experiment/growth/experiment_test.go
@@ -17,8 +17,8 @@
 	"github.com/topazfront/topazfront/internal/httprouter"
 )
 
-// nodeConfigVariable is the environment variable that has the test binary run a router, by the configuration file that
-// it names, in place of the tests.
+// nodeConfigVariable is an environment variable. If it is set, the test binary runs a router with the configuration
+// file that it names, and no tests.
 const nodeConfigVariable = "GROWTH_TEST_CONFIG"
 
 func TestMain(m *testing.M) {
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// testOptions are those of an experiment that takes seconds.
+// testOptions returns the options of an experiment that takes a few seconds.
 func testOptions() Options {
 	return Options{
 		UsualSizes: []int{60}, Sizes: []int{960}, Disruptions: []Disruption{Calm, Surge, Outage}, Nodes: 1,
@@ -47,11 +47,11 @@
 	}
 }
 
-// countedRows are the rows that a loaded machine doesn't change.
-var countedRows = map[string]bool{"descriptors": true, "connections made": true, "list bytes": true}
+// loadIndependentCriteria are the names of the criteria that don't depend on the load of the machine.
+var loadIndependentCriteria = map[string]bool{"descriptors": true, "connections made": true, "list bytes": true}
 
-// TestGrowth plays 60 workers against 960. Processor time and the share served depend on the machine's load, so they
-// are reported by the experiment and not judged here.
+// TestGrowth compares 960 workers with 60. Processor time and the share of served calls depend on the load of the
+// machine, so the test logs them but doesn't check them against their allowances.
 func TestGrowth(t *testing.T) {
 	report, err := Run(t.Context(), testOptions())
 	if err != nil {
@@ -62,12 +62,12 @@
 		t.Fatal(err)
 	}
 	t.Logf("\n%s", table.String())
-	if want := len(rows) * 3; len(report.Verdicts) != want || len(report.Measurements) != 6 {
+	if want := len(criteria) * 3; len(report.Verdicts) != want || len(report.Measurements) != 6 {
 		t.Fatalf("%d verdicts, want %d; %d measurements", len(report.Verdicts), want, len(report.Measurements))
 	}
 	for _, v := range report.Verdicts {
-		if countedRows[v.Row] && !v.Passed {
-			t.Errorf("%s: %s: %v, at most %v allowed", v.Disruption, v.Row, v.Figure, v.Allowed)
+		if loadIndependentCriteria[v.Criterion] && !v.Passed {
+			t.Errorf("%s: %s: %v, at most %v allowed", v.Disruption, v.Criterion, v.Figure, v.Allowed)
 		}
 	}
 	for _, m := range report.Measurements {
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	if svg, err := os.ReadFile(path); err != nil || !strings.Contains(string(svg), "list bytes") {
-		t.Errorf("the plot: %d bytes, %v", len(svg), err)
+		t.Errorf("plot of %d bytes has no title of a criterion: %v", len(svg), err)
 	}
 }
 
@@ -100,7 +100,7 @@
 			options := testOptions()
 			change(&options)
 			if _, err := Run(t.Context(), options); err == nil {
-				t.Error("no error")
+				t.Error("got no error, want one")
 			}
 		})
 	}
--- a/internal/experiment/growth/fleet.go
+++ b/internal/experiment/growth/fleet.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	workDuration = 5 * time.Millisecond   // of a request
-	loadDuration = 50 * time.Millisecond  // of a function's first request at a worker
-	replaceStep  = 200 * time.Millisecond // between two changes of the endpoint list
-	drainTime    = 2 * time.Second        // from the event that a worker drains until it is removed
-	cells        = 4                      // of the fleet
+	workDuration    = 5 * time.Millisecond   // processing time of a request
+	loadDuration    = 50 * time.Millisecond  // time to load a function on its first request to a worker
+	replaceInterval = 200 * time.Millisecond // between two changes of the endpoint list
+	drainDuration   = 2 * time.Second        // from the event that lists a worker as draining until its removal
+	cells           = 4                      // number of cells in the fleet
 )
 
 // States of workers in the endpoint list.
@@ -24,28 +24,28 @@
 	stateRemoved  = "left"
 )
 
-// fleet is the workers of a fake platform and its discovery server.
+// fleet holds the workers of a fake platform and its discovery server.
 type fleet struct {
 	discovery *fakeplatform.DiscoveryServer
 	stopPolls chan struct{}
 
-	mu      sync.Mutex
-	started int                        // workers started so far; numbers them
-	active  []*fleetWorker             // oldest first
-	all     []*fakeplatform.Worker     // the stopped ones too: their connections count
-	pending map[*fleetWorker]time.Time // draining workers, and when they are removed
+	mu       sync.Mutex
+	started  int                        // number of workers started so far; the next worker's ID has this number
+	active   []*fleetWorker             // oldest first
+	all      []*fakeplatform.Worker     // includes stopped workers, as their connections count, too
+	draining map[*fleetWorker]time.Time // by draining worker: time of its removal
 }
 
 // fleetWorker is one worker that is in the endpoint list.
 type fleetWorker struct {
 	*fakeplatform.Worker
 	cell      int
-	startedAt uint64 // Unix milliseconds; 0: before the run
+	startedAt uint64 // Unix milliseconds; 0 means before the run
 }
 
-// startFleet starts workers, and a discovery server that lists them.
+// startFleet starts workers and a discovery server that lists them.
 func startFleet(workers int) (*fleet, error) {
-	f := &fleet{stopPolls: make(chan struct{}), pending: map[*fleetWorker]time.Time{}}
+	f := &fleet{stopPolls: make(chan struct{}), draining: map[*fleetWorker]time.Time{}}
 	lines := make([]string, 0, workers)
 	for range workers {
 		worker, err := f.startWorker(0)
@@ -60,11 +60,11 @@
 		f.stop()
 		return nil, err
 	}
-	go f.readPolls()
+	go f.discardPolls()
 	return f, nil
 }
 
-// startWorker starts a worker on a port of its own and adds it to the active ones.
+// startWorker starts a worker on a free port and adds it to the active workers.
 func (f *fleet) startWorker(startedAt uint64) (*fleetWorker, error) {
 	w := &fleetWorker{
 		Worker:    &fakeplatform.Worker{ID: fmt.Sprintf("w-%08x", f.started), WorkDuration: workDuration},
@@ -86,28 +86,30 @@
 	return fmt.Sprintf("%s %s %s %d %d", w.ID, w.Addr(), state, w.cell, w.startedAt)
 }
 
-// loadOnFirstUse returns a handler that delays the first requests of each function by the time of a load.
+// loadOnFirstUse returns a handler that loads a function on its first request. Requests for a function wait until it is
+// loaded.
 func loadOnFirstUse(w *fakeplatform.Worker) func(fakeplatform.Request) {
 	var mu sync.Mutex
 	loadedAt := map[string]time.Time{}
 	return func(r fakeplatform.Request) {
 		function := r.Fields["item"]
 		mu.Lock()
-		at, known := loadedAt[function]
+		readyTime, known := loadedAt[function]
 		if !known {
-			at = time.Now().Add(loadDuration)
-			loadedAt[function] = at
+			readyTime = time.Now().Add(loadDuration)
+			loadedAt[function] = readyTime
 		}
 		mu.Unlock()
 		go func() {
-			time.Sleep(time.Until(at))
+			time.Sleep(time.Until(readyTime))
 			w.HandleHealthy(r)
 		}()
 	}
 }
 
-// readPolls reads and drops the polls that the discovery server reports. The server stops responding if too many are unread.
-func (f *fleet) readPolls() {
+// discardPolls reads and discards the polls that the discovery server reports. The server would stop responding if too
+// many were unread.
+func (f *fleet) discardPolls() {
 	for {
 		select {
 		case <-f.discovery.Polls():
@@ -117,10 +119,10 @@
 	}
 }
 
-// replace replaces count of the oldest workers by new ones, evenly over duration, and removes those that have drained. It
-// returns when stop is closed.
+// replace replaces the oldest count workers by new ones, evenly over duration, and removes the workers that have
+// drained. It returns when stop is closed.
 func (f *fleet) replace(count int, duration time.Duration, stop <-chan struct{}) error {
-	ticker := time.NewTicker(replaceStep)
+	ticker := time.NewTicker(replaceInterval)
 	defer ticker.Stop()
 	startedAt := time.Now()
 	replaced := 0
@@ -143,8 +145,9 @@
 	}
 }
 
-// loseDiscovery has connections to discovery refused for a while, after a delay. It returns when stop is closed.
-func (f *fleet) loseDiscovery(after, duration time.Duration, stop <-chan struct{}) error {
+// interruptDiscovery makes the discovery server refuse connections for duration, after a delay. It returns when stop is
+// closed.
+func (f *fleet) interruptDiscovery(after, duration time.Duration, stop <-chan struct{}) error {
 	select {
 	case <-time.After(after):
 	case <-stop:
@@ -160,7 +163,8 @@
 	return err
 }
 
-// replaceOldest starts new workers in place of the oldest ones, which drain, and returns the lines of the event.
+// replaceOldest starts count new workers, drains as many of the oldest ones, and returns the lines of the event with
+// these changes.
 func (f *fleet) replaceOldest(now time.Time, count int) (lines []string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,28 +175,28 @@
 		}
 		oldest := f.active[0]
 		f.active = f.active[1:]
-		f.pending[oldest] = now.Add(drainTime)
+		f.draining[oldest] = now.Add(drainDuration)
 		lines = append(lines, worker.line(stateActive), oldest.line(stateDraining))
 	}
 	return lines, nil
 }
 
-// removeDrained stops the workers whose drain has ended, and returns the lines of the event.
+// removeDrained stops the workers whose drain has ended and returns the lines of the event that removes them.
 func (f *fleet) removeDrained(now time.Time) (lines []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for worker, at := range f.pending {
-		if now.Before(at) {
+	for worker, removalTime := range f.draining {
+		if now.Before(removalTime) {
 			continue
 		}
-		delete(f.pending, worker)
+		delete(f.draining, worker)
 		lines = append(lines, worker.line(stateRemoved))
 		go worker.Stop()
 	}
 	return lines
 }
 
-// acceptedConnections returns how many connections all workers have accepted.
+// acceptedConnections returns the number of connections that all workers together have accepted.
 func (f *fleet) acceptedConnections() (total int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,7 +216,7 @@
 	for _, worker := range f.active {
 		wg.Go(worker.Stop)
 	}
-	for worker := range f.pending {
+	for worker := range f.draining {
 		wg.Go(worker.Stop)
 	}
 	wg.Wait()
--- a/internal/experiment/growth/measure.go
+++ b/internal/experiment/growth/measure.go
@@ -14,13 +14,13 @@
 	progressInterval = 2 * time.Second
 )
 
-// Figures are the needs of a router in a run, as the mean over all routers that ran. The keys are those of the report.
+// Figures is the resource usage of a router in a run, as the mean over all routers that ran.
 type Figures struct {
 	CPUSeconds   float64 `json:"cpu_seconds"`
 	PeakMemoryMB float64 `json:"peak_memory_mb"`
-	Descriptors  float64 `json:"descriptors"` // most that were open at once
-	Connections  float64 `json:"connections"` // made to workers
-	ListBytes    float64 `json:"list_bytes"`  // of the responses of discovery
+	Descriptors  float64 `json:"descriptors"` // maximum number open at once
+	Connections  float64 `json:"connections"` // number of connections made to workers
+	ListBytes    float64 `json:"list_bytes"`  // received from discovery
 	ShareServed  float64 `json:"share_served"`
 }
 
@@ -35,11 +35,11 @@
 type measuredNode struct {
 	*node
 	traffic         *traffic
-	usage           processUsage // the last sample
+	lastUsage       processUsage // at the last sample
 	peakDescriptors int
 }
 
-// measure makes one run at one size and returns its figures.
+// measure runs the routers with one disruption at one size and returns the figures of the run.
 func measure(ctx context.Context, o Options, workers int, disruption Disruption) (Measurement, error) {
 	m := Measurement{Workers: workers, Disruption: disruption}
 	dir, err := os.MkdirTemp("", "growth")
@@ -66,15 +66,15 @@
 		}
 		nodes = append(nodes, &measuredNode{node: n, traffic: newTraffic(o, number, n.address)})
 	}
-	if err := play(ctx, o, fleet, nodes, m); err != nil {
+	if err := runTraffic(ctx, o, fleet, nodes, m); err != nil {
 		return m, err
 	}
 	m.Figures = meanFigures(fleet, nodes)
 	return m, nil
 }
 
-// play makes the traffic, disrupts the fleet and samples the routers until all calls have ended.
-func play(ctx context.Context, o Options, fleet *fleet, nodes []*measuredNode, m Measurement) error {
+// runTraffic runs the traffic, disrupts the fleet and samples the routers until all calls have ended.
+func runTraffic(ctx context.Context, o Options, fleet *fleet, nodes []*measuredNode, m Measurement) error {
 	trafficEnded := make(chan struct{})
 	var traffic, disruption sync.WaitGroup
 	for _, n := range nodes {
@@ -91,16 +91,16 @@
 		})
 	}
 	if m.Disruption == Outage {
-		disruption.Go(func() { disruptionErr = fleet.loseDiscovery(o.Duration/4, o.Duration/2, trafficEnded) })
+		disruption.Go(func() { disruptionErr = fleet.interruptDiscovery(o.Duration/4, o.Duration/2, trafficEnded) })
 	}
-	samplingErr := sample(o, nodes, m, trafficEnded)
+	samplingErr := sampleNodes(o, nodes, m, trafficEnded)
 	<-trafficEnded
 	disruption.Wait()
 	return errors.Join(ctx.Err(), disruptionErr, samplingErr)
 }
 
-// sample samples the routers until the traffic has ended, and once more then.
-func sample(o Options, nodes []*measuredNode, m Measurement, trafficEnded <-chan struct{}) error {
+// sampleNodes samples the routers at regular intervals until the traffic has ended, and once more after that.
+func sampleNodes(o Options, nodes []*measuredNode, m Measurement, trafficEnded <-chan struct{}) error {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	startedAt := time.Now()
@@ -124,31 +124,31 @@
 	return nil
 }
 
-// sample reads the router's present usage.
+// sample reads the current usage of the router.
 func (n *measuredNode) sample() (err error) {
-	if n.usage, err = readUsage(n.command.Process.Pid); err != nil {
+	if n.lastUsage, err = readUsage(n.command.Process.Pid); err != nil {
 		return err
 	}
-	n.peakDescriptors = max(n.peakDescriptors, n.usage.descriptors)
+	n.peakDescriptors = max(n.peakDescriptors, n.lastUsage.descriptors)
 	return nil
 }
 
-// progressLine describes how far a run is, and the usage of the first router so far.
+// progressLine describes the progress of a run and the usage of router n so far.
 func progressLine(n *measuredNode, m Measurement, elapsed, duration time.Duration) string {
 	return fmt.Sprintf("%s, %d workers: %.0f of %.0f s, %d calls, %d served, %.2f s processor time, %.0f MB, %d descriptors",
-		m.Disruption, m.Workers, elapsed.Seconds(), duration.Seconds(), n.traffic.made.Load(), n.traffic.served.Load(),
-		n.usage.cpuSeconds, n.usage.peakMemoryMB, n.usage.descriptors)
+		m.Disruption, m.Workers, elapsed.Seconds(), duration.Seconds(), n.traffic.callsMade.Load(), n.traffic.callsServed.Load(),
+		n.lastUsage.cpuSeconds, n.lastUsage.peakMemoryMB, n.lastUsage.descriptors)
 }
 
-// meanFigures returns the figures of a run that has ended.
+// meanFigures returns the figures of a completed run.
 func meanFigures(fleet *fleet, nodes []*measuredNode) Figures {
 	figures := Figures{
 		Connections: float64(fleet.acceptedConnections()),
 		ListBytes:   float64(fleet.discovery.BytesSent()),
 	}
 	for _, n := range nodes {
-		figures.CPUSeconds += n.usage.cpuSeconds
-		figures.PeakMemoryMB += n.usage.peakMemoryMB
+		figures.CPUSeconds += n.lastUsage.cpuSeconds
+		figures.PeakMemoryMB += n.lastUsage.peakMemoryMB
 		figures.Descriptors += float64(n.peakDescriptors)
 		figures.ShareServed += n.traffic.shareServed()
 	}
--- a/internal/experiment/growth/plot.go
+++ b/internal/experiment/growth/plot.go
@@ -14,15 +14,15 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size and grid of the drawing.
+// Layout of the plots in the SVG file.
 const (
 	plotColumns = 3
-	plotWidth   = 10 * vg.Centimeter // of each of the six
+	plotWidth   = 10 * vg.Centimeter // width of the plot of one criterion
 	plotHeight  = 7 * vg.Centimeter
 	plotPadding = 6 * vg.Millimeter
-	headroom    = 1.25 // leaves room for the legend above the lines
+	headroom    = 1.25 // ratio of the axis to the highest value; leaves room for the legend above the lines
 
-	minPlotMaximum = 0.01 // of the vertical axis: figures that are all 0 need an axis, too
+	minPlotMaximum = 0.01 // minimum length of the vertical axis, which is needed even if all figures are 0
 )
 
 // lineColors are the colors of the disruptions' lines.
@@ -33,18 +33,19 @@
 	Outage:  {R: 110, G: 60, B: 140, A: 255},
 }
 
-// errNothingMeasured is the error of a plot without any figure.
-var errNothingMeasured = errors.New("growth: nothing to plot, as no run was measured to its end")
+// errNoMeasurements is returned for a plot of a report without measurements.
+var errNoMeasurements = errors.New("growth: nothing to plot, as no run was completed")
 
-// WritePlot writes the six figures over the number of workers as an SVG file. Dashed lines are the allowances.
+// WritePlot writes an SVG file with a plot for each criterion, which shows the figures over the number of workers.
+// Dashed lines are the allowances.
 func (r *Report) WritePlot(path string) error {
 	if len(r.Measurements) == 0 {
-		return errNothingMeasured
+		return errNoMeasurements
 	}
-	plotRows := (len(rows) + plotColumns - 1) / plotColumns
+	plotRows := (len(criteria) + plotColumns - 1) / plotColumns
 	grid := make([][]*plot.Plot, plotRows)
-	for i, row := range rows {
-		p, err := r.plotRow(row)
+	for i, c := range criteria {
+		p, err := r.plotCriterion(c)
 		if err != nil {
 			return err
 		}
@@ -68,10 +69,10 @@
 	return file.Close()
 }
 
-// plotRow draws one figure: a line for each disruption, and its allowance.
-func (r *Report) plotRow(row row) (*plot.Plot, error) {
+// plotCriterion plots the figures of a criterion, with a line for each disruption and a dashed one for its allowances.
+func (r *Report) plotCriterion(c criterion) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = row.name
+	p.Title.Text = c.name
 	p.X.Label.Text = "workers"
 	p.X.Scale = plot.LogScale{}
 	p.X.Tick.Marker = r.sizeTicks()
@@ -80,7 +81,7 @@
 	p.Add(plotter.NewGrid())
 	highest := 0.0
 	for disruption, lineColor := range lineColors {
-		measured, allowed := r.points(row, disruption)
+		measured, allowed := r.points(c, disruption)
 		if len(measured) == 0 {
 			continue
 		}
@@ -99,7 +100,7 @@
 	return p, nil
 }
 
-// addMeasured adds the line of a disruption's figures, with its entry in the legend.
+// addMeasured adds the line of a disruption's figures and its entry in the legend.
 func addMeasured(p *plot.Plot, disruption Disruption, measured plotter.XYs, lineColor color.Color) error {
 	line, glyphs, err := plotter.NewLinePoints(measured)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// addAllowed adds the dashed line of the allowances, unless there are none.
+// addAllowed adds the dashed line of the allowances if there are any.
 func addAllowed(p *plot.Plot, allowed plotter.XYs, lineColor color.Color) error {
 	if len(allowed) == 0 {
 		return nil
@@ -128,22 +129,22 @@
 	return nil
 }
 
-// points returns a row's figures of one disruption, and their allowances, by size.
-func (r *Report) points(row row, disruption Disruption) (measured, allowed plotter.XYs) {
+// points returns the figures of a criterion for one disruption and their allowances, by number of workers.
+func (r *Report) points(c criterion, disruption Disruption) (measured, allowed plotter.XYs) {
 	for _, m := range r.Measurements {
 		if m.Disruption == disruption {
-			measured = append(measured, plotter.XY{X: float64(m.Workers), Y: row.value(m.Figures)})
+			measured = append(measured, plotter.XY{X: float64(m.Workers), Y: c.value(m.Figures)})
 		}
 	}
 	for _, v := range r.Verdicts {
-		if v.Disruption == disruption && v.Row == row.name {
+		if v.Disruption == disruption && v.Criterion == c.name {
 			allowed = append(allowed, plotter.XY{X: float64(v.Workers), Y: v.Allowed})
 		}
 	}
 	return measured, allowed
 }
 
-// sizeTicks returns an axis with a mark at each size that was measured.
+// sizeTicks returns the ticks of the horizontal axis, one at each size that was measured.
 func (r *Report) sizeTicks() plot.ConstantTicks {
 	sizes := make([]int, 0, len(r.Measurements))
 	for _, m := range r.Measurements {
--- a/internal/experiment/growth/sampling.go
+++ b/internal/experiment/growth/sampling.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// ticksPerSecond is the unit of processor times in /proc. It is 100 on all Linux systems (USER_HZ).
+// ticksPerSecond converts processor times in /proc to seconds. It is 100 on all Linux systems (USER_HZ).
 const ticksPerSecond = 100
 
-// Fields of /proc/PID/stat (proc(5)), counted from 0 behind the name in parentheses.
+// Indexes of fields in /proc/PID/stat (see proc(5)). Index 0 is the first field after the name in parentheses.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 )
 
-// processUsage is what a process has used so far.
+// processUsage is the resource usage of a process so far.
 type processUsage struct {
 	cpuSeconds   float64
 	peakMemoryMB float64
-	descriptors  int // open now
+	descriptors  int // currently open
 }
 
 // readUsage reads the usage of a process.
@@ -46,11 +46,11 @@
 	return usage, err
 }
 
-// parseCPUSeconds returns the processor time in the text of /proc/PID/stat.
+// parseCPUSeconds parses the content of /proc/PID/stat and returns the user and system time of the process.
 func parseCPUSeconds(stat string) (float64, error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= statSystemTime {
-		return 0, fmt.Errorf("growth: process statistics with %d fields", len(fields))
+		return 0, fmt.Errorf("growth: process statistics have only %d fields", len(fields))
 	}
 	user, err := strconv.ParseFloat(fields[statUserTime], 64)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return (user + system) / ticksPerSecond, err
 }
 
-// parsePeakMemoryMB returns the peak of the resident memory in the text of /proc/PID/status.
+// parsePeakMemoryMB parses the content of /proc/PID/status and returns the peak of the resident memory.
 func parsePeakMemoryMB(status string) (float64, error) {
 	for line := range strings.Lines(status) {
 		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
@@ -68,5 +68,5 @@
 			return kilobytes / 1024, err
 		}
 	}
-	return 0, fmt.Errorf("growth: process status without VmHWM")
+	return 0, fmt.Errorf("growth: process status has no VmHWM line")
 }
--- a/internal/experiment/growth/settings.go
+++ b/internal/experiment/growth/settings.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// The fleet as the settings of the routers describe it. Only Options.Nodes of its routers run.
+// Properties of the fleet in the settings of the routers. Of the fleet's routers, only Options.Nodes run.
 const (
 	usualRouters      = 300
 	maxRouters        = 900
-	usualMaxWorkers   = 960  // fleets beyond this size have more routers
-	memoryPerRouterMB = 2048 // of all workers together, for each router of the fleet
-	functionMemoryMB  = 512  // that each call states; a worker has room for at least one function
+	usualMaxWorkers   = 960  // larger fleets have more than usualRouters routers
+	memoryPerRouterMB = 2048 // total memory of the workers for each router of the fleet
+	functionMemoryMB  = 512  // memory of each function, as stated in each call
 )
 
 // fleetRouters returns the number of routers of a fleet with the given number of workers.
@@ -16,14 +16,15 @@
 	return min(maxRouters, max(usualRouters, workers*usualRouters/usualMaxWorkers))
 }
 
-// workerMemoryMB returns the memory of a worker: that of all workers together is in proportion to the routers.
+// workerMemoryMB returns the memory of each worker in a fleet with the given number of workers. The total memory of the
+// workers is in proportion to the number of routers, but each worker has room for at least one function.
 func workerMemoryMB(workers int) int {
 	return max(fleetRouters(workers)*memoryPerRouterMB/workers, functionMemoryMB)
 }
 
-// settingsForm is the settings of a router; the routers of the fleet and the memory of a worker are to be filled in.
-// Times are in microseconds.
-const settingsForm = `{"az":"z","balancers":%d,"host_types":["k"],
+// settingsTemplate is the format of a router's settings. Its arguments are the number of routers in the fleet and the
+// memory of a worker in MB. Times are in microseconds.
+const settingsTemplate = `{"az":"z","balancers":%d,"host_types":["k"],
  "classes":[{"name":"safe","semantics":"read_like","target":1000000,"deadline":2000000,"worth":1.0},
   {"name":"keyed","semantics":"idempotency_key","dedup_scope":"cell","window":6000000,"target":1000000,"deadline":2000000,
    "worth":1.0},
@@ -39,10 +40,10 @@
 // classes are the names of the classes in settingsForm.
 var classes = []string{"safe", "keyed", "unsafe"}
 
-// nodeConfig returns the configuration file of a router. initialEndpoints is JSON.
+// nodeConfig returns the content of a router's configuration file. initialEndpoints is JSON.
 func (o Options) nodeConfig(node, workers int, discoveryAddress, initialEndpoints string) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","seed":"%x",
  "limits":{"cores":%v,"memory_mb":%d,"sockets":%d},"channel":%q,"known":%s,"settings":%s}`,
 		node, o.Seed+uint64(node), o.Cores, o.MemoryMB, o.Descriptors, discoveryAddress, initialEndpoints,
-		fmt.Sprintf(settingsForm, fleetRouters(workers), workerMemoryMB(workers)))
+		fmt.Sprintf(settingsTemplate, fleetRouters(workers), workerMemoryMB(workers)))
 }
--- a/internal/simwire/json_test.go
+++ b/internal/simwire/json_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestParseSettingsMatchesLineProtocol checks that nested JSON and the pairs of the line protocol give the same settings.
+// TestParseSettingsMatchesLineProtocol checks that nested JSON and the pairs of the line protocol give the same
+// settings.
 func TestParseSettingsMatchesLineProtocol(t *testing.T) {
 	line := "NEW_INSTANCE router=3 init_seed=9 profile_data.az=hall-a profile_data.balancers=3 " +
 		"profile_data.family_info.when_absent=load profile_data.family_info.may_order=true " +
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -72,7 +72,8 @@
 	return fmt.Errorf("line %d: %w", r.line, fmt.Errorf(format, args...))
 }
 
-// Next reads one batch. It returns io.EOF at the end of the input. The error for invalid input includes the line number.
+// Next reads one batch. It returns io.EOF at the end of the input. The error for invalid input includes the line
+// number.
 func (r *Reader) Next() (Batch, error) {
 	words, err := r.nextLine()
 	if errors.Is(err, io.EOF) {
@@ -126,8 +127,8 @@
 	return b, nil
 }
 
-// readPart reads the start, the stop or an event of an instance and adds it to the batch. It skips lines with an unknown
-// name.
+// readPart reads the start, the stop or an event of an instance and adds it to the batch. It skips lines with an
+// unknown name.
 func (r *Reader) readPart(b *Batch, currentPart map[int64]int, words []string) error {
 	f := parseFields(words[1:])
 	switch words[0] {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -34,8 +34,8 @@
 
 func (w *Writer) duration(name string, v time.Duration) { w.integer(name, v.Microseconds()) }
 
-// Actions writes the actions of one instance. The protocol has no line for a ReportSuspicion, so an empty line is written
-// for it.
+// Actions writes the actions of one instance. The protocol has no line for a ReportSuspicion, so an empty line is
+// written for it.
 func (w *Writer) Actions(instance int64, actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
