--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Lays the bench's own files (dialects, names on the sockets, kinds of trouble) beside the deployments of this folder.
-# They are not the project's: git ignores them. The first argument is the folder to take them from.
+# Copies the test bench's files (protocol dialects, names used on the sockets, kinds of faults) into this folder, next to
+# the deployments. They don't belong to the project, so git ignores them. The first argument is the folder with the files.
 set -eu
 from=${1:?"usage: deploy/sites/lay.sh FOLDER, where wire.json, real.json and unlock.txt lie"}
 from=$(cd "$from" && pwd)
