--- a/internal/grpcgateway/shutdown.go
+++ b/internal/grpcgateway/shutdown.go
@@ -16,7 +16,7 @@
 // everything is closed. It waits at most Options.DrainTimeout for the calls. It returns the router's statistics.
 func (g *Gateway) Stop() router.Stats {
 	g.closeOnce.Do(func() {
-		g.logger.Info("draining", "open_calls", g.router.Stats().CallsInFlight, "connections", g.server.Connections())
+		g.logger.Info("draining", "open_calls", g.router.Stats().CallsInFlight, "connections", g.server.NumConns())
 		g.server.Drain()
 		if unanswered := g.router.Stop(g.drainTimeout); unanswered > 0 {
 			g.logger.Error("gateway stopped with calls that had no final response", "calls", unanswered)
--- a/internal/server/grpcserver/finalstatus.go
+++ b/internal/server/grpcserver/finalstatus.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// retryPushbackField is the trailer that advises a client on its retry, in milliseconds (gRFC A6).
+	// retryPushbackField is the trailer that tells a client how many milliseconds to wait before a retry (gRFC A6).
 	retryPushbackField = "grpc-retry-pushback-ms"
-	// noRetry in that trailer has the client not retry by itself.
+	// noRetry is the value of that trailer that disables the client's automatic retries.
 	noRetry = "-1"
 )
 
@@ -27,13 +27,13 @@
 		retryAfter := max(answer.RetryAfter, 0).Milliseconds()
 		return grpc.Status{Code: grpc.Unavailable, Message: "refused; trying again does no harm"},
 			[]hpack.Field{{Name: retryPushbackField, Value: strconv.FormatInt(retryAfter, 10)}}
-	case router.FinalFailed: // below
+	case router.FinalFailed: // handled below
 	}
 	return failureStatus(answer), []hpack.Field{{Name: retryPushbackField, Value: noRetry}}
 }
 
-// failureStatus returns the status of a failure. The worker's own status is passed on where it says more than that the
-// call failed: Unavailable says less, and it would invite a retry of a call that may have run.
+// failureStatus returns the status of a failed call. The worker's error status is forwarded, except Unavailable: it
+// does not say why the call failed, and it would invite a retry of a call that may have run.
 func failureStatus(answer router.FinalAnswer) grpc.Status {
 	if answer.DeadlineExceeded {
 		return grpc.Status{Code: grpc.DeadlineExceeded, Message: "deadline exceeded; the call may have run"}
@@ -46,7 +46,7 @@
 	return grpc.Status{Code: grpc.Unknown, Message: "no answer; the call may have run"}
 }
 
-// trailerOf returns the end of an attempt's response, or the zero Trailer where there is none. attempt may be nil.
+// trailerOf returns the trailer of an attempt's response, or the zero Trailer if there is none. attempt may be nil.
 func trailerOf(attempt *router.AttemptResult) oip.Trailer {
 	if attempt == nil {
 		return oip.Trailer{}
--- a/internal/server/grpcserver/finalstatus_test.go
+++ b/internal/server/grpcserver/finalstatus_test.go
@@ -10,8 +10,8 @@
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 )
 
-// TestFinalStatus: a failure never invites a retry, and the worker's own status is passed on only where it says more
-// than that the call failed.
+// TestFinalStatus checks that the status of a failed call never invites a retry: it disables automatic retries, and a
+// worker's Unavailable is not forwarded.
 func TestFinalStatus(t *testing.T) {
 	internal := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Internal, Message: "boom"}}}
 	unavailable := &router.AttemptResult{Result: dispatch.Errored, Trailer: oip.Trailer{Status: grpc.Status{Code: grpc.Unavailable}}}
--- a/internal/server/grpcserver/gatewaycall.go
+++ b/internal/server/grpcserver/gatewaycall.go
@@ -10,13 +10,13 @@
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 )
 
-// What the gateway reports of itself.
+// Values in the responses to ServerMetadata and ModelMetadata.
 const (
-	gatewayName              = "topazfront"
+	gatewayName              = "topazfront" // name of the server, and platform of its models
 	modelRepositoryExtension = "model_repository"
 )
 
-// serveGatewayCall answers a call that concerns the gateway itself.
+// serveGatewayCall answers a call about the gateway itself, which is not sent to a worker.
 func (s *stream) serveGatewayCall(body []byte) {
 	response, rejection := s.gatewayResponse(body)
 	if rejection != nil {
@@ -33,7 +33,7 @@
 	s.completeRequest(grpc.Status{}, nil)
 }
 
-// gatewayResponse returns the response to a call that concerns the gateway itself, or the status of its rejection.
+// gatewayResponse returns the response to a call about the gateway itself, or the status with which it is rejected.
 func (s *stream) gatewayResponse(body []byte) (proto.Message, *grpc.Status) {
 	switch s.path {
 	case oip.ServerLive:
@@ -48,7 +48,7 @@
 	}
 }
 
-// modelResponse returns the response to a call about a model, ModelReady or ModelMetadata.
+// modelResponse returns the response to ModelReady or ModelMetadata.
 func (s *stream) modelResponse(body []byte) (proto.Message, *grpc.Status) {
 	var request inference.ModelReadyRequest // ModelMetadataRequest has the same two fields
 	if err := proto.Unmarshal(body, &request); err != nil {
--- a/internal/server/grpcserver/golden_test.go
+++ b/internal/server/grpcserver/golden_test.go
@@ -15,8 +15,8 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// fieldText writes fields as "name: value; name: value". The protobuf library varies the spaces of its errors on purpose:
-// they are made alike.
+// fieldText formats fields as "name: value; name: value". It normalizes the spaces in error texts of the protobuf
+// library, which varies them on purpose.
 func fieldText(fields []hpack.Field) string {
 	list := make([]string, 0, len(fields))
 	for _, f := range fields {
@@ -25,11 +25,12 @@
 	return strings.Join(list, "; ")
 }
 
-// okHeader begins each response that has a gRPC status.
+// okHeader is the beginning of each response that has a gRPC status.
 const okHeader = ":status: 200; content-type: application/grpc"
 
-// goldenResponse is a request and all of its response. trailers has the whole header of a response without messages, as
-// HTTP/2 ends the stream by it.
+// goldenResponse is a request and the complete response expected for it. For a response without messages
+// ("Trailers-Only" in gRPC over HTTP/2), header is empty and trailers holds the one header block, which also ends the
+// stream.
 type goldenResponse struct {
 	path             string
 	request          []byte
@@ -38,7 +39,7 @@
 	body             string
 }
 
-// checkResponses sends each request to a server of its own and compares the response.
+// checkResponses sends each request to a new server and compares the response.
 func checkResponses(t *testing.T, responses map[string]goldenResponse) {
 	t.Helper()
 	for name, want := range responses {
@@ -57,7 +58,7 @@
 	}
 }
 
-// TestGoldenFinalResponses holds the responses to calls that the router took, and to a stream without any.
+// TestGoldenFinalResponses compares the responses to calls that the router accepted, and to a stream without a call.
 func TestGoldenFinalResponses(t *testing.T) {
 	served := inferRequest(servedModel)
 	checkResponses(t, map[string]goldenResponse{
@@ -78,7 +79,7 @@
 	})
 }
 
-// TestGoldenBadRequests holds the responses to requests that can't be served.
+// TestGoldenBadRequests compares the responses to requests that can't be served.
 func TestGoldenBadRequests(t *testing.T) {
 	const unframed = "grpc-message: the request ends without a whole message"
 	served := inferRequest(servedModel)
@@ -102,7 +103,7 @@
 	})
 }
 
-// TestGoldenGatewayCalls holds the responses to calls that concern the gateway itself.
+// TestGoldenGatewayCalls compares the responses to calls about the gateway itself.
 func TestGoldenGatewayCalls(t *testing.T) {
 	const metadata = "\x0a\x06served\x12\x011\x12\x012\x1a\x0atopazfront"
 	checkResponses(t, map[string]goldenResponse{
@@ -121,7 +122,7 @@
 	})
 }
 
-// TestGoldenShutdown holds the responses of a server that shuts down.
+// TestGoldenShutdown compares the responses of a server that is shutting down.
 func TestGoldenShutdown(t *testing.T) {
 	t.Run("router stopped", func(t *testing.T) {
 		s := startServer(t)
@@ -145,7 +146,7 @@
 	})
 }
 
-// TestGoldenFinalAnswers holds the status and the trailers for each final answer of the router.
+// TestGoldenFinalAnswers compares the status and the trailers for each kind of final answer of the router.
 func TestGoldenFinalAnswers(t *testing.T) {
 	attempt := func(result dispatch.Result, code grpc.Code, message string) *router.AttemptResult {
 		return &router.AttemptResult{Result: result, Trailer: oip.Trailer{Status: grpc.Status{Code: code, Message: message},
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -19,14 +19,14 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// Models of the tests, by what scriptedDispatcher does with their requests.
+// The models of the tests. The name says what scriptedDispatcher does with a request for the model.
 const (
 	servedModel   = "served"
 	rejectedModel = "rejected"
 	failedModel   = "failed"
 )
 
-// scriptedDispatcher decides about each request by its model.
+// scriptedDispatcher starts an attempt of a request, rejects it or fails it, depending on its model.
 type scriptedDispatcher struct{}
 
 func (scriptedDispatcher) Step(_ time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
@@ -45,13 +45,13 @@
 	return actions
 }
 
-// echoUpstream answers each attempt with the message of its request. The client's metadata come back as trailers.
+// echoUpstream answers each attempt with the message of its request, and returns the client's metadata as trailers.
 type echoUpstream struct {
-	router *router.Router
-	left   chan time.Duration // what was left of the deadline at the start of an attempt, while there is room
+	router    *router.Router
+	remaining chan time.Duration // remaining deadline at the start of each attempt; dropped if the channel is full
 }
 
-// endedAttempt is an attempt that has ended.
+// endedAttempt is the handle of an attempt that has already ended.
 type endedAttempt struct{}
 
 func (endedAttempt) ForwardTo(router.Client) {}
@@ -59,7 +59,7 @@
 
 func (u *echoUpstream) StartAttempt(token router.AttemptToken, call *router.Call, _ string, _ int, limits router.SendLimits) router.UpstreamAttempt {
 	select {
-	case u.left <- limits.Remaining:
+	case u.remaining <- limits.Remaining:
 	default:
 	}
 	request, _ := call.Request.(*oip.Request)
@@ -72,7 +72,7 @@
 func (*echoUpstream) CheckHealth(string, time.Duration, func(router.HealthResult))                 {}
 func (*echoUpstream) UpdateEndpoints([]endpoints.Worker)                                           {}
 
-// startServer starts a server with a router before an echoUpstream.
+// startServer starts a server with a router whose upstream is an echoUpstream.
 func startServer(t *testing.T) *Server {
 	t.Helper()
 	s, _ := startServerAndUpstream(t)
@@ -81,7 +81,7 @@
 
 func startServerAndUpstream(t *testing.T) (*Server, *echoUpstream) {
 	t.Helper()
-	upstream := &echoUpstream{left: make(chan time.Duration, 16)}
+	upstream := &echoUpstream{remaining: make(chan time.Duration, 16)}
 	newDispatcher := func(dispatch.Settings, uint64) (router.Dispatcher, error) { return scriptedDispatcher{}, nil }
 	r, err := router.New(router.Config{NewDispatcher: newDispatcher}, upstream)
 	if err != nil {
@@ -99,11 +99,11 @@
 	return s, upstream
 }
 
-// responseReader is the client of one stream. It reads the response.
+// responseReader is the client's side of one stream. It records the response.
 type responseReader struct {
 	header, trailers []hpack.Field
 	body             bytes.Buffer
-	done             chan error // has nil once the response has ended, or why the stream was closed
+	done             chan error // receives nil when the response is complete, else the error that closed the stream
 }
 
 func newResponseReader() *responseReader { return &responseReader{done: make(chan error, 4)} }
@@ -130,7 +130,7 @@
 	}
 }
 
-// wait waits for the whole response.
+// wait waits for the complete response. An error of the stream fails the test.
 func (r *responseReader) wait(t *testing.T) {
 	t.Helper()
 	if err := r.waitForEnd(t); err != nil {
@@ -138,13 +138,13 @@
 	}
 }
 
-// waitForEnd waits for the stream's end and returns why it ended without a whole response.
+// waitForEnd waits for the stream's end. The error says why the response is incomplete.
 func (r *responseReader) waitForEnd(t *testing.T) error {
 	t.Helper()
 	return testsupport.Await(t, r.done, "the response")
 }
 
-// requestHeader returns the header of a request. A content-type among the fields replaces gRPC's.
+// requestHeader returns the header of a request. A content-type in fields replaces the one of gRPC.
 func requestHeader(path string, fields ...hpack.Field) []hpack.Field {
 	header := []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path}}
 	contentType := hpack.Field{Name: "content-type", Value: "application/grpc"}
@@ -158,7 +158,7 @@
 	return append(header, contentType)
 }
 
-// dial opens a connection.
+// dial opens a connection to the server, which is closed at the end of the test.
 func dial(t *testing.T, s *Server, handler http2.Handler) *http2.Conn {
 	t.Helper()
 	conn, err := http2.Dial("tcp", s.Addr(), 5*time.Second, http2.Config{}, handler)
@@ -169,7 +169,7 @@
 	return conn
 }
 
-// openStream opens a connection and on it a stream, which carries body so far.
+// openStream opens a stream on a new connection and sends body on it. end says whether the request ends there.
 func openStream(t *testing.T, s *Server, header []hpack.Field, body []byte, end bool) *responseReader {
 	t.Helper()
 	r := newResponseReader()
@@ -179,7 +179,7 @@
 	return r
 }
 
-// roundTrip sends a complete request and returns the whole response.
+// roundTrip sends a complete request and returns the complete response.
 func roundTrip(t *testing.T, s *Server, path string, body []byte, fields ...hpack.Field) *responseReader {
 	t.Helper()
 	r := openStream(t, s, requestHeader(path, fields...), body, true)
@@ -187,10 +187,10 @@
 	return r
 }
 
-// waitForStream waits until the server has a stream open.
+// waitForStream waits until a stream is open at the server.
 func waitForStream(t *testing.T, s *Server) {
 	t.Helper()
-	testsupport.WaitUntil(t, "a stream is open", func() bool { return s.Streams() > 0 })
+	testsupport.WaitUntil(t, "a stream is open", func() bool { return s.NumStreams() > 0 })
 }
 
 // framed returns a message with its gRPC prefix.
@@ -207,13 +207,13 @@
 	return framed(&inference.ModelInferRequest{ModelName: model})
 }
 
-// gzipBomb returns a compressed message within the server's limit, whose content exceeds it.
+// gzipBomb returns a compressed message that is within the server's size limit but exceeds it when uncompressed.
 func gzipBomb(t *testing.T) []byte {
 	t.Helper()
 	return testsupport.CompressGRPCMessage(t, make([]byte, 100000))
 }
 
-// requestField returns a list of one header field.
+// requestField returns a list with one header field.
 func requestField(name, value string) []hpack.Field {
 	return []hpack.Field{{Name: name, Value: value}}
 }
--- a/internal/server/grpcserver/header.go
+++ b/internal/server/grpcserver/header.go
@@ -9,11 +9,12 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// minTimeout is the timeout of a request whose grpc-timeout is 0 or can't be read, as 0 stands for no timeout.
+// minTimeout replaces a grpc-timeout that is 0 or malformed, because a stream.timeout of 0 means no timeout.
 const minTimeout = time.Nanosecond
 
-// parseHeader sets the stream's fields by the request's header. rejection is the status for the first field that can't
-// be served, or nil. isGRPC is false where the content type is not gRPC's; the rest of the header is then not read.
+// parseHeader sets the stream's fields from the request's header. rejection is the status for the first field that
+// can't be served, or nil. isGRPC is false if the content type is not gRPC's; the rest of the header is then not
+// parsed.
 func (s *stream) parseHeader(fields []hpack.Field) (rejection *grpc.Status, isGRPC bool) {
 	reject := func(code grpc.Code, message string) {
 		if rejection == nil {
@@ -50,14 +51,14 @@
 			}
 		}
 	}
-	if !isServed(s.path) {
+	if !isImplemented(s.path) {
 		reject(grpc.Unimplemented, "no call "+s.path)
 	}
 	return rejection, true
 }
 
-// isServed reports whether path names a method of the service that this server has.
-func isServed(path string) bool {
+// isImplemented reports whether path names a method of the service that this server implements.
+func isImplemented(path string) bool {
 	switch path {
 	case oip.Infer, oip.StreamInfer, oip.ServerLive, oip.ServerReady, oip.ModelReady, oip.ServerMetadata, oip.ModelMetadata:
 		return true
--- a/internal/server/grpcserver/request.go
+++ b/internal/server/grpcserver/request.go
@@ -9,7 +9,7 @@
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 )
 
-// receive handles bytes of the request. end reports that no more come.
+// receive handles bytes of the request. end reports that they are the last ones.
 func (s *stream) receive(p []byte, end bool) {
 	if !s.streaming() {
 		s.receiveUnary(p, end)
@@ -21,7 +21,7 @@
 	s.serveNext(p)
 }
 
-// receiveUnary handles bytes of a unary call's request, and serves the request when it has ended.
+// receiveUnary handles bytes of a unary call's request, and serves the request when it is complete.
 func (s *stream) receiveUnary(p []byte, end bool) {
 	s.http2Stream.Consume(len(p))
 	s.mu.Lock()
@@ -46,8 +46,8 @@
 	}
 }
 
-// readUnary reads the one message of a unary call's request. It returns the status for a request that can't be served,
-// or nil. The stream's lock is held.
+// readUnary reads the single message of a unary call's request. It returns the status for a request that can't be
+// served, or nil. The caller holds s.mu.
 func (s *stream) readUnary(p []byte) (rejection *grpc.Status) {
 	for len(p) > 0 {
 		message, rest, err := s.messageReader.Next(p)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// readErrorCode returns the status code for an error of the reader of messages.
+// readErrorCode returns the status code for an error of the message reader.
 func readErrorCode(err error) grpc.Code {
 	if errors.Is(err, grpc.ErrCompressedFlag) {
 		return grpc.Internal
@@ -72,8 +72,9 @@
 	return grpc.ResourceExhausted
 }
 
-// serveNext handles bytes of a ModelStreamInfer and serves the next request if none is in flight. Bytes behind a request
-// in flight are kept and stay unconsumed, so that the flow-control window bounds how many a client may send.
+// serveNext handles bytes of a ModelStreamInfer and serves the next request if none is in flight. Bytes that arrive
+// while a request is in flight are buffered and not yet credited to the flow-control window, which limits the size of the
+// buffer.
 func (s *stream) serveNext(p []byte) {
 	s.mu.Lock()
 	if s.ended || !s.streaming() {
@@ -132,7 +133,7 @@
 	}
 }
 
-// serveInference submits an inference call to the router. body is the message's content, uncompressed.
+// serveInference submits an inference call to the router. body is the uncompressed content of message.
 func (s *stream) serveInference(message, body []byte) {
 	routed, err := oip.Scan(body)
 	if err != nil {
@@ -141,7 +142,7 @@
 	}
 	remaining := time.Duration(0)
 	if s.timeout > 0 {
-		remaining = max(s.timeout-time.Since(s.arrived), minTimeout)
+		remaining = max(s.timeout-time.Since(s.receivedAt), minTimeout)
 	}
 	call, err := s.server.cfg.CallBuilder.NewCall(routed, remaining)
 	if err != nil {
@@ -159,7 +160,7 @@
 	ended := s.ended
 	s.cancel = cancel
 	s.mu.Unlock()
-	if ended { // the client left meanwhile, or has its response; a call that has ended is not affected by its cancellation
+	if ended { // the client cancelled or the call ended before s.cancel was set; cancelling an ended call has no effect
 		cancel()
 	}
 }
--- a/internal/server/grpcserver/response.go
+++ b/internal/server/grpcserver/response.go
@@ -9,7 +9,7 @@
 // unsupportedMediaType is the HTTP status of the response to a request whose content type is not gRPC's.
 const unsupportedMediaType = "415"
 
-// responseHeader returns the fields that begin every response of gRPC.
+// responseHeader returns the fields that every gRPC response begins with.
 func responseHeader() []hpack.Field {
 	return []hpack.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
 }
@@ -28,13 +28,13 @@
 }
 
 // WriteBody implements router.Client.
-func (s *stream) WriteBody(p []byte, drain func(n int)) int {
+func (s *stream) WriteBody(p []byte, onWritten func(n int)) int {
 	s.mu.Lock()
-	s.reportSent = drain
+	s.onWritten = onWritten
 	s.mu.Unlock()
 	n, err := s.http2Stream.Write(p, false)
 	if err != nil {
-		return len(p) // the client has left: nothing is to be queued for it
+		return len(p) // the stream is closed: nothing is queued and onWritten will not be called
 	}
 	return n
 }
@@ -42,8 +42,8 @@
 // Finish implements router.Client.
 func (s *stream) Finish(answer router.FinalAnswer) { s.completeRequest(FinalStatus(answer)) }
 
-// completeRequest ends the request in flight. It ends the stream too, unless that is a ModelStreamInfer and the request
-// was served: then its next request is served.
+// completeRequest ends the request in flight. After a request of a ModelStreamInfer with status OK it serves the
+// stream's next request; otherwise it ends the stream.
 func (s *stream) completeRequest(status grpc.Status, trailers []hpack.Field) {
 	if status.Code != grpc.OK || !s.streaming() {
 		s.end(status, trailers)
@@ -55,7 +55,7 @@
 	s.serveNext(nil)
 }
 
-// end ends the stream with a status. Only the first call does anything.
+// end ends the stream with a status. Only the first call has an effect.
 func (s *stream) end(status grpc.Status, trailers []hpack.Field) {
 	s.mu.Lock()
 	if s.ended {
--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -1,7 +1,8 @@
-// Package grpcserver is the server of the Open Inference Protocol's gRPC service, over HTTP/2. It answers the calls that
-// concern the gateway itself and submits inference calls to the router. A gRPC stream is one call, or, for
-// ModelStreamInfer, one call for each request message, in order, each submitted when the one before has been served. A
-// stream ends at its first call that is not served; the requests behind that one are not submitted.
+// Package grpcserver is the server of the Open Inference Protocol's gRPC service, over HTTP/2. It answers calls about
+// the gateway itself and submits inference calls to the router. A gRPC stream carries one call or, for
+// ModelStreamInfer, one call per request message. The calls of a stream are submitted in order, each after the
+// previous one was served. The first call that is not served ends the stream, and later requests on it are not
+// submitted.
 package grpcserver
 
 import (
@@ -19,8 +20,8 @@
 	Address     string
 	HTTP2       http2.Config
 	CallBuilder *server.CallBuilder
-	Version     string       // of the gateway, as ServerMetadata reports it
-	Logger      *slog.Logger // nil: nothing is logged
+	Version     string       // the gateway's version, for ServerMetadata
+	Logger      *slog.Logger // nil disables logging
 }
 
 // Server serves one listener.
@@ -30,8 +31,8 @@
 	http2Server *http2.Server
 
 	mu       sync.Mutex
-	streams  map[*stream]struct{} // whose header has been received and that have not ended
-	draining bool
+	streams  map[*stream]struct{} // streams whose header was received and that have not ended
+	draining bool                 // Drain was called
 }
 
 // Listen opens the listener and serves it until Close.
@@ -52,16 +53,17 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.http2Server.Addr().String() }
 
-// Connections returns how many clients are connected.
-func (s *Server) Connections() int { return s.http2Server.NumConns() }
+// NumConns returns the number of client connections.
+func (s *Server) NumConns() int { return s.http2Server.NumConns() }
 
-// Streams returns how many streams are open, those included whose last response bytes are still to be sent.
-func (s *Server) Streams() int { return s.http2Server.NumStreams() }
+// NumStreams returns the number of open streams, including those whose last response bytes are not yet sent.
+func (s *Server) NumStreams() int { return s.http2Server.NumStreams() }
 
-// HasPendingWork reports whether a stream is open, or the last frames of one are yet to be written.
+// HasPendingWork reports whether a stream is open or the last frames of one are not yet written.
 func (s *Server) HasPendingWork() bool { return s.http2Server.HasPendingWork() }
 
-// addStream adds a stream that Drain is to end, and reports whether the drain has begun and so has missed it.
+// addStream registers a stream, for Drain to end it if it is idle. It reports whether the drain has already begun;
+// Drain may then have missed the stream.
 func (s *Server) addStream(added *stream) (draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/grpcserver/shutdown.go
+++ b/internal/server/grpcserver/shutdown.go
@@ -1,6 +1,6 @@
 package grpcserver
 
-// Drain starts a graceful shutdown: GOAWAY asks clients to open no further streams, calls in flight go on, and
+// Drain starts a graceful shutdown: GOAWAY tells clients to open no more streams, calls in flight continue, and
 // streams without a call in flight are ended.
 func (s *Server) Drain() {
 	s.http2Server.Drain()
--- a/internal/server/grpcserver/shutdown_test.go
+++ b/internal/server/grpcserver/shutdown_test.go
@@ -9,7 +9,8 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// TestDrainEndsIdleStreams: a stream without a call in flight is ended, since a drain would wait for it without end.
+// TestDrainEndsIdleStreams checks that a drain ends a stream without a call in flight, for which it would otherwise
+// wait forever.
 func TestDrainEndsIdleStreams(t *testing.T) {
 	s := startServer(t)
 	response := openStream(t, s, requestHeader(oip.StreamInfer), nil, false)
@@ -21,8 +22,8 @@
 	}
 }
 
-// TestDrainWhileStreamsOpen drains while streams are being opened: each of them ends, none stays open without a call.
-// The race detector checks what they share.
+// TestDrainWhileStreamsOpen drains while streams are being opened. Each of them must end; none may stay open without a
+// call. With the race detector it also checks the access to shared state.
 func TestDrainWhileStreamsOpen(t *testing.T) {
 	for range 20 {
 		s := startServer(t)
@@ -44,19 +45,20 @@
 		openers.Wait()
 		for i, response := range responses {
 			if opened[i] {
-				_ = response.waitForEnd(t) // by a status, or unprocessed behind the drain
+				_ = response.waitForEnd(t) // with a status, or unprocessed because it was opened after GOAWAY
 			}
 		}
 	}
 }
 
-// TestStreamOpenedBehindDrain: a ModelStreamInfer whose header arrives once the drain has begun is ended at once.
-func TestStreamOpenedBehindDrain(t *testing.T) {
+// TestStreamOpenedAfterDrain checks that a ModelStreamInfer whose header arrives after the drain has begun is ended at
+// once.
+func TestStreamOpenedAfterDrain(t *testing.T) {
 	s := startServer(t)
 	response := newResponseReader()
 	conn := dial(t, s, response)
 	s.mu.Lock()
-	s.draining = true // as Drain does, but the client gets no GOAWAY yet
+	s.draining = true // as Drain sets it, but without GOAWAY, which would stop the client from opening the stream
 	s.mu.Unlock()
 	if _, err := conn.Open(response, requestHeader(oip.StreamInfer), nil, false); err != nil {
 		t.Fatal(err)
--- a/internal/server/grpcserver/stream.go
+++ b/internal/server/grpcserver/stream.go
@@ -10,41 +10,41 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// stream is one gRPC stream: the receiver of its HTTP/2 stream and the client of its calls.
+// stream is one gRPC stream. It receives the events of its HTTP/2 stream and is the router.Client of its calls.
 type stream struct {
 	server      *Server
 	http2Stream *http2.Stream
 
-	// Set by Headers, before any message is received.
+	// Set by Headers before any message is received, and constant afterwards.
 	path           string
-	arrived        time.Time
-	timeout        time.Duration // 0: the client set none
+	receivedAt     time.Time     // when the request's header was received
+	timeout        time.Duration // grpc-timeout; 0 means none
 	encoding       string        // grpc-encoding
 	acceptEncoding string        // grpc-accept-encoding
-	metadata       []hpack.Field // of the client, for the worker
+	metadata       []hpack.Field // the client's metadata, forwarded to the worker
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	messageReader   grpc.MessageReader
-	unaryRequest    []byte // the complete request message of a unary call; nil: not received yet
-	unconsumed      []byte // of a ModelStreamInfer: what came behind the request in flight
-	halfClosed      bool   // the client has sent everything
-	requestInFlight bool
-	headerSent      bool // of the response
-	ended           bool // by a response or by the client
-	cancel          func()
-	reportSent      func(n int) // to be called as queued bytes of the response are sent; nil: nobody needs to know
+	unaryRequest    []byte      // complete request message of a unary call; nil until it is received
+	unconsumed      []byte      // of a ModelStreamInfer: bytes received after the request in flight
+	halfClosed      bool        // the client has sent all its requests
+	requestInFlight bool        // a request is being served
+	headerSent      bool        // the response's header was sent
+	ended           bool        // by a response or by the client
+	cancel          func()      // cancels the call in flight; may be nil
+	onWritten       func(n int) // called with the number of queued response bytes as they are written; may be nil
 }
 
-// streaming reports whether the stream carries a call for each of its messages.
+// streaming reports whether each message of the stream is a call.
 func (s *stream) streaming() bool { return s.path == oip.StreamInfer }
 
 // Headers implements http2.Receiver.
 func (s *stream) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
-	if s.path != "" { // a request's trailers carry nothing for gRPC
+	if s.path != "" { // trailers of the request; gRPC defines none
 		s.receive(nil, end)
 		return
 	}
-	s.arrived = time.Now()
+	s.receivedAt = time.Now()
 	rejection, isGRPC := s.parseHeader(fields)
 	draining := s.register()
 	switch {
@@ -60,20 +60,20 @@
 	}
 }
 
-// register adds the stream to its server, unless it has ended already, and reports whether the server drains. Its header
-// has been read: another goroutine may use the stream from now on.
+// register adds the stream to the server's open streams, unless it has already ended, and reports whether the server is
+// draining. It must be called after parseHeader, since Drain may use the stream from then on, on another goroutine.
 func (s *stream) register() (draining bool) {
 	draining = s.server.addStream(s)
 	s.mu.Lock()
 	ended := s.ended
 	s.mu.Unlock()
-	if ended { // the connection was closed meanwhile
+	if ended { // the connection was closed in the meantime
 		s.server.removeStream(s)
 	}
 	return draining
 }
 
-// markEnded notes the stream's end.
+// markEnded records that the stream has ended, without sending a status.
 func (s *stream) markEnded() {
 	s.mu.Lock()
 	s.ended = true
@@ -87,14 +87,15 @@
 // Sent implements http2.Receiver.
 func (s *stream) Sent(_ *http2.Stream, n int) {
 	s.mu.Lock()
-	reportSent := s.reportSent
+	onWritten := s.onWritten
 	s.mu.Unlock()
-	if reportSent != nil {
-		reportSent(n)
+	if onWritten != nil {
+		onWritten(n)
 	}
 }
 
-// Closed implements http2.Receiver. A call in flight is cancelled, as its client has left.
+// Closed implements http2.Receiver. It cancels a call in flight, because its client has reset the stream or
+// disconnected.
 func (s *stream) Closed(_ *http2.Stream, _ error) {
 	s.mu.Lock()
 	alreadyEnded := s.ended
--- a/internal/server/grpcserver/timeout_test.go
+++ b/internal/server/grpcserver/timeout_test.go
@@ -11,14 +11,14 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// TestTimeoutCountsFromTheHeader: a grpc-timeout runs from the arrival of the stream's header, however late the request's
-// message arrives, and for all requests of a stream.
+// TestTimeoutCountsFromTheHeader checks that a grpc-timeout runs from the arrival of the stream's header, however
+// late the request's message arrives, and also for the later requests of a stream.
 func TestTimeoutCountsFromTheHeader(t *testing.T) {
 	const limit, pause = time.Hour, 50 * time.Millisecond
 	request := inferRequest(servedModel)
 	for name, test := range map[string]struct {
 		path  string
-		parts [][]byte // of the request's bytes, each sent after a pause
+		parts [][]byte // parts of the request's bytes, each sent after a pause
 	}{
 		"late message":     {oip.Infer, [][]byte{request}},
 		"message in parts": {oip.Infer, [][]byte{request[:3], request[3:6], request[6:]}},
@@ -39,8 +39,8 @@
 				sentAt := time.Now()
 				writePart(t, open, part, i == len(test.parts)-1)
 				if test.path == oip.StreamInfer || i == len(test.parts)-1 {
-					if left, most := <-upstream.left, limit-sentAt.Sub(arrivedBefore); left > most || left <= 0 {
-						t.Errorf("part %d: %v left, at most %v expected", i, left, most)
+					if got, atMost := <-upstream.remaining, limit-sentAt.Sub(arrivedBefore); got > atMost || got <= 0 {
+						t.Errorf("part %d: %v left, at most %v expected", i, got, atMost)
 					}
 				}
 			}
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -13,32 +13,32 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// attempt is one attempt of a call at a worker and the receiver of its stream. The response is buffered until the router calls
-// ForwardTo. The worker's flow-control window is credited as the client's connection consumes the bytes, so that a slow client
-// holds back the stream of its own worker and nothing else.
+// attempt is one attempt of a call at a worker. It receives the events of its HTTP/2 stream. The response is buffered
+// until the router calls ForwardTo. From then on the stream's flow-control window is credited as the bytes are
+// written to the client, so that a slow client blocks only the stream that it reads from.
 type attempt struct {
 	pool             *Pool
 	token            router.AttemptToken
 	request          *oip.Request
 	streamed         bool
-	worker           string // id
-	previousAttempts int
+	worker           string // the worker's ID
+	previousAttempts int    // of the same call
 	deadline         time.Time
 	limits           router.SendLimits
 
-	mu              sync.Mutex
+	mu              sync.Mutex    // guards the fields below, except onWritten
 	stream          *http2.Stream // nil until it is opened
-	metadata        []hpack.Field // of the response headers, for the client
+	metadata        []hpack.Field // from the response headers, forwarded to the client
 	headersReceived bool
-	invalidResponse *outcome // not gRPC or not HTTP status 200; nil otherwise
+	invalidResponse *outcome // set if the response is not gRPC or its HTTP status is not 200
 	counter         grpc.MessageCounter
-	buffered        []byte        // response bytes that no client has received
-	earlyCredit     int           // bytes that were credited to the stream's window before the client consumed them
+	buffered        []byte        // response bytes not yet passed to a client
+	earlyCredit     int           // bytes credited to the stream's window before they were written to the client
 	client          router.Client // nil until ForwardTo
-	onConsumed      func(int)     // the method value clientConsumed, allocated once
+	onWritten       func(int)     // the method value creditWritten, allocated once
 	responseStarted bool          // the router was notified
-	ended           bool
-	cancelled       bool
+	ended           bool          // the result was reported to the router
+	cancelled       bool          // by the router
 }
 
 // StartAttempt implements router.Upstream.
@@ -46,7 +46,7 @@
 	request, _ := call.Request.(*oip.Request)
 	a := &attempt{pool: p, token: token, request: request, streamed: call.Streamed, worker: workerID,
 		previousAttempts: previousAttempts, deadline: time.Now().Add(limits.Remaining), limits: limits}
-	a.onConsumed = a.clientConsumed
+	a.onWritten = a.creditWritten
 	if request == nil {
 		a.fail(dispatch.ConnectFailed, "the call came by another protocol")
 		return a
@@ -55,11 +55,11 @@
 	return a
 }
 
-// openStream implements outgoingCall. An attempt that has ended meanwhile opens none, nor does one that must not be sent any
-// more, which ends.
+// openStream implements outgoingCall. It opens no stream if the attempt has ended in the meantime, or if it is too
+// late to send it; in the second case the attempt ends with the result NotSent.
 func (a *attempt) openStream(c *http2.Conn) error {
 	if a.limits.Expired(time.Now()) {
-		a.finishWith(outcome{dispatch.NotSent, grpc.Status{Code: grpc.Unavailable, Message: "not sent in time"}})
+		a.abort(outcome{dispatch.NotSent, grpc.Status{Code: grpc.Unavailable, Message: "not sent in time"}})
 		return nil
 	}
 	a.mu.Lock()
@@ -89,15 +89,16 @@
 
 // fail implements outgoingCall.
 func (a *attempt) fail(result dispatch.Result, reason string) {
-	a.finishWith(outcome{result, grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}})
+	a.abort(outcome{result, grpc.Status{Code: grpc.Unavailable, Message: "no connection to a worker: " + reason}})
 }
 
-// finishWith ends an attempt that brought no trailers.
-func (a *attempt) finishWith(ended outcome) {
+// abort ends an attempt before the worker's trailers were received.
+func (a *attempt) abort(ended outcome) {
 	a.finish(router.AttemptResult{Result: ended.result, Trailer: oip.Trailer{Status: ended.status}, Report: router.NoWorkerReport})
 }
 
-// finish reports the end of the attempt to the router, once. What no client has received goes along.
+// finish reports the end of the attempt to the router, once. The result includes the response bytes that were not
+// passed to a client.
 func (a *attempt) finish(result router.AttemptResult) {
 	a.mu.Lock()
 	if a.ended {
@@ -113,8 +114,8 @@
 	a.pool.router.AttemptEnded(a.token, result)
 }
 
-// Headers implements http2.Receiver. The first headers are those of the response, unless they end the stream; the others are
-// trailers.
+// Headers implements http2.Receiver. The first header block is the response header, unless it ends the stream; then
+// it is header and trailers in one ("Trailers-Only"). A later block holds the trailers.
 func (a *attempt) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	a.mu.Lock()
 	if !a.headersReceived {
@@ -149,7 +150,8 @@
 	})
 }
 
-// forwardedMetadata selects the worker's own metadata, and from response headers its encoding too.
+// forwardedMetadata returns the fields that are forwarded to the client: the worker's own metadata and, if
+// includeEncoding is set, as for response headers, grpc-encoding.
 func forwardedMetadata(fields []hpack.Field, includeEncoding bool) []hpack.Field {
 	var out []hpack.Field
 	for _, f := range fields {
@@ -174,10 +176,10 @@
 	switch {
 	case malformed != nil || a.invalidResponse != nil:
 	case a.client != nil:
-		a.creditWindow(a.client.WriteBody(p, a.onConsumed))
+		a.creditWindow(a.client.WriteBody(p, a.onWritten))
 	default:
 		a.buffered = append(a.buffered, p...)
-		if beforeFirstMessage { // else a message larger than the window could not become complete
+		if beforeFirstMessage { // without the credit a message larger than the window could not become complete
 			a.earlyCredit += len(p)
 			s.Consume(len(p))
 		}
@@ -190,12 +192,13 @@
 	switch {
 	case invalid != nil:
 		s.Reset(http2.Cancel)
-		a.finishWith(*invalid)
+		a.abort(*invalid)
 	case malformed != nil || tooLarge:
 		s.Reset(http2.Cancel)
-		a.finishWith(outcome{dispatch.Errored, grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken or too large"}})
+		a.abort(outcome{dispatch.Errored,
+			grpc.Status{Code: grpc.Internal, Message: "worker's answer is broken or too large"}})
 	case end:
-		a.finishWith(outcome{dispatch.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}})
+		a.abort(outcome{dispatch.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}})
 	case notifyStarted:
 		a.pool.router.ResponseStarted(a.token, metadata)
 	}
@@ -207,9 +210,9 @@
 // Closed implements http2.Receiver.
 func (a *attempt) Closed(_ *http2.Stream, err error) {
 	if err == nil {
-		return // Headers or Data has ended the attempt
+		return // Headers or Data has already ended the attempt
 	}
-	a.finishWith(classifyStreamError(err))
+	a.abort(classifyStreamError(err))
 }
 
 // ForwardTo implements router.UpstreamAttempt.
@@ -220,18 +223,18 @@
 	buffered := a.buffered
 	a.buffered = nil
 	if len(buffered) > 0 && !a.cancelled {
-		a.creditWindow(client.WriteBody(buffered, a.onConsumed))
+		a.creditWindow(client.WriteBody(buffered, a.onWritten))
 	}
 }
 
-// clientConsumed is called by the client's connection as it consumes bytes that Message accepted.
-func (a *attempt) clientConsumed(n int) {
+// creditWritten is the onWritten callback of Client.WriteBody: n queued bytes were written to the client.
+func (a *attempt) creditWritten(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.creditWindow(n)
 }
 
-// creditWindow credits n consumed bytes to the stream's window, less those that were credited early. The lock is held.
+// creditWindow credits n bytes to the stream's window, less those that were credited early. The caller holds a.mu.
 func (a *attempt) creditWindow(n int) {
 	early := min(n, a.earlyCredit)
 	a.earlyCredit -= early
@@ -249,5 +252,5 @@
 	if stream != nil {
 		stream.Reset(http2.Cancel)
 	}
-	a.finishWith(outcome{dispatch.Cancelled, grpc.Status{Code: grpc.Canceled, Message: "cancelled by the gateway"}})
+	a.abort(outcome{dispatch.Cancelled, grpc.Status{Code: grpc.Canceled, Message: "cancelled by the gateway"}})
 }
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -8,16 +8,17 @@
 	"github.com/topazfront/topazfront/internal/upstream"
 )
 
-// outgoingCall is a call that is to be sent on a stream of its own.
+// outgoingCall is a call to a worker that needs a stream: an attempt or a control call.
 type outgoingCall interface {
-	// openStream opens the stream on a connection that seemed to have a free one. On an error nothing was sent.
+	// openStream opens the stream on a connection that appeared to have a free one. If it returns an error, nothing
+	// was sent.
 	openStream(*http2.Conn) error
-	// fail ends a call of which nothing was sent, with a result that says so.
+	// fail ends a call of which nothing was sent. The result must imply that, as ConnectFailed and NotSent do.
 	fail(result dispatch.Result, reason string)
 }
 
-// startStream opens a stream for the call on the connection with the most free streams, or else waits for a new connection.
-// The call fails if there is neither.
+// startStream opens a stream for the call on the connection with the most free streams. If no stream is free, the call
+// waits for a new connection, and fails if the worker already has as many as it may have.
 func (p *Pool) startStream(workerID string, call outgoingCall) {
 	p.mu.Lock()
 	w := p.workers[workerID]
@@ -56,8 +57,8 @@
 	}
 }
 
-// waitForConn makes a call wait for a new connection after its connection was lost, or the last free stream was taken, before
-// anything was sent.
+// waitForConn queues a call for a new connection, after openStream failed because the chosen connection was lost or
+// another call took its last free stream.
 func (p *Pool) waitForConn(workerID string, call outgoingCall, err error) {
 	p.mu.Lock()
 	w := p.workers[workerID]
@@ -74,8 +75,8 @@
 	p.mu.Unlock()
 }
 
-// dial opens one connection and opens the streams of the calls that wait for it. It runs on a goroutine of its own, which
-// ends once the connect has ended and those calls have their streams.
+// dial opens one connection and then the streams of the calls that wait for it. It runs on its own goroutine, which
+// ends when it returns.
 func (p *Pool) dial(w *worker, addr string) {
 	handler := &connHandler{pool: p, worker: w}
 	c, err := p.dialer("tcp", addr, p.config.ConnectTimeout, p.config.HTTP2, handler)
@@ -104,7 +105,7 @@
 			switch err := call.openStream(c); {
 			case errors.Is(err, http2.ErrTooManyStreams):
 				p.waitForConn(w.id, call, err)
-			case err != nil: // no redial: a worker may accept and close at once, again and again
+			case err != nil: // not redialled: a worker may accept each connection and close it at once
 				call.fail(dispatch.ConnectFailed, err.Error())
 			}
 		}
@@ -115,14 +116,14 @@
 type connHandler struct {
 	pool         *Pool
 	worker       *worker
-	noNewStreams bool // guarded by pool.mu
-	ended        bool // guarded by pool.mu
+	noNewStreams bool // the connection accepts no new streams; guarded by pool.mu
+	ended        bool // the connection is closed; guarded by pool.mu
 }
 
-// Open implements http2.Handler. Servers open no streams to a client.
+// Open implements http2.Handler. A server opens no streams to its client.
 func (h *connHandler) Open(*http2.Stream) http2.Receiver { return nil }
 
-// GoAway implements http2.Handler. Without an error code it means that the worker drains.
+// GoAway implements http2.Handler. With the code NO_ERROR it means that the worker is draining.
 func (h *connHandler) GoAway(c *http2.Conn, code http2.ErrCode) {
 	h.removeConn(c)
 	if code == http2.NoError {
@@ -141,7 +142,7 @@
 	delete(h.pool.open, c)
 }
 
-// removeConn removes the connection from the worker's list. If dial has not added it yet, noNewStreams keeps it out.
+// removeConn removes the connection from the worker's list. If dial has not added it yet, noNewStreams prevents it.
 func (h *connHandler) removeConn(c *http2.Conn) {
 	h.pool.mu.Lock()
 	defer h.pool.mu.Unlock()
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -18,25 +18,25 @@
 // maxControlResponse is the largest response to a load command or a health check, in bytes.
 const maxControlResponse = 64 << 10
 
-// controlCall is a unary call of the gateway's own to a worker: a load command or a health check.
+// controlCall is a unary call that the gateway itself makes to a worker: a load command or a health check.
 type controlCall struct {
 	pool     *Pool
 	path     string
-	body     []byte // with the gRPC prefix
+	body     []byte // the request message with its gRPC prefix
 	deadline time.Time
 	limits   router.SendLimits
-	done     func(result outcome, body []byte, report oip.LoadReport) // called once, without the lock
+	done     func(result outcome, body []byte, report oip.LoadReport) // called once, without holding mu
 
-	mu       sync.Mutex
+	mu       sync.Mutex    // guards the fields below
 	stream   *http2.Stream // nil until it is opened
-	timer    *time.Timer
+	timer    *time.Timer   // ends the call at its deadline
 	reader   grpc.MessageReader
 	response []byte // the last message received, without its prefix
-	messages int    // received
+	messages int    // number of messages received
 	ended    bool
 }
 
-// startControlCall sends a message to a worker and calls done once, after limit at the latest.
+// startControlCall sends a message to a worker and calls done once, at the latest after limits.Remaining.
 func (p *Pool) startControlCall(workerID, path string, message proto.Message, limits router.SendLimits,
 	done func(outcome, []byte, oip.LoadReport)) {
 	encoded, err := proto.Marshal(message)
@@ -58,8 +58,8 @@
 	p.startStream(workerID, call)
 }
 
-// openStream implements outgoingCall. A call that has ended meanwhile opens none, nor does one that must not be sent any
-// more, which ends.
+// openStream implements outgoingCall. It opens no stream if the call has ended in the meantime, or if it is too late
+// to send it; in the second case the call ends with the result NotSent.
 func (cc *controlCall) openStream(c *http2.Conn) error {
 	if cc.limits.Expired(time.Now()) {
 		cc.fail(dispatch.NotSent, "not sent in time")
@@ -96,7 +96,7 @@
 	cc.done(result, body, report)
 }
 
-// Headers implements http2.Receiver. Only trailers matter.
+// Headers implements http2.Receiver. Only the trailers are used.
 func (cc *controlCall) Headers(_ *http2.Stream, fields []hpack.Field, end bool) {
 	if !end {
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-// LoadFunction implements router.Upstream by RepositoryModelLoad with the parameter "copies".
+// LoadFunction implements router.Upstream with a call of RepositoryModelLoad that has the parameter "copies".
 func (p *Pool) LoadFunction(workerID, function string, copies int, limits router.SendLimits, done func(router.LoadResult)) {
 	model, version := oip.SplitFunction(function)
 	request := &inference.RepositoryModelLoadRequest{ModelName: model, Parameters: map[string]*inference.ModelRepositoryParameter{
@@ -147,13 +147,13 @@
 	p.startControlCall(workerID, oip.Load, request, limits, func(ended outcome, _ []byte, report oip.LoadReport) {
 		result := router.LoadResult{Result: ended.result, Copies: int(max(report.Copies, 0))}
 		if ended.result == dispatch.OK && ended.status.Code != grpc.OK {
-			result.Result = dispatch.Errored // a status about the command itself means that no copy was loaded
+			result.Result = dispatch.Errored // a status about the request itself means that no copy was loaded
 		}
 		done(result)
 	})
 }
 
-// CheckHealth implements router.Upstream by ServerReady, whose trailers carry the worker's load report.
+// CheckHealth implements router.Upstream with a call of ServerReady, whose trailers carry the worker's load report.
 func (p *Pool) CheckHealth(workerID string, limit time.Duration, done func(router.HealthResult)) {
 	p.startControlCall(workerID, oip.ServerReady, &inference.ServerReadyRequest{}, router.SendLimits{Remaining: limit},
 		func(ended outcome, body []byte, report oip.LoadReport) {
@@ -169,7 +169,7 @@
 		})
 }
 
-// workerReport converts the report of a worker.
+// workerReport converts a worker's load report to the form of the router.
 func workerReport(report oip.LoadReport) router.WorkerReport {
 	return router.WorkerReport{LoadReport: dispatch.LoadReport{InFlight: report.InFlight, Queued: report.Queued, Loading: report.Loading},
 		CacheStatus: dispatch.CacheStatus(report.CacheStatus), FunctionInFlight: int(max(report.FunctionInFlight, -1))}
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	peer "golang.org/x/net/http2"
+	xhttp2 "golang.org/x/net/http2"
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/oip"
@@ -16,22 +16,22 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// attemptCase is one way in which a worker ends an attempt, and what must follow.
+// attemptCase is one way in which a worker ends an attempt, with the expected results.
 type attemptCase struct {
 	name     string
 	streamed bool
-	act      func(*scriptedStream)
+	act      func(*scriptedStream) // what the worker does when it has the request
 	result   dispatch.Result
 	status   grpc.Code // that the client receives
-	final    bool      // the call has ended with the attempt
-	draining bool      // the router learns that the worker drains
+	final    bool      // the call ends with the attempt
+	draining bool      // the router is notified that the worker is draining
 }
 
 var okHeaders = []string{":status", "200", "content-type", "application/grpc"}
 
 func withOKHeaders(kv ...string) []string { return append(append([]string(nil), okHeaders...), kv...) }
 
-// completeResponses are responses that end with a status.
+// completeResponses are well-formed responses that end with a status.
 var completeResponses = []attemptCase{
 	{name: "unary response", act: func(s *scriptedStream) {
 		s.headers(false, okHeaders...)
@@ -57,20 +57,20 @@
 	}, result: dispatch.Errored, status: grpc.Unknown},
 }
 
-// brokenStreams are streams and connections that end without a response.
+// brokenStreams are streams and connections that end without a complete response.
 var brokenStreams = []attemptCase{
 	{name: "REFUSED_STREAM", act: func(s *scriptedStream) {
-		_ = s.framer.WriteRSTStream(s.id, peer.ErrCodeRefusedStream)
+		_ = s.framer.WriteRSTStream(s.id, xhttp2.ErrCodeRefusedStream)
 	}, result: dispatch.Rejected, status: grpc.Unknown},
 	{name: "above GOAWAY's last stream", act: func(s *scriptedStream) {
-		_ = s.framer.WriteGoAway(0, peer.ErrCodeNo, nil)
+		_ = s.framer.WriteGoAway(0, xhttp2.ErrCodeNo, nil)
 	}, result: dispatch.Rejected, status: grpc.Unknown, draining: true},
 	{name: "below GOAWAY's last stream, then lost", act: func(s *scriptedStream) {
-		_ = s.framer.WriteGoAway(s.id, peer.ErrCodeNo, nil)
+		_ = s.framer.WriteGoAway(s.id, xhttp2.ErrCodeNo, nil)
 		_ = s.conn.Close()
 	}, result: dispatch.ConnectionReset, status: grpc.Unknown, draining: true},
 	{name: "RST_STREAM with another code", act: func(s *scriptedStream) {
-		_ = s.framer.WriteRSTStream(s.id, peer.ErrCodeInternal)
+		_ = s.framer.WriteRSTStream(s.id, xhttp2.ErrCodeInternal)
 	}, result: dispatch.ConnectionReset, status: grpc.Unknown},
 	{name: "connection lost", act: func(s *scriptedStream) { _ = s.conn.Close() }, result: dispatch.ConnectionReset, status: grpc.Unknown},
 	{name: "connection error", act: func(s *scriptedStream) {
@@ -79,7 +79,7 @@
 	{name: "stream reset after its first message", streamed: true, act: func(s *scriptedStream) {
 		s.headers(false, okHeaders...)
 		_ = s.framer.WriteData(s.id, false, testMessage())
-		_ = s.framer.WriteRSTStream(s.id, peer.ErrCodeInternal)
+		_ = s.framer.WriteRSTStream(s.id, xhttp2.ErrCodeInternal)
 	}, result: dispatch.ConnectionReset, status: grpc.Unknown, final: true},
 }
 
@@ -154,8 +154,8 @@
 	}, result: dispatch.ConnectionReset, status: grpc.Unknown},
 }
 
-// TestAttemptResults covers the rows of the table in evidence.go that a worker causes: each attempt has one result and each
-// client one final answer.
+// TestAttemptResults covers those rows of the table in evidence.go that are caused by the worker. Each attempt must
+// have exactly one result, and each client must receive exactly one final answer.
 func TestAttemptResults(t *testing.T) {
 	for _, test := range slices.Concat(completeResponses, brokenStreams, admissionResponses, malformedResponses) {
 		t.Run(test.name, func(t *testing.T) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestRefusedConnectionIsConnectFailed: a refused connect proves that nothing ran.
+// TestRefusedConnectionIsConnectFailed checks the result of an attempt whose connect is refused: nothing was sent.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	r, dispatcher := newTestRouter(t, testsupport.UnusedAddress(t))
 	submit(t, r, false, 5*time.Second)
@@ -197,7 +197,8 @@
 	}
 }
 
-// TestFailedConnect: a connect that fails by a fault of this host proves that nothing ran, and is not the worker's.
+// TestFailedConnect checks that a connect that fails due to a fault of this host has the result NotSent, which does not
+// count as a failure of the worker, while other failed connects have ConnectFailed.
 func TestFailedConnect(t *testing.T) {
 	for errno, want := range map[syscall.Errno]dispatch.Result{
 		syscall.ENETUNREACH: dispatch.ConnectFailed, syscall.EMFILE: dispatch.NotSent, syscall.EADDRNOTAVAIL: dispatch.NotSent,
@@ -216,21 +217,22 @@
 	}
 }
 
-// TestTimeoutAndCancel: a worker that does not answer, with a short deadline and with a cancellation.
+// TestTimeoutAndCancel checks the result of an attempt at a worker that does not answer, when the deadline passes and
+// when the call is cancelled.
 func TestTimeoutAndCancel(t *testing.T) {
 	silent := startScriptedWorker(t, func(*scriptedStream) {})
 	for name, test := range map[string]struct {
-		left   time.Duration
-		cancel bool
-		want   dispatch.Result
+		remaining time.Duration
+		cancel    bool
+		want      dispatch.Result
 	}{
-		"deadline passes":      {left: 100 * time.Millisecond, want: dispatch.TimedOut},
-		"cancelled, time left": {left: 10 * time.Second, cancel: true, want: dispatch.Cancelled},
+		"deadline passes":      {remaining: 100 * time.Millisecond, want: dispatch.TimedOut},
+		"cancelled, time left": {remaining: 10 * time.Second, cancel: true, want: dispatch.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, dispatcher := newTestRouter(t, silent)
 			dispatcher.cancel = test.cancel
-			submit(t, r, false, test.left)
+			submit(t, r, false, test.remaining)
 			if ended := testsupport.Await(t, dispatcher.ended, "the outcome"); ended.Result != test.want {
 				t.Errorf("%v, want %v", ended.Result, test.want)
 			}
--- a/internal/upstream/grpcupstream/golden_test.go
+++ b/internal/upstream/grpcupstream/golden_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	peer "golang.org/x/net/http2"
-	peerhpack "golang.org/x/net/http2/hpack"
+	xhttp2 "golang.org/x/net/http2"
+	xhpack "golang.org/x/net/http2/hpack"
 
 	"github.com/topazfront/topazfront/internal/oip"
 	"github.com/topazfront/topazfront/internal/router"
@@ -18,8 +18,9 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// requestRecorder passes on each request that comes to it, as a line for each header field and one for the data.
-// It refuses the first attempt of a request with the metadata "x-test: refuse once", and answers none.
+// requestRecorder starts a worker that sends each request it receives to a channel, as one line for each header field
+// and one for the data. It refuses the first attempt of a request with the metadata "x-test: refuse once". It answers
+// no request.
 func requestRecorder(t *testing.T) (addr string, requests <-chan string) {
 	t.Helper()
 	recorded := make(chan string, 8)
@@ -27,9 +28,9 @@
 }
 
 func recordRequests(nc net.Conn, recorded chan<- string) {
-	_, _ = io.ReadFull(nc, make([]byte, len(peer.ClientPreface)))
-	fr := peer.NewFramer(nc, nc)
-	fr.ReadMetaHeaders = peerhpack.NewDecoder(4096, nil)
+	_, _ = io.ReadFull(nc, make([]byte, len(xhttp2.ClientPreface)))
+	fr := xhttp2.NewFramer(nc, nc)
+	fr.ReadMetaHeaders = xhpack.NewDecoder(4096, nil)
 	_ = fr.WriteSettings()
 	head, data := map[uint32]string{}, map[uint32]string{}
 	for {
@@ -39,24 +40,25 @@
 		}
 		id := f.Header().StreamID
 		switch f := f.(type) {
-		case *peer.MetaHeadersFrame:
+		case *xhttp2.MetaHeadersFrame:
 			for _, field := range f.Fields {
 				head[id] += field.Name + ": " + field.Value + "\n"
 			}
-		case *peer.DataFrame:
+		case *xhttp2.DataFrame:
 			data[id] += string(f.Data())
 			if f.StreamEnded() {
 				recorded <- head[id] + fmt.Sprintf("%q", data[id])
 				if strings.Contains(head[id], "x-test: refuse once") && strings.Contains(head[id], "grpc-previous-rpc-attempts: 0") {
-					_ = fr.WriteRSTStream(id, peer.ErrCodeRefusedStream)
+					_ = fr.WriteRSTStream(id, xhttp2.ErrCodeRefusedStream)
 				}
 			}
 		}
 	}
 }
 
-// TestGoldenRequestsToAWorker holds the header fields, in their order, and the data of each kind of request to a worker.
-// The time that is left differs from run to run and is compared as milliseconds of seven digits.
+// TestGoldenRequestsToAWorker compares the header fields, in their order, and the data of each kind of request to a
+// worker. The remaining deadline differs from run to run; of it only the format is compared, seven digits of
+// milliseconds.
 func TestGoldenRequestsToAWorker(t *testing.T) {
 	addr, requests := requestRecorder(t)
 	r, dispatcher := newTestRouter(t, addr)
--- a/internal/upstream/grpcupstream/harness_test.go
+++ b/internal/upstream/grpcupstream/harness_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	peer "golang.org/x/net/http2"
-	peerhpack "golang.org/x/net/http2/hpack"
-	peergrpc "google.golang.org/grpc"
+	xhttp2 "golang.org/x/net/http2"
+	xhpack "golang.org/x/net/http2/hpack"
+	grpcgo "google.golang.org/grpc"
 
 	"github.com/topazfront/topazfront/dispatch"
 	"github.com/topazfront/topazfront/internal/endpoints"
@@ -22,14 +22,14 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// testDispatcher starts one attempt of each request at worker "w" and records the events that follow.
+// testDispatcher starts an attempt of each request at worker "w" and records the events that follow.
 type testDispatcher struct {
 	mu       sync.Mutex
 	ended    chan dispatch.AttemptEnded
-	started  int         // responses, under mu
-	draining chan string // ids of workers that began to drain
-	cancel   bool        // each attempt is cancelled at once
-	retries  int         // attempts to start after one that was rejected
+	started  int         // number of responses that started; guarded by mu
+	draining chan string // IDs of workers that began to drain
+	cancel   bool        // cancel each attempt at once
+	retries  int         // number of rejected attempts that may still be retried
 }
 
 func (d *testDispatcher) Step(_ time.Duration, events []dispatch.Event) (out []dispatch.Action) {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// testClient is the client of one call and records what it receives.
+// testClient is the router.Client of one call and records what it receives.
 type testClient struct {
 	mu     sync.Mutex
 	starts int
@@ -98,7 +98,7 @@
 	return r, dispatcher
 }
 
-// newTestRouterAndPool is newTestRouter where connections are opened by dialer.
+// newTestRouterAndPool is like newTestRouter, but connections are opened by dialer.
 func newTestRouterAndPool(t *testing.T, addr string, dialer dialFunc) (*router.Router, *testDispatcher, *Pool) {
 	t.Helper()
 	dispatcher := &testDispatcher{ended: make(chan dispatch.AttemptEnded, 16), draining: make(chan string, 16)}
@@ -121,27 +121,27 @@
 	return append(grpc.AppendPrefix(nil, 3, false), 0x0a, 1, 'm')
 }
 
-func submit(t *testing.T, r *router.Router, streamed bool, left time.Duration) *testClient {
+func submit(t *testing.T, r *router.Router, streamed bool, remaining time.Duration) *testClient {
 	t.Helper()
 	client := newTestClient()
-	if _, ok := r.Submit(&router.Call{Function: "m", Class: "c", RemainingDeadline: left, Streamed: streamed,
+	if _, ok := r.Submit(&router.Call{Function: "m", Class: "c", RemainingDeadline: remaining, Streamed: streamed,
 		Request: &oip.Request{Message: testMessage()}, Client: client}); !ok {
 		t.Fatal("the router did not accept the call")
 	}
 	return client
 }
 
-// startGRPCGoWorker starts a worker that is served by grpc-go and returns its address.
+// startGRPCGoWorker starts a worker implemented with grpc-go and returns its address.
 func startGRPCGoWorker(t *testing.T) string {
 	t.Helper()
-	srv := peergrpc.NewServer(peergrpc.UnknownServiceHandler(serveWithGRPCGo))
+	srv := grpcgo.NewServer(grpcgo.UnknownServiceHandler(serveWithGRPCGo))
 	ln := testsupport.Listen(t)
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(srv.Stop)
 	return ln.Addr().String()
 }
 
-// newTestPool returns a pool without a router that knows one worker, "w", at the address.
+// newTestPool returns a pool with one worker, "w", at the address, and without a router.
 func newTestPool(t *testing.T, addr string, cfg Config) *Pool {
 	t.Helper()
 	cfg.RouterName, cfg.MaxConnsPerWorker, cfg.MaxMessageBytes = "r", 1, 1<<20
@@ -151,12 +151,12 @@
 	return pool
 }
 
-// scriptedStream is a request that has arrived completely at a scripted worker.
+// scriptedStream is the stream of a request that a scripted worker has completely received.
 type scriptedStream struct {
 	conn    net.Conn
-	framer  *peer.Framer
-	encoder *peerhpack.Encoder
-	block   *bytes.Buffer // that the encoder writes to
+	framer  *xhttp2.Framer
+	encoder *xhpack.Encoder
+	block   *bytes.Buffer // the header block that the encoder writes
 	id      uint32
 }
 
@@ -164,30 +164,31 @@
 func (s *scriptedStream) headers(end bool, kv ...string) {
 	s.block.Reset()
 	for i := 0; i < len(kv); i += 2 {
-		_ = s.encoder.WriteField(peerhpack.HeaderField{Name: kv[i], Value: kv[i+1]})
+		_ = s.encoder.WriteField(xhpack.HeaderField{Name: kv[i], Value: kv[i+1]})
 	}
-	_ = s.framer.WriteHeaders(peer.HeadersFrameParam{StreamID: s.id, BlockFragment: s.block.Bytes(), EndHeaders: true, EndStream: end})
+	_ = s.framer.WriteHeaders(xhttp2.HeadersFrameParam{StreamID: s.id, BlockFragment: s.block.Bytes(),
+		EndHeaders: true, EndStream: end})
 }
 
-// startScriptedWorker starts a worker that calls act for each request.
+// startScriptedWorker starts a worker that calls act when a request is complete, and does nothing else.
 func startScriptedWorker(t *testing.T, act func(*scriptedStream)) (addr string) {
 	t.Helper()
 	return testsupport.ServeConns(t, func(nc net.Conn) { serveScripted(nc, act) })
 }
 
 func serveScripted(nc net.Conn, act func(*scriptedStream)) {
-	framer := peer.NewFramer(nc, nc)
+	framer := xhttp2.NewFramer(nc, nc)
 	framer.AllowIllegalWrites = true
-	_, _ = io.ReadFull(nc, make([]byte, len(peer.ClientPreface)))
+	_, _ = io.ReadFull(nc, make([]byte, len(xhttp2.ClientPreface)))
 	_ = framer.WriteSettings()
 	var block bytes.Buffer
-	encoder := peerhpack.NewEncoder(&block)
+	encoder := xhpack.NewEncoder(&block)
 	for {
 		f, err := framer.ReadFrame()
 		if err != nil {
 			return
 		}
-		if data, ok := f.(*peer.DataFrame); ok && data.StreamEnded() {
+		if data, ok := f.(*xhttp2.DataFrame); ok && data.StreamEnded() {
 			act(&scriptedStream{conn: nc, framer: framer, encoder: encoder, block: &block, id: data.StreamID})
 		}
 	}
--- a/internal/upstream/grpcupstream/idle.go
+++ b/internal/upstream/grpcupstream/idle.go
@@ -6,10 +6,10 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// idleSweepsPerTimeout is how many times within Config.IdleTimeout idle connections are looked for.
+// idleSweepsPerTimeout is the number of sweeps for idle connections within Config.IdleTimeout.
 const idleSweepsPerTimeout = 4
 
-// closeIdle closes idle connections until the pool is closed. It runs on a goroutine of its own.
+// closeIdle closes idle connections until the pool is closed. It runs on its own goroutine.
 func (p *Pool) closeIdle() {
 	ticker := time.NewTicker(max(p.config.IdleTimeout/idleSweepsPerTimeout, 1))
 	defer ticker.Stop()
@@ -18,16 +18,16 @@
 		case <-p.stop:
 			return
 		case now := <-ticker.C:
-			for _, c := range p.takeIdle(now) {
+			for _, c := range p.removeIdle(now) {
 				c.Shutdown()
 			}
 		}
 	}
 }
 
-// takeIdle removes the connections that have had no stream for the idle timeout and returns them. A call that has just
-// chosen one of them finds it closing, and waits for another.
-func (p *Pool) takeIdle(now time.Time) (expired []*http2.Conn) {
+// removeIdle removes the connections that have had no stream for longer than the idle timeout, and returns them. If a
+// call has just chosen one of them, its openStream fails and the call waits for a new connection.
+func (p *Pool) removeIdle(now time.Time) (expired []*http2.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.workers {
@@ -46,7 +46,8 @@
 	return expired
 }
 
-// idleFor returns for how long a connection has been seen without a stream, and unused. The pool's lock is held.
+// idleFor returns how long a connection has been idle: no sweep found a stream on it, and no call chose it. The
+// caller holds the pool's lock.
 func (w *worker) idleFor(c *http2.Conn, now time.Time) time.Duration {
 	if c.NumStreams() > 0 {
 		delete(w.idleSince, c)
--- a/internal/upstream/grpcupstream/idle_test.go
+++ b/internal/upstream/grpcupstream/idle_test.go
@@ -10,8 +10,8 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// TestIdleConnectionsAreClosed: a connection without a stream for the timeout is closed and the next call dials; one that
-// is used in between is kept.
+// TestIdleConnectionsAreClosed checks that a connection without a stream for the idle timeout is closed, after which
+// the next call dials, and that a connection used in between is kept.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	pool := newTestPool(t, startGRPCGoWorker(t), Config{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Hour})
 	check := func() {
@@ -23,8 +23,8 @@
 		}
 	}
 	now := time.Now()
-	seenIdle := func() bool { // the stream of the check ends shortly after its result
-		if expired := pool.takeIdle(now); len(expired) > 0 {
+	seenIdle := func() bool { // polled, since the stream of the check ends shortly after its result
+		if expired := pool.removeIdle(now); len(expired) > 0 {
 			t.Fatal("a connection expired that was just used")
 		}
 		pool.mu.Lock()
@@ -38,16 +38,16 @@
 	check()
 	awaitIdle()
 	check()
-	now = now.Add(2 * time.Hour) // used in between: idle only from now on
+	now = now.Add(2 * time.Hour) // the connection was used in between, so it is idle only from now on
 	awaitIdle()
-	expired := pool.takeIdle(now.Add(2 * time.Hour))
-	if len(expired) != 1 || pool.Conns() != 0 {
-		t.Fatalf("%d expired, %d left", len(expired), pool.Conns())
+	expired := pool.removeIdle(now.Add(2 * time.Hour))
+	if len(expired) != 1 || pool.NumConns() != 0 {
+		t.Fatalf("%d expired, %d left", len(expired), pool.NumConns())
 	}
 	closeAll(expired)
 	check()
-	if pool.Conns() != 1 {
-		t.Errorf("%d connections", pool.Conns())
+	if pool.NumConns() != 1 {
+		t.Errorf("%d connections", pool.NumConns())
 	}
 }
 
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -1,6 +1,6 @@
-// Package grpcupstream sends requests to workers over gRPC. It holds the connections, starts attempts, load commands and
-// health checks on them, and classifies how each ended by what was seen on the connection (the table in evidence.go). It does
-// not choose workers.
+// Package grpcupstream sends requests to workers over gRPC. It keeps a pool of connections, sends attempts, load
+// commands and health checks on them, and derives the result of each from what happened on the connection (see the
+// table in evidence.go). It does not select workers.
 package grpcupstream
 
 import (
@@ -23,45 +23,45 @@
 	RouterName        string // sent to workers in RouterField
 	ConnectTimeout    time.Duration
 	MaxConnsPerWorker int
-	IdleTimeout       time.Duration // a connection without a stream for so long is closed; 0: never
-	MaxMessageBytes   int           // of a response message that is buffered until it is complete
+	IdleTimeout       time.Duration // time without a stream after which a connection is closed; 0 means never
+	MaxMessageBytes   int           // size limit of a response message that is buffered until it is complete
 	HTTP2             http2.Config
-	Logger            *slog.Logger // nil: nothing is logged
+	Logger            *slog.Logger // nil disables logging
 }
 
-// RouterField is the metadata in which a worker receives the name of the router that a call comes from.
+// RouterField is the metadata key under which a worker receives the name of the router that made the call.
 const RouterField = "topazfront-router"
 
 // Pool holds the connections of one router to all workers and implements router.Upstream.
 type Pool struct {
 	config Config
 	router *router.Router
-	dialer dialFunc // http2.Dial
+	dialer dialFunc // http2.Dial, except in tests
 
-	mu      sync.Mutex               // guards all below, the workers' fields included
-	workers map[string]*worker       // by id
-	open    map[*http2.Conn]struct{} // that have not ended, those that drain included
-	closed  bool
-	stop    chan struct{} // closed by Close
+	mu      sync.Mutex               // guards the fields below and those of the workers
+	workers map[string]*worker       // by ID
+	open    map[*http2.Conn]struct{} // connections that are not closed, including draining ones
+	closed  bool                     // Close was called
+	stop    chan struct{}            // closed by Close
 }
 
-// dialFunc opens a connection.
+// dialFunc opens a connection, as http2.Dial does.
 type dialFunc func(network, addr string, timeout time.Duration, cfg http2.Config, h http2.Handler) (*http2.Conn, error)
 
 // worker is a worker with its connections.
 type worker struct {
 	id, addr   string
-	conns      []*http2.Conn             // that may accept new streams
-	idleSince  map[*http2.Conn]time.Time // those of conns that were seen without a stream, and not used since
-	connecting int                       // connects in progress, at most 1
-	waiting    []outgoingCall            // for the connect in progress
+	conns      []*http2.Conn             // connections that may accept new streams
+	idleSince  map[*http2.Conn]time.Time // idle connections, with the time of the first sweep that found them idle
+	connecting int                       // number of connects in progress, at most 1
+	waiting    []outgoingCall            // calls that wait for the connect in progress
 }
 
 func newWorker(id, addr string) *worker {
 	return &worker{id: id, addr: addr, idleSince: map[*http2.Conn]time.Time{}}
 }
 
-// New returns a Pool without workers. Attach must be called before it is used, and Close in the end.
+// New returns a Pool without workers. Attach must be called before the pool is used, and Close at the end.
 func New(cfg Config) *Pool {
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
@@ -79,11 +79,11 @@
 	return p
 }
 
-// Attach sets the router that is notified of how attempts end.
+// Attach sets the router to which the pool reports the results of attempts and draining workers.
 func (p *Pool) Attach(r *router.Router) { p.router = r }
 
-// UpdateEndpoints implements router.Upstream. Connections to a worker that was removed, or to its former address, accept no
-// new streams and close when those they have are done.
+// UpdateEndpoints implements router.Upstream. Connections to a removed worker or to a worker's former address get no
+// new streams, and close when their open streams have ended.
 func (p *Pool) UpdateEndpoints(changed []endpoints.Worker) {
 	var stale []*http2.Conn
 	p.mu.Lock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// Close closes all connections, and with them the streams that they have.
+// Close closes all connections, which ends their streams.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	if !p.closed {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Conns returns the number of connections that may accept new streams.
-func (p *Pool) Conns() int {
+// NumConns returns the number of connections that may accept new streams.
+func (p *Pool) NumConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -135,7 +135,9 @@
 	return n
 }
 
-// requestHeaders returns the headers that every request to a worker begins with; left is what remains of its deadline.
-func (p *Pool) requestHeaders(path string, left time.Duration) []hpack.Field {
-	return append(grpc.RequestHeaders("worker", path, left), hpack.Field{Name: RouterField, Value: p.config.RouterName})
+// requestHeaders returns the headers that every request to a worker begins with. remaining is the time until its
+// deadline.
+func (p *Pool) requestHeaders(path string, remaining time.Duration) []hpack.Field {
+	return append(grpc.RequestHeaders("worker", path, remaining),
+		hpack.Field{Name: RouterField, Value: p.config.RouterName})
 }
--- a/internal/upstream/grpcupstream/pool_test.go
+++ b/internal/upstream/grpcupstream/pool_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	peer "golang.org/x/net/http2"
-	peergrpc "google.golang.org/grpc"
+	xhttp2 "golang.org/x/net/http2"
+	grpcgo "google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
@@ -22,7 +22,7 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// TestAllCallsAgainstGRPCGo has an independent server, grpc-go, answer every kind of call that is sent to workers.
+// TestAllCallsAgainstGRPCGo sends every kind of call to a worker implemented with grpc-go, to check interoperability.
 func TestAllCallsAgainstGRPCGo(t *testing.T) {
 	addr := startGRPCGoWorker(t)
 	r, dispatcher := newTestRouter(t, addr)
@@ -54,9 +54,9 @@
 	}
 }
 
-// serveWithGRPCGo is a worker: its trailers report 4 requests in flight and 2 copies.
-func serveWithGRPCGo(_ any, s peergrpc.ServerStream) error {
-	method, _ := peergrpc.MethodFromServerStream(s)
+// serveWithGRPCGo handles the calls of a worker whose trailers report 4 requests in flight and 2 copies.
+func serveWithGRPCGo(_ any, s grpcgo.ServerStream) error {
+	method, _ := grpcgo.MethodFromServerStream(s)
 	report := oip.NoLoadReport
 	report.InFlight, report.Copies = 4, 2
 	s.SetTrailer(metadata.Pairs(oip.LoadReportField, string(encodeReport(report))))
@@ -94,7 +94,7 @@
 	return status.Error(codes.Unimplemented, method)
 }
 
-// encodeReport returns the serialized report without base64: grpc-go encodes -bin fields itself.
+// encodeReport returns the serialized report without base64, since grpc-go itself encodes -bin fields.
 func encodeReport(r oip.LoadReport) []byte {
 	b, err := grpc.DecodeBinaryHeader(r.Trailer().Value)
 	if err != nil {
@@ -103,8 +103,8 @@
 	return b
 }
 
-// TestWorkerThatClosesAtOnceIsNotRedialled: attempts at a worker that accepts and closes connections end, whatever the
-// deadline, and do not dial again and again.
+// TestWorkerThatClosesAtOnceIsNotRedialled guards against endless redialling of a worker that accepts connections and
+// closes them at once: each attempt must end, however long its deadline, after few connects.
 func TestWorkerThatClosesAtOnceIsNotRedialled(t *testing.T) {
 	var accepted atomic.Int32
 	r, dispatcher := newTestRouter(t, testsupport.ServeConns(t, func(net.Conn) { accepted.Add(1) }))
@@ -119,12 +119,12 @@
 	}
 }
 
-// TestCloseEndsAllStreams: a pool that is closed leaves no stream behind, on connections that drain neither.
+// TestCloseEndsAllStreams checks that closing a pool ends all streams, including those on draining connections.
 func TestCloseEndsAllStreams(t *testing.T) {
 	for name, drain := range map[string]func(*testing.T, *testDispatcher, *Pool, *scriptedStream){
 		"in use": func(*testing.T, *testDispatcher, *Pool, *scriptedStream) {},
 		"worker drains": func(t *testing.T, dispatcher *testDispatcher, _ *Pool, s *scriptedStream) {
-			_ = s.framer.WriteGoAway(s.id, peer.ErrCodeNo, nil)
+			_ = s.framer.WriteGoAway(s.id, xhttp2.ErrCodeNo, nil)
 			_ = testsupport.Await(t, dispatcher.draining, "the drain")
 		},
 		"worker is removed": func(_ *testing.T, _ *testDispatcher, pool *Pool, _ *scriptedStream) {
--- a/internal/upstream/grpcupstream/timeout_test.go
+++ b/internal/upstream/grpcupstream/timeout_test.go
@@ -12,8 +12,8 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// TestTimeoutCountsTheWaitForAConnection: the grpc-timeout of whatever waited for a connection is what is left when its
-// stream is opened, not when it began to wait.
+// TestTimeoutCountsTheWaitForAConnection checks that the grpc-timeout of a call that waited for a connection is the
+// time remaining when its stream is opened, not when it began to wait.
 func TestTimeoutCountsTheWaitForAConnection(t *testing.T) {
 	const limit, waited = time.Hour, 100 * time.Millisecond
 	for name, newCall := range map[string]func(*Pool, time.Time) (call outgoingCall, end func()){
@@ -29,13 +29,13 @@
 		t.Run(name, func(t *testing.T) {
 			addr, requests := requestRecorder(t)
 			call, end := newCall(New(Config{RouterName: "r"}), time.Now().Add(limit))
-			time.Sleep(waited) // as behind a dial
+			time.Sleep(waited) // as if waiting for a dial
 			conn, err := http2.Dial("tcp", addr, 5*time.Second, http2.Config{}, &connHandler{pool: New(Config{}), worker: &worker{}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() {
-				end() // there is no router to be told
+				end() // so that closing the connection reports no result, as there is no router
 				conn.Close()
 			})
 			if err := call.openStream(conn); err != nil {
