--- a/internal/grpcgateway/admin.go
+++ b/internal/grpcgateway/admin.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// startAdmin serves the admin API where the settings have a socket for it.
+// startAdmin starts the server of the admin API if the settings name a socket for it.
 func (g *Gateway) startAdmin() (err error) {
 	if g.cfg.Admin.Socket == "" {
 		return nil
@@ -24,7 +24,8 @@
 	return err
 }
 
-// gossipMethod returns an admin method that reads the gossip agent, an error without gossip.
+// gossipMethod returns an admin method that replies with what read returns, or with an error if the gateway runs
+// without gossip.
 func (g *Gateway) gossipMethod(read func(*agent.Agent) any) adminapi.Method {
 	return func(json.RawMessage) (any, error) {
 		if g.gossipAgent == nil {
--- a/internal/grpcgateway/admin_golden_test.go
+++ b/internal/grpcgateway/admin_golden_test.go
@@ -23,23 +23,23 @@
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-// fill sets every field of a value, each number and text to the next of a sequence.
-func fill(v reflect.Value, next *int) {
+// setAllFields sets every field of a value. Numbers and strings are derived from a counter, so that all differ.
+func setAllFields(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Field(i).CanSet() {
-				fill(v.Field(i), next)
+				setAllFields(v.Field(i), next)
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), next)
+		setAllFields(v.Index(0), next)
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, next)
-		fill(value, next)
+		setAllFields(key, next)
+		setAllFields(value, next)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.String:
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestGoldenAdminReplies holds the JSON of each method's reply, with every field set.
+// TestGoldenAdminReplies compares the JSON of each method's reply when every field is set.
 func TestGoldenAdminReplies(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range []struct {
@@ -69,7 +69,7 @@
 		{"gossip.keys", &agent.KeyList{}},
 	} {
 		next := 0
-		fill(reflect.ValueOf(c.reply).Elem(), &next)
+		setAllFields(reflect.ValueOf(c.reply).Elem(), &next)
 		raw, err := json.MarshalIndent(c.reply, "", " ")
 		if err != nil {
 			t.Fatal(err)
@@ -79,7 +79,7 @@
 	golden.Compare(t, "admin_replies.out", out.Bytes())
 }
 
-// topKeys describes a reply by its kind and, where it is an object, its keys.
+// topKeys returns the sorted top-level keys of a reply that is an object, and any other reply as it is.
 func topKeys(raw json.RawMessage) string {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &object); err == nil && object != nil {
@@ -88,7 +88,7 @@
 	return string(raw)
 }
 
-// TestGoldenAdminMethods calls each method of a gateway with gossip, and of one without.
+// TestGoldenAdminMethods compares the replies of each method at a gateway with gossip and at one without.
 func TestGoldenAdminMethods(t *testing.T) {
 	own := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 	public, _ := own.Public().(ed25519.PublicKey)
--- a/internal/grpcgateway/calls_test.go
+++ b/internal/grpcgateway/calls_test.go
@@ -31,7 +31,7 @@
 		t.Fatalf("streamed: %d messages, %d bytes, %v", messages, bytes, err)
 	}
 	if s := h.stats(); s.Served != 2 || s.CallsInFlight != 0 {
-		t.Fatalf("the router counted %+v", s)
+		t.Fatalf("router stats: %+v", s)
 	}
 }
 
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestInvalidRequestsAreRejected: each kind has the status that tells the client what is wrong, and none reaches a worker.
+// TestInvalidRequestsAreRejected checks that each kind of invalid request gets its specific status and that none is
+// sent to a worker.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	h := newHarness(t, 1, nil, nil)
 	tooLarge := newRequest("quote", "large", 1, 1, 1)
@@ -86,12 +87,13 @@
 		})
 	}
 	if s := h.stats(); s.Served != 0 || s.CallsInFlight != 0 {
-		t.Errorf("the router counted %+v", s)
+		t.Errorf("router stats: %+v", s)
 	}
 }
 
-// TestMethodsThatTheGatewayAnswers has grpc-go's client call them.
-func TestMethodsThatTheGatewayAnswers(t *testing.T) {
+// TestMethodsAnsweredByGateway calls, with the client of grpc-go, the methods that the gateway answers without a
+// worker.
+func TestMethodsAnsweredByGateway(t *testing.T) {
 	h := newHarness(t, 1, nil, nil)
 	for path, c := range map[string]struct {
 		request, response proto.Message
@@ -113,7 +115,7 @@
 		})
 	}
 	if s := h.stats(); s.Served != 0 || s.CallsInFlight != 0 {
-		t.Errorf("the router counted %+v", s)
+		t.Errorf("router stats: %+v", s)
 	}
 }
 
@@ -145,7 +147,7 @@
 		t.Fatal(err)
 	}
 	if err := stream.RecvMsg(&response); !errors.Is(err, io.EOF) {
-		t.Fatalf("the end of the stream: %v", err)
+		t.Fatalf("after the last message: %v, want io.EOF", err)
 	}
 }
 
--- a/internal/grpcgateway/client_test.go
+++ b/internal/grpcgateway/client_test.go
@@ -18,8 +18,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestSlowReaderBlocksOnlyItsOwnStream: a client that does not read holds back its worker, by flow control, and neither
-// the gateway's memory nor other streams.
+// TestSlowReaderBlocksOnlyItsOwnStream checks that flow control passes the backpressure of a client that does not
+// read on to its worker: the gateway must not buffer the response, and other streams must not be delayed.
 func TestSlowReaderBlocksOnlyItsOwnStream(t *testing.T) {
 	h := newHarness(t, 1, nil, nil)
 	h.loadModel("quote")
@@ -36,7 +36,7 @@
 	if err := slow.RecvMsg(&response); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(600 * time.Millisecond) // the worker has made all by now; the client reads nothing
+	time.Sleep(600 * time.Millisecond) // the worker has produced all messages by now; the client does not read
 	before := heapBytes()
 	for i := range 50 {
 		h.requireStream(10*time.Second, newRequest("quote", fmt.Sprint("other", i), 2, 10, 2000), 10)
@@ -60,7 +60,7 @@
 	}
 }
 
-// heapBytes returns the size of the live heap.
+// heapBytes returns the size of the live heap, after a garbage collection.
 func heapBytes() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -68,14 +68,14 @@
 	return int64(stats.HeapAlloc)
 }
 
-// callStage is a stage of a call at which a client may leave.
+// callStage is a stage of a call at which its client cancels it.
 type callStage struct {
 	name         string
 	prepare      func(*harness)
 	changeWorker func(*fakeworker.Config)
-	workMS       int64
-	reached      invariants.RecordKind // recorded when the call is at this stage
-	workerHangs  bool                  // the worker never drops the call
+	workMS       int64                 // work time of the call in milliseconds
+	reached      invariants.RecordKind // the record that shows that the call has reached the stage
+	workerHangs  bool                  // the worker never ends the call
 }
 
 var callStages = []callStage{
@@ -93,24 +93,24 @@
 		changeWorker: func(c *fakeworker.Config) { c.StopsCancelledWork = true }},
 }
 
-// The ways in which a client leaves a call.
+// The ways in which a client cancels a call.
 const (
 	byCancel     = "cancel"
 	byDeadline   = "deadline"
 	byDisconnect = "disconnect"
 )
 
-// TestClientLeavesCall has clients leave at each stage of a call; what they leave behind ends too.
-func TestClientLeavesCall(t *testing.T) {
+// TestClientCancelsCall cancels a call at each stage and in each way. The router and the workers must release it.
+func TestClientCancelsCall(t *testing.T) {
 	for _, stage := range callStages {
 		for _, way := range []string{byCancel, byDeadline, byDisconnect} {
-			t.Run(stage.name+", "+way, func(t *testing.T) { stage.leave(t, way) })
+			t.Run(stage.name+", "+way, func(t *testing.T) { stage.cancelCall(t, way) })
 		}
 	}
 }
 
-// leave makes a call, has its client leave it at the stage, and waits for router and workers to forget it.
-func (s callStage) leave(t *testing.T, way string) {
+// cancelCall makes a call, cancels it at the stage, and waits until the router and the workers have released it.
+func (s callStage) cancelCall(t *testing.T, way string) {
 	h := newHarness(t, 2, nil, s.changeWorker)
 	s.prepare(h)
 	timeout := 20 * time.Second
@@ -120,7 +120,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ended := make(chan error, 1)
-	go func() { // ends with ctx
+	go func() { // ends when ctx is done
 		_, _, err := h.streamInfer(ctx, newRequest("quote", "l1", s.workMS, 3, 10), nil)
 		ended <- err
 	}()
@@ -140,11 +140,12 @@
 		testsupport.WaitUntil(t, "the workers dropped it", func() bool { return h.workers[0].InFlight()+h.workers[1].InFlight() == 0 })
 	}
 	if h.records(invariants.RunStarted, "l1") > 1 {
-		t.Error("it ran twice")
+		t.Error("the call ran more than once")
 	}
 }
 
-// TestDeadlineEndsOpenStream: the client's deadline ends a stream that has begun, and the worker's with it.
+// TestDeadlineEndsOpenStream checks that the client's deadline ends a stream whose response has started, also at the
+// worker.
 func TestDeadlineEndsOpenStream(t *testing.T) {
 	h := newHarness(t, 1, nil, func(c *fakeworker.Config) { c.StopsCancelledWork = true })
 	h.loadModel("quote")
--- a/internal/grpcgateway/faults_test.go
+++ b/internal/grpcgateway/faults_test.go
@@ -18,12 +18,12 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestFiveHundredStreamsWithFaults: no final response is missing or doubled, no call runs twice but idempotent ones,
-// and no goroutine or descriptor is left behind.
+// TestFiveHundredStreamsWithFaults checks that, when workers fail, each call has exactly one final response, only
+// idempotent calls run more than once, and no goroutine or file descriptor is leaked.
 func TestFiveHundredStreamsWithFaults(t *testing.T) {
 	goroutines, descriptors := runtime.NumGoroutine(), openDescriptors()
 	t.Run("streams", func(t *testing.T) {
-		h := newHarness(t, 6, func(c *config.Gateway) { // long enough that hardly any is shed
+		h := newHarness(t, 6, func(c *config.Gateway) { // times long enough that few calls are shed
 			for i := range c.Classes {
 				class := &c.Classes[i]
 				class.LatencyObjective, class.Deadline, class.DeduplicationWindow = 15000, 20000, 20000
@@ -64,7 +64,7 @@
 	})
 }
 
-// streamOutcomes counts how calls ended.
+// streamOutcomes counts calls by how they ended.
 type streamOutcomes struct {
 	served, rejected, failed atomic.Int32
 }
@@ -80,20 +80,20 @@
 	}
 }
 
-// expectAtMostOneRun fails the test for each request that ran twice, but for those of the idempotent class.
+// expectAtMostOneRun fails the test for each request that ran more than once, except those of the idempotent class.
 func (h *harness) expectAtMostOneRun(idempotentClass string) {
 	h.t.Helper()
 	runs := map[string]int{}
 	for _, r := range h.log.Records() {
 		if r.Kind == invariants.RunStarted && r.Class != idempotentClass {
 			if runs[r.Request]++; runs[r.Request] > 1 {
-				h.t.Errorf("%s %s ran twice", r.Class, r.Request)
+				h.t.Errorf("%s %s ran more than once", r.Class, r.Request)
 			}
 		}
 	}
 }
 
-// openDescriptors returns how many file descriptors the process has open, 0 where the system does not say.
+// openDescriptors returns the number of open file descriptors of the process, or 0 on a system without /proc.
 func openDescriptors() int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/grpcgateway/forward_bench_test.go
+++ b/internal/grpcgateway/forward_bench_test.go
@@ -16,18 +16,18 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// connEvents is an http2.Handler, to embed, for peers that open no streams and don't look at how connections end.
-type connEvents struct{}
+// noopConnHandler is an http2.Handler that accepts no streams and ignores the end of connections. Other types embed it.
+type noopConnHandler struct{}
 
-func (connEvents) Open(*http2.Stream) http2.Receiver { return nil }
-func (connEvents) GoAway(*http2.Conn, http2.ErrCode) {}
-func (connEvents) ConnClosed(*http2.Conn, error)     {}
+func (noopConnHandler) Open(*http2.Stream) http2.Receiver { return nil }
+func (noopConnHandler) GoAway(*http2.Conn, http2.ErrCode) {}
+func (noopConnHandler) ConnClosed(*http2.Conn, error)     {}
 
-// floodingWorker answers a stream by a number of equal messages, as fast as flow control allows.
+// floodingWorker answers a stream with a number of equal messages, as fast as flow control allows.
 type floodingWorker struct {
-	connEvents
+	noopConnHandler
 	message   []byte
-	remaining atomic.Int64
+	remaining atomic.Int64 // number of messages still to be sent
 }
 
 // floodedStream is a stream at a floodingWorker.
@@ -51,7 +51,7 @@
 	}
 }
 
-// fill writes until flow control blocks, or all messages and the trailers have been sent.
+// fill writes messages until flow control blocks, or until all messages and the trailers have been sent.
 func (s *floodedStream) fill(stream *http2.Stream) {
 	for {
 		switch remaining := s.worker.remaining.Add(-1); {
@@ -67,9 +67,9 @@
 	}
 }
 
-// countingClient counts messages, and sends the stream's status, or its error, to done.
+// countingClient counts the messages of a stream, and sends the stream's status or error to done.
 type countingClient struct {
-	connEvents
+	noopConnHandler
 	counter grpc.MessageCounter
 	done    chan string
 }
@@ -91,7 +91,7 @@
 	stream.Consume(len(data))
 }
 
-// requestFields is the header of a request.
+// requestFields returns the header of a request.
 func requestFields(path string) []hpack.Field {
 	return []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
 		{Name: ":authority", Value: "a"}, {Name: "te", Value: "trailers"}, {Name: "content-type", Value: "application/grpc"}}
@@ -107,7 +107,7 @@
 	return append(grpc.AppendPrefix(nil, len(body), false), body...)
 }
 
-// startFloodedGateway starts a gateway in front of one worker, which end with the benchmark.
+// startFloodedGateway starts a gateway in front of the worker. Both are stopped at the end of the benchmark.
 func startFloodedGateway(b *testing.B, worker *floodingWorker) *Gateway {
 	b.Helper()
 	server, err := http2.Listen("tcp", "127.0.0.1:0", http2.Config{}, func(*http2.Conn) http2.Handler { return worker })
@@ -132,8 +132,8 @@
 	return gateway
 }
 
-// BenchmarkForwardedMessage passes messages of 1 kB on one stream: worker, gateway and client are in this
-// process, so its allocations are those of all three.
+// BenchmarkForwardedMessage forwards messages of 1 kB on one stream. Worker, gateway and client run in this process,
+// so the allocations are those of all three.
 func BenchmarkForwardedMessage(b *testing.B) {
 	worker := &floodingWorker{message: prefixedMessage(b, &inference.ModelStreamInferResponse{
 		InferResponse: &inference.ModelInferResponse{ModelName: "m", RawOutputContents: [][]byte{make([]byte, 1000)}}})}
--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -1,5 +1,6 @@
-// Package grpcgateway assembles one gateway from its settings: the router's loop, the connections to the workers, the
-// gRPC server, the gossip agent, the admin API, and the worker list that it follows.
+// Package grpcgateway assembles one gateway from its settings: the router, the connections to the workers, the gRPC
+// server, the gossip agent, the admin API, and the goroutines that watch the files of workers, gossip members and
+// keys.
 package grpcgateway
 
 import (
@@ -21,23 +22,23 @@
 // Version is the program's version.
 const Version = "0.2.0"
 
-// defaultDrainTimeout holds where Options have none.
+// defaultDrainTimeout is used if Options.DrainTimeout is 0.
 const defaultDrainTimeout = time.Minute
 
-// workerIdleTimeout is how long a connection to a worker is kept without a stream. Without it a gateway would come to hold
-// one to each worker of a large fleet.
+// workerIdleTimeout is how long a connection to a worker is kept without a stream. Without the timeout a gateway
+// would in time hold a connection to every worker of a large fleet.
 const workerIdleTimeout = 5 * time.Minute
 
-// Options hold what the settings file does not: the caller's hooks and the ways to replace parts in tests.
+// Options holds what is not in the settings file: hooks of the caller, and replacements of parts for tests.
 type Options struct {
-	Logger        *slog.Logger                                               // nil: nothing is logged
-	NewDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil: dispatch.New
-	DrainTimeout  time.Duration                                              // most that Stop waits for open calls; 0: a minute
+	Logger        *slog.Logger                                               // nil disables logging
+	NewDispatcher func(dispatch.Settings, uint64) (router.Dispatcher, error) // nil means dispatch.New
+	DrainTimeout  time.Duration                                              // limit on Stop's wait; 0 means a minute
 	Observer      func(now time.Duration, events []dispatch.Event, actions []dispatch.Action)
 	GossipHooks   agent.Hooks
 }
 
-// Gateway is one running gateway. Stop or Kill ends it and all its goroutines. Its methods may be called from any
+// Gateway is a running gateway. Stop or Kill ends it and all its goroutines. Its methods may be called from any
 // goroutine.
 type Gateway struct {
 	cfg          *config.Gateway
@@ -47,16 +48,16 @@
 	pool        *grpcupstream.Pool
 	router      *router.Router
 	server      *grpcserver.Server
-	gossipAgent *agent.Agent     // nil: no gossip
-	adminServer *adminapi.Server // nil: no admin API
+	gossipAgent *agent.Agent     // nil without gossip
+	adminServer *adminapi.Server // nil without the admin API
 
 	stopFollowing chan struct{}  // closed to end the followers
-	followers     sync.WaitGroup // of files
+	followers     sync.WaitGroup // the goroutines that watch files for changes
 	closeOnce     sync.Once
 }
 
-// Start runs a gateway until Stop or Kill. It returns once the worker list has been read, or rejected, and the server
-// listens. cfg must not change afterwards.
+// Start starts a gateway, which runs until Stop or Kill. It returns when the worker list has been applied or rejected
+// and the server listens. cfg must not be changed afterwards.
 func Start(cfg *config.Gateway, options Options) (*Gateway, error) {
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
@@ -77,7 +78,7 @@
 	return g, nil
 }
 
-// startRouter starts the router's loop with its connections to workers.
+// startRouter starts the router and its pool of connections to workers.
 func (g *Gateway) startRouter(options Options) (err error) {
 	cfg := g.cfg
 	g.pool = grpcupstream.New(grpcupstream.Config{RouterName: cfg.Name, ConnectTimeout: cfg.Workers.ConnectTimeout.Duration(),
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// startServers starts what feeds the router: gossip, the worker list, the gRPC server, and the admin API last. After an
-// error the caller must call Kill.
+// startServers starts the parts that give the router its input: gossip, the worker list and the gRPC server; and last
+// the admin API. After an error the caller must call Kill.
 func (g *Gateway) startServers(options Options) (err error) {
 	if err := g.startGossip(options.GossipHooks); err != nil {
 		return err
@@ -115,19 +116,20 @@
 	return g.startAdmin()
 }
 
-// http2Config returns what the server's and the workers' connections have in common.
+// http2Config returns the HTTP/2 settings of the connections to clients and to workers.
 func (g *Gateway) http2Config() http2.Config {
 	return http2.Config{MaxConcurrentStreams: g.cfg.Limits.MaxStreams, StreamWindow: g.cfg.Limits.StreamWindowBytes}
 }
 
-// followWorkers hands the worker list to the router, and to gossip, now and after each change, until stopFollowing is
-// closed. The channel that it returns is closed when the list has first been applied or rejected.
+// followWorkers starts a goroutine that applies the worker list to the router and the gossip agent, first at once and
+// then after each change of the file, until stopFollowing is closed. The returned channel is closed when the list was
+// applied or rejected for the first time.
 func (g *Gateway) followWorkers() <-chan struct{} {
 	firstRead := make(chan struct{})
 	var once sync.Once
 	starts, first := endpoints.NewStartTimes(g.router), true
 	apply := func(list *config.WorkerList) {
-		if !first { // a poll ago the file was as it had been
+		if !first { // one poll interval ago the file still had its previous content
 			starts.ListConfirmed(g.router.Now() - config.PollInterval)
 		}
 		first = false
--- a/internal/grpcgateway/gossip.go
+++ b/internal/grpcgateway/gossip.go
@@ -7,7 +7,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// startGossip starts the agent where the settings have gossip, and follows its files.
+// startGossip starts the gossip agent if the settings have gossip, and watches its files for changes.
 func (g *Gateway) startGossip(hooks agent.Hooks) error {
 	settings := g.cfg.Gossip
 	if settings == nil {
@@ -34,12 +34,13 @@
 	}
 	g.router.SetGossip(g.gossipAgent)
 	g.followGossipFile(settings.MembersFile, membersFile, g.applyMembers)
-	g.followGossipFile(settings.KeyFile, nil, g.applyKey) // read again at once: it may have been replaced meanwhile
+	// The key is applied again at once, because the file may have been replaced since it was read.
+	g.followGossipFile(settings.KeyFile, nil, g.applyKey)
 	return nil
 }
 
-// followGossipFile calls apply with a file's content after each change, until stopFollowing is closed. The first read
-// is not applied where it finds applied, the content that is in use already.
+// followGossipFile starts a goroutine that calls apply with a file's content after each change, until stopFollowing is
+// closed. The content of the first read is skipped if it equals applied, the content that is already in use.
 func (g *Gateway) followGossipFile(path string, applied []byte, apply func([]byte) error) {
 	first := true
 	applyChange := func(raw []byte) error {
@@ -58,7 +59,7 @@
 	})
 }
 
-// applyMembers replaces the admitted routers by those of the file's content.
+// applyMembers replaces the admitted routers with those in raw, the content of the members file.
 func (g *Gateway) applyMembers(raw []byte) error {
 	members, err := config.ParseMembers(g.cfg.Gossip.MembersFile, raw)
 	if err == nil {
@@ -67,7 +68,7 @@
 	return err
 }
 
-// applyKey replaces this router's key by that of the file's content.
+// applyKey replaces this router's key with the one in raw, the content of the key file.
 func (g *Gateway) applyKey(raw []byte) error {
 	key, err := config.ParseKey(g.cfg.Gossip.KeyFile, raw)
 	if err == nil {
--- a/internal/grpcgateway/harness_test.go
+++ b/internal/grpcgateway/harness_test.go
@@ -22,26 +22,26 @@
 
 // harness is a gateway in front of fake workers, with a grpc-go client, for one test.
 type harness struct {
-	t       *testing.T
-	gateway *Gateway
-	workers []*fakeworker.Worker
-	list    config.WorkerList // as writeWorkerList writes it
-	path    string            // of the worker list
-	log     *invariants.Log
-	conn    *grpc.ClientConn
+	t        *testing.T
+	gateway  *Gateway
+	workers  []*fakeworker.Worker
+	list     config.WorkerList // the content for writeWorkerList
+	listPath string            // of the worker list
+	log      *invariants.Log
+	conn     *grpc.ClientConn
 }
 
-// testModels are the models that the fake workers know and the gateway serves, with the class of each.
+// testModels maps the models that the fake workers and the gateway serve to their classes.
 var testModels = map[string]string{"quote": "quote", "renew": "renew", "award": "points"}
 
-// newHarness starts so many workers and a gateway, which end with the test. changeGateway and changeWorker may alter the
-// settings; nil ones do nothing.
+// newHarness starts the given number of workers and a gateway, which are stopped at the end of the test.
+// changeGateway and changeWorker, unless nil, change their settings before the start.
 func newHarness(t *testing.T, workers int, changeGateway func(*config.Gateway), changeWorker func(*fakeworker.Config)) *harness {
 	t.Helper()
-	h := &harness{t: t, path: filepath.Join(t.TempDir(), "workers.json"), log: invariants.NewLog()}
+	h := &harness{t: t, listPath: filepath.Join(t.TempDir(), "workers.json"), log: invariants.NewLog()}
 	h.startWorkers(workers, changeWorker)
 	h.writeWorkerList()
-	cfg := testGatewayConfig(h.path)
+	cfg := testGatewayConfig(h.listPath)
 	if changeGateway != nil {
 		changeGateway(cfg)
 	}
@@ -84,7 +84,8 @@
 	}
 }
 
-// testGatewayConfig returns settings with a class of each idempotency: quote is idempotent, renew is by key, points is not.
+// testGatewayConfig returns settings with one class per kind of idempotency: quote is idempotent, renew is idempotent
+// by key, and points is non-idempotent.
 func testGatewayConfig(workerList string) *config.Gateway {
 	cfg := config.Defaults()
 	cfg.Name, cfg.Listen, cfg.Seed = "r0", "127.0.0.1:0", 1
@@ -105,7 +106,7 @@
 // writeWorkerList replaces the file that the gateway follows.
 func (h *harness) writeWorkerList() {
 	h.t.Helper()
-	if err := config.WriteWorkers(h.path, h.list); err != nil {
+	if err := config.WriteWorkers(h.listPath, h.list); err != nil {
 		h.t.Fatal(err)
 	}
 }
@@ -130,7 +131,7 @@
 	}
 }
 
-// loadModel makes one call, so that the model is resident somewhere.
+// loadModel makes one call, after which the model is resident at a worker.
 func (h *harness) loadModel(model string) {
 	h.t.Helper()
 	if _, err := h.infer(timeoutContext(h.t, 10*time.Second), newRequest(model, "warm-"+model, 1, 1, 1)); err != nil {
@@ -151,7 +152,7 @@
 }
 
 // streamInfer sends one request on a stream and reads the response to its end. onMessage, unless nil, is called after
-// each message with their number so far.
+// each message with the number of messages received.
 func (h *harness) streamInfer(ctx context.Context, request *inference.ModelInferRequest, onMessage func(int)) (messages, bytes int, err error) {
 	stream, err := h.newStream(ctx)
 	if err != nil {
@@ -182,7 +183,8 @@
 	}
 }
 
-// requireStream makes a streamed call and fails the test unless so many messages come, and then the end.
+// requireStream makes a streamed call and fails the test unless the response has the wanted number of messages and ends
+// without an error.
 func (h *harness) requireStream(timeout time.Duration, request *inference.ModelInferRequest, want int) {
 	h.t.Helper()
 	if messages, _, err := h.streamInfer(timeoutContext(h.t, timeout), request, nil); err != nil || messages != want {
@@ -190,7 +192,8 @@
 	}
 }
 
-// newRequest builds a request for so many messages of so many bytes, after so many milliseconds of work.
+// newRequest returns a request whose response has the given number of messages, each of the given size in bytes, and
+// takes the given number of milliseconds of work.
 func newRequest(model, id string, workMS, messages, bytes int64) *inference.ModelInferRequest {
 	return &inference.ModelInferRequest{ModelName: model, Id: id, Parameters: map[string]*inference.InferParameter{
 		fakeworker.ParamWorkMS: numberParameter(workMS), fakeworker.ParamMessages: numberParameter(messages),
@@ -206,7 +209,7 @@
 	return &inference.InferParameter{ParameterChoice: &inference.InferParameter_StringParam{StringParam: s}}
 }
 
-// timeoutContext returns a context that ends after a timeout, or with the test.
+// timeoutContext returns a context that is cancelled after the timeout and at the end of the test.
 func timeoutContext(t *testing.T, timeout time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	t.Cleanup(cancel)
--- a/internal/grpcgateway/proxy_comparison_children_test.go
+++ b/internal/grpcgateway/proxy_comparison_children_test.go
@@ -31,7 +31,7 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// The roles of the test binary's child processes, by the environment variable COMPARE_ROLE.
+// The values of the environment variable COMPARE_ROLE, which selects the role of a child process of the test binary.
 const (
 	roleWorkers = "workers"
 	roleGateway = "gateway"
@@ -40,10 +40,10 @@
 
 const (
 	comparisonWorkers = 4
-	comparisonStreams = 100000 // more than are ever open
+	comparisonStreams = 100000 // limit on concurrent streams; more than are ever open
 )
 
-// TestMain plays a child's role where there is one, until the parent closes its standard input.
+// TestMain runs the tests, or in a child process its role, until the parent closes the child's standard input.
 func TestMain(m *testing.M) {
 	role := os.Getenv("COMPARE_ROLE")
 	if role == "" {
@@ -106,12 +106,12 @@
 	fmt.Println(gateway.Addr())
 }
 
-// holdRequestID has an instantWorker leave a stream open after its first message.
+// holdRequestID is the request ID with which an instantWorker leaves a stream open after its first message.
 const holdRequestID = "hold"
 
-// instantWorker answers at once: a unary call by one small message, a stream by as many messages as the request's id
-// says, then the end.
-type instantWorker struct{ connEvents }
+// instantWorker answers at once: a unary call with one small message, a stream with as many messages as the request's
+// ID says.
+type instantWorker struct{ noopConnHandler }
 
 func (instantWorker) Open(*http2.Stream) http2.Receiver {
 	return &instantCall{reader: wire.MessageReader{MaxSize: 1 << 24}}
@@ -146,7 +146,7 @@
 	for range max(messages, 1) {
 		_, _ = stream.Write(instantStreamMessage, false)
 	}
-	if err == nil { // else it is holdRequestID
+	if err == nil { // otherwise the ID is holdRequestID
 		_ = stream.WriteTrailers([]hpack.Field{{Name: "grpc-status", Value: "0"}})
 	}
 }
@@ -161,7 +161,7 @@
 		append(wire.AppendPrefix(nil, len(streamedBody), false), streamedBody...)
 }
 
-// rawCodec passes messages through untouched.
+// rawCodec is a grpc-go codec that leaves messages serialized.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error)   { return *v.(*[]byte), nil }
@@ -170,7 +170,8 @@
 
 var _ encoding.Codec = rawCodec{}
 
-// plainProxy is a transparent proxy as grpc-go's users write it: unknown-service handler, raw bytes, round robin.
+// plainProxy is a transparent proxy as commonly written with grpc-go: an unknown-service handler that forwards raw
+// bytes to the workers in round robin.
 type plainProxy struct {
 	conns []*grpc.ClientConn
 	next  atomic.Uint64
@@ -193,11 +194,11 @@
 	}
 	server := grpc.NewServer(grpc.UnknownServiceHandler(proxy.handle), grpc.ForceServerCodec(rawCodec{}),
 		grpc.MaxConcurrentStreams(comparisonStreams))
-	go func() { _ = server.Serve(listener) }() // ends with the process
+	go func() { _ = server.Serve(listener) }() // runs until the process exits
 	fmt.Println(listener.Addr())
 }
 
-// handle passes one request to a worker and its responses back.
+// handle forwards one request to a worker, and the worker's responses to the client.
 func (p *plainProxy) handle(_ any, client grpc.ServerStream) error {
 	method, _ := grpc.MethodFromServerStream(client)
 	md, _ := metadata.FromIncomingContext(client.Context())
@@ -230,13 +231,14 @@
 	}
 }
 
-// childProcess is this test binary in one role.
+// childProcess is this test binary running in one role.
 type childProcess struct {
 	*testsupport.Child
-	addresses []string // that it serves on
+	addresses []string // addresses that it listens on
 }
 
-// startChild starts a child and reads so many addresses from its output. It ends with the test.
+// startChild starts a child process and reads the given number of addresses from its output. The child is stopped at
+// the end of the test.
 func startChild(t *testing.T, role string, addresses int, workers []string) *childProcess {
 	t.Helper()
 	child := &childProcess{Child: testsupport.StartChild(t, io.Discard, "COMPARE_ROLE="+role, "COMPARE_WORKERS="+strings.Join(workers, " "))}
@@ -250,18 +252,18 @@
 	return child
 }
 
-// cpuSeconds returns the process's CPU time so far.
+// cpuSeconds returns the CPU time that the process has used.
 func (p *childProcess) cpuSeconds() float64 {
 	const ticksPerSecond = 100 // USER_HZ, see proc_pid_stat(5)
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Cmd.Process.Pid))
 	stat := string(raw)
-	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+2:]) // from the third of proc_pid_stat(5)
+	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+2:]) // from the third field of proc_pid_stat(5) on
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
 	return (user + system) / ticksPerSecond
 }
 
-// residentMB returns the process's resident memory, 0 where the system does not say.
+// residentMB returns the resident memory of the process, or 0 on a system without /proc.
 func (p *childProcess) residentMB() float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Cmd.Process.Pid))
 	for _, line := range strings.Split(string(raw), "\n") {
--- a/internal/grpcgateway/shutdown.go
+++ b/internal/grpcgateway/shutdown.go
@@ -6,17 +6,17 @@
 	"github.com/topazfront/topazfront/internal/router"
 )
 
-// Bounds of the wait for the last responses to leave for their clients: a second in all.
+// Bounds on the wait until the last responses are written to the clients: one second in total.
 const (
 	responsePolls        = 200
 	responsePollInterval = 5 * time.Millisecond
 )
 
-// Stop shuts the gateway down gracefully: clients are sent GOAWAY, open calls get their final responses, then
-// everything is closed. It waits at most Options.DrainTimeout for the calls. It returns the router's statistics.
+// Stop shuts the gateway down gracefully: it sends GOAWAY to the clients, waits at most Options.DrainTimeout for the
+// final responses of open calls, and then closes everything. It returns the router's statistics.
 func (g *Gateway) Stop() router.Stats {
 	g.closeOnce.Do(func() {
-		g.logger.Info("draining", "open_calls", g.router.Stats().CallsInFlight, "connections", g.server.NumConns())
+		g.logger.Info("draining", "open_calls", g.router.Stats().CallsInFlight, "connections", g.server.Connections())
 		g.server.Drain()
 		if unanswered := g.router.Stop(g.drainTimeout); unanswered > 0 {
 			g.logger.Error("gateway stopped with calls that had no final response", "calls", unanswered)
@@ -32,7 +32,7 @@
 	return g.router.Stats()
 }
 
-// Kill ends the gateway as the death of its process would: connections break and open calls get no response.
+// Kill ends the gateway as a crash of its process would: connections break and open calls get no response.
 func (g *Gateway) Kill() {
 	g.closeOnce.Do(func() {
 		g.router.Kill()
@@ -46,7 +46,7 @@
 	})
 }
 
-// closeAdminAndGossip ends the parts that no call passes through.
+// closeAdminAndGossip closes the admin API and the gossip agent, if they were started.
 func (g *Gateway) closeAdminAndGossip() {
 	if g.adminServer != nil {
 		g.adminServer.Close()
@@ -56,7 +56,7 @@
 	}
 }
 
-// waitForResponses waits for the last responses to leave for their clients, within the bounds above.
+// waitForResponses waits until the last responses are written to the clients, within the bounds above.
 func (g *Gateway) waitForResponses() {
 	for range responsePolls {
 		if !g.server.HasPendingWork() {
--- a/internal/grpcgateway/shutdown_test.go
+++ b/internal/grpcgateway/shutdown_test.go
@@ -9,7 +9,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestStopWithOpenCalls: a stop is announced, open calls are answered, then nothing is served.
+// TestStopWithOpenCalls checks that Stop lets open calls complete, and that a stopped gateway serves no call.
 func TestStopWithOpenCalls(t *testing.T) {
 	h := newHarness(t, 2, nil, nil)
 	h.loadModel("quote")
--- a/internal/grpcgateway/start_test.go
+++ b/internal/grpcgateway/start_test.go
@@ -10,7 +10,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestStartOnOccupiedAddress: a gateway that can't listen reports why, and leaves nothing running.
+// TestStartOnOccupiedAddress checks that Start returns the error and no gateway if it can't listen on its address.
 func TestStartOnOccupiedAddress(t *testing.T) {
 	occupied := testsupport.Listen(t)
 	workerList := filepath.Join(t.TempDir(), "workers.json")
@@ -21,9 +21,9 @@
 	cfg.Listen = occupied.Addr().String()
 	gateway, err := Start(cfg, Options{})
 	if !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("error %v, want that the address is in use", err)
+		t.Errorf("error %v, want EADDRINUSE", err)
 	}
 	if gateway != nil {
-		t.Error("a gateway comes with the error")
+		t.Error("Start returned a gateway together with the error")
 	}
 }
--- a/internal/grpcgateway/wallclock_test.go
+++ b/internal/grpcgateway/wallclock_test.go
@@ -10,17 +10,17 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestWorkerStartsWithSteppedWallClock adds workers to the list whose start times are off as after a step of the wall
-// clock where the list is written. Each is taken to have started after the file was last read without it, and not in the
-// future.
+// TestWorkerStartsWithSteppedWallClock adds workers to the list with start times that are wrong because the wall
+// clock was stepped where the list is written. The gateway must assume that such a worker started after the file was
+// last read without it, and not in the future.
 func TestWorkerStartsWithSteppedWallClock(t *testing.T) {
-	type toldStart struct{ startedAt, toldAt time.Duration }
-	starts := make(chan toldStart, 16)
+	type observedStart struct{ startedAt, observedAt time.Duration }
+	starts := make(chan observedStart, 16)
 	observe := func(now time.Duration, events []dispatch.Event, _ []dispatch.Action) {
 		for _, event := range events {
 			if update, ok := event.(dispatch.EndpointUpdate); ok && len(update.Endpoints) > 0 {
 				added := update.Endpoints[len(update.Endpoints)-1]
-				starts <- toldStart{added.StartedAt, now}
+				starts <- observedStart{added.StartedAt, now}
 			}
 		}
 	}
@@ -35,7 +35,7 @@
 	}
 	t.Cleanup(gateway.Kill)
 	if first := testsupport.Await(t, starts, "the first list"); first.startedAt != 0 {
-		t.Errorf("a worker without a start time: %+v, want long ago", first)
+		t.Errorf("start of a worker listed without a start time: %+v, want 0", first)
 	}
 	for i, step := range testsupport.WallClockSteps {
 		startedAt := time.Now().Add(step)
@@ -44,8 +44,8 @@
 		if err := config.WriteWorkers(path, list); err != nil {
 			t.Fatal(err)
 		}
-		if told := testsupport.Await(t, starts, "the list"); told.startedAt < earliest || told.startedAt > told.toldAt {
-			t.Errorf("step %v: added after %v, %+v", step, earliest, told)
+		if got := testsupport.Await(t, starts, "the list"); got.startedAt < earliest || got.startedAt > got.observedAt {
+			t.Errorf("step %v: added after %v, %+v", step, earliest, got)
 		}
 	}
 }
--- a/internal/grpcgateway/worker_drain_test.go
+++ b/internal/grpcgateway/worker_drain_test.go
@@ -25,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 3, func(c *config.Gateway) {
 				c.Safety.DrainGrace = 100
-				c.Workers.CheckInterval = 100 // health checks are frequent, and report that it drains
+				c.Workers.CheckInterval = 100 // frequent health checks, which report that the worker is draining
 			}, nil)
 			h.loadModel("quote")
 			streams := h.openStreams(12)
@@ -34,10 +34,10 @@
 				announce(h, draining)
 			}
 			announcedAt := h.log.Now()
-			time.Sleep(400 * time.Millisecond) // the grace, and what a file event may take
+			time.Sleep(400 * time.Millisecond) // the drain grace and the delay of a file event
 			for i := range 30 {
 				if _, err := h.infer(timeoutContext(t, 5*time.Second), newRequest("quote", fmt.Sprint("n", i), 1, 1, 1)); err != nil {
-					t.Errorf("a new call: %v", err)
+					t.Errorf("new call failed: %v", err)
 				}
 			}
 			h.expectNothingSent(draining, announcedAt, 390*time.Millisecond)
@@ -46,8 +46,8 @@
 	}
 }
 
-// openStreams opens so many streams of 30 messages and waits until each has had one. The group ends when all have been
-// read; a stream that does not come to its proper end fails the test.
+// openStreams opens the given number of streams, each with 30 messages, and waits until each has received one. The
+// returned group is done when all streams have ended; a stream that does not deliver all messages fails the test.
 func (h *harness) openStreams(count int32) *sync.WaitGroup {
 	h.t.Helper()
 	const messagesPerStream = 30
@@ -85,7 +85,7 @@
 	return busiest
 }
 
-// listAsDraining replaces the worker list by one that has a worker as draining.
+// listAsDraining marks a worker as draining in the worker list.
 func (h *harness) listAsDraining(worker *fakeworker.Worker) {
 	h.t.Helper()
 	for i := range h.list.Workers {
@@ -96,7 +96,7 @@
 	h.writeWorkerList()
 }
 
-// expectNothingSent fails the test for each call or load command that a worker received later than grace after a time.
+// expectNothingSent fails the test for each call or load command that a worker received later than since + grace.
 func (h *harness) expectNothingSent(worker *fakeworker.Worker, since, grace time.Duration) {
 	h.t.Helper()
 	for _, r := range h.log.Records() {
@@ -106,7 +106,8 @@
 	}
 }
 
-// TestWorkerReturnsAfterGoAway guards against a worker that ends its connections for their age: it is used again.
+// TestWorkerReturnsAfterGoAway checks that a worker is used again after GOAWAY, which a worker may also send only
+// because a connection has reached its maximum age.
 func TestWorkerReturnsAfterGoAway(t *testing.T) {
 	h := newHarness(t, 1, func(c *config.Gateway) { c.Workers.CheckInterval = 100 }, nil)
 	h.loadModel("quote")
--- a/internal/grpcgateway/worker_failure_test.go
+++ b/internal/grpcgateway/worker_failure_test.go
@@ -41,9 +41,9 @@
 	h := newHarness(t, 3, nil, nil)
 	var once sync.Once
 	firstCrashed := ""
-	for _, worker := range h.workers { // whichever is first crashes; the others serve
+	for _, worker := range h.workers { // the first worker that gets the call crashes; the others serve
 		worker.ChangeFaults(func(f *fakeworker.Faults) { f.DieOnStart = map[string]bool{"quote": true} })
-		go func() { // ends with the test
+		go func() { // ends when the worker is down or the test ends
 			for !worker.Down() {
 				time.Sleep(time.Millisecond)
 				if t.Context().Err() != nil {
@@ -61,8 +61,9 @@
 	}
 }
 
-// TestNonIdempotentCallIsRetriedWhereItCannotHaveRun: an attempt that reached no handler may be repeated.
-func TestNonIdempotentCallIsRetriedWhereItCannotHaveRun(t *testing.T) {
+// TestNonIdempotentCallIsRetriedIfItCannotHaveRun checks that a call is retried after an attempt that provably did
+// not run.
+func TestNonIdempotentCallIsRetriedIfItCannotHaveRun(t *testing.T) {
 	for name, disable := range map[string]func(*fakeworker.Worker){
 		"connection refused": func(w *fakeworker.Worker) { w.Kill() },
 		"REFUSED_STREAM": func(w *fakeworker.Worker) {
--- a/internal/grpcgateway/worker_list_test.go
+++ b/internal/grpcgateway/worker_list_test.go
@@ -9,12 +9,13 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestCallsAreServedWithoutWorkerList has the list's file go. Once the list is out of date, workers are checked before they
-// get calls, all calls are served, and the list counts as current again when the file is back.
-func TestCallsAreServedWithoutWorkerList(t *testing.T) {
+// TestCallsAreServedWhileWorkerListIsMissing removes the worker list's file. When the list is out of date, workers
+// must be checked before they get calls, and all calls must be served. When the file is back, the list must be
+// current again.
+func TestCallsAreServedWhileWorkerListIsMissing(t *testing.T) {
 	h := newHarness(t, 3, nil, nil)
 	h.loadModel("quote")
-	if err := os.Remove(h.path); err != nil {
+	if err := os.Remove(h.listPath); err != nil {
 		t.Fatal(err)
 	}
 	testsupport.WaitUntil(t, "the list is out of date", func() bool { return h.stats().ListExpired })
--- a/internal/oip/loadreport.go
+++ b/internal/oip/loadreport.go
@@ -10,18 +10,20 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// LoadReportField is the trailer in which a worker reports its load: a serialized OrcaLoadReport, the public ORCA format
-// (gRFC A51).
+// LoadReportField is the trailer in which a worker reports its load, as a serialized OrcaLoadReport of the public ORCA
+// format (gRFC A51).
 const LoadReportField = "endpoint-load-metrics-bin"
 
 // The named metrics of a load report.
 const (
-	MetricInFlight         = "inflight" // requests at the worker
-	MetricQueued           = "queue"    // requests that wait there
+	MetricInFlight         = "inflight" // requests in flight at the worker
+	MetricQueued           = "queue"    // requests queued at the worker
 	MetricLoading          = "loading"  // loads in progress or waiting
 	MetricCopies           = "copies"   // loaded copies of the call's model
-	MetricFunctionInFlight = "company"  // requests for the same model at the worker when the call arrived
-	MetricCacheStatus      = "warmth"   // 1 a copy was loaded, 2 this call started a load, 3 it joined one, 4 the load failed
+	MetricFunctionInFlight = "company"  // requests for the call's model at the worker when the call arrived
+	// MetricCacheStatus is 1 if a copy was loaded, 2 if the call started a load, 3 if it joined one, and 4 if the load
+	// failed.
+	MetricCacheStatus = "warmth"
 )
 
 // Bounds on the metrics of a load report.
@@ -30,18 +32,19 @@
 	maxCacheStatus = 4
 )
 
-// LoadReport is a worker's report of its load. A negative number was not reported.
+// LoadReport is a worker's report of its load. Its fields are named after the metrics.
 type LoadReport struct {
-	InFlight, Queued, Loading, Copies, FunctionInFlight float64
+	InFlight, Queued, Loading, Copies, FunctionInFlight float64 // negative means not reported
 
-	CacheStatus int // as MetricCacheStatus; 0: not reported
+	CacheStatus int // 0 means not reported
 }
 
-// NoLoadReport is the report in which nothing is reported.
+// NoLoadReport is a LoadReport without any metric.
 var NoLoadReport = LoadReport{InFlight: -1, Queued: -1, Loading: -1, Copies: -1, FunctionInFlight: -1}
 
-// ParseLoadReport reads the load report in the trailers of a call. It returns NoLoadReport if there is none, and with an error
-// if there is one that cannot be read: a worker's report is never a reason to fail a call. Metrics out of bounds are ignored.
+// ParseLoadReport parses the load report in the trailers of a call. If the trailers have none it returns
+// NoLoadReport. If the report is malformed it returns NoLoadReport and an error; callers must not fail the call for
+// that. Negative or too large metrics are ignored, and the cache status is clamped to its bounds.
 func ParseLoadReport(trailers []hpack.Field) (LoadReport, error) {
 	value, ok := grpc.FieldValue(trailers, LoadReportField)
 	if !ok {
@@ -80,7 +83,7 @@
 	}
 	serialized, err := proto.Marshal(message)
 	if err != nil {
-		serialized = nil // numbers always marshal
+		serialized = nil // not reached: a message of numbers can always be marshalled
 	}
 	return hpack.Field{Name: LoadReportField, Value: grpc.EncodeBinaryHeader(serialized)}
 }
--- a/internal/oip/loadreport_test.go
+++ b/internal/oip/loadreport_test.go
@@ -10,7 +10,8 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// TestLoadReportRoundTrip also covers trailers without a report, with a malformed one, and with metrics out of bounds.
+// TestLoadReport covers a report that is encoded and parsed again, trailers without a report, malformed reports, and
+// metrics out of bounds.
 func TestLoadReport(t *testing.T) {
 	want := LoadReport{InFlight: 3, Queued: 0, Loading: 1, Copies: 2, FunctionInFlight: 7, CacheStatus: 2}
 	if got, err := ParseLoadReport([]hpack.Field{want.Trailer()}); err != nil || got != want {
--- a/internal/oip/oip.go
+++ b/internal/oip/oip.go
@@ -1,6 +1,7 @@
-// Package oip implements what the gateway needs of the Open Inference Protocol, version 2, over gRPC: the paths of its calls,
-// its messages (package inference, generated), the load report and the admission trailer of workers, and a parser that reads
-// the fields that decide where a call is routed in place, without decoding tensors.
+// Package oip implements the parts of the Open Inference Protocol, version 2, over gRPC that the gateway needs: the
+// paths of the calls, the load report and the admission trailer of workers, and a parser for the fields that decide
+// where a call is routed, which does not decode tensors. The messages of the protocol are in package inference, which
+// is generated.
 package oip
 
 import (
@@ -25,38 +26,38 @@
 	Unload         = "/" + Service + "/RepositoryModelUnload"
 )
 
-// The request parameters that are addressed to the gateway. Each overrides the settings of the model.
+// The request parameters for the gateway. Where a model setting of the same meaning exists, the parameter overrides it.
 const (
-	ParamClass          = "class"     // string
-	ParamTenant         = "tenant"    // string
-	ParamMemoryMB       = "memory_mb" // a number, like the next three
-	ParamConcurrency    = "lanes"     // requests that one instance serves at once
-	ParamLoadMS         = "load_ms"   // expected time to load an instance
-	ParamWorkMS         = "work_ms"   // cost hint: expected work on a standard core
-	ParamIdempotencyKey = "idempotency_key"
-	ParamCopies         = "copies" // of a load command
+	ParamClass          = "class"           // string
+	ParamTenant         = "tenant"          // string
+	ParamMemoryMB       = "memory_mb"       // number: memory of one instance
+	ParamConcurrency    = "lanes"           // number: requests that one instance serves at once
+	ParamLoadMS         = "load_ms"         // number: expected time to load an instance
+	ParamWorkMS         = "work_ms"         // number: expected work on a standard core, as a cost hint
+	ParamIdempotencyKey = "idempotency_key" // string
+	ParamCopies         = "copies"          // number, in load commands to workers: copies of the model to hold
 )
 
-// AdmissionField is the trailer by which a worker guarantees that a call never ran there.
+// AdmissionField is the trailer with which a worker guarantees that it did not run a call. Its value is the reason.
 const AdmissionField = "worker-admission"
 
 // The values of AdmissionField.
 const (
 	AdmissionFull        = "full"     // no capacity, in the queue or in memory
 	AdmissionDraining    = "draining" // the worker accepts no new calls
-	AdmissionNotResident = "missing"  // the model is not loaded there and no load is in progress
+	AdmissionNotResident = "missing"  // the model is not loaded at the worker and no load is in progress
 )
 
 // Request is an inference call as a server received it. It is forwarded to a worker unchanged.
 type Request struct {
 	Message        []byte        // with its gRPC prefix, as received
-	Encoding       string        // grpc-encoding of the message; "": none
-	AcceptEncoding string        // grpc-accept-encoding of the client; "": none
-	Metadata       []hpack.Field // the client's own
+	Encoding       string        // grpc-encoding of the message; may be empty
+	AcceptEncoding string        // grpc-accept-encoding of the client; may be empty
+	Metadata       []hpack.Field // the client's metadata, without the headers of gRPC itself
 }
 
-// Trailer is the end of a response.
+// Trailer holds the trailers of a response.
 type Trailer struct {
-	Status   grpc.Status   // that the client receives
-	Metadata []hpack.Field // the worker's own
+	Status   grpc.Status   // the status that the client receives
+	Metadata []hpack.Field // the worker's metadata, without the trailers of gRPC itself
 }
--- a/internal/oip/routing.go
+++ b/internal/oip/routing.go
@@ -9,20 +9,21 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// RoutingFields are the fields of a request that decide where it is routed. Strings are copies and may be retained.
+// RoutingFields are the fields of a request that decide where it is routed. Strings are copies, so they remain valid
+// when the request's buffer is reused.
 type RoutingFields struct {
 	Model, Version, ID string
 	Class, Tenant      string
 	IdempotencyKey     string
 
-	// Numbers are NaN if the request does not have them.
+	// The numbers are NaN if the request does not contain them.
 	MemoryMB               float64
 	ConcurrencyPerInstance float64
 	LoadMS                 float64
 	WorkMS                 float64
 }
 
-// ErrMalformed is wrapped by the error for a message that is not a ModelInferRequest or exceeds a limit.
+// ErrMalformed is wrapped by the errors of Scan: the message is not a ModelInferRequest or violates a limit.
 var ErrMalformed = errors.New("oip: malformed request message")
 
 // Limits on the parameters of a request.
@@ -39,7 +40,7 @@
 	parametersField   = 4
 )
 
-// Field numbers of an entry of a protobuf map.
+// Field numbers of an entry of a protobuf map field.
 const (
 	mapKeyField   = 1
 	mapValueField = 2
@@ -53,8 +54,8 @@
 	uint64ParamField = 5
 )
 
-// Scan reads the routing fields of a serialized ModelInferRequest. Other fields are skipped, whatever their size. Errors wrap
-// ErrMalformed.
+// Scan reads the routing fields of a serialized ModelInferRequest and skips the other fields, such as tensors, without
+// decoding them. Errors wrap ErrMalformed.
 func Scan(b []byte) (RoutingFields, error) {
 	fields := RoutingFields{MemoryMB: math.NaN(), ConcurrencyPerInstance: math.NaN(), LoadMS: math.NaN(), WorkMS: math.NaN()}
 	parameters := 0
@@ -95,21 +96,21 @@
 	return fields, nil
 }
 
-// readParameter sets the field for one entry of the map of parameters.
+// readParameter reads one entry of the parameters map and sets the field for it, if there is one.
 func (r *RoutingFields) readParameter(b []byte) error {
 	name, encoded, err := readMapEntry(b)
 	if err != nil {
 		return err
 	}
 	var number *float64
-	var text *string
+	var str *string
 	switch string(name) {
 	case ParamClass:
-		text = &r.Class
+		str = &r.Class
 	case ParamTenant:
-		text = &r.Tenant
+		str = &r.Tenant
 	case ParamIdempotencyKey:
-		text = &r.IdempotencyKey
+		str = &r.IdempotencyKey
 	case ParamMemoryMB:
 		number = &r.MemoryMB
 	case ParamConcurrency:
@@ -125,9 +126,9 @@
 	switch {
 	case err != nil:
 		return fmt.Errorf("%w: parameter %s", err, name)
-	case text != nil && value.isText:
-		*text = value.text
-	case number != nil && !value.isText && value.number >= 0 && value.number < maxParameterNumber: // false for NaN
+	case str != nil && value.isString:
+		*str = value.str
+	case number != nil && !value.isString && value.number >= 0 && value.number < maxParameterNumber: // false for NaN
 		*number = value.number
 	default:
 		return fmt.Errorf("%w: parameter %s has a value of the wrong type or size", ErrMalformed, name)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// readMapEntry returns the encoded key and value of an entry of a protobuf map.
+// readMapEntry returns the encoded key and value of an entry of a protobuf map field.
 func readMapEntry(b []byte) (key, value []byte, err error) {
 	for len(b) > 0 {
 		number, wireType, n := protowire.ConsumeTag(b)
@@ -164,14 +165,14 @@
 	return key, value, nil
 }
 
-// parameterValue is the value of an InferParameter: a text or a number.
+// parameterValue is the value of an InferParameter: a string or a number.
 type parameterValue struct {
-	text   string
-	number float64
-	isText bool
+	str      string
+	number   float64
+	isString bool
 }
 
-// readParameterValue decodes an InferParameter. As in protobuf the last of several values holds.
+// readParameterValue decodes an InferParameter. As in protobuf, the last of several values is used.
 func readParameterValue(b []byte) (value parameterValue, err error) {
 	for len(b) > 0 {
 		field, wireType, n := protowire.ConsumeTag(b)
@@ -185,7 +186,7 @@
 			if n < 0 {
 				return parameterValue{}, ErrMalformed
 			}
-			value.text, value.isText = string(v), true
+			value.str, value.isString = string(v), true
 			b = b[n:]
 		case (field == int64ParamField || field == uint64ParamField) && wireType == protowire.VarintType:
 			v, n := protowire.ConsumeVarint(b)
@@ -195,14 +196,14 @@
 			if value.number = float64(v); field == int64ParamField {
 				value.number = float64(int64(v))
 			}
-			value.isText = false
+			value.isString = false
 			b = b[n:]
 		case field == doubleParamField && wireType == protowire.Fixed64Type:
 			v, n := protowire.ConsumeFixed64(b)
 			if n < 0 {
 				return parameterValue{}, ErrMalformed
 			}
-			value.number, value.isText = math.Float64frombits(v), false
+			value.number, value.isString = math.Float64frombits(v), false
 			b = b[n:]
 		default:
 			if n = protowire.ConsumeFieldValue(field, wireType, b); n < 0 {
@@ -214,7 +215,8 @@
 	return value, nil
 }
 
-// Function returns the key under which calls of the same model are routed: its name, and its version if one is requested.
+// Function returns the key under which calls of the same model are routed: its name, and its version if one is
+// requested.
 func (r RoutingFields) Function() string {
 	if r.Version == "" {
 		return r.Model
--- a/internal/oip/routing_test.go
+++ b/internal/oip/routing_test.go
@@ -11,7 +11,7 @@
 	"github.com/topazfront/topazfront/internal/oip/inference"
 )
 
-// testRequest returns a request with all kinds of parameters and a tensor of 100 kB.
+// testRequest returns a request with parameters of every type and a tensor of 100 kB.
 func testRequest() *inference.ModelInferRequest {
 	text := func(s string) *inference.InferParameter {
 		return &inference.InferParameter{ParameterChoice: &inference.InferParameter_StringParam{StringParam: s}}
@@ -78,7 +78,7 @@
 	}
 }
 
-// FuzzScan compares with the generated code: a message that protobuf accepts is read alike by Scan.
+// FuzzScan compares Scan with the generated code: for a message that both accept, the fields must be equal.
 func FuzzScan(f *testing.F) {
 	m := testRequest()
 	m.RawInputContents = [][]byte{{1, 2, 3}}
@@ -89,7 +89,7 @@
 		got, err := Scan(b)
 		var m inference.ModelInferRequest
 		if proto.Unmarshal(b, &m) != nil || err != nil {
-			return // the scan does not look into tensors, and bounds what protobuf does not
+			return // Scan does not decode tensors, and has limits that protobuf has not
 		}
 		if got.Model != m.ModelName || got.Version != m.ModelVersion || got.ID != m.Id {
 			t.Fatalf("scanned %+v, protobuf reads %v", got, &m)
@@ -110,7 +110,7 @@
 	}
 }
 
-// BenchmarkUnmarshal is what Scan avoids.
+// BenchmarkUnmarshal measures the complete decoding that Scan avoids, for comparison with BenchmarkScan.
 func BenchmarkUnmarshal(b *testing.B) {
 	raw := marshal(b, testRequest())
 	b.ReportAllocs()
--- a/internal/server/grpcserver/harness_test.go
+++ b/internal/server/grpcserver/harness_test.go
@@ -190,7 +190,7 @@
 // waitForStream waits until a stream is open at the server.
 func waitForStream(t *testing.T, s *Server) {
 	t.Helper()
-	testsupport.WaitUntil(t, "a stream is open", func() bool { return s.NumStreams() > 0 })
+	testsupport.WaitUntil(t, "a stream is open", func() bool { return s.Streams() > 0 })
 }
 
 // framed returns a message with its gRPC prefix.
--- a/internal/server/grpcserver/response.go
+++ b/internal/server/grpcserver/response.go
@@ -30,7 +30,7 @@
 // WriteBody implements router.Client.
 func (s *stream) WriteBody(p []byte, onWritten func(n int)) int {
 	s.mu.Lock()
-	s.onWritten = onWritten
+	s.notifyWritten = onWritten
 	s.mu.Unlock()
 	n, err := s.http2Stream.Write(p, false)
 	if err != nil {
--- a/internal/server/grpcserver/server.go
+++ b/internal/server/grpcserver/server.go
@@ -53,11 +53,11 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.http2Server.Addr().String() }
 
-// NumConns returns the number of client connections.
-func (s *Server) NumConns() int { return s.http2Server.NumConns() }
+// Connections returns the number of client connections.
+func (s *Server) Connections() int { return s.http2Server.NumConns() }
 
-// NumStreams returns the number of open streams, including those whose last response bytes are not yet sent.
-func (s *Server) NumStreams() int { return s.http2Server.NumStreams() }
+// Streams returns the number of open streams, including those whose last response bytes are not yet sent.
+func (s *Server) Streams() int { return s.http2Server.NumStreams() }
 
 // HasPendingWork reports whether a stream is open or the last frames of one are not yet written.
 func (s *Server) HasPendingWork() bool { return s.http2Server.HasPendingWork() }
--- a/internal/server/grpcserver/shutdown_test.go
+++ b/internal/server/grpcserver/shutdown_test.go
@@ -18,7 +18,7 @@
 	s.Drain()
 	response.wait(t)
 	if status := grpc.StatusFromTrailers(response.trailers); status.Code != grpc.Unavailable {
-		t.Errorf("ended with %v", status)
+		t.Errorf("stream ended with %v, want UNAVAILABLE", status)
 	}
 }
 
@@ -65,6 +65,6 @@
 	}
 	response.wait(t)
 	if status := grpc.StatusFromTrailers(response.trailers); status.Code != grpc.Unavailable {
-		t.Errorf("ended with %v", status)
+		t.Errorf("stream ended with %v, want UNAVAILABLE", status)
 	}
 }
--- a/internal/server/grpcserver/stream.go
+++ b/internal/server/grpcserver/stream.go
@@ -32,7 +32,7 @@
 	headerSent      bool        // the response's header was sent
 	ended           bool        // by a response or by the client
 	cancel          func()      // cancels the call in flight; may be nil
-	onWritten       func(n int) // called with the number of queued response bytes as they are written; may be nil
+	notifyWritten   func(n int) // called with the number of queued response bytes as they are written; may be nil
 }
 
 // streaming reports whether each message of the stream is a call.
@@ -87,10 +87,10 @@
 // Sent implements http2.Receiver.
 func (s *stream) Sent(_ *http2.Stream, n int) {
 	s.mu.Lock()
-	onWritten := s.onWritten
+	notifyWritten := s.notifyWritten
 	s.mu.Unlock()
-	if onWritten != nil {
-		onWritten(n)
+	if notifyWritten != nil {
+		notifyWritten(n)
 	}
 }
 
--- a/internal/server/grpcserver/timeout_test.go
+++ b/internal/server/grpcserver/timeout_test.go
@@ -39,8 +39,9 @@
 				sentAt := time.Now()
 				writePart(t, open, part, i == len(test.parts)-1)
 				if test.path == oip.StreamInfer || i == len(test.parts)-1 {
-					if got, atMost := <-upstream.remaining, limit-sentAt.Sub(arrivedBefore); got > atMost || got <= 0 {
-						t.Errorf("part %d: %v left, at most %v expected", i, got, atMost)
+					if remaining, atMost := <-upstream.remaining,
+						limit-sentAt.Sub(arrivedBefore); remaining > atMost || remaining <= 0 {
+						t.Errorf("part %d: %v left, at most %v expected", i, remaining, atMost)
 					}
 				}
 			}
--- a/internal/upstream/grpcupstream/evidence_test.go
+++ b/internal/upstream/grpcupstream/evidence_test.go
@@ -171,11 +171,11 @@
 			}
 			if test.draining {
 				if w := testsupport.Await(t, dispatcher.draining, "the notice of draining"); w != "w" {
-					t.Errorf("worker %s drains", w)
+					t.Errorf("notification that worker %s is draining, want w", w)
 				}
 			}
 			if n := len(dispatcher.draining); n > 0 {
-				t.Errorf("%d more notices of draining", n)
+				t.Errorf("%d further notifications of draining", n)
 			}
 			select {
 			case st := <-client.status:
--- a/internal/upstream/grpcupstream/idle_test.go
+++ b/internal/upstream/grpcupstream/idle_test.go
@@ -41,13 +41,13 @@
 	now = now.Add(2 * time.Hour) // the connection was used in between, so it is idle only from now on
 	awaitIdle()
 	expired := pool.removeIdle(now.Add(2 * time.Hour))
-	if len(expired) != 1 || pool.NumConns() != 0 {
-		t.Fatalf("%d expired, %d left", len(expired), pool.NumConns())
+	if len(expired) != 1 || pool.Conns() != 0 {
+		t.Fatalf("%d expired, %d left", len(expired), pool.Conns())
 	}
 	closeAll(expired)
 	check()
-	if pool.NumConns() != 1 {
-		t.Errorf("%d connections", pool.NumConns())
+	if pool.Conns() != 1 {
+		t.Errorf("%d connections", pool.Conns())
 	}
 }
 
--- a/internal/upstream/grpcupstream/pool.go
+++ b/internal/upstream/grpcupstream/pool.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// NumConns returns the number of connections that may accept new streams.
-func (p *Pool) NumConns() int {
+// Conns returns the number of connections that may accept new streams.
+func (p *Pool) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
