--- a/internal/server/grpcserver/request.go
+++ b/internal/server/grpcserver/request.go
@@ -73,8 +73,8 @@
 }
 
 // serveNext handles bytes of a ModelStreamInfer and serves the next request if none is in flight. Bytes that arrive
-// while a request is in flight are buffered and not yet credited to the flow-control window, which limits the size of the
-// buffer.
+// while a request is in flight are buffered and not yet credited to the flow-control window, so that the window bounds
+// the size of the buffer.
 func (s *stream) serveNext(p []byte) {
 	s.mu.Lock()
 	if s.ended || !s.streaming() {
--- a/internal/server/grpcserver/stream.go
+++ b/internal/server/grpcserver/stream.go
@@ -30,7 +30,7 @@
 	halfClosed      bool        // the client has sent all its requests
 	requestInFlight bool        // a request is being served
 	headerSent      bool        // the response's header was sent
-	ended           bool        // by a response or by the client
+	ended           bool        // the response is complete or the client has ended the stream
 	cancel          func()      // cancels the call in flight; may be nil
 	notifyWritten   func(n int) // called with the number of queued response bytes as they are written; may be nil
 }
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -18,7 +18,7 @@
 }
 
 // startStream opens a stream for the call on the connection with the most free streams. If no stream is free, the call
-// waits for a new connection, and fails if the worker already has as many as it may have.
+// waits for a new connection; it fails if MaxConnsPerWorker is reached and no connect is in progress.
 func (p *Pool) startStream(workerID string, call outgoingCall) {
 	p.mu.Lock()
 	w := p.workers[workerID]
--- a/internal/upstream/grpcupstream/idle.go
+++ b/internal/upstream/grpcupstream/idle.go
@@ -46,8 +46,8 @@
 	return expired
 }
 
-// idleFor returns how long a connection has been idle: no sweep found a stream on it, and no call chose it. The
-// caller holds the pool's lock.
+// idleFor returns the time since the first sweep that found a connection without a stream. It is 0 if the connection
+// has a stream, and starts again when a call has used the connection. The caller holds the pool's lock.
 func (w *worker) idleFor(c *http2.Conn, now time.Time) time.Duration {
 	if c.NumStreams() > 0 {
 		delete(w.idleSince, c)
