--- a/internal/grpcgateway/proxy_comparison_children_test.go
+++ b/internal/grpcgateway/proxy_comparison_children_test.go
@@ -113,7 +113,7 @@
 // ID says.
 type instantWorker struct{ noopConnHandler }
 
-func (instantWorker) Open(*http2.Stream) http2.Receiver {
+func (instantWorker) StreamOpened(*http2.Stream) http2.Receiver {
 	return &instantCall{reader: wire.MessageReader{MaxSize: 1 << 24}}
 }
 
--- a/internal/grpcgateway/proxy_comparison_test.go
+++ b/internal/grpcgateway/proxy_comparison_test.go
@@ -96,7 +96,7 @@
 	request := prefixedMessage(t, &inference.ModelInferRequest{ModelName: "m", Id: holdRequestID})
 	for range openStreamCount {
 		call := &workloadCall{done: func(time.Time, bool) {}}
-		if _, err := conn.Open(call, timedRequestFields(oip.StreamInfer), request, true); err != nil {
+		if _, err := conn.OpenStream(call, timedRequestFields(oip.StreamInfer), request, true); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
@@ -150,7 +150,7 @@
 		}
 		wg.Add(1)
 		call := &workloadCall{due: due, done: done}
-		if _, err := conns[i%len(conns)].Open(call, fields, request, true); err != nil {
+		if _, err := conns[i%len(conns)].OpenStream(call, fields, request, true); err != nil {
 			call.end(false)
 		}
 	}
--- a/internal/server/grpcserver/shutdown_test.go
+++ b/internal/server/grpcserver/shutdown_test.go
@@ -37,7 +37,7 @@
 		opened := make([]bool, len(responses))
 		for i, conn := range conns {
 			openers.Go(func() {
-				_, err := conn.Open(responses[i], requestHeader(oip.StreamInfer), nil, false)
+				_, err := conn.OpenStream(responses[i], requestHeader(oip.StreamInfer), nil, false)
 				opened[i] = err == nil
 			})
 		}
@@ -60,7 +60,7 @@
 	s.mu.Lock()
 	s.draining = true // as Drain sets it, but without GOAWAY, which would stop the client from opening the stream
 	s.mu.Unlock()
-	if _, err := conn.Open(response, requestHeader(oip.StreamInfer), nil, false); err != nil {
+	if _, err := conn.OpenStream(response, requestHeader(oip.StreamInfer), nil, false); err != nil {
 		t.Fatal(err)
 	}
 	response.wait(t)
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -120,8 +120,8 @@
 	ended        bool // the connection is closed; guarded by pool.mu
 }
 
-// Open implements http2.Handler. A server opens no streams to its client.
-func (h *connHandler) Open(*http2.Stream) http2.Receiver { return nil }
+// StreamOpened implements http2.Handler. A server opens no streams to its client.
+func (h *connHandler) StreamOpened(*http2.Stream) http2.Receiver { return nil }
 
 // GoAway implements http2.Handler. With the code NO_ERROR it means that the worker is draining.
 func (h *connHandler) GoAway(c *http2.Conn, code http2.ErrCode) {
