--- a/internal/grpcgateway/gateway.go
+++ b/internal/grpcgateway/gateway.go
@@ -127,14 +127,14 @@
 func (g *Gateway) followWorkers() <-chan struct{} {
 	firstRead := make(chan struct{})
 	var once sync.Once
-	starts, first := endpoints.NewStartTimes(g.router), true
+	startTimes, first := endpoints.NewStartTimes(g.router), true
 	apply := func(list *config.WorkerList) {
 		if !first { // one poll interval ago the file still had its previous content
-			starts.ListConfirmed(g.router.Now() - config.PollInterval)
+			startTimes.ListConfirmed(g.router.Now() - config.PollInterval)
 		}
 		first = false
 		g.logger.Info("worker list applied", "workers", len(list.Workers))
-		g.router.SetEndpoints(list.Endpoints(starts))
+		g.router.SetEndpoints(list.Endpoints(startTimes))
 		if g.gossipAgent != nil {
 			g.gossipAgent.SetWorkers(list.StartTimes())
 		}
--- a/internal/server/grpcserver/timeout_test.go
+++ b/internal/server/grpcserver/timeout_test.go
@@ -28,7 +28,8 @@
 			s, upstream := startServerAndUpstream(t)
 			reader := newResponseReader()
 			conn := dial(t, s, reader)
-			open, err := conn.OpenStream(reader, requestHeader(test.path, hpack.Field{Name: "grpc-timeout", Value: grpc.FormatTimeout(limit)}), nil, false)
+			open, err := conn.OpenStream(reader, requestHeader(test.path,
+				hpack.Field{Name: "grpc-timeout", Value: grpc.FormatTimeout(limit)}), nil, false)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -93,8 +93,9 @@
 }
 
 // abort ends an attempt before the worker's trailers were received.
-func (a *attempt) abort(ended outcome) {
-	a.finish(router.AttemptResult{Result: ended.result, Trailer: oip.Trailer{Status: ended.status}, Report: router.NoWorkerReport})
+func (a *attempt) abort(o outcome) {
+	a.finish(router.AttemptResult{Result: o.result, Trailer: oip.Trailer{Status: o.status},
+		Report: router.NoWorkerReport})
 }
 
 // finish reports the end of the attempt to the router, once. The result includes the response bytes that were not
@@ -138,13 +139,13 @@
 	if err != nil {
 		a.pool.config.Logger.Info("malformed load report", "endpoint", a.worker, "error", err)
 	}
-	classified, workerDraining := classifyTrailers(fields, messages, truncated, a.streamed)
+	o, workerDraining := classifyTrailers(fields, messages, truncated, a.streamed)
 	if invalid != nil {
-		classified = *invalid
+		o = *invalid
 	}
 	a.finish(router.AttemptResult{
-		Result:         classified.result,
-		Trailer:        oip.Trailer{Status: classified.status, Metadata: forwardedMetadata(fields, false)},
+		Result:         o.result,
+		Trailer:        oip.Trailer{Status: o.status, Metadata: forwardedMetadata(fields, false)},
 		Report:         workerReport(report),
 		WorkerDraining: workerDraining,
 	})
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -30,8 +30,8 @@
 	var best *http2.Conn
 	freeStreams := 0
 	for _, c := range w.conns {
-		if r := c.AvailableStreams(); r > freeStreams {
-			best, freeStreams = c, r
+		if available := c.AvailableStreams(); available > freeStreams {
+			best, freeStreams = c, available
 		}
 	}
 	if best == nil {
@@ -84,7 +84,7 @@
 	w.connecting--
 	waiting := w.waiting
 	w.waiting = nil
-	if err == nil && !handler.ended {
+	if err == nil && !handler.connClosed {
 		p.open[c] = struct{}{}
 	}
 	stale := p.closed || p.workers[w.id] != w || w.addr != addr
@@ -117,7 +117,7 @@
 	pool         *Pool
 	worker       *worker
 	noNewStreams bool // the connection accepts no new streams; guarded by pool.mu
-	ended        bool // the connection is closed; guarded by pool.mu
+	connClosed   bool // guarded by pool.mu
 }
 
 // StreamOpened implements http2.Handler. A server opens no streams to its client.
@@ -138,7 +138,7 @@
 	h.removeConn(c)
 	h.pool.mu.Lock()
 	defer h.pool.mu.Unlock()
-	h.ended = true
+	h.connClosed = true
 	delete(h.pool.open, c)
 }
 
