--- a/internal/fake/fakeworker/deduplicator.go
+++ b/internal/fake/fakeworker/deduplicator.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxKeys is how many idempotency keys are kept before expired ones are removed.
+// maxKeys is the number of idempotency keys above which expired ones are removed.
 const maxKeys = 10000
 
-// Deduplicator is shared by the workers that drop each other's repeats of an idempotency key. It may be used from any
-// goroutine.
+// Deduplicator remembers the idempotency keys that workers have run. Workers that share one do not run each other's
+// keys again. It may be used from any goroutine.
 type Deduplicator struct {
 	mu     sync.Mutex
 	seenAt map[string]time.Time
@@ -18,7 +18,7 @@
 // NewDeduplicator returns a deduplicator that has seen no key.
 func NewDeduplicator() *Deduplicator { return &Deduplicator{seenAt: map[string]time.Time{}} }
 
-// isFirst reports whether a key was not seen within the window, and notes it then.
+// isFirst reports whether a key was not seen within the window. If so, it records the key as seen now.
 func (d *Deduplicator) isFirst(key string, window time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fake/fakeworker/faults.go
+++ b/internal/fake/fakeworker/faults.go
@@ -6,18 +6,18 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// Faults are what may be wrong with a worker. They outlast a restart.
+// Faults are the faults of a worker. A restart does not end them.
 type Faults struct {
-	Hang             bool               // accepts calls and answers none
-	Slowdown         float64            // work takes this many times as long; 0: as usual
-	FailingClasses   map[string]bool    // calls of these classes get errors
-	ThrottledClasses map[string]float64 // calls of these classes are rejected above so many a second,
+	Hang             bool               // accepts calls but does not answer them
+	Slowdown         float64            // calls run this many times as long; below 1 means no slowdown
+	FailingClasses   map[string]bool    // calls of these classes fail
+	ThrottledClasses map[string]float64 // calls of these classes are rejected above this rate per second,
 	ThrottleDelay    time.Duration      // after this delay
-	HandshakeDelay   time.Duration      // a new connection's first call waits this long
-	DieAfterMessages map[string]int     // a streamed call of these classes kills the worker after so many messages
-	DieOnStart       map[string]bool    // a call of these classes kills the worker as it starts to run
-	RefuseStreams    bool               // streams are refused with REFUSED_STREAM
-	FailLoads        bool               // loads fail
+	HandshakeDelay   time.Duration      // delay of the first call on a connection
+	DieAfterMessages map[string]int     // a streamed call of these classes kills the worker after this many messages
+	DieOnStart       map[string]bool    // a call of these classes kills the worker when it starts to run
+	RefuseStreams    bool               // streams are reset with REFUSED_STREAM
+	FailLoads        bool               // loads of models fail
 }
 
 // ChangeFaults changes the worker's faults; change must not call the worker.
@@ -27,14 +27,15 @@
 	change(&w.faults)
 }
 
-// Pause makes jobs that start within d wait until it is over.
+// Pause delays the end of calls that start within d from now by what is left of d.
 func (w *Worker) Pause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pausedUntil = time.Now().Add(d)
 }
 
-// Drain makes the worker reject new calls; what it has is completed. With goAway it reports so on its connections.
+// Drain makes the worker reject new calls and complete those that it has. With goAway it also sends GOAWAY on its
+// connections.
 func (w *Worker) Drain(goAway bool) {
 	w.mu.Lock()
 	w.draining = true
@@ -61,7 +62,8 @@
 	w.draining = false
 }
 
-// throttled reports whether a call of a class is to be rejected, and counts it otherwise. w.mu is held.
+// throttled reports whether a call is to be rejected because its class is throttled. Otherwise it counts the call
+// towards the limit. w.mu is held.
 func (w *Worker) throttled(class string) bool {
 	rate, ok := w.faults.ThrottledClasses[class]
 	if !ok {
--- a/internal/fake/fakeworker/handlers.go
+++ b/internal/fake/fakeworker/handlers.go
@@ -12,15 +12,15 @@
 	"github.com/topazfront/topazfront/internal/transport/grpc"
 )
 
-// Parameters by which a client describes the true call to a fake worker. The gateway passes them through.
+// Request parameters by which a client tells a fake worker how to simulate the call. The gateway passes them through.
 const (
-	ParamRequest  = "sim_request"  // string: the request's name, the same for all calls that repeat it
-	ParamWorkMS   = "sim_work_ms"  // double: true work on a core of speed 1
-	ParamMessages = "sim_messages" // int64: messages of a streamed answer
-	ParamBytes    = "sim_bytes"    // int64: bytes of each
+	ParamRequest  = "sim_request"  // string: the request's ID, the same for all calls that retry it
+	ParamWorkMS   = "sim_work_ms"  // double: actual work in milliseconds on a core of speed 1
+	ParamMessages = "sim_messages" // int64: number of messages of a streamed response
+	ParamBytes    = "sim_bytes"    // int64: size of each message's output in bytes
 )
 
-// Of models that neither the worker's settings nor a call describe.
+// Defaults for models and parameters that neither the worker's settings nor the call specify.
 const (
 	defaultMemoryMB     = 100
 	defaultConcurrency  = 1
@@ -31,7 +31,7 @@
 
 var badRequest = outcome{status: grpc.Status{Code: grpc.InvalidArgument, Message: "bad request message"}}
 
-// handle acts on a complete request. A worker that was killed drops it.
+// handle handles a complete request. A worker that was killed drops it.
 func (r *rpc) handle() {
 	w := r.worker
 	w.mu.Lock()
@@ -67,7 +67,7 @@
 	r.worker.accept(r.job)
 }
 
-// newJob reads the call's parameters.
+// newJob makes a job from the parameters of a call.
 func newJob(m *inference.ModelInferRequest, r *rpc) *job {
 	j := &job{
 		callID:    m.Id,
@@ -77,15 +77,15 @@
 		rpc:       r,
 		model: Model{
 			Name:                   m.ModelName,
-			MemoryMB:               number(m, oip.ParamMemoryMB, defaultMemoryMB),
-			ConcurrencyPerInstance: int(number(m, oip.ParamConcurrency, defaultConcurrency)),
-			LoadTime:               milliseconds(number(m, oip.ParamLoadMS, 0)),
+			MemoryMB:               numberParameter(m, oip.ParamMemoryMB, defaultMemoryMB),
+			ConcurrencyPerInstance: int(numberParameter(m, oip.ParamConcurrency, defaultConcurrency)),
+			LoadTime:               milliseconds(numberParameter(m, oip.ParamLoadMS, 0)),
 		},
-		work:           milliseconds(number(m, ParamWorkMS, defaultWorkMS)),
+		work:           milliseconds(numberParameter(m, ParamWorkMS, defaultWorkMS)),
 		idempotencyKey: m.Parameters[oip.ParamIdempotencyKey].GetStringParam(),
 		streamed:       r.path == oip.StreamInfer,
-		messageCount:   int(number(m, ParamMessages, defaultMessages)),
-		messageBytes:   int(number(m, ParamBytes, defaultMessageBytes)),
+		messageCount:   int(numberParameter(m, ParamMessages, defaultMessages)),
+		messageBytes:   int(numberParameter(m, ParamBytes, defaultMessageBytes)),
 	}
 	if m.ModelVersion != "" {
 		j.model.Name += "@" + m.ModelVersion
@@ -96,8 +96,8 @@
 	return j
 }
 
-// number is a parameter's value, or the fallback where it is missing or no number.
-func number(m *inference.ModelInferRequest, name string, fallback float64) float64 {
+// numberParameter returns a parameter's value, or the fallback if it is missing or not a number.
+func numberParameter(m *inference.ModelInferRequest, name string, fallback float64) float64 {
 	switch v := m.Parameters[name].GetParameterChoice().(type) {
 	case *inference.InferParameter_Int64Param:
 		return float64(v.Int64Param)
@@ -109,7 +109,7 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// handleLoad acts on a load command, and answers once the copies are loaded or it is clear that they won't be.
+// handleLoad handles a load command. It responds once the copies are loaded or their load has failed.
 func (r *rpc) handleLoad() {
 	w := r.worker
 	var m inference.RepositoryModelLoadRequest
@@ -146,7 +146,7 @@
 	})
 }
 
-// handleUnload unloads a model's idle copies.
+// handleUnload unloads the idle copies of a model.
 func (r *rpc) handleUnload() {
 	var m inference.RepositoryModelUnloadRequest
 	if proto.Unmarshal(r.body, &m) == nil {
@@ -161,7 +161,7 @@
 	r.respond(&inference.RepositoryModelUnloadResponse{}, oip.NoLoadReport)
 }
 
-// handleReady answers whether the worker takes calls; one that hangs or failed under load does not answer.
+// handleReady responds whether the worker accepts calls. A worker that hangs or has failed under load does not respond.
 func (r *rpc) handleReady() {
 	w := r.worker
 	if w.faults.Hang || w.overloaded {
--- a/internal/fake/fakeworker/jobs.go
+++ b/internal/fake/fakeworker/jobs.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	failureDelay = 5 * time.Millisecond // of calls of a failing class
-	repeatDelay  = time.Millisecond     // of a call whose work was done before
+	failureDelay = 5 * time.Millisecond // before the response to a call of a failing class
+	repeatDelay  = time.Millisecond     // before the response to a call whose idempotency key was run before
 
-	// minCapacityShare bounds how much longer work takes at a worker that warms up.
+	// minCapacityShare bounds how much longer calls run at a worker that is warming up.
 	minCapacityShare = 0.05
 )
 
-// Cache statuses, as load reports have them.
+// Cache statuses, with the values that load reports use.
 const (
 	cacheHit = 1 + iota
 	cacheLoadStarted
@@ -25,10 +25,10 @@
 	cacheLoadFailed
 )
 
-// outcome is how a call ends: its status, and why the worker rejected it. The zero value is success.
+// outcome is the result of a call: its status, and why the worker rejected it. The zero value is success.
 type outcome struct {
 	status    grpc.Status
-	admission string // value of oip.AdmissionField; empty: not rejected
+	admission string // value of oip.AdmissionField; empty if the call was not rejected
 }
 
 var (
@@ -39,7 +39,7 @@
 	classFailing   = outcome{grpc.Status{Code: grpc.Internal, Message: "class fails here"}, ""}
 )
 
-// job is one call at the worker.
+// job is an inference call that the worker has received.
 type job struct {
 	callID, requestID, class, router string
 	model                            Model
@@ -49,27 +49,27 @@
 	messageCount, messageBytes       int
 	rpc                              *rpc
 
-	state       *modelState // nil until accepted
-	assigned    *modelCopy  // holds one of its places; nil: none
-	concurrent  int         // calls of the model that the worker held when this one arrived
-	cacheStatus int
-	started     bool
-	cancelled   bool
-	finished    bool
-	timer       *time.Timer // of the work
+	state         *modelState // nil until accepted
+	assigned      *modelCopy  // the copy that runs the call; nil if none does
+	othersAtModel int         // calls of the model that were queued or running when this one arrived
+	cacheStatus   int
+	started       bool // has been given a core
+	cancelled     bool
+	finished      bool        // ended, with or without a response
+	timer         *time.Timer // ends the work, or sends the next message
 }
 
-// multipleMessages reports whether the answer is a stream of messages over the time of the work.
+// multipleMessages reports whether the response is a stream of messages, spread over the duration of the work.
 func (j *job) multipleMessages() bool { return j.streamed && j.messageCount > 0 }
 
-// accept takes a call into the worker's queue, or ends it. w.mu is held.
+// accept queues a call that the worker has received, or rejects or fails it. w.mu is held.
 func (w *Worker) accept(j *job) {
 	w.record(invariants.Record{Kind: invariants.AttemptReceived, Call: j.callID, Request: j.requestID, Class: j.class,
 		Router: j.router, Worker: w.config.ID})
 	w.checkOverload(j.class)
 	w.jobs[j] = struct{}{}
 	switch {
-	case w.overloaded || w.faults.Hang: // no answer
+	case w.overloaded || w.faults.Hang: // never answered
 		return
 	case w.draining:
 		w.finish(j, workerDraining)
@@ -92,14 +92,14 @@
 	}
 }
 
-// ensureModel finds the call's model, or starts to load it. It ends the call and returns false where the worker does
-// not load it. w.mu is held.
+// ensureModel finds the call's model, and starts to load it if no copy is loaded or loading. If the worker does
+// not load it, ensureModel rejects the call and returns false. w.mu is held.
 func (w *Worker) ensureModel(j *job) bool {
 	m := w.modelState(j.model)
-	j.state, j.concurrent = m, len(m.pending)
+	j.state, j.othersAtModel = m, len(m.pending)
 	loading := false
 	for _, c := range m.copies {
-		j.concurrent += c.running
+		j.othersAtModel += c.running
 		loading = loading || !c.loaded
 	}
 	switch {
@@ -129,8 +129,9 @@
 	return n + len(w.runnable)
 }
 
-// assignCopies assigns pending calls to copies that have a place, the least busy first, and starts a load where none
-// is left and none is coming. w.mu is held.
+// assignCopies assigns pending calls to copies below their concurrency limit, the least busy copy first. If calls
+// remain and no copy is loading, it loads another copy, provided that Config.AddsCopies is set or none is loaded. w.mu
+// is held.
 func (w *Worker) assignCopies(m *modelState) {
 	defer w.assignCores()
 	for len(m.pending) > 0 {
@@ -149,7 +150,7 @@
 	}
 }
 
-// assignCores starts the calls that are assigned to a copy, while cores are free. w.mu is held.
+// assignCores starts calls that are assigned to a copy, as long as cores are free. w.mu is held.
 func (w *Worker) assignCores() {
 	for w.running < w.config.Cores && len(w.runnable) > 0 {
 		j := w.runnable[0]
@@ -159,7 +160,7 @@
 	}
 }
 
-// run starts a call's work. w.mu is held.
+// run starts the work of a call that has been given a core. w.mu is held.
 func (w *Worker) run(j *job) {
 	j.started = true
 	if w.isRepeat(j) {
@@ -181,13 +182,14 @@
 	j.timer = w.after(interval, func() { w.sendMessage(j, 0, interval) })
 }
 
-// isRepeat reports whether the call is answered without work, as its deduplicator has seen its key. w.mu is held.
+// isRepeat reports whether the call is answered without being run, because the deduplicator has seen its idempotency
+// key. w.mu is held.
 func (w *Worker) isRepeat(j *job) bool {
 	return j.idempotencyKey != "" && w.config.DeduplicatedClasses[j.class] && w.config.Deduplicator != nil &&
 		!w.config.Deduplicator.isFirst(j.idempotencyKey, w.config.DeduplicationWindow)
 }
 
-// workTime is how long a call that starts now runs. w.mu is held.
+// workTime returns how long a call that starts now runs. w.mu is held.
 func (w *Worker) workTime(j *job) time.Duration {
 	slowdown := max(w.faults.Slowdown, 1)
 	workTime := time.Duration(float64(j.work) * slowdown / (w.config.Speed * max(w.capacityShare(), minCapacityShare)))
@@ -197,7 +199,7 @@
 	return workTime
 }
 
-// sendMessage sends message n of a streamed answer and schedules the next. w.mu is held.
+// sendMessage sends message n of a streamed response and schedules the next one. w.mu is held.
 func (w *Worker) sendMessage(j *job, n int, interval time.Duration) {
 	if j.finished {
 		w.release(j)
@@ -215,7 +217,7 @@
 	j.timer = w.after(interval, func() { w.sendMessage(j, n+1, interval) })
 }
 
-// complete ends a call's work with a result. w.mu is held.
+// complete ends a call's work and sends its result. w.mu is held.
 func (w *Worker) complete(j *job) {
 	if !j.finished {
 		if !j.multipleMessages() {
@@ -226,7 +228,7 @@
 	w.release(j)
 }
 
-// release gives back a call's core and its place at a copy. w.mu is held.
+// release frees a call's core and its share of a copy's concurrency, and assigns both to waiting calls. w.mu is held.
 func (w *Worker) release(j *job) {
 	c := j.assigned
 	if c == nil {
@@ -247,7 +249,7 @@
 	w.assignCores()
 }
 
-// finish answers a call, unless it was cancelled or answered before. w.mu is held.
+// finish ends a call and sends its outcome, unless it was cancelled. The first outcome counts. w.mu is held.
 func (w *Worker) finish(j *job, o outcome) {
 	if j.finished {
 		return
@@ -259,8 +261,8 @@
 	}
 }
 
-// cancel drops a call that waits. One that runs is completed without an answer, unless the worker stops its work. w.mu
-// is held.
+// cancel removes a call that is waiting. A call that is running is stopped if Config.StopsCancelledWork is set;
+// otherwise it runs to its end without a response. w.mu is held.
 func (w *Worker) cancel(j *job) {
 	j.cancelled = true
 	if j.finished {
@@ -280,7 +282,7 @@
 	}
 }
 
-// removePending takes a call that waits out of its queue. w.mu is held.
+// removePending removes a call that waits for a copy or a core from its queue. w.mu is held.
 func (w *Worker) removePending(j *job) {
 	if j.state == nil {
 		return
@@ -296,7 +298,7 @@
 	}
 }
 
-// loadReport is the report that goes with an answer; j may be nil. w.mu is held.
+// loadReport returns the load report for a response. j is the inference call that it answers, or nil. w.mu is held.
 func (w *Worker) loadReport(j *job) oip.LoadReport {
 	report := oip.NoLoadReport
 	if !w.config.ReportsLoad {
@@ -305,7 +307,7 @@
 	report.InFlight, report.Queued = float64(len(w.jobs)), float64(w.queueLength())
 	report.Loading = float64(w.loading + len(w.pendingLoads))
 	if j != nil {
-		report.FunctionInFlight, report.CacheStatus = float64(j.concurrent), j.cacheStatus
+		report.FunctionInFlight, report.CacheStatus = float64(j.othersAtModel), j.cacheStatus
 		if j.state != nil {
 			report.Copies = float64(j.state.loadedCopies())
 		}
--- a/internal/fake/fakeworker/loads.go
+++ b/internal/fake/fakeworker/loads.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// loadSigma is that of the log-normal distribution of load times around a model's own.
-	loadSigma = 0.2
-	// pendingLoadsPerSlot times the concurrent loads may wait for their turn.
-	pendingLoadsPerSlot = 2
+	// loadTimeSigma is the standard deviation of the logarithm of load times. They follow a log-normal distribution
+	// whose median is the model's LoadTime.
+	loadTimeSigma = 0.2
+	// maxPendingLoadRatio times Config.ConcurrentLoads is the maximum number of loads that wait to start.
+	maxPendingLoadRatio = 2
 )
 
-// loadCommand is a command to load copies of a model that waits for them. done is called once, under w.mu; err is set
-// if a load failed, and ok false without one if there is no room.
+// loadCommand is a load command that waits until the given number of copies of a model is loaded. done is called once,
+// with w.mu held. A failed load is reported by ok false and an error, a lack of memory or of room for pending loads by
+// ok false and no error.
 type loadCommand struct {
 	copies int
 	done   func(ok bool, copies int, err error)
 }
 
-// ensureCopies loads copies of a model until there are as many as wanted, and keeps those that there are from being
-// unloaded soon. With copies 0 it only reports how many there are. w.mu is held.
+// ensureCopies loads copies of a model until it has the given number. If it has them already, or if the number is 0, it
+// restarts the idle time of the idle copies and reports how many there are. w.mu is held.
 func (w *Worker) ensureCopies(m Model, copies int, done func(ok bool, copies int, err error)) {
 	state := w.modelState(m)
 	loaded := state.loadedCopies()
@@ -42,10 +44,10 @@
 	state.loadCommands = append(state.loadCommands, &loadCommand{copies: copies, done: done})
 }
 
-// startLoad starts to load another copy, now or when its turn comes. It returns false if there is no room. w.mu is
-// held.
+// startLoad loads another copy of a model, at once or after other loads. It returns false if there is no memory for it
+// or too many loads are waiting. w.mu is held.
 func (w *Worker) startLoad(m *modelState) bool {
-	if len(w.pendingLoads) >= pendingLoadsPerSlot*w.config.ConcurrentLoads || !w.freeMemory(m.MemoryMB) {
+	if len(w.pendingLoads) >= maxPendingLoadRatio*w.config.ConcurrentLoads || !w.freeMemory(m.MemoryMB) {
 		return false
 	}
 	c := &modelCopy{}
@@ -58,15 +60,15 @@
 	return true
 }
 
-// runLoad fetches the model, unless its image is cached, and starts the copy. The fetch takes seven tenths of the load
-// time. w.mu is held.
+// runLoad fetches the model from the store, unless its image is cached, and then starts the copy. The fetch takes 70%
+// of the load time, the start 30%. w.mu is held.
 func (w *Worker) runLoad(m *modelState, c *modelCopy) {
 	w.loading++
 	loadTime := m.LoadTime
 	if loadTime == 0 {
 		loadTime = w.config.DefaultLoadTime
 	}
-	loadTime = time.Duration(float64(loadTime) * math.Exp(loadSigma*w.rng.NormFloat64()))
+	loadTime = time.Duration(float64(loadTime) * math.Exp(loadTimeSigma*w.rng.NormFloat64()))
 	fetchTime, startTime := loadTime*7/10, loadTime*3/10
 	incarnation := w.incarnation
 	fails := w.faults.FailLoads
@@ -88,7 +90,8 @@
 	})
 }
 
-// endLoad starts the next pending load, and puts the copy into service unless its load failed. w.mu is held.
+// endLoad ends the load of a copy, which from then on takes calls unless the load failed, and starts the next pending
+// load. w.mu is held.
 func (w *Worker) endLoad(m *modelState, c *modelCopy, failed bool) {
 	w.loading--
 	if len(w.pendingLoads) > 0 {
@@ -107,7 +110,8 @@
 	m.completeLoadCommands()
 }
 
-// failPending fails what waits for a load, if no copy is left. w.mu is held.
+// failPending fails the calls and load commands that wait for a model, if it has no loaded or loading copy. w.mu is
+// held.
 func (w *Worker) failPending(m *modelState) {
 	if len(m.copies) > 0 {
 		return
@@ -125,7 +129,7 @@
 	}
 }
 
-// completeLoadCommands answers the load commands whose copies are loaded.
+// completeLoadCommands responds to the load commands whose copies are loaded. The worker's mu is held.
 func (m *modelState) completeLoadCommands() {
 	loaded := m.loadedCopies()
 	waiting := m.loadCommands[:0]
--- a/internal/fake/fakeworker/models.go
+++ b/internal/fake/fakeworker/models.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Model is a model as the worker's settings, or else the first call of it, describe it.
+// Model describes a model. A worker takes the description from its settings, or otherwise from the first call or load
+// command for the model.
 type Model struct {
 	Name                   string
-	Class                  string
-	MemoryMB               float64 // of each copy
-	ConcurrencyPerInstance int     // calls that one copy runs at a time
-	LoadTime               time.Duration
+	Class                  string        // of calls that name none
+	MemoryMB               float64       // of each copy
+	ConcurrencyPerInstance int           // maximum number of calls that one copy runs at a time
+	LoadTime               time.Duration // 0 means Config.DefaultLoadTime
 }
 
 // modelCopy is one copy of a model, loaded or loading.
 type modelCopy struct {
 	loaded    bool
-	running   int
+	running   int // calls assigned to it
 	idleSince time.Time
-	outdated  bool // by a release: takes no new calls, and is unloaded once it is idle
+	outdated  bool // since a new release of the model: takes no new calls, and is unloaded once it is idle
 }
 
-// modelState is what a worker has of a model.
+// modelState is the state of a model at a worker.
 type modelState struct {
 	Model
 	copies       []*modelCopy
-	pending      []*job // wait for a copy
+	pending      []*job // calls that wait for a copy
 	loadCommands []*loadCommand
-	imageCached  bool // on the worker's disk: a load needs no fetch from the store
+	imageCached  bool // on the worker's disk, so that a load needs no fetch from the store
 }
 
-// loadedCopies counts the copies that may take calls.
+// loadedCopies returns the number of copies that accept calls.
 func (m *modelState) loadedCopies() (n int) {
 	for _, c := range m.copies {
 		if c.loaded && !c.outdated {
@@ -41,7 +42,7 @@
 	return n
 }
 
-// freeCopy returns the least busy copy that can take a call, or nil, and whether a copy is loading.
+// freeCopy returns the least busy copy that can take another call, or nil, and reports whether a copy is loading.
 func (m *modelState) freeCopy() (free *modelCopy, loading bool) {
 	for _, c := range m.copies {
 		if c.loaded && !c.outdated && c.running < max(m.ConcurrencyPerInstance, 1) &&
@@ -59,7 +60,8 @@
 	}
 }
 
-// modelState finds or makes the state of a model. The worker's settings take precedence over m. w.mu is held.
+// modelState returns the state of a model, and creates it if there is none. The description in the worker's settings
+// takes precedence over m. w.mu is held.
 func (w *Worker) modelState(m Model) *modelState {
 	state := w.models[m.Name]
 	if state == nil {
@@ -72,9 +74,9 @@
 	return state
 }
 
-// freeMemory unloads idle copies, the one that is idle longest first, until need fits. It returns false if it doesn't.
-// w.mu is held.
-func (w *Worker) freeMemory(need float64) bool {
+// freeMemory unloads idle copies, the longest idle one first, until neededMB of memory are free. It returns false if
+// the memory does not suffice. w.mu is held.
+func (w *Worker) freeMemory(neededMB float64) bool {
 	for {
 		used := 0.0
 		var oldest *modelCopy
@@ -87,7 +89,7 @@
 				}
 			}
 		}
-		if used+need <= w.config.MemoryMB {
+		if used+neededMB <= w.config.MemoryMB {
 			return true
 		}
 		if oldest == nil {
@@ -97,7 +99,7 @@
 	}
 }
 
-// unloadWhenIdle unloads a copy once it has been idle for the idle residency. w.mu is held.
+// unloadWhenIdle unloads a copy once it has been idle for Config.IdleResidency. w.mu is held.
 func (w *Worker) unloadWhenIdle(m *modelState, c *modelCopy) {
 	w.after(w.config.IdleResidency, func() {
 		if c.running > 0 || time.Since(c.idleSince) < w.config.IdleResidency-time.Millisecond {
@@ -108,8 +110,8 @@
 	})
 }
 
-// Invalidate makes copies and cached images of some models outdated, as a release does. Busy copies complete their
-// calls first; copies that are loading are taken for new.
+// Invalidate simulates the release of new versions of some models: it drops their cached images and unloads their
+// copies. Busy copies complete their calls first. Copies that are loading are assumed to be of the new version.
 func (w *Worker) Invalidate(released func(model string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/fakeworker/rpc.go
+++ b/internal/fake/fakeworker/rpc.go
@@ -18,7 +18,7 @@
 
 var responseHeaders = []hpack.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
 
-// connHandler is the handler of a router's connection.
+// connHandler handles the events of one router's connection.
 type connHandler struct{ worker *Worker }
 
 // Open implements http2.Handler.
@@ -36,7 +36,7 @@
 	h.worker.mu.Unlock()
 }
 
-// rpc is one stream: it reads a request and writes the response.
+// rpc is one gRPC call: it reads the request from a stream and writes the response to it.
 type rpc struct {
 	worker      *Worker
 	stream      *http2.Stream
@@ -44,8 +44,8 @@
 	router      string
 	encoding    string
 	reader      grpc.MessageReader
-	body        []byte // of the request, once it is complete
-	job         *job   // of an inference call; guarded by the worker's mu
+	body        []byte // of the request message, once it is complete
+	job         *job   // nil unless this is an inference call; guarded by the worker's mu
 	headersSent bool
 }
 
@@ -57,22 +57,22 @@
 	r.path, _ = grpc.FieldValue(fields, ":path")
 	r.router, _ = grpc.FieldValue(fields, grpcupstream.RouterField)
 	r.encoding, _ = grpc.FieldValue(fields, "grpc-encoding")
-	refused, delay := r.noteRouter(s.Conn())
+	refused, delay := r.recordRouter(s.Conn())
 	if refused {
 		s.Reset(http2.RefusedStream)
 		return
 	}
 	if delay > 0 {
-		time.Sleep(delay) // blocks this connection's reading goroutine: its handshake is slow
+		time.Sleep(delay) // blocks the connection's reading goroutine, which simulates a slow handshake
 	}
 	if end {
 		r.handle()
 	}
 }
 
-// noteRouter notes whose connection it is. It reports whether the stream is refused, and by how long the connection's
-// first call is delayed.
-func (r *rpc) noteRouter(conn *http2.Conn) (refused bool, delay time.Duration) {
+// recordRouter records which router a connection belongs to. It reports whether a fault refuses the stream, and the
+// delay of the connection's first call.
+func (r *rpc) recordRouter(conn *http2.Conn) (refused bool, delay time.Duration) {
 	w := r.worker
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// respond sends a response of one message.
+// respond sends a response that consists of one message, and its trailers.
 func (r *rpc) respond(m proto.Message, report oip.LoadReport) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
@@ -133,7 +133,7 @@
 	r.finish(outcome{}, report)
 }
 
-// sendInferResponse sends message n of the answer to an inference call.
+// sendInferResponse sends message n of the response to an inference call, unless the call was cancelled.
 func (r *rpc) sendInferResponse(j *job, n int) {
 	if j.cancelled {
 		return
@@ -156,7 +156,8 @@
 	r.writeMessage(raw)
 }
 
-// writeMessage ignores errors of the stream: Closed reports them.
+// writeMessage sends a message, preceded by the response headers if it is the first. It ignores errors of the stream:
+// Closed is called for them.
 func (r *rpc) writeMessage(raw []byte) {
 	if !r.headersSent {
 		r.headersSent = true
@@ -165,7 +166,7 @@
 	_, _ = r.stream.Write(append(grpc.AppendPrefix(make([]byte, 0, len(raw)+grpc.PrefixLen), len(raw), false), raw...), false)
 }
 
-// finish ends the response with its trailers.
+// finish ends the response with its trailers, which hold the status, the rejection reason and the load report.
 func (r *rpc) finish(o outcome, report oip.LoadReport) {
 	fields := o.status.Trailers()
 	if o.admission != "" {
--- a/internal/fake/fakeworker/slow_start.go
+++ b/internal/fake/fakeworker/slow_start.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// A worker that warms up fails only above its limit by this factor and this many seconds of work, so that a router
-	// which keeps to the limit on the average does not fail it by chance.
-	overloadTolerance = 1.3
-	overloadAllowance = 0.5
+	// A worker that is warming up fails only when the received work exceeds its limit by this factor and by this many
+	// seconds, so that random variation does not make it fail under a router that keeps to the limit on average.
+	overloadTolerance        = 1.3
+	overloadAllowanceSeconds = 0.5
 )
 
-// arrival is a call that reached a worker while it warmed up.
+// arrival is a call that a worker received while it was warming up.
 type arrival struct {
 	at   time.Time
-	work float64 // seconds on a core of speed 1
+	work float64 // mean work of the call's class, in seconds on a core of speed 1
 }
 
-// capacityShare is the fraction of its capacity that the worker has now. w.mu is held.
+// capacityShare returns the fraction of its full capacity that the worker has now. w.mu is held.
 func (w *Worker) capacityShare() float64 {
 	if w.config.SlowStartDuration == 0 {
 		return 1
@@ -28,8 +28,8 @@
 	return min(w.config.SlowStartShare+(1-w.config.SlowStartShare)*age, 1)
 }
 
-// checkOverload counts a call that reaches a worker while it warms up, and makes the worker fail when the work within
-// the overload window is too much. w.mu is held.
+// checkOverload records a call that the worker receives while it is warming up, and makes the worker fail if the work
+// received within the overload window exceeds its limit. w.mu is held.
 func (w *Worker) checkOverload(class string) {
 	window := w.config.OverloadWindow
 	if window == 0 || w.capacityShare() >= 1 || w.overloaded {
@@ -42,7 +42,7 @@
 		sum += w.arrivals[i].work
 	}
 	limit := w.config.OverloadMultiple * w.capacityShare() * float64(w.config.Cores) * w.config.Speed * window.Seconds()
-	if now.Sub(w.startedAt) > window && sum > overloadTolerance*limit+overloadAllowance {
+	if now.Sub(w.startedAt) > window && sum > overloadTolerance*limit+overloadAllowanceSeconds {
 		w.overloaded = true
 		w.record(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.config.ID})
 	}
--- a/internal/fake/fakeworker/worker.go
+++ b/internal/fake/fakeworker/worker.go
@@ -1,6 +1,6 @@
 // Package fakeworker is a fake model server for tests and scenarios. It speaks the Open Inference Protocol over real
-// sockets and models cores, memory, copies of models and queues in real time. It records what reaches it for the
-// checker of the rules. Faults are switched on from outside.
+// sockets and simulates cores, memory, copies of models and queues in real time. It records what it receives and does,
+// for package invariants to check. Faults can be injected while it runs.
 package fakeworker
 
 import (
@@ -14,48 +14,48 @@
 )
 
 const (
-	// randomLoads is the stream of random numbers, within a worker's seed, of load times.
-	randomLoads = 7
+	// loadTimeRandomStream selects the random numbers for load times among the streams of a worker's seed.
+	loadTimeRandomStream = 7
 
-	maxStreams = 10000
+	maxStreams = 10000 // concurrent streams of a connection
 
-	// warmAge is the age of a worker that does not start cold.
+	// warmAge is the apparent uptime of a worker that does not start cold.
 	warmAge = time.Hour
 )
 
-// Config is what a worker is like.
+// Config describes a worker's capacity and behaviour.
 type Config struct {
 	ID                  string
 	Cores               int
-	Speed               float64 // of a core; work is given for speed 1
+	Speed               float64 // of each core; the work of calls is given for speed 1
 	MemoryMB            float64
-	QueueLength         int // calls that may wait
-	ConcurrentLoads     int
-	IdleResidency       time.Duration // a copy stays loaded for this long after its last use
-	LoadsOnCacheMiss    bool          // a model that is not loaded is loaded while the call waits; otherwise the call is rejected
-	AddsCopies          bool          // loads another copy by itself when all copies are busy
-	StopsCancelledWork  bool          // a cancelled call's work stops
-	SlowStartShare      float64       // fraction of its capacity that a worker has when it starts cold
-	SlowStartDuration   time.Duration // until it has all of it; 0: it has all of it at once
-	OverloadMultiple    float64       // a worker that warms up fails at this multiple of its present capacity,
-	OverloadWindow      time.Duration // measured over this time; 0: it never fails
-	DeduplicationWindow time.Duration // how long repeats of a call are dropped
-	DeduplicatedClasses map[string]bool
-	Store               *Store          // nil: loads fetch nothing
-	Deduplicator        *Deduplicator   // nil: no repeats are dropped
-	Log                 *invariants.Log // nil: nothing is recorded
+	QueueLength         int             // maximum number of calls that wait for a copy or a core
+	ConcurrentLoads     int             // maximum number of loads in progress
+	IdleResidency       time.Duration   // a copy stays loaded for this long after its last use
+	LoadsOnCacheMiss    bool            // calls of a model that is not loaded wait for it; otherwise they are rejected
+	AddsCopies          bool            // the worker loads another copy of a model when all its copies are busy
+	StopsCancelledWork  bool            // a cancelled call stops running; otherwise it runs to its end
+	SlowStartShare      float64         // fraction of its capacity that a worker has after a cold start
+	SlowStartDuration   time.Duration   // time until it has its full capacity; 0 means no slow start
+	OverloadMultiple    float64         // a worker that is warming up fails at this multiple of its current capacity,
+	OverloadWindow      time.Duration   // measured over this time; 0 means that it never fails
+	DeduplicationWindow time.Duration   // time during which a repeated idempotency key is not run again
+	DeduplicatedClasses map[string]bool // classes whose repeated idempotency keys are not run again
+	Store               *Store          // nil means that loads fetch nothing from a store
+	Deduplicator        *Deduplicator   // nil means that repeated idempotency keys are run again
+	Log                 *invariants.Log // nil means that nothing is recorded
 	Seed                uint64
-	ColdStart           bool // the first start; a restart is always cold
-	MeanWorkByClass     map[string]time.Duration
-	DefaultLoadTime     time.Duration    // of models without one
-	ReportsLoad         bool             // responses carry a load report
-	Models              map[string]Model // what the worker's own settings say of models
+	ColdStart           bool                     // applies to the first start; a restart is always cold
+	MeanWorkByClass     map[string]time.Duration // by which the worker estimates its load while it is warming up
+	DefaultLoadTime     time.Duration            // of models without a LoadTime
+	ReportsLoad         bool                     // responses include a load report
+	Models              map[string]Model         // models in the worker's own settings, by name
 }
 
 // Worker is a running fake worker. Its methods may be called from any goroutine.
 //
-// It owns the goroutines of its listener, which end with Kill, and timers, which do nothing once the incarnation that
-// set them has ended.
+// It owns the goroutines of its listener, which end with Kill. Its timers have no effect after the end of the
+// incarnation that set them.
 type Worker struct {
 	config Config
 
@@ -66,29 +66,29 @@
 	models       map[string]*modelState
 	jobs         map[*job]struct{}
 	runnable     []*job   // assigned to a copy, waiting for a core
-	running      int      // jobs that have a core
-	loading      int      // loads under way
-	pendingLoads []func() // loads that wait for their turn
+	running      int      // number of jobs that occupy a core
+	loading      int      // number of loads in progress
+	pendingLoads []func() // start the loads that wait until fewer than Config.ConcurrentLoads are in progress
 	startedAt    time.Time
 	incarnation  int // number of starts and kills
 	down         bool
-	overloaded   bool // has failed under load; it answers nothing until it restarts
+	overloaded   bool // has failed under load; it does not answer until it restarts
 	draining     bool
-	arrivals     []arrival // while warming up
-	routers      map[*http2.Conn]string
+	arrivals     []arrival              // since the start, while the worker is warming up
+	routers      map[*http2.Conn]string // names of the routers, by connection
 
 	faults         Faults
 	pausedUntil    time.Time
-	recentArrivals map[string][]time.Time // of throttled classes, within the last second
+	recentArrivals map[string][]time.Time // of throttled classes, by class, within the last second
 }
 
-// Start starts a worker that listens on a loopback port.
+// Start starts a worker that listens on a free loopback port.
 func Start(config Config) (*Worker, error) {
-	w := &Worker{config: config, rng: rand.New(rand.NewPCG(config.Seed, randomLoads)), addr: "127.0.0.1:0"}
+	w := &Worker{config: config, rng: rand.New(rand.NewPCG(config.Seed, loadTimeRandomStream)), addr: "127.0.0.1:0"}
 	return w, w.start(config.ColdStart)
 }
 
-// Restart starts a killed worker again, cold and empty, at the same address.
+// Restart starts a killed worker again at the same address, with a cold start and no models loaded.
 func (w *Worker) Restart() error { return w.start(true) }
 
 func (w *Worker) start(cold bool) error {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// Kill ends the process at once: connections break, copies are lost.
+// Kill simulates the death of the worker's process: connections break and loaded copies are lost.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	if w.down {
@@ -136,20 +136,20 @@
 	return w.down
 }
 
-// ID is the worker's name.
+// ID returns the worker's name.
 func (w *Worker) ID() string { return w.config.ID }
 
-// Addr is the address that the worker listens on; a restart keeps it.
+// Addr returns the address that the worker listens on. A restart does not change it.
 func (w *Worker) Addr() string { return w.addr }
 
-// StartedAt is the time of the last start.
+// StartedAt returns the time of the last start. It lies in the past by warmAge for a start that was not cold.
 func (w *Worker) StartedAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.startedAt
 }
 
-// InFlight is the number of calls that the worker holds.
+// InFlight returns the number of calls that the worker has received and that have not ended.
 func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 }
 
-// after runs f under w.mu once d has passed, unless the present incarnation has ended by then. w.mu is held.
+// after runs f under w.mu once d has passed, unless the current incarnation has ended by then. w.mu is held.
 func (w *Worker) after(d time.Duration, f func()) *time.Timer {
 	incarnation := w.incarnation
 	return time.AfterFunc(d, func() {
