--- a/internal/fake/fakeclient/call.go
+++ b/internal/fake/fakeclient/call.go
@@ -13,8 +13,8 @@
 	"github.com/topazfront/topazfront/internal/transport/http2"
 )
 
-// pendingCall is a call until its result is known. Its methods are called by the connection's reading goroutine, by its
-// timer and by the caller.
+// pendingCall is a call whose result is not known yet. Its methods are called by the connection's reading goroutine, by
+// its timer and by the caller.
 type pendingCall struct {
 	client    *Client
 	id        string
@@ -22,16 +22,17 @@
 	startedAt time.Time
 	done      func(Result)
 	recorded  bool        // the call was recorded as sent
-	timer     *time.Timer // nil: not sent yet
+	timer     *time.Timer // ends the wait for an answer; nil until the call is sent
 
 	mu                 sync.Mutex
 	counter            grpc.MessageCounter
-	bytes              int
+	bytes              int // received in messages, with their prefixes
 	timeToFirstMessage time.Duration
 	ended              bool
 }
 
-// recordAbandoned records that no answer is due any more, unless one came.
+// recordAbandoned records that the client no longer expects an answer, unless the call has ended or was not recorded as
+// sent.
 func (p *pendingCall) recordAbandoned() {
 	p.mu.Lock()
 	ended := p.ended
@@ -42,7 +43,7 @@
 	}
 }
 
-// finish reports the result; only the first call of it counts.
+// finish ends the call and passes its result to done. Only the first result counts.
 func (p *pendingCall) finish(r Result) {
 	p.mu.Lock()
 	if p.ended {
@@ -76,7 +77,8 @@
 	p.finish(r)
 }
 
-// resultOf reads an answer's trailers. A router rejects a call by the status Unavailable with a Retry-After.
+// resultOf returns the result that the trailers of an answer represent. The status Unavailable with a Retry-After means
+// that the router rejected the call.
 func resultOf(trailers []hpack.Field) Result {
 	r := Result{Answered: true, Status: grpc.StatusFromTrailers(trailers)}
 	retryAfter, hasRetryAfter := grpc.FieldValue(trailers, "grpc-retry-pushback-ms")
@@ -104,7 +106,7 @@
 		p.timeToFirstMessage = time.Since(p.startedAt)
 	}
 	p.mu.Unlock()
-	if err != nil || end { // an answer ends with trailers
+	if err != nil || end { // a valid answer ends with trailers
 		p.finish(Result{Status: grpc.Status{Code: grpc.Internal, Message: fmt.Sprint("broken answer: ", err)}})
 	}
 }
@@ -119,7 +121,7 @@
 	}
 	var streamError *http2.StreamError
 	if errors.As(err, &streamError) && streamError.Unprocessed {
-		p.recordAbandoned() // the router never accepted it
+		p.recordAbandoned() // the router guarantees that it did not process the call
 	}
 	p.finish(Result{Status: grpc.Status{Code: grpc.Unavailable, Message: err.Error()}})
 }
--- a/internal/fake/fakeclient/client.go
+++ b/internal/fake/fakeclient/client.go
@@ -1,6 +1,6 @@
-// Package fakeclient is a fake of the programs that call the gateway, for scenarios. It speaks the Open Inference
-// Protocol over real sockets, follows deadlines, and records what it sent and what it was answered for the checker of
-// the rules.
+// Package fakeclient is a fake of the clients of the gateway, for scenarios. It speaks the Open Inference Protocol over
+// real sockets, keeps deadlines, and records the calls that it sends and their answers, for package invariants to
+// check.
 package fakeclient
 
 import (
@@ -20,45 +20,45 @@
 const (
 	dialTimeout = time.Second
 
-	// lateAnswerWait is how long an answer is waited for beyond the deadline, so that a late one is seen to be late.
+	// lateAnswerWait is how long a call waits for its answer beyond the deadline, so that late answers are recorded.
 	lateAnswerWait = time.Second
 )
 
-// Request is what a client wants done. It takes one call, and another for each retry.
+// Request is a unit of work that a client requests. It takes one call, and another for each retry.
 type Request struct {
-	ID              string // the same for all its calls
+	ID              string // the same for all calls of the request
 	Model           string
 	Class           string
-	Work            time.Duration // true work, which the gateway does not know
-	WorkHint        time.Duration // estimate of it, which the gateway gets; 0: none
+	Work            time.Duration // actual work, which the gateway does not know
+	WorkHint        time.Duration // estimate of the work for the gateway; 0 means none
 	Streamed        bool
-	Messages        int // of a streamed answer
+	Messages        int // number of messages of a streamed answer
 	BytesPerMessage int
 }
 
-// Result is how a call ended.
+// Result is the result of a call.
 type Result struct {
-	Answer             invariants.Answer
-	Answered           bool // false: no final answer came, as the connection broke or the time was up
+	Answer             invariants.Answer // meaningful only if Answered is set
+	Answered           bool              // false if the connection broke or the wait ended before a final answer
 	Status             grpc.Status
-	RetryAfter         time.Duration // advice of the router; negative: not to retry
-	Messages           int
-	Bytes              int
+	RetryAfter         time.Duration // from the router; negative means that the call must not be retried
+	Messages           int           // number of messages received
+	Bytes              int           // in messages received, with their prefixes
 	Duration           time.Duration
-	TimeToFirstMessage time.Duration // 0: none came
+	TimeToFirstMessage time.Duration // 0 if none was received
 }
 
-// Client is a program's connection to one router. It may be used from any goroutine.
+// Client is a client of one router, over one connection at a time. It may be used from any goroutine.
 type Client struct {
 	addr, router string
 	records      *invariants.Log
 	config       http2.Config
 
 	mu   sync.Mutex
-	conn *http2.Conn // nil: connected by the next call
+	conn *http2.Conn // nil if the next call has to connect
 }
 
-// New returns a client of the router that listens at an address. It connects with its first call.
+// New returns a client of the router that listens on addr. router is its name in the records. The first call connects.
 func New(addr, router string, records *invariants.Log, config http2.Config) *Client {
 	return &Client{addr: addr, router: router, records: records, config: config}
 }
@@ -72,7 +72,7 @@
 // ConnClosed implements http2.Handler.
 func (c *Client) ConnClosed(conn *http2.Conn, _ error) { c.dropConn(conn) }
 
-// dropConn makes further calls use another connection; calls under way keep theirs.
+// dropConn makes further calls use another connection. Calls in flight stay on the old one.
 func (c *Client) dropConn(conn *http2.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// Close closes the connection.
+// Close closes the current connection.
 func (c *Client) Close() {
 	c.mu.Lock()
 	conn := c.conn
@@ -144,7 +144,7 @@
 	}
 }
 
-// encodeRequest returns a call's message with its gRPC prefix.
+// encodeRequest returns the request message of a call, with its gRPC prefix.
 func encodeRequest(r Request, callID string) ([]byte, error) {
 	m := &inference.ModelInferRequest{ModelName: r.Model, Id: callID, Parameters: map[string]*inference.InferParameter{
 		oip.ParamIdempotencyKey:  textParameter(r.ID),
--- a/internal/fake/fakepeer/forger.go
+++ b/internal/fake/fakepeer/forger.go
@@ -11,39 +11,42 @@
 )
 
 const (
-	// randomForgeries is the stream of random numbers, within a forger's seed, of its packets.
-	randomForgeries = 9
+	// forgeryRandomStream selects the random numbers for a forger's packets among the streams of its seed.
+	forgeryRandomStream = 9
 
-	// forgedIncarnation is newer than any that a member has, so that a forgery, if accepted, would win.
+	// forgedIncarnation is higher than the incarnation of any member, so that a forged statement, if it were accepted,
+	// would override the member's own.
 	forgedIncarnation = 1 << 61
 
-	// excessBytes makes a packet larger than any that is accepted.
+	// excessBytes, added to a packet, makes it larger than routers accept.
 	excessBytes = 1500
 
-	// unknownVersion is no version of the packet format.
+	// unknownVersion is not a valid version of the packet format.
 	unknownVersion = 9
 
-	// floodPackets is how many packets a flood repeats.
+	// floodPackets is the number of different packets in a flood.
 	floodPackets = 32
 )
 
-// Forger sends what no router may accept: packets under the names of others, signed with a key that is not theirs, or
-// with changed bytes, truncated, of another version, or too large. It has no admitted key. It is not safe for use from
-// several goroutines.
+// Forger sends packets that routers must reject. They pretend to come from other members but are signed with the
+// forger's own key, which is not admitted, and most are also damaged: truncated, changed, too large, or of an unknown
+// version. It must not be used from several goroutines at a time.
 type Forger struct {
 	Names             []string // of the members whose packets it forges
-	KeyNames          []string // of their keys
-	Worker            string   // that it reports as silent,
-	WorkerIncarnation uint64
-	StolenKey         func(name string) ed25519.PrivateKey // the members' own keys, with which its packets are valid; nil: none
-	Sent              int                                  // packets so far
+	KeyNames          []string // of these members' keys, in the same order
+	Worker            string   // worker that it reports as silent
+	WorkerIncarnation uint64   // of that worker
+	// StolenKey, if not nil, returns a member's own key, which signs the packets instead of the forger's. Undamaged
+	// packets are then valid.
+	StolenKey func(name string) ed25519.PrivateKey
+	Sent      int // number of packets sent
 
 	conn       net.PacketConn
 	rng        *rand.Rand
 	privateKey ed25519.PrivateKey
 }
 
-// NewForger opens a forger's socket on loopback.
+// NewForger returns a forger with a socket on the loopback interface.
 func NewForger(seed uint64, names, keyNames []string) (*Forger, error) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -54,18 +57,18 @@
 		KeyNames:   keyNames,
 		Worker:     "w001",
 		conn:       conn,
-		rng:        rand.New(rand.NewPCG(seed, randomForgeries)),
+		rng:        rand.New(rand.NewPCG(seed, forgeryRandomStream)),
 		privateKey: ed25519.NewKeyFromSeed(bytes.Repeat([]byte{byte(seed), 0xf0}, ed25519.SeedSize/2)),
 	}, nil
 }
 
-// Addr is the address of the forger's socket.
+// Addr returns the address of the forger's socket.
 func (f *Forger) Addr() string { return f.conn.LocalAddr().String() }
 
 // Close closes the forger's socket.
 func (f *Forger) Close() { _ = f.conn.Close() }
 
-// Packet returns a forged packet, or nil if it cannot be made.
+// Packet returns a forged packet, or nil if it can't be encoded.
 func (f *Forger) Packet() []byte {
 	i := f.rng.IntN(len(f.Names))
 	name, key := f.Names[i], f.privateKey
@@ -86,7 +89,7 @@
 	return f.damage(packet)
 }
 
-// damage makes two thirds of the packets invalid in one more way than their key.
+// damage makes two thirds of the packets invalid in another way than by their key.
 func (f *Forger) damage(packet []byte) []byte {
 	switch f.rng.IntN(6) {
 	case 0: // truncated
@@ -95,15 +98,15 @@
 		packet[f.rng.IntN(len(packet))] ^= byte(1 + f.rng.IntN(255))
 	case 2: // too large
 		packet = append(packet, make([]byte, excessBytes)...)
-	case 3: // another version
+	case 3: // unknown version
 		packet[1+int(packet[0])+ed25519.SignatureSize] = unknownVersion
 	}
 	return packet
 }
 
-// Send sends so many packets to each address.
-func (f *Forger) Send(addrs []string, each int) {
-	for range each {
+// Send sends count packets to each address.
+func (f *Forger) Send(addrs []string, count int) {
+	for range count {
 		for _, addr := range addrs {
 			if to, err := net.ResolveUDPAddr("udp", addr); err == nil {
 				f.write(f.Packet(), to)
@@ -112,10 +115,10 @@
 	}
 }
 
-// Flood sends so many packets to each address as fast as the socket takes them. It repeats a few packets, as signing
-// would slow it down. It stands here and not in the test that uses it because receivers limit packets by their source,
-// which must be the forger's own socket.
-func (f *Forger) Flood(addrs []string, each int) {
+// Flood sends count packets to each address as fast as the socket allows. It repeats a few packets, because signing
+// each one would slow it down. It is a method of Forger because receivers limit the packets of each source address, so
+// that the flood must come from the forger's own socket.
+func (f *Forger) Flood(addrs []string, count int) {
 	var packets [floodPackets][]byte
 	for i := range packets {
 		packets[i] = f.Packet()
@@ -125,7 +128,7 @@
 		if err != nil {
 			continue
 		}
-		for i := range each {
+		for i := range count {
 			f.write(packets[i%len(packets)], to)
 		}
 	}
--- a/internal/fake/fakepeer/liar.go
+++ b/internal/fake/fakepeer/liar.go
@@ -8,21 +8,22 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// Liar is an admitted member that takes part in the gossip as others do, and lies about workers. It verifies nothing.
+// Liar is an admitted member that gossips according to the protocol but makes false statements about workers. It does
+// not check workers itself.
 type Liar struct {
 	*agent.Agent
 }
 
-// NewLiar starts a liar's agent.
+// NewLiar starts the gossip agent of a liar.
 func NewLiar(c agent.Config) (*Liar, error) {
-	a, err := agent.Start(c, blindRouter{})
+	a, err := agent.Start(c, unconnectedRouter{})
 	if err != nil {
 		return nil, err
 	}
 	return &Liar{a}, nil
 }
 
-// ReportSilent reports workers, given with their start times, as silent.
+// ReportSilent reports workers as silent. startTimes has their start times, by worker.
 func (l *Liar) ReportSilent(startTimes map[string]uint64) {
 	l.SetWorkers(startTimes)
 	for id := range startTimes {
@@ -30,16 +31,16 @@
 	}
 }
 
-// WithdrawReport reports a worker as alive that it reported as silent before.
+// WithdrawReport reports a worker as alive after ReportSilent reported it as silent.
 func (l *Liar) WithdrawReport(worker string) { l.ReportAlive(worker) }
 
-// blindRouter is a router that sees nothing.
-type blindRouter struct{}
+// unconnectedRouter is a router without connections to workers.
+type unconnectedRouter struct{}
 
-// VerifyWorker implements agent.Router: no worker can be checked.
-func (blindRouter) VerifyWorker(_ string, _, _ time.Duration, done func(gossip.CheckResult)) {
+// VerifyWorker implements agent.Router. It skips the check.
+func (unconnectedRouter) VerifyWorker(_ string, _, _ time.Duration, done func(gossip.CheckResult)) {
 	done(gossip.CheckSkipped)
 }
 
-// ApplyGossip implements agent.Router.
-func (blindRouter) ApplyGossip(dispatch.GossipUpdate) {}
+// ApplyGossip implements agent.Router. It ignores the update.
+func (unconnectedRouter) ApplyGossip(dispatch.GossipUpdate) {}
--- a/internal/fake/fakepeer/meter.go
+++ b/internal/fake/fakepeer/meter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Meter compares what a router sends with its limits: two token buckets that fill at the permitted rates. It measures
-// at the socket, independently of the router.
+// Meter checks the traffic that a router sends against its limits on bytes and messages, by a token bucket for each. It
+// measures at the socket, independently of the router. It may be used from any goroutine.
 type Meter struct {
 	BytesPerSecond, BurstBytes       float64
 	MessagesPerSecond, BurstMessages float64
@@ -14,12 +14,12 @@
 	mu                        sync.Mutex
 	updatedAt                 time.Time
 	byteTokens, messageTokens float64
-	firstAt                   time.Time // of the first message
+	firstAt                   time.Time // time of the first message
 	totalBytes, totalMessages float64
-	timesOver                 int
+	timesOver                 int // messages that exceeded a limit
 }
 
-// Add counts a message of n bytes that was sent.
+// Add counts a sent message of n bytes.
 func (m *Meter) Add(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// Totals returns the bytes and messages so far, the bytes a second since the first message, and how often a limit was
-// exceeded.
+// Totals returns the number of bytes and messages so far, the mean bytes per second since the first message, and how
+// many messages exceeded a limit.
 func (m *Meter) Totals() (bytes, messages, bytesPerSecond float64, timesOver int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fake/fakepeer/network.go
+++ b/internal/fake/fakepeer/network.go
@@ -1,5 +1,6 @@
-// Package fakepeer is the other side of gossip for tests and scenarios: a network with faults between the routers'
-// sockets, a meter of what a router sends, and peers that forge or lie.
+// Package fakepeer has fakes of the gossip environment of a router, for tests and scenarios: a network with faults
+// between the routers' sockets, a meter for the traffic that a router sends, and malicious peers, which forge packets
+// or report false statements.
 package fakepeer
 
 import (
@@ -10,19 +11,20 @@
 	"time"
 )
 
-// randomFaults is the stream of random numbers, within a network's seed, of its faults.
-const randomFaults = 8
+// faultRandomStream selects the random numbers for a network's faults among the streams of its seed.
+const faultRandomStream = 8
 
-// Faults are what goes wrong between sockets. Rates are fractions of the datagrams.
+// Faults are the faults of a network. Rates are fractions of the datagrams sent.
 type Faults struct {
 	LossRate        float64
 	DuplicationRate float64
 	MinDelay        time.Duration
-	MaxDelay        time.Duration              // delays are drawn between the two, so datagrams overtake each other
-	Partitioned     func(from, to string) bool // nothing passes from one address to the other; nil: none are
+	MaxDelay        time.Duration              // delays are uniform between the two, so datagrams may be reordered
+	Partitioned     func(from, to string) bool // drops what it returns true for; nil drops nothing
 }
 
-// Network puts faults, drawn from one seed, between the sockets that it wraps. It may be used from any goroutine.
+// Network injects faults, chosen at random from one seed, between the sockets that it wraps. It may be used from any
+// goroutine.
 type Network struct {
 	mu     sync.Mutex
 	faults Faults
@@ -31,7 +33,7 @@
 
 // NewNetwork returns a network without faults.
 func NewNetwork(seed uint64) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, randomFaults))}
+	return &Network{rng: rand.New(rand.NewPCG(seed, faultRandomStream))}
 }
 
 // SetFaults replaces the faults.
@@ -41,14 +43,15 @@
 	n.faults = f
 }
 
-// Reachable reports whether one address reaches another, for streams.
+// Reachable reports whether no partition separates one address from another. It is for stream connections, which a
+// Network does not wrap.
 func (n *Network) Reachable(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults.Partitioned == nil || !n.faults.Partitioned(from, to)
 }
 
-// drawDelays draws what happens to one datagram: the delay of each of its copies. None is left of a lost one.
+// drawDelays draws the delay of each copy of a datagram to deliver. It returns none if the datagram is lost.
 func (n *Network) drawDelays(from, to string) (delays []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,23 +69,23 @@
 	return delays
 }
 
-// Wrap puts a socket behind the network. meter may be nil.
+// Wrap returns a socket that sends through the network. meter, if not nil, counts what it sends.
 func (n *Network) Wrap(socket net.PacketConn, meter *Meter) *Conn {
 	return &Conn{PacketConn: socket, network: n, meter: meter}
 }
 
-// Conn is a socket behind a Network and a Meter.
+// Conn is a socket that sends through a Network.
 type Conn struct {
 	net.PacketConn
 	network *Network
-	meter   *Meter
+	meter   *Meter // may be nil
 	muted   atomic.Bool
 }
 
-// Mute drops everything that is sent from now on.
+// Mute makes the socket drop all further datagrams that are sent.
 func (c *Conn) Mute() { c.muted.Store(true) }
 
-// WriteTo implements net.PacketConn. It reports success also for datagrams that are lost, as a socket does.
+// WriteTo implements net.PacketConn. It reports success for lost datagrams, too, as a UDP socket does.
 func (c *Conn) WriteTo(p []byte, to net.Addr) (int, error) {
 	if c.meter != nil {
 		c.meter.Add(len(p))
--- a/internal/fake/fakeplatform/client.go
+++ b/internal/fake/fakeplatform/client.go
@@ -12,22 +12,22 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// responseGrace is how long after its deadline a client still waits for a response.
+// responseGrace is how long a client waits for a response beyond the deadline of its call.
 const responseGrace = 5 * time.Second
 
-// Client is a fake client: it makes calls and records what comes of them.
+// Client is a fake client. It makes calls and records them and their final answers.
 type Client struct {
 	BaseURL    string // "http://host:port"
 	Records    *invariants.Log
 	HTTPClient *http.Client
-	Router     string // its name in the records; "": DefaultRouter
+	Router     string // the router's name in the records; "" means DefaultRouter
 }
 
-// router is the router's name in the records.
+// router returns the router's name in the records.
 func (c *Client) router() string { return cmp.Or(c.Router, DefaultRouter) }
 
-// Call makes one call. It returns the response's status and body, or 0 and an error's text where there is no complete
-// response.
+// Call makes one call. It returns the status and the body of the response, or 0 and the text of an error if no complete
+// response was received.
 func (c *Client) Call(id, class, function string, deadline time.Duration) (status int, body string) {
 	started := c.Records.Now()
 	c.Records.Add(invariants.Record{Kind: invariants.CallSent, Call: id, Request: id, Class: class, Router: c.router(), Deadline: started + deadline})
@@ -65,7 +65,7 @@
 	return request, nil
 }
 
-// answerOf returns the final answer that a response's status stands for.
+// answerOf returns the final answer that the status of a response represents.
 func answerOf(status int) invariants.Answer {
 	switch status {
 	case http.StatusOK:
--- a/internal/fake/fakeplatform/discovery.go
+++ b/internal/fake/fakeplatform/discovery.go
@@ -11,18 +11,17 @@
 )
 
 const (
-	// maxPollWaitMS is the longest time that a poll may ask to wait for events, in milliseconds.
+	// maxPollWaitMS is the maximum wait for events that a poll may request, in milliseconds.
 	maxPollWaitMS = 5000
-	// maxUnreadPolls bounds the polls that wait in DiscoveryServer.Polls. Beyond it a poll is not answered until one is
-	// read.
+	// maxUnreadPolls is the capacity of the channel of DiscoveryServer.Polls. While it is full, polls are not answered.
 	maxUnreadPolls = 1 << 12
 )
 
-// DiscoveryServer is a fake discovery server: it has a list of numbered events and answers long polls.
+// DiscoveryServer is a fake discovery server. It holds a list of numbered events and answers long polls.
 type DiscoveryServer struct {
-	// Respond is called before each response, with the number of the poll, from 1, and the body that is to be sent. What
-	// it returns is written instead, as raw bytes without an HTTP header, and the connection is closed, with hold only
-	// when the server stops. With "" and without hold, or if Respond is nil, the response is the usual one.
+	// Respond, if not nil, is called before each response, with the number of the poll, counted from 1, and the usual
+	// body of the response. If it returns "" and false, the usual response is sent. Otherwise the server writes raw in
+	// its place, without adding an HTTP header, and closes the connection: at once, or if hold is set, when it stops.
 	Respond func(poll int, body string) (raw string, hold bool)
 
 	address    string
@@ -32,19 +31,20 @@
 	wg         sync.WaitGroup // of the goroutines that accept connections
 
 	mu            sync.Mutex    // guards what follows
-	events        []string      // the first has revision 1
+	events        []string      // in the order of their revisions; the first has revision 1
 	added         chan struct{} // closed and replaced when an event is added
-	pollCount     int
-	bytesSent     int64
-	respondAtOnce bool
+	pollCount     int           // valid polls received
+	bytesSent     int64         // in the bodies of responses
+	respondAtOnce bool          // whether or not there are new events
 }
 
-// StartDiscoveryServer starts a discovery server on a free port with events, the first of which has revision 1.
+// StartDiscoveryServer starts a discovery server on a free loopback port. It holds the events, the first of which has
+// revision 1.
 func StartDiscoveryServer(events ...string) (*DiscoveryServer, error) {
 	return StartDiscoveryServerAt("127.0.0.1:0", events...)
 }
 
-// StartDiscoveryServerAt is StartDiscoveryServer at a given address.
+// StartDiscoveryServerAt is like StartDiscoveryServer, but listens on the given address.
 func StartDiscoveryServerAt(address string, events ...string) (*DiscoveryServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -70,7 +70,7 @@
 // Suspend closes the listener and all connections until Resume is called.
 func (s *DiscoveryServer) Suspend() { _ = s.httpServer.Close() }
 
-// Resume listens again, after Suspend, at the same address. It fails where another process has taken that meanwhile.
+// Resume listens again on the same address, after Suspend. It fails if another process has taken the address meanwhile.
 func (s *DiscoveryServer) Resume() error {
 	listener, err := net.Listen("tcp", s.address)
 	if err != nil {
@@ -103,38 +103,38 @@
 	s.added = make(chan struct{})
 }
 
-// RespondAtOnce has the server respond to each further poll at once, whether or not there are events.
+// RespondAtOnce makes the server respond to each further poll without waiting for events.
 func (s *DiscoveryServer) RespondAtOnce() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.respondAtOnce = true
 }
 
-// Polls returns a channel that has the revision of each poll, in order.
+// Polls returns a channel that receives the revision of each poll, in order.
 func (s *DiscoveryServer) Polls() <-chan int { return s.polls }
 
-// Revision returns that of the last event.
+// Revision returns the revision of the last event.
 func (s *DiscoveryServer) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(len(s.events))
 }
 
-// BytesSent returns how many bytes the bodies of all responses to polls have had.
+// BytesSent returns the total size of the response bodies so far, in bytes.
 func (s *DiscoveryServer) BytesSent() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bytesSent
 }
 
-// AllEvents returns the response to a poll from revision 0. It has the form of "known" in a configuration.
+// AllEvents returns the response to a poll from revision 0. The setting "known" of a router has the same format.
 func (s *DiscoveryServer) AllEvents() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.responseBody(0)
 }
 
-// responseBody returns the response with the events after a revision. The server's lock is held.
+// responseBody returns the body of a response with the events after a revision. s.mu is held.
 func (s *DiscoveryServer) responseBody(revision int) string {
 	var events []string
 	for i := revision; i < len(s.events); i++ {
@@ -143,7 +143,7 @@
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(s.events), strings.Join(events, ","))
 }
 
-// handlePoll responds with the events after the poll's revision, as soon as there are any or its wait is over.
+// handlePoll responds with the events after the poll's revision, as soon as there are any or the poll's wait has ended.
 func (s *DiscoveryServer) handlePoll(w http.ResponseWriter, r *http.Request) {
 	revision, revisionErr := strconv.Atoi(r.URL.Query().Get("resume"))
 	waitMS, waitErr := strconv.Atoi(r.URL.Query().Get("block"))
@@ -185,7 +185,8 @@
 	_, _ = fmt.Fprint(w, body)
 }
 
-// writeRaw writes bytes in place of a response and closes the connection, with hold only when the server stops.
+// writeRaw writes raw in place of an HTTP response and closes the connection: at once, or if hold is set, when the
+// server stops.
 func (s *DiscoveryServer) writeRaw(w http.ResponseWriter, raw string, hold bool) {
 	netConn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -199,9 +200,9 @@
 	_ = netConn.Close()
 }
 
-// EndpointsEvent returns an event about workers, for AddEvent. Each worker is "id address state", or "id address state
-// cell start" with the start in Unix milliseconds, such as "a 127.0.0.1:1 active 0 1700000000000". snapshot is whether
-// the event has all workers that there are.
+// EndpointsEvent returns an event about workers, for AddEvent. Each worker is given as "id address state", or as "id
+// address state cell start" with its start time in Unix milliseconds, such as "a 127.0.0.1:1 active 0 1700000000000".
+// snapshot states whether the event lists all workers of the platform.
 func EndpointsEvent(snapshot bool, workers ...string) string {
 	var members []string
 	for _, worker := range workers {
--- a/internal/fake/fakeplatform/golden_test.go
+++ b/internal/fake/fakeplatform/golden_test.go
@@ -19,8 +19,8 @@
 	execFields   = "item=" + testFunction + ",cls=c,nonce=k,limit=1000"
 )
 
-// exchange sends raw bytes to a worker and returns all that it replies before it closes the connection, or until so
-// many bytes have come.
+// exchange sends raw bytes to a worker and returns the first replyLength bytes of its reply. If replyLength is 0, the
+// worker must close the connection without a reply.
 func exchange(t *testing.T, w *Worker, request string, replyLength int) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.Addr())
@@ -54,7 +54,8 @@
 	return w
 }
 
-// TestGoldenWorkerReplies holds the bytes that a worker replies to each command.
+// TestGoldenWorkerReplies checks the bytes of a worker's reply to each command, and that it closes the connection after
+// invalid messages.
 func TestGoldenWorkerReplies(t *testing.T) {
 	for name, c := range map[string]struct{ request, reply string }{
 		"exec": {EncodeMessage("exec", testID, execFields, "body"),
@@ -87,7 +88,7 @@
 	}
 }
 
-// TestGoldenWorkerRecords holds what a worker records: of a deduplicated class a repeated key runs once.
+// TestGoldenWorkerRecords checks a worker's records, and that a repeated key of a deduplicated class runs once.
 func TestGoldenWorkerRecords(t *testing.T) {
 	records := invariants.NewLog()
 	w := startTestWorker(t, &Worker{ID: "w", Records: records, DeduplicatedClass: "c"})
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestGoldenDiscoveryResponses holds the status and the body of the responses to polls.
+// TestGoldenDiscoveryResponses checks the status and the body of the responses to polls.
 func TestGoldenDiscoveryResponses(t *testing.T) {
 	const (
 		first  = `{"cursor":1,"nodes":{"revision":1,"complete":true,"members":[{"id":"a","host_port":"1.1.1.1:1","phase":"active","cell":0,"up_since_ms":0,"locality":"z","flavor":"k","size":1.0},{"id":"b","host_port":"1.1.1.2:1","phase":"leaving","cell":3,"up_since_ms":17,"locality":"z","flavor":"k","size":1.0}]}}`
@@ -161,7 +162,7 @@
 	}
 }
 
-// TestGoldenClientRequest holds the request of a client and what it records for each status.
+// TestGoldenClientRequest checks the request of a client and its records for each status.
 func TestGoldenClientRequest(t *testing.T) {
 	for status, want := range map[int]invariants.Answer{200: invariants.Served, 429: invariants.Rejected, 503: invariants.Rejected,
 		500: invariants.Failed, 502: invariants.Failed, 504: invariants.Failed} {
--- a/internal/fake/fakeplatform/worker.go
+++ b/internal/fake/fakeplatform/worker.go
@@ -14,62 +14,62 @@
 	"github.com/topazfront/topazfront/internal/invariants"
 )
 
-// DefaultRouter is the name in the records of the router that comes to a worker's first address.
+// DefaultRouter is the default name, in the records, of the router that connects to a worker's first address.
 const DefaultRouter = "r"
 
-// maxUnreadArrivals bounds the arrivals that wait in Worker.Arrivals. Further ones are dropped.
+// maxUnreadArrivals is the capacity of the channel of Worker.Arrivals. While it is full, values are dropped.
 const maxUnreadArrivals = 1 << 16
 
-// Worker is a fake worker. Its exported fields are set before Start.
+// Worker is a fake worker. Its exported fields must be set before Start.
 type Worker struct {
 	ID                string
-	Router            string          // in the records, of what comes to the first address; "": DefaultRouter
-	Records           *invariants.Log // nil: nothing is recorded
-	WorkDuration      time.Duration   // of a request
-	DeduplicatedClass string          // a class of which a request with a known idempotency key is not run again
-	ExecutedKeys      *KeySet         // of the workers that drop each other's repeats; nil: this worker alone
-	// Handle handles a message. It is called on the connection's goroutine. nil: messages are handled by HandleHealthy,
-	// each on a goroutine of its own.
+	Router            string          // that connects to the first address, by name; "" means DefaultRouter
+	Records           *invariants.Log // nil means that nothing is recorded
+	WorkDuration      time.Duration   // how long each request runs
+	DeduplicatedClass string          // class whose repeated idempotency keys are not run again
+	ExecutedKeys      *KeySet         // of the workers that don't run each other's keys again; nil means this worker only
+	// Handle handles a message. It is called on the connection's goroutine. If it is nil, HandleHealthy handles each
+	// message on a separate goroutine.
 	Handle func(r Request)
 
 	listener net.Listener
-	arrivals chan struct{}
+	arrivals chan struct{} // receives a value for each message
 	keys     *KeySet
 	wg       sync.WaitGroup // of all goroutines; Stop waits for it
 
 	mu        sync.Mutex // guards what follows
 	stopped   bool
 	draining  bool
-	listeners []net.Listener // the first and those of further routers
+	listeners []net.Listener // the first one and those of AddRouter
 	conns     map[*Conn]struct{}
-	accepted  int // connections since Start
+	accepted  int // number of connections since the worker was created
 	received  []Request
-	inFlight  map[string]int // requests, by function
+	inFlight  map[string]int // number of running requests, by function
 }
 
-// ConnFault is how a worker ends a connection on its own account.
+// ConnFault is a way in which a worker ends or stalls a connection.
 type ConnFault int
 
-// The faults of connections.
+// Faults of connections.
 const (
-	CloseConn ConnFault = iota // an orderly end
-	ResetConn                  // a reset, as the process of a worker that dies causes
-	HangConn                   // nothing is said: what still comes is not looked at
+	CloseConn ConnFault = iota // orderly close
+	ResetConn                  // reset, as after the death of the worker's process
+	HangConn                   // the connection stays open, but messages are ignored and nothing is written
 )
 
-// Conn is one connection to a worker. Its writes may be called from any goroutine.
+// Conn is one connection to a worker. WriteMessage and WriteRaw may be called from any goroutine.
 type Conn struct {
 	net.Conn
-	Router    string      // by the address that it came to
-	forgotten atomic.Bool // what still comes is not looked at
+	Router  string      // name of the router, according to the address that it connected to
+	hanging atomic.Bool // by HangConn
 
 	mu sync.Mutex // held while a message is written
 }
 
-// Fail ends the connection by a fault.
+// Fail ends or stalls the connection according to a fault.
 func (c *Conn) Fail(fault ConnFault) {
 	if fault == HangConn {
-		c.forgotten.Store(true)
+		c.hanging.Store(true)
 		return
 	}
 	if tcpConn, ok := c.Conn.(*net.TCPConn); ok && fault == ResetConn {
@@ -78,15 +78,15 @@
 	_ = c.Close()
 }
 
-// WriteMessage writes an array of bulk strings.
+// WriteMessage writes a RESP array of bulk strings.
 func (c *Conn) WriteMessage(items ...string) {
 	c.WriteRaw(EncodeMessage(items...))
 }
 
-// WriteRaw writes bytes as they are, and nothing on a forgotten connection. An error is ignored: the router sees the lost
-// connection, and the worker's reader too.
+// WriteRaw writes raw without encoding it, or nothing if the connection hangs. It ignores errors, because the router
+// and the worker's reading goroutine detect a lost connection by themselves.
 func (c *Conn) WriteRaw(raw string) {
-	if c.forgotten.Load() {
+	if c.hanging.Load() {
 		return
 	}
 	c.mu.Lock()
@@ -94,7 +94,7 @@
 	_, _ = io.WriteString(c.Conn, raw)
 }
 
-// Start starts the worker. address may name the port of a worker that was stopped.
+// Start starts the worker on an address, which may be that of a worker that was stopped.
 func (w *Worker) Start(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// AddRouter opens a further address, and returns it. What comes there is recorded as that router's: a worker sees no
-// names.
+// AddRouter listens on another address and returns it. Messages received there are recorded under the given name of a
+// router, because the protocol does not identify routers.
 func (w *Worker) AddRouter(name string) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,10 +122,10 @@
 	return listener.Addr().String(), nil
 }
 
-// Addr returns the address that the worker listens on.
+// Addr returns the first address that the worker listens on.
 func (w *Worker) Addr() string { return w.listener.Addr().String() }
 
-// Stop stops the worker: its connections are reset. It returns when the handling of all messages has ended.
+// Stop stops the worker and resets its connections. It returns when all messages have been handled.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -137,7 +137,7 @@
 	w.wg.Wait()
 }
 
-// FailConns ends all open connections by a fault.
+// FailConns ends or stalls all open connections according to a fault.
 func (w *Worker) FailConns(fault ConnFault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,24 +153,24 @@
 	return append([]Request(nil), w.received...)
 }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (w *Worker) Connections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.conns)
 }
 
-// Accepted returns how many connections have been accepted since the start.
+// Accepted returns the number of connections accepted so far.
 func (w *Worker) Accepted() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.accepted
 }
 
-// Arrivals returns a channel that has a value for each message received.
+// Arrivals returns a channel that receives a value for each message received.
 func (w *Worker) Arrivals() <-chan struct{} { return w.arrivals }
 
-// accept accepts a router's connections until the listener is closed.
+// accept accepts the connections of a router until the listener is closed.
 func (w *Worker) accept(listener net.Listener, router string) {
 	for {
 		netConn, err := listener.Accept()
@@ -180,7 +180,7 @@
 		c := &Conn{Conn: netConn, Router: router}
 		w.mu.Lock()
 		w.conns[c] = struct{}{}
-		if w.stopped { // it was accepted before the listener was closed
+		if w.stopped { // the connection was accepted before Stop closed the listener
 			c.Fail(ResetConn)
 		}
 		w.accepted++
@@ -189,8 +189,8 @@
 	}
 }
 
-// serve handles the messages of a connection until it ends or a message can't be used. The platform's workers close the
-// connection then, too.
+// serve handles the messages of a connection until it ends. It closes the connection after an invalid message, as the
+// platform's workers do.
 func (w *Worker) serve(c *Conn) {
 	defer func() {
 		_ = c.Close()
@@ -208,7 +208,7 @@
 		if err != nil {
 			return
 		}
-		if c.forgotten.Load() {
+		if c.hanging.Load() {
 			continue
 		}
 		request.Conn = c
@@ -221,7 +221,7 @@
 	}
 }
 
-// recordReceived keeps a message for Received, announces it on Arrivals and records it.
+// recordReceived stores a message for Received, sends a value to Arrivals and adds a record of the message.
 func (w *Worker) recordReceived(request Request) {
 	w.mu.Lock()
 	w.received = append(w.received, request)
@@ -244,21 +244,21 @@
 	}
 }
 
-// SetDraining sets whether the worker drains: it completes what it has and rejects what is new.
+// SetDraining sets whether the worker is draining. If so, it completes the requests that it has and rejects new ones.
 func (w *Worker) SetDraining(draining bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.draining = draining
 }
 
-// Draining reports whether the worker drains.
+// Draining reports whether the worker is draining.
 func (w *Worker) Draining() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.draining
 }
 
-// HandleHealthy handles a message as a healthy worker does, or as one that drains.
+// HandleHealthy handles a message as a healthy worker does, or as a draining one if SetDraining was called.
 func (w *Worker) HandleHealthy(r Request) {
 	draining := w.Draining()
 	loadsNothing := r.Fields[copiesField] == "0"
@@ -278,11 +278,14 @@
 	}
 }
 
-// isHealthCheck reports whether a message asks for the worker's readiness. A request for the load does so, too.
-func isHealthCheck(r Request) bool { return r.Command == loadCommand || r.Command == healthCommand }
+// isHealthCheck reports whether the reply to a message states the worker's readiness. The reply to
+// loadReportCommand does so, too.
+func isHealthCheck(r Request) bool {
+	return r.Command == loadReportCommand || r.Command == healthCommand
+}
 
-// handleExec runs a request for WorkDuration. The reply reports the requests that the worker holds, and in "company"
-// how many others of the function it held when the request came.
+// handleExec runs a request for WorkDuration. Its reply reports how many requests the worker had when this one arrived:
+// in "inflight" all of them, including this one, and in "company" the others of the same function.
 func (w *Worker) handleExec(r Request) {
 	function := r.Fields[functionField]
 	w.mu.Lock()
@@ -301,7 +304,7 @@
 	r.Conn.WriteMessage(r.ID, "ok", fmt.Sprintf("company=%d,meter=inflight:%d;util:0.5", others, total), "done "+r.Body)
 }
 
-// RecordExecution records that a request runs, unless it is a repeat that is not run.
+// RecordExecution records that a request runs, unless it repeats an idempotency key of the deduplicated class.
 func (w *Worker) RecordExecution(r Request) {
 	isNew := w.keys.add(r.Fields[idempotencyKeyField])
 	repeated := w.DeduplicatedClass != "" && r.Fields[classField] == w.DeduplicatedClass && !isNew
@@ -310,13 +313,14 @@
 	}
 }
 
-// KeySet is the idempotency keys of requests that ran. Its zero value is empty.
+// KeySet is a set of the idempotency keys of requests that were run. Its zero value is empty. It may be used from any
+// goroutine.
 type KeySet struct {
 	mu   sync.Mutex
 	keys map[string]bool
 }
 
-// add adds a key and reports whether it is new.
+// add adds a key and reports whether the set did not contain it.
 func (s *KeySet) add(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
