--- a/internal/fake/fakepeer/network.go
+++ b/internal/fake/fakepeer/network.go
@@ -19,8 +19,9 @@
 	LossRate        float64
 	DuplicationRate float64
 	MinDelay        time.Duration
-	MaxDelay        time.Duration              // delays are uniform between the two, so datagrams may be reordered
-	Partitioned     func(from, to string) bool // drops what it returns true for; nil drops nothing
+	MaxDelay        time.Duration // delays are uniform between the two, so datagrams may be reordered
+	// Partitioned, if not nil, reports whether datagrams from one address to another are dropped.
+	Partitioned func(from, to string) bool
 }
 
 // Network injects faults, chosen at random from one seed, between the sockets that it wraps. It may be used from any
--- a/internal/testsupport/await.go
+++ b/internal/testsupport/await.go
@@ -1,4 +1,4 @@
-// Package testsupport has helpers that the tests of several packages share.
+// Package testsupport has helpers for the tests of several packages.
 package testsupport
 
 import (
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// awaitTimeout is far beyond what a passing test waits for, on a busy machine too.
+// awaitTimeout far exceeds the waits of a passing test, even on a busy machine.
 const awaitTimeout = 20 * time.Second
 
-// Await returns the next value of a channel. It ends the test if none comes within 20 s; what names the value in the
-// failure.
+// Await returns the next value of a channel. It fails the test if none is received within 20 s. what describes the
+// value in the failure message.
 func Await[T any](t testing.TB, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
 	case <-time.After(awaitTimeout):
-		t.Fatalf("%s did not come", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable") // Fatalf does not return
 	}
 }
--- a/internal/testsupport/backlog.go
+++ b/internal/testsupport/backlog.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ListenWithFullBacklog returns the address of a listener whose backlog is full, so that further connects hang until
-// accept is called, which empties the backlog.
+// ListenWithFullBacklog returns the address of a listener whose backlog is full, so that further connects hang. accept
+// empties the backlog and returns the listener.
 func ListenWithFullBacklog(t testing.TB) (addr string, accept func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -23,31 +23,31 @@
 		t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	ln, err := net.FileListener(file)
+	listener, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = file.Close()
-	t.Cleanup(func() { _ = ln.Close() })
-	var fill []net.Conn
+	t.Cleanup(func() { _ = listener.Close() })
+	var queued []net.Conn
 	for {
-		nc, err := net.DialTimeout("tcp", ln.Addr().String(), 200*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", listener.Addr().String(), 200*time.Millisecond)
 		if err != nil {
 			break
 		}
-		if fill = append(fill, nc); len(fill) > 64 {
+		if queued = append(queued, conn); len(queued) > 64 {
 			t.Skip("this system accepts connections beyond a full backlog")
 		}
 	}
-	return ln.Addr().String(), func() net.Listener {
-		for _, nc := range fill {
-			_ = nc.Close()
-			got, err := ln.Accept()
+	return listener.Addr().String(), func() net.Listener {
+		for _, conn := range queued {
+			_ = conn.Close()
+			accepted, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			_ = got.Close()
+			_ = accepted.Close()
 		}
-		return ln
+		return listener
 	}
 }
--- a/internal/testsupport/child.go
+++ b/internal/testsupport/child.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// Child is a process of the test binary itself.
+// Child is a child process that runs the test binary.
 type Child struct {
 	Cmd    *exec.Cmd
-	Stdin  io.Closer // by its end the parent tells the child to end
+	Stdin  io.Closer // closed to make the child exit
 	Stdout *bufio.Reader
 }
 
-// StartChild starts the test binary once more, with further environment variables by which its TestMain knows its role.
-// What it writes to stderr goes to the given writer.
+// StartChild runs the test binary in a child process. environment has additional variables ("NAME=value"), by which
+// TestMain detects that it runs as a child. The child's stderr is copied to the given writer.
 func StartChild(t testing.TB, stderr io.Writer, environment ...string) *Child {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
--- a/internal/testsupport/faultyfs/faultyfs.go
+++ b/internal/testsupport/faultyfs/faultyfs.go
@@ -1,4 +1,4 @@
-// Package faultyfs is a file system whose calls fail as a test says.
+// Package faultyfs has a file system whose calls can be made to fail.
 package faultyfs
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/topazfront/topazfront/internal/durable"
 )
 
-// Operation names a call of a durable.FileSystem or a durable.File.
+// Operation is the kind of a call to a durable.FileSystem or a durable.File.
 type Operation string
 
-// The operations.
+// Kinds of calls.
 const (
 	Create        Operation = "create"
 	Mkdir         Operation = "mkdir"
@@ -23,26 +23,27 @@
 	SyncDirectory Operation = "sync directory"
 )
 
-// FS passes calls on to the system's own file system, but those that are to fail. After a fault of Break all
-// calls fail until Repair, as on a disk that is full or broken.
+// FS is a file system that passes calls on to that of the operating system, except for calls that Break or BreakOnce
+// makes fail. It may be used from any goroutine.
 type FS struct {
 	mu       sync.Mutex
-	calls    []Operation
-	breakAt  int // number of the call that fails; 0: none
-	written  int // bytes of a failing write that reach the file
-	err      error
-	onlyOnce bool // the calls after the one that fails succeed
+	calls    []Operation // since the last Break, BreakOnce or Repair
+	breakAt  int         // number of the first call that fails; 0 means that none fails
+	written  int         // bytes of the first failing call, if it is a write, that reach the file
+	err      error       // of the calls that fail
+	onlyOnce bool        // the calls after the first failing one succeed
 }
 
-// Break makes the call of that number, counted from 1 and from now on, fail with err, and all after it. If it is a
-// write, that many of its bytes reach the file. The count of calls starts anew.
+// Break makes a call and all calls after it fail with err until Repair, as on a full or broken disk. call is the number
+// of the first call that fails, where 1 is the next call. If that call is a write, its first written bytes reach the
+// file. Break clears Calls.
 func (f *FS) Break(call int, err error, written int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls, f.breakAt, f.err, f.written, f.onlyOnce = nil, call, err, written, false
 }
 
-// BreakOnce is Break, but the calls after the one that fails succeed.
+// BreakOnce is like Break, but only one call fails.
 func (f *FS) BreakOnce(call int, err error, written int) {
 	f.Break(call, err, written)
 	f.mu.Lock()
@@ -50,18 +51,18 @@
 	f.onlyOnce = true
 }
 
-// Repair lets all calls succeed. The count of calls starts anew.
+// Repair makes all further calls succeed and clears Calls.
 func (f *FS) Repair() { f.Break(0, nil, 0) }
 
-// Calls returns the calls since the latest Break or Repair.
+// Calls returns the calls since the last Break, BreakOnce or Repair.
 func (f *FS) Calls() []Operation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]Operation(nil), f.calls...)
 }
 
-// count counts a call and returns its error.
-func (f *FS) count(operation Operation) error {
+// recordCall records a call and returns its error, or nil if the call succeeds.
+func (f *FS) recordCall(operation Operation) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, operation)
@@ -72,8 +73,8 @@
 	return &fs.PathError{Op: string(operation), Path: "faulty", Err: f.err}
 }
 
-// partial returns how many bytes of a failing write reach the file.
-func (f *FS) partial() int {
+// partialWriteSize returns how many bytes of a write that has just failed reach the file.
+func (f *FS) partialWriteSize() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.calls) != f.breakAt {
@@ -84,7 +85,7 @@
 
 // Create implements durable.FileSystem.
 func (f *FS) Create(path string, mode fs.FileMode) (durable.File, error) {
-	if err := f.count(Create); err != nil {
+	if err := f.recordCall(Create); err != nil {
 		return nil, err
 	}
 	return f.wrap(durable.OS.Create(path, mode))
@@ -92,7 +93,7 @@
 
 // CreateTemp implements durable.FileSystem.
 func (f *FS) CreateTemp(dir, pattern string) (durable.File, error) {
-	if err := f.count(Create); err != nil {
+	if err := f.recordCall(Create); err != nil {
 		return nil, err
 	}
 	return f.wrap(durable.OS.CreateTemp(dir, pattern))
@@ -107,7 +108,7 @@
 
 // MkdirAll implements durable.FileSystem.
 func (f *FS) MkdirAll(path string, mode fs.FileMode) error {
-	if err := f.count(Mkdir); err != nil {
+	if err := f.recordCall(Mkdir); err != nil {
 		return err
 	}
 	return durable.OS.MkdirAll(path, mode)
@@ -115,7 +116,7 @@
 
 // Rename implements durable.FileSystem.
 func (f *FS) Rename(from, to string) error {
-	if err := f.count(Rename); err != nil {
+	if err := f.recordCall(Rename); err != nil {
 		return err
 	}
 	return durable.OS.Rename(from, to)
@@ -123,7 +124,7 @@
 
 // Remove implements durable.FileSystem.
 func (f *FS) Remove(path string) error {
-	if err := f.count(Remove); err != nil {
+	if err := f.recordCall(Remove); err != nil {
 		return err
 	}
 	return durable.OS.Remove(path)
@@ -131,7 +132,7 @@
 
 // SyncDirectory implements durable.FileSystem.
 func (f *FS) SyncDirectory(path string) error {
-	if err := f.count(SyncDirectory); err != nil {
+	if err := f.recordCall(SyncDirectory); err != nil {
 		return err
 	}
 	return durable.OS.SyncDirectory(path)
@@ -145,8 +146,8 @@
 
 // Write implements io.Writer.
 func (w *file) Write(p []byte) (int, error) {
-	if err := w.fs.count(Write); err != nil {
-		n, _ := w.File.Write(p[:min(w.fs.partial(), len(p))])
+	if err := w.fs.recordCall(Write); err != nil {
+		n, _ := w.File.Write(p[:min(w.fs.partialWriteSize(), len(p))])
 		return n, err
 	}
 	return w.File.Write(p)
@@ -154,7 +155,7 @@
 
 // Sync implements durable.File.
 func (w *file) Sync() error {
-	if err := w.fs.count(Sync); err != nil {
+	if err := w.fs.recordCall(Sync); err != nil {
 		return err
 	}
 	return w.File.Sync()
@@ -162,7 +163,7 @@
 
 // Close implements io.Closer.
 func (w *file) Close() error {
-	err := w.fs.count(Close)
+	err := w.fs.recordCall(Close)
 	if closeErr := w.File.Close(); err == nil {
 		err = closeErr
 	}
--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden helps tests that hold bytes or decoded values by a file recorded before.
+// Package golden compares the output of tests with golden files.
 package golden
 
 import (
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// Compare compares bytes with the file of that name under testdata/golden. With the test flag -update it writes the
-// file first.
+// Compare fails the test if got differs from the content of a file under testdata/golden. With the test flag -update it
+// first writes got to the file.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -37,7 +37,7 @@
 	}
 }
 
-// Read returns an input under testdata/golden.
+// Read returns the content of a file under testdata/golden, which a test uses as input.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -47,8 +47,8 @@
 	return raw
 }
 
-// PlainValue writes a value as numbers and strings in the order of its fields, without any Go name, so that renaming a
-// type or field leaves the text as it is.
+// PlainValue formats a value as numbers and strings in the order of its fields. The text contains no Go names, so that
+// it does not change when a type or field is renamed.
 func PlainValue(v any) string { return plainValue(reflect.ValueOf(v)) }
 
 func plainValue(v reflect.Value) string {
--- a/internal/testsupport/golden/timeleft.go
+++ b/internal/testsupport/golden/timeleft.go
@@ -8,11 +8,13 @@
 	"time"
 )
 
-// timeLeftTolerance is how much of the time left a test may have used up before it sent it, on a busy machine too.
+// timeLeftTolerance is how much lower the sent number may be because of the time that a test takes to send it, even on
+// a busy machine.
 const timeLeftTolerance = 30 * time.Second
 
-// MaskTimeLeft replaces each number of milliseconds that follows prefix by as many "#", as the time that is left differs
-// from run to run. It fails the test if the number is above left, or below it by more than 30 s.
+// MaskTimeLeft replaces the digits of each number that follows prefix by "#". The numbers are remaining times in
+// milliseconds, which differ from run to run. It fails the test if a number is above left, or below it by more than 30
+// s.
 func MaskTimeLeft(t testing.TB, got, prefix string, left time.Duration) string {
 	t.Helper()
 	number := regexp.MustCompile(regexp.QuoteMeta(prefix) + `[0-9]+`)
@@ -20,7 +22,7 @@
 		digits := strings.TrimPrefix(match, prefix)
 		ms, err := strconv.ParseInt(digits, 10, 64)
 		if err != nil || ms > left.Milliseconds() || ms < (left-timeLeftTolerance).Milliseconds() {
-			t.Errorf("%s ms left, want up to %v less than %v", digits, timeLeftTolerance, left)
+			t.Errorf("remaining time is %s ms, want at most %v below %v", digits, timeLeftTolerance, left)
 		}
 		return prefix + strings.Repeat("#", len(digits))
 	})
--- a/internal/testsupport/grpcmessage.go
+++ b/internal/testsupport/grpcmessage.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	grpcPrefixLen  = 5 // a flag and the length
-	grpcCompressed = 1 // the flag of a compressed message
+	grpcPrefixLen  = 5 // one byte for the compressed flag and four for the length
+	grpcCompressed = 1 // value of the flag for a compressed message
 )
 
-// CompressGRPCMessage returns a gRPC message with its prefix, compressed by gzip.
+// CompressGRPCMessage returns a gRPC message, consisting of a prefix and the gzip-compressed body.
 func CompressGRPCMessage(t testing.TB, body []byte) []byte {
 	t.Helper()
 	var message bytes.Buffer
--- a/internal/testsupport/listen.go
+++ b/internal/testsupport/listen.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Listen returns a listener on a free port of the loopback interface, which is closed with the test.
+// Listen returns a listener on a free loopback port. It is closed when the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -16,7 +16,7 @@
 	return listener
 }
 
-// UnusedAddress returns an address of the loopback interface at which nothing listens.
+// UnusedAddress returns a loopback address on which nothing listens.
 func UnusedAddress(t testing.TB) string {
 	t.Helper()
 	listener := Listen(t)
@@ -24,7 +24,8 @@
 	return listener.Addr().String()
 }
 
-// ServeConns accepts connections until the test ends, serves each by a goroutine of its own and closes it afterwards.
+// ServeConns accepts connections until the test ends. It calls serve for each one in a separate goroutine and then
+// closes it. addr is the address that it listens on.
 func ServeConns(t testing.TB, serve func(net.Conn)) (addr string) {
 	t.Helper()
 	listener := Listen(t)
--- a/internal/testsupport/platformtest/platformtest.go
+++ b/internal/testsupport/platformtest/platformtest.go
@@ -1,4 +1,4 @@
-// Package platformtest starts the fakes of package fakeplatform for the length of a test.
+// Package platformtest runs the fakes of package fakeplatform for the duration of a test.
 package platformtest
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/topazfront/topazfront/internal/fake/fakeplatform"
 )
 
-// StartDiscovery starts a discovery server that has the events. It stops with the test.
+// StartDiscovery starts a discovery server that holds the events. It is stopped when the test ends.
 func StartDiscovery(t testing.TB, events ...string) *fakeplatform.DiscoveryServer {
 	t.Helper()
 	server, err := fakeplatform.StartDiscoveryServer(events...)
@@ -18,7 +18,7 @@
 	return server
 }
 
-// StartWorker starts a worker on a free port of the loopback interface. It stops with the test.
+// StartWorker starts a worker on a free loopback port and returns it. It is stopped when the test ends.
 func StartWorker(t testing.TB, worker *fakeplatform.Worker) *fakeplatform.Worker {
 	t.Helper()
 	if err := worker.Start("127.0.0.1:0"); err != nil {
--- a/internal/testsupport/wallstep.go
+++ b/internal/testsupport/wallstep.go
@@ -8,12 +8,13 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// wallSecondShift is where the seconds of the wall time begin in the first word of a time.Time that has a monotonic
-// reading (see the comment on time.Time in the standard library).
+// wallSecondShift is the position of the lowest bit of the wall time's seconds in the first word of a time.Time that
+// has a monotonic reading (see the comment on time.Time in the standard library).
 const wallSecondShift = 30
 
-// StepWallClock returns moment as time.Now would have given it had the wall clock been set by whole seconds before: its
-// monotonic reading is the same. It fails the test should the standard library lay out time.Time in another way.
+// StepWallClock returns the time that time.Now would have returned at moment if the wall clock had been stepped before
+// by step, in whole seconds. The monotonic reading is the same. It fails the test if the standard library uses another
+// layout of time.Time.
 func StepWallClock(t *testing.T, moment time.Time, step time.Duration) time.Time {
 	t.Helper()
 	stepped := moment
