--- a/internal/transport/http2/config.go
+++ b/internal/transport/http2/config.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Config limits a connection. Zero fields take the values of [DefaultConfig].
+// Config holds the limits and timeouts of a connection. Zero fields take the values of [DefaultConfig].
 type Config struct {
 	MaxConcurrentStreams uint32        // streams that the peer may have open at once
 	StreamWindow         uint32        // initial receive window of a stream, in bytes
 	ConnWindow           uint32        // receive window of the connection, in bytes
 	MaxFrameSize         uint32        // largest frame payload accepted, in bytes
-	MaxHeaderListSize    int           // largest header list accepted, as hpack.Field.Size counts it
-	MaxHeaderBlockSize   int           // largest encoded header block accepted, in bytes over all its frames
-	SendBufferSize       int           // bytes that may wait for the socket before DATA stays queued in its stream
-	MaxControlBytes      int           // bytes of acknowledgements that may wait for a peer that does not read
+	MaxHeaderListSize    int           // largest header list accepted, in bytes as hpack.Field.Size counts them
+	MaxHeaderBlockSize   int           // largest encoded header block accepted, in bytes, summed over its frames
+	SendBufferSize       int           // bytes waiting for the socket at which further DATA stays queued in its stream
+	MaxControlBytes      int           // largest backlog of acknowledgements for a peer that does not read, in bytes
 	GlitchBurst          float64       // legal but costly frames accepted in a burst: resets, pings, settings, empty frames
-	GlitchRate           float64       // and per second, before the connection is ended
-	FrameReadTimeout     time.Duration // a frame that has begun must be complete within this time
-	WriteTimeout         time.Duration // the socket must accept what is written within this time
+	GlitchRate           float64       // sustained rate of such frames per second; beyond it the connection is ended
+	FrameReadTimeout     time.Duration // time from the first byte of a frame within which it must be complete
+	WriteTimeout         time.Duration // time within which the socket must accept a write
 }
 
-// DefaultConfig has the limits used in production.
+// DefaultConfig holds the limits used in production.
 var DefaultConfig = Config{
 	MaxConcurrentStreams: 1000,
 	StreamWindow:         256 << 10,
@@ -37,7 +37,7 @@
 	WriteTimeout:         30 * time.Second,
 }
 
-// withDefaults fills the zero fields and brings windows and frame size into the protocol's limits.
+// withDefaults replaces zero fields by defaults and clamps the windows and the frame size to the protocol's limits.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig
 	c.MaxConcurrentStreams = cmp.Or(c.MaxConcurrentStreams, d.MaxConcurrentStreams)
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -11,73 +11,73 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// assumedMaxStreams is how many streams a client opens before the peer's SETTINGS have arrived.
+// assumedMaxStreams is the number of streams that a client may open before the server's SETTINGS arrive.
 const assumedMaxStreams = 100
 
 // Handler receives the events of a whole connection. Its methods must not block.
 type Handler interface {
 	// StreamOpened is called at a server for each new stream, before the stream's headers are delivered.
 	StreamOpened(s *Stream) Receiver
-	// GoAway reports that the peer accepts no further streams. Streams that it has not processed are closed
-	// as Unprocessed right after.
+	// GoAway reports that the peer has sent GOAWAY and accepts no further streams. Streams that it has not
+	// processed are closed right after, with StreamError.Unprocessed set.
 	GoAway(c *Conn, code ErrCode)
-	// ConnClosed reports that the connection is over, once. All its streams have been closed before.
+	// ConnClosed is called once, when the connection has ended and all its streams have been closed.
 	ConnClosed(c *Conn, err error)
 }
 
-// Conn is one end of a connection.
+// Conn is one end of an HTTP/2 connection.
 type Conn struct {
 	cfg      Config
 	netConn  netpoll.Connection
 	handler  Handler
 	isClient bool
 
-	// Used by the reading goroutine alone.
+	// Used by the reading goroutine only.
 	decoder            *hpack.Decoder
 	fieldBuffer        []hpack.Field // decoded fields, reused
-	headerBlock        []byte        // fragments of a header block that continues in CONTINUATION frames
-	headerBlockStart   frameHeader   // the HEADERS frame that began it
+	headerBlock        []byte        // fragments so far of a header block that spans CONTINUATION frames
+	headerBlockStart   frameHeader   // header of the HEADERS frame that began headerBlock
 	expectContinuation bool
 	prefaceReceived    bool
-	settingsReceived   bool      // the peer's first SETTINGS
+	settingsReceived   bool      // the peer's first SETTINGS frame has arrived
 	glitchTokens       float64   // token bucket of countGlitch
-	glitchTokensAt     time.Time // when it was filled last
+	glitchTokensAt     time.Time // when the bucket was last refilled
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 
 	encoder         *hpack.Encoder
-	writeBuffer     []byte    // frames that wait for the socket
-	spareBuffer     []byte    // the buffer written last, for reuse
-	queuedControl   int       // bytes of queueControl in writeBuffer
-	sendQueue       []*Stream // streams with something to send, served in turn
-	flushing        bool      // a flush goroutine runs
-	flushDeferred   bool      // the reading goroutine flushes when it has handled what arrived
-	closeAfterFlush bool      // the connection is closed once writeBuffer is written
+	writeBuffer     []byte    // frames waiting for the socket
+	spareBuffer     []byte    // the last buffer written, for reuse
+	queuedControl   int       // bytes in writeBuffer that queueControl added
+	sendQueue       []*Stream // streams with queued data, trailers or END_STREAM, served round-robin
+	flushing        bool      // a flush goroutine is running
+	flushDeferred   bool      // the reading goroutine will flush once it has handled the received frames
+	closeAfterFlush bool      // the connection closes once writeBuffer has been written
 	closed          bool
-	err             error // why the connection ends
+	err             error // why the connection ended or is ending
 
 	streams          map[uint32]*Stream
-	resetStreams     map[uint32]bool // streams that this end reset lately; frames in flight on them are ignored
-	resetOrder       []uint32        // the same, oldest first
-	nextStreamID     uint32          // of the next stream opened by this end
-	lastPeerStreamID uint32          // highest stream opened by the peer
+	resetStreams     map[uint32]bool // streams that this end reset recently; frames still in flight on them are ignored
+	resetOrder       []uint32        // keys of resetStreams, oldest first
+	nextStreamID     uint32          // ID of the next stream opened by this end
+	lastPeerStreamID uint32          // highest ID of a stream opened by the peer
 	numPeerStreams   int             // open streams that the peer opened
 	numLocalStreams  int             // open streams that this end opened
 
 	sendWindow        int64 // bytes of DATA that this end may send
 	recvWindow        int64 // bytes of DATA that the peer may send
-	recvCredit        int64 // bytes received and not yet returned by WINDOW_UPDATE
+	recvCredit        int64 // bytes received for which no WINDOW_UPDATE has been sent yet
 	peerInitialWindow int64
 	peerMaxFrameSize  int
-	peerMaxStreams    uint32 // streams that this end may have open
+	peerMaxStreams    uint32 // SETTINGS_MAX_CONCURRENT_STREAMS of the peer: streams that this end may have open
 
 	goAwayReceived  bool
 	draining        bool // Shutdown was called
-	finalGoAwaySent bool // with the last stream: streams above it are ignored
+	finalGoAwaySent bool // the GOAWAY that names the last stream was sent: streams above it are ignored
 	pendingPings    map[[pingLen]byte]func()
 }
 
-// newConn returns a connection with its preface queued. The caller flushes it when the socket is ready.
+// newConn returns a connection with its preface queued. The caller flushes the preface when the socket is ready.
 func newConn(netConn netpoll.Connection, cfg Config, h Handler, isClient bool) *Conn {
 	cfg = cfg.withDefaults()
 	c := &Conn{
@@ -111,7 +111,7 @@
 	return c
 }
 
-// Dial connects to a server and returns when the socket is open. Streams may be opened before the settings
+// Dial connects to a server and returns when the socket is connected. Streams may be opened before the settings
 // have been exchanged, as RFC 9113, section 3.4 permits.
 func Dial(network, addr string, timeout time.Duration, cfg Config, h Handler) (*Conn, error) {
 	netConn, err := netpoll.NewDialer().DialConnection(network, addr, timeout)
@@ -128,7 +128,7 @@
 		return nil
 	})
 	if !netConn.IsActive() {
-		return nil, errClosedAtOnce
+		return nil, errClosedOnConnect
 	}
 	c.flushPreface()
 	return c, nil
@@ -137,7 +137,7 @@
 // RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() string { return c.netConn.RemoteAddr().String() }
 
-// isPeerStream reports whether the peer opens streams with this ID: a client opens odd ones.
+// isPeerStream reports whether the ID is one that the peer opens: client streams are odd, server streams even.
 func (c *Conn) isPeerStream(id uint32) bool { return (id%2 == 1) != c.isClient }
 
 // isIdle reports whether neither end has opened the stream yet. c.mu is held.
--- a/internal/transport/http2/errors.go
+++ b/internal/transport/http2/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of opening a stream and of writing to it.
+// Errors returned when opening a stream or writing to it.
 var (
 	ErrClosed         = errors.New("http2: stream or connection is closed")
 	ErrTooManyStreams = errors.New("http2: connection has as many open streams as the peer accepts; " +
@@ -14,14 +14,14 @@
 		"open another connection")
 )
 
-// The ends of a connection that are not a protocol error.
+// Reasons for the end of a connection that are not protocol errors.
 var (
-	errClosedByPeer = errors.New("http2: connection closed by the peer")
-	errClosedLocal  = errors.New("http2: connection closed by this end")
-	errClosedAtOnce = errors.New("http2: connection closed by the peer as soon as it was open")
+	errClosedByPeer    = errors.New("http2: connection closed by the peer")
+	errClosedLocal     = errors.New("http2: connection closed by this end")
+	errClosedOnConnect = errors.New("http2: connection closed by the peer as soon as it was open")
 )
 
-// ErrCode is an error code of RST_STREAM and GOAWAY (RFC 9113, section 7).
+// ErrCode is the error code of a RST_STREAM or GOAWAY frame (RFC 9113, section 7).
 type ErrCode uint32
 
 // The error codes.
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("code %d", uint32(c))
 }
 
-// ConnError is a violation of the protocol by the peer that ends the connection. The peer gets its code and
-// reason in a GOAWAY frame.
+// ConnError is a protocol violation by the peer that ends the connection. The GOAWAY frame sent to the peer carries
+// its code, and its reason as debug data.
 type ConnError struct {
 	Code   ErrCode
 	Reason string
@@ -65,19 +65,19 @@
 	return fmt.Sprintf("http2: connection error %v: %s", e.Code, e.Reason)
 }
 
-// connError returns a *ConnError. It is the result of a frame handler, whose caller ends the connection.
+// connError returns a *ConnError. Frame handlers return it, and readFrames then ends the connection.
 func connError(code ErrCode, format string, args ...any) error {
 	return &ConnError{Code: code, Reason: fmt.Sprintf(format, args...)}
 }
 
-// StreamError is the reason why a stream ended before both ends finished it.
+// StreamError is the error of a stream that ended before both ends had sent END_STREAM.
 type StreamError struct {
 	Code        ErrCode
 	Reason      string
-	Remote      bool  // the peer reset it
-	ConnLost    bool  // the connection ended with the stream open
-	Unprocessed bool  // the peer guarantees that it did not process it (RFC 9113, sections 6.8 and 8.7)
-	Err         error // of ConnLost: what ended the connection
+	Remote      bool  // the peer ended the stream, by RST_STREAM or GOAWAY
+	ConnLost    bool  // the connection ended while the stream was open
+	Unprocessed bool  // the peer guarantees that it has not processed the stream (RFC 9113, sections 6.8 and 8.7)
+	Err         error // if ConnLost: the error that ended the connection
 }
 
 func (e *StreamError) Error() string {
@@ -90,5 +90,5 @@
 	return fmt.Sprintf("http2: stream error: %v: %s", e.Code, e.Reason)
 }
 
-// Unwrap returns what ended the connection, if the stream ended with it.
+// Unwrap returns the error that ended the connection if ConnLost is set, else nil.
 func (e *StreamError) Unwrap() error { return e.Err }
--- a/internal/transport/http2/errors_test.go
+++ b/internal/transport/http2/errors_test.go
@@ -10,7 +10,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestErrorTexts: an error names the package and the thing that failed, and carries its cause.
+// TestErrorTexts checks that the text of an error names the package, the failure and its cause.
 func TestErrorTexts(t *testing.T) {
 	violation := &ConnError{Code: ProtocolError, Reason: "DATA on stream 0"}
 	for name, test := range map[string]struct {
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestStreamErrorUnwrapsToItsCause: what ended the connection can be found in the error of each of its streams.
+// TestStreamErrorUnwrapsToItsCause checks that the error of a stream wraps the error that ended its connection.
 func TestStreamErrorUnwrapsToItsCause(t *testing.T) {
 	if err := (&StreamError{ConnLost: true, Err: io.ErrUnexpectedEOF}); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("%v doesn't wrap its cause", err)
@@ -52,17 +52,18 @@
 	}
 	c.Close()
 	if err := testsupport.Await(t, r.ended, "the end of the stream"); !errors.Is(err, errClosedLocal) {
-		t.Errorf("got %v, want one that wraps %v", err, errClosedLocal)
+		t.Errorf("got %v, want an error that wraps %v", err, errClosedLocal)
 	}
 }
 
-// TestDialErrorNamesPackageAndAddress: who reads that a connection failed sees to where.
+// TestDialErrorNamesPackageAndAddress checks that a connect error names the address, so that its log line tells which
+// server is unreachable.
 func TestDialErrorNamesPackageAndAddress(t *testing.T) {
 	s, _ := startServer(t, Config{})
 	addr := s.Addr().String()
 	s.Close()
 	_, err := Dial("tcp", addr, time.Second, Config{}, newRecordingHandler())
 	if err == nil || !strings.HasPrefix(err.Error(), "http2: ") || !strings.Contains(err.Error(), addr) {
-		t.Errorf("got %v, want an error of http2 that names %s", err, addr)
+		t.Errorf("got %v, want an error that starts with \"http2: \" and names %s", err, addr)
 	}
 }
--- a/internal/transport/http2/flowcontrol.go
+++ b/internal/transport/http2/flowcontrol.go
@@ -19,9 +19,9 @@
 		c.mu.Unlock()
 		return connError(FlowControlError, "peer sent beyond the connection's window")
 	}
-	// The connection's window limits bursts only and is returned on receipt: if it were kept back until the
-	// owner has consumed the bytes, a few streams with slow readers would stop all others.
-	c.returnWindow(int64(h.length))
+	// The connection's window only limits bursts and is replenished on receipt. If it were replenished when the
+	// Receiver consumes the bytes, a few streams with slow readers would block all others.
+	c.replenishWindow(int64(h.length))
 	s := c.streams[h.streamID]
 	if s == nil || s.endReceived {
 		return c.rejectData(h.streamID, s)
@@ -31,7 +31,7 @@
 		return nil
 	}
 	s.unconsumed += int64(len(body))
-	s.returnWindow(int64(h.length - len(body))) // the padding
+	s.replenishWindow(int64(h.length - len(body))) // the padding
 	s.endReceived = end
 	finished := s.removeIfFinished()
 	c.mu.Unlock()
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// rejectData handles DATA on a stream that the peer has ended (s), or that is not open (s is nil). c.mu is
-// held and is released.
+// rejectData handles DATA on stream s after the peer's END_STREAM or, if s is nil, on a stream that is not open.
+// c.mu is held and is released.
 func (c *Conn) rejectData(streamID uint32, s *Stream) error {
 	idle, wasReset := c.isIdle(streamID), c.resetStreams[streamID]
 	var err error
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// returnWindow returns received bytes to the peer's window of the connection, half a window at a time. c.mu is
-// held.
-func (c *Conn) returnWindow(n int64) {
+// replenishWindow adds n bytes to the connection's receive window. It sends WINDOW_UPDATE once half a window is due.
+// c.mu is held.
+func (c *Conn) replenishWindow(n int64) {
 	if c.recvCredit += n; c.recvCredit >= int64(c.cfg.ConnWindow)/2 {
 		c.writeBuffer = appendWindowUpdate(c.writeBuffer, 0, uint32(c.recvCredit))
 		c.recvWindow += c.recvCredit
@@ -136,7 +136,8 @@
 	}
 }
 
-// Consume returns window to the peer for n bytes of [Receiver.Data] that the owner no longer holds.
+// Consume tells the stream that n bytes delivered by [Receiver.Data] have been processed, so that the peer may send
+// as many more.
 func (s *Stream) Consume(n int) {
 	if n <= 0 {
 		return
@@ -144,12 +145,13 @@
 	s.conn.mu.Lock()
 	consumed := min(int64(n), s.unconsumed)
 	s.unconsumed -= consumed
-	s.returnWindow(consumed)
+	s.replenishWindow(consumed)
 	s.conn.mu.Unlock()
 }
 
-// returnWindow returns consumed bytes to the stream's window, half a window at a time. c.mu is held.
-func (s *Stream) returnWindow(n int64) {
+// replenishWindow adds n bytes to the stream's receive window. It sends WINDOW_UPDATE once half a window is due.
+// c.mu is held.
+func (s *Stream) replenishWindow(n int64) {
 	if s.closed || s.endReceived || n == 0 {
 		return
 	}
@@ -161,7 +163,7 @@
 	}
 }
 
-// sendQuota returns how many of n bytes may be framed now, at most one frame's. c.mu is held.
+// sendQuota returns how many of n bytes may be sent in one DATA frame now. c.mu is held.
 func (s *Stream) sendQuota(n int) int {
 	c := s.conn
 	quota := min(int64(n), s.sendWindow, c.sendWindow, int64(c.peerMaxFrameSize))
--- a/internal/transport/http2/flowcontrol_test.go
+++ b/internal/transport/http2/flowcontrol_test.go
@@ -9,7 +9,7 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestPeerExceedsStreamWindow guards against a peer that ignores flow control.
+// TestPeerExceedsStreamWindow guards against a peer that sends more than its stream's window.
 func TestPeerExceedsStreamWindow(t *testing.T) {
 	s, handler := startServer(t, Config{StreamWindow: 20000, ConnWindow: 100000})
 	handler.mu.Lock()
@@ -20,13 +20,13 @@
 	r.write(encodeFrame(frameData, 0, 1, make([]byte, 15000)...))
 	r.write(encodeFrame(frameData, 0, 1, make([]byte, 15000)...))
 	if code, goAway := r.readError(1); code != FlowControlError || goAway {
-		t.Fatalf("%v, connection ended: %v", code, goAway)
+		t.Fatalf("error code %v (by GOAWAY: %v), want FLOW_CONTROL_ERROR by RST_STREAM", code, goAway)
 	}
-	checkServes(t, s)
+	checkServesOtherClient(t, s)
 }
 
-// TestEchoBodySizes echoes bodies of many sizes over one connection at once, also larger than windows, frames and
-// buffers.
+// TestEchoBodySizes echoes bodies of many sizes concurrently on one connection. Some are larger than the windows, the
+// frames and the send buffers.
 func TestEchoBodySizes(t *testing.T) {
 	s, _ := startServer(t, Config{StreamWindow: 30000, ConnWindow: 80000, SendBufferSize: 20000})
 	c, _ := dialServer(t, s, Config{StreamWindow: 40000, SendBufferSize: 10000})
@@ -42,17 +42,18 @@
 			if err := testsupport.Await(t, r.ended, "the end"); err != nil {
 				t.Errorf("%d bytes: %v", n, err)
 			} else if !bytes.Equal(r.body.Bytes(), body) {
-				t.Errorf("%d bytes came back as %d", n, r.body.Len())
+				t.Errorf("body of %d bytes echoed as %d bytes that differ", n, r.body.Len())
 			}
 		})
 	}
 	wg.Wait()
 	if n := c.NumStreams(); n != 0 {
-		t.Errorf("%d streams left", n)
+		t.Errorf("%d streams still open after all have ended", n)
 	}
 }
 
-// TestSlowReaderBlocksOnlyItsStream does not read one stream while others on the connection proceed.
+// TestSlowReaderBlocksOnlyItsStream checks that a stream whose receiver doesn't consume its data doesn't block the
+// other streams of the connection.
 func TestSlowReaderBlocksOnlyItsStream(t *testing.T) {
 	s, _ := startServer(t, Config{StreamWindow: 64 << 10, ConnWindow: 128 << 10})
 	c, _ := dialServer(t, s, Config{StreamWindow: 32 << 10})
@@ -75,18 +76,18 @@
 	got := slow.body.Len()
 	slow.mu.Unlock()
 	if got > 32<<10 {
-		t.Errorf("the slow stream got %d bytes, beyond its window", got)
+		t.Errorf("the slow stream received %d bytes, more than its window", got)
 	}
 	slow.mu.Lock()
 	slow.withholdWindow = false
 	slow.mu.Unlock()
 	stream.Consume(got)
 	if err := testsupport.Await(t, slow.ended, "the slow stream's end"); err != nil || slow.body.Len() != 500<<10 {
-		t.Errorf("the slow stream in the end: %d bytes, %v", slow.body.Len(), err)
+		t.Errorf("the slow stream ended with %d bytes, error %v", slow.body.Len(), err)
 	}
 }
 
-// TestPeerNeverReadsPingAcks guards against acknowledgements that accumulate for a peer that does not read them.
+// TestPeerNeverReadsPingAcks guards against unlimited memory for acknowledgements that a peer does not read.
 func TestPeerNeverReadsPingAcks(t *testing.T) {
 	s, _ := startServer(t, Config{MaxControlBytes: 64 << 10, GlitchBurst: 1e9, GlitchRate: 1, WriteTimeout: time.Second})
 	r := dialRawClient(t, s, true)
@@ -99,5 +100,5 @@
 	if !rejected {
 		t.Error("pings were accepted for 15 s from a peer that reads nothing")
 	}
-	checkServes(t, s)
+	checkServesOtherClient(t, s)
 }
--- a/internal/transport/http2/frame.go
+++ b/internal/transport/http2/frame.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// clientPreface is what a client sends first (RFC 9113, section 3.4).
+// clientPreface is the first part of the client's connection preface (RFC 9113, section 3.4).
 const clientPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 
-// frameType is a frame's type (RFC 9113, section 6).
+// frameType is the type of a frame (RFC 9113, section 6).
 type frameType uint8
 
 const (
@@ -21,7 +21,7 @@
 	frameContinuation
 )
 
-// The flags of frames.
+// Frame flags (RFC 9113, section 6).
 const (
 	flagEndStream  = 0x1
 	flagAck        = 0x1 // of SETTINGS and PING
@@ -30,7 +30,7 @@
 	flagPriority   = 0x20
 )
 
-// Lengths in bytes of frames and of their fixed parts (RFC 9113, sections 4 and 6).
+// Lengths in bytes of frame payloads and of their fixed parts (RFC 9113, sections 4 and 6).
 const (
 	frameHeaderLen  = 9
 	priorityLen     = 5
@@ -47,18 +47,18 @@
 	maxWindowSize     = 1<<31 - 1
 	minMaxFrameSize   = 16384
 	maxMaxFrameSize   = 1<<24 - 1
-	maxStreamID       = 1<<31 - 1 // also the mask of a stream ID, above which lies the reserved bit
+	maxStreamID       = 1<<31 - 1 // also the mask that removes the reserved bit above a stream ID
 )
 
 // frameHeader is the header of a frame (RFC 9113, section 4.1).
 type frameHeader struct {
-	length   int // of the payload
+	length   int // of the payload, in bytes
 	typ      frameType
 	flags    uint8
 	streamID uint32
 }
 
-// parseFrameHeader reads a frame header; b has at least frameHeaderLen bytes.
+// parseFrameHeader parses a frame header. b has at least frameHeaderLen bytes.
 func parseFrameHeader(b []byte) frameHeader {
 	return frameHeader{
 		length:   int(b[0])<<16 | int(b[1])<<8 | int(b[2]),
@@ -80,19 +80,19 @@
 	return appendUint32(dst, uint32(code))
 }
 
-// appendWindowUpdate appends WINDOW_UPDATE; stream 0 is the connection.
+// appendWindowUpdate appends a WINDOW_UPDATE frame. Stream 0 stands for the connection.
 func appendWindowUpdate(dst []byte, streamID, increment uint32) []byte {
 	dst = appendFrameHeader(dst, frameHeader{length: windowUpdateLen, typ: frameWindowUpdate, streamID: streamID})
 	return appendUint32(dst, increment)
 }
 
-// appendPing appends PING; data has pingLen bytes.
+// appendPing appends a PING frame. data has pingLen bytes.
 func appendPing(dst []byte, flags uint8, data []byte) []byte {
 	dst = appendFrameHeader(dst, frameHeader{length: pingLen, typ: framePing, flags: flags})
 	return append(dst, data...)
 }
 
-// appendGoAway appends GOAWAY with the reason as its debug data.
+// appendGoAway appends a GOAWAY frame with reason as its debug data.
 func appendGoAway(dst []byte, lastStreamID uint32, code ErrCode, reason string) []byte {
 	dst = appendFrameHeader(dst, frameHeader{length: goAwayMinLen + len(reason), typ: frameGoAway})
 	dst = appendUint32(dst, lastStreamID)
@@ -100,7 +100,7 @@
 	return append(dst, reason...)
 }
 
-// stripPadding returns the payload of DATA or HEADERS without its padding (RFC 9113, section 6.1).
+// stripPadding returns the payload of a DATA or HEADERS frame without its padding (RFC 9113, section 6.1).
 func stripPadding(h frameHeader, payload []byte) ([]byte, error) {
 	if h.flags&flagPadded == 0 {
 		return payload, nil
--- a/internal/transport/http2/fuzz_test.go
+++ b/internal/transport/http2/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// newSocketlessConn returns the server end of a connection that writes nothing.
+// newSocketlessConn returns the server end of a connection that has no socket and writes nothing.
 func newSocketlessConn() *Conn {
 	return &Conn{
 		cfg:               Config{MaxConcurrentStreams: 50}.withDefaults(),
@@ -17,7 +17,7 @@
 		glitchTokens:      1000,
 		glitchTokensAt:    time.Now(),
 		encoder:           hpack.NewEncoder(),
-		flushing:          true, // so that no flush is started
+		flushing:          true, // keeps scheduleFlush from starting a flush
 		streams:           map[uint32]*Stream{},
 		resetStreams:      map[uint32]bool{},
 		nextStreamID:      2,
@@ -30,8 +30,8 @@
 	}
 }
 
-// FuzzFrames passes frames to the server end of a connection without a socket: nothing panics, and the state
-// stays within its limits.
+// FuzzFrames passes frames to the server end of a connection without a socket. It checks that nothing panics and that
+// the numbers of open and of remembered reset streams stay within their limits.
 func FuzzFrames(f *testing.F) {
 	f.Add(encodeFrame(frameSettings, 0, 0))
 	f.Add(append(encodeFrame(frameSettings, 0, 0), encodeFrame(frameHeaders, 5, 1, 0x83, 0x86, 0x84)...))
@@ -50,7 +50,7 @@
 			data = data[h.length:]
 		}
 		if len(c.streams) > 50 || c.numPeerStreams != len(c.streams) {
-			t.Fatalf("%d streams, counted %d", len(c.streams), c.numPeerStreams)
+			t.Fatalf("%d streams open, numPeerStreams is %d", len(c.streams), c.numPeerStreams)
 		}
 		if len(c.resetStreams) > 600 {
 			t.Fatalf("%d reset streams remembered", len(c.resetStreams))
--- a/internal/transport/http2/golden_test.go
+++ b/internal/transport/http2/golden_test.go
@@ -22,11 +22,12 @@
 	clientPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 	// frameHeaderBytes is the length of a frame header (RFC 9113, section 4.1).
 	frameHeaderBytes = 9
-	// wholePayload is the longest payload that a transcript spells out; of longer ones it holds the SHA-256.
-	wholePayload = 160
+	// maxVerbatimPayload is the longest payload in bytes that a transcript contains in full. Longer ones are replaced by
+	// their SHA-256.
+	maxVerbatimPayload = 160
 )
 
-// transcript records the frames that one end writes, as they come off the socket.
+// transcript records the frames that the end under test writes, as read from the socket.
 type transcript struct {
 	t    *testing.T
 	peer net.Conn
@@ -42,7 +43,7 @@
 	return &transcript{t: t, peer: peer}
 }
 
-// step begins a step of the exchange and writes bytes to the end under test.
+// step records the name of a step of the exchange and sends its frames to the end under test.
 func (tr *transcript) step(name string, frames ...[]byte) {
 	tr.t.Helper()
 	fmt.Fprintf(&tr.text, "# %s\n", name)
@@ -73,7 +74,7 @@
 	}
 }
 
-// readToEnd records what is written until the connection is closed.
+// readToEnd records all frames until the connection is closed.
 func (tr *transcript) readToEnd() {
 	tr.t.Helper()
 	for {
@@ -97,7 +98,7 @@
 	if _, err := io.ReadFull(tr.peer, payload); err != nil {
 		return err
 	}
-	if len(payload) > wholePayload {
+	if len(payload) > maxVerbatimPayload {
 		fmt.Fprintf(&tr.text, "%x sha256 %x\n", head, sha256.Sum256(payload))
 		return nil
 	}
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// rawFrame encodes a frame without the package under test. typ and flags are those of RFC 9113, section 6.
+// rawFrame encodes a frame independently of the package under test. typ and flags are numbers of RFC 9113, section 6.
 func rawFrame(typ, flags byte, stream uint32, payload ...byte) []byte {
 	n := len(payload)
 	head := []byte{byte(n >> 16), byte(n >> 8), byte(n), typ, flags}
@@ -121,17 +122,17 @@
 	return b
 }
 
-// postBlock is a header block: POST, http, /.
+// postBlock is a header block with :method POST, :scheme http and :path /.
 var postBlock = []byte{0x83, 0x86, 0x84}
 
 var goldenConfig = http2.Config{MaxConcurrentStreams: 7, StreamWindow: 40000, ConnWindow: 70000, MaxHeaderListSize: 32 << 10}
 
-// goldenReceiver answers a request by headers, the length of its body and trailers. A header field tells it
-// to do something else.
+// goldenReceiver responds to a request with headers, the length of the request's body, and trailers. The request header
+// fields reset, long and hold change that.
 type goldenReceiver struct {
-	received int
-	long     bool
-	hold     bool // consume nothing
+	received       int  // bytes of the body so far
+	longHeaders    bool // field long: the response headers need CONTINUATION frames
+	consumeNothing bool // field hold: Consume is not called
 }
 
 func (*goldenReceiver) StreamOpened(*http2.Stream) http2.Receiver { return &goldenReceiver{} }
@@ -146,13 +147,13 @@
 			s.Reset(http2.Cancel)
 			return
 		case "long":
-			r.long = true
+			r.longHeaders = true
 		case "hold":
-			r.hold = true
+			r.consumeNothing = true
 		}
 	}
 	response := []hpack.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
-	if r.long {
+	if r.longHeaders {
 		response = append(response, hpack.Field{Name: "long", Value: strings.Repeat("z|", 20000)})
 	}
 	_ = s.WriteHeaders(response, false)
@@ -162,7 +163,7 @@
 }
 func (r *goldenReceiver) Data(s *http2.Stream, p []byte, end bool) {
 	r.received += len(p)
-	if !r.hold {
+	if !r.consumeNothing {
 		s.Consume(len(p))
 	}
 	if end {
@@ -185,8 +186,8 @@
 	return server, newTranscript(t, peer)
 }
 
-// TestGoldenServer holds the bytes that a server writes: SETTINGS, HEADERS, CONTINUATION, DATA, WINDOW_UPDATE,
-// PING, RST_STREAM and GOAWAY.
+// TestGoldenServer compares the bytes that a server writes with a golden file. They include SETTINGS, HEADERS,
+// CONTINUATION, DATA, WINDOW_UPDATE, PING, RST_STREAM and GOAWAY frames.
 func TestGoldenServer(t *testing.T) {
 	server, tr := dialGoldenServer(t)
 	tr.step("preface and SETTINGS", []byte(clientPreface), rawFrame(4, 0, 0))
@@ -229,7 +230,7 @@
 	golden.Compare(t, "server.txt", []byte(tr.text.String()))
 }
 
-// TestGoldenConnectionErrors holds the GOAWAY frames, with their debug data, that end a connection.
+// TestGoldenConnectionErrors compares the GOAWAY frames that end a connection, debug data included, with a golden file.
 func TestGoldenConnectionErrors(t *testing.T) {
 	settings := rawFrame(4, 0, 0)
 	open := rawFrame(1, 4, 1, postBlock...)
@@ -288,14 +289,14 @@
 	golden.Compare(t, "connection_errors.txt", []byte(text.String()))
 }
 
-// TestGoldenStreamErrors holds the RST_STREAM frames that end one stream. The PING behind each shows where
-// they end.
+// TestGoldenStreamErrors compares the RST_STREAM frames that end one stream with a golden file. A PING after the frames
+// of each case marks their end, and shows that the connection is still open.
 func TestGoldenStreamErrors(t *testing.T) {
 	open := rawFrame(1, 4, 1, postBlock...)
 	var text strings.Builder
 	for _, tc := range []struct {
 		name   string
-		frames int // to be recorded, the PING's acknowledgement among them
+		frames int // number to record, with the acknowledgement of the PING
 		send   [][]byte
 	}{
 		{"WINDOW_UPDATE of 0", 3, [][]byte{open, rawFrame(8, 0, 1, 0, 0, 0, 0)}},
@@ -322,7 +323,7 @@
 	golden.Compare(t, "stream_errors.txt", []byte(text.String()))
 }
 
-// TestGoldenClient holds the bytes that a client writes, its connection preface first.
+// TestGoldenClient compares the bytes that a client writes, including its connection preface, with a golden file.
 func TestGoldenClient(t *testing.T) {
 	listener := testsupport.Listen(t)
 	c, err := http2.Dial("tcp", listener.Addr().String(), 5*time.Second, goldenConfig, &goldenReceiver{})
--- a/internal/transport/http2/headers.go
+++ b/internal/transport/http2/headers.go
@@ -7,8 +7,7 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// shortContinuation is the length in bytes below which a CONTINUATION that does not end its block counts as
-// a glitch.
+// shortContinuation is the length in bytes below which a CONTINUATION frame without END_HEADERS counts as a glitch.
 const shortContinuation = 64
 
 func (c *Conn) handleHeaders(h frameHeader, payload []byte) error {
@@ -44,7 +43,7 @@
 	if !c.expectContinuation {
 		return connError(ProtocolError, "CONTINUATION without HEADERS")
 	}
-	if len(c.headerBlock)+len(payload) > c.cfg.MaxHeaderBlockSize { // guards against floods of CONTINUATION
+	if len(c.headerBlock)+len(payload) > c.cfg.MaxHeaderBlockSize { // guards against CONTINUATION floods
 		return connError(EnhanceYourCalm, "header block over %d bytes", c.cfg.MaxHeaderBlockSize)
 	}
 	if len(payload) < shortContinuation && h.flags&flagEndHeaders == 0 {
@@ -60,8 +59,8 @@
 	return c.handleHeaderBlock(c.headerBlockStart, c.headerBlock)
 }
 
-// handleHeaderBlock handles a complete header block; h is the header of its HEADERS frame. The block is
-// decoded whatever becomes of it: the dynamic tables of the two ends must stay equal.
+// handleHeaderBlock handles a complete header block; h is the header of its HEADERS frame. The block is decoded even
+// if it is then ignored or rejected, because the dynamic tables of the two ends must stay equal.
 func (c *Conn) handleHeaderBlock(h frameHeader, block []byte) error {
 	fields, err := c.decoder.Decode(c.fieldBuffer[:0], block)
 	c.fieldBuffer = fields
@@ -93,14 +92,14 @@
 	return c.handleRequest(h.streamID, fields, end, tooLarge)
 }
 
-// handleRequest opens a stream for a request, or rejects it. c.mu is held and is released.
+// handleRequest opens a stream for a request or rejects the request. c.mu is held and is released.
 func (c *Conn) handleRequest(streamID uint32, fields []hpack.Field, end, tooLarge bool) error {
 	c.lastPeerStreamID = streamID
 	malformed := checkHeaders(fields, true)
 	switch {
 	case c.finalGoAwaySent || c.closeAfterFlush:
 		c.mu.Unlock()
-		return nil // above the last stream of our GOAWAY: the peer knows that it was not processed
+		return nil // above the last stream of our GOAWAY, so the peer knows that it is not processed
 	case c.numPeerStreams >= int(c.cfg.MaxConcurrentStreams):
 		c.queueRSTStream(streamID, RefusedStream)
 		c.mu.Unlock()
@@ -131,7 +130,7 @@
 	return nil
 }
 
-// handleStreamHeaders handles the headers of a response, or trailers. c.mu is held and is released.
+// handleStreamHeaders handles HEADERS on an open stream: response headers or trailers. c.mu is held and is released.
 func (c *Conn) handleStreamHeaders(s *Stream, fields []hpack.Field, end, tooLarge bool) error {
 	trailers := s.headersReceived && !s.informational
 	reason := ""
@@ -153,7 +152,7 @@
 	}
 	s.headersReceived = true
 	s.informational = !trailers && isInformational(fields[0].Value)
-	if s.informational { // the final headers follow
+	if s.informational { // the headers of the final response follow
 		c.mu.Unlock()
 		return c.countGlitch("interim responses")
 	}
@@ -167,11 +166,11 @@
 	return nil
 }
 
-// isInformational reports whether a :status is 1xx (RFC 9113, section 8.1).
+// isInformational reports whether the value of :status is 1xx (RFC 9113, section 8.1).
 func isInformational(status string) bool { return len(status) == 3 && status[0] == '1' }
 
-// appendHeaderBlock encodes fields and appends their frames, split at the peer's SETTINGS_MAX_FRAME_SIZE.
-// c.mu is held.
+// appendHeaderBlock encodes fields and appends the frames that carry them, each within the peer's
+// SETTINGS_MAX_FRAME_SIZE. c.mu is held.
 func (s *Stream) appendHeaderBlock(fields []hpack.Field, end bool) {
 	c := s.conn
 	start := len(c.writeBuffer)
@@ -197,8 +196,8 @@
 	appendFrameHeader(c.writeBuffer[start:start], h)
 }
 
-// splitHeaderBlock replaces the one frame at the end of writeBuffer by HEADERS and CONTINUATION frames that
-// the peer accepts. c.mu is held.
+// splitHeaderBlock replaces the oversized HEADERS frame that begins at writeBuffer[start] by HEADERS and
+// CONTINUATION frames of sizes that the peer accepts. c.mu is held.
 func (c *Conn) splitHeaderBlock(start int, h frameHeader) {
 	block := append([]byte(nil), c.writeBuffer[start+frameHeaderLen:]...)
 	c.writeBuffer = c.writeBuffer[:start]
--- a/internal/transport/http2/headers_test.go
+++ b/internal/transport/http2/headers_test.go
@@ -9,7 +9,7 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// TestHeadersOverSeveralFrames sends a header list that takes several CONTINUATION frames.
+// TestHeadersOverSeveralFrames sends a header list that needs several CONTINUATION frames.
 func TestHeadersOverSeveralFrames(t *testing.T) {
 	s, _ := startServer(t, Config{MaxHeaderListSize: 1 << 20, MaxHeaderBlockSize: 1 << 20})
 	c, _ := dialServer(t, s, Config{})
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestInvalidBytesInValues: CR, LF and NUL make a request, a response and trailers malformed, wherever they stand.
+// TestInvalidBytesInValues checks that CR, LF or NUL in the value of any field makes a request, a response and trailers
+// malformed.
 func TestInvalidBytesInValues(t *testing.T) {
 	request := []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/x"},
 		{Name: ":authority", Value: "a"}, {Name: "x", Value: "y"}}
@@ -41,14 +42,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if reason := list.check(list.fields); reason != "" {
-				t.Errorf("%v: %s", list.fields, reason)
+				t.Errorf("valid fields %v are rejected: %s", list.fields, reason)
 			}
 			for i := range list.fields {
 				for _, invalid := range []string{"\r", "\n", "\x00"} {
 					fields := append([]hpack.Field(nil), list.fields...)
 					fields[i].Value += invalid + "z"
 					if list.check(fields) == "" {
-						t.Errorf("accepted: %v", fields)
+						t.Errorf("invalid fields are accepted: %v", fields)
 					}
 				}
 			}
--- a/internal/transport/http2/helpers_test.go
+++ b/internal/transport/http2/helpers_test.go
@@ -14,10 +14,10 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// echoHandler answers each request with its own body. It is the Receiver of all its streams.
+// echoHandler responds to each request with the request's body. It is also the Receiver of all streams.
 type echoHandler struct {
 	mu             sync.Mutex
-	withholdWindow bool // consume nothing
+	withholdWindow bool // no data is consumed
 }
 
 func (e *echoHandler) StreamOpened(*Stream) Receiver { return e }
@@ -50,7 +50,7 @@
 
 func (e *echoHandler) Closed(*Stream, error) {}
 
-// startServer starts a server whose streams all go to one echoHandler.
+// startServer starts a server with one echoHandler for all its connections.
 func startServer(t testing.TB, cfg Config) (*Server, *echoHandler) {
 	t.Helper()
 	handler := &echoHandler{}
@@ -62,7 +62,7 @@
 	return server, handler
 }
 
-// rawClient is a client that sends whatever bytes a test wants.
+// rawClient is a client that can send any bytes, valid HTTP/2 or not.
 type rawClient struct {
 	t       testing.TB
 	netConn net.Conn
@@ -97,7 +97,7 @@
 	}
 }
 
-// requestBlock returns the header block of a request, with extra names and values.
+// requestBlock returns the header block of a request. extra holds further field names and values in turn.
 func (r *rawClient) requestBlock(extra ...string) []byte {
 	r.block.Reset()
 	pairs := append([]string{":method", "POST", ":scheme", "http", ":path", "/x", ":authority", "a"}, extra...)
@@ -107,14 +107,14 @@
 	return append([]byte(nil), r.block.Bytes()...)
 }
 
-// openStream opens stream 1 with the headers of a request that has a body.
+// openStream sends request headers on stream 1 without END_STREAM.
 func (r *rawClient) openStream() { r.writeHeaders(1, false, r.requestBlock()) }
 
 func (r *rawClient) writeHeaders(id uint32, end bool, block []byte) {
 	_ = r.framer.WriteHeaders(peer.HeadersFrameParam{StreamID: id, BlockFragment: block, EndHeaders: true, EndStream: end})
 }
 
-// readError reads until the connection is ended by GOAWAY or the stream by RST_STREAM, and returns the code.
+// readError reads frames until GOAWAY, or RST_STREAM for stream id, and returns the error code.
 func (r *rawClient) readError(id uint32) (code ErrCode, goAway bool) {
 	r.t.Helper()
 	for {
@@ -133,8 +133,8 @@
 	}
 }
 
-// checkServes makes an ordinary exchange on another connection.
-func checkServes(t testing.TB, s *Server) {
+// checkServesOtherClient checks that the server answers a valid request on a new connection.
+func checkServesOtherClient(t testing.TB, s *Server) {
 	t.Helper()
 	r := dialRawClient(t, s, true)
 	r.writeHeaders(1, false, r.requestBlock())
@@ -159,19 +159,19 @@
 	}
 }
 
-// encodeFrame returns a frame, valid or not.
+// encodeFrame encodes a frame without checking that it is valid.
 func encodeFrame(typ frameType, flags uint8, stream uint32, payload ...byte) []byte {
 	return append(appendFrameHeader(nil, frameHeader{len(payload), typ, flags, stream}), payload...)
 }
 
 func encodeUint32(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 
-// recordingReceiver records the response of one exchange.
+// recordingReceiver records the response body of one stream and how the stream ended.
 type recordingReceiver struct {
 	body           bytes.Buffer
 	mu             sync.Mutex
 	withholdWindow bool
-	ended          chan error // nil when the response is complete
+	ended          chan error // receives nil when the response is complete, else the stream's error
 	once           sync.Once
 }
 
@@ -205,7 +205,7 @@
 	}
 }
 
-// recordingHandler is the Handler of a client's connection.
+// recordingHandler is the Handler of a client's connection and records GOAWAY and the connection's end.
 type recordingHandler struct {
 	goAway chan ErrCode
 	closed chan error
@@ -223,7 +223,7 @@
 
 var requestFields = []hpack.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/x"}}
 
-// dialServer connects with the client end of this package.
+// dialServer connects to the server with this package's Dial.
 func dialServer(t testing.TB, s *Server, cfg Config) (*Conn, *recordingHandler) {
 	t.Helper()
 	h := newRecordingHandler()
--- a/internal/transport/http2/lifecycle.go
+++ b/internal/transport/http2/lifecycle.go
@@ -10,10 +10,11 @@
 // drainReason is the debug data of the GOAWAY frames of a graceful shutdown.
 const drainReason = "draining"
 
-// drainPing is the data of the PING that follows the first GOAWAY of a graceful shutdown.
+// drainPing is the data of the PING frame that follows the first GOAWAY frame of a graceful shutdown.
 var drainPing = [pingLen]byte{'d', 'r', 'a', 'i', 'n'}
 
-// fail ends the connection by an error: with GOAWAY for one of ours, at once for one of reading.
+// fail ends the connection because of err. After a *ConnError the peer gets GOAWAY first; after a read error the
+// connection is closed at once.
 func (c *Conn) fail(err error) {
 	var connErr *ConnError
 	if !errors.As(err, &connErr) {
@@ -32,8 +33,8 @@
 	c.mu.Unlock()
 }
 
-// terminate closes all streams and then reports the connection's end, once. Every connection ends by it. The
-// first error that ended the connection is reported.
+// terminate closes all streams and then calls Handler.ConnClosed. Every connection ends here; calls after the first
+// have no effect. ConnClosed gets c.err if it is already set, else err.
 func (c *Conn) terminate(err error) {
 	c.mu.Lock()
 	if c.closed {
@@ -59,16 +60,16 @@
 	c.handler.ConnClosed(c, err)
 }
 
-// Close ends the connection at once, and the streams on it.
+// Close closes the connection and its streams at once.
 func (c *Conn) Close() {
 	c.terminate(errClosedLocal)
 	_ = c.netConn.Close()
 }
 
-// Shutdown starts a graceful shutdown: no further streams are accepted or opened, and the connection is closed
-// when those open have ended. A server first sends GOAWAY without a last stream, so that what the peer has
-// sent meanwhile is still served, and the final one when the peer has acknowledged a PING behind it (RFC 9113,
-// section 6.8). It returns at once.
+// Shutdown starts a graceful shutdown and returns at once: no further streams are accepted or opened, and the
+// connection is closed when the open ones have ended. A server first sends GOAWAY with the highest possible last
+// stream, so that streams already on the way are still served, and a PING. When the peer has acknowledged the PING,
+// the server sends the final GOAWAY (RFC 9113, section 6.8).
 func (c *Conn) Shutdown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +87,8 @@
 	c.scheduleFlush()
 }
 
-// sendFinalGoAway is called when the peer has seen the first GOAWAY: whatever it opens from now on was opened
-// with knowledge of it, and is ignored.
+// sendFinalGoAway sends the second GOAWAY of a graceful shutdown. The peer has received the first one by now, so
+// streams that it opens from here on are ignored.
 func (c *Conn) sendFinalGoAway() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +101,7 @@
 	c.scheduleFlush()
 }
 
-// closeIfDrained closes a draining connection without streams. c.mu is held.
+// closeIfDrained closes the connection, after a flush, if it is draining and has no open streams. c.mu is held.
 func (c *Conn) closeIfDrained() {
 	drained := c.isClient && (c.draining || c.goAwayReceived) || c.finalGoAwaySent
 	if drained && len(c.streams) == 0 && !c.closeAfterFlush {
--- a/internal/transport/http2/lifecycle_test.go
+++ b/internal/transport/http2/lifecycle_test.go
@@ -13,8 +13,8 @@
 	"github.com/topazfront/topazfront/internal/testsupport"
 )
 
-// TestDrainServesOpenStreams drains a server with a stream open; what was begun is completed, and no further
-// stream is opened.
+// TestDrainServesOpenStreams checks that a stream that is open when the server drains is completed, and that no further
+// stream can be opened.
 func TestDrainServesOpenStreams(t *testing.T) {
 	s, _ := startServer(t, Config{})
 	c, h := dialServer(t, s, Config{})
@@ -31,7 +31,7 @@
 		t.Fatalf("GOAWAY with %v", code)
 	}
 	if _, err := c.OpenStream(newRecordingReceiver(), requestFields, nil, true); !errors.Is(err, ErrGoAway) {
-		t.Errorf("a stream after GOAWAY: %v", err)
+		t.Errorf("opening a stream after GOAWAY returns %v, want ErrGoAway", err)
 	}
 	if _, err := stream.Write([]byte(" and last"), true); err != nil {
 		t.Fatal(err)
@@ -42,8 +42,8 @@
 	_ = testsupport.Await(t, h.closed, "the connection's end")
 }
 
-// serveGoAway accepts one connection, waits for stream 5, and then sends GOAWAY with 3 as the last stream, resets
-// stream 1 as refused, and closes. It ends when the connection does.
+// serveGoAway accepts one connection and waits for HEADERS on stream 5. It then sends GOAWAY with last stream 3, resets
+// stream 1 with REFUSED_STREAM and closes the connection.
 func serveGoAway(listener net.Listener) {
 	netConn, err := listener.Accept()
 	if err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestGoAwayUnprocessedStreams: streams above the last one of GOAWAY, and those refused, were not processed; the
-// others may have been.
+// TestGoAwayUnprocessedStreams checks that streams above the last stream of GOAWAY and refused streams are reported as
+// unprocessed, and the others as lost with the connection: the peer may have processed those.
 func TestGoAwayUnprocessedStreams(t *testing.T) {
 	listener := testsupport.Listen(t)
 	go serveGoAway(listener)
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestCloseListenerKeepsOtherConnections guards against file descriptors that are closed twice: while listeners
-// are opened and closed, the connections of another server, which get the same descriptor numbers, stay open.
+// TestCloseListenerKeepsOtherConnections guards against a listener that closes its file descriptor twice. The second
+// close would hit a connection of another server that has got the same descriptor number meanwhile.
 func TestCloseListenerKeepsOtherConnections(t *testing.T) {
 	s, _ := startServer(t, Config{})
 	stop := make(chan struct{})
@@ -159,7 +159,7 @@
 		if _, err := bad.OpenStream(r, requestFields, []byte("panic"), true); err == nil {
 			var streamErr *StreamError
 			if err := testsupport.Await(t, r.ended, "the end"); !errors.As(err, &streamErr) || !streamErr.ConnLost {
-				t.Errorf("the call that panicked: %v", err)
+				t.Errorf("the call that panicked ended with %v, want a StreamError with ConnLost", err)
 			}
 		}
 		r = newRecordingReceiver()
@@ -173,7 +173,8 @@
 	_ = testsupport.Await(t, h.closed, "the connection's end")
 }
 
-// TestCloseDuringShutdown: the two may end a connection at once. The race detector checks what they share.
+// TestCloseDuringShutdown ends connections by Shutdown and Close concurrently. Under the race detector it guards against
+// data races between the two.
 func TestCloseDuringShutdown(t *testing.T) {
 	s, _ := startServer(t, Config{})
 	for range 500 {
@@ -186,8 +187,8 @@
 	}
 }
 
-// TestUnwrittenFramesArePendingWork: a connection without a stream whose last frames have not reached the socket must not
-// be closed as idle, or its client has all of a response but its end.
+// TestUnwrittenFramesArePendingWork guards against closing a connection as idle when it has no open stream but its last
+// frames have not reached the socket. Its client would get a response without its end.
 func TestUnwrittenFramesArePendingWork(t *testing.T) {
 	s, _ := startServer(t, Config{})
 	c, _ := dialServer(t, s, Config{})
@@ -201,7 +202,7 @@
 	testsupport.WaitUntil(t, "nothing is pending", func() bool { return !s.HasPendingWork() })
 	conn := s.openConns()[0]
 	conn.mu.Lock()
-	conn.flushing = true // as while the flush blocks on the socket
+	conn.flushing = true // the state while flush blocks on the socket
 	conn.mu.Unlock()
 	if !s.HasPendingWork() || s.NumStreams() > 0 {
 		t.Errorf("pending work: %v, streams: %d", s.HasPendingWork(), s.NumStreams())
--- a/internal/transport/http2/ping.go
+++ b/internal/transport/http2/ping.go
@@ -2,9 +2,8 @@
 
 import "encoding/binary"
 
-// Ping sends a PING with the given data and calls done on the reading goroutine when the peer has
-// acknowledged it; done is not called when the connection ends first. It distinguishes a live peer from one that
-// hangs.
+// Ping sends a PING frame with id as its data and calls done on the reading goroutine when the peer has acknowledged
+// it. If the connection ends first, done is not called. Ping distinguishes a live peer from one that hangs.
 func (c *Conn) Ping(id uint64, done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +33,7 @@
 	return c.queueControl(appendPing(nil, flagAck, payload))
 }
 
-// handlePingAck calls back whoever sent the PING. An acknowledgement that nobody waits for is ignored.
+// handlePingAck calls the callback of the acknowledged PING. Acknowledgements of unknown PINGs are ignored.
 func (c *Conn) handlePingAck(data [pingLen]byte) {
 	c.mu.Lock()
 	done := c.pendingPings[data]
--- a/internal/transport/http2/protocol_errors_test.go
+++ b/internal/transport/http2/protocol_errors_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// protocolErrorCase is something that a peer must not send, and the error code that RFC 9113 names for it.
+// protocolErrorCase is input that a peer must not send, with the error code that RFC 9113 requires for it.
 type protocolErrorCase struct {
 	name   string
 	send   func(r *rawClient)
 	code   ErrCode
-	stream uint32 // the stream that is reset; 0: the connection is ended
+	stream uint32 // the stream that must be reset; 0 means that the connection must be ended by GOAWAY
 }
 
-// prefaceErrors are violations of section 3.4. Their bytes are the first on the connection.
+// prefaceErrors violate RFC 9113, section 3.4. Their bytes are the first on the connection.
 var prefaceErrors = []protocolErrorCase{
 	{"not HTTP/2", func(r *rawClient) { r.write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) }, ProtocolError, 0},
 	{"no SETTINGS first", func(r *rawClient) {
@@ -23,7 +23,7 @@
 	}, ProtocolError, 0},
 }
 
-// framingErrors are violations of sections 4 and 6.1.
+// framingErrors violate RFC 9113, sections 4 and 6.1.
 var framingErrors = []protocolErrorCase{
 	{"frame too large", func(r *rawClient) { r.write([]byte{0x00, 0x40, 0x01, 0, 0, 0, 0, 0, 1}) }, FrameSizeError, 0},
 	{"DATA on stream 0", func(r *rawClient) { r.write(encodeFrame(frameData, 0, 0, 1)) }, ProtocolError, 0},
@@ -32,7 +32,7 @@
 	{"no pad length", func(r *rawClient) { r.openStream(); r.write(encodeFrame(frameData, flagPadded, 1)) }, FrameSizeError, 0},
 }
 
-// headerErrors are violations of sections 4.3, 5.1, 6.2 and 6.10.
+// headerErrors violate RFC 9113, sections 4.3, 5.1, 6.2 and 6.10.
 var headerErrors = []protocolErrorCase{
 	{"HEADERS on stream 0", func(r *rawClient) { r.write(encodeFrame(frameHeaders, 4, 0, 0x82)) }, ProtocolError, 0},
 	{"HEADERS on an even stream", func(r *rawClient) { r.writeHeaders(2, true, r.requestBlock()) }, ProtocolError, 0},
@@ -51,7 +51,7 @@
 	}, ProtocolError, 0},
 }
 
-// settingsErrors are violations of section 6.5.
+// settingsErrors violate RFC 9113, section 6.5.
 var settingsErrors = []protocolErrorCase{
 	{"SETTINGS of 3 bytes", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 1, 2, 3)) }, FrameSizeError, 0},
 	{"SETTINGS on a stream", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 1)) }, ProtocolError, 0},
@@ -61,7 +61,7 @@
 	{"SETTINGS_ENABLE_PUSH of 2", func(r *rawClient) { r.write(encodeFrame(frameSettings, 0, 0, 0, 2, 0, 0, 0, 2)) }, ProtocolError, 0},
 }
 
-// controlFrameErrors are violations of sections 6.3, 6.4, 6.6, 6.7, 6.8 and 6.9.
+// controlFrameErrors violate RFC 9113, sections 6.3, 6.4, 6.6, 6.7, 6.8 and 6.9.
 var controlFrameErrors = []protocolErrorCase{
 	{"PING of 7 bytes", func(r *rawClient) { r.write(encodeFrame(framePing, 0, 0, make([]byte, 7)...)) }, FrameSizeError, 0},
 	{"PING on a stream", func(r *rawClient) { r.write(encodeFrame(framePing, 0, 1, make([]byte, 8)...)) }, ProtocolError, 0},
@@ -76,7 +76,7 @@
 	{"PRIORITY of 4 bytes", func(r *rawClient) { r.write(encodeFrame(framePriority, 0, 1, encodeUint32(0)...)) }, ProtocolError, 0},
 }
 
-// floods are frames that are legal, each by itself.
+// floods send frames that are legal one by one but too many, or a header block that is too long.
 var floods = []protocolErrorCase{
 	{"CONTINUATION flood", func(r *rawClient) {
 		r.write(encodeFrame(frameHeaders, 0, 1, 0x82))
@@ -119,7 +119,7 @@
 	}, EnhanceYourCalm, 0},
 }
 
-// streamErrors end one stream and not its connection.
+// streamErrors must end one stream and not the connection.
 var streamErrors = []protocolErrorCase{
 	{"window of a stream overflows", func(r *rawClient) {
 		r.openStream()
@@ -145,8 +145,8 @@
 	}, RefusedStream, 21},
 }
 
-// TestProtocolErrors sends what a peer must not send. Each is answered by the code that RFC 9113 names, and other
-// clients are served meanwhile.
+// TestProtocolErrors checks that input that a peer must not send ends the stream or the connection with the error code
+// that RFC 9113 requires, and that other clients are still served.
 func TestProtocolErrors(t *testing.T) {
 	s, _ := startServer(t, Config{GlitchBurst: 100, GlitchRate: 1, MaxConcurrentStreams: 10})
 	for _, c := range prefaceErrors {
@@ -157,13 +157,13 @@
 	}
 }
 
-// check sends the case's bytes, and then makes sure that another client is served.
+// check sends the input of the case, checks the error code, and checks that another client is served.
 func (c protocolErrorCase) check(t *testing.T, s *Server, r *rawClient) {
 	t.Helper()
 	c.send(r)
 	code, goAway := r.readError(c.stream)
 	if code != c.code || goAway != (c.stream == 0) {
-		t.Errorf("answered by %v (connection ended: %v), want %v", code, goAway, c.code)
+		t.Errorf("got error code %v (by GOAWAY: %v), want %v", code, goAway, c.code)
 	}
-	checkServes(t, s)
+	checkServesOtherClient(t, s)
 }
--- a/internal/transport/http2/read.go
+++ b/internal/transport/http2/read.go
@@ -9,19 +9,19 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// framesPerFlush is how many frames are handled before what they caused to be written is flushed: a peer that
-// never stops sending must still get its answers.
+// framesPerFlush is the number of frames handled between two flushes of the write buffer, so that a peer that sends
+// without pause still gets its responses.
 const framesPerFlush = 64
 
-// readFrames handles the frames that have arrived. netpoll calls it on one goroutine at a time, when bytes
-// wait; the rest of a frame that is incomplete is waited for, up to Config.FrameReadTimeout.
+// readFrames handles the frames that have arrived. netpoll calls it, on one goroutine at a time, when there are bytes
+// to read. For the rest of an incomplete frame it waits up to Config.FrameReadTimeout.
 func (c *Conn) readFrames() error {
 	defer c.recoverPanic()
 	c.deferFlush(true)
 	r := c.netConn.Reader()
 	var err error
 	for n := 1; err == nil && r.Len() > 0; n++ {
-		if c.failed() { // what follows our GOAWAY is not examined any more
+		if c.failed() { // input that arrives after our GOAWAY is discarded
 			_ = r.Skip(r.Len())
 		} else {
 			err = c.readFrame(r)
@@ -39,22 +39,22 @@
 	return nil
 }
 
-// failed reports whether the connection has failed and only its GOAWAY is still to be written.
+// failed reports whether the connection has failed, so that only its GOAWAY remains to be written.
 func (c *Conn) failed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeAfterFlush && c.err != nil
 }
 
-// recoverPanic ends the connection whose handler panicked, so that the owners of its streams are notified.
-// Other connections are not affected.
+// recoverPanic ends a connection whose handler panicked, so that the Receivers of its streams are notified. Other
+// connections are not affected.
 func (c *Conn) recoverPanic() {
 	p := recover()
 	if p == nil {
 		return
 	}
 	slog.Error("panic while a connection was handled", "peer", c.netConn.RemoteAddr(), "panic", p, "stack", string(debug.Stack()))
-	if c.mu.TryLock() { // callbacks are made without the lock, so it is free after their panics
+	if c.mu.TryLock() { // callbacks run without the lock, so it is free if one of them panicked
 		c.flushDeferred = false
 		c.mu.Unlock()
 		c.terminate(fmt.Errorf("http2: panic while the connection was handled: %v", p))
@@ -62,7 +62,7 @@
 	_ = c.netConn.Close()
 }
 
-// readFrame reads and handles the client preface, if it is still expected, and one frame.
+// readFrame reads and handles one frame, after the client preface if that has not been read yet.
 func (c *Conn) readFrame(r netpoll.Reader) error {
 	if !c.prefaceReceived {
 		b, err := c.readBytes(r, len(clientPreface))
@@ -94,8 +94,8 @@
 	return c.handleFrame(h, payload)
 }
 
-// readBytes returns n bytes, valid until the reader's Release. While it waits for the rest of a frame, what
-// other goroutines write is flushed as usual.
+// readBytes returns the next n bytes, valid until the reader's Release. While it waits for missing bytes, frames that
+// other goroutines write are flushed without delay.
 func (c *Conn) readBytes(r netpoll.Reader, n int) ([]byte, error) {
 	if r.Len() >= n {
 		return r.Next(n)
@@ -105,8 +105,8 @@
 	return r.Next(n)
 }
 
-// deferFlush starts, or ends, the collection of what is written while frames are read; it is flushed at the
-// end.
+// deferFlush sets whether written frames are collected while the reading goroutine handles frames. Switching it off
+// flushes them.
 func (c *Conn) deferFlush(on bool) {
 	c.mu.Lock()
 	c.flushDeferred = on
@@ -114,8 +114,8 @@
 	c.mu.Unlock()
 }
 
-// handleFrame handles one frame. An error ends the connection. All input of the peer but its preface passes
-// through here, so that a fuzz test can drive it without a socket.
+// handleFrame handles one frame. An error ends the connection. All input from the peer except its preface passes
+// through here, so that a fuzz test can exercise it without a socket.
 func (c *Conn) handleFrame(h frameHeader, payload []byte) error {
 	if !c.settingsReceived && (h.typ != frameSettings || h.flags&flagAck != 0) {
 		return connError(ProtocolError, "first frame is not SETTINGS")
@@ -145,7 +145,7 @@
 	case framePriority:
 		return c.handlePriority(h)
 	}
-	return c.countGlitch("frames of unknown type") // to be ignored: RFC 9113, section 5.5
+	return c.countGlitch("frames of unknown type") // they must be ignored (RFC 9113, section 5.5)
 }
 
 // handlePriority ignores a PRIORITY frame, as RFC 9113, section 5.3 permits.
@@ -156,8 +156,9 @@
 	return c.countGlitch("PRIORITY")
 }
 
-// countGlitch takes a token for a frame that is legal but costs this end more than the peer. It guards
-// against floods of resets, pings, settings and empty frames, whatever their kind.
+// countGlitch takes a token from the bucket for a glitch: a frame that is legal but costs this end more than the peer.
+// All kinds share one bucket, which guards against floods of RST_STREAM, PING, SETTINGS and empty frames alike. An
+// empty bucket is a connection error.
 func (c *Conn) countGlitch(what string) error {
 	now := time.Now()
 	c.glitchTokens = min(c.glitchTokens+now.Sub(c.glitchTokensAt).Seconds()*c.cfg.GlitchRate, c.cfg.GlitchBurst)
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -13,10 +13,10 @@
 	"github.com/topazfront/topazfront/internal/transport/listen"
 )
 
-// closeTimeout is how long Server.Close waits for the event loop to end.
+// closeTimeout is the time that Server.Close waits for the event loop to stop.
 const closeTimeout = time.Second
 
-// Server accepts connections on one listener.
+// Server accepts HTTP/2 connections on one listener.
 type Server struct {
 	cfg        Config
 	newHandler func(*Conn) Handler
@@ -28,11 +28,11 @@
 	draining bool
 }
 
-// connKey is the context key of a netpoll connection's *Conn.
+// connKey is the context key for the *Conn of a netpoll connection.
 type connKey struct{}
 
-// Listen opens a listener, on "tcp" or "unix", and serves it until Close. newHandler returns the Handler of a
-// connection before its first frame.
+// Listen opens a listener on network "tcp" or "unix" and serves it until Close. newHandler is called for each
+// accepted connection before its first frame and returns the connection's Handler.
 func Listen(network, addr string, cfg Config, newHandler func(*Conn) Handler) (*Server, error) {
 	listener, err := listen.Open(network, addr)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// onConnect is called by netpoll before the first bytes of a connection are handled.
+// onConnect is called by netpoll after onPrepare, before the first onRequest of the connection.
 func (s *Server) onConnect(ctx context.Context, netConn netpoll.Connection) context.Context {
 	c, _ := ctx.Value(connKey{}).(*Conn)
 	_ = netConn.AddCloseCallback(func(netpoll.Connection) error {
@@ -74,19 +74,19 @@
 	s.mu.Lock()
 	draining := s.draining
 	s.mu.Unlock()
-	if draining { // it was accepted before the drain began, or while the other connections were notified
+	if draining { // Drain may have listed the open connections before this one was added
 		c.Shutdown()
 	}
 	return ctx
 }
 
-// onRequest is called by netpoll when bytes of a connection wait.
+// onRequest is called by netpoll when a connection has bytes to read.
 func (s *Server) onRequest(ctx context.Context, _ netpoll.Connection) error {
 	c, _ := ctx.Value(connKey{}).(*Conn)
 	return c.readFrames()
 }
 
-// trackedHandler removes a closed connection from its server.
+// trackedHandler wraps a Handler and removes the connection from its server when it closes.
 type trackedHandler struct {
 	Handler
 	server *Server
@@ -103,14 +103,14 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// NumConns returns how many connections are open.
+// NumConns returns the number of open connections.
 func (s *Server) NumConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// NumStreams returns how many streams are open on all connections.
+// NumStreams returns the number of open streams on all connections.
 func (s *Server) NumStreams() int {
 	n := 0
 	for _, c := range s.openConns() {
@@ -119,7 +119,7 @@
 	return n
 }
 
-// HasPendingWork reports whether a connection has an open stream or something that is yet to be written.
+// HasPendingWork reports whether any connection has an open stream or frames still to be written.
 func (s *Server) HasPendingWork() bool {
 	return slices.ContainsFunc(s.openConns(), (*Conn).hasPendingWork)
 }
@@ -134,8 +134,7 @@
 	return conns
 }
 
-// Drain starts a graceful shutdown of every connection, and of each that is accepted from now on. It returns
-// at once.
+// Drain starts a graceful shutdown of every open connection and of each one accepted later. It returns at once.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -143,14 +142,15 @@
 	s.DrainConns()
 }
 
-// DrainConns starts a graceful shutdown of every open connection. Connections accepted later are served.
+// DrainConns starts a graceful shutdown of every open connection and returns at once. Connections accepted later are
+// served.
 func (s *Server) DrainConns() {
 	for _, c := range s.openConns() {
 		c.Shutdown()
 	}
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.draining = true
--- a/internal/transport/http2/settings.go
+++ b/internal/transport/http2/settings.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// The settings (RFC 9113, section 6.5.2).
+// Identifiers of settings (RFC 9113, section 6.5.2).
 const (
 	settingHeaderTableSize      = 1
 	settingEnablePush           = 2
@@ -12,10 +12,10 @@
 	settingMaxHeaderListSize    = 6
 )
 
-// Limits of this end on what the peer's settings allow it to do, in bytes.
+// Limits in bytes that this end applies to the peer's settings.
 const (
-	maxEncoderTableSize = 1 << 30 // the encoder limits it further
-	maxSentFrameSize    = 64 << 10
+	maxHeaderTableSize = 1 << 30 // keeps the value within an int; hpack.Encoder applies a lower limit
+	maxSentFrameSize   = 64 << 10
 )
 
 type setting struct {
@@ -32,8 +32,9 @@
 	return dst
 }
 
-// queuePreface queues the connection preface (RFC 9113, section 3.4) and the connection's window. It is done
-// before anything else can write: an answer to the peer's first frames, or a GOAWAY, must not precede it.
+// queuePreface queues the connection preface (RFC 9113, section 3.4) and a WINDOW_UPDATE that enlarges the
+// connection's window. newConn calls it before anything else can write, because no acknowledgement or GOAWAY may
+// precede the preface.
 func (c *Conn) queuePreface() {
 	if c.isClient {
 		c.writeBuffer = append(c.writeBuffer, clientPreface...)
@@ -53,7 +54,7 @@
 	}
 }
 
-// flushPreface sends the preface.
+// flushPreface sends the queued preface.
 func (c *Conn) flushPreface() {
 	c.mu.Lock()
 	c.scheduleFlush()
@@ -90,11 +91,11 @@
 	return c.queueControl(appendFrameHeader(nil, frameHeader{typ: frameSettings, flags: flagAck}))
 }
 
-// applySetting applies one setting of the peer. Unknown ones are ignored. c.mu is held.
+// applySetting applies one setting of the peer. Unknown settings are ignored. c.mu is held.
 func (c *Conn) applySetting(s setting) error {
 	switch s.id {
 	case settingHeaderTableSize:
-		c.encoder.SetMaxTableSize(int(min(s.value, maxEncoderTableSize)))
+		c.encoder.SetMaxTableSize(int(min(s.value, maxHeaderTableSize)))
 	case settingEnablePush:
 		if s.value > 1 || s.value == 1 && c.isClient {
 			return connError(ProtocolError, "SETTINGS_ENABLE_PUSH of %d", s.value)
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// setPeerInitialWindow moves the send windows of all open streams by the difference to the setting before;
-// they may become negative (RFC 9113, section 6.9.2). c.mu is held.
+// setPeerInitialWindow adjusts the send windows of all open streams by the difference between the new and the previous
+// SETTINGS_INITIAL_WINDOW_SIZE; windows may become negative (RFC 9113, section 6.9.2). c.mu is held.
 func (c *Conn) setPeerInitialWindow(size uint32) error {
 	if size > maxWindowSize {
 		return connError(FlowControlError, "SETTINGS_INITIAL_WINDOW_SIZE of %d", size)
--- a/internal/transport/http2/stream.go
+++ b/internal/transport/http2/stream.go
@@ -6,62 +6,64 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// Limits of what a connection remembers of streams.
+// Limits on the streams that a connection keeps state for.
 const (
-	// maxOpenStreams limits the streams that this end opens, whatever the peer allows.
+	// maxOpenStreams limits the streams that this end has open at once, even if the peer allows more.
 	maxOpenStreams = 1 << 20
-	// maxResetStreams is how many streams that this end reset are remembered. Beyond it the older half is
-	// forgotten.
+	// maxResetStreams is the number of streams reset by this end that the connection remembers. Above it the older
+	// half is dropped.
 	maxResetStreams = 512
 )
 
-// Receiver receives the events of one stream. Headers and Data are called on the connection's reading
-// goroutine, in order; Sent, and Closed when this end finishes last, on the writing one. None may block.
-// Closed is called once, last, unless this end called Reset.
+// Receiver receives the events of one stream. Headers and Data are called in order on the connection's reading
+// goroutine; Sent, and Closed if this end finishes last, are called on the writing goroutine. No method may block.
+// Closed is the last call and is made once, but not after this end called Reset.
 type Receiver interface {
-	// Headers delivers a request's or response's headers, and later perhaps trailers, which end the stream.
-	// The slice belongs to the connection; the strings may be kept.
+	// Headers delivers the headers of a request or response, and later its trailers, if any. end reports that
+	// the peer has ended the stream, as trailers always do. The slice belongs to the connection and is valid until
+	// the call returns; the strings may be kept.
 	Headers(s *Stream, fields []hpack.Field, end bool)
-	// Data delivers bytes that belong to the connection and are valid until the call returns. Each byte must
-	// be returned by [Stream.Consume], at once or later; until then the peer's window is that much smaller.
+	// Data delivers bytes that belong to the connection and are valid until the call returns. end reports that the
+	// peer has ended the stream. Every byte must be passed to [Stream.Consume] at once or later; until then it
+	// occupies the stream's receive window.
 	Data(s *Stream, p []byte, end bool)
-	// Sent reports that n more of the bytes that Write left queued have been framed for the socket.
+	// Sent reports that n bytes that Write had queued have now been framed.
 	Sent(s *Stream, n int)
-	// Closed reports that the stream is over: err is nil when both ends finished it, else a *StreamError.
+	// Closed reports that the stream has ended: err is nil if both ends finished it, else a *StreamError.
 	Closed(s *Stream, err error)
 }
 
-// Stream is one exchange on a connection. Its methods may be called from any goroutine.
+// Stream is one HTTP/2 stream: one request and its response. Its methods may be called from any goroutine.
 type Stream struct {
 	conn     *Conn
 	id       uint32
 	receiver Receiver
 
 	// Guarded by conn.mu.
-	sendWindow      int64 // bytes of DATA that this end may send
-	recvWindow      int64 // bytes of DATA that the peer may send
-	recvCredit      int64 // bytes consumed and not yet returned by WINDOW_UPDATE
-	unconsumed      int64 // bytes delivered and not yet consumed
-	sendBuffer      []byte
-	sendOffset      int           // sendBuffer before it has been framed
-	trailers        []hpack.Field // to be sent behind sendBuffer
-	endQueued       bool          // the end is to be sent behind sendBuffer
-	inSendQueue     bool          // in conn.sendQueue
+	sendWindow      int64         // bytes of DATA that this end may send
+	recvWindow      int64         // bytes of DATA that the peer may send
+	recvCredit      int64         // bytes consumed for which no WINDOW_UPDATE has been sent yet
+	unconsumed      int64         // bytes delivered to the Receiver and not yet consumed
+	sendBuffer      []byte        // queued bytes
+	sendOffset      int           // sendBuffer[:sendOffset] has been framed
+	trailers        []hpack.Field // to be sent after sendBuffer
+	endQueued       bool          // END_STREAM is to be sent after sendBuffer
+	inSendQueue     bool          // the stream is in conn.sendQueue
 	endSent         bool          // this end has sent END_STREAM
 	endReceived     bool          // the peer has sent END_STREAM
 	headersReceived bool
-	informational   bool // the headers received last were informational (1xx)
+	informational   bool // the most recent headers were those of an informational (1xx) response
 	closed          bool // removed from the connection
 }
 
-// ID returns the stream's number on its connection.
+// ID returns the stream's identifier.
 func (s *Stream) ID() uint32 { return s.id }
 
 // Conn returns the stream's connection.
 func (s *Stream) Conn() *Conn { return s.conn }
 
-// AvailableStreams returns how many more streams this end may open now; 0 too when the connection accepts no
-// more.
+// AvailableStreams returns the number of streams that this end may open now. It is 0 if the connection accepts no more
+// streams.
 func (c *Conn) AvailableStreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,30 +73,30 @@
 	return max(c.maxLocalStreams()-c.numLocalStreams, 0)
 }
 
-// NumStreams returns how many streams are open.
+// NumStreams returns the number of open streams.
 func (c *Conn) NumStreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams)
 }
 
-// hasPendingWork reports whether a stream is open or something is yet to be written. A stream is no longer open once
-// its end has been framed, while its last frames may still wait for the socket.
+// hasPendingWork reports whether a stream is open or frames are still to be written. A stream ends once its last frame
+// has been framed, although that frame may still be waiting for the socket.
 func (c *Conn) hasPendingWork() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed && (len(c.streams) > 0 || c.flushing)
 }
 
-// streamIDsExhausted reports whether the connection must be replaced to open another stream (RFC 9113, section
-// 5.1.1). c.mu is held.
+// streamIDsExhausted reports whether no stream ID is left, so that a new stream needs a new connection (RFC 9113,
+// section 5.1.1). c.mu is held.
 func (c *Conn) streamIDsExhausted() bool { return c.nextStreamID > maxStreamID-2 }
 
-// maxLocalStreams returns how many streams this end may have open. c.mu is held.
+// maxLocalStreams returns the number of streams that this end may have open. c.mu is held.
 func (c *Conn) maxLocalStreams() int { return int(min(c.peerMaxStreams, maxOpenStreams)) }
 
-// OpenStream opens a stream at a client with its headers, and its body if there is one already. What is written is
-// copied. After an error nothing was sent.
+// OpenStream opens a stream at a client and sends its headers, the part of the body that is available (it may be
+// empty) and, if end is set, END_STREAM. fields and body are not retained. If it returns an error, nothing was sent.
 func (c *Conn) OpenStream(receiver Receiver, fields []hpack.Field, body []byte, end bool) (*Stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +121,7 @@
 	return s, nil
 }
 
-// WriteHeaders sends a server's response headers. With end they are the whole response.
+// WriteHeaders sends the response headers at a server. If end is set, the response has no body and no trailers.
 func (s *Stream) WriteHeaders(fields []hpack.Field, end bool) error {
 	s.conn.mu.Lock()
 	if s.closed || s.endSent {
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// Write sends bytes, and the stream's end if end is set. It returns how many were framed; the rest are queued,
-// and [Receiver.Sent] reports when they are framed. The caller limits what it has queued.
+// Write sends p, followed by END_STREAM if end is set. It returns the number of bytes framed at once; the rest is
+// queued, and [Receiver.Sent] reports when it has been framed. The caller must limit the bytes that it has queued.
 func (s *Stream) Write(p []byte, end bool) (int, error) {
 	s.conn.mu.Lock()
 	if s.closed || s.endSent || s.endQueued {
@@ -144,7 +146,7 @@
 	return n, nil
 }
 
-// WriteTrailers ends the stream with trailers, behind all that is queued. It keeps fields until they are sent.
+// WriteTrailers sends trailers, which end the stream, after all queued bytes. It retains fields until they are sent.
 func (s *Stream) WriteTrailers(fields []hpack.Field) error {
 	s.conn.mu.Lock()
 	if s.closed || s.endSent || s.endQueued {
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// finishWrite ends a write of the stream's owner. c.mu is held and is released.
+// finishWrite flushes a write and closes the stream if both ends have now finished it. c.mu is held and is released.
 func (s *Stream) finishWrite() {
 	s.conn.scheduleFlush()
 	finished := s.removeIfFinished()
@@ -170,8 +172,8 @@
 	}
 }
 
-// Reset ends the stream at once with a code. Closed is not called for it. A stream that is over is left as it
-// is.
+// Reset ends the stream at once by RST_STREAM with the given code. [Receiver.Closed] is not called. Reset has no effect
+// on a stream that has ended.
 func (s *Stream) Reset(code ErrCode) {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
@@ -182,7 +184,7 @@
 	s.remove()
 }
 
-// resetStream ends a stream on which the peer violated the protocol. c.mu is held and is released.
+// resetStream resets a stream on which the peer violated the protocol. c.mu is held and is released.
 func (c *Conn) resetStream(s *Stream, code ErrCode, reason string) {
 	c.queueRSTStream(s.id, code)
 	s.remove()
@@ -190,8 +192,8 @@
 	s.receiver.Closed(s, &StreamError{Code: code, Reason: reason})
 }
 
-// queueRSTStream queues RST_STREAM and remembers the stream for a while: frames that the peer sent before it
-// got the reset are no error. c.mu is held.
+// queueRSTStream queues RST_STREAM and remembers the stream for a while, because frames that the peer sent before it
+// received the reset are not errors. c.mu is held.
 func (c *Conn) queueRSTStream(id uint32, code ErrCode) {
 	c.writeBuffer = appendRSTStream(c.writeBuffer, id, code)
 	if !c.resetStreams[id] {
@@ -203,7 +205,7 @@
 	c.scheduleFlush()
 }
 
-// forgetOldResets forgets the older half of maxResetStreams. c.mu is held.
+// forgetOldResets drops the oldest maxResetStreams/2 entries of resetStreams. c.mu is held.
 func (c *Conn) forgetOldResets() {
 	const half = maxResetStreams / 2
 	for _, id := range c.resetOrder[:half] {
@@ -237,9 +239,9 @@
 	return c.countGlitch("resets")
 }
 
-// removeIfFinished removes a stream that both ends have ended and then returns true, once. A server that has
-// sent its whole response needs no more of the request and resets it with NO_ERROR (RFC 9113, section 8.1).
-// c.mu is held; after true the caller calls Receiver.Closed without it.
+// removeIfFinished removes the stream and returns true if both ends have ended it. A server that has sent its whole
+// response doesn't need the rest of the request and resets the stream with NO_ERROR (RFC 9113, section 8.1). c.mu is
+// held. If the result is true, the caller must release c.mu and call Receiver.Closed.
 func (s *Stream) removeIfFinished() bool {
 	if s.closed || !s.endSent || !s.endReceived && s.conn.isClient {
 		return false
@@ -251,7 +253,7 @@
 	return true
 }
 
-// remove takes a stream out of the connection. c.mu is held.
+// remove marks the stream as closed and removes it from its connection. c.mu is held.
 func (s *Stream) remove() {
 	if s.closed {
 		return
--- a/internal/transport/http2/validate.go
+++ b/internal/transport/http2/validate.go
@@ -6,7 +6,8 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// checkHeaders returns what makes a request or response malformed (RFC 9113, sections 8.2 and 8.3), or "".
+// checkHeaders returns the reason why the headers of a request or response are malformed (RFC 9113, sections 8.2 and
+// 8.3), or "" if they are well-formed.
 func checkHeaders(fields []hpack.Field, request bool) string {
 	var method, scheme, path, status int
 	regular := false
@@ -44,7 +45,7 @@
 	return ""
 }
 
-// checkTrailers returns what makes trailers malformed, or "".
+// checkTrailers returns the reason why trailers are malformed, or "".
 func checkTrailers(fields []hpack.Field) string {
 	for _, f := range fields {
 		if strings.HasPrefix(f.Name, ":") {
@@ -57,8 +58,7 @@
 	return ""
 }
 
-// checkField returns what makes a field malformed that is not a pseudo-header field (RFC 9113, sections 8.2.1
-// and 8.2.2), or "".
+// checkField returns the reason why a regular field is malformed (RFC 9113, sections 8.2.1 and 8.2.2), or "".
 func checkField(f hpack.Field) string {
 	if f.Name == "" {
 		return "empty field name"
@@ -82,7 +82,8 @@
 	return ""
 }
 
-// checkValue returns what makes a value malformed, of a pseudo-header field too (RFC 9113, section 8.2.1), or "".
+// checkValue returns the reason why the value of a regular or pseudo-header field is malformed (RFC 9113, section
+// 8.2.1), or "".
 func checkValue(f hpack.Field) string {
 	if strings.ContainsAny(f.Value, "\x00\r\n") {
 		return "invalid byte in the value of " + f.Name
--- a/internal/transport/http2/write.go
+++ b/internal/transport/http2/write.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// queueControl queues a frame that answers the peer. It guards against a peer that causes answers and never
-// reads them. c.mu is held.
+// queueControl queues a SETTINGS or PING acknowledgement. Its limit guards against a peer that causes acknowledgements
+// and never reads them. c.mu is held.
 func (c *Conn) queueControl(frame []byte) error {
 	if c.queuedControl += len(frame); c.queuedControl > c.cfg.MaxControlBytes {
 		return connError(EnhanceYourCalm, "%d bytes of answers wait for a peer that does not read", c.queuedControl)
@@ -13,8 +13,8 @@
 	return nil
 }
 
-// scheduleFlush starts the flush goroutine if there is something to write or to close and none runs. c.mu is
-// held.
+// scheduleFlush starts the flush goroutine if there is something to write or the connection is to be closed, unless
+// the goroutine is already running or flushes are deferred. c.mu is held.
 func (c *Conn) scheduleFlush() {
 	if c.flushing || c.flushDeferred || c.closed ||
 		len(c.writeBuffer) == 0 && len(c.sendQueue) == 0 && !c.closeAfterFlush {
@@ -24,8 +24,8 @@
 	go c.flush()
 }
 
-// flush writes until nothing is left, then ends. One goroutine at a time runs it, and it alone may block on the
-// socket. A write error, or the end of a connection with closeAfterFlush, terminates the connection.
+// flush writes to the socket until nothing is left. It runs on one goroutine at a time, the only one that may block on
+// the socket. It terminates the connection after a write error, or when all is written and closeAfterFlush is set.
 func (c *Conn) flush() {
 	defer c.recoverPanic()
 	var events []sendEvent
@@ -52,7 +52,7 @@
 			_ = c.netConn.Close()
 			return
 		}
-		if cap(buffer) > 2*c.cfg.SendBufferSize { // grown beyond its usual size; its memory is released
+		if cap(buffer) > 2*c.cfg.SendBufferSize { // larger than usual: not reused, so that its memory is freed
 			buffer = nil
 		}
 		c.mu.Lock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// writeSocket blocks until the socket has accepted p, up to Config.WriteTimeout.
+// writeSocket writes p and blocks until the socket has accepted it, up to Config.WriteTimeout.
 func (c *Conn) writeSocket(p []byte) error {
 	w := c.netConn.Writer()
 	if _, err := w.WriteBinary(p); err != nil {
@@ -70,10 +70,10 @@
 	return w.Flush()
 }
 
-// fillWriteBuffer moves queued bytes of the streams into writeBuffer, one frame of each stream in turn, as the
-// windows and the buffer allow. It appends an event for each stream that made progress. c.mu is held.
+// fillWriteBuffer moves queued bytes of the streams into writeBuffer, round-robin by one frame per stream, as far as
+// the windows and SendBufferSize allow. It appends an event for each stream that made progress. c.mu is held.
 func (c *Conn) fillWriteBuffer(events []sendEvent) []sendEvent {
-	// The round ends when as many streams in a row as are queued are blocked by a window.
+	// The loop ends when every queued stream in a row was blocked by a window.
 	for blocked := 0; blocked < len(c.sendQueue) && len(c.writeBuffer) < c.cfg.SendBufferSize; {
 		s := c.sendQueue[0]
 		copy(c.sendQueue, c.sendQueue[1:])
@@ -98,7 +98,7 @@
 	return events
 }
 
-// sendEvent is the progress of one stream's queued bytes. It is delivered without the lock.
+// sendEvent is progress in sending one stream's queued bytes. notifySent reports it to the Receiver without c.mu.
 type sendEvent struct {
 	stream   *Stream
 	n        int // bytes framed
@@ -116,8 +116,8 @@
 	}
 }
 
-// sendOrQueue frames what the windows allow now and queues the rest. It returns how many bytes it framed. c.mu
-// is held.
+// sendOrQueue frames as much of p as the windows allow now and queues the rest. It returns the number of bytes framed.
+// c.mu is held.
 func (s *Stream) sendOrQueue(p []byte, end bool) int {
 	s.endQueued = end
 	if s.inSendQueue || s.sendOffset < len(s.sendBuffer) {
@@ -142,16 +142,16 @@
 	return total - len(p)
 }
 
-// appendToSendBuffer queues bytes after those that wait already. c.mu is held.
+// appendToSendBuffer queues p after the bytes that are already queued. c.mu is held.
 func (s *Stream) appendToSendBuffer(p []byte) {
-	if s.sendOffset > len(s.sendBuffer)/2 { // drop what has been framed
+	if s.sendOffset > len(s.sendBuffer)/2 { // drop the bytes that have been framed
 		s.sendBuffer, s.sendOffset = s.sendBuffer[:copy(s.sendBuffer, s.sendBuffer[s.sendOffset:])], 0
 	}
 	s.sendBuffer = append(s.sendBuffer, p...)
 	s.joinSendQueue()
 }
 
-// appendDataFrame appends one DATA frame, which the windows must allow. c.mu is held.
+// appendDataFrame appends one DATA frame. The caller has checked that the windows allow it. c.mu is held.
 func (s *Stream) appendDataFrame(p []byte, end bool) {
 	h := frameHeader{length: len(p), typ: frameData, streamID: s.id}
 	if end {
@@ -162,8 +162,8 @@
 	s.conn.sendWindow -= int64(len(p))
 }
 
-// sendQueued frames up to limit queued bytes, and the stream's end, with its trailers, when nothing is left. It
-// returns how many bytes it framed. c.mu is held.
+// sendQueued frames up to limit queued bytes and, when none are left, the trailers or END_STREAM. It returns the number
+// of bytes framed. c.mu is held.
 func (s *Stream) sendQueued(limit int) int {
 	n := 0
 	if left := len(s.sendBuffer) - s.sendOffset; left > 0 {
@@ -189,10 +189,10 @@
 	return n
 }
 
-// allSent reports whether nothing is queued, neither bytes nor the end.
+// allSent reports whether neither bytes nor END_STREAM are queued.
 func (s *Stream) allSent() bool { return len(s.sendBuffer) == 0 && (!s.endQueued || s.endSent) }
 
-// joinSendQueue puts a stream with something queued at the end of the connection's send queue. c.mu is held.
+// joinSendQueue appends the stream to the connection's send queue if it has anything queued. c.mu is held.
 func (s *Stream) joinSendQueue() {
 	if !s.inSendQueue && !s.allSent() {
 		s.inSendQueue = true
