--- a/internal/transport/grpc/compression.go
+++ b/internal/transport/grpc/compression.go
@@ -9,25 +9,27 @@
 	"github.com/klauspost/compress/gzip"
 )
 
-// The message encodings.
+// Message encodings, the values of grpc-encoding.
 const (
 	encodingIdentity = "identity"
 	encodingGzip     = "gzip"
 )
 
-// AcceptedEncodings are the message encodings that this package decodes, as grpc-accept-encoding lists them.
+// AcceptedEncodings lists the message encodings that this package decodes, as the value of grpc-accept-encoding.
 const AcceptedEncodings = encodingIdentity + "," + encodingGzip
 
-// IsKnownEncoding reports whether this package decodes a grpc-encoding; "" is the absence of the field.
+// IsKnownEncoding reports whether this package decodes messages with the given grpc-encoding. "" means that the field
+// is absent.
 func IsKnownEncoding(encoding string) bool {
 	return encoding == "" || encoding == encodingIdentity || encoding == encodingGzip
 }
 
-// gzipReaders holds *gzip.Reader.
+// gzipReaders is a pool of *gzip.Reader.
 var gzipReaders = sync.Pool{New: func() any { return new(gzip.Reader) }}
 
-// MessageBody returns the uncompressed bytes of a message with its prefix: a slice of it, or new bytes where it
-// was compressed. A compressed message may expand to limit bytes; beyond it the error is ErrMessageTooLarge.
+// MessageBody returns the uncompressed body of a message, which is passed with its prefix. The body is a slice of the
+// message unless that is compressed. If a compressed message expands to more than limit bytes, the error is
+// ErrMessageTooLarge.
 func MessageBody(message []byte, encoding string, limit int) ([]byte, error) {
 	if len(message) < PrefixLen {
 		return nil, ErrTruncatedMessage
--- a/internal/transport/grpc/doc.go
+++ b/internal/transport/grpc/doc.go
@@ -1,3 +1,3 @@
-// Package grpc implements what gRPC adds to HTTP/2, as its specification "gRPC over HTTP2" defines it:
-// length-prefixed messages, timeouts, status and metadata. It depends on no connection and on no message type.
+// Package grpc implements what gRPC adds to HTTP/2, as the specification "gRPC over HTTP2" defines it: length-prefixed
+// messages, timeouts, status and metadata. It is independent of connections and of message types.
 package grpc
--- a/internal/transport/grpc/golden_test.go
+++ b/internal/transport/grpc/golden_test.go
@@ -11,10 +11,10 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// TestGolden holds the bytes of request headers, status trailers, timeouts and message prefixes.
+// TestGolden compares request headers, status trailers, timeouts, message prefixes and error texts with a golden file.
 func TestGolden(t *testing.T) {
 	var got strings.Builder
-	text := func(fields []hpack.Field) string {
+	formatFields := func(fields []hpack.Field) string {
 		var pairs []string
 		for _, f := range fields {
 			pairs = append(pairs, fmt.Sprintf("%s=%q", f.Name, f.Value))
@@ -22,24 +22,24 @@
 		return strings.Join(pairs, " ")
 	}
 	encoder := hpack.NewEncoder()
-	record := func(name string, fields []hpack.Field) {
+	recordBlock := func(name string, fields []hpack.Field) {
 		block := encoder.BeginBlock(nil)
 		for _, f := range fields {
 			block = encoder.AppendField(block, f)
 		}
-		fmt.Fprintf(&got, "%s: %s %x\n", name, text(fields), block)
+		fmt.Fprintf(&got, "%s: %s %x\n", name, formatFields(fields), block)
 	}
-	for range 2 { // the second time by the dynamic table
-		record("request headers", RequestHeaders("worker", "/inference.GRPCInferenceService/ModelInfer", 1500*time.Millisecond))
+	for range 2 { // the second round refers to entries of the dynamic table
+		recordBlock("request headers", RequestHeaders("worker", "/inference.GRPCInferenceService/ModelInfer", 1500*time.Millisecond))
 		for code := OK; code <= Unauthenticated+1; code++ {
-			record("trailers", Status{Code: code}.Trailers())
-			record("trailers", Status{Code: code, Message: "50% of α\n"}.Trailers())
+			recordBlock("trailers", Status{Code: code}.Trailers())
+			recordBlock("trailers", Status{Code: code, Message: "50% of α\n"}.Trailers())
 		}
-		record("trailers", Status{Code: 4000000000}.Trailers())
+		recordBlock("trailers", Status{Code: 4000000000}.Trailers())
 	}
 	for _, fields := range [][]hpack.Field{nil, {{Name: "grpc-status", Value: "x"}},
 		{{Name: "grpc-status", Value: "14"}, {Name: "grpc-message", Value: "a%21%zz"}}} {
-		fmt.Fprintf(&got, "status of %s: %q\n", text(fields), StatusFromTrailers(fields).Error())
+		fmt.Fprintf(&got, "status of %s: %q\n", formatFields(fields), StatusFromTrailers(fields).Error())
 	}
 	for _, status := range []string{"200", "400", "401", "403", "404", "429", "500", "502", "503", "504"} {
 		fmt.Fprintf(&got, "status of HTTP %s: %q\n", status, StatusFromHTTP(status).Error())
--- a/internal/transport/grpc/headers.go
+++ b/internal/transport/grpc/headers.go
@@ -10,7 +10,7 @@
 
 const contentType = "application/grpc"
 
-// RequestHeaders returns the headers that begin a request. timeout is the time until the caller gives up.
+// RequestHeaders returns the headers of a request. timeout is the remaining time until the call's deadline.
 func RequestHeaders(authority, path string, timeout time.Duration) []hpack.Field {
 	return []hpack.Field{
 		{Name: ":method", Value: "POST"},
@@ -23,7 +23,7 @@
 	}
 }
 
-// FieldValue returns the value of the first field with a name.
+// FieldValue returns the value of the first field with the given name.
 func FieldValue(fields []hpack.Field, name string) (string, bool) {
 	for _, f := range fields {
 		if f.Name == name {
@@ -33,7 +33,7 @@
 	return "", false
 }
 
-// DecodeBinaryHeader decodes the value of a -bin field: base64, with or without padding.
+// DecodeBinaryHeader decodes the value of a field whose name ends in -bin: base64, with or without padding.
 func DecodeBinaryHeader(v string) ([]byte, error) {
 	if len(v)%4 == 0 {
 		return base64.StdEncoding.DecodeString(v)
@@ -41,17 +41,18 @@
 	return base64.RawStdEncoding.DecodeString(v)
 }
 
-// EncodeBinaryHeader returns the value of a -bin field, without padding.
+// EncodeBinaryHeader encodes the value of a field whose name ends in -bin, as base64 without padding.
 func EncodeBinaryHeader(b []byte) string { return base64.RawStdEncoding.EncodeToString(b) }
 
-// IsContentType reports whether a content-type is gRPC's with a message format that can be forwarded.
+// IsContentType reports whether a content-type is that of gRPC with Protocol Buffers as the message format, the only
+// one that is forwarded.
 func IsContentType(v string) bool {
 	format, ok := strings.CutPrefix(v, contentType)
 	return ok && (format == "" || format == "+proto" || strings.HasPrefix(format, ";"))
 }
 
-// IsReservedHeader reports whether a field belongs to the protocol rather than to the call's metadata, so that it
-// is not forwarded.
+// IsReservedHeader reports whether a field belongs to the protocol and not to the call's metadata. Reserved fields are
+// not forwarded.
 func IsReservedHeader(name string) bool {
 	switch name {
 	case "te", "content-type", "user-agent", "grpc-timeout", "grpc-encoding", "grpc-accept-encoding",
--- a/internal/transport/grpc/message.go
+++ b/internal/transport/grpc/message.go
@@ -9,14 +9,14 @@
 // PrefixLen is the length in bytes of a message's prefix: the compressed flag and four bytes of length.
 const PrefixLen = 5
 
-// Errors of reading messages.
+// Errors returned when reading messages.
 var (
 	ErrMessageTooLarge  = errors.New("grpc: message larger than allowed")
 	ErrCompressedFlag   = errors.New("grpc: compressed flag is neither 0 nor 1")
 	ErrTruncatedMessage = errors.New("grpc: stream ends within a message")
 )
 
-// AppendPrefix appends the prefix of a message of n bytes.
+// AppendPrefix appends the prefix of a message whose body has n bytes.
 func AppendPrefix(dst []byte, n int, compressed bool) []byte {
 	flag := byte(0)
 	if compressed {
@@ -25,17 +25,17 @@
 	return binary.BigEndian.AppendUint32(append(dst, flag), uint32(n))
 }
 
-// MessageReader splits a stream of bytes into messages, however DATA frames divide them. It belongs to one
-// goroutine. The zero value with MaxSize set is ready.
+// MessageReader splits a stream of bytes into messages. A message may span several DATA frames, and a frame several
+// messages. MessageReader is not safe for concurrent use. Its zero value is ready for use once MaxSize is set.
 type MessageReader struct {
 	MaxSize int    // largest message accepted, in bytes without its prefix
-	buf     []byte // the incomplete message
-	bodyLen int    // its length without the prefix, once the prefix is complete
+	buf     []byte // received part of an incomplete message
+	bodyLen int    // length of that message without its prefix, set once the prefix is complete
 }
 
-// Next takes bytes and returns the first complete message, prefix included, and the bytes behind it. While no
-// message is complete it returns nil and keeps a copy of p. A message that lies wholly in p is a slice of p;
-// any other belongs to the caller. The error is ErrMessageTooLarge or ErrCompressedFlag.
+// Next adds the bytes p to the stream. It returns the first complete message, prefix included, and the bytes of p after
+// it. If no message is complete, it copies p and returns a nil message. A message that lies entirely in p is a slice of
+// p; any other message belongs to the caller. The error is ErrMessageTooLarge or ErrCompressedFlag.
 func (r *MessageReader) Next(p []byte) (message, rest []byte, err error) {
 	if len(r.buf) == 0 && len(p) >= PrefixLen {
 		n, err := r.parsePrefix(p)
@@ -65,7 +65,7 @@
 	return message, p, nil
 }
 
-// parsePrefix returns the length of a message from its prefix.
+// parsePrefix returns the length of the message whose prefix p begins with.
 func (r *MessageReader) parsePrefix(p []byte) (int, error) {
 	if p[0] > 1 {
 		return 0, ErrCompressedFlag
@@ -77,20 +77,20 @@
 	return int(n), nil
 }
 
-// Partial reports whether a message has begun that is incomplete: the stream must not end here.
+// Partial reports whether a message is incomplete, so that the stream must not end here.
 func (r *MessageReader) Partial() bool { return len(r.buf) > 0 }
 
-// MessageCounter counts the messages of a stream of bytes without keeping them. It belongs to one goroutine. The
-// zero value is ready.
+// MessageCounter counts the messages in a stream of bytes without storing them. It is not safe for concurrent use. Its
+// zero value is ready for use.
 type MessageCounter struct {
-	Messages  int // complete ones so far
+	Messages  int // complete messages so far
 	prefix    [PrefixLen]byte
-	prefixLen int    // bytes of prefix received
-	bodyLeft  uint32 // bytes of the message still to come
+	prefixLen int    // bytes of the prefix received so far
+	bodyLeft  uint32 // bytes of the message not yet received
 	inBody    bool
 }
 
-// Add takes the next bytes. The error is ErrCompressedFlag.
+// Add adds the bytes p to the stream. The error is ErrCompressedFlag.
 func (c *MessageCounter) Add(p []byte) error {
 	for len(p) > 0 || c.inBody && c.bodyLeft == 0 {
 		if c.inBody {
--- a/internal/transport/grpc/message_test.go
+++ b/internal/transport/grpc/message_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestMessagesAcrossReads divides a stream of messages at random places.
+// TestMessagesAcrossReads splits a stream of messages at random places and checks that it is read and counted
+// correctly.
 func TestMessagesAcrossReads(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
@@ -77,7 +78,8 @@
 	})
 }
 
-// FuzzReader holds the reader and the counter to the same messages and errors, whatever the bytes and their division.
+// FuzzReader checks that MessageReader and MessageCounter find the same messages and errors in any bytes, however these
+// are split.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 9, 1, 0, 0, 0, 0}, 3)
 	f.Add([]byte{0, 0, 0, 0, 0}, 1)
@@ -111,7 +113,7 @@
 			}
 		}
 		if bytesRead > len(data) {
-			t.Fatal("more bytes read than passed in")
+			t.Fatal("the messages have more bytes than the input")
 		}
 	})
 }
--- a/internal/transport/grpc/percent.go
+++ b/internal/transport/grpc/percent.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// PercentEncode encodes a status message: all bytes but printable ASCII, and the percent sign itself.
+// PercentEncode encodes a status message for grpc-message: all bytes except printable ASCII, and the percent sign.
 func PercentEncode(s string) string {
 	i := 0
 	for i < len(s) && isUnencoded(s[i]) {
@@ -26,10 +26,10 @@
 	return string(out)
 }
 
-// isUnencoded reports whether a byte stands for itself ("Percent-Byte-Unencoded" of the specification).
+// isUnencoded reports whether a byte needs no encoding ("Percent-Byte-Unencoded" in the specification).
 func isUnencoded(b byte) bool { return b >= ' ' && b <= '~' && b != '%' }
 
-// PercentDecode reverses PercentEncode. What is not validly encoded stays as it is, as the specification asks.
+// PercentDecode reverses PercentEncode. Invalid encodings are kept unchanged, as the specification requires.
 func PercentDecode(s string) string {
 	if !strings.Contains(s, "%") {
 		return s
--- a/internal/transport/grpc/status.go
+++ b/internal/transport/grpc/status.go
@@ -7,7 +7,7 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// The trailers of a response.
+// Names of the trailers that carry a status.
 const (
 	statusHeader  = "grpc-status"
 	messageHeader = "grpc-message"
@@ -16,7 +16,7 @@
 // Code is a gRPC status code.
 type Code uint32
 
-// The status codes.
+// The gRPC status codes.
 const (
 	OK Code = iota
 	Canceled
@@ -49,7 +49,7 @@
 	return "CODE_" + strconv.Itoa(int(c))
 }
 
-// Status is the outcome of a call. It is an error for the callers that treat every code but OK as one.
+// Status is the outcome of a call. It implements error for callers that treat every code but OK as an error.
 type Status struct { //nolint:errname // a status is the protocol's term and may be OK, as in grpc-go's package status
 	Code    Code
 	Message string
@@ -57,7 +57,8 @@
 
 func (s Status) Error() string { return s.Code.String() + ": " + s.Message }
 
-// StatusFromTrailers reads grpc-status and grpc-message. Trailers without a valid status are UNKNOWN.
+// StatusFromTrailers returns the status in grpc-status and grpc-message. Its code is Unknown if grpc-status is missing
+// or malformed.
 func StatusFromTrailers(fields []hpack.Field) Status {
 	v, ok := FieldValue(fields, statusHeader)
 	if !ok {
@@ -71,8 +72,8 @@
 	return Status{Code(code), PercentDecode(message)}
 }
 
-// StatusFromHTTP returns the status of a response that is not gRPC, by the table of the specification's "HTTP to
-// gRPC Status Code Mapping".
+// StatusFromHTTP returns the status for a response that is not gRPC, by the specification's "HTTP to gRPC Status Code
+// Mapping".
 func StatusFromHTTP(httpStatus string) Status {
 	s := Status{Unknown, "HTTP status " + httpStatus}
 	switch httpStatus {
@@ -90,7 +91,7 @@
 	return s
 }
 
-// Trailers returns the fields that carry the status.
+// Trailers returns the trailers that carry the status.
 func (s Status) Trailers() []hpack.Field {
 	fields := []hpack.Field{{Name: statusHeader, Value: formatCode(s.Code)}}
 	if s.Message != "" {
--- a/internal/transport/grpc/status_test.go
+++ b/internal/transport/grpc/status_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := StatusFromTrailers(c.fields); got.Code != c.code {
-				t.Errorf("%v: %v", c.fields, got)
+				t.Errorf("%v: status %v", c.fields, got)
 			}
 		})
 	}
@@ -32,7 +32,7 @@
 	for httpStatus, want := range map[string]Code{"503": Unavailable, "404": Unimplemented, "200": Unknown} {
 		t.Run("HTTP "+httpStatus, func(t *testing.T) {
 			if got := StatusFromHTTP(httpStatus).Code; got != want {
-				t.Errorf("%v, the specification has %v", got, want)
+				t.Errorf("code %v, the specification requires %v", got, want)
 			}
 		})
 	}
--- a/internal/transport/grpc/timeout.go
+++ b/internal/transport/grpc/timeout.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// ErrMalformedTimeout is the error of a malformed grpc-timeout.
+// ErrMalformedTimeout is returned for a malformed grpc-timeout.
 var ErrMalformedTimeout = errors.New("grpc: grpc-timeout is not up to eight digits and a unit")
 
-// The value of a grpc-timeout has up to eight digits.
+// Limits on the number in a grpc-timeout.
 const (
 	maxTimeoutDigits = 8
 	maxTimeoutValue  = 99999999
 )
 
-// timeoutUnits are the units of a grpc-timeout, the shortest first.
+// timeoutUnits lists the units of a grpc-timeout, shortest first.
 var timeoutUnits = [...]struct {
 	name     byte
 	duration time.Duration
@@ -29,7 +29,7 @@
 	{'H', time.Hour},
 }
 
-// timeoutUnit returns the duration of a unit, or 0 for a byte that is none.
+// timeoutUnit returns the duration of the unit with the given name, or 0 if there is no such unit.
 func timeoutUnit(name byte) time.Duration {
 	for _, unit := range timeoutUnits {
 		if unit.name == name {
@@ -39,8 +39,8 @@
 	return 0
 }
 
-// ParseTimeout parses a grpc-timeout: up to eight digits and a unit. A value too large for a Duration gives the
-// longest one. The error is ErrMalformedTimeout.
+// ParseTimeout parses a grpc-timeout: up to eight digits and a unit. A value that overflows time.Duration gives the
+// longest Duration. The error is ErrMalformedTimeout.
 func ParseTimeout(s string) (time.Duration, error) {
 	if len(s) < 2 || len(s) > maxTimeoutDigits+1 {
 		return 0, ErrMalformedTimeout
@@ -62,8 +62,8 @@
 	return time.Duration(n) * unit, nil
 }
 
-// FormatTimeout returns the grpc-timeout of a duration in the shortest unit that fits, rounded down: a worker must
-// not assume that it has longer than the client. A negative duration is 0.
+// FormatTimeout returns d as a grpc-timeout in the shortest unit that fits. It rounds down, because a worker must not
+// assume a later deadline than the client's. A negative duration gives a timeout of 0.
 func FormatTimeout(d time.Duration) string {
 	d = max(d, 0)
 	last := len(timeoutUnits) - 1
--- a/internal/transport/grpc/timeout_test.go
+++ b/internal/transport/grpc/timeout_test.go
@@ -33,7 +33,7 @@
 			t.Run(d.String(), func(t *testing.T) {
 				got, err := ParseTimeout(FormatTimeout(d))
 				if err != nil || got > max(d, 0) || float64(got) < 0.99*float64(d)-1 {
-					t.Errorf("becomes %s, %v (%v): longer, or far shorter", FormatTimeout(d), got, err)
+					t.Errorf("formatted as %s = %v (error %v): longer, or over 1%% shorter", FormatTimeout(d), got, err)
 				}
 			})
 		}
--- a/internal/transport/hpack/decoder.go
+++ b/internal/transport/hpack/decoder.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Decoder decodes header blocks.
+// Decoder decodes the header blocks of one direction of a connection.
 type Decoder struct {
 	table         dynamicTable
-	maxTableSize  int // the peer's limit for table: our SETTINGS_HEADER_TABLE_SIZE
-	maxListSize   int
-	huffmanBuffer []byte // reused
+	maxTableSize  int    // limit on the peer's table size updates: our SETTINGS_HEADER_TABLE_SIZE
+	maxListSize   int    // limit on a decoded header list, in bytes as Field.Size counts them
+	huffmanBuffer []byte // reused by readString
 }
 
-// NewDecoder returns a Decoder whose table may have up to maxTableSize bytes and whose header lists up to
-// maxListSize, both as [Field.Size] counts.
+// NewDecoder returns a Decoder that limits its dynamic table to maxTableSize bytes and each header list to maxListSize
+// bytes, both counted as by [Field.Size].
 func NewDecoder(maxTableSize, maxListSize int) *Decoder {
 	return &Decoder{
 		table:        dynamicTable{maxSize: min(maxTableSize, DefaultTableSize)},
@@ -20,8 +20,8 @@
 	}
 }
 
-// Decode appends the fields of one complete block to dst. On ErrHeaderListTooLarge the block was read to its
-// end, so that the next one can be decoded, but the fields beyond the limit are left out.
+// Decode appends the fields of one complete block to dst. If the error is ErrHeaderListTooLarge, the fields beyond the
+// limit are left out, but the block has been decoded to its end, so that the next one can be decoded.
 func (d *Decoder) Decode(dst []Field, block []byte) ([]Field, error) {
 	listSize, sawField, tooLarge := 0, false, false
 	for len(block) > 0 {
@@ -58,7 +58,7 @@
 			f.Sensitive = b&patternNeverIndexed != 0
 		}
 		if listSize += f.Size(); listSize > d.maxListSize {
-			tooLarge = true // guards against a small block with many references to one large entry
+			tooLarge = true // guards against a small block with many references to one large table entry
 			continue
 		}
 		dst = append(dst, f)
@@ -69,8 +69,8 @@
 	return dst, nil
 }
 
-// readSizeUpdate reads a dynamic table size update (RFC 7541, section 6.3), which must precede all fields of its
-// block.
+// readSizeUpdate reads and applies a dynamic table size update (RFC 7541, section 6.3), which must precede all fields
+// of its block.
 func (d *Decoder) readSizeUpdate(block []byte, sawField bool) ([]byte, error) {
 	n, rest, err := readInteger(block, prefixBitsSizeUpdate)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return rest, nil
 }
 
-// readLiteral reads a literal field, whose name may be an index (RFC 7541, section 6.2).
+// readLiteral reads a literal field, whose name may be given as an index (RFC 7541, section 6.2).
 func (d *Decoder) readLiteral(block []byte, prefixBits uint8) (Field, []byte, error) {
 	i, block, err := readInteger(block, prefixBits)
 	if err != nil {
--- a/internal/transport/hpack/encoder.go
+++ b/internal/transport/hpack/encoder.go
@@ -1,30 +1,30 @@
 package hpack
 
-// Encoder encodes header blocks.
+// Encoder encodes the header blocks of one direction of a connection.
 type Encoder struct {
 	table            dynamicTable
-	inserted         uint64               // insertions so far, the newest entry's number
-	insertionByField map[nameValue]uint64 // number of the newest entry with that field
+	inserted         uint64               // insertions so far, which is also the insertion number of the newest entry
+	insertionByField map[nameValue]uint64 // insertion number of the newest entry with that field
 
-	sizeUpdatePending bool
-	smallestSize      int // smallest maximum size set since the last block
+	sizeUpdatePending bool // the next block must announce a new maximum table size
+	smallestSize      int  // smallest maximum size set since the last block, in bytes
 }
 
 const (
-	// maxEncoderTableSize limits the memory of the encoder's table: a peer may allow a larger one, but it is kept
-	// at this end.
+	// maxEncoderTableSize limits the encoder's table in bytes, even if the peer allows more, because this end keeps the
+	// table in memory.
 	maxEncoderTableSize = 1 << 16
-	// maxEntryFraction: a field larger than this fraction of the table is not indexed.
-	maxEntryFraction = 4
+	// maxEntryDivisor limits the size of an indexed field to 1/maxEntryDivisor of the table.
+	maxEntryDivisor = 4
 )
 
-// NewEncoder returns an Encoder with a table of the default size.
+// NewEncoder returns an Encoder whose dynamic table has the default maximum size.
 func NewEncoder() *Encoder {
 	return &Encoder{table: dynamicTable{maxSize: DefaultTableSize}, insertionByField: map[nameValue]uint64{}}
 }
 
-// SetMaxTableSize applies the peer's SETTINGS_HEADER_TABLE_SIZE, in bytes. The next block announces the new
-// size to the peer.
+// SetMaxTableSize applies the peer's SETTINGS_HEADER_TABLE_SIZE of n bytes. The next block announces the new size to
+// the peer.
 func (e *Encoder) SetMaxTableSize(n int) {
 	n = min(n, maxEncoderTableSize)
 	if n == e.table.maxSize {
@@ -38,7 +38,7 @@
 	e.forgetEvicted(e.table.evict())
 }
 
-// forgetEvicted removes evicted entries, which were the oldest, from the index.
+// forgetEvicted removes the evicted entries, which were the oldest, from insertionByField.
 func (e *Encoder) forgetEvicted(evicted int) {
 	if evicted == 0 {
 		return
@@ -51,15 +51,15 @@
 	}
 }
 
-// BeginBlock appends what must stand at the beginning of a block: table size updates that are due.
+// BeginBlock begins a header block: it appends the pending table size updates, which must precede all fields.
 func (e *Encoder) BeginBlock(dst []byte) []byte {
 	if !e.sizeUpdatePending {
 		return dst
 	}
 	e.sizeUpdatePending = false
 	if e.smallestSize < e.table.maxSize {
-		// The smallest size must be announced first (RFC 7541, section 4.2). Some decoders accept a second
-		// update only while their table is empty, so it is emptied: 0 is announced in place of the smallest.
+		// The smallest size must be announced first (RFC 7541, section 4.2). Some decoders accept a second update
+		// only while their table is empty, so 0 is announced instead of the smallest size, which empties the table.
 		dst = appendInteger(dst, patternSizeUpdate, prefixBitsSizeUpdate, 0)
 		e.table.entries, e.table.size = nil, 0
 		clear(e.insertionByField)
@@ -67,8 +67,8 @@
 	return appendInteger(dst, patternSizeUpdate, prefixBitsSizeUpdate, uint64(e.table.maxSize))
 }
 
-// AppendField appends one field. Fields marked Sensitive, and those whose values seldom repeat, are not
-// indexed.
+// AppendField appends one field. Sensitive and large fields, and those whose values rarely repeat, are not added to the
+// dynamic table.
 func (e *Encoder) AppendField(dst []byte, f Field) []byte {
 	key := nameValue{f.Name, f.Value}
 	if !f.Sensitive {
@@ -80,7 +80,7 @@
 	switch {
 	case f.Sensitive:
 		dst = appendInteger(dst, patternNeverIndexed, prefixBitsLiteral, nameIndex)
-	case variesByCall(f) || f.Size() > e.table.maxSize/maxEntryFraction:
+	case variesByCall(f) || f.Size() > e.table.maxSize/maxEntryDivisor:
 		dst = appendInteger(dst, patternWithoutIndexing, prefixBitsLiteral, nameIndex)
 	default:
 		dst = appendInteger(dst, patternIncremental, prefixBitsIncremental, nameIndex)
@@ -94,7 +94,7 @@
 	return appendString(dst, f.Value)
 }
 
-// index returns the index of a field that stands in one of the tables.
+// index returns the index of a field. The result is false if the field is in neither table.
 func (e *Encoder) index(key nameValue) (uint64, bool) {
 	if i := staticIndexByField[key]; i > 0 {
 		return i, true
@@ -103,8 +103,8 @@
 	return uint64(len(staticTable)) + e.inserted - insertion + 1, ok
 }
 
-// variesByCall reports whether a field's value differs from call to call. In the table it would evict fields
-// that repeat.
+// variesByCall reports whether the value of a field differs from call to call. In the dynamic table such a field would
+// evict fields that repeat.
 func variesByCall(f Field) bool {
 	switch f.Name {
 	case "grpc-timeout", "grpc-message", "content-length", "endpoint-load-metrics-bin", "idempotency-key",
--- a/internal/transport/hpack/hpack.go
+++ b/internal/transport/hpack/hpack.go
@@ -1,24 +1,24 @@
-// Package hpack implements HPACK, the header compression of HTTP/2 (RFC 7541). An [Encoder] and a [Decoder]
-// hold the state of one direction of one connection and belong to one goroutine at a time. Decoded strings
-// may be kept; blocks passed in are not kept.
+// Package hpack implements HPACK, the header compression of HTTP/2 (RFC 7541). An [Encoder] or a [Decoder] holds the
+// state of one direction of one connection and is not safe for concurrent use. Callers may keep decoded strings; the
+// package does not retain the blocks passed to it.
 package hpack
 
 import "errors"
 
-// Field is one header field. Sensitive fields are never indexed (RFC 7541, section 7.1.3).
+// Field is a header field. Sensitive fields are encoded as never-indexed literals (RFC 7541, section 7.1.3).
 type Field struct {
 	Name, Value string
 	Sensitive   bool
 }
 
-// fieldOverhead is what a field counts beyond its bytes.
+// fieldOverhead is the number of bytes that a field counts in addition to its name and value (RFC 7541, section 4.1).
 const fieldOverhead = 32
 
-// Size returns the bytes that the field counts in a table or a header list (RFC 7541, section 4.1).
+// Size returns the size in bytes that the field counts as in a dynamic table or a header list (RFC 7541, section 4.1).
 func (f Field) Size() int { return len(f.Name) + len(f.Value) + fieldOverhead }
 
-// Errors of a header block. Each is a COMPRESSION_ERROR of the connection, as the tables of the two ends no
-// longer agree, except ErrHeaderListTooLarge, after which the decoder's state is intact.
+// Errors returned when decoding a header block. After ErrHeaderListTooLarge the decoder's state is intact. After any
+// other one the dynamic tables of the two ends may differ, which is a connection error of type COMPRESSION_ERROR.
 var (
 	ErrTruncated          = errors.New("hpack: block ends within a field")
 	ErrInvalidIndex       = errors.New("hpack: index outside the tables")
@@ -29,8 +29,7 @@
 	errInvalidHuffman = errors.New("hpack: invalid Huffman code")
 )
 
-// The first bits of each representation, and the length in bits of the integer behind them (RFC 7541, section
-// 6).
+// The first bits of each representation, and the length in bits of the integer prefix after them (RFC 7541, section 6).
 const (
 	patternIndexed         = 0x80
 	patternIncremental     = 0x40 // literal with incremental indexing
@@ -38,7 +37,7 @@
 	sizeUpdateMask         = 0xe0
 	patternNeverIndexed    = 0x10 // literal never indexed
 	patternWithoutIndexing = 0x00 // literal without indexing
-	patternHuffman         = 0x80 // of a string literal
+	patternHuffman         = 0x80 // string literal, Huffman coded (section 5.2)
 
 	prefixBitsIndexed     = 7
 	prefixBitsIncremental = 6
--- a/internal/transport/hpack/hpack_test.go
+++ b/internal/transport/hpack/hpack_test.go
@@ -21,8 +21,8 @@
 	return b
 }
 
-// TestRFC7541Examples decodes RFC 7541, Appendix C.4 and C.6: Huffman coded requests and responses that share a
-// dynamic table.
+// TestRFC7541Examples decodes the examples of RFC 7541, Appendix C.4 and C.6: sequences of Huffman coded requests and
+// responses, each with one dynamic table.
 func TestRFC7541Examples(t *testing.T) {
 	t.Run("C.4 requests", decodeRequestExamples)
 	t.Run("C.6 responses with eviction", decodeResponseExamples)
@@ -82,26 +82,26 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := NewDecoder(DefaultTableSize, 1<<16).Decode(nil, decodeHex(t, c.block)); !errors.Is(err, c.want) {
-				t.Errorf("%s: %v, want %v", c.block, err, c.want)
+				t.Errorf("%s: error %v, want %v", c.block, err, c.want)
 			}
 		})
 	}
 }
 
-// TestDecodeLimitsHeaderList guards against a block of references to one large entry: few bytes on the wire, many in
-// memory.
+// TestDecodeLimitsHeaderList guards against a block with many references to one large table entry, which is small on
+// the wire and large in memory.
 func TestDecodeLimitsHeaderList(t *testing.T) {
 	d := NewDecoder(DefaultTableSize, 16<<10)
 	block := NewEncoder().AppendField(nil, Field{Name: "big", Value: strings.Repeat("v", 900)})
 	for range 10000 {
-		block = append(block, 0xbe) // the newest entry
+		block = append(block, 0xbe) // index of the newest entry of the dynamic table
 	}
 	f, err := d.Decode(nil, block)
 	if !errors.Is(err, ErrHeaderListTooLarge) || len(f) > 20 {
-		t.Fatalf("%d fields, %v", len(f), err)
+		t.Fatalf("decoded %d fields, error %v; want at most 20 and ErrHeaderListTooLarge", len(f), err)
 	}
 	if f, err = d.Decode(nil, []byte{0xbe}); err != nil || f[0].Name != "big" {
-		t.Fatalf("the state was lost: %v, %v", f, err)
+		t.Fatalf("the next block is decoded as %v, error %v", f, err)
 	}
 }
 
@@ -117,13 +117,13 @@
 	return fields
 }
 
-// codecPair is a connection in both directions with golang.org/x/net's codec at the other end.
+// codecPair connects this package's Encoder and Decoder with those of golang.org/x/net.
 type codecPair struct {
 	encoder     *Encoder
 	decoder     *Decoder
 	peerEncoder *peer.Encoder
 	peerDecoder *peer.Decoder
-	peerBlock   bytes.Buffer // what peerEncoder wrote
+	peerBlock   bytes.Buffer // output of peerEncoder
 }
 
 func newCodecPair() *codecPair {
@@ -134,7 +134,7 @@
 	return p
 }
 
-// exchange has each end decode the fields that the other encoded.
+// exchange encodes fields at each end and checks that the other end decodes them to the same fields.
 func (p *codecPair) exchange(t *testing.T, fields []Field) {
 	t.Helper()
 	block := p.encoder.BeginBlock(nil)
@@ -154,17 +154,17 @@
 		t.Fatalf("the peer's block can't be decoded: %v", err)
 	}
 	if len(byPeer) != len(fields) || len(decoded) != len(fields) {
-		t.Fatalf("%d and %d fields, want %d", len(byPeer), len(decoded), len(fields))
+		t.Fatalf("the peer decoded %d fields and this package %d, want %d", len(byPeer), len(decoded), len(fields))
 	}
 	for i, f := range fields {
 		if byPeer[i].Name != f.Name || byPeer[i].Value != f.Value || decoded[i].Name != f.Name || decoded[i].Value != f.Value {
-			t.Fatalf("field %d: %v and %v, want %v", i, byPeer[i], decoded[i], f)
+			t.Fatalf("field %d: the peer decoded %v and this package %v, want %v", i, byPeer[i], decoded[i], f)
 		}
 	}
 }
 
-// TestInteroperability has golang.org/x/net's codec decode what ours encodes, and the other way round, over long
-// connections with table sizes that change.
+// TestInteroperability checks that golang.org/x/net's codec decodes what this package encodes, and vice versa, over
+// long connections with changing table sizes.
 func TestInteroperability(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -182,7 +182,7 @@
 	}
 }
 
-// FuzzDecode compares with an independent decoder: a block that both accept must decode to the same fields.
+// FuzzDecode compares Decoder with that of golang.org/x/net: a block that both accept must give the same fields.
 func FuzzDecode(f *testing.F) {
 	f.Add(decodeHex(f, "828684418cf1e3c2e5f23a6ba0ab90f4ff"))
 	f.Add(decodeHex(f, "3fe11f20408825a849e95ba97d7f8925a849e95bb8e8b4bf"))
@@ -191,14 +191,14 @@
 		got, err := NewDecoder(DefaultTableSize, 1<<20).Decode(nil, block)
 		want, peerErr := peer.NewDecoder(DefaultTableSize, nil).DecodeFull(block)
 		if err != nil || peerErr != nil {
-			return // the peer accepts integers that ours limits, ours an update that the peer rejects
+			return // allowed differences: the peer accepts larger integers, this package a size update that the peer rejects
 		}
 		if len(got) != len(want) {
-			t.Fatalf("%d fields, the peer reads %d", len(got), len(want))
+			t.Fatalf("decoded %d fields, the peer %d", len(got), len(want))
 		}
 		for i := range got {
 			if got[i].Name != want[i].Name || got[i].Value != want[i].Value {
-				t.Fatalf("field %d: %v, the peer reads %v", i, got[i], want[i])
+				t.Fatalf("field %d: decoded %v, the peer %v", i, got[i], want[i])
 			}
 		}
 	})
--- a/internal/transport/hpack/huffman.go
+++ b/internal/transport/hpack/huffman.go
@@ -3,28 +3,27 @@
 import "sync"
 
 const (
-	huffmanEOS        = 256 // the symbol that never occurs; its first bits are the padding
+	huffmanEOS        = 256 // end-of-string symbol, which must not be encoded; its first bits serve as padding
 	maxHuffmanCodeLen = 30  // bits
 	maxPaddingLen     = 7   // bits
 )
 
-// huffmanTransition is what four more bits do to the decoder in some state: the next state, and the symbol that
-// ends within the bits, if one does. The shortest code has five bits, so at most one symbol ends.
+// huffmanTransition is the decoder's transition on four input bits: the next state and the symbol completed by the
+// bits, if any. The shortest code has five bits, so four bits complete at most one symbol.
 type huffmanTransition struct {
 	next        int16 // invalidState if no code begins with the bits
 	symbol      uint8
 	emitsSymbol bool
-	validEnd    bool // the bits since the last symbol are padding: a prefix of EOS shorter than a byte
+	validEnd    bool // input may end here: the bits since the last symbol are padding, a prefix of EOS shorter than a byte
 }
 
-// invalidState is the state after bits that begin no code.
+// invalidState is the state after bits that are not the beginning of any code.
 const invalidState = -1
 
-// huffmanCode holds the code of each symbol, and the decoder: the transitions of each state by the next four
-// bits. State 0 is the beginning of a symbol.
+// huffmanCode holds the encoder's and the decoder's tables of the Huffman code.
 type huffmanCode struct {
-	codes       [257]uint32
-	transitions [][16]huffmanTransition
+	codes       [257]uint32             // code of each symbol, right-aligned
+	transitions [][16]huffmanTransition // by state and the next four bits; state 0 is the beginning of a symbol
 }
 
 // huffmanTables builds the tables on first use.
@@ -41,7 +40,8 @@
 	return &huffmanCode{codes: codes, transitions: transitions}
 })
 
-// canonicalCodes returns the codes that follow from huffmanCodeLen: shorter codes first, then by symbol.
+// canonicalCodes computes the code of each symbol from huffmanCodeLen. Codes are assigned in ascending order to symbols
+// sorted by code length, then by symbol.
 func canonicalCodes() (codes [257]uint32) {
 	code, codeLen := uint32(0), uint8(0)
 	for length := uint8(1); length <= maxHuffmanCodeLen; length++ {
@@ -58,12 +58,12 @@
 	return codes
 }
 
-// huffmanNode is an inner node of the code's tree. Each child is a node's number, or -1-symbol, or noChild.
+// huffmanNode is an inner node of a huffmanTree. A child is the number of a node, or -1-symbol for a leaf, or noChild.
 type huffmanNode struct{ children [2]int16 }
 
 const noChild = int16(-1000)
 
-// huffmanTree is the code's tree; node 0 is its root.
+// huffmanTree is the binary tree of the code. Node 0 is its root.
 type huffmanTree []huffmanNode
 
 func buildTree(codes *[257]uint32) huffmanTree {
@@ -84,7 +84,7 @@
 	return tree
 }
 
-// paddingNodes returns the nodes at which a string may end: those that at most seven ones lead to.
+// paddingNodes returns the nodes at which a string may end: those reached from the root by at most seven 1 bits.
 func paddingNodes(tree huffmanTree) map[int16]bool {
 	padding := map[int16]bool{0: true}
 	node := int16(0)
@@ -95,7 +95,7 @@
 	return padding
 }
 
-// transition follows four bits from a node.
+// transition returns the transition from a node on four bits.
 func (tree huffmanTree) transition(node int16, nibble int, padding map[int16]bool) huffmanTransition {
 	t := huffmanTransition{}
 	for shift := 3; shift >= 0; shift-- {
@@ -115,8 +115,8 @@
 	return t
 }
 
-// appendHuffmanDecoded appends the string that src encodes. Its padding must be a prefix of EOS shorter than a
-// byte (RFC 7541, section 5.2).
+// appendHuffmanDecoded decodes src and appends the result to dst. The padding of src must be a prefix of EOS shorter
+// than a byte (RFC 7541, section 5.2).
 func appendHuffmanDecoded(dst, src []byte) ([]byte, error) {
 	h := huffmanTables()
 	state, validEnd := int16(0), true
@@ -138,7 +138,7 @@
 	return dst, nil
 }
 
-// huffmanEncodedLen returns the length of s in bytes when encoded.
+// huffmanEncodedLen returns the length in bytes of s in Huffman code.
 func huffmanEncodedLen(s string) int {
 	bits := 0
 	for i := range len(s) {
@@ -147,7 +147,7 @@
 	return (bits + 7) / 8
 }
 
-// appendHuffmanEncoded appends s encoded, padded with ones.
+// appendHuffmanEncoded appends s in Huffman code, padded with 1 bits.
 func appendHuffmanEncoded(dst []byte, s string) []byte {
 	h := huffmanTables()
 	bits, bitCount := uint64(0), uint8(0)
--- a/internal/transport/hpack/huffmancode.go
+++ b/internal/transport/hpack/huffmancode.go
@@ -1,7 +1,7 @@
 package hpack
 
-// huffmanCodeLen holds the lengths in bits of the Huffman code of RFC 7541, Appendix B. The code is canonical, so
-// the lengths give the codes; symbol 256 (EOS) is thirty ones.
+// huffmanCodeLen holds the length in bits of each symbol's code in the Huffman code of RFC 7541, Appendix B. The code
+// is canonical, so the lengths determine the codes. The code of symbol 256 (EOS) is thirty 1 bits.
 var huffmanCodeLen = [257]uint8{
 	13, 23, 28, 28, 28, 28, 28, 28, 28, 24, 30, 28, 28, 30, 28, 28,
 	28, 28, 28, 28, 28, 28, 30, 28, 28, 28, 28, 28, 28, 28, 28, 28,
--- a/internal/transport/hpack/statictable.go
+++ b/internal/transport/hpack/statictable.go
@@ -1,6 +1,6 @@
 package hpack
 
-// staticTable is the static table of RFC 7541, Appendix A. Index 1 is staticTable[0].
+// staticTable is the static table of RFC 7541, Appendix A. staticTable[0] has index 1.
 var staticTable = [...]Field{
 	{Name: ":authority"}, {Name: ":method", Value: "GET"}, {Name: ":method", Value: "POST"},
 	{Name: ":path", Value: "/"}, {Name: ":path", Value: "/index.html"}, {Name: ":scheme", Value: "http"},
--- a/internal/transport/hpack/table.go
+++ b/internal/transport/hpack/table.go
@@ -1,16 +1,16 @@
 package hpack
 
-// DefaultTableSize is the size in bytes of the dynamic table at the beginning of a connection.
+// DefaultTableSize is the maximum size in bytes of the dynamic table at the beginning of a connection.
 const DefaultTableSize = 4096
 
-// dynamicTable is the dynamic table of one direction (RFC 7541, section 2.3.2).
+// dynamicTable is the dynamic table of one direction of a connection (RFC 7541, section 2.3.2).
 type dynamicTable struct {
 	entries []Field // oldest first
-	size    int     // in bytes, as Field.Size counts
-	maxSize int
+	size    int     // in bytes, as Field.Size counts them
+	maxSize int     // in bytes
 }
 
-// add inserts an entry and returns how many older ones it evicted.
+// add inserts an entry and returns the number of entries evicted.
 func (t *dynamicTable) add(f Field) (evicted int) {
 	f.Sensitive = false
 	t.entries = append(t.entries, f)
@@ -18,8 +18,8 @@
 	return t.evict()
 }
 
-// evict removes the oldest entries until the table fits. An entry larger than the table empties it, which is
-// no error (RFC 7541, section 4.4).
+// evict removes the oldest entries until the table is within maxSize, and returns their number. An entry larger than
+// maxSize empties the table, which is not an error (RFC 7541, section 4.4).
 func (t *dynamicTable) evict() (evicted int) {
 	for t.size > t.maxSize && evicted < len(t.entries) {
 		t.size -= t.entries[evicted].Size()
@@ -33,8 +33,8 @@
 	return evicted
 }
 
-// lookup returns the entry at an index of the address space that both tables share (RFC 7541, section 2.3.3):
-// the static table from 1, then the dynamic one from its newest entry.
+// lookup returns the entry at an index of the address space that both tables share (RFC 7541, section 2.3.3). Index 1
+// is the first entry of the static table; the dynamic table follows, newest entry first.
 func (t *dynamicTable) lookup(i uint64) (Field, bool) {
 	switch n := uint64(len(t.entries)); {
 	case i == 0 || i > uint64(len(staticTable))+n:
@@ -46,11 +46,11 @@
 	}
 }
 
-// nameValue is a field as the key of an index.
+// nameValue is the key of a map that finds a field by its name and value.
 type nameValue struct{ name, value string }
 
-// staticIndexByField and staticIndexByName find a field in the static table; of several with the same name the
-// first.
+// staticIndexByField and staticIndexByName give the index in the static table of a field, and of the first field with a
+// name.
 var staticIndexByField, staticIndexByName = indexStaticTable()
 
 func indexStaticTable() (byField map[nameValue]uint64, byName map[string]uint64) {
--- a/internal/transport/http2/flowcontrol.go
+++ b/internal/transport/http2/flowcontrol.go
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// replenishWindow adds n bytes to the connection's receive window. It sends WINDOW_UPDATE once half a window is due.
-// c.mu is held.
+// replenishWindow credits n bytes to the connection's receive window. WINDOW_UPDATE is sent once the credit reaches
+// half the window. c.mu is held.
 func (c *Conn) replenishWindow(n int64) {
 	if c.recvCredit += n; c.recvCredit >= int64(c.cfg.ConnWindow)/2 {
 		c.writeBuffer = appendWindowUpdate(c.writeBuffer, 0, uint32(c.recvCredit))
@@ -149,8 +149,8 @@
 	s.conn.mu.Unlock()
 }
 
-// replenishWindow adds n bytes to the stream's receive window. It sends WINDOW_UPDATE once half a window is due.
-// c.mu is held.
+// replenishWindow credits n bytes to the stream's receive window. WINDOW_UPDATE is sent once the credit reaches half
+// the window. c.mu is held.
 func (s *Stream) replenishWindow(n int64) {
 	if s.closed || s.endReceived || n == 0 {
 		return
--- a/internal/transport/http2/lifecycle_test.go
+++ b/internal/transport/http2/lifecycle_test.go
@@ -173,8 +173,8 @@
 	_ = testsupport.Await(t, h.closed, "the connection's end")
 }
 
-// TestCloseDuringShutdown ends connections by Shutdown and Close concurrently. Under the race detector it guards against
-// data races between the two.
+// TestCloseDuringShutdown ends connections by Shutdown and Close concurrently. Under the race detector it guards
+// against data races between the two.
 func TestCloseDuringShutdown(t *testing.T) {
 	s, _ := startServer(t, Config{})
 	for range 500 {
--- a/internal/transport/http2/settings.go
+++ b/internal/transport/http2/settings.go
@@ -14,7 +14,7 @@
 
 // Limits in bytes that this end applies to the peer's settings.
 const (
-	maxHeaderTableSize = 1 << 30 // keeps the value within an int; hpack.Encoder applies a lower limit
+	maxHeaderTableSize = 1 << 30 // hpack.Encoder applies a lower limit
 	maxSentFrameSize   = 64 << 10
 )
 
