--- a/internal/transport/grpc/message_test.go
+++ b/internal/transport/grpc/message_test.go
@@ -73,7 +73,7 @@
 	t.Run("truncated", func(t *testing.T) {
 		r := MessageReader{MaxSize: 10}
 		if m, _, err := r.Next([]byte{0, 0, 0, 0, 5, 1, 2}); m != nil || err != nil || !r.Partial() {
-			t.Errorf("%v, %v", m, err)
+			t.Errorf("message %v, error %v, or Partial is false", m, err)
 		}
 	})
 }
--- a/internal/transport/grpc/status_test.go
+++ b/internal/transport/grpc/status_test.go
@@ -26,7 +26,7 @@
 	t.Run("round trip", func(t *testing.T) {
 		want := Status{Internal, "a\tb"}
 		if got := StatusFromTrailers(want.Trailers()); got != want {
-			t.Errorf("%v", got)
+			t.Errorf("status %v after a round trip", got)
 		}
 	})
 	for httpStatus, want := range map[string]Code{"503": Unavailable, "404": Unimplemented, "200": Unknown} {
--- a/internal/transport/grpc/timeout_test.go
+++ b/internal/transport/grpc/timeout_test.go
@@ -14,7 +14,7 @@
 			"99999999H": math.MaxInt64} {
 			t.Run(s, func(t *testing.T) {
 				if got, err := ParseTimeout(s); err != nil || got != want {
-					t.Errorf("%v, %v, want %v", got, err, want)
+					t.Errorf("timeout %v, error %v, want %v", got, err, want)
 				}
 			})
 		}
@@ -23,7 +23,7 @@
 		for _, s := range []string{"", "S", "5", "-5S", "5s", "123456789S", "1.5S", " 5S", "+1S"} {
 			t.Run(strconv.Quote(s), func(t *testing.T) {
 				if _, err := ParseTimeout(s); err == nil {
-					t.Errorf("%q is accepted", s)
+					t.Errorf("malformed timeout %q is accepted", s)
 				}
 			})
 		}
--- a/internal/transport/http2/flowcontrol_test.go
+++ b/internal/transport/http2/flowcontrol_test.go
@@ -40,7 +40,7 @@
 				return
 			}
 			if err := testsupport.Await(t, r.ended, "the end"); err != nil {
-				t.Errorf("%d bytes: %v", n, err)
+				t.Errorf("body of %d bytes: error %v", n, err)
 			} else if !bytes.Equal(r.body.Bytes(), body) {
 				t.Errorf("body of %d bytes echoed as %d bytes that differ", n, r.body.Len())
 			}
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		if err := testsupport.Await(t, r.ended, "another stream's end"); err != nil || r.body.Len() != 100<<10 {
-			t.Fatalf("another stream: %d bytes, %v", r.body.Len(), err)
+			t.Fatalf("another stream: response of %d bytes, error %v", r.body.Len(), err)
 		}
 	}
 	slow.mu.Lock()
--- a/internal/transport/http2/fuzz_test.go
+++ b/internal/transport/http2/fuzz_test.go
@@ -53,7 +53,7 @@
 			t.Fatalf("%d streams open, numPeerStreams is %d", len(c.streams), c.numPeerStreams)
 		}
 		if len(c.resetStreams) > 600 {
-			t.Fatalf("%d reset streams remembered", len(c.resetStreams))
+			t.Fatalf("%d reset streams remembered, want at most 600", len(c.resetStreams))
 		}
 	})
 }
--- a/internal/transport/http2/headers_test.go
+++ b/internal/transport/http2/headers_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "body" {
-		t.Fatalf("%q, %v", r.body.String(), err)
+		t.Fatalf("response body %q, error %v", r.body.String(), err)
 	}
 }
 
--- a/internal/transport/http2/helpers_test.go
+++ b/internal/transport/http2/helpers_test.go
@@ -17,7 +17,7 @@
 // echoHandler responds to each request with the request's body. It is also the Receiver of all streams.
 type echoHandler struct {
 	mu             sync.Mutex
-	withholdWindow bool // no data is consumed
+	withholdWindow bool // Data does not call Consume
 }
 
 func (e *echoHandler) StreamOpened(*Stream) Receiver { return e }
@@ -151,7 +151,7 @@
 		case *peer.HeadersFrame:
 			if f.StreamEnded() {
 				if body != "hello" {
-					t.Fatalf("another client got %q", body)
+					t.Fatalf("another client got the response %q, want \"hello\"", body)
 				}
 				return
 			}
--- a/internal/transport/http2/lifecycle_test.go
+++ b/internal/transport/http2/lifecycle_test.go
@@ -28,7 +28,7 @@
 	}
 	s.Drain()
 	if code := testsupport.Await(t, h.goAway, "GOAWAY"); code != NoError {
-		t.Fatalf("GOAWAY with %v", code)
+		t.Fatalf("GOAWAY with error code %v, want NO_ERROR", code)
 	}
 	if _, err := c.OpenStream(newRecordingReceiver(), requestFields, nil, true); !errors.Is(err, ErrGoAway) {
 		t.Errorf("opening a stream after GOAWAY returns %v, want ErrGoAway", err)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "first and last" {
-		t.Fatalf("%q, %v", r.body.String(), err)
+		t.Fatalf("response body %q, error %v", r.body.String(), err)
 	}
 	_ = testsupport.Await(t, h.closed, "the connection's end")
 }
@@ -86,7 +86,7 @@
 		var streamErr *StreamError
 		err := testsupport.Await(t, receivers[i].ended, "the end of a stream")
 		if !errors.As(err, &streamErr) || streamErr.Unprocessed != want.unprocessed || streamErr.ConnLost != want.connLost {
-			t.Errorf("stream %d: %v, want unprocessed %v, connection lost %v", 2*i+1, err, want.unprocessed, want.connLost)
+			t.Errorf("stream %d: error %v, want unprocessed %v, connection lost %v", 2*i+1, err, want.unprocessed, want.connLost)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 				t.Fatal(err)
 			}
 			if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "hello" {
-				t.Fatalf("%q, %v", r.body.String(), err)
+				t.Fatalf("response body %q, error %v", r.body.String(), err)
 			}
 		}
 		c.Close()
@@ -167,7 +167,7 @@
 			t.Fatal(err)
 		}
 		if err := testsupport.Await(t, r.ended, "the end"); err != nil || r.body.String() != "fine" {
-			t.Errorf("another connection: %q, %v", r.body.String(), err)
+			t.Errorf("another connection: response body %q, error %v", r.body.String(), err)
 		}
 	}
 	_ = testsupport.Await(t, h.closed, "the connection's end")
@@ -205,7 +205,7 @@
 	conn.flushing = true // the state while flush blocks on the socket
 	conn.mu.Unlock()
 	if !s.HasPendingWork() || s.NumStreams() > 0 {
-		t.Errorf("pending work: %v, streams: %d", s.HasPendingWork(), s.NumStreams())
+		t.Errorf("pending work: %v, open streams: %d; want true and 0", s.HasPendingWork(), s.NumStreams())
 	}
 	conn.mu.Lock()
 	conn.flushing = false
