--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// This file follows the endpoint list: Dispatcher.workers, activeWorkers and removedWorkers.
+// This file keeps Dispatcher.workers, activeWorkers and removedWorkers up to date with the endpoint list.
 
-// updateEndpoints takes a snapshot or a change of the endpoint list.
+// updateEndpoints applies a snapshot or a change of the endpoint list.
 func (d *Dispatcher) updateEndpoints(update EndpointUpdate) {
 	if update.SubscriptionLost {
 		d.subscribe()
 	}
-	d.endpointUpdates++
+	d.endpointUpdateCount++
 	for _, e := range update.Endpoints {
 		d.updateEndpoint(e)
 	}
@@ -20,12 +20,13 @@
 		d.markUnlistedRemoved()
 	}
 	d.updateActiveWorkers()
-	d.forgetRemovedWorkers()
+	d.deleteRemovedWorkers()
 	d.fleetShare = float64(max(len(d.activeWorkers), 1)) / float64(d.settings.Routers)
 	d.reassignAfterUpdate()
 }
 
-// updateEndpoint takes one line of the list. A worker with a new start holds no function and is warming up.
+// updateEndpoint applies one entry of the endpoint list. A restarted worker holds no function and is
+// warming up.
 func (d *Dispatcher) updateEndpoint(e Endpoint) {
 	w := d.workers[e.ID]
 	if w == nil {
@@ -36,8 +37,8 @@
 	}
 	w.Endpoint = e
 	w.memoryMB = d.memoryByKind[e.Kind]
-	w.listedIn = d.endpointUpdates
-	d.noteStateChange(w)
+	w.listedInUpdate = d.endpointUpdateCount
+	d.queueStateChange(w)
 	warmingUp := e.StartedAt > 0 && d.now-e.StartedAt < d.settings.SlowStartDuration
 	if warmingUp != w.warmingUp {
 		w.warmingUp = warmingUp
@@ -45,29 +46,30 @@
 	}
 }
 
-// markUnlistedRemoved marks the workers as removed that the snapshot under way does not list.
+// markUnlistedRemoved marks the workers that the current snapshot does not list as removed.
 func (d *Dispatcher) markUnlistedRemoved() {
 	for _, w := range d.workers {
-		if w.listedIn != d.endpointUpdates {
+		if w.listedInUpdate != d.endpointUpdateCount {
 			w.State = EndpointRemoved
-			d.noteStateChange(w)
+			d.queueStateChange(w)
 		}
 	}
 }
 
-// forgetRemovedWorkers forgets the removed workers without attempts in flight, and lets go the requests that
-// waited for one. It bounds the state in a fleet whose workers are replaced all day by others under new ids.
-func (d *Dispatcher) forgetRemovedWorkers() {
-	var forgotten []*worker
+// deleteRemovedWorkers deletes the removed workers that have no attempt in flight and requeues the requests
+// that waited for them. This bounds the state in a fleet whose workers are continually replaced by new ones
+// with other ids.
+func (d *Dispatcher) deleteRemovedWorkers() {
+	var deleted []*worker
 	for _, id := range slices.Sorted(maps.Keys(d.removedWorkers)) {
 		if w := d.removedWorkers[id]; len(w.attempts) == 0 {
-			forgotten = append(forgotten, w)
+			deleted = append(deleted, w)
 		}
 	}
-	d.forgetWorkers(forgotten)
+	d.deleteWorkers(deleted)
 }
 
-// subscribe asks for endpoint updates where they don't come by themselves.
+// subscribe requests endpoint updates, if the settings require a subscription.
 func (d *Dispatcher) subscribe() {
 	if d.settings.EndpointsBySubscription {
 		d.emit(SubscribeEndpoints{})
