--- a/internal/transport/http2/protocol_errors_test.go
+++ b/internal/transport/http2/protocol_errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// protocolErrorCase is input that a peer must not send, with the error code that RFC 9113 requires for it.
+// protocolErrorCase is input that a peer must not send, with the RFC 9113 error code expected in response.
 type protocolErrorCase struct {
 	name   string
 	send   func(r *rawClient)
@@ -145,8 +145,8 @@
 	}, RefusedStream, 21},
 }
 
-// TestProtocolErrors checks that input that a peer must not send ends the stream or the connection with the error code
-// that RFC 9113 requires, and that other clients are still served.
+// TestProtocolErrors checks that input that a peer must not send ends the stream or the connection with the expected
+// RFC 9113 error code, and that other clients are still served.
 func TestProtocolErrors(t *testing.T) {
 	s, _ := startServer(t, Config{GlitchBurst: 100, GlitchRate: 1, MaxConcurrentStreams: 10})
 	for _, c := range prefaceErrors {
