--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	// maxQueuedPackets is how many packets may wait for the loop; the rest are dropped, as in a network.
+	// maxQueuedPackets is how many packets may wait for the loop. Further ones are dropped, like packets lost in the
+	// network.
 	maxQueuedPackets = 4096
-	// clockStart is what the agent's clock shows at its start.
+	// clockStart is the time that the agent's clock shows when the agent starts.
 	clockStart = time.Hour
-	// duplicateLogInterval is the least time between two log lines on a process with the same key.
+	// duplicateLogInterval is the minimum time between two log lines about another process with the same key.
 	duplicateLogInterval = 10 * time.Second
 )
 
@@ -30,31 +31,31 @@
 	startedAt  time.Time
 	packetConn net.PacketConn
 	streams    *streamTransport
-	readers    sync.WaitGroup // the reader of datagrams
-	loopDone   chan struct{}  // closed when the loop has ended
-	wake       chan struct{}  // has the loop look at tasks and closed
+	readers    sync.WaitGroup // waits for readDatagrams
+	loopDone   chan struct{}  // closed when the loop has returned
+	wake       chan struct{}  // makes the loop check tasks and closed
 
-	mu            sync.Mutex
-	tasks         []func() // to be run by the loop
-	queuedPackets int      // packets among tasks
-	queueFull     uint64   // packets dropped as too many were queued
-	closed        bool
+	mu             sync.Mutex
+	tasks          []func() // waiting to be run by the loop
+	queuedPackets  int      // number of tasks that process a packet
+	queueFullDrops uint64   // packets dropped because the queue was full
+	closed         bool
 
-	// Used by the loop alone, and by Start before the loop runs.
+	// The loop owns the fields below; Start sets them before it starts the loop.
 	core              *gossip.Core
 	keys              *gossip.Keyring
 	limiter           *gossip.PacketLimiter
 	quorum            *gossip.SuspicionQuorum
-	collector         *gossip.SuspicionPublisher
+	publisher         *gossip.SuspicionPublisher
 	coreEvents        []gossip.Event
 	quorumEvents      []gossip.QuorumEvent
-	collectorEvents   []gossip.PublisherEvent
+	publisherEvents   []gossip.PublisherEvent
 	dropped           Dropped
 	received          uint64
 	duplicateLoggedAt time.Duration
 }
 
-// Start opens the sockets and runs the agent until Close.
+// Start opens the sockets and runs an agent until Close.
 func Start(cfg Config, r Router) (*Agent, error) {
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
@@ -86,7 +87,7 @@
 	}
 	a.limiter = gossip.NewPacketLimiter(cfg.Limiter)
 	a.quorum = gossip.NewSuspicionQuorum(cfg.Quorum)
-	a.collector = gossip.NewSuspicionPublisher(cfg.Publisher, a.quorum.SilenceWeight)
+	a.publisher = gossip.NewSuspicionPublisher(cfg.Publisher, a.quorum.SilenceWeight)
 	a.applyMembers(cfg.Members)
 	a.coreEvents = append(a.coreEvents, gossip.Join{Addresses: cfg.Seeds})
 	a.logger.Info("gossip started", "address", a.addr, "key", cfg.Key.Name, "admitted", len(cfg.Members),
@@ -101,7 +102,7 @@
 
 func (a *Agent) now() time.Duration { return clockStart + time.Since(a.startedAt) }
 
-// Close ends the agent without notice to the other members, as a crash would, and waits for its goroutines. Further
+// Close ends the agent without notifying the other members, as a crash would, and waits for its goroutines. Further
 // calls do nothing.
 func (a *Agent) Close() {
 	a.mu.Lock()
@@ -124,8 +125,8 @@
 	}
 }
 
-// enqueue has the loop run a task. It returns false if the agent is closed; the task is then not run. A task that is
-// queued when the agent is closed is not run either.
+// enqueue queues a task for the loop. It returns false if the agent is closed. Tasks still in the queue when the agent
+// is closed are not run.
 func (a *Agent) enqueue(task func()) bool {
 	a.mu.Lock()
 	if a.closed {
@@ -138,11 +139,11 @@
 	return true
 }
 
-// enqueuePacket has the loop run a task that reads a packet, unless too many packets wait.
+// enqueuePacket queues a task that processes a packet. It drops the task if too many packets are waiting.
 func (a *Agent) enqueuePacket(task func()) {
 	a.mu.Lock()
 	if a.closed || a.queuedPackets >= maxQueuedPackets {
-		a.queueFull++
+		a.queueFullDrops++
 		a.mu.Unlock()
 		return
 	}
@@ -152,7 +153,7 @@
 	a.wakeLoop()
 }
 
-// loop runs tasks and steps the state machines when they are due, until the agent is closed.
+// loop runs queued tasks and steps the state machines, after tasks and when a timer is due, until the agent is closed.
 func (a *Agent) loop() {
 	defer close(a.loopDone)
 	timer := time.NewTimer(0)
@@ -182,17 +183,18 @@
 
 func (a *Agent) nextDue() time.Duration {
 	at := a.core.Due()
-	if due, ok := a.collector.Due(); ok {
+	if due, ok := a.publisher.Due(); ok {
 		at = min(at, due)
 	}
 	return at
 }
 
-// step passes the events that have come to the state machines, and the output of one to the next, until none is left.
+// step passes pending events to the state machines and carries out their actions, which may add events, until no event
+// is pending. It steps each state machine at least once.
 func (a *Agent) step() {
-	for first := true; first || len(a.coreEvents)+len(a.quorumEvents)+len(a.collectorEvents) > 0; first = false {
+	for first := true; first || len(a.coreEvents)+len(a.quorumEvents)+len(a.publisherEvents) > 0; first = false {
 		now := a.now()
-		for _, publication := range a.collector.Step(now, takeAll(&a.collectorEvents)) {
+		for _, publication := range a.publisher.Step(now, takeAll(&a.publisherEvents)) {
 			a.coreEvents = append(a.coreEvents, publication)
 		}
 		for _, action := range a.core.Step(now, takeAll(&a.coreEvents)) {
@@ -204,14 +206,14 @@
 	}
 }
 
-// takeAll returns a list and empties it.
+// takeAll returns the list and sets it to nil.
 func takeAll[T any](list *[]T) []T {
 	all := *list
 	*list = nil
 	return all
 }
 
-// perform carries out an action of the core.
+// perform carries out an action of [gossip.Core].
 func (a *Agent) perform(action gossip.Action) {
 	switch action := action.(type) {
 	case gossip.Send:
@@ -246,7 +248,7 @@
 	}
 }
 
-// performQuorumAction carries out an action of the suspicion quorum.
+// performQuorumAction carries out an action of [gossip.SuspicionQuorum].
 func (a *Agent) performQuorumAction(action gossip.QuorumAction) {
 	switch action := action.(type) {
 	case gossip.CheckWorker:
@@ -255,14 +257,14 @@
 				a.quorumEvents = append(a.quorumEvents, gossip.WorkerChecked{Worker: action.Worker, Result: result})
 			})
 		}
-		a.router.VerifyWorker(action.Worker, a.cfg.Quorum.RecentlyHeard, a.cfg.CheckTimeout, done)
+		a.router.VerifyWorker(action.Worker, a.cfg.Quorum.MinSilence, a.cfg.CheckTimeout, done)
 	case gossip.SilenceConfirmed:
 		a.logger.Info("silent worker confirmed by own check", "worker", action.Worker)
 		a.router.ApplyGossip(dispatch.GossipUpdate{SuspectedWorkers: []string{action.Worker}})
 	}
 }
 
-// applyMembers admits exactly these members.
+// applyMembers replaces the admitted members. It logs if this router's own key is not admitted or does not match.
 func (a *Agent) applyMembers(members Members) {
 	a.keys.SetAdmitted(members)
 	admitted := func(id string) bool { return id == a.cfg.ID || members[id] != nil }
@@ -275,7 +277,7 @@
 	}
 }
 
-// SetMembers admits exactly these members from now on.
+// SetMembers replaces the admitted members.
 func (a *Agent) SetMembers(members Members) {
 	a.enqueue(func() {
 		a.logger.Info("admitted members changed", "members", len(members))
@@ -284,7 +286,7 @@
 	})
 }
 
-// SetKey signs with another key from now on.
+// SetKey replaces the signing key.
 func (a *Agent) SetKey(key Key) {
 	a.enqueue(func() {
 		a.logger.Info("own key changed", "key", key.Name)
@@ -294,15 +296,16 @@
 	})
 }
 
-// SetWorkers replaces the list of workers: start times in Unix milliseconds, 0 for long ago. The agent keeps the map.
+// SetWorkers replaces the list of workers and their start times in Unix milliseconds; 0 means long ago. The agent keeps
+// the map; the caller must not modify it.
 func (a *Agent) SetWorkers(started map[string]uint64) {
 	a.enqueue(func() {
-		a.collectorEvents = append(a.collectorEvents, gossip.WorkerList{Started: started})
+		a.publisherEvents = append(a.publisherEvents, gossip.WorkerList{Started: started})
 		a.quorumEvents = append(a.quorumEvents, gossip.WorkerList{Started: started})
 	})
 }
 
-// ReportSuspicion reports a suspicion that the router has by its own evidence.
+// ReportSuspicion reports that the router suspects a worker because of its own observations.
 func (a *Agent) ReportSuspicion(s dispatch.ReportSuspicion) {
 	kind := gossip.WorkerSilent
 	if s.Slow {
@@ -312,14 +315,14 @@
 	}
 	a.enqueue(func() {
 		suspected := gossip.WorkerSuspected{Worker: s.Worker, Kind: kind, Class: s.Class}
-		a.collectorEvents = append(a.collectorEvents, suspected)
+		a.publisherEvents = append(a.publisherEvents, suspected)
 	})
 }
 
-// ReportAlive reports that a worker that was suspected to be silent gave a sign of life.
+// ReportAlive reports that the router received a response from a worker that it had suspected to be silent.
 func (a *Agent) ReportAlive(worker string) {
 	a.enqueue(func() {
-		a.collectorEvents = append(a.collectorEvents, gossip.WorkerHeard{Worker: worker})
-		a.quorumEvents = append(a.quorumEvents, gossip.WorkerHeard{Worker: worker})
+		a.publisherEvents = append(a.publisherEvents, gossip.WorkerResponded{Worker: worker})
+		a.quorumEvents = append(a.quorumEvents, gossip.WorkerResponded{Worker: worker})
 	})
 }
--- a/internal/gossip/agent/authentication_test.go
+++ b/internal/gossip/agent/authentication_test.go
@@ -11,8 +11,8 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// TestForgedPacketsAreDropped: every packet that is forged under names of others is dropped, whatever is wrong with it; at
-// line rate the signature checks stay bounded and the members lose nobody.
+// TestForgedPacketsAreDropped checks that every kind of packet forged in the name of a member is dropped, and that a
+// flood of them neither exceeds the rate limit of signature verifications nor makes members consider each other dead.
 func TestForgedPacketsAreDropped(t *testing.T) {
 	c := newCluster(t, 4)
 	f := startForger(t, c.ids)
@@ -24,14 +24,14 @@
 	}
 	for range 20 {
 		f.Send(c.addrs, 2)
-		time.Sleep(5 * time.Millisecond) // paced, so that the sockets hold them all
+		time.Sleep(5 * time.Millisecond) // paced, so that no socket buffer overflows
 	}
 	c.waitFor("all forgeries to be dropped", func() bool { return dropped() >= uint64(f.Sent) })
 	if d := dropped(); d != uint64(f.Sent) {
-		t.Errorf("%d forged, %d dropped", f.Sent, d)
+		t.Errorf("%d packets forged, %d dropped", f.Sent, d)
 	}
 	began := time.Now()
-	c.waitFor("the flood to be rate limited", func() bool { // however much of it the sockets hold
+	c.waitFor("the flood to be rate limited", func() bool { // repeated, as the socket buffers may drop part of it
 		f.Flood(c.addrs, 500)
 		return !slices.ContainsFunc(c.agents, func(a *agent.Agent) bool { return a.Status().Dropped.RateLimited < 1000 })
 	})
@@ -40,7 +40,7 @@
 		if s.Live != 4 || s.Quorum.Claims > 0 {
 			t.Errorf("after a flood agent %d has %d live and %d claims", i, s.Live, s.Quorum.Claims)
 		}
-		most := gossip.LocalPacketLimiterConfig.ChecksOfUnknown*(time.Since(began).Seconds()+2) + 100 // with those of before
+		most := gossip.LocalPacketLimiterConfig.VerificationsOfUnknown*(time.Since(began).Seconds()+2) + 100 // plus those before the flood
 		if checked := s.Dropped.BadSignature + s.Dropped.UnknownKey; float64(checked) > most {
 			t.Errorf("agent %d checked %d of the flood's signatures, %.0f are allowed", i, checked, most)
 		}
@@ -50,21 +50,21 @@
 	}
 }
 
-// TestPacketsWithStolenKeysAreAccepted shows that the test before can fail: with the members' own keys the same packets
-// are accepted.
+// TestPacketsWithStolenKeysAreAccepted checks that the forged packets of TestForgedPacketsAreDropped are accepted when
+// signed with the members' own keys, so that the other test can fail.
 func TestPacketsWithStolenKeysAreAccepted(t *testing.T) {
 	c := newCluster(t, 3)
 	f := startForger(t, c.ids[:1])
 	f.StolenKey = func(name string) ed25519.PrivateKey { return privateKey(name, "k1") }
 	before := c.agents[2].Status()
 	f.Send(c.addrs[2:], 60)
-	c.waitFor("them to be read", func() bool { // a third of them are whole
+	c.waitFor("them to be read", func() bool { // a third of them are well-formed
 		s := c.agents[2].Status()
 		return s.Received-before.Received >= 10 && s.Quorum.Claims > 0
 	})
 }
 
-// TestReplayedPacketsAreDropped: a packet that arrives a second time is dropped.
+// TestReplayedPacketsAreDropped checks that a packet that arrives a second time is dropped.
 func TestReplayedPacketsAreDropped(t *testing.T) {
 	c := newCluster(t, 2)
 	c.net.SetFaults(fakepeer.Faults{DuplicationRate: 1, MaxDelay: 5 * time.Millisecond})
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestReplacedKeyIsRejected: the key of each agent is replaced while all run; nobody is lost, and the old key opens nothing
-// afterwards.
+// TestReplacedKeyIsRejected checks that the keys of all agents can be rotated while they run without losing a member,
+// and that packets signed with an old key are rejected afterwards.
 func TestReplacedKeyIsRejected(t *testing.T) {
 	c := newCluster(t, 4)
 	c.net.SetFaults(fakepeer.Faults{LossRate: 0.1, MaxDelay: 3 * time.Millisecond})
@@ -102,13 +102,13 @@
 	cfg := c.config(1)
 	cfg.Listen, cfg.Hooks.WrapPacketConn = "127.0.0.1:0", nil
 	cfg.Seeds = c.addrs[:1]
-	old, err := agent.Start(cfg, &fakeRouter{notify: make(chan struct{}, 1)}) // it still signs with the old key
+	old, err := agent.Start(cfg, &fakeRouter{notify: make(chan struct{}, 1)}) // signs with the old key
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer old.Close()
 	c.waitFor("the old key to be rejected", func() bool { return c.agents[0].Status().Dropped.UnknownKey > 0 })
 	if n := old.Status().Live; n > 1 {
-		t.Errorf("the old key found %d", n)
+		t.Errorf("an agent with the old key has %d live", n)
 	}
 }
--- a/internal/gossip/agent/compare_test.go
+++ b/internal/gossip/agent/compare_test.go
@@ -22,16 +22,16 @@
 
 const (
 	comparedMembers = 50
-	settleTime      = 25 * time.Second
-	steadyTime      = 20 * time.Second
-	detectionTime   = 45 * time.Second
-	victim          = 7 // the member that dies
+	settleTime      = 25 * time.Second // before traffic is measured
+	steadyTime      = 20 * time.Second // while traffic is measured
+	detectionTime   = 45 * time.Second // after the death of the victim
+	victim          = 7                // index of the member that is stopped
 )
 
-// deathLog records when each member came to take another for dead.
+// deathLog records when members declared others dead.
 type deathLog struct {
 	mu   sync.Mutex
-	dead map[string][]time.Time
+	dead map[string][]time.Time // times by ID of the dead member
 }
 
 func (l *deathLog) add(id string) {
@@ -48,11 +48,11 @@
 	if len(at) == 0 {
 		t.Fatalf("%s: the death was not detected", name)
 	}
-	t.Logf("%-11s %6.0f bytes/s a member; death detected by the first after %.1f s, by the last of %d after %.1f s; %d others taken for dead",
+	t.Logf("%-11s %6.0f bytes/s a member; death detected by the first after %.1f s, by the last of %d after %.1f s; %d others declared dead",
 		name, bytes, at[0].Sub(from).Seconds(), len(at), at[len(at)-1].Sub(from).Seconds(), len(l.dead)-1)
 }
 
-// countedTransport is memberlist's transport with its bytes counted, datagrams and streams.
+// countedTransport is memberlist's network transport with a counter of the bytes sent in datagrams and streams.
 type countedTransport struct {
 	*memberlist.NetTransport
 	bytes *atomic.Int64
@@ -89,21 +89,22 @@
 	return c.Conn.Write(b)
 }
 
-// leaveEvents records the members that memberlist takes for dead.
+// leaveEvents is a memberlist.EventDelegate that records the members declared dead.
 type leaveEvents struct{ deaths *deathLog }
 
 func (e leaveEvents) NotifyJoin(*memberlist.Node)    {}
 func (e leaveEvents) NotifyUpdate(*memberlist.Node)  {}
 func (e leaveEvents) NotifyLeave(n *memberlist.Node) { e.deaths.add(n.Name) }
 
-// TestCompareMemberlist runs fifty members of each on loopback, with the same probe interval and timeout. memberlist's
-// packets are neither signed nor encrypted here.
+// TestCompareMemberlist logs the traffic and the detection time of a death for fifty members of hashicorp/memberlist
+// and fifty agents on loopback, with the same probe interval and timeout. memberlist's packets are neither signed nor
+// encrypted here.
 func TestCompareMemberlist(t *testing.T) {
 	measureMemberlist(t)
 	measureAgents(t)
 }
 
-// startMemberlist starts one member of memberlist, which joins at the first of others.
+// startMemberlist starts one memberlist member, which joins the first of others.
 func startMemberlist(t *testing.T, i int, others []*memberlist.Memberlist, deaths *deathLog, bytes *atomic.Int64) *memberlist.Memberlist {
 	cfg := memberlist.DefaultLANConfig()
 	cfg.Name, cfg.BindAddr, cfg.BindPort = fmt.Sprintf("m%d", i), "127.0.0.1", 0
--- a/internal/gossip/agent/doc.go
+++ b/internal/gossip/agent/doc.go
@@ -1,7 +1,8 @@
-// Package agent runs the gossip state machines of one router: its sockets, its clock and its loop. It decides nothing;
-// what it passes to the router is the outcome of the router's own checks and a count that only rises.
+// Package agent runs the gossip state machines of one router and provides their sockets, clock and event loop. It makes
+// no decisions itself. It passes two things to the router: the workers that a check by this router confirmed as silent,
+// and the highest number of live routers, which never decreases.
 //
 // An [Agent] owns its goroutines and ends them in [Agent.Close]: the loop, which alone uses the state machines; the
-// reader of datagrams; and one for each outbound stream, which has a timeout. Inbound streams are read by netpoll's
-// goroutines, for which Close waits a second at most; a timer closes each inbound stream that takes too long.
+// reader of datagrams; and one for each outbound stream, limited by a timeout. Inbound streams are read by netpoll's
+// goroutines, for which Close waits at most a second; a timer closes an inbound stream that takes too long.
 package agent
--- a/internal/gossip/agent/golden_test.go
+++ b/internal/gossip/agent/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// TestGoldenAdminJSON holds the JSON of what the admin socket answers: its field names are read by operators' tools.
+// TestGoldenAdminJSON pins the JSON of the admin socket's replies, whose field names operators' tools depend on.
 func TestGoldenAdminJSON(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/gossip/agent/harness_test.go
+++ b/internal/gossip/agent/harness_test.go
@@ -16,7 +16,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// fakeRouter is a router to which the workers in deadWorkers give no sign of life.
+// fakeRouter is a router whose checks find the workers in deadWorkers silent and all others alive.
 type fakeRouter struct {
 	mu          sync.Mutex
 	deadWorkers map[string]bool
@@ -47,20 +47,20 @@
 	}
 }
 
-// notifiedOf reports whether the dispatcher was notified that a worker is silent.
+// notifiedOf reports whether ApplyGossip was called with a worker as suspected.
 func (r *fakeRouter) notifiedOf(worker string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.ContainsFunc(r.updates, func(u dispatch.GossipUpdate) bool { return slices.Contains(u.SuspectedWorkers, worker) })
 }
 
-// privateKey returns the same key for a member and a key name each time.
+// privateKey returns a private key derived from a member's ID and a key name.
 func privateKey(id, name string) ed25519.PrivateKey {
 	seed := bytes.Repeat([]byte(id+"/"+name+"................................"), 2)[:32]
 	return ed25519.NewKeyFromSeed(seed)
 }
 
-// admittedKeys are the public keys of those names of each member.
+// admittedKeys returns the public keys with the given names of each member.
 func admittedKeys(ids []string, names ...string) agent.Members {
 	m := agent.Members{}
 	for _, id := range ids {
@@ -72,7 +72,7 @@
 	return m
 }
 
-// startForger starts a forger of packets in the names of members. Its packets claim that worker "w1" is silent.
+// startForger starts a forger that sends packets in the names of members, with claims that worker "w1" is silent.
 func startForger(t *testing.T, members []string) *fakepeer.Forger {
 	t.Helper()
 	keyNames := slices.Repeat([]string{"k1"}, len(members))
@@ -85,7 +85,7 @@
 	return f
 }
 
-// cluster is agents over real sockets, with a faulty network between them.
+// cluster is a group of agents on real sockets, connected by a network with fault injection.
 type cluster struct {
 	t       *testing.T
 	net     *fakepeer.Network
@@ -96,7 +96,7 @@
 	addrs   []string
 }
 
-// fastConfig is a protocol with short intervals, so that tests need not wait for it.
+// fastConfig returns a configuration with short intervals, so that tests run fast.
 func fastConfig() gossip.Config {
 	cfg := gossip.LocalConfig
 	cfg.ProbeInterval = 100 * time.Millisecond
@@ -111,7 +111,8 @@
 	return cfg
 }
 
-// config is the configuration of member i: its packets and streams pass through the faulty network.
+// config returns the configuration of member i, whose packets and streams pass through the network with fault
+// injection.
 func (c *cluster) config(i int) agent.Config {
 	meter := c.meters[i]
 	ownAddr := ""
@@ -134,13 +135,13 @@
 			},
 			AllowStream: func(to string, bytes int) bool {
 				meter.Add(bytes)
-				return c.net.Reachable(ownAddr, to) // a partition cuts streams too
+				return c.net.Reachable(ownAddr, to) // a partition blocks streams too
 			},
 		},
 	}
 }
 
-// newCluster starts n agents and waits until they have found each other.
+// newCluster starts n agents and waits until each has discovered all others.
 func newCluster(t *testing.T, n int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, net: fakepeer.NewNetwork(1)}
@@ -164,7 +165,7 @@
 	return c
 }
 
-// waitForLive waits until each member counts so many as live.
+// waitForLive waits until each agent counts at least live members as live.
 func (c *cluster) waitForLive(what string, live int) {
 	c.t.Helper()
 	c.waitFor(what, func() bool {
@@ -172,7 +173,7 @@
 	})
 }
 
-// waitFor polls for a condition and fails the test after a minute.
+// waitFor polls until the condition holds and fails the test after a minute.
 func (c *cluster) waitFor(what string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !condition(); {
--- a/internal/gossip/agent/membership_test.go
+++ b/internal/gossip/agent/membership_test.go
@@ -11,7 +11,8 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// TestLiveCountNeverFallsInPartition: on both sides of a partition the dispatcher is notified of the most ever live.
+// TestLiveCountNeverFallsInPartition checks that during a partition the routers on both sides keep the highest live
+// count seen so far.
 func TestLiveCountNeverFallsInPartition(t *testing.T) {
 	c := newCluster(t, 6)
 	side := map[string]bool{}
@@ -40,8 +41,9 @@
 	c.waitForLive("the partition to heal", 6)
 }
 
-// TestRestartAfterWallClockStepIsKnownAgain: a member that restarts after a step of its wall clock, also to one that has no date, is
-// known again under a later incarnation. One with a lower incarnation is notified of its earlier one.
+// TestRestartAfterWallClockStepIsKnownAgain checks that a member that restarts after a step of its wall clock, even
+// back to 1970, is known again with a higher incarnation. If its new incarnation is lower, the others notify it of the
+// earlier one.
 func TestRestartAfterWallClockStepIsKnownAgain(t *testing.T) {
 	toStartOf1970 := wallclock.FromUnixMilli(0).Sub(wallclock.System.Now())
 	for _, step := range append(slices.Clone(testsupport.WallClockSteps), toStartOf1970) {
--- a/internal/gossip/agent/packets.go
+++ b/internal/gossip/agent/packets.go
@@ -13,16 +13,16 @@
 const (
 	// maxDatagramBytes is the largest datagram that is accepted.
 	maxDatagramBytes = 1400
-	// listenAttempts is how many ports are tried where the system chooses one for UDP and TCP.
+	// listenAttempts is how many ports are tried if the system chooses the port.
 	listenAttempts = 16
-	// receiveBufferBytes is asked of the system for datagrams; it may give less.
+	// receiveBufferBytes is the requested socket buffer for datagrams; the system may grant less.
 	receiveBufferBytes = 1 << 20
 )
 
-// listen opens both sockets on one port.
+// listen opens the UDP and the TCP socket on the same port.
 func (a *Agent) listen() error {
 	var lastErr error
-	for range listenAttempts { // a port that the system chose for one may be in use for the other
+	for range listenAttempts { // the port that the system chose for TCP may be in use for UDP
 		streams, err := listenStream(a.cfg.Listen, a.streamPacketReceived)
 		if err != nil {
 			return fmt.Errorf("gossip: %w", err)
@@ -37,7 +37,7 @@
 			continue
 		}
 		if udp, ok := conn.(*net.UDPConn); ok {
-			_ = udp.SetReadBuffer(receiveBufferBytes) // what does not fit is lost, as in any network
+			_ = udp.SetReadBuffer(receiveBufferBytes) // best effort: datagrams beyond the buffer are lost
 		}
 		a.packetConn, a.streams, a.addr = conn, streams, streams.Addr()
 		if a.cfg.Hooks.WrapPacketConn != nil {
@@ -65,10 +65,10 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram could not be delivered
+			continue // a datagram sent earlier could not be delivered
 		}
 		if n > maxDatagramBytes {
-			n = maxDatagramBytes + 1 // it is rejected, whatever it holds
+			n = maxDatagramBytes + 1 // packetReceived rejects it because of its length
 		}
 		packet := append([]byte(nil), buffer[:n]...)
 		source := from.String()
@@ -80,8 +80,8 @@
 	a.enqueuePacket(func() { a.packetReceived(source, packet, true) })
 }
 
-// packetReceived reads one packet. What fails costs little: nothing is parsed, and no signature verified, beyond the
-// limiter's rates.
+// packetReceived processes one packet. The limiter bounds the rate at which packets are parsed and signatures are
+// verified, so that a flood of invalid packets costs little.
 func (a *Agent) packetReceived(source string, packet []byte, stream bool) {
 	now := a.now()
 	if !stream && len(packet) > maxDatagramBytes {
@@ -98,18 +98,17 @@
 		return
 	}
 	a.received++
-	if !stream { // the source of a stream is a port of that connection alone
+	if !stream { // the source port of a stream belongs to that connection only
 		a.limiter.Authenticated(now, source, m.From)
 	}
 	m.Statements = a.verifiedStatements(now, &m)
-	// One message a step, as what the core wants depends on what it has learned.
+	// Each message gets its own step, as the statements that the core wants depend on those it has processed.
 	for _, action := range a.core.Step(now, append(takeAll(&a.coreEvents), gossip.MessageReceived{Message: m})) {
 		a.perform(action)
 	}
 }
 
-// packetRejected counts a packet that could not be opened. A stale one is passed to the core, so that its sender is
-// notified.
+// packetRejected counts a packet that Open rejected. A stale one is passed to the core, which notifies the sender.
 func (a *Agent) packetRejected(source string, m gossip.Message, seen uint64, err error) {
 	switch {
 	case errors.Is(err, gossip.ErrMalformed):
@@ -121,14 +120,14 @@
 	case errors.Is(err, gossip.ErrReplay):
 		a.dropped.Replayed++
 		if errors.Is(err, gossip.ErrStale) {
-			a.coreEvents = append(a.coreEvents, gossip.StaleMessage{Message: m, Seen: seen})
+			a.coreEvents = append(a.coreEvents, gossip.StaleMessage{Message: m, HighestCounter: seen})
 		}
 	}
 	a.logger.Debug("packet dropped", "source", source, "error", err)
 }
 
-// verifiedStatements returns the statements of a message that the core wants and whose signature is valid. It reuses
-// the message's slice.
+// verifiedStatements returns those statements of a message that the core wants and that have a valid signature. It
+// reuses the message's slice.
 func (a *Agent) verifiedStatements(now time.Duration, m *gossip.Message) []gossip.Statement {
 	verified := m.Statements[:0]
 	for i := range m.Statements {
@@ -144,7 +143,7 @@
 	return verified
 }
 
-// send seals a message and sends it. What can't be sent counts as lost.
+// send signs and sends a message. A message that can't be sent is treated as lost.
 func (a *Agent) send(s gossip.Send) {
 	packet, err := a.keys.Seal(s.Message)
 	if err != nil {
@@ -165,7 +164,7 @@
 	_, _ = a.packetConn.WriteTo(packet, to)
 }
 
-// parseAddress reads an IP address and port. Names are not looked up, as that could block the loop.
+// parseAddress parses an IP address and port. Host names are not resolved, as that could block the loop.
 func parseAddress(addr string) (*net.UDPAddr, error) {
 	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/gossip/agent/property_test.go
+++ b/internal/gossip/agent/property_test.go
@@ -23,26 +23,26 @@
 	return d
 }
 
-// dispatcherPair plays the same events to two dispatchers, one of them behind a quorum of suspicions, and compares
-// their actions.
+// dispatcherPair passes the same events to two dispatchers and compares their actions. One of the dispatchers also
+// receives what a suspicion quorum confirms.
 type dispatcherPair struct {
-	t             *rapid.T
-	without, with *dispatch.Dispatcher
-	quorum        *gossip.SuspicionQuorum
-	now           time.Duration
-	lastRequest   dispatch.RequestID
-	attempts      map[dispatch.RequestID][]dispatch.StartAttempt // of open requests
-	started       map[string]uint64                              // start times of the workers, for the quorum
+	t                         *rapid.T
+	withoutGossip, withGossip *dispatch.Dispatcher
+	quorum                    *gossip.SuspicionQuorum
+	now                       time.Duration
+	lastRequest               dispatch.RequestID
+	attempts                  map[dispatch.RequestID][]dispatch.StartAttempt // attempts of open requests
+	started                   map[string]uint64                              // start times of the workers, for the quorum
 }
 
-func (p *dispatcherPair) play(event dispatch.Event) {
+func (p *dispatcherPair) applyToBoth(event dispatch.Event) {
 	events := []dispatch.Event{event}
-	without := p.without.Step(p.now, events)
-	with := p.with.Step(p.now, events)
-	if !reflect.DeepEqual(without, with) {
-		p.t.Fatalf("at %v: %v became %v", p.now, without, with)
+	withoutGossip := p.withoutGossip.Step(p.now, events)
+	withGossip := p.withGossip.Step(p.now, events)
+	if !reflect.DeepEqual(withoutGossip, withGossip) {
+		p.t.Fatalf("at %v: actions without gossip %v, with gossip %v", p.now, withoutGossip, withGossip)
 	}
-	for _, action := range without {
+	for _, action := range withoutGossip {
 		if a, ok := action.(dispatch.StartAttempt); ok {
 			p.attempts[a.ID] = append(p.attempts[a.ID], a)
 		}
@@ -55,7 +55,7 @@
 		e.StartedAt = p.now
 	}
 	p.started[worker] = uint64(e.StartedAt / time.Millisecond)
-	p.play(dispatch.EndpointUpdate{Endpoints: []dispatch.Endpoint{e}})
+	p.applyToBoth(dispatch.EndpointUpdate{Endpoints: []dispatch.Endpoint{e}})
 	p.quorum.Step(p.now, []gossip.QuorumEvent{gossip.WorkerList{Started: p.started}})
 }
 
@@ -66,37 +66,38 @@
 		if last < 0 {
 			continue
 		}
-		p.play(dispatch.AttemptEnded{ID: id, Attempt: last, Worker: p.attempts[id][last].Worker, Result: dispatch.OK, Final: true,
+		p.applyToBoth(dispatch.AttemptEnded{ID: id, Attempt: last, Worker: p.attempts[id][last].Worker, Result: dispatch.OK, Final: true,
 			FunctionInFlight: -1, Duration: 20 * time.Millisecond, LoadReport: dispatch.NoLoadReport})
 		delete(p.attempts, id)
 		return
 	}
 }
 
-// claim has a liar claim something of a worker, and passes what the quorum confirms to one of the dispatchers.
+// claim passes a random claim of a liar about a worker to the quorum, and what the quorum confirms to the dispatcher
+// with gossip.
 func (p *dispatcherPair) claim(worker string) {
 	claim := gossip.Claim{Worker: worker, Started: p.started[worker], Signer: "liar",
 		Kind: gossip.StatementKind(rapid.IntRange(int(gossip.WorkerSilent), int(gossip.ClaimWithdrawn)).Draw(p.t, "kind"))}
 	for _, action := range p.quorum.Step(p.now, []gossip.QuorumEvent{claim, gossip.WorkerChecked{Worker: worker, Result: gossip.CheckFoundSilent}}) {
 		if confirmed, ok := action.(gossip.SilenceConfirmed); ok {
-			p.with.Step(p.now, []dispatch.Event{dispatch.GossipUpdate{SuspectedWorkers: []string{confirmed.Worker}}})
+			p.withGossip.Step(p.now, []dispatch.Event{dispatch.GossipUpdate{SuspectedWorkers: []string{confirmed.Worker}}})
 		}
 	}
 }
 
-// TestClaimsBelowThresholdChangeNoAction is a property of quorum and dispatcher together: two dispatchers are played the
-// same events, one of them behind a quorum to which liars below the threshold claim whatever they like of all workers,
-// also of draining and fresh ones. Every action is the same.
+// TestClaimsBelowThresholdChangeNoAction checks a property of the quorum and the dispatcher together: claims of a liar
+// below the threshold, about any workers including draining and recently started ones, change no action of the
+// dispatcher.
 func TestClaimsBelowThresholdChangeNoAction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &dispatcherPair{
-			t:        t,
-			without:  newDispatcher(t),
-			with:     newDispatcher(t),
-			quorum:   gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig),
-			now:      time.Hour,
-			attempts: map[dispatch.RequestID][]dispatch.StartAttempt{},
-			started:  map[string]uint64{},
+			t:             t,
+			withoutGossip: newDispatcher(t),
+			withGossip:    newDispatcher(t),
+			quorum:        gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig),
+			now:           time.Hour,
+			attempts:      map[dispatch.RequestID][]dispatch.StartAttempt{},
+			started:       map[string]uint64{},
 		}
 		for i := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			p.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
@@ -106,14 +107,14 @@
 				p.updateEndpoint(worker)
 			case op == 1 || op == 2:
 				p.lastRequest++
-				p.play(dispatch.Request{ID: p.lastRequest, Function: worker, Class: "c", MemoryMB: 10, ConcurrencyPerInstance: 2,
+				p.applyToBoth(dispatch.Request{ID: p.lastRequest, Function: worker, Class: "c", MemoryMB: 10, ConcurrencyPerInstance: 2,
 					RemainingDeadline: 3 * time.Second})
 			case op == 3:
 				p.endOldestRequest()
 			default:
 				p.claim(worker)
 			}
-			p.play(dispatch.TimerFired{})
+			p.applyToBoth(dispatch.TimerFired{})
 		}
 	})
 }
--- a/internal/gossip/agent/start_test.go
+++ b/internal/gossip/agent/start_test.go
@@ -6,7 +6,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// TestStartRejectsUnusableConfig: a port in use and packets larger than the protocol allows are errors.
+// TestStartRejectsUnusableConfig checks that Start returns an error for a port in use and for too large packets.
 func TestStartRejectsUnusableConfig(t *testing.T) {
 	c := newCluster(t, 1)
 	for name, change := range map[string]func(*agent.Config){
@@ -24,8 +24,9 @@
 	}
 }
 
-// TestSeedsThatAreNoAddressesAreIgnored: an agent starts with them, and answers nothing once closed, twice too.
-func TestSeedsThatAreNoAddressesAreIgnored(t *testing.T) {
+// TestInvalidSeedAddressesAreIgnored checks that an agent starts with invalid seed addresses, and that it can be closed
+// twice and returns no status afterwards.
+func TestInvalidSeedAddressesAreIgnored(t *testing.T) {
 	c := newCluster(t, 1)
 	cfg := c.config(0)
 	cfg.Seeds = []string{"nonsense", "127.0.0.1:99999", "[::1", "127.0.0.1:1"}
@@ -36,6 +37,6 @@
 	a.Close()
 	a.Close()
 	if a.Status().ID != "" || a.Peers() != nil {
-		t.Error("a closed agent answered")
+		t.Error("a closed agent returned a status")
 	}
 }
--- a/internal/gossip/agent/status.go
+++ b/internal/gossip/agent/status.go
@@ -7,23 +7,23 @@
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
-// Dropped counts what was received and not processed, by reason.
+// Dropped counts received packets and statements that were dropped, by reason.
 type Dropped struct {
-	RateLimited  uint64 `json:"over_the_limit"` // over the rate of signature checks of its source
+	RateLimited  uint64 `json:"over_the_limit"` // over the rate limit of signature verifications of the source
 	Malformed    uint64 `json:"malformed"`
 	UnknownKey   uint64 `json:"unknown_key"`
 	BadSignature uint64 `json:"bad_signature"`
 	Replayed     uint64 `json:"replayed"`
 	QueueFull    uint64 `json:"queue_full"`
-	Statements   uint64 `json:"statements"` // in authentic packets, that were forged or over the rate
+	Statements   uint64 `json:"statements"` // in authentic packets: with an invalid signature or over the rate limit
 }
 
-// TotalPackets sums the packets that were dropped.
+// TotalPackets returns the number of dropped packets.
 func (d Dropped) TotalPackets() uint64 {
 	return d.RateLimited + d.Malformed + d.UnknownKey + d.BadSignature + d.Replayed + d.QueueFull
 }
 
-// Add returns the sum of two counts.
+// Add returns the sum of d and o.
 func (d Dropped) Add(o Dropped) Dropped {
 	return Dropped{
 		RateLimited:  d.RateLimited + o.RateLimited,
@@ -36,36 +36,36 @@
 	}
 }
 
-// Status is the state of an agent.
+// Status is a snapshot of an agent's state and counters.
 type Status struct {
 	ID            string                      `json:"id"`
 	Addr          string                      `json:"address"`
-	Key           string                      `json:"key"` // name of the own key
+	Key           string                      `json:"key"` // name of the signing key
 	Members       int                         `json:"members"`
 	Live          int                         `json:"live"`
 	MostLive      int                         `json:"most_live"`
-	HealthPenalty int                         `json:"local_health"` // 0 is good
+	HealthPenalty int                         `json:"local_health"` // 0 is healthy; see gossip.Core.HealthPenalty
 	Received      uint64                      `json:"received"`
 	Core          gossip.Stats                `json:"core"`
 	Quorum        gossip.SuspicionQuorumStats `json:"judge"`
 	Dropped       Dropped                     `json:"dropped"`
 }
 
-// Peer is a member as the operators see it.
+// Peer describes another member, for operators.
 type Peer struct {
 	gossip.Member
 	State  string   `json:"state"`
-	Weight float64  `json:"weight"` // of its claims about workers
+	Weight float64  `json:"weight"` // weight of its claims about workers
 	Keys   []string `json:"keys"`
 }
 
-// KeyList holds the names of the admitted keys.
+// KeyList holds the names of the signing key and of the admitted keys.
 type KeyList struct {
-	Own     string              `json:"own"` // name of the key that this router signs with
+	Own     string              `json:"own"` // name of this router's signing key
 	Members map[string][]string `json:"members"`
 }
 
-// callLoop runs f in the loop and returns its result; the zero value if the agent is closed.
+// callLoop runs f in the loop and returns its result, or the zero value if the agent is closed.
 func callLoop[T any](a *Agent, f func() T) (result T) {
 	results := make(chan T, 1)
 	if !a.enqueue(func() { results <- f() }) {
@@ -78,7 +78,7 @@
 	return result
 }
 
-// Status returns the state of the agent.
+// Status returns the agent's current state and counters.
 func (a *Agent) Status() Status {
 	return callLoop(a, func() Status {
 		s := Status{
@@ -95,7 +95,7 @@
 			Dropped:       a.dropped,
 		}
 		a.mu.Lock()
-		s.Dropped.QueueFull = a.queueFull
+		s.Dropped.QueueFull = a.queueFullDrops
 		a.mu.Unlock()
 		return s
 	})
@@ -117,12 +117,12 @@
 	})
 }
 
-// Suspicions lists what is claimed of workers.
+// Suspicions lists the current claims about workers.
 func (a *Agent) Suspicions() []gossip.Suspicion {
 	return callLoop(a, func() []gossip.Suspicion { return a.quorum.Suspicions() })
 }
 
-// Keys lists the names of the admitted keys.
+// Keys lists the names of the signing key and of the admitted keys.
 func (a *Agent) Keys() KeyList {
 	return callLoop(a, func() KeyList {
 		list := KeyList{Own: a.keys.OwnKeyName(), Members: map[string][]string{}}
--- a/internal/gossip/agent/stream.go
+++ b/internal/gossip/agent/stream.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	streamHeaderBytes    = 4        // the packet's length, big-endian
-	maxStreamPacketBytes = 64 << 10 // of a packet over a stream
+	streamHeaderBytes    = 4 // length of the packet, big-endian
+	maxStreamPacketBytes = 64 << 10
 	streamTimeout        = 2 * time.Second
-	maxDials             = 8  // outbound connections at a time
-	maxInbound           = 64 // inbound connections at a time
+	maxDials             = 8  // concurrent outbound connections
+	maxInbound           = 64 // concurrent inbound connections
 )
 
-var errStreamLength = errors.New("gossip: length of a stream's packet out of range")
+var errStreamLength = errors.New("gossip: packet length in stream header is out of range")
 
-// streamTransport carries packets that are too large for datagrams over TCP. A connection carries one packet, its
-// length before it, and is closed; an answer comes on a connection of its own. The packet is signed like a datagram.
+// streamTransport carries packets that are too large for datagrams over TCP. Each connection carries one packet,
+// preceded by its length, and is then closed; a reply uses a separate connection. Packets are signed like datagrams.
 type streamTransport struct {
 	listener  *listen.Listener
 	eventLoop netpoll.EventLoop
-	received  func(source string, packet []byte)
+	onPacket  func(source string, packet []byte)
 	dialSlots chan struct{}
 	dials     sync.WaitGroup // one goroutine for each outbound connection
 
@@ -35,19 +35,19 @@
 	inbound map[netpoll.Connection]*time.Timer // the timer closes the connection
 }
 
-// listenStream listens on an address. received is called for each packet, by goroutines of netpoll, and owns it.
-func listenStream(addr string, received func(source string, packet []byte)) (*streamTransport, error) {
+// listenStream listens on an address. Goroutines of netpoll call onPacket for each packet; onPacket owns the slice.
+func listenStream(addr string, onPacket func(source string, packet []byte)) (*streamTransport, error) {
 	listener, err := listen.Open("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	s := &streamTransport{
 		listener:  listener,
-		received:  received,
+		onPacket:  onPacket,
 		dialSlots: make(chan struct{}, maxDials),
 		inbound:   map[netpoll.Connection]*time.Timer{},
 	}
-	s.eventLoop, err = netpoll.NewEventLoop(s.readPacket, netpoll.WithOnConnect(s.connected))
+	s.eventLoop, err = netpoll.NewEventLoop(s.readPacket, netpoll.WithOnConnect(s.onConnect))
 	if err != nil {
 		_ = listener.Close()
 		return nil, err
@@ -56,12 +56,12 @@
 	return s, nil
 }
 
-// connected admits an inbound connection, for at most streamTimeout, or closes it where there are too many.
-func (s *streamTransport) connected(ctx context.Context, c netpoll.Connection) context.Context {
+// onConnect admits an inbound connection for at most streamTimeout, or closes it if there are too many.
+func (s *streamTransport) onConnect(ctx context.Context, c netpoll.Connection) context.Context {
 	s.mu.Lock()
 	full := len(s.inbound) >= maxInbound
 	if !full {
-		// A peer that sends slowly keeps no place. The timer ends with the connection.
+		// A slow sender must not occupy a place for longer. The close callback stops the timer.
 		s.inbound[c] = time.AfterFunc(streamTimeout, func() { s.closeIfOpen(c) })
 	}
 	s.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// readPacket reads the one packet of an inbound connection and closes it.
+// readPacket reads the packet of an inbound connection and closes the connection.
 func (s *streamTransport) readPacket(_ context.Context, c netpoll.Connection) error {
 	defer func() { _ = c.Close() }()
 	_ = c.SetReadTimeout(streamTimeout)
@@ -107,15 +107,15 @@
 	if err != nil {
 		return err
 	}
-	s.received(c.RemoteAddr().String(), append([]byte(nil), packet...))
+	s.onPacket(c.RemoteAddr().String(), append([]byte(nil), packet...))
 	return nil
 }
 
-// Addr returns the address listened on.
+// Addr returns the listen address.
 func (s *streamTransport) Addr() string { return s.listener.Addr().String() }
 
-// Send sends a packet to an address without waiting for it. If too many are under way it is lost, as a datagram would
-// be.
+// Send sends a packet to an address in the background. If too many outbound connections are open, the packet is dropped
+// without an error, like a lost datagram.
 func (s *streamTransport) Send(to string, packet []byte) {
 	select {
 	case s.dialSlots <- struct{}{}:
@@ -128,7 +128,7 @@
 	})
 }
 
-// writePacket dials an address and writes one packet. A failure loses the packet.
+// writePacket connects to an address and writes one packet. On failure the packet is lost.
 func writePacket(to string, packet []byte) {
 	c, err := netpoll.DialConnection("tcp", to, streamTimeout)
 	if err != nil {
@@ -147,7 +147,7 @@
 	}
 }
 
-// Close ends the listener, gives the inbound connections a second to end and waits for the outbound ones.
+// Close closes the listener, waits up to a second for inbound connections, and waits for the outbound ones.
 func (s *streamTransport) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/gossip/agent/suspicion_test.go
+++ b/internal/gossip/agent/suspicion_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestLiarsCauseOnlyChecks: an admitted liar alone causes no check; two of them cause checks that contradict them, and no
-// dispatcher is notified; at the threshold they weigh less afterwards.
+// TestLiarsCauseOnlyChecks checks that one admitted liar causes no check of a worker, and that two cause only checks,
+// which contradict them and reduce their weight; no dispatcher is notified.
 func TestLiarsCauseOnlyChecks(t *testing.T) {
 	c := newCluster(t, 5)
 	for _, i := range []int{3, 4} {
@@ -63,7 +63,7 @@
 	c.waitFor("one liar to be heard", func() bool { return claims() >= 6 })
 	for i, r := range c.routers[:3] {
 		if r.mu.Lock(); r.checks > 0 {
-			t.Errorf("one liar had router %d check a worker", i)
+			t.Errorf("one liar caused router %d to check a worker", i)
 		}
 		r.mu.Unlock()
 	}
@@ -79,7 +79,7 @@
 		}
 		r.mu.Lock()
 		if r.checks > 4 {
-			t.Errorf("two liars had router %d check %d times", i, r.checks)
+			t.Errorf("two liars caused router %d to make %d checks", i, r.checks)
 		}
 		r.mu.Unlock()
 	}
--- a/internal/gossip/anti_entropy.go
+++ b/internal/gossip/anti_entropy.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// startSync exchanges state with a random member now and then, which makes up for what dissemination missed
+// startSync starts a periodic state exchange with a random member, which repairs what dissemination missed
 // (anti-entropy; Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987).
 func (c *Core) startSync() {
 	if c.now < c.nextSync {
 		return
 	}
 	c.nextSync = c.now + time.Duration((0.75+c.rng.Float64()/2)*float64(c.syncInterval))
-	c.syncInterval = min(2*c.syncInterval, c.cfg.SyncInterval) // often at first, while there is much to learn
+	c.syncInterval = min(2*c.syncInterval, c.cfg.SyncInterval) // more often at first, to learn the members quickly
 	for _, to := range c.randomMembers(1, "") {
 		c.sendState(to, false)
 	}
 }
 
-// sendState sends a part of the state over a stream, within the budget: all evidence, all suspicions, and the
-// MemberAlive statements of so many members as fit, which continue with the next call.
+// sendState sends part of the state over a stream, within the budget: the evidence, the suspicions, and as many
+// MemberAlive statements as fit. The next call continues with the members after those.
 func (c *Core) sendState(to string, reply bool) {
 	m := Message{
 		Kind:        StateExchange,
@@ -28,14 +28,15 @@
 		Statements:  []Statement{c.ownAlive},
 	}
 	c.refillBudget()
-	// More is left alone than answers to probes leave, or several exchanges at once would make those answers fail.
+	// The reserve is larger than that of replies to probes; otherwise concurrent exchanges would use up the budget of
+	// those replies.
 	reserve := (1 + c.cfg.ReservedShare) / 2
 	available := min(c.cfg.MaxSyncBytes, int(c.byteBudget.tokens-reserve*c.cfg.BurstBytes)) - m.Size()
 	if available < 0 || c.messageBudget.tokens-reserve*c.cfg.BurstMessages < 1 {
 		c.stats.Withheld++
 		return
 	}
-	// A statement that does not fit uses up what is left, so that none after it is added.
+	// After the first statement that does not fit, available is negative and no further one is added.
 	add := func(s *Statement) bool {
 		available -= s.Size()
 		if available >= 0 {
@@ -48,7 +49,7 @@
 			break
 		}
 	}
-	// A member that missed a suspicion would take the suspect for alive until its own probe of it.
+	// A receiver that missed a suspicion would otherwise consider the suspect alive until its own probe failed.
 	for _, id := range c.notAlive {
 		for i := range c.members[id].suspicions {
 			add(&c.members[id].suspicions[i])
--- a/internal/gossip/broadcast_queue.go
+++ b/internal/gossip/broadcast_queue.go
@@ -2,34 +2,37 @@
 
 import "math"
 
-// minStatementRoom is the least room in a packet that is worth a search: a signature and the shortest fields.
+// minStatementRoom is the size of the smallest statement in bytes, a signature and the shortest fields. With less room
+// in a packet the queue is not searched.
 const minStatementRoom = 64 + 8
 
-// queuedStatement is a statement that waits to be passed on.
+// queuedStatement is a statement waiting to be disseminated.
 type queuedStatement struct {
 	statement Statement
-	sent      int // times that it was passed on
-	rank      int
-	dropped   bool // still in its rank, but no longer of the queue
+	sent      int  // number of transmissions
+	rank      int  // index in broadcastQueue.ranks
+	dropped   bool // removed from the queue, but not yet from its rank
 }
 
-// broadcastQueue holds the statements to be passed on, in ranks by how often each has been; those of little use begin
-// at a later rank. Within a rank the newest goes first. Ranks make filling a packet cost what is taken, not what waits.
+// broadcastQueue holds the statements to be disseminated, in ranks: each transmission moves a statement to the next
+// rank, and less useful statements start at a later one. Lower ranks are sent first, and within a rank the newest
+// statement. With ranks, the cost of filling a packet depends on the statements chosen, not on the length of the queue.
 type broadcastQueue struct {
 	capacity int
 	byKey    map[statementKey]*queuedStatement
 	ranks    [][]*queuedStatement
-	length   int // without dropped statements
+	length   int // does not count dropped statements
 }
 
 func newBroadcastQueue(capacity int) broadcastQueue {
 	return broadcastQueue{capacity: capacity, byKey: map[statementKey]*queuedStatement{}}
 }
 
-// initialRank is how many times other statements are passed on before this one.
+// initialRank returns the rank at which a statement is queued: how many transmissions of rank 0 statements precede its
+// first.
 func (s *Statement) initialRank() int {
 	switch s.Kind {
-	case WorkerFailing, WorkerSlow: // nobody acts on them
+	case WorkerFailing, WorkerSlow: // no router acts on them
 		return 4
 	case MemberSuspected: // the MemberAlive that refutes it goes first
 		return 3
@@ -39,7 +42,7 @@
 	return 0
 }
 
-// put queues a statement in place of an older one with its key.
+// put queues a statement, replacing an older one with the same key.
 func (q *broadcastQueue) put(s Statement) {
 	q.drop(s.key())
 	if q.length >= q.capacity {
@@ -51,7 +54,7 @@
 	q.length++
 }
 
-// evict drops one statement of those passed on most.
+// evict drops one of the most transmitted statements.
 func (q *broadcastQueue) evict() {
 	for rank := len(q.ranks) - 1; rank >= 0 && q.length >= q.capacity; rank-- {
 		for _, queued := range q.ranks[rank] {
@@ -78,12 +81,12 @@
 	}
 }
 
-// take appends statements that fit into room bytes to dst and counts them as passed on. A statement leaves the queue
-// when it has been passed on limit times.
-func (q *broadcastQueue) take(room, limit int, dst []Statement) []Statement {
+// appendNext appends the next statements that fit into room bytes to dst and counts a transmission of each. After limit
+// transmissions a statement is removed from the queue.
+func (q *broadcastQueue) appendNext(room, limit int, dst []Statement) []Statement {
 	var chosen []*queuedStatement
 	for rank := 0; rank < len(q.ranks) && room >= minStatementRoom; rank++ {
-		room = q.takeFromRank(rank, room, &chosen)
+		room = q.chooseFromRank(rank, room, &chosen)
 	}
 	for _, queued := range chosen {
 		dst = append(dst, queued.statement)
@@ -98,9 +101,9 @@
 	return dst
 }
 
-// takeFromRank moves statements that fit from one rank to chosen, newest first, and returns the room that is left.
-// Larger ones are passed over while a smaller one may still fit.
-func (q *broadcastQueue) takeFromRank(rank, room int, chosen *[]*queuedStatement) int {
+// chooseFromRank moves statements that fit from one rank to chosen, newest first, and returns the remaining room.
+// Statements that don't fit are skipped as long as a smaller one might.
+func (q *broadcastQueue) chooseFromRank(rank, room int, chosen *[]*queuedStatement) int {
 	list := q.ranks[rank]
 	for n := len(list) - 1; n >= 0; n-- {
 		queued := list[n]
@@ -127,7 +130,7 @@
 	return room
 }
 
-// transmissions returns how often a statement is passed on among n members.
-func transmissions(multiplier float64, n int) int {
+// transmitLimit returns how often a member transmits each statement in a group of n members.
+func transmitLimit(multiplier float64, n int) int {
 	return max(int(math.Ceil(multiplier*math.Log10(float64(n+1)))), 1)
 }
--- a/internal/gossip/characterization_test.go
+++ b/internal/gossip/characterization_test.go
@@ -15,10 +15,11 @@
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
-// The tests in this file hold what the cores decide: seeded runs, every action encoded by fixed tags and numbers without
-// any Go name, one SHA-256 for each seed. A change of names or layout must leave the sums as they are.
+// The tests in this file pin the behavior of the state machines: for each seed, all actions of a run are hashed into
+// one SHA-256 sum. Actions are encoded with fixed tags and numbers, without Go identifiers, so that renaming or moving
+// code does not change the sums.
 
-// recorder hashes values by their kind and content.
+// recorder hashes values in an encoding that depends on their type.
 type recorder struct{ sum hash.Hash }
 
 func newRecorder() recorder { return recorder{sha256.New()} }
@@ -63,7 +64,7 @@
 	}
 }
 
-// coreAction writes one action of a core with the member that it is of.
+// coreAction writes an action of the core of member by.
 func (r recorder) coreAction(now time.Duration, by int, action gossip.Action) {
 	r.write(now, by)
 	switch a := action.(type) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// final writes what a core holds at the end of a run.
+// final writes the state of a core at the end of a run.
 func (r recorder) final(c *gossip.Core) {
 	for _, m := range c.Members() {
 		r.write(m.ID, m.Addr, int(m.State), m.Incarnation, m.Direct, m.SuspectedBy)
@@ -100,14 +101,14 @@
 
 func (r recorder) hex() string { return hex.EncodeToString(r.sum.Sum(nil)) }
 
-// delivery is a message on its way to a member.
+// delivery is a message in flight to a member.
 type delivery struct {
 	at      time.Duration
 	to      int
 	message gossip.Message
 }
 
-// cluster is cores on a simulated network that is advanced in steps of 10 ms.
+// cluster is a group of cores on a simulated network, whose time advances in steps of 10 ms.
 type cluster struct {
 	t        *testing.T
 	r        recorder
@@ -175,7 +176,7 @@
 	}
 }
 
-// receive hands a message to a core without the statements that the core does not want.
+// receive passes a message to a core without the statements that the core does not want.
 func (c *cluster) receive(to int, m gossip.Message) {
 	var wanted []gossip.Statement
 	for _, s := range m.Statements {
@@ -210,7 +211,7 @@
 	}
 }
 
-// report has every running member publish a claim about a worker.
+// report makes a random two thirds of the running members publish a claim about a worker.
 func (c *cluster) report(about gossip.StatementKind, worker, text string) {
 	for i, core := range c.cores {
 		if core != nil && c.rng.IntN(3) > 0 {
@@ -239,7 +240,7 @@
 	c.report(gossip.WorkerSlow, "w3", "")
 	c.run(3 * time.Second)
 	c.report(gossip.ClaimWithdrawn, "w1", "")
-	c.report(gossip.MemberAlive, "w1", "") // not about a worker: nothing comes of it
+	c.report(gossip.MemberAlive, "w1", "") // not about a worker, so it must be ignored
 	c.cores[3] = nil
 	c.cores[4] = nil
 	c.run(20 * time.Second)
@@ -250,15 +251,15 @@
 	c.cut = func(from, to int) bool { return from == 5 }
 	c.run(20 * time.Second)
 	c.cut = nil
-	// Another process with member 6's key, a replayed packet of an earlier incarnation, a suspicion of member 7 by 8.
-	for i := range 3 { // the third one comes sooner than a member may raise its incarnation again
+	// Another process with member 6's key, a replayed packet of an earlier incarnation, suspicions of member 7 by 8.
+	for i := range 3 { // the third arrives before the member may raise its incarnation again
 		c.receive(6, gossip.Message{Kind: gossip.Push, From: memberID(5), Addr: memberID(5), Incarnation: 105,
 			Statements: []gossip.Statement{{Kind: gossip.MemberAlive, Signer: memberID(6), Incarnation: 900 + 10*uint64(i), Seq: 3, Text: "other"}}})
 		c.run(time.Duration(2-i) * time.Second)
 	}
 	c.receive(1, gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: "other", Incarnation: 2000,
 		Statements: []gossip.Statement{{Kind: gossip.MemberAlive, Signer: memberID(6), Incarnation: 2000, Seq: 3, Text: "other"}}})
-	c.step(2, gossip.StaleMessage{Message: gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: memberID(6), Incarnation: 1}, Seen: 1000})
+	c.step(2, gossip.StaleMessage{Message: gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: memberID(6), Incarnation: 1}, HighestCounter: 1000})
 	for i := range 5 {
 		c.receive(9, gossip.Message{Kind: gossip.MessageKind(i), WantAlive: true, From: memberID(8), Addr: memberID(8), Incarnation: 108, ProbeSeq: 9,
 			Target: memberID(7), Statements: []gossip.Statement{{Kind: gossip.MemberSuspected, Signer: memberID(8), Incarnation: 108,
@@ -281,9 +282,9 @@
 	return c.r.hex()
 }
 
-// workerEvents draws the events of one step, and the list of workers from then on.
+// workerEvents returns random events for one step and the list of workers after it.
 func workerEvents(rng *rand.Rand, started map[string]uint64, worker, signer string) (
-	list map[string]uint64, toQuorum []gossip.QuorumEvent, toCollector []gossip.PublisherEvent,
+	list map[string]uint64, toQuorum []gossip.QuorumEvent, toPublisher []gossip.PublisherEvent,
 ) {
 	class := fmt.Sprint("c", rng.IntN(3))
 	about := gossip.StatementKind(rng.IntN(6))
@@ -299,11 +300,11 @@
 			next[worker]++
 		}
 		started = next
-		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerList{Started: started}}, []gossip.PublisherEvent{gossip.WorkerList{Started: started}}
+		toQuorum, toPublisher = []gossip.QuorumEvent{gossip.WorkerList{Started: started}}, []gossip.PublisherEvent{gossip.WorkerList{Started: started}}
 	case 1:
-		toQuorum, toCollector = []gossip.QuorumEvent{gossip.WorkerHeard{Worker: worker}}, []gossip.PublisherEvent{gossip.WorkerHeard{Worker: worker}}
+		toQuorum, toPublisher = []gossip.QuorumEvent{gossip.WorkerResponded{Worker: worker}}, []gossip.PublisherEvent{gossip.WorkerResponded{Worker: worker}}
 	case 2, 3:
-		toCollector = []gossip.PublisherEvent{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
+		toPublisher = []gossip.PublisherEvent{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
 	case 4:
 		toQuorum = []gossip.QuorumEvent{gossip.WorkerChecked{Worker: worker, Result: drawCheckResult(rng)}}
 	default:
@@ -311,10 +312,11 @@
 			Class: class, Signer: signer, Age: time.Duration(rng.IntN(6000)-200) * time.Millisecond},
 			gossip.Claim{Worker: worker, Started: started[worker], Kind: gossip.WorkerSilent, Signer: signer + "b"}}
 	}
-	return started, toQuorum, toCollector
+	return started, toQuorum, toPublisher
 }
 
-// drawCheckResult draws alive or silent, one in five overruled by skipped: always two draws, which the sums depend on.
+// drawCheckResult returns alive or silent with equal probability, replaced by skipped in one of five cases. It always
+// makes two draws, which the sums depend on.
 func drawCheckResult(rng *rand.Rand) gossip.CheckResult {
 	result := gossip.CheckFoundSilent
 	if rng.IntN(2) > 0 {
@@ -326,20 +328,20 @@
 	return result
 }
 
-// workerSum plays random events to the quorum, the collector and the limiter.
+// workerSum passes random events to a quorum, a publisher and a limiter and returns the sum of their outputs.
 func workerSum(seed uint64) string {
 	r, rng := newRecorder(), rand.New(rand.NewPCG(seed, 78))
 	quorum, limiter := gossip.NewSuspicionQuorum(gossip.LocalSuspicionQuorumConfig), gossip.NewPacketLimiter(gossip.LocalPacketLimiterConfig)
-	collector := gossip.NewSuspicionPublisher(gossip.LocalSuspicionPublisherConfig, quorum.SilenceWeight)
+	publisher := gossip.NewSuspicionPublisher(gossip.LocalSuspicionPublisherConfig, quorum.SilenceWeight)
 	now, started := time.Duration(0), map[string]uint64{}
 	for range 3000 {
 		now += time.Duration(rng.IntN(300)) * time.Millisecond
 		worker, signer := fmt.Sprint("w", rng.IntN(5)), fmt.Sprint("s", rng.IntN(6))
 		var toQuorum []gossip.QuorumEvent
-		var toCollector []gossip.PublisherEvent
-		started, toQuorum, toCollector = workerEvents(rng, started, worker, signer)
+		var toPublisher []gossip.PublisherEvent
+		started, toQuorum, toPublisher = workerEvents(rng, started, worker, signer)
 		r.write(now)
-		for _, a := range collector.Step(now, toCollector) {
+		for _, a := range publisher.Step(now, toPublisher) {
 			r.write(1)
 			r.statement(&a.Statement)
 		}
@@ -351,7 +353,7 @@
 				r.write(3, a.Worker)
 			}
 		}
-		due, ok := collector.Due()
+		due, ok := publisher.Due()
 		r.write(due, ok, quorum.Weight(signer), quorum.SilenceWeight(worker))
 		if rng.IntN(20) == 0 {
 			for _, s := range quorum.Suspicions() {
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ErrMalformed reports bytes that are not a message of this protocol version.
+// ErrMalformed reports input that is not a valid message of this protocol version.
 var ErrMalformed = errors.New("gossip: malformed message")
 
 func malformedError(what string, offset int) error {
@@ -18,22 +18,22 @@
 const (
 	protocolVersion = 1
 	maxStringLength = 255
-	// envelopeSize is the most bytes before a message in a packet: the key's name and the signature.
+	// envelopeSize is the maximum size of what precedes the message in a packet: the key's name and the signature.
 	envelopeSize = 1 + 32 + ed25519.SignatureSize
 	// maxCounter bounds incarnations, counters and sequence numbers.
 	maxCounter = 1 << 62
-	// counterHeadroom is how far below maxCounter a member may be raised by others, so that nobody can push it to
-	// where its numbers could not rise any more.
+	// counterHeadroom is how far below maxCounter the numbers must stay that a member adopts from others, so that
+	// nobody can drive it to a point where its own numbers can't increase any more.
 	counterHeadroom = 1 << 32
-	// maxDurationMillis is the longest time that is read, in milliseconds.
+	// maxDurationMillis is the largest duration that is accepted, in milliseconds.
 	maxDurationMillis = uint64(1 << 62 / time.Millisecond)
 )
 
-// Bits of a message's flags.
+// Bits of a message's flags byte.
 const (
 	flagWantAlive = 1 << iota
 	flagReply
-	flagLimit // all flags lie below
+	flagLimit // upper bound, exclusive, of the flags byte
 )
 
 func uvarintSize(v uint64) int {
@@ -47,14 +47,14 @@
 
 func durationSize(d time.Duration) int { return uvarintSize(uint64(max(d, 0) / time.Millisecond)) }
 
-// Size returns the bytes that a statement takes in a message.
+// Size returns the encoded size of a statement in bytes.
 func (s *Statement) Size() int {
 	return 1 + uvarintSize(s.Incarnation) + uvarintSize(s.Seq) + durationSize(s.SignedAt) +
 		uvarintSize(s.SubjectIncarnation) + uvarintSize(s.SubjectSeq) +
 		4 + len(s.Signer) + len(s.Key) + len(s.Subject) + len(s.Text) + len(s.Signature)
 }
 
-// Size returns an upper bound of the bytes that a message takes in a packet, signature included.
+// Size returns an upper bound of the size in bytes of the packet that carries the message, including its signature.
 func (m *Message) Size() int {
 	n := envelopeSize + 3 + 5*binary.MaxVarintLen64 + 3 + len(m.From) + len(m.Addr) + len(m.Target)
 	for i := range m.Statements {
@@ -65,7 +65,7 @@
 
 func appendString(dst []byte, s string) []byte { return append(append(dst, byte(len(s))), s...) }
 
-// appendDuration writes a time as whole milliseconds; a negative one is written as 0.
+// appendDuration encodes a duration in whole milliseconds, a negative one as 0.
 func appendDuration(dst []byte, d time.Duration) []byte {
 	return binary.AppendUvarint(dst, uint64(max(d, 0)/time.Millisecond))
 }
@@ -83,11 +83,12 @@
 	return dst
 }
 
-// AppendTo appends the encoded message. A string of more than 255 bytes is an error, and one of the settings.
+// AppendTo appends the encoded message to dst. It returns an error if a string is longer than 255 bytes, which only
+// wrong settings can cause.
 func (m *Message) AppendTo(dst []byte) ([]byte, error) {
 	for _, v := range []string{m.From, m.Addr, m.Target} {
 		if len(v) > maxStringLength {
-			return nil, fmt.Errorf("gossip: message with a string of %d bytes, at most %d are allowed", len(v), maxStringLength)
+			return nil, fmt.Errorf("gossip: message has a string of %d bytes, maximum is %d", len(v), maxStringLength)
 		}
 	}
 	flags := byte(0)
@@ -108,17 +109,17 @@
 	for i := range m.Statements {
 		s := &m.Statements[i]
 		if max(len(s.Signer), len(s.Key), len(s.Subject), len(s.Text)) > maxStringLength {
-			return nil, fmt.Errorf("gossip: statement with a string of more than %d bytes", maxStringLength)
+			return nil, fmt.Errorf("gossip: statement has a string of more than %d bytes", maxStringLength)
 		}
 		dst = append(s.appendSignedPart(dst), s.Signature[:]...)
 	}
 	return dst, nil
 }
 
-// decoder reads values off bytes. It keeps the first error; after one, all values read are zero.
+// decoder reads values from a byte slice. It keeps the first error, after which all values read are zero.
 type decoder struct {
 	rest   []byte
-	length int // of all bytes, to name the place of an error
+	length int // of the whole input, to compute the offset of an error
 	err    error
 }
 
@@ -170,7 +171,7 @@
 	return time.Duration(v) * time.Millisecond
 }
 
-// statement reads one statement. Whether its signature is right is not checked.
+// statement reads one statement without verifying its signature.
 func (d *decoder) statement() Statement {
 	s := Statement{Kind: StatementKind(d.byte(int(statementKindCount), "kind of statement"))}
 	s.Incarnation = d.uvarint("incarnation")
@@ -194,7 +195,8 @@
 	return s
 }
 
-// ParseMessage reads a message that fills b. Its strings are copies; nothing of b is kept. Errors wrap ErrMalformed.
+// ParseMessage decodes b, which must hold exactly one message. The message does not refer to b. Errors wrap
+// ErrMalformed.
 func ParseMessage(b []byte) (Message, error) {
 	var m Message
 	d := &decoder{rest: b, length: len(b)}
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestParseErrorsNameThePlace: another version is named, and so is the byte at which a message is malformed.
-func TestParseErrorsNameThePlace(t *testing.T) {
+// TestParseErrorsNameOffset checks that parse errors name an unsupported version, or the offset of the malformed field.
+func TestParseErrorsNameOffset(t *testing.T) {
 	private, _ := testKey(1)
 	m := signedMessage(NewKeyring("k", private, 1))
 	raw, err := m.AppendTo(nil)
--- a/internal/gossip/core.go
+++ b/internal/gossip/core.go
@@ -6,91 +6,92 @@
 	"time"
 )
 
-// Core is the state of one member: membership, failure detection, dissemination and anti-entropy.
+// Core is the protocol state of one member: membership, failure detection, dissemination and anti-entropy.
 type Core struct {
 	cfg          Config
 	id, addr     string
 	incarnation  uint64
-	statementSeq uint64 // of the latest own statement
+	statementSeq uint64 // sequence number of the latest statement that this member signed
 	ownAlive     Statement
 	sign         func(*Statement)
 	rng          *rand.Rand
 	now          time.Duration
 	admitted     func(string) bool
-	seeds        []string // join addresses; pinged now and then, so that a partition heals
+	seeds        []string // join addresses; pinged occasionally, so that a partition heals
 
-	members  map[string]*member
-	notAlive []string // IDs of the members that are not alive, sorted
-	raisedAt time.Duration
+	members             map[string]*member
+	notAlive            []string // IDs of the members that are not alive, sorted
+	incarnationRaisedAt time.Duration
 
 	probes        []*probe
-	probeOrder    []string // order in which members are probed; shuffled anew each round
-	probeIndex    int      // next in probeOrder
-	probeRetries  []string // members whose probe failed once
+	probeOrder    []string // IDs in probe order; reshuffled each round
+	probeIndex    int      // index in probeOrder of the next target
+	probeRetries  []string // IDs of members whose latest probe failed
 	probeSeq      uint64
 	nextProbe     time.Duration
-	healthPenalty int // 0 is good; each step slows probes down by one more multiple
+	healthPenalty int // see HealthPenalty
 
 	queue              broadcastQueue
 	nextPush           time.Duration
 	evidence           map[statementKey]*evidence
-	evidenceBySigner   map[string]int // stored statements of each signer
-	relayedByWorker    map[string]int // stored or passed on statements about each worker
+	evidenceBySigner   map[string]int // number of stored statements by signer
+	relaysByWorker     map[string]int // number of statements stored or relayed by worker
 	nextEvidenceExpiry time.Duration
 	byteBudget         tokenBucket
 	messageBudget      tokenBucket
 
 	nextSync     time.Duration
 	syncInterval time.Duration
-	syncIndex    int // where in probeOrder the next state exchange begins
+	syncIndex    int // index in probeOrder where the next state exchange starts
 
-	actions     []Action // of the present Step
+	actions     []Action // collected during the current Step
 	stats       Stats
-	mostLive    int  // most members live at once
-	recountLive bool // the count may have risen
+	mostLive    int  // highest value of Live so far
+	recountLive bool // Live may have increased
 }
 
-// Stats counts what a core has done.
+// Stats are the counters of a [Core].
 type Stats struct {
 	MessagesSent uint64 `json:"messages_sent"`
-	BytesSent    uint64 `json:"bytes_sent"` // by Message.Size, which is no less than what is sent
-	Withheld     uint64 `json:"withheld"`   // messages not sent for lack of budget
+	BytesSent    uint64 `json:"bytes_sent"` // by Message.Size, an upper bound of the bytes sent
+	Withheld     uint64 `json:"withheld"`   // messages not sent because the budget was exhausted
 	Suspicions   uint64 `json:"suspicions"`
 	Deaths       uint64 `json:"deaths"`
-	Refutations  uint64 `json:"refuted"` // suspicions of this member that it answered
+	Refutations  uint64 `json:"refuted"` // suspicions of this member that it refuted
 	MostLive     int    `json:"most_live"`
 }
 
-// NewCore returns a core that knows only itself. incarnation must be higher than in any earlier process of this member:
-// a start time will do; where it is not, other members report it (see [IncarnationRaised]). seed is of all random
-// draws. sign completes a statement of this member with key name and signature.
+// NewCore returns a core that knows no other member. incarnation must be higher than that of any earlier process of
+// this member, for example the start time; if it is lower, the core learns of the earlier incarnation from other
+// members and raises its own (see [IncarnationRaised]). seed seeds all random draws. sign sets the key name and the
+// signature of a statement of this member.
 func NewCore(cfg Config, id, addr string, incarnation, seed uint64, sign func(*Statement)) (*Core, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	return &Core{
-		cfg:              cfg,
-		id:               id,
-		addr:             addr,
-		incarnation:      incarnation,
-		sign:             sign,
-		rng:              rand.New(rand.NewPCG(seed, 14)),
-		admitted:         func(string) bool { return true },
-		members:          map[string]*member{},
-		raisedAt:         -cfg.ProbeInterval,
-		queue:            newBroadcastQueue(cfg.MaxQueuedStatements),
-		evidence:         map[statementKey]*evidence{},
-		evidenceBySigner: map[string]int{},
-		relayedByWorker:  map[string]int{},
-		byteBudget:       tokenBucket{tokens: cfg.BurstBytes},
-		messageBudget:    tokenBucket{tokens: cfg.BurstMessages},
-		syncInterval:     cfg.ProbeInterval,
-		mostLive:         1,
+		cfg:                 cfg,
+		id:                  id,
+		addr:                addr,
+		incarnation:         incarnation,
+		sign:                sign,
+		rng:                 rand.New(rand.NewPCG(seed, 14)),
+		admitted:            func(string) bool { return true },
+		members:             map[string]*member{},
+		incarnationRaisedAt: -cfg.ProbeInterval,
+		queue:               newBroadcastQueue(cfg.MaxQueuedStatements),
+		evidence:            map[statementKey]*evidence{},
+		evidenceBySigner:    map[string]int{},
+		relaysByWorker:      map[string]int{},
+		byteBudget:          tokenBucket{tokens: cfg.BurstBytes},
+		messageBudget:       tokenBucket{tokens: cfg.BurstMessages},
+		syncInterval:        cfg.ProbeInterval,
+		mostLive:            1,
 	}, nil
 }
 
-// Step processes events at a time, does what is due by then and returns what the caller is to do, in this order. The
-// slice is the caller's.
+// Step processes events, runs all timers that are due at now and returns actions, which the caller must carry out in
+// order. The caller owns the returned slice.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = max(now, c.now), nil
 	if c.ownAlive.Seq == 0 { // the first step
@@ -123,7 +124,7 @@
 	case MessageReceived:
 		c.messageReceived(&e.Message)
 	case StaleMessage:
-		c.notifyStale(&e.Message, e.Seen)
+		c.notifyStaleSender(&e.Message, e.HighestCounter)
 	case Publish:
 		c.publish(e.Statement)
 	case AdmissionChanged:
@@ -135,7 +136,7 @@
 	}
 }
 
-// join pings addresses, other than the own one, and remembers them as seeds.
+// join pings all addresses except this member's own and stores them as seeds.
 func (c *Core) join(addresses []string) {
 	for _, addr := range addresses {
 		if addr == c.addr {
@@ -148,7 +149,7 @@
 	}
 }
 
-// Due returns when Step has something to do without a further event: at least a millisecond after the latest Step.
+// Due returns when Step must be called next if no event arrives: at least a millisecond after the latest Step.
 func (c *Core) Due() time.Duration {
 	at := min(c.nextProbe, c.nextSync)
 	if c.queue.length >= pushBacklog || c.hasUrgentStatement() {
@@ -166,10 +167,11 @@
 	return max(at, c.now+time.Millisecond)
 }
 
-// HealthPenalty returns the local health: 0 is good; each step slows probes down by one more multiple.
+// HealthPenalty returns Lifeguard's local health score: 0 is healthy. A penalty of n multiplies the intervals and
+// timeouts of this member's probes by n+1.
 func (c *Core) HealthPenalty() int { return c.healthPenalty }
 
-// Stats returns what the core has done.
+// Stats returns the counters.
 func (c *Core) Stats() Stats {
 	c.stats.MostLive = c.mostLive
 	return c.stats
--- a/internal/gossip/core_test.go
+++ b/internal/gossip/core_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// unsigned leaves a statement without a signature, as the core never verifies one.
+// unsigned leaves a statement without a signature. The core never verifies signatures.
 func unsigned(*Statement) {}
 
-// newTestCore returns the core of member "me", of incarnation 5, that knows the first MemberAlive of a and b, of
+// newTestCore returns the core of member "me" in incarnation 5, which knows the first MemberAlive of members a and b in
 // incarnation 10.
 func newTestCore(t interface{ Fatal(args ...any) }) *Core {
 	c, err := NewCore(LocalConfig, "me", "me", 5, 1, unsigned)
@@ -28,12 +28,12 @@
 		SubjectIncarnation: incarnation, SubjectSeq: seq}
 }
 
-// messageFrom returns a message of a member's incarnation 10 that carries statements.
+// messageFrom returns a message with statements from a member in incarnation 10.
 func messageFrom(id string, statements ...Statement) MessageReceived {
 	return MessageReceived{Message{Kind: Push, From: id, Addr: id, Incarnation: 10, Statements: statements}}
 }
 
-// stateOf returns the state of a member; Dead if it is not known.
+// stateOf returns the state of a member, or Dead if it is unknown.
 func (c *Core) stateOf(id string) State {
 	for _, m := range c.Members() {
 		if m.ID == id {
@@ -54,8 +54,8 @@
 	return n
 }
 
-// TestDuplicateMemberIsReported: each of two processes with one key notices the other, and they don't raise their
-// incarnations faster than once a probe interval.
+// TestDuplicateMemberIsReported checks that a process detects another one with the same key, and that it raises its
+// incarnation at most once per probe interval. Otherwise the two would raise their incarnations in an endless loop.
 func TestDuplicateMemberIsReported(t *testing.T) {
 	c := newTestCore(t)
 	duplicates, raises := 0, 0
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// maxRelayedSigners is how many signers' statements about one worker a member passes on at a time.
+	// maxRelayedSigners is how many signers' statements about one worker a member relays at a time.
 	maxRelayedSigners = 6
-	// pushBacklog is how many statements wait before they are pushed without being urgent, with half of the budget:
-	// probes and their answers alone carry less than many slow members give rise to.
+	// pushBacklog is the queue length at which statements are pushed even if none is urgent, with part of the budget:
+	// many slow members cause more statements than probes and acks alone can carry.
 	pushBacklog = 16
-	// backlogReserve is the share of the budget that such a push leaves alone.
+	// backlogReserve is the share of the burst that a push of a backlog leaves unused.
 	backlogReserve = 0.5
-	// urgentRanks is how many ranks of the queue, those of statements passed on least, are searched for urgent ones.
+	// urgentRanks is how many ranks of the queue are searched for urgent statements, beginning with the least
+	// transmitted ones.
 	urgentRanks = 3
 )
 
@@ -24,7 +25,7 @@
 	expiresAt time.Duration
 }
 
-// Evidence lists the stored statements about workers.
+// Evidence lists the stored statements about workers, sorted by worker, signer and kind.
 func (c *Core) Evidence() []Statement {
 	list := make([]Statement, 0, len(c.evidence))
 	for _, e := range c.evidence {
@@ -36,9 +37,9 @@
 	return list
 }
 
-// send fills a message up with queued statements and sends it, within the budget. reserve is the share of the budget
-// that is left alone. A message beyond the budget is not sent, and send returns false: the protocol treats that as
-// loss, which it is made for.
+// send fills up a message with queued statements and sends it, if the budget allows. reserve is the share of the burst
+// that must remain. If the budget is exhausted, the message is dropped and send returns false; the protocol handles
+// this like packet loss.
 func (c *Core) send(to string, m Message, reserve float64) bool {
 	m.From, m.Addr, m.Incarnation, m.SentAt = c.id, c.addr, c.incarnation, c.now
 	size := m.Size()
@@ -48,8 +49,8 @@
 		c.stats.Withheld++
 		return false
 	}
-	limit := transmissions(c.cfg.TransmitMultiplier, len(c.members)+1)
-	m.Statements = c.queue.take(available-size, limit, m.Statements)
+	limit := transmitLimit(c.cfg.TransmitMultiplier, len(c.members)+1)
+	m.Statements = c.queue.appendNext(available-size, limit, m.Statements)
 	c.recordSent(&m)
 	c.actions = append(c.actions, Send{To: to, Message: m})
 	return true
@@ -81,21 +82,22 @@
 	c.nextPush = min(c.nextPush, c.now)
 }
 
-// processEvidence stores another member's statement about a worker, hands it over and passes it on.
+// processEvidence stores another member's statement about a worker, returns it as an action and relays it.
 func (c *Core) processEvidence(s *Statement) {
 	age := c.statementAge(c.members[s.Signer], s)
 	isNew := c.storeEvidence(s, c.cfg.EvidenceLifetime-age)
 	c.actions = append(c.actions, EvidenceReceived{Statement: *s, Age: age})
-	// What enough others have stated already is not passed on (after the redundancy constant of Trickle, RFC 6206).
-	if worker := s.Subject; s.Kind == ClaimWithdrawn || !isNew || c.relayedByWorker[worker] < maxRelayedSigners {
+	// A statement is not relayed if enough others about the worker are (compare Trickle's redundancy constant, RFC
+	// 6206).
+	if worker := s.Subject; s.Kind == ClaimWithdrawn || !isNew || c.relaysByWorker[worker] < maxRelayedSigners {
 		if isNew {
-			c.relayedByWorker[worker]++
+			c.relaysByWorker[worker]++
 		}
 		c.queue.put(*s)
 	}
 }
 
-// storeEvidence keeps a statement about a worker for a time. It reports whether none with the same key was stored.
+// storeEvidence stores a statement about a worker for lifetime. isNew is false if it replaced one with the same key.
 func (c *Core) storeEvidence(s *Statement, lifetime time.Duration) (isNew bool) {
 	e := c.evidence[s.key()]
 	if e == nil {
@@ -107,13 +109,13 @@
 	return isNew
 }
 
-// expireEvidence removes statements about workers that are no longer fresh, and counts anew what is relayed.
+// expireEvidence removes statements about workers at the end of their lifetime and recomputes relaysByWorker.
 func (c *Core) expireEvidence() {
 	if c.now < c.nextEvidenceExpiry {
 		return
 	}
 	c.nextEvidenceExpiry = c.now + c.cfg.EvidenceLifetime/8
-	clear(c.relayedByWorker)
+	clear(c.relaysByWorker)
 	for key, e := range c.evidence {
 		if c.now >= e.expiresAt {
 			delete(c.evidence, key)
@@ -124,13 +126,14 @@
 			}
 			continue
 		}
-		c.relayedByWorker[key.subject]++
+		c.relaysByWorker[key.subject]++
 	}
 }
 
-// hasUrgentStatement reports whether a statement is queued that was hardly passed on and can't wait for probes to carry
-// it: of a silent worker, or this member's own MemberAlive, which may refute a suspicion. A member that is slow sends
-// few probes, and would be taken for dead before its refutation arrived.
+// hasUrgentStatement reports whether the queue has an urgent statement that has been transmitted only a few times.
+// Urgent statements don't wait for probes to carry them: those about a silent worker, and this member's own
+// MemberAlive, which may refute a suspicion. A slow member sends few probes, and would be declared dead before its
+// refutation arrived.
 func (c *Core) hasUrgentStatement() bool {
 	for rank := range min(len(c.queue.ranks), urgentRanks) {
 		for _, q := range c.queue.ranks[rank] {
@@ -146,7 +149,7 @@
 	return s.Kind == WorkerSilent || s.Kind == ClaimWithdrawn || s.Signer == c.id && s.Kind == MemberAlive
 }
 
-// pushStatements sends queued statements in messages of their own if one is urgent or many wait.
+// pushStatements sends queued statements in Push messages if one is urgent or the queue is long.
 func (c *Core) pushStatements() {
 	if c.now < c.nextPush {
 		return
--- a/internal/gossip/dissemination_test.go
+++ b/internal/gossip/dissemination_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestEvidenceIsHandedOverOnce: a statement about a worker is handed over with its age, once, replaced by a newer one,
-// and bounded for each signer.
-func TestEvidenceIsHandedOverOnce(t *testing.T) {
+// TestEvidenceIsDeliveredOnce checks that a statement about a worker is delivered once, with its age, that a newer
+// statement replaces it, and that the number of stored statements of each signer is bounded.
+func TestEvidenceIsDeliveredOnce(t *testing.T) {
 	c := newTestCore(t)
-	c.Step(time.Second, []Event{messageFrom("b")}) // b's clock and this one show the same
+	c.Step(time.Second, []Event{messageFrom("b")}) // b's clock has no offset
 	silent := func(seq uint64, signedAt time.Duration, worker string) Statement {
 		return Statement{Kind: WorkerSilent, Signer: "b", Incarnation: 10, Seq: seq, SignedAt: signedAt, Subject: worker,
 			SubjectIncarnation: 3}
@@ -36,9 +36,9 @@
 		{"too old", 20 * time.Second, silent(4, 4*time.Second, "w"), nil},
 		{"unknown signer", 21 * time.Second, Statement{Kind: WorkerSilent, Signer: "z", Subject: "w"}, nil},
 	} {
-		t.Run(v.name, func(t *testing.T) { // in this order: each builds on those before
+		t.Run(v.name, func(t *testing.T) { // each depends on the previous ones
 			if got := receive(v.now, v.statement); !slices.Equal(got, v.want) {
-				t.Errorf("handed over with ages %v, want %v", got, v.want)
+				t.Errorf("delivered with ages %v, want %v", got, v.want)
 			}
 		})
 	}
@@ -50,6 +50,6 @@
 	}
 	c.Step(60*time.Second, nil)
 	if n := len(c.Evidence()); n > 0 {
-		t.Errorf("%d statements stored for ever", n)
+		t.Errorf("%d statements still stored after their lifetime", n)
 	}
 }
--- a/internal/gossip/events.go
+++ b/internal/gossip/events.go
@@ -5,28 +5,28 @@
 // Event is an input of [Core.Step].
 type Event interface{ coreEvent() }
 
-// Join names addresses where members may be found. They are tried again now and then.
+// Join lists addresses at which members may be found. They are pinged now and again occasionally later.
 type Join struct{ Addresses []string }
 
-// MessageReceived is a message whose signature was verified as that of the member which it names as its sender. The
-// caller has verified those of its statements that the core Wants, and removed all others.
+// MessageReceived is a message signed by the member in Message.From. The caller has verified the message's signature
+// and the signatures of all statements for which [Core.Wants] returned true, and has removed all other statements.
 type MessageReceived struct{ Message Message }
 
-// StaleMessage is an authentic message whose packet counter lies far below the highest one seen of its sender.
+// StaleMessage is an authentic message whose packet counter is far below the highest one received from its sender.
 type StaleMessage struct {
-	Message Message
-	Seen    uint64 // highest counter seen of the sender
+	Message        Message
+	HighestCounter uint64 // highest packet counter received from the sender
 }
 
-// Publish has the core sign and disseminate a statement about a worker, of which Kind, Subject, SubjectIncarnation and
-// Text are set. A statement that is not about a worker is ignored.
+// Publish makes the core sign and disseminate a statement about a worker. The caller sets Kind, Subject,
+// SubjectIncarnation and Text. A statement that is not about a worker is ignored.
 type Publish struct{ Statement Statement }
 
-// AdmissionChanged tells which members may take part from now on. All others are removed.
+// AdmissionChanged replaces the predicate that decides which members are admitted. All others are removed.
 type AdmissionChanged struct{ Admitted func(id string) bool }
 
-// KnownMembers holds MemberAlive statements from a trusted store. They are not passed on. The core keeps the
-// statements; the caller must not change them.
+// KnownMembers holds MemberAlive statements from a trusted source. The core does not disseminate them. It keeps the
+// slice's elements; the caller must not modify them.
 type KnownMembers struct{ Statements []Statement }
 
 func (Join) coreEvent()             {}
@@ -39,7 +39,7 @@
 // Action is an output of [Core.Step].
 type Action interface{ coreAction() }
 
-// Send asks the caller to send a message to an address, as a datagram or over a stream.
+// Send requests that the caller send a message to an address, as a datagram or over a stream.
 type Send struct {
 	To      string
 	Stream  bool
@@ -52,21 +52,21 @@
 	State State
 }
 
-// EvidenceReceived hands over a member's statement about a worker, for the [SuspicionQuorum].
+// EvidenceReceived delivers another member's statement about a worker, for the [SuspicionQuorum].
 type EvidenceReceived struct {
 	Statement Statement
 	Age       time.Duration // since it was signed
 }
 
-// LiveCountIncreased reports that more members are live at once than ever before. A fall is never reported: members
-// that vanished may only be cut off by a partition, and still use their capacity shares.
+// LiveCountIncreased reports a new maximum of [Core.Live]. A decrease is never reported: members that are no longer
+// reachable may be on the other side of a partition and still use their shares of the workers' capacity.
 type LiveCountIncreased struct{ Count int }
 
-// IncarnationRaised reports that an earlier process of this member got as far as Above: packet counters must continue
-// above it.
+// IncarnationRaised reports that an earlier process of this member had reached the incarnation or packet counter Above,
+// and that this member's incarnation is now higher. Packet counters must continue above it too.
 type IncarnationRaised struct{ Above uint64 }
 
-// DuplicateMember reports that another process speaks as this member, from that address.
+// DuplicateMember reports that another process signs as this member and announces a different address.
 type DuplicateMember struct{ Addr string }
 
 func (Send) coreAction()               {}
--- a/internal/gossip/failure_detection.go
+++ b/internal/gossip/failure_detection.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// maxProbes bounds the probes under way that other members may add by ping requests.
+	// maxProbes bounds the concurrent probes that other members can cause with ping requests.
 	maxProbes = 64
-	// seedPingOneIn is the chance, one in so many probes, of a join ping to a seed, so that a partition heals.
+	// seedPingOneIn: on average one in this many probes is accompanied by a join ping to a seed, so that a partition
+	// heals.
 	seedPingOneIn = 8
 )
 
-// probe is a probe under way.
+// probe is a probe in progress.
 type probe struct {
 	seq               uint64
 	target            string
 	indirectAt, endAt time.Duration
 	indirectSent      bool
 	acked             bool
-	retry             bool       // the probe before it failed too
-	alive             *Statement // the target's latest when the probe was sent: a later one shows that it lives
-	requester         string     // address of the member that requested the probe; empty for an own probe
-	requesterSeq      uint64     // the requester's number of the probe
+	retry             bool       // a repeat of a failed probe
+	alive             *Statement // the target's latest MemberAlive when the probe was sent; a newer one proves it alive
+	requester         string     // address of the member that requested the probe; empty for this member's own probes
+	requesterSeq      uint64     // ProbeSeq of the ping request
 }
 
-// ackReceived ends the probe that a message acknowledges.
+// ackReceived marks the probe that an Ack belongs to as successful and forwards the Ack to the requester, if any.
 func (c *Core) ackReceived(m *Message) {
 	for _, p := range c.probes {
 		if p.seq != m.ProbeSeq || p.acked || !p.acknowledgedBy(m) {
@@ -41,13 +42,13 @@
 	}
 }
 
-// acknowledgedBy reports whether the ack comes from the probed member, as its address may be another's by now, or for
-// an own probe from a member that probed it on request.
+// acknowledgedBy reports whether an Ack comes from the probed member or, for this member's own probes, from a member
+// that probed it by request. The sender is compared because another member may have taken over the target's address.
 func (p *probe) acknowledgedBy(m *Message) bool {
 	return m.From == p.target || p.requester == "" && m.Target == p.target
 }
 
-// pingRequestReceived probes a member in another's stead.
+// pingRequestReceived probes a member on behalf of the sender.
 func (c *Core) pingRequestReceived(m *Message) {
 	target := c.members[m.Target]
 	if target == nil || len(c.probes) > maxProbes {
@@ -61,15 +62,15 @@
 		seq:          c.probeSeq,
 		target:       m.Target,
 		endAt:        c.now + c.cfg.ProbeInterval,
-		indirectSent: true, // not passed on to a third member
+		indirectSent: true, // ping requests are not forwarded
 		requester:    m.Addr,
 		requesterSeq: m.ProbeSeq,
 	})
 }
 
-// advanceProbes follows the probes under way and begins the next one when it is due.
+// advanceProbes handles timeouts of the probes in progress and starts the next probe when it is due.
 func (c *Core) advanceProbes() {
-	slowdown := time.Duration(c.healthPenalty + 1) // as it was before a probe that fails now changes it
+	slowdown := time.Duration(c.healthPenalty + 1) // read before a failing probe changes the penalty
 	c.sendIndirectProbes()
 	c.endProbes()
 	if c.now < c.nextProbe {
@@ -89,7 +90,7 @@
 	}
 }
 
-// sendIndirectProbes asks other members to probe those that did not answer in time.
+// sendIndirectProbes sends ping requests for the targets that have not acknowledged within the probe timeout.
 func (c *Core) sendIndirectProbes() {
 	for _, p := range c.probes {
 		if p.indirectSent || p.acked || c.now < p.indirectAt {
@@ -102,7 +103,7 @@
 	}
 }
 
-// endProbes removes the probes that were acknowledged or ran out.
+// endProbes removes the probes that were acknowledged or timed out.
 func (c *Core) endProbes() {
 	c.probes = slices.DeleteFunc(c.probes, func(p *probe) bool {
 		if c.now < p.endAt {
@@ -115,9 +116,9 @@
 	})
 }
 
-// probeFailed probes the target once more, and suspects it if that fails too. Packet loss alone makes one probe in
-// some thousand fail, with its indirect ones; at thousands of members the suspicions of that alone were more than the
-// budget carries.
+// probeFailed schedules one retry of a failed probe, or suspects the target if the retry has failed. Packet loss alone
+// makes about one in a thousand probes fail, including the indirect ones. Without the retry, the suspicions that this
+// causes among thousands of members exceed the traffic budget.
 func (c *Core) probeFailed(p *probe) {
 	c.healthPenalty = min(c.healthPenalty+1, c.cfg.MaxHealthPenalty)
 	if !p.retry {
@@ -132,7 +133,7 @@
 	}
 }
 
-// nextProbeRetry returns the next member whose probe failed once and that is not dead; nil if there is none.
+// nextProbeRetry returns the next member that is not dead and whose latest probe failed; nil if there is none.
 func (c *Core) nextProbeRetry() (string, *member) {
 	for len(c.probeRetries) > 0 {
 		id := c.probeRetries[0]
@@ -144,8 +145,8 @@
 	return "", nil
 }
 
-// nextProbeTarget returns the member to probe next: each once in a round, in an order shuffled for each round (SWIM,
-// section 4.3); nil if all are dead.
+// nextProbeTarget returns the next member to probe, or nil if all are dead. Each member is probed once per round, in an
+// order that is shuffled before each round (SWIM, section 4.3).
 func (c *Core) nextProbeTarget() (string, *member) {
 	for range c.probeOrder {
 		if c.probeIndex >= len(c.probeOrder) {
@@ -163,7 +164,7 @@
 	return "", nil
 }
 
-// startProbe pings a member. slowdown multiplies the probe's times.
+// startProbe pings a member. slowdown multiplies the probe's timeouts.
 func (c *Core) startProbe(id string, target *member, retry bool, slowdown time.Duration) {
 	c.probeSeq++
 	ping := Message{Kind: Ping, ProbeSeq: c.probeSeq}
@@ -183,7 +184,7 @@
 	})
 }
 
-// signSuspicion signs this member's statement that another does not answer.
+// signSuspicion returns a signed MemberSuspected about another member.
 func (c *Core) signSuspicion(id string, m *member) Statement {
 	c.statementSeq++
 	s := Statement{
@@ -200,8 +201,9 @@
 	return s
 }
 
-// recordSuspicion takes a MemberSuspected: the suspicion begins, or is shortened by another signer's confirmation
-// (Lifeguard, section IV-B). It ends in death unless the member itself refutes it.
+// recordSuspicion records a MemberSuspected. It starts the suspicion or, as a confirmation by a further signer,
+// shortens it (Lifeguard, section IV-B). When the suspicion times out the member is dead, unless it has refuted the
+// suspicion.
 func (c *Core) recordSuspicion(m *member, s *Statement) {
 	if m.state == Alive {
 		c.setState(s.Subject, m, Suspect)
@@ -211,11 +213,11 @@
 	c.queue.put(*s)
 }
 
-// suspicionTimeout returns how long a suspicion lasts that so many members have signed (Lifeguard, section IV-B).
+// suspicionTimeout returns the duration of a suspicion with the given number of signers (Lifeguard, section IV-B).
 func (c *Core) suspicionTimeout(signers int) time.Duration {
 	n := float64(len(c.members) + 1)
-	least := c.cfg.SuspicionMultiplier * max(math.Log10(n), 1) * float64(c.cfg.ProbeInterval)
-	most := least * c.cfg.MaxSuspicionMultiplier
+	shortest := c.cfg.SuspicionMultiplier * max(math.Log10(n), 1) * float64(c.cfg.ProbeInterval)
+	longest := shortest * c.cfg.MaxSuspicionMultiplier
 	confirmed := math.Log(float64(max(signers, 1))) / math.Log(float64(c.cfg.Confirmations)+1)
-	return time.Duration(max(most-(most-least)*confirmed, least))
+	return time.Duration(max(longest-(longest-shortest)*confirmed, shortest))
 }
--- a/internal/gossip/failure_detection_test.go
+++ b/internal/gossip/failure_detection_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOwnSuspicionIsRefutedOnce: a suspicion of this member is refuted, and costs local health; one that was refuted
-// already changes nothing.
-func TestOwnSuspicionIsRefutedOnce(t *testing.T) {
+// TestSuspicionOfOwnMemberIsRefutedOnce checks that a member refutes a suspicion of itself and raises its health
+// penalty, and that a suspicion of an already replaced MemberAlive has no effect.
+func TestSuspicionOfOwnMemberIsRefutedOnce(t *testing.T) {
 	c := newTestCore(t)
 	c.Step(time.Second, []Event{messageFrom("b", suspicionStatement("b", "me", 5, 1))})
 	if c.ownAlive.Seq == 1 || c.HealthPenalty() != 1 || c.Stats().Refutations != 1 {
@@ -21,7 +21,7 @@
 	}
 }
 
-// acksOf returns the answers to the pings among actions, as those of the members that from names.
+// acksOf returns an Ack for each Ping among actions. from returns the member that acknowledges pings to an address.
 func acksOf(actions []Action, from func(to string) string, incarnation uint64) []Event {
 	var acks []Event
 	for _, a := range actions {
@@ -34,8 +34,8 @@
 	return acks
 }
 
-// TestAckOfAnotherMemberIsIgnored: an answer from the probed address by another member, which has the address now, is
-// none.
+// TestAckOfAnotherMemberIsIgnored checks that an Ack does not count if it comes from another member that has taken over
+// the probed member's address.
 func TestAckOfAnotherMemberIsIgnored(t *testing.T) {
 	c := newTestCore(t)
 	fromB := func(string) string { return "b" } // b answers at both addresses
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestSuspicionAlwaysEnds is a property: whatever is stated of a member, once nothing more is stated it is alive or dead
-// within the longest suspicion, and no state goes from dead to suspect.
+// TestSuspicionAlwaysEnds checks a property: whatever statements arrive about a member, once they stop it becomes alive
+// or dead within the longest suspicion timeout, and no member goes from dead to suspect.
 func TestSuspicionAlwaysEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newTestCore(t)
@@ -68,21 +68,21 @@
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			step(drawStatement(t))
 		}
-		end := now + c.suspicionTimeout(1) + 20*time.Second // with those that a probe under way may still begin
+		end := now + c.suspicionTimeout(1) + 20*time.Second // includes suspicions that a probe in progress may still start
 		sameMember := func(to string) string { return to }
 		for now < end {
 			now += 100 * time.Millisecond
-			step(acksOf(c.Step(now, nil), sameMember, 11)...) // all answer, so nobody is suspected anew
+			step(acksOf(c.Step(now, nil), sameMember, 11)...) // all acknowledge, so no new suspicion starts
 		}
 		for _, m := range c.Members() {
 			if m.State == Suspect && m.ID != "me" {
-				t.Fatalf("%s is suspected without an end", m.ID)
+				t.Fatalf("%s is still suspected after the longest suspicion timeout", m.ID)
 			}
 		}
 	})
 }
 
-// drawStatement draws a message with a MemberAlive or a MemberSuspected.
+// drawStatement draws a message that carries a MemberAlive or a MemberSuspected.
 func drawStatement(t *rapid.T) MessageReceived {
 	signer := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "signer")
 	subject := rapid.SampledFrom([]string{"a", "b", "c", "me"}).Draw(t, "subject")
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -11,8 +11,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport/golden"
 )
 
-// TestGoldenPackets holds the signed packet of each kind of message with statements of each kind, as hexadecimal lines,
-// and what is read back from them. Ed25519 signatures are deterministic (RFC 8032), so those bytes are held too.
+// TestGoldenPackets compares the signed packets of all kinds of messages and statements with a golden file of
+// hexadecimal lines, and the messages parsed from that file with another. Ed25519 signatures are deterministic (RFC
+// 8032), so the signatures are compared too.
 func TestGoldenPackets(t *testing.T) {
 	private, public := testKey(1)
 	sender, receiver := NewKeyring("k1", private, 100), NewKeyring("k2", private, 1)
--- a/internal/gossip/gossipsim/characterization_test.go
+++ b/internal/gossip/gossipsim/characterization_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestCharacterizationOfTrials holds the figures of seeded trials, and with them their JSON form, as one sum.
+// TestCharacterizationOfTrials pins the results of seeded trials in their JSON form, as one SHA-256 sum.
 func TestCharacterizationOfTrials(t *testing.T) {
 	sum := sha256.New()
 	for seed := range uint64(3) {
--- a/internal/gossip/gossipsim/doc.go
+++ b/internal/gossip/gossipsim/doc.go
@@ -1,3 +1,3 @@
-// Package gossipsim runs many gossip cores on a simulated network and clock, in one goroutine and from one seed: the
-// results repeat, at sizes that sockets don't reach.
+// Package gossipsim runs many gossip cores on a simulated network with a simulated clock, in one goroutine. Results
+// depend only on the seed, and groups can be far larger than with real sockets.
 package gossipsim
--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -9,37 +9,38 @@
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
-// Network is a set of cores and the simulated network between them. Its exported fields may be set between calls.
+// Network is a set of cores connected by a simulated network. The exported fields may be changed between calls of its
+// methods.
 type Network struct {
 	Now         time.Duration
-	Cores       []*gossip.Core // nil: not running
-	Loss        float64        // share of the datagrams that are lost
-	Duplicated  float64        // share of the datagrams that arrive twice
+	Cores       []*gossip.Core // nil if not running
+	Loss        float64        // fraction of the datagrams that are lost
+	Duplication float64        // fraction of the messages that arrive twice
 	Delay       func(from, to int) time.Duration
-	Partitioned func(from, to int) bool            // whether nothing passes from one core to another, streams too; may be nil
-	Sent        []Traffic                          // by each core
-	OnAction    func(by int, action gossip.Action) // called for each action other than a Send; may be nil
-	ClockSkew   []time.Duration                    // of each core's clock
+	Partitioned func(from, to int) bool            // whether all messages from one core to another are lost; may be nil
+	Sent        []Traffic                          // traffic sent, by core
+	OnAction    func(by int, action gossip.Action) // called for each action except Send; may be nil
+	ClockSkew   []time.Duration                    // clock offset, by core
 
 	config          gossip.Config
 	rng             *rand.Rand
 	seed            uint64
 	lastIncarnation uint64
-	index           map[string]int // of the cores by address
+	index           map[string]int // index of each core, by address
 	queue           eventQueue
 	eventSeq        uint64
-	timerAt         []time.Duration // earliest timer set for each core
+	timerAt         []time.Duration // time of the earliest pending timer, by core
 }
 
-// Traffic is what one core has sent.
+// Traffic counts the messages sent by one core.
 type Traffic struct {
 	Bytes, Messages float64
-	PeakBytes       float64 // most bytes in any full second
+	PeakBytes       float64 // most bytes in one second
 	second          time.Duration
 	bytesInSecond   float64
 }
 
-// add counts a message sent at a time.
+// add counts a message sent at now.
 func (t *Traffic) add(now time.Duration, bytes float64) {
 	t.Bytes += bytes
 	t.Messages++
@@ -50,15 +51,15 @@
 	t.PeakBytes = max(t.PeakBytes, t.bytesInSecond)
 }
 
-// event is the arrival of a message or, without one, a core's timer.
+// event is the arrival of a message or, if message is nil, a timer of a core.
 type event struct {
 	at      time.Duration
-	seq     uint64 // order of events at one time
+	seq     uint64 // order of events with equal times
 	to      int
 	message *gossip.Message
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events with the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -81,7 +82,7 @@
 	return e
 }
 
-// NewNetwork returns a network of n cores that are not yet running, with delays of 1 to 5 ms.
+// NewNetwork returns a network for n cores, none of which is running, with delays of 1 to 5 ms.
 func NewNetwork(config gossip.Config, n int, seed uint64) *Network {
 	nw := &Network{
 		Cores:           make([]*gossip.Core, n),
@@ -97,19 +98,19 @@
 	for i := range n {
 		nw.index[MemberID(i)] = i
 	}
-	nw.Delay = func(int, int) time.Duration { return shortDelay(nw.rng) }
+	nw.Delay = func(int, int) time.Duration { return drawDelay(nw.rng) }
 	return nw
 }
 
-// shortDelay draws a delay of 1 to 5 ms.
-func shortDelay(rng *rand.Rand) time.Duration {
+// drawDelay returns a random delay of 1 to 5 ms.
+func drawDelay(rng *rand.Rand) time.Duration {
 	return time.Duration((1 + 4*rng.Float64()) * float64(time.Millisecond))
 }
 
-// MemberID returns the ID of a core, which is its address too.
+// MemberID returns the ID of a core, which is also its address.
 func MemberID(i int) string { return fmt.Sprintf("r%04d", i) }
 
-// Start starts a core with the next incarnation. It joins at the cores that seeds names.
+// Start starts a core with the next incarnation. The core joins the cores with the indexes in seeds.
 func (nw *Network) Start(i int, seeds ...int) {
 	nw.lastIncarnation++
 	nw.StartIncarnation(i, nw.lastIncarnation, seeds...)
@@ -121,7 +122,7 @@
 	unsigned := func(*gossip.Statement) {}
 	core, err := gossip.NewCore(nw.config, MemberID(i), MemberID(i), incarnation, seed, unsigned)
 	if err != nil {
-		panic(err) // an error of the program that set the configuration
+		panic(err) // the caller passed an invalid configuration
 	}
 	nw.Cores[i] = core
 	join := gossip.Join{}
@@ -131,9 +132,10 @@
 	nw.Step(i, join)
 }
 
-// StartAll starts every core. With known, each knows all others from the beginning; without, all join at two of them.
-func (nw *Network) StartAll(known bool) {
-	if !known {
+// StartAll starts all cores. If membersKnown is set, each knows all others from the start; otherwise all join two seed
+// cores.
+func (nw *Network) StartAll(membersKnown bool) {
+	if !membersKnown {
 		for i := range nw.Cores {
 			nw.Start(i, 0, len(nw.Cores)/2)
 		}
@@ -156,17 +158,18 @@
 	}
 }
 
-// Stop ends a core without notice to the others.
+// Stop ends a core without notifying the others.
 func (nw *Network) Stop(i int) { nw.Cores[i] = nil }
 
-// Step passes events to a core now.
+// Step passes events to a core at the current time and carries out its actions.
 func (nw *Network) Step(i int, events ...gossip.Event) {
 	core := nw.Cores[i]
 	nw.perform(i, core.Step(nw.Now+nw.ClockSkew[i], events))
 	nw.setTimer(i)
 }
 
-// setTimer sets a core's timer to when it is due, unless an earlier one is set, which will set it anew.
+// setTimer sets a timer for when a core is due. It does nothing if an earlier timer is pending, which calls setTimer
+// again.
 func (nw *Network) setTimer(i int) {
 	at := max(nw.Cores[i].Due()-nw.ClockSkew[i], nw.Now)
 	if nw.timerAt[i] > nw.Now && nw.timerAt[i] <= at {
@@ -176,15 +179,16 @@
 	nw.push(event{at: at, to: i})
 }
 
-// push queues an event behind those of the same time.
+// push queues an event after those with the same time.
 func (nw *Network) push(e event) {
 	nw.eventSeq++
 	e.seq = nw.eventSeq
 	heap.Push(&nw.queue, e)
 }
 
-// wantedPart removes the statements that the core does not want, as its caller would.
-func (nw *Network) wantedPart(to int, m gossip.Message) gossip.MessageReceived {
+// withWantedStatements returns the event of a message's arrival without the statements that the core does not want,
+// which the core's caller has to remove.
+func (nw *Network) withWantedStatements(to int, m gossip.Message) gossip.MessageReceived {
 	var wanted []gossip.Statement
 	for _, s := range m.Statements {
 		if nw.Cores[to].Wants(&s) {
@@ -206,27 +210,27 @@
 	}
 }
 
-// send counts a message and queues its arrival, or two, or none.
+// send counts a message and queues its arrivals: none if it is lost, two if it is duplicated.
 func (nw *Network) send(from int, s gossip.Send) {
 	nw.Sent[from].add(nw.Now, float64(s.Message.Size()))
 	to, known := nw.index[s.To]
 	if !known || nw.Partitioned != nil && nw.Partitioned(from, to) || !s.Stream && nw.rng.Float64() < nw.Loss {
 		return
 	}
-	for range nw.copies() {
+	for range nw.drawCopies() {
 		nw.push(event{at: nw.Now + nw.Delay(from, to), to: to, message: &s.Message})
 	}
 }
 
-// copies draws how often a message arrives.
-func (nw *Network) copies() int {
-	if nw.Duplicated > 0 && nw.rng.Float64() < nw.Duplicated {
+// drawCopies returns how many times a message arrives, randomly once or twice.
+func (nw *Network) drawCopies() int {
+	if nw.Duplication > 0 && nw.rng.Float64() < nw.Duplication {
 		return 2
 	}
 	return 1
 }
 
-// Run advances the simulated time.
+// Run advances the simulated time by duration and processes all events until then.
 func (nw *Network) Run(duration time.Duration) {
 	end := nw.Now + duration
 	for len(nw.queue) > 0 && nw.queue[0].at <= end {
@@ -236,7 +240,7 @@
 		switch {
 		case core == nil:
 		case e.message != nil:
-			nw.Step(e.to, nw.wantedPart(e.to, *e.message))
+			nw.Step(e.to, nw.withWantedStatements(e.to, *e.message))
 		case core.Due()-nw.ClockSkew[e.to] <= nw.Now:
 			nw.Step(e.to)
 		case e.at >= nw.timerAt[e.to]:
@@ -246,7 +250,7 @@
 	nw.Now = end
 }
 
-// totals sums the traffic of all cores, and the suspicions of those that run.
+// totals returns the sum of all cores' traffic and of the running cores' suspicions.
 func (nw *Network) totals() (sum Traffic, suspicions uint64) {
 	for i, sent := range nw.Sent {
 		sum.Bytes += sent.Bytes
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -8,12 +8,12 @@
 	"github.com/topazfront/topazfront/internal/gossip"
 )
 
-// deathsSeen holds when each member took another for dead, by the ID of the dead one and the index of the other.
-type deathsSeen map[string]map[int]time.Duration
+// deathTimes holds when members declared others dead, by the ID of the dead member and the index of the other.
+type deathTimes map[string]map[int]time.Duration
 
-// watchDeaths records the deaths that members detect from now on.
-func watchDeaths(network *Network) deathsSeen {
-	deaths := deathsSeen{}
+// recordDeaths starts to record the deaths that members detect.
+func recordDeaths(network *Network) deathTimes {
+	deaths := deathTimes{}
 	network.OnAction = func(by int, action gossip.Action) {
 		if change, ok := action.(gossip.MemberStateChanged); ok && change.State == gossip.Dead {
 			if deaths[change.ID] == nil {
@@ -43,7 +43,7 @@
 	network.Loss = 0.05
 	network.StartAll(false)
 	network.Run(40 * time.Second)
-	deaths := watchDeaths(network)
+	deaths := recordDeaths(network)
 	network.Stop(7)
 	began := network.Now
 	network.Run(60 * time.Second)
@@ -56,28 +56,28 @@
 		}
 	}
 	if len(deaths) > 1 {
-		t.Errorf("others were taken for dead: %v", deaths)
+		t.Errorf("others were declared dead: %v", deaths)
 	}
 }
 
-// TestDetectionAtThirtyPercentLoss: with nearly a third of the datagrams lost nobody is taken for dead for long, and a death
-// is still detected.
+// TestDetectionAtThirtyPercentLoss checks that with 30 % of the datagrams lost at most one running member is declared
+// dead and none for long, and that a death is still detected.
 func TestDetectionAtThirtyPercentLoss(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 30, 5)
-	network.Loss, network.Duplicated = 0.3, 0.2
+	network.Loss, network.Duplication = 0.3, 0.2
 	network.StartAll(false)
 	network.Run(30 * time.Second)
-	deaths := watchDeaths(network)
+	deaths := recordDeaths(network)
 	network.Run(60 * time.Second)
-	for i, c := range network.Cores { // suspicions are many, and are refuted in time
+	for i, c := range network.Cores { // suspicions are frequent, but refuted in time
 		if live := c.Live(); live < 29 {
 			t.Errorf("%d has only %d of 30 live", i, live)
 		}
 	}
 	if len(deaths) > 1 {
-		t.Errorf("%d members were taken for dead by somebody", len(deaths))
+		t.Errorf("%d members were declared dead by others", len(deaths))
 	}
-	deaths = watchDeaths(network)
+	deaths = recordDeaths(network)
 	network.Stop(3)
 	network.Run(90 * time.Second)
 	if got := len(deaths[MemberID(3)]); got != 29 {
@@ -105,21 +105,22 @@
 	}
 }
 
-// TestIndirectProbesCoverOneWayLink: a member that can't send to one other, or can't hear it, is kept alive by indirect
-// probes.
+// TestIndirectProbesCoverOneWayLink checks that if messages from one member to another are lost, indirect probes keep
+// both from being declared dead.
 func TestIndirectProbesCoverOneWayLink(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 12, 4)
 	network.StartAll(false)
 	network.Run(20 * time.Second)
-	deaths := watchDeaths(network)
+	deaths := recordDeaths(network)
 	network.Partitioned = func(from, to int) bool { return from == 2 && to == 5 }
 	network.Run(60 * time.Second)
 	if len(deaths) > 0 {
-		t.Errorf("taken for dead: %v", deaths)
+		t.Errorf("declared dead: %v", deaths)
 	}
 }
 
-// TestFlappingMemberAndMassRestart: a member that comes and goes is followed, and a restart of all is over within a minute.
+// TestFlappingMemberAndMassRestart checks that a member that repeatedly stops and restarts is known again, and that all
+// members find each other within a minute after all have restarted.
 func TestFlappingMemberAndMassRestart(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 20, 6)
 	network.StartAll(false)
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestClockOffsetsAndClockSetBack: clocks that differ don't matter; a member that restarts with a lower incarnation is
-// notified of its earlier one and known again.
+// TestClockOffsetsAndClockSetBack checks that the age of a statement is right between members with different clocks,
+// and that a member that restarts with a lower incarnation learns of its earlier one and is known again.
 func TestClockOffsetsAndClockSetBack(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 10, 7)
 	for i := range network.ClockSkew {
@@ -164,11 +165,11 @@
 	network.Step(2, gossip.Publish{Statement: gossip.Statement{Kind: gossip.WorkerSilent, Subject: "w"}})
 	network.Run(3 * time.Second)
 	if len(ages) != 9 {
-		t.Errorf("%d of 9 received it", len(ages))
+		t.Errorf("%d of 9 received the claim", len(ages))
 	}
 	for _, a := range ages {
 		if a < 0 || a > 2*time.Second {
-			t.Errorf("age taken to be %v", a)
+			t.Errorf("age estimated as %v", a)
 		}
 	}
 	network.Stop(3)
@@ -180,12 +181,13 @@
 	}
 }
 
-// inject delivers a message to a core now, whoever sent it.
+// inject delivers a message to a core at the current time.
 func inject(network *Network, to int, m gossip.Message) {
-	network.Step(to, network.wantedPart(to, m))
+	network.Step(to, network.withWantedStatements(to, m))
 }
 
-// TestBudgetHoldsUnderFlood: one core is flooded with all that asks for answers, and stays within its budget.
+// TestBudgetHoldsUnderFlood checks that a core stays within its budget while flooded with messages that request
+// replies.
 func TestBudgetHoldsUnderFlood(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 10, 8)
 	network.StartAll(false)
@@ -212,7 +214,8 @@
 	}
 }
 
-// TestAllOtherMembersSilent: the member that is left goes on within its budget, and knows the others again when they return.
+// TestAllOtherMembersSilent checks that the last running member stays within its budget, and that it finds the others
+// again when they restart.
 func TestAllOtherMembersSilent(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 12, 9)
 	network.StartAll(false)
@@ -221,12 +224,12 @@
 		network.Stop(i)
 	}
 	base := network.Sent[0].Bytes
-	network.Run(6 * time.Minute) // its own probes are slowed down, as all of them fail
+	network.Run(6 * time.Minute) // its probes slow down, as all of them fail
 	if n := network.Cores[0].Live(); n != 1 {
 		t.Errorf("%d live of one", n)
 	}
 	if rate := (network.Sent[0].Bytes - base) / 360; rate > gossip.LocalConfig.BytesPerSecond/4 {
-		t.Errorf("alone it sends %.0f bytes a second", rate)
+		t.Errorf("the last member sends %.0f bytes a second", rate)
 	}
 	for i := 1; i < 12; i++ {
 		network.Start(i, 0)
@@ -237,7 +240,7 @@
 	}
 }
 
-// TestSameSeedGivesSameResult: a trial comes to the same results each time.
+// TestSameSeedGivesSameResult checks that a trial with the same seed gives the same result.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	trial := Trial{Members: 20, Loss: 0.05, SlowShare: 0.1, Seed: 4, WarmUp: 5 * time.Second, Steady: 5 * time.Second, DetectionWindow: 20 * time.Second}
 	a, b := trial.Run(), trial.Run()
@@ -250,7 +253,7 @@
 	}
 }
 
-// AliveRange counts the members that each running core takes for alive, and returns the least and the most.
+// AliveRange returns the lowest and the highest number of other members that a running core considers alive.
 func (nw *Network) AliveRange() (least, most int) {
 	least = 1 << 30
 	for _, core := range nw.Cores {
--- a/internal/gossip/gossipsim/plot.go
+++ b/internal/gossip/gossipsim/plot.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// series are the lines of a plot, by the faults of the trials.
+// series defines the lines of each plot: one for each kind of fault in the trials.
 var series = []struct {
 	name     string
 	includes func(Result) bool
@@ -25,8 +25,8 @@
 	{"10 % slow members", func(r Result) bool { return r.SlowShare > 0 }, color.RGBA{R: 90, G: 130, B: 50, A: 255}, []vg.Length{vg.Points(2), vg.Points(2)}},
 }
 
-// WritePlots writes the results of trials as SVG files into a folder: traffic, spread, detection and false deaths over the
-// number of routers.
+// WritePlots writes the results of trials as SVG files to a folder: traffic, spread of a claim, detection of a death
+// and false deaths, each over the number of routers.
 func WritePlots(dir string, all []Result) error {
 	for _, p := range []struct {
 		file, title, unit string
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// writePlot writes one plot of a value.
+// writePlot writes the plot of one value.
 func writePlot(file, title, unit string, all []Result, value func(Result) float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "routers", unit
@@ -71,12 +71,12 @@
 			highest = max(highest, point.Y)
 		}
 	}
-	p.Y.Max = max(highest*1.35, 0.01) // the legend stands above the lines
+	p.Y.Max = max(highest*1.35, 0.01) // leaves room for the legend above the lines
 	return p.Save(14*vg.Centimeter, 9*vg.Centimeter, file)
 }
 
-// medians returns the median of a value over the included trials of each size, by size. Negative values, of what was
-// not reached, are left out.
+// medians returns the median of a value over the included trials of each size, sorted by size. Negative values, which
+// mean that the value was not reached, are left out.
 func medians(all []Result, includes func(Result) bool, value func(Result) float64) plotter.XYs {
 	bySize := map[int][]float64{}
 	for _, r := range all {
@@ -93,7 +93,7 @@
 	return points
 }
 
-// sizeTicks marks the sizes that were played.
+// sizeTicks returns an axis tick for each size among the results.
 func sizeTicks(all []Result) plot.ConstantTicks {
 	var ticks plot.ConstantTicks
 	for _, r := range all {
--- a/internal/gossip/keyring.go
+++ b/internal/gossip/keyring.go
@@ -6,63 +6,66 @@
 	"fmt"
 )
 
-// maxKeyNameLength is the longest name of a key, in bytes.
+// maxKeyNameLength is the maximum length of a key's name, in bytes.
 const maxKeyNameLength = 31
 
-// Errors of verification. Those of [Keyring.Open] wrap ErrMalformed or one of these.
+// Verification errors. [Keyring.Open] returns errors that wrap ErrMalformed or one of these.
 var (
 	ErrUnknownKey = errors.New("gossip: signed by a key that is not admitted")
 	ErrSignature  = errors.New("gossip: invalid signature")
-	ErrReplay     = errors.New("gossip: packet received before, or older than those received")
-	ErrStale      = fmt.Errorf("%w: far older", ErrReplay) // as of a process that started with its clock set back
+	ErrReplay     = errors.New("gossip: packet is a duplicate or too old")
+	// ErrStale: the sender may have restarted with its clock set back.
+	ErrStale = fmt.Errorf("%w: counter far below the highest received", ErrReplay)
 )
 
-// Keyring signs for one member and verifies the packets and statements of the admitted members. A member may have
-// several keys at a time, by their names, so that a key can be replaced without an interruption.
+// Keyring signs packets and statements of one member and verifies those of the admitted members. A member may have
+// several named keys at a time, so that a key can be rotated without an interruption.
 type Keyring struct {
-	ownName       string
-	private       ed25519.PrivateKey
-	counter       uint64                                  // of the latest packet sealed
-	admitted      map[string]map[string]ed25519.PublicKey // by member and key name
+	ownKeyName    string
+	privateKey    ed25519.PrivateKey
+	counter       uint64                                  // of the latest sealed packet
+	admitted      map[string]map[string]ed25519.PublicKey // by member, then by key name
 	replayWindows map[string]*replayWindow                // by member
-	buffer        []byte
+	buffer        []byte                                  // reused for the signed part of statements
 }
 
-// NewKeyring returns the keyring of a member that signs with its key of that name. Its packets are counted from above
-// first, which must be higher than any counter of an earlier process: its start time in nanoseconds will do.
-func NewKeyring(name string, private ed25519.PrivateKey, first uint64) *Keyring {
+// NewKeyring returns a keyring that signs with the named key and admits nobody. Packet counters start above first,
+// which must be at least as high as any counter of an earlier process of this member, for example the start time in
+// nanoseconds.
+func NewKeyring(name string, privateKey ed25519.PrivateKey, first uint64) *Keyring {
 	return &Keyring{
-		ownName:       name,
-		private:       private,
+		ownKeyName:    name,
+		privateKey:    privateKey,
 		counter:       first,
 		admitted:      map[string]map[string]ed25519.PublicKey{},
 		replayWindows: map[string]*replayWindow{},
 	}
 }
 
-// SetOwnKey signs with another key from now on.
-func (k *Keyring) SetOwnKey(name string, private ed25519.PrivateKey) {
-	k.ownName, k.private = name, private
+// SetOwnKey replaces the key used for signing.
+func (k *Keyring) SetOwnKey(name string, privateKey ed25519.PrivateKey) {
+	k.ownKeyName, k.privateKey = name, privateKey
 }
 
-// OwnKeyName returns the name of the key in use.
-func (k *Keyring) OwnKeyName() string { return k.ownName }
+// OwnKeyName returns the name of the key used for signing.
+func (k *Keyring) OwnKeyName() string { return k.ownKeyName }
 
-// AdvanceCounter counts packets from above n, where other members have seen counters up to it of an earlier process.
+// AdvanceCounter makes packet counters continue above n, the highest counter that others received from an earlier
+// process of this member. A value close to the maximum is ignored.
 func (k *Keyring) AdvanceCounter(n uint64) {
 	if n < maxCounter-counterHeadroom {
 		k.counter = max(k.counter, n)
 	}
 }
 
-// SetAdmitted admits exactly these members and keys from now on. The replay window of a member is kept, so that a key
-// that is removed and admitted again opens no packet twice.
+// SetAdmitted replaces the admitted members and their keys. Replay windows are kept, so that no packet is accepted
+// twice after its key was removed and admitted again.
 func (k *Keyring) SetAdmitted(members map[string]map[string]ed25519.PublicKey) { k.admitted = members }
 
-// AdmittedKeys returns the keys of a member by their names; nil if it is not admitted.
+// AdmittedKeys returns the keys of a member by name; nil if the member is not admitted.
 func (k *Keyring) AdmittedKeys(member string) map[string]ed25519.PublicKey { return k.admitted[member] }
 
-// Seal returns a message as a signed packet: the key's name, the signature, the message with the next counter.
+// Seal encodes a message as a signed packet: the key's name, the signature, and the message with the next counter.
 func (k *Keyring) Seal(m Message) ([]byte, error) {
 	k.counter++
 	m.Counter = k.counter
@@ -70,25 +73,26 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(k.ownName) > maxKeyNameLength {
-		return nil, fmt.Errorf("gossip: key name %q is longer than %d bytes", k.ownName, maxKeyNameLength)
+	if len(k.ownKeyName) > maxKeyNameLength {
+		return nil, fmt.Errorf("gossip: key name %q is longer than %d bytes", k.ownKeyName, maxKeyNameLength)
 	}
 	packet := make([]byte, 0, len(body)+envelopeSize)
-	packet = appendString(packet, k.ownName)
-	packet = append(packet, ed25519.Sign(k.private, body)...)
+	packet = appendString(packet, k.ownKeyName)
+	packet = append(packet, ed25519.Sign(k.privateKey, body)...)
 	return append(packet, body...), nil
 }
 
-// Open returns a packet's message if the member that it names as its sender signed it, and the highest counter seen of
-// the sender. With ErrReplay it returns both as well: the sender may have restarted with its clock set back.
-func (k *Keyring) Open(packet []byte) (m Message, seen uint64, err error) {
+// Open verifies a packet and returns its message and the highest counter received from its sender. It returns both also
+// with an error that wraps ErrReplay, as the sender may have restarted with its clock set back.
+func (k *Keyring) Open(packet []byte) (m Message, highestSeen uint64, err error) {
 	if len(packet) < 1 || len(packet) < 1+int(packet[0])+ed25519.SignatureSize {
 		return m, 0, malformedError("packet too short", len(packet))
 	}
 	end := 1 + int(packet[0])
 	name, signed := string(packet[1:end]), packet[end:]
 	signature, body := signed[:ed25519.SignatureSize], signed[ed25519.SignatureSize:]
-	// Parsed before it is verified, as it names the key; that is cheap, and bounded by the packet.
+	// The message names the member whose key verifies it, so it is parsed first. The cost is small and bounded by the
+	// packet size.
 	if m, err = ParseMessage(body); err != nil {
 		return Message{}, 0, err
 	}
@@ -100,7 +104,7 @@
 		return Message{}, 0, fmt.Errorf("%w: by %q of %q", ErrSignature, name, m.From)
 	}
 	w := k.replayWindows[m.From]
-	if w == nil { // only of admitted members, so the map is bounded by their number
+	if w == nil { // created only for admitted members, which bounds the map
 		w = &replayWindow{}
 		k.replayWindows[m.From] = w
 	}
@@ -113,15 +117,15 @@
 	return m, w.highest, nil
 }
 
-// SignStatement sets the key name and the signature of a statement of this member.
+// SignStatement sets the key name and the signature of a statement.
 func (k *Keyring) SignStatement(s *Statement) {
-	s.Key = k.ownName
+	s.Key = k.ownKeyName
 	k.buffer = s.appendSignedPart(k.buffer[:0])
-	copy(s.Signature[:], ed25519.Sign(k.private, k.buffer))
+	copy(s.Signature[:], ed25519.Sign(k.privateKey, k.buffer))
 }
 
-// VerifyStatement returns nil if a statement is signed by the member that it names, ErrUnknownKey or ErrSignature if
-// not.
+// VerifyStatement returns nil if a statement is signed with an admitted key of its signer, else an error that wraps
+// ErrUnknownKey or ErrSignature.
 func (k *Keyring) VerifyStatement(s *Statement) error {
 	public, ok := k.admitted[s.Signer][s.Key]
 	if !ok {
--- a/internal/gossip/keyring_test.go
+++ b/internal/gossip/keyring_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// testKey returns the key pair of a seed.
+// testKey returns the key pair derived from a seed.
 func testKey(seed byte) (ed25519.PrivateKey, ed25519.PublicKey) {
 	private := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{seed}, ed25519.SeedSize))
 	public, _ := private.Public().(ed25519.PublicKey)
@@ -60,7 +60,7 @@
 	if _, seen, err := b.Open(packet); !errors.Is(err, ErrReplay) || seen != 101 {
 		t.Errorf("a packet received before: %v, seen up to %d", err, seen)
 	}
-	for i := range packet { // any byte changed
+	for i := range packet { // flip a bit in each byte
 		changed := bytes.Clone(packet)
 		changed[i] ^= 1
 		if _, _, err := b.Open(changed); err == nil {
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestKeyReplacedInService: during an overlap both keys open packets, then only the new one.
-func TestKeyReplacedInService(t *testing.T) {
+// TestKeyRotation checks that both keys are accepted while both are admitted, and only the new one afterwards.
+func TestKeyRotation(t *testing.T) {
 	oldPrivate, oldPublic := testKey(1)
 	newPrivate, newPublic := testKey(2)
 	a, b := NewKeyring("k1", oldPrivate, 100), NewKeyring("k1", newPrivate, 0)
@@ -117,8 +117,8 @@
 	check("old key after it", ErrUnknownKey)
 }
 
-// TestReplays: each packet is accepted once, late ones too while they are not far behind.
-func TestReplays(t *testing.T) {
+// TestReplayedPacketsAreRejected checks that each packet is accepted once, also out of order within the replay window.
+func TestReplayedPacketsAreRejected(t *testing.T) {
 	private, public := testKey(1)
 	a, b := NewKeyring("k", private, 1<<40), NewKeyring("k", private, 0)
 	b.SetAdmitted(admittedKeys(memberKey{"a", "k", public}))
@@ -142,14 +142,14 @@
 			t.Errorf("packet %d: %v, want it fresh: %v", c.packet, err, c.fresh)
 		}
 	}
-	restarted := NewKeyring("k", private, 1<<41) // counts from a later start time
+	restarted := NewKeyring("k", private, 1<<41) // its counter starts at a later start time
 	if _, _, err := b.Open(seal(restarted)); err != nil {
 		t.Errorf("a new process: %v", err)
 	}
-	setBack := NewKeyring("k", private, 50) // its clock was set back, of which it is notified
+	setBack := NewKeyring("k", private, 50) // a restart with the clock set back
 	for _, above := range []uint64{0, 1 << 41} {
 		setBack.AdvanceCounter(above)
-		setBack.AdvanceCounter(1 << 62) // nobody may push it to where it could not be overtaken
+		setBack.AdvanceCounter(1 << 62) // ignored: too close to the maximum
 		packet := seal(setBack)
 		setBack.AdvanceCounter(1<<41 + 1)
 		if _, _, err := b.Open(packet); (err == nil) != (above > 0) || errors.Is(err, ErrStale) != (above == 0) {
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -18,33 +18,33 @@
 
 func (s State) String() string { return [...]string{"alive", "suspect", "dead"}[s] }
 
-// Member is what is known of a member.
+// Member describes another member.
 type Member struct {
 	ID          string `json:"id"`
 	Addr        string `json:"address"`
 	State       State  `json:"-"`
 	Incarnation uint64 `json:"life"`
-	Direct      bool   `json:"direct"`     // a packet of its own has been received
-	SuspectedBy int    `json:"doubted_by"` // members that suspect its present incarnation
+	Direct      bool   `json:"direct"`     // a packet sent by the member itself has been received
+	SuspectedBy int    `json:"doubted_by"` // number of members that suspect its current incarnation
 }
 
-// member is the state kept of another member.
+// member is the state stored for another member.
 type member struct {
-	alive           *Statement // its latest MemberAlive; never modified, as several cores of a simulation share it
+	alive           *Statement // its latest MemberAlive; never modified, as the cores of a simulation share it
 	state           State
 	direct          bool
-	stateEndsAt     time.Duration // of Suspect: when it becomes Dead; of Dead: when the member is removed
+	stateEndsAt     time.Duration // in state Suspect: when it becomes Dead; in state Dead: when the member is removed
 	stateBeganAt    time.Duration
-	suspicions      []Statement // of its latest MemberAlive, by different signers
+	suspicions      []Statement // of its latest MemberAlive, one from each signer
 	clock           clockOffset
-	staleNotifiedAt time.Duration // when it was last notified of its earlier incarnation
+	staleNotifiedAt time.Duration // when a message with ReceiverSeen was last sent to it
 }
 
 func (m *member) suspectedBy(signer string) bool {
 	return slices.ContainsFunc(m.suspicions, func(s Statement) bool { return s.Signer == signer })
 }
 
-// Members lists the known members, without this one, by ID.
+// Members lists the known members except this one, sorted by ID.
 func (c *Core) Members() []Member {
 	list := make([]Member, 0, len(c.members))
 	for id, m := range c.members {
@@ -61,8 +61,8 @@
 	return list
 }
 
-// Live counts the members that are not dead and whose own packets have been received, this one included. What others
-// say of a member adds nobody.
+// Live returns the number of members that are not dead and from which a packet has been received directly, plus this
+// one. A member known only through statements relayed by others is not counted.
 func (c *Core) Live() int {
 	n := 1
 	for _, m := range c.members {
@@ -73,21 +73,21 @@
 	return n
 }
 
-// MarkAllDirect treats all known members as if packets of their own had been received. A simulation uses it to begin
-// with a group that has formed already.
+// MarkAllDirect marks all known members as if a packet had been received from each directly. Simulations use it to
+// start from a fully formed group.
 func (c *Core) MarkAllDirect() {
 	for _, m := range c.members {
 		m.direct = true
 	}
 }
 
-// sendJoinPing pings an address where a member may be.
+// sendJoinPing pings an address at which a member may be found.
 func (c *Core) sendJoinPing(addr string) {
 	c.probeSeq++
 	c.send(addr, Message{Kind: Ping, ProbeSeq: c.probeSeq, WantAlive: true, Statements: []Statement{c.ownAlive}}, 0)
 }
 
-// announceAlive signs a new MemberAlive of this member, which voids all suspicions of the one before.
+// announceAlive signs and queues a new MemberAlive of this member, which voids all suspicions of the previous one.
 func (c *Core) announceAlive() {
 	c.statementSeq++
 	c.ownAlive = Statement{
@@ -102,29 +102,30 @@
 	c.queue.put(c.ownAlive)
 }
 
-// notifyStale tells a member that restarted with its clock set back how far its earlier incarnation had got. The answer
-// is limited to one each probe interval, as the message may be replayed by somebody else.
-func (c *Core) notifyStale(m *Message, seen uint64) {
+// notifyStaleSender tells the sender of a stale message the highest counter or incarnation known of it, as it may have
+// restarted with its clock set back. It does so at most once per probe interval, as a third party may have replayed the
+// message.
+func (c *Core) notifyStaleSender(m *Message, highest uint64) {
 	sender := c.members[m.From]
 	if sender == nil || m.From == c.id || c.now-sender.staleNotifiedAt < c.cfg.ProbeInterval {
 		return
 	}
 	sender.staleNotifiedAt = c.now
-	c.send(m.Addr, Message{Kind: Push, ReceiverSeen: max(seen, sender.alive.Incarnation)}, c.cfg.ReservedShare)
+	c.send(m.Addr, Message{Kind: Push, ReceiverSeen: max(highest, sender.alive.Incarnation)}, c.cfg.ReservedShare)
 }
 
-// raiseIncarnation begins a higher incarnation where an earlier process of this member had got as far as above. It does
-// so at most once each probe interval, so that two processes with one key don't drive each other up without bound.
+// raiseIncarnation raises this member's incarnation above that of an earlier process. It does so at most once per probe
+// interval, so that two processes with the same key don't raise each other's incarnation in an endless loop.
 func (c *Core) raiseIncarnation(above uint64) {
-	if above >= maxCounter-counterHeadroom || c.now-c.raisedAt < c.cfg.ProbeInterval {
+	if above >= maxCounter-counterHeadroom || c.now-c.incarnationRaisedAt < c.cfg.ProbeInterval {
 		return
 	}
-	c.raisedAt, c.incarnation, c.statementSeq = c.now, above+1, 0
+	c.incarnationRaisedAt, c.incarnation, c.statementSeq = c.now, above+1, 0
 	c.actions = append(c.actions, IncarnationRaised{Above: above})
 	c.announceAlive()
 }
 
-// processAlive takes a member's own MemberAlive. All suspicions of an earlier one are void.
+// processAlive records another member's MemberAlive, which voids all suspicions of earlier ones.
 func (c *Core) processAlive(s *Statement, disseminate bool) {
 	if s.Signer == c.id {
 		return
@@ -149,19 +150,19 @@
 	}
 }
 
-// addMember adds a member without a statement, which is dead until processAlive makes it alive.
+// addMember adds a member without a statement, in state Dead until processAlive sets it to Alive.
 func (c *Core) addMember(id string) *member {
 	m := &member{alive: &Statement{}, state: Dead, staleNotifiedAt: -c.cfg.ProbeInterval}
 	c.members[id] = m
-	i := c.rng.IntN(len(c.probeOrder) + 1) // its first probe comes at a random place of the round
+	i := c.rng.IntN(len(c.probeOrder) + 1) // its first probe is at a random position of the round
 	c.probeOrder = slices.Insert(c.probeOrder, i, id)
 	if len(c.probeOrder) == 1 {
-		c.nextSync = c.now // the first member: ask it at once for all that it knows
+		c.nextSync = c.now // request the first member's state at once
 	}
 	return m
 }
 
-// setState moves a member to a state, also to the one that it is in, which begins anew.
+// setState moves a member to a state. If the member is already in that state, the state's time restarts.
 func (c *Core) setState(id string, m *member, state State) {
 	previous := m.state
 	if state == Alive {
@@ -193,7 +194,7 @@
 	}
 }
 
-// expireMembers ends suspicions that ran out and removes members that have been dead for long enough.
+// expireMembers declares members dead whose suspicion timed out and removes those dead for DeadMemberRetention.
 func (c *Core) expireMembers() {
 	for _, id := range slices.Clone(c.notAlive) {
 		m := c.members[id]
@@ -221,7 +222,7 @@
 	c.queue.drop(statementKey{signer: id, kind: MemberAlive})
 }
 
-// setAdmitted replaces the rule of who may take part, and removes members and evidence of all others.
+// setAdmitted replaces the admission predicate and removes all other members and the evidence that they signed.
 func (c *Core) setAdmitted(admitted func(string) bool) {
 	c.admitted = admitted
 	for _, m := range c.Members() {
@@ -239,7 +240,7 @@
 	}
 }
 
-// randomMembers draws the addresses of at most n different members that are alive, other than except.
+// randomMembers returns the addresses of up to n random alive members, without the member except.
 func (c *Core) randomMembers(n int, except string) (addresses []string) {
 	for range 4 * n { // a draw may hit a member that does not qualify
 		if len(addresses) == n || len(c.probeOrder) == 0 {
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLyingMemberOnlyCausesSuspicion: a lying member changes nobody's state but by a suspicion, which the suspect's next
-// MemberAlive voids.
+// TestLyingMemberOnlyCausesSuspicion checks that a lying member can change another member's state only with a valid
+// suspicion, which the suspected member's next MemberAlive voids.
 func TestLyingMemberOnlyCausesSuspicion(t *testing.T) {
 	for name, lie := range map[string]Statement{
 		"suspicion of a statement not yet made":     suspicionStatement("b", "a", 10, 9),
@@ -31,18 +31,18 @@
 	if c.stateOf("a") != Suspect {
 		t.Fatal("not suspected")
 	}
-	c.Step(2*time.Second, []Event{messageFrom("b", aliveStatement("a", 10, 1))}) // not a newer one
+	c.Step(2*time.Second, []Event{messageFrom("b", aliveStatement("a", 10, 1))}) // not newer
 	if c.stateOf("a") != Suspect {
 		t.Fatal("an old statement ended a suspicion")
 	}
-	c.Step(3*time.Second, []Event{messageFrom("b", aliveStatement("a", 10, 2))}) // its own, whoever passes it on
+	c.Step(3*time.Second, []Event{messageFrom("b", aliveStatement("a", 10, 2))}) // signed by a, relayed by b
 	if c.stateOf("a") != Alive {
 		t.Fatal("its own newer statement did not end the suspicion")
 	}
 }
 
-// TestOnlyAdmittedMembersAreKept: a member that is not admitted is not known, whoever passes its statement on; one that
-// is no longer admitted is removed.
+// TestOnlyAdmittedMembersAreKept checks that a member that is not admitted is never added, not even through statements
+// relayed by an admitted one, and that a member that is no longer admitted is removed.
 func TestOnlyAdmittedMembersAreKept(t *testing.T) {
 	c := newTestCore(t)
 	c.Step(time.Second, []Event{AdmissionChanged{func(id string) bool { return id != "a" && id[0] != 'x' }}})
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLiveCountsOnlyDirectMembers: only members whose own packets were received are counted, and a fall of the count is
-// not reported.
+// TestLiveCountsOnlyDirectMembers checks that Live counts only members from which a packet was received directly, and
+// that a decrease is not reported.
 func TestLiveCountsOnlyDirectMembers(t *testing.T) {
 	c := newTestCore(t)
 	if c.Live() != 1 {
@@ -70,7 +70,7 @@
 	if c.Live() != 2 || countOf[LiveCountIncreased](actions) != 1 {
 		t.Errorf("%d live, want b and itself; actions %v", c.Live(), actions)
 	}
-	for now := 2 * time.Second; now < 3*time.Minute; now += 100 * time.Millisecond { // b vanishes, and comes back
+	for now := 2 * time.Second; now < 3*time.Minute; now += 100 * time.Millisecond { // b vanishes
 		if actions := c.Step(now, nil); countOf[LiveCountIncreased](actions) > 0 {
 			t.Fatalf("a fall was reported: %v", actions)
 		}
--- a/internal/gossip/packet_limiter.go
+++ b/internal/gossip/packet_limiter.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// PacketLimiterConfig holds the rates of a [PacketLimiter], each of which is its burst too.
+// PacketLimiterConfig holds the rates of a [PacketLimiter]. The burst of each is the amount for one second.
 type PacketLimiterConfig struct {
-	ChecksPerSource float64 // signatures verified a second for an address from which a member's packets came
-	ChecksOfUnknown float64 // and for all other addresses together
+	VerificationsPerSource float64 // signatures verified a second for each source address of a member
+	VerificationsOfUnknown float64 // signatures verified a second for all other addresses together
 }
 
-// LocalPacketLimiterConfig goes with LocalConfig.
-var LocalPacketLimiterConfig = PacketLimiterConfig{ChecksPerSource: 200, ChecksOfUnknown: 100}
+// LocalPacketLimiterConfig is the configuration for use with [LocalConfig].
+var LocalPacketLimiterConfig = PacketLimiterConfig{VerificationsPerSource: 200, VerificationsOfUnknown: 100}
 
-// tokenBucket is a token bucket whose rate and capacity its user passes with each call.
+// tokenBucket is a token bucket. The rate, in tokens a second, and the capacity are arguments of each call.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Duration
 }
 
-// take refills the bucket up to now and takes n tokens, or none and returns false if it holds fewer.
+// take refills the bucket up to now and removes n tokens. If there are fewer, it removes none and returns false.
 func (b *tokenBucket) take(now time.Duration, rate, capacity, n float64) bool {
 	b.tokens, b.updatedAt = min(b.tokens+(now-b.updatedAt).Seconds()*rate, capacity), now
 	if b.tokens < n {
@@ -27,44 +27,45 @@
 	return true
 }
 
-// PacketLimiter limits how many signatures are verified, as a verification costs thousands of times what sending a
-// forgery does. An address that sent authentic packets of a member has a budget of its own, which no flood from
-// elsewhere uses up; all unknown addresses share one. One address is kept for each member, and Retain forgets members.
+// PacketLimiter limits the rate of signature verifications, as verifying a signature costs thousands of times more than
+// sending a forged packet. A source address from which an authentic packet of a member was received has its own budget,
+// which a flood from other addresses can't use up. All unknown addresses share one budget. Only the latest address of
+// each member is stored, and Retain removes members.
 type PacketLimiter struct {
 	cfg            PacketLimiterConfig
 	unknownSources tokenBucket
 	sources        map[string]*sourceBudget // by address
-	sourceOf       map[string]string        // address by member
-	members        map[string]*tokenBucket
+	sourceOf       map[string]string        // latest address, by member
+	memberBuckets  map[string]*tokenBucket  // for relayed statements, by member
 }
 
-// sourceBudget is the budget of an address, which all members share whose latest packets came from it.
+// sourceBudget is the budget of one address. Several members may share an address.
 type sourceBudget struct {
 	bucket  tokenBucket
-	members int
+	members int // whose latest address this is
 }
 
-// NewPacketLimiter returns a limiter that knows no address.
+// NewPacketLimiter returns a limiter without known addresses.
 func NewPacketLimiter(cfg PacketLimiterConfig) *PacketLimiter {
 	return &PacketLimiter{
 		cfg:            cfg,
-		unknownSources: tokenBucket{tokens: cfg.ChecksOfUnknown},
+		unknownSources: tokenBucket{tokens: cfg.VerificationsOfUnknown},
 		sources:        map[string]*sourceBudget{},
 		sourceOf:       map[string]string{},
-		members:        map[string]*tokenBucket{},
+		memberBuckets:  map[string]*tokenBucket{},
 	}
 }
 
-// AllowPacket reports whether one more packet from an address may be verified, and counts it if so.
+// AllowPacket reports whether a packet from an address may be verified now, and if so charges it to the budget.
 func (l *PacketLimiter) AllowPacket(now time.Duration, source string) bool {
 	if budget := l.sources[source]; budget != nil {
-		return budget.bucket.take(now, l.cfg.ChecksPerSource, l.cfg.ChecksPerSource, 1)
+		return budget.bucket.take(now, l.cfg.VerificationsPerSource, l.cfg.VerificationsPerSource, 1)
 	}
-	return l.unknownSources.take(now, l.cfg.ChecksOfUnknown, l.cfg.ChecksOfUnknown, 1)
+	return l.unknownSources.take(now, l.cfg.VerificationsOfUnknown, l.cfg.VerificationsOfUnknown, 1)
 }
 
-// Authenticated records that an authentic packet of a member came from an address. It replaces the member's address
-// from before.
+// Authenticated records that an authentic packet of a member came from the address source, which replaces the member's
+// previous address.
 func (l *PacketLimiter) Authenticated(now time.Duration, source, member string) {
 	if previous, ok := l.sourceOf[member]; ok && previous == source {
 		return
@@ -72,12 +73,12 @@
 	l.forgetSource(member)
 	l.sourceOf[member] = source
 	if l.sources[source] == nil {
-		l.sources[source] = &sourceBudget{bucket: tokenBucket{tokens: l.cfg.ChecksPerSource, updatedAt: now}}
+		l.sources[source] = &sourceBudget{bucket: tokenBucket{tokens: l.cfg.VerificationsPerSource, updatedAt: now}}
 	}
 	l.sources[source].members++
 }
 
-// forgetSource forgets a member's address, and the address's budget if no other member has it.
+// forgetSource removes a member's address, and the budget of the address if no other member uses it.
 func (l *PacketLimiter) forgetSource(member string) {
 	source, ok := l.sourceOf[member]
 	if !ok {
@@ -91,27 +92,27 @@
 	}
 }
 
-// Retain forgets all members but those that admitted reports.
+// Retain removes all members for which admitted returns false.
 func (l *PacketLimiter) Retain(admitted func(member string) bool) {
 	for member := range l.sourceOf {
 		if !admitted(member) {
 			l.forgetSource(member)
 		}
 	}
-	for member := range l.members {
+	for member := range l.memberBuckets {
 		if !admitted(member) {
-			delete(l.members, member)
+			delete(l.memberBuckets, member)
 		}
 	}
 }
 
-// AllowStatement reports whether one more of the statements that a member passed on, in an authentic packet, may be
-// verified, and counts it if so.
+// AllowStatement reports whether a statement relayed by a member in an authentic packet may be verified now, and if so
+// charges it to the member's budget.
 func (l *PacketLimiter) AllowStatement(now time.Duration, member string) bool {
-	b := l.members[member]
+	b := l.memberBuckets[member]
 	if b == nil {
-		b = &tokenBucket{tokens: l.cfg.ChecksPerSource, updatedAt: now}
-		l.members[member] = b
+		b = &tokenBucket{tokens: l.cfg.VerificationsPerSource, updatedAt: now}
+		l.memberBuckets[member] = b
 	}
-	return b.take(now, l.cfg.ChecksPerSource, l.cfg.ChecksPerSource, 1)
+	return b.take(now, l.cfg.VerificationsPerSource, l.cfg.VerificationsPerSource, 1)
 }
--- a/internal/gossip/packet_limiter_test.go
+++ b/internal/gossip/packet_limiter_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestPacketLimiterBoundsChecks: a flood from unknown addresses, or from one known address, takes nothing from another.
-func TestPacketLimiterBoundsChecks(t *testing.T) {
-	l := NewPacketLimiter(PacketLimiterConfig{ChecksPerSource: 10, ChecksOfUnknown: 5})
+// TestPacketLimiterBoundsVerifications checks that a flood from unknown addresses is limited and does not reduce the
+// budget of a known address.
+func TestPacketLimiterBoundsVerifications(t *testing.T) {
+	l := NewPacketLimiter(PacketLimiterConfig{VerificationsPerSource: 10, VerificationsOfUnknown: 5})
 	l.Authenticated(0, "good", "a")
 	allowed := map[string]int{}
 	for i := range 100_000 { // ten seconds at line rate
@@ -22,12 +23,12 @@
 		}
 	}
 	if n := allowed["x"] + allowed["y"] + allowed["z"]; n > 55 {
-		t.Errorf("%d checks of unknown addresses in 10 s at 5 a second", n)
+		t.Errorf("%d verifications for unknown addresses in 10 s at 5 a second", n)
 	}
 	if n := allowed["good"]; n < 100 || n > 110 {
-		t.Errorf("%d checks of a known address that sent 330 packets in 10 s at 10 a second", n)
+		t.Errorf("%d verifications for a known address that sent 330 packets in 10 s at 10 a second", n)
 	}
-	for i := range 1000 { // a member whose address changes takes no more than one place
+	for i := range 1000 { // a member whose address changes occupies one entry
 		l.Authenticated(time.Minute, addressName(i), "a")
 	}
 	if len(l.sources) != 1 {
@@ -35,20 +36,20 @@
 	}
 }
 
-// addressName returns one of 676 different names.
+// addressName returns one of 676 distinct names.
 func addressName(i int) string { return "addr" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) }
 
-// TestPacketLimiterKeepsSharedSource: an address that several members' packets came from keeps its budget until the last
-// of them has moved elsewhere.
+// TestPacketLimiterKeepsSharedSource checks that an address shared by several members keeps its budget until the last
+// of them has moved to another address.
 func TestPacketLimiterKeepsSharedSource(t *testing.T) {
-	l := NewPacketLimiter(PacketLimiterConfig{ChecksPerSource: 10, ChecksOfUnknown: 0})
+	l := NewPacketLimiter(PacketLimiterConfig{VerificationsPerSource: 10, VerificationsOfUnknown: 0})
 	for _, step := range []struct {
 		source, member string
-		known          []string // addresses that have a budget from then on
+		known          []string // addresses that have a budget after this step
 	}{
 		{"x", "a", []string{"x"}},
 		{"y", "b", []string{"x", "y"}},
-		{"x", "b", []string{"x"}}, // b takes over the address of a
+		{"x", "b", []string{"x"}}, // b moves to the address of a
 		{"z", "a", []string{"x", "z"}},
 		{"x", "b", []string{"x", "z"}},
 		{"z", "b", []string{"z"}},
@@ -62,9 +63,9 @@
 	}
 }
 
-// TestPacketLimiterForgetsMembers: the tables hold no more than the members admitted now.
+// TestPacketLimiterForgetsMembers checks that the tables hold only the currently admitted members.
 func TestPacketLimiterForgetsMembers(t *testing.T) {
-	l := NewPacketLimiter(PacketLimiterConfig{ChecksPerSource: 10, ChecksOfUnknown: 10})
+	l := NewPacketLimiter(PacketLimiterConfig{VerificationsPerSource: 10, VerificationsOfUnknown: 10})
 	for i := range 500 {
 		name := addressName(i)
 		l.Retain(func(member string) bool { return member == "stays" || member == name })
@@ -73,7 +74,7 @@
 			l.AllowStatement(0, member)
 		}
 	}
-	for name, n := range map[string]int{"sources": len(l.sources), "sources of members": len(l.sourceOf), "members": len(l.members)} {
+	for name, n := range map[string]int{"sources": len(l.sources), "sources of members": len(l.sourceOf), "members": len(l.memberBuckets)} {
 		if n != 2 {
 			t.Errorf("%d %s kept for 2 members", n, name)
 		}
--- a/internal/gossip/receiving.go
+++ b/internal/gossip/receiving.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// maxSignerShare is the part of the stored evidence, as a divisor, that one signer may take.
-const maxSignerShare = 16
+// signerShareDivisor: one signer may use up to 1/signerShareDivisor of the evidence store.
+const signerShareDivisor = 16
 
-// Wants reports whether a statement would be news to the core, so that the caller verifies no signature in vain.
+// Wants reports whether a statement is new to the core and would be stored. The caller need not verify the signatures
+// of other statements.
 func (c *Core) Wants(s *Statement) bool {
 	if !c.admitted(s.Signer) {
 		return false
@@ -33,7 +34,8 @@
 	return signer != nil && c.statementAge(signer, s) < c.cfg.EvidenceLifetime
 }
 
-// wantsSuspicion accepts suspicions of the subject's latest MemberAlive, by each signer once, until enough confirm it.
+// wantsSuspicion accepts suspicions of the subject's latest MemberAlive, one from each signer, until enough members
+// have confirmed the suspicion.
 func (c *Core) wantsSuspicion(s *Statement) bool {
 	subject := c.members[s.Subject]
 	return subject != nil && subject.state != Dead &&
@@ -43,15 +45,15 @@
 
 func (c *Core) hasRoomForEvidence(signer string) bool {
 	return len(c.evidence) < c.cfg.MaxEvidence &&
-		c.evidenceBySigner[signer] < max(c.cfg.MaxEvidence/maxSignerShare, 1)
+		c.evidenceBySigner[signer] < max(c.cfg.MaxEvidence/signerShareDivisor, 1)
 }
 
-// statementAge returns how long ago a member signed a statement.
+// statementAge returns the estimated time since a member signed a statement.
 func (c *Core) statementAge(signer *member, s *Statement) time.Duration {
 	return signer.clock.age(s.Incarnation, c.now, s.SignedAt)
 }
 
-// messageReceived processes the statements of a message, then the message itself.
+// messageReceived processes the statements of a message, then handles the message by its kind.
 func (c *Core) messageReceived(m *Message) {
 	if m.From == c.id || !c.admitted(m.From) {
 		return
@@ -62,7 +64,7 @@
 	sender := c.members[m.From]
 	if sender != nil {
 		if m.Incarnation < sender.alive.Incarnation {
-			c.notifyStale(m, sender.alive.Incarnation)
+			c.notifyStaleSender(m, sender.alive.Incarnation)
 			return
 		}
 		sender.clock.observe(m.Incarnation, c.now, m.SentAt)
@@ -78,7 +80,7 @@
 		reply = append(reply, c.ownAlive)
 	}
 	if sender != nil && sender.state != Alive && sender.alive.Incarnation == m.Incarnation {
-		reply = append(reply, c.signSuspicion(m.From, sender)) // so that it can refute
+		reply = append(reply, c.signSuspicion(m.From, sender)) // so that the sender can refute it
 	}
 	switch m.Kind {
 	case Ping:
@@ -93,14 +95,14 @@
 		if !m.Reply {
 			c.sendState(m.Addr, true)
 		}
-	case Push: // it brings statements only, and they have been processed
+	case Push: // its statements have been processed above
 	}
 	if len(reply) > 0 || wantAlive {
 		c.send(m.Addr, Message{Kind: Push, WantAlive: wantAlive, Statements: reply}, c.cfg.ReservedShare)
 	}
 }
 
-// processStatement takes one statement that the caller has verified, unless it is no longer wanted.
+// processStatement processes a verified statement, unless an earlier one has made it obsolete.
 func (c *Core) processStatement(s *Statement) {
 	if !c.Wants(s) {
 		return
@@ -112,10 +114,10 @@
 		}
 		c.raiseIncarnation(s.Incarnation)
 	case s.Kind == MemberAlive:
-		alive := *s // a copy of its own, as the member keeps it
+		alive := *s // copied, as member.alive keeps a pointer
 		c.processAlive(&alive, true)
 	case s.Kind == MemberSuspected && s.Subject == c.id:
-		// Being suspected is a sign that this member is slow itself (Lifeguard, section IV-A).
+		// Having to refute a suspicion indicates that this member is slow itself (Lifeguard, section IV-A).
 		c.healthPenalty = min(c.healthPenalty+1, c.cfg.MaxHealthPenalty)
 		c.stats.Refutations++
 		c.announceAlive()
--- a/internal/gossip/replay_window.go
+++ b/internal/gossip/replay_window.go
@@ -1,18 +1,19 @@
 package gossip
 
 const (
-	// replayWindowSize is how many counters up to the highest are remembered one by one.
+	// replayWindowSize is how many counters, up to the highest, are tracked individually.
 	replayWindowSize = 64
-	// staleDistance is how far below the highest counter a packet is stale, not just late: counters begin at the start
-	// time in nanoseconds, and no packet is a quarter of a second's worth of counters late.
+	// staleDistance is how far below the highest counter a packet is considered stale rather than late. Counters start
+	// at the process's start time in nanoseconds, so this is a difference of about a quarter of a second in start
+	// times, and more packets than can be delayed in the network.
 	staleDistance = 1 << 28
 )
 
-// replayWindow remembers which of a sender's packets have been received: the highest counter, and a bit for each of the
-// 64 counters up to it, the highest in bit 0 (RFC 4303, section 3.4.3, anti-replay).
+// replayWindow records which of a sender's packets have been received: the highest counter, and a bit for each of the
+// 64 counters up to it, with the highest in bit 0 (anti-replay; RFC 4303, section 3.4.3).
 type replayWindow struct{ highest, received uint64 }
 
-// accept records a counter and reports whether it is new. One far below the highest is taken for old.
+// accept records a counter and reports whether it is new. Counters below the window are considered received.
 func (w *replayWindow) accept(counter uint64) bool {
 	if counter > w.highest {
 		if distance := counter - w.highest; distance < replayWindowSize {
--- a/internal/gossip/suspicion_publisher.go
+++ b/internal/gossip/suspicion_publisher.go
@@ -6,49 +6,52 @@
 	"time"
 )
 
-// SuspicionPublisherConfig holds the constants of an [SuspicionPublisher].
+// SuspicionPublisherConfig holds the parameters of a [SuspicionPublisher].
 type SuspicionPublisherConfig struct {
-	RepeatInterval   time.Duration // a suspicion that holds is published again after this
-	SufficientWeight float64       // nothing is published about a worker if the claims of others weigh this much already
-	MaxSuspicions    int
+	RepeatInterval   time.Duration // a suspicion that persists is published again after this interval
+	SufficientWeight float64       // no new suspicion is published if the claims of others have this weight
+	MaxSuspicions    int           // suspicions stored
 }
 
-// LocalSuspicionPublisherConfig goes with LocalConfig.
+// LocalSuspicionPublisherConfig is the configuration for use with [LocalConfig].
 var LocalSuspicionPublisherConfig = SuspicionPublisherConfig{
 	RepeatInterval:   3 * time.Second,
 	SufficientWeight: 4,
 	MaxSuspicions:    1024,
 }
 
-// WorkerSuspected reports that this router suspects a worker by its own evidence.
+// WorkerSuspected reports that this router suspects a worker because of its own observations.
 type WorkerSuspected struct {
 	Worker string
 	Kind   StatementKind // WorkerSilent, WorkerFailing or WorkerSlow
-	Class  string        // the class that it fails
+	Class  string        // of WorkerFailing: the class whose requests fail
 }
 
-func (WorkerSuspected) collectorEvent() {}
+func (WorkerSuspected) publisherEvent() {}
 
-// SuspicionPublisher decides which of this router's own suspicions of workers are published. It publishes only what this
-// router observed; claims of others can at most keep it from publishing, so no claim returns as another's evidence.
+// SuspicionPublisher decides which of this router's own suspicions of workers are published. It publishes only what
+// this router observed itself. Claims of others can suppress a publication but never cause one, so no claim comes back
+// as evidence of another signer.
 type SuspicionPublisher struct {
 	cfg            SuspicionPublisherConfig
 	weightOfOthers func(worker string) float64
-	started        map[string]uint64
-	suspicions     map[statementKey]*ownSuspicion // with an empty signer
+	started        map[string]uint64              // start times of the listed workers
+	suspicions     map[statementKey]*ownSuspicion // the signer in the keys is empty
 }
 
-// ownSuspicion is a suspicion of a worker by this router.
+// ownSuspicion is this router's suspicion of one worker.
 type ownSuspicion struct {
 	class           string
 	nextPublication time.Duration
-	seenAt          time.Duration // when it was last reported
+	seenAt          time.Duration // time of the latest WorkerSuspected
 	published       bool
 }
 
-// NewSuspicionPublisher returns a collector without suspicions. weightOfOthers returns the weight of the claims of other
-// routers that a worker is silent.
-func NewSuspicionPublisher(cfg SuspicionPublisherConfig, weightOfOthers func(worker string) float64) *SuspicionPublisher {
+// NewSuspicionPublisher returns a publisher without suspicions. weightOfOthers returns the total weight of the other
+// routers' claims that a worker is silent.
+func NewSuspicionPublisher(
+	cfg SuspicionPublisherConfig, weightOfOthers func(worker string) float64,
+) *SuspicionPublisher {
 	return &SuspicionPublisher{
 		cfg:            cfg,
 		weightOfOthers: weightOfOthers,
@@ -57,7 +60,7 @@
 	}
 }
 
-// Step processes events at a time and returns what is to be published, ordered by worker and kind.
+// Step processes events and returns the statements to publish at now, ordered by worker and kind.
 func (c *SuspicionPublisher) Step(now time.Duration, events []PublisherEvent) []Publish {
 	var publications []Publish
 	for _, e := range events {
@@ -66,7 +69,7 @@
 			c.updateWorkers(e.Started)
 		case WorkerSuspected:
 			c.recordSuspicion(now, e)
-		case WorkerHeard:
+		case WorkerResponded:
 			key := statementKey{subject: e.Worker, kind: WorkerSilent}
 			if s := c.suspicions[key]; s != nil {
 				delete(c.suspicions, key)
@@ -78,7 +81,7 @@
 	}
 	for key, s := range c.suspicions {
 		switch {
-		case key.kind != WorkerSilent && now-s.seenAt > c.cfg.RepeatInterval: // not seen again: over, as far as is known
+		case key.kind != WorkerSilent && now-s.seenAt > c.cfg.RepeatInterval: // not reported again: assumed over
 			delete(c.suspicions, key)
 		case now >= s.nextPublication && (s.published || c.weightOfOthers(key.subject) < c.cfg.SufficientWeight):
 			s.nextPublication, s.published = now+c.cfg.RepeatInterval, true
@@ -91,7 +94,7 @@
 	return publications
 }
 
-// updateWorkers drops the suspicions of workers that are no longer listed or have restarted.
+// updateWorkers removes the suspicions of workers that are no longer listed or have restarted.
 func (c *SuspicionPublisher) updateWorkers(started map[string]uint64) {
 	for key := range c.suspicions {
 		if incarnation, listed := started[key.subject]; !listed || incarnation != c.started[key.subject] {
@@ -101,7 +104,7 @@
 	c.started = started
 }
 
-// recordSuspicion keeps a suspicion of a listed worker, or renews it.
+// recordSuspicion adds or renews a suspicion of a listed worker.
 func (c *SuspicionPublisher) recordSuspicion(now time.Duration, e WorkerSuspected) {
 	if _, listed := c.started[e.Worker]; !listed || !e.Kind.AboutWorker() || e.Kind == ClaimWithdrawn {
 		return
@@ -122,7 +125,7 @@
 	return Publish{Statement: Statement{Kind: kind, Subject: worker, SubjectIncarnation: c.started[worker], Text: class}}
 }
 
-// Due returns when Step may have something to publish without an event; false if never.
+// Due returns when Step may have something to publish even if no event arrives; ok is false if there is no such time.
 func (c *SuspicionPublisher) Due() (at time.Duration, ok bool) {
 	for _, s := range c.suspicions {
 		if !ok || s.nextPublication < at {
--- a/internal/gossip/suspicion_publisher_test.go
+++ b/internal/gossip/suspicion_publisher_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSuspicionPublisher: own suspicions are published and repeated while they hold, withdrawn when the worker is heard,
-// and not published where the claims of others weigh enough.
+// TestSuspicionPublisher checks that own suspicions are published and repeated while they persist, withdrawn when the
+// worker responds, and not published while the claims of others have enough weight.
 func TestSuspicionPublisher(t *testing.T) {
 	weightOfOthers := 0.0
 	c := NewSuspicionPublisher(LocalSuspicionPublisherConfig, func(string) float64 { return weightOfOthers })
@@ -24,7 +24,7 @@
 		{"first", time.Second, 0, []PublisherEvent{oneWorker, silent}, []string{"silent w 5"}},
 		{"again at once", 2 * time.Second, 0, []PublisherEvent{silent}, nil},
 		{"while it holds", 4 * time.Second, 0, nil, []string{"silent w 5"}},
-		{"heard", 5 * time.Second, 0, []PublisherEvent{WorkerHeard{"w"}}, []string{"back w 5"}},
+		{"heard", 5 * time.Second, 0, []PublisherEvent{WorkerResponded{"w"}}, []string{"back w 5"}},
 		{"over", 20 * time.Second, 0, nil, nil},
 		{"claimed by others", 21 * time.Second, 4, []PublisherEvent{silent}, nil},
 		{"no longer claimed by others", 22 * time.Second, 0, nil, []string{"silent w 5"}},
@@ -32,7 +32,7 @@
 		{"failing class", 31 * time.Second, 0, []PublisherEvent{failing}, []string{"failing w 6"}},
 		{"not seen again", 36 * time.Second, 0, nil, nil},
 	} {
-		t.Run(step.name, func(t *testing.T) { // in this order: each builds on those before
+		t.Run(step.name, func(t *testing.T) { // each depends on the previous ones
 			weightOfOthers = step.others
 			var got []string
 			for _, p := range c.Step(step.now, step.events) {
--- a/internal/gossip/suspicion_quorum.go
+++ b/internal/gossip/suspicion_quorum.go
@@ -10,86 +10,88 @@
 )
 
 const (
-	// minContradictedShare is the least part of a halving that a contradicted claim costs its signer, however old it is.
-	minContradictedShare = 0.15
-	// confirmedWeightFactor is by how much a signer's weight rises with a confirmed claim: less than a contradicted one
-	// costs, as who calls all workers silent is right at times.
+	// minContradictionExponent bounds how little a contradicted claim costs: it multiplies the signer's weight by 2^-x,
+	// where x falls with the age of the claim from 1 to this minimum.
+	minContradictionExponent = 0.15
+	// confirmedWeightFactor multiplies a signer's weight for each confirmed claim. The gain is smaller than the loss
+	// for a contradicted claim, as a signer that claims all workers to be silent is sometimes right.
 	confirmedWeightFactor = 1.2
 )
 
-// SuspicionQuorumConfig holds the constants of a [SuspicionQuorum].
+// SuspicionQuorumConfig holds the parameters of a [SuspicionQuorum].
 type SuspicionQuorumConfig struct {
-	Threshold       float64       // weight of independent signers from which a worker is checked
-	ClaimLifetime   time.Duration // older claims have no weight
-	CheckInterval   time.Duration // a worker is checked no more often than this
-	ChecksPerSecond float64       // rate of checks over all workers, and the burst
-	RecentlyHeard   time.Duration // a worker that gave a sign of life within this time is not checked
-	WeightHalfLife  time.Duration // half of what a signer's weight lost comes back in this time
-	MaxClaims       int           // claims stored for a worker
-	MaxWorkers      int           // workers with claims
+	Threshold       float64       // total weight of the signers at which a worker is checked
+	ClaimLifetime   time.Duration // older claims are ignored
+	CheckInterval   time.Duration // minimum time between two checks of a worker
+	ChecksPerSecond float64       // maximum rate of checks of all workers together, also the burst
+	MinSilence      time.Duration // a worker that responded within this time is not checked
+	WeightHalfLife  time.Duration // a signer recovers half of its lost weight in this time
+	MaxClaims       int           // claims stored for each worker, of silence and of other kinds each
+	MaxWorkers      int           // workers stored
 }
 
-// LocalSuspicionQuorumConfig goes with LocalConfig.
+// LocalSuspicionQuorumConfig is the configuration for use with [LocalConfig].
 var LocalSuspicionQuorumConfig = SuspicionQuorumConfig{
 	Threshold:       2,
 	ClaimLifetime:   5 * time.Second,
 	CheckInterval:   time.Second,
 	ChecksPerSecond: 10,
-	RecentlyHeard:   500 * time.Millisecond,
+	MinSilence:      500 * time.Millisecond,
 	WeightHalfLife:  10 * time.Minute,
 	MaxClaims:       32,
 	MaxWorkers:      10000,
 }
 
-// SuspicionQuorum decides when the claims of other routers lead to a check of a worker. A claim alone never acts:
-// enough weight of independent signers has this router check the worker itself, sooner than it would have; only the
-// result of the own check goes to the dispatcher, which alone acts on it. That a worker is well is accepted only as a
-// signer's withdrawal of its own claim, so it can end no suspicion, drain or slow start. Only claims of silence lead to
-// checks, as no check shows that a worker fails a class or is slow: such claims are kept for the operators to read.
+// SuspicionQuorum decides when the claims of other routers lead to a check of a worker. Claims never have a direct
+// effect: when the total weight of their signers reaches the threshold, this router checks the worker itself, sooner
+// than it would have otherwise, and only the result of that check goes to the dispatcher. Other routers can't report
+// that a worker is healthy. They can only withdraw their own claims, which ends no suspicion, drain or slow start at
+// this router. Only claims of silence lead to checks, as a check can't show that a worker fails a class or is slow;
+// claims of the other kinds are stored for operators to inspect.
 //
-// A signer weighs at most 1, whatever it sends, and by its record: half as much for each claim that own checks
-// contradict (hardly less for an old claim, as the worker may have recovered since), and more again as they confirm it
-// (a multiplicative-weights vote; Littlestone, Warmuth, "The Weighted Majority Algorithm", 1994), or slowly with time.
-// Liars fewer than the threshold therefore cause nothing. More of them cause checks, within the rate limit of checks,
-// until their weight is gone: a check of a healthy worker costs one request and shows that it is healthy.
+// A signer has a weight of at most 1, however many claims it sends. The weight is halved for each claim that a check
+// contradicts (reduced less for an older claim, as the worker may have recovered since), and rises with each claim that
+// a check confirms (a multiplicative-weights vote; Littlestone, Warmuth, "The Weighted Majority Algorithm", 1994) and
+// slowly with time. Fewer liars than the threshold therefore have no effect. More liars cause checks, within the rate
+// limit, until they have lost their weight; a check of a healthy worker costs one request and shows that it is healthy.
 type SuspicionQuorum struct {
 	cfg         SuspicionQuorumConfig
 	now         time.Duration
-	workers     map[string]*claimedWorker
-	records     map[string]signerRecord // of signers that weigh less than 1
+	workers     map[string]*workerState
+	penalties   map[string]weightPenalty // of signers with a weight below 1
 	checkBudget tokenBucket
 	stats       SuspicionQuorumStats
 }
 
-// SuspicionQuorumStats counts what a quorum has done.
+// SuspicionQuorumStats are the counters of a [SuspicionQuorum].
 type SuspicionQuorumStats struct {
 	Claims          uint64 `json:"claims"`
 	Checks          uint64 `json:"looks"`
 	ConfirmedSilent uint64 `json:"found_silent"`
-	Contradicted    uint64 `json:"contradicted"` // checks that found a worker healthy
+	Contradicted    uint64 `json:"contradicted"` // checks that found the worker alive
 }
 
-// Claim is a member's claim about a worker's incarnation, which began at Started.
+// Claim is another router's claim about a worker, in the incarnation that started at Started.
 type Claim struct {
 	Worker  string
-	Started uint64 // Unix milliseconds, as in the list of workers; claims about another incarnation are void
+	Started uint64 // Unix milliseconds, as in WorkerList; claims about another incarnation are ignored
 	Kind    StatementKind
-	Class   string
+	Class   string // of WorkerFailing
 	Signer  string
-	Age     time.Duration // since the signer saw it
+	Age     time.Duration // since the claim was signed
 }
 
-// CheckResult is how a CheckWorker ended.
+// CheckResult is the result of a CheckWorker.
 type CheckResult int
 
 // The results of a check.
 const (
-	CheckSkipped     CheckResult = iota // no check was made, so that nothing is known
-	CheckFoundAlive                     // the worker gave a sign of life
-	CheckFoundSilent                    // the worker gave no sign of life
+	CheckSkipped     CheckResult = iota // no check was made
+	CheckFoundAlive                     // the worker responded
+	CheckFoundSilent                    // the worker did not respond
 )
 
-// String returns the result in plain words.
+// String returns the result as a lower-case word.
 func (r CheckResult) String() string {
 	switch r {
 	case CheckSkipped:
@@ -102,7 +104,7 @@
 	return "CheckResult(" + strconv.Itoa(int(r)) + ")"
 }
 
-// WorkerChecked reports how a CheckWorker ended.
+// WorkerChecked reports the result of a CheckWorker.
 type WorkerChecked struct {
 	Worker string
 	Result CheckResult
@@ -114,43 +116,44 @@
 // QuorumAction is an output of [SuspicionQuorum.Step].
 type QuorumAction interface{ quorumAction() }
 
-// CheckWorker asks the caller to request a sign of life of the worker, and to report it as WorkerChecked.
+// CheckWorker requests that the caller check whether a worker responds and report the result as [WorkerChecked].
 type CheckWorker struct{ Worker string }
 
-// SilenceConfirmed reports that the own check found no sign of life either. It is to be passed to the dispatcher.
+// SilenceConfirmed reports that a worker did not respond to this router's check either. The caller passes it to the
+// dispatcher.
 type SilenceConfirmed struct{ Worker string }
 
 func (CheckWorker) quorumAction()      {}
 func (SilenceConfirmed) quorumAction() {}
 
-// signerRecord is by how much a signer's weight was below 1 at a time.
-type signerRecord struct {
-	penalty   float64
+// weightPenalty is a signer's weight below 1.
+type weightPenalty struct {
+	penalty   float64 // 1 minus the weight at updatedAt; halves every WeightHalfLife
 	updatedAt time.Duration
 }
 
-// claimedWorker is what is claimed and known of a worker.
-type claimedWorker struct {
-	started            uint64
-	heardAt, checkedAt time.Duration
-	checking           bool
-	silentSince        map[string]time.Duration // when each signer saw it silent
-	otherClaims        map[statementKey]Claim   // for the operators; the subject of the key is the class
+// workerState holds the claims about a listed worker and the times of its latest response and check.
+type workerState struct {
+	started                uint64
+	respondedAt, checkedAt time.Duration
+	checking               bool
+	silenceClaims          map[string]time.Duration // time of each signer's claim that the worker is silent
+	otherClaims            map[statementKey]Claim   // for operators; the subject in the keys is the class
 }
 
 // NewSuspicionQuorum returns a quorum without claims.
 func NewSuspicionQuorum(cfg SuspicionQuorumConfig) *SuspicionQuorum {
 	return &SuspicionQuorum{
 		cfg:         cfg,
-		workers:     map[string]*claimedWorker{},
-		records:     map[string]signerRecord{},
+		workers:     map[string]*workerState{},
+		penalties:   map[string]weightPenalty{},
 		checkBudget: tokenBucket{tokens: cfg.ChecksPerSecond},
 	}
 }
 
-// Weight returns the weight of a signer's claims, 0 to 1.
+// Weight returns the current weight of a signer's claims, 0 to 1.
 func (q *SuspicionQuorum) Weight(signer string) float64 {
-	r, ok := q.records[signer]
+	r, ok := q.penalties[signer]
 	if !ok {
 		return 1
 	}
@@ -159,13 +162,13 @@
 
 func (q *SuspicionQuorum) setWeight(signer string, weight float64) {
 	if weight >= 1 {
-		delete(q.records, signer)
+		delete(q.penalties, signer)
 		return
 	}
-	q.records[signer] = signerRecord{penalty: 1 - weight, updatedAt: q.now}
+	q.penalties[signer] = weightPenalty{penalty: 1 - weight, updatedAt: q.now}
 }
 
-// SilenceWeight returns the weight of the fresh claims that a worker is silent.
+// SilenceWeight returns the total weight of the unexpired claims that a worker is silent.
 func (q *SuspicionQuorum) SilenceWeight(worker string) float64 {
 	if w := q.workers[worker]; w != nil {
 		return q.silenceWeightOf(w)
@@ -173,13 +176,13 @@
 	return 0
 }
 
-// silenceWeightOf sums the weights of the fresh claims of silence and removes the others. The order of the sum is
-// fixed, so that it comes to the same digits each time.
-func (q *SuspicionQuorum) silenceWeightOf(w *claimedWorker) float64 {
+// silenceWeightOf sums the weights of the unexpired claims of silence and removes the expired ones. The order of the
+// summands is fixed, so that rounding always gives the same result.
+func (q *SuspicionQuorum) silenceWeightOf(w *workerState) float64 {
 	sum := 0.0
-	for _, signer := range slices.Sorted(maps.Keys(w.silentSince)) {
-		if q.now-w.silentSince[signer] > q.cfg.ClaimLifetime {
-			delete(w.silentSince, signer)
+	for _, signer := range slices.Sorted(maps.Keys(w.silenceClaims)) {
+		if q.now-w.silenceClaims[signer] > q.cfg.ClaimLifetime {
+			delete(w.silenceClaims, signer)
 			continue
 		}
 		sum += q.Weight(signer)
@@ -187,10 +190,10 @@
 	return sum
 }
 
-// Stats returns what the quorum has done.
+// Stats returns the counters.
 func (q *SuspicionQuorum) Stats() SuspicionQuorumStats { return q.stats }
 
-// Step processes events at a time and returns what the caller is to do.
+// Step processes events at the time now and returns actions for the caller to carry out.
 func (q *SuspicionQuorum) Step(now time.Duration, events []QuorumEvent) []QuorumAction {
 	q.now = max(q.now, now)
 	var actions []QuorumAction
@@ -199,9 +202,9 @@
 		switch e := e.(type) {
 		case WorkerList:
 			q.updateWorkers(e.Started)
-		case WorkerHeard:
+		case WorkerResponded:
 			if w := q.workers[e.Worker]; w != nil {
-				w.heardAt = q.now
+				w.respondedAt = q.now
 			}
 		case Claim:
 			if q.recordClaim(e) {
@@ -215,7 +218,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(claimed)) {
 		w := q.workers[id]
-		if w != nil && q.mayCheck(w) { // it may have left the list in the same step
+		if w != nil && q.mayCheck(w) { // the worker may have left the list in the same step
 			w.checking, w.checkedAt = true, q.now
 			q.stats.Checks++
 			actions = append(actions, CheckWorker{Worker: id})
@@ -224,14 +227,15 @@
 	return actions
 }
 
-// mayCheck reports whether the claims of silence lead to a check now, and takes it from the budget of checks.
-func (q *SuspicionQuorum) mayCheck(w *claimedWorker) bool {
+// mayCheck reports whether the claims of silence lead to a check of a worker now, and charges it to the budget of
+// checks.
+func (q *SuspicionQuorum) mayCheck(w *workerState) bool {
 	return q.silenceWeightOf(w) >= q.cfg.Threshold && !w.checking && q.now-w.checkedAt >= q.cfg.CheckInterval &&
-		q.now-w.heardAt >= q.cfg.RecentlyHeard &&
+		q.now-w.respondedAt >= q.cfg.MinSilence &&
 		q.checkBudget.take(q.now, q.cfg.ChecksPerSecond, q.cfg.ChecksPerSecond, 1)
 }
 
-// updateWorkers follows the list of workers. Claims about another incarnation of a worker are removed.
+// updateWorkers applies a new list of workers and removes claims about earlier incarnations.
 func (q *SuspicionQuorum) updateWorkers(list map[string]uint64) {
 	for id := range q.workers {
 		if _, listed := list[id]; !listed {
@@ -244,19 +248,19 @@
 			continue
 		}
 		if w == nil {
-			w = &claimedWorker{heardAt: -q.cfg.RecentlyHeard, checkedAt: -q.cfg.CheckInterval}
+			w = &workerState{respondedAt: -q.cfg.MinSilence, checkedAt: -q.cfg.CheckInterval}
 			q.workers[id] = w
 		}
-		if w.silentSince == nil || started != w.started {
+		if w.silenceClaims == nil || started != w.started {
 			w.started = started
-			w.silentSince = map[string]time.Duration{}
+			w.silenceClaims = map[string]time.Duration{}
 			w.otherClaims = map[statementKey]Claim{}
 		}
 	}
 }
 
-// recordClaim keeps a claim that is fresh and about the worker's present incarnation. It reports whether the claim may
-// lead to a check.
+// recordClaim stores a claim that is unexpired and about the worker's current incarnation. It reports whether the claim
+// may lead to a check.
 func (q *SuspicionQuorum) recordClaim(c Claim) bool {
 	w := q.workers[c.Worker]
 	if w == nil || c.Started != w.started || c.Age < 0 || c.Age > q.cfg.ClaimLifetime {
@@ -267,32 +271,33 @@
 	case WorkerSilent:
 		return q.recordSilence(w, c)
 	case ClaimWithdrawn:
-		delete(w.silentSince, c.Signer)
-	case WorkerFailing, WorkerSlow, MemberAlive, MemberSuspected: // the core hands over none about members
+		delete(w.silenceClaims, c.Signer)
+	case WorkerFailing, WorkerSlow, MemberAlive, MemberSuspected: // the core delivers no claims about members
 		q.recordOtherClaim(w, c)
 	}
 	return false
 }
 
-// recordSilence keeps a claim that the worker is silent. It reports whether there was room for it.
-func (q *SuspicionQuorum) recordSilence(w *claimedWorker, c Claim) bool {
-	if _, known := w.silentSince[c.Signer]; !known && len(w.silentSince) >= q.cfg.MaxClaims {
+// recordSilence stores a claim that the worker is silent. It returns false if the worker has too many claims.
+func (q *SuspicionQuorum) recordSilence(w *workerState, c Claim) bool {
+	if _, known := w.silenceClaims[c.Signer]; !known && len(w.silenceClaims) >= q.cfg.MaxClaims {
 		return false
 	}
-	w.silentSince[c.Signer] = q.now - c.Age
+	w.silenceClaims[c.Signer] = q.now - c.Age
 	return true
 }
 
-// recordOtherClaim keeps a claim that leads to no check, for the operators.
-func (q *SuspicionQuorum) recordOtherClaim(w *claimedWorker, c Claim) {
+// recordOtherClaim stores a claim of a kind that leads to no check, for operators.
+func (q *SuspicionQuorum) recordOtherClaim(w *workerState, c Claim) {
 	key := statementKey{signer: c.Signer, subject: c.Class, kind: c.Kind}
 	if _, known := w.otherClaims[key]; known || len(w.otherClaims) < q.cfg.MaxClaims {
-		c.Age = q.now - c.Age // from here on the time at which it was seen
+		c.Age = q.now - c.Age // the stored claim has the time of signing in Age
 		w.otherClaims[key] = c
 	}
 }
 
-// workerChecked settles the claims that led to an own check. It reports whether the check confirmed the silence.
+// workerChecked adjusts the weights of the signers whose claims led to a check, and removes the claims. It reports
+// whether the check confirmed the silence.
 func (q *SuspicionQuorum) workerChecked(e WorkerChecked) (silent bool) {
 	w := q.workers[e.Worker]
 	if w == nil || !w.checking {
@@ -302,17 +307,17 @@
 	if e.Result == CheckSkipped {
 		return false
 	}
-	for signer, seen := range w.silentSince {
+	for signer, seen := range w.silenceClaims {
 		if e.Result == CheckFoundAlive { // an old claim may have been true when it was made
 			freshness := 1 - float64(q.now-seen)/float64(q.cfg.ClaimLifetime)
-			q.setWeight(signer, q.Weight(signer)*math.Exp2(-min(max(freshness, minContradictedShare), 1)))
+			q.setWeight(signer, q.Weight(signer)*math.Exp2(-min(max(freshness, minContradictionExponent), 1)))
 		} else {
 			q.setWeight(signer, q.Weight(signer)*confirmedWeightFactor)
 		}
 	}
-	clear(w.silentSince)
+	clear(w.silenceClaims)
 	if e.Result == CheckFoundAlive {
-		w.heardAt = q.now
+		w.respondedAt = q.now
 		q.stats.Contradicted++
 		return false
 	}
@@ -320,7 +325,7 @@
 	return true
 }
 
-// Suspicion is what is claimed of a worker, for the operators.
+// Suspicion summarizes the claims of one kind about a worker, for operators.
 type Suspicion struct {
 	Worker  string   `json:"worker"`
 	Kind    string   `json:"about"`
@@ -329,13 +334,13 @@
 	Signers []string `json:"by"`
 }
 
-// Suspicions lists the fresh claims about workers: by worker, silence first, then by kind and class.
+// Suspicions lists the unexpired claims about workers, sorted by worker, silence first, then by kind and class.
 func (q *SuspicionQuorum) Suspicions() []Suspicion {
 	var list []Suspicion
 	for _, id := range slices.Sorted(maps.Keys(q.workers)) {
 		w := q.workers[id]
 		if weight := q.silenceWeightOf(w); weight > 0 {
-			signers := slices.Sorted(maps.Keys(w.silentSince))
+			signers := slices.Sorted(maps.Keys(w.silenceClaims))
 			list = append(list, Suspicion{Worker: id, Kind: WorkerSilent.String(), Weight: weight, Signers: signers})
 		}
 		list = append(list, q.otherSuspicions(id, w)...)
@@ -343,8 +348,8 @@
 	return list
 }
 
-// otherSuspicions lists the fresh claims about a worker that are not of silence, and removes the others.
-func (q *SuspicionQuorum) otherSuspicions(id string, w *claimedWorker) []Suspicion {
+// otherSuspicions lists the unexpired claims about a worker other than silence, and removes the expired ones.
+func (q *SuspicionQuorum) otherSuspicions(id string, w *workerState) []Suspicion {
 	type subject struct{ kind, class string }
 	signers := map[subject][]string{}
 	for key, c := range w.otherClaims {
--- a/internal/gossip/suspicion_quorum_test.go
+++ b/internal/gossip/suspicion_quorum_test.go
@@ -10,21 +10,21 @@
 
 var oneWorker = WorkerList{Started: map[string]uint64{"w": 5}}
 
-// newTestQuorum returns a quorum that knows worker w, of the incarnation that began at 5.
+// newTestQuorum returns a quorum whose only listed worker is w, started at 5.
 func newTestQuorum() *SuspicionQuorum {
 	q := NewSuspicionQuorum(LocalSuspicionQuorumConfig)
 	q.Step(0, []QuorumEvent{oneWorker})
 	return q
 }
 
-// silenceClaim returns a signer's fresh claim that worker w is silent.
+// silenceClaim returns a claim of age 0 that worker w is silent.
 func silenceClaim(signer string) Claim {
 	return Claim{Worker: "w", Started: 5, Kind: WorkerSilent, Signer: signer}
 }
 
 func TestTwoSignersCauseACheckOneDoesNot(t *testing.T) {
 	q := newTestQuorum()
-	for i := range 50 { // one signer, however often
+	for i := range 50 { // many claims of one signer
 		now := time.Duration(i) * 100 * time.Millisecond
 		if actions := q.Step(now, []QuorumEvent{silenceClaim("a")}); len(actions) > 0 {
 			t.Fatalf("one signer caused %v", actions)
@@ -36,7 +36,7 @@
 	}
 	actions = q.Step(5100*time.Millisecond, []QuorumEvent{WorkerChecked{Worker: "w", Result: CheckFoundSilent}})
 	if countOf[SilenceConfirmed](actions) != 1 {
-		t.Fatalf("an own check without an answer caused %v", actions)
+		t.Fatalf("a check without a response caused %v", actions)
 	}
 }
 
@@ -52,7 +52,7 @@
 		"worker not listed": {with(func(c *Claim) { c.Worker = "x" }),
 			with(func(c *Claim) { c.Worker, c.Signer = "x", "b" })},
 		"worker no longer listed":  {silenceClaim("a"), WorkerList{}, silenceClaim("b")},
-		"worker heard just before": {WorkerHeard{"w"}, silenceClaim("a"), silenceClaim("b")},
+		"worker heard just before": {WorkerResponded{"w"}, silenceClaim("a"), silenceClaim("b")},
 		"not of silence": {with(func(c *Claim) { c.Kind = WorkerFailing }),
 			with(func(c *Claim) { c.Kind, c.Signer = WorkerSlow, "b" })},
 		"check not asked for": {WorkerChecked{Worker: "w", Result: CheckFoundSilent}},
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestLiarsAtTheThreshold: two liars cause one check of a healthy worker, lose half their weight by it, and cause no
-// more; honest members still count beside them.
+// TestLiarsAtTheThreshold checks that two liars cause one check of a healthy worker, lose half their weight because of
+// it and cause no further check, and that claims of honest members still have an effect.
 func TestLiarsAtTheThreshold(t *testing.T) {
 	q, checks := newTestQuorum(), 0
 	for i := range 600 {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestChecksAreRateLimited: many liars that name every worker at once cause no more checks than the rate limit allows,
-// and soon have no weight at all.
+// TestChecksAreRateLimited checks that liars that claim all workers to be silent at once cause no more checks than the
+// rate limit allows, and soon lose nearly all their weight.
 func TestChecksAreRateLimited(t *testing.T) {
 	q, list := NewSuspicionQuorum(LocalSuspicionQuorumConfig), WorkerList{Started: map[string]uint64{}}
 	for w := range 500 {
@@ -117,16 +117,16 @@
 		}
 	}
 	if checks > 10 || late > 0 {
-		t.Errorf("%d checks, %d after the first moment", checks, late)
+		t.Errorf("%d checks, %d after the first step", checks, late)
 	}
 	if s := q.Suspicions(); len(s) == 0 || s[0].Weight > 0.1 {
-		t.Errorf("the operators are not shown the claims: %v", s)
+		t.Errorf("the claims are not listed with a low weight: %v", s)
 	}
 }
 
-// TestNothingActsBelowTheThreshold is a property: whatever signers below the threshold claim, in any order with signs of
-// life and checks, no action comes of it.
-func TestNothingActsBelowTheThreshold(t *testing.T) {
+// TestClaimsBelowThresholdCauseNoAction checks a property: no claims of signers below the threshold, in any order with
+// responses and check results, cause an action.
+func TestClaimsBelowThresholdCauseNoAction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, now := newTestQuorum(), time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -135,7 +135,7 @@
 			c.Kind = StatementKind(rapid.IntRange(int(WorkerSilent), int(ClaimWithdrawn)).Draw(t, "kind"))
 			c.Age = time.Duration(rapid.IntRange(-1, 7).Draw(t, "age")) * time.Second
 			c.Started = uint64(rapid.IntRange(4, 6).Draw(t, "incarnation"))
-			e := rapid.SampledFrom([]QuorumEvent{c, c, c, WorkerHeard{"w"}, WorkerChecked{Worker: "w", Result: CheckFoundSilent},
+			e := rapid.SampledFrom([]QuorumEvent{c, c, c, WorkerResponded{"w"}, WorkerChecked{Worker: "w", Result: CheckFoundSilent},
 				WorkerChecked{Worker: "w", Result: CheckFoundAlive}, WorkerList{Started: map[string]uint64{"w": c.Started}}}).Draw(t, "event")
 			if actions := q.Step(now, []QuorumEvent{e}); len(actions) > 0 {
 				t.Fatalf("%v caused %v", e, actions)
@@ -144,8 +144,8 @@
 	})
 }
 
-// TestOnlyAnOwnCheckConfirms is a property: whatever is claimed, SilenceConfirmed follows only a CheckWorker that found
-// no sign of life, and checks keep their interval.
+// TestOnlyAnOwnCheckConfirms checks a property: whatever is claimed, SilenceConfirmed follows only a CheckWorker with
+// the result CheckFoundSilent, and checks are at least CheckInterval apart.
 func TestOnlyAnOwnCheckConfirms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, now, checking := newTestQuorum(), time.Duration(0), false
@@ -155,16 +155,16 @@
 			c := silenceClaim(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "signer"))
 			results := []CheckResult{CheckSkipped, CheckFoundAlive, CheckFoundSilent}
 			checked := WorkerChecked{Worker: "w", Result: rapid.SampledFrom(results).Draw(t, "result")}
-			e := rapid.SampledFrom([]QuorumEvent{c, c, c, checked, WorkerHeard{"w"}}).Draw(t, "event")
+			e := rapid.SampledFrom([]QuorumEvent{c, c, c, checked, WorkerResponded{"w"}}).Draw(t, "event")
 			for _, a := range q.Step(now, []QuorumEvent{e}) {
 				switch a.(type) {
 				case CheckWorker:
 					if checking {
-						t.Fatal("a second check while one is under way")
+						t.Fatal("a second check while one is in progress")
 					}
 					checking, checks = true, append(checks, now)
 					if n := len(checks); n > 1 && checks[n-1]-checks[n-2] < LocalSuspicionQuorumConfig.CheckInterval {
-						t.Fatal("checks come too fast")
+						t.Fatal("two checks within CheckInterval")
 					}
 				case SilenceConfirmed:
 					if !checking || e != QuorumEvent(checked) || checked.Result != CheckFoundSilent {
@@ -185,7 +185,7 @@
 		q.Step(time.Millisecond, []QuorumEvent{silenceClaim(fmt.Sprint(i)),
 			Claim{Worker: "w", Started: 5, Kind: WorkerFailing, Class: fmt.Sprint(i), Signer: "a"}})
 	}
-	silent, others := len(q.workers["w"].silentSince), len(q.workers["w"].otherClaims)
+	silent, others := len(q.workers["w"].silenceClaims), len(q.workers["w"].otherClaims)
 	if most := LocalSuspicionQuorumConfig.MaxClaims; silent > most || others > most {
 		t.Errorf("%d and %d claims stored", silent, others)
 	}
--- a/internal/gossip/worker_events.go
+++ b/internal/gossip/worker_events.go
@@ -1,19 +1,19 @@
 package gossip
 
 // PublisherEvent is an input of [SuspicionPublisher.Step].
-type PublisherEvent interface{ collectorEvent() }
+type PublisherEvent interface{ publisherEvent() }
 
 // QuorumEvent is an input of [SuspicionQuorum.Step].
 type QuorumEvent interface{ quorumEvent() }
 
-// WorkerList is the list of workers with their start times in Unix milliseconds, 0 for long ago. A start time names an
-// incarnation of a worker. The receiver keeps the map; the caller must not change it.
+// WorkerList replaces the list of workers. Started maps each worker to its start time in Unix milliseconds, which
+// identifies the worker's incarnation; 0 means long ago. The receiver keeps the map; the caller must not modify it.
 type WorkerList struct{ Started map[string]uint64 }
 
-// WorkerHeard reports that a worker gave this router a sign of life.
-type WorkerHeard struct{ Worker string }
+// WorkerResponded reports that this router received a response from a worker.
+type WorkerResponded struct{ Worker string }
 
-func (WorkerList) collectorEvent()  {}
-func (WorkerList) quorumEvent()     {}
-func (WorkerHeard) collectorEvent() {}
-func (WorkerHeard) quorumEvent()    {}
+func (WorkerList) publisherEvent()      {}
+func (WorkerList) quorumEvent()         {}
+func (WorkerResponded) publisherEvent() {}
+func (WorkerResponded) quorumEvent()    {}
