--- a/internal/gossip/agent/authentication_test.go
+++ b/internal/gossip/agent/authentication_test.go
@@ -40,7 +40,8 @@
 		if s.Live != 4 || s.Quorum.Claims > 0 {
 			t.Errorf("after a flood agent %d has %d live and %d claims", i, s.Live, s.Quorum.Claims)
 		}
-		most := gossip.LocalPacketLimiterConfig.VerificationsOfUnknown*(time.Since(began).Seconds()+2) + 100 // plus those before the flood
+		// The 100 are verifications before the flood.
+		most := gossip.LocalPacketLimiterConfig.VerificationsOfUnknown*(time.Since(began).Seconds()+2) + 100
 		if checked := s.Dropped.BadSignature + s.Dropped.UnknownKey; float64(checked) > most {
 			t.Errorf("agent %d checked %d of the flood's signatures, %.0f are allowed", i, checked, most)
 		}
@@ -51,7 +52,7 @@
 }
 
 // TestPacketsWithStolenKeysAreAccepted checks that the forged packets of TestForgedPacketsAreDropped are accepted when
-// signed with the members' own keys, so that the other test can fail.
+// signed with the members' own keys, which shows that the other test can fail.
 func TestPacketsWithStolenKeysAreAccepted(t *testing.T) {
 	c := newCluster(t, 3)
 	f := startForger(t, c.ids[:1])
--- a/internal/gossip/agent/property_test.go
+++ b/internal/gossip/agent/property_test.go
@@ -32,7 +32,7 @@
 	now                       time.Duration
 	lastRequest               dispatch.RequestID
 	attempts                  map[dispatch.RequestID][]dispatch.StartAttempt // attempts of open requests
-	started                   map[string]uint64                              // start times of the workers, for the quorum
+	started                   map[string]uint64                              // start times of workers
 }
 
 func (p *dispatcherPair) applyToBoth(event dispatch.Event) {
@@ -66,8 +66,8 @@
 		if last < 0 {
 			continue
 		}
-		p.applyToBoth(dispatch.AttemptEnded{ID: id, Attempt: last, Worker: p.attempts[id][last].Worker, Result: dispatch.OK, Final: true,
-			FunctionInFlight: -1, Duration: 20 * time.Millisecond, LoadReport: dispatch.NoLoadReport})
+		p.applyToBoth(dispatch.AttemptEnded{ID: id, Attempt: last, Worker: p.attempts[id][last].Worker,
+			Result: dispatch.OK, Final: true, FunctionInFlight: -1, Duration: 20 * time.Millisecond, LoadReport: dispatch.NoLoadReport})
 		delete(p.attempts, id)
 		return
 	}
@@ -80,7 +80,9 @@
 		Kind: gossip.StatementKind(rapid.IntRange(int(gossip.WorkerSilent), int(gossip.ClaimWithdrawn)).Draw(p.t, "kind"))}
 	for _, action := range p.quorum.Step(p.now, []gossip.QuorumEvent{claim, gossip.WorkerChecked{Worker: worker, Result: gossip.CheckFoundSilent}}) {
 		if confirmed, ok := action.(gossip.SilenceConfirmed); ok {
-			p.withGossip.Step(p.now, []dispatch.Event{dispatch.GossipUpdate{SuspectedWorkers: []string{confirmed.Worker}}})
+			p.withGossip.Step(p.now, []dispatch.Event{
+				dispatch.GossipUpdate{SuspectedWorkers: []string{confirmed.Worker}},
+			})
 		}
 	}
 }
@@ -107,8 +109,8 @@
 				p.updateEndpoint(worker)
 			case op == 1 || op == 2:
 				p.lastRequest++
-				p.applyToBoth(dispatch.Request{ID: p.lastRequest, Function: worker, Class: "c", MemoryMB: 10, ConcurrencyPerInstance: 2,
-					RemainingDeadline: 3 * time.Second})
+				p.applyToBoth(dispatch.Request{ID: p.lastRequest, Function: worker, Class: "c", MemoryMB: 10,
+					ConcurrencyPerInstance: 2, RemainingDeadline: 3 * time.Second})
 			case op == 3:
 				p.endOldestRequest()
 			default:
--- a/internal/gossip/characterization_test.go
+++ b/internal/gossip/characterization_test.go
@@ -259,7 +259,10 @@
 	}
 	c.receive(1, gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: "other", Incarnation: 2000,
 		Statements: []gossip.Statement{{Kind: gossip.MemberAlive, Signer: memberID(6), Incarnation: 2000, Seq: 3, Text: "other"}}})
-	c.step(2, gossip.StaleMessage{Message: gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: memberID(6), Incarnation: 1}, HighestCounter: 1000})
+	c.step(2, gossip.StaleMessage{
+		Message:        gossip.Message{Kind: gossip.Push, From: memberID(6), Addr: memberID(6), Incarnation: 1},
+		HighestCounter: 1000,
+	})
 	for i := range 5 {
 		c.receive(9, gossip.Message{Kind: gossip.MessageKind(i), WantAlive: true, From: memberID(8), Addr: memberID(8), Incarnation: 108, ProbeSeq: 9,
 			Target: memberID(7), Statements: []gossip.Statement{{Kind: gossip.MemberSuspected, Signer: memberID(8), Incarnation: 108,
@@ -300,9 +303,11 @@
 			next[worker]++
 		}
 		started = next
-		toQuorum, toPublisher = []gossip.QuorumEvent{gossip.WorkerList{Started: started}}, []gossip.PublisherEvent{gossip.WorkerList{Started: started}}
+		toQuorum, toPublisher = []gossip.QuorumEvent{gossip.WorkerList{Started: started}},
+			[]gossip.PublisherEvent{gossip.WorkerList{Started: started}}
 	case 1:
-		toQuorum, toPublisher = []gossip.QuorumEvent{gossip.WorkerResponded{Worker: worker}}, []gossip.PublisherEvent{gossip.WorkerResponded{Worker: worker}}
+		toQuorum, toPublisher = []gossip.QuorumEvent{gossip.WorkerResponded{Worker: worker}},
+			[]gossip.PublisherEvent{gossip.WorkerResponded{Worker: worker}}
 	case 2, 3:
 		toPublisher = []gossip.PublisherEvent{gossip.WorkerSuspected{Worker: worker, Kind: about, Class: class}}
 	case 4:
--- a/internal/gossip/core.go
+++ b/internal/gossip/core.go
@@ -26,7 +26,7 @@
 	probes        []*probe
 	probeOrder    []string // IDs in probe order; reshuffled each round
 	probeIndex    int      // index in probeOrder of the next target
-	probeRetries  []string // IDs of members whose latest probe failed
+	probeRetries  []string // IDs of members to probe again after a failed probe
 	probeSeq      uint64
 	nextProbe     time.Duration
 	healthPenalty int // see HealthPenalty
@@ -34,8 +34,8 @@
 	queue              broadcastQueue
 	nextPush           time.Duration
 	evidence           map[statementKey]*evidence
-	evidenceBySigner   map[string]int // number of stored statements by signer
-	relaysByWorker     map[string]int // number of statements stored or relayed by worker
+	evidenceBySigner   map[string]int // by signer: number of stored statements
+	relaysByWorker     map[string]int // by worker: number of statements about it that are stored or relayed
 	nextEvidenceExpiry time.Duration
 	byteBudget         tokenBucket
 	messageBudget      tokenBucket
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -87,8 +87,8 @@
 	age := c.statementAge(c.members[s.Signer], s)
 	isNew := c.storeEvidence(s, c.cfg.EvidenceLifetime-age)
 	c.actions = append(c.actions, EvidenceReceived{Statement: *s, Age: age})
-	// A statement is not relayed if enough others about the worker are (compare Trickle's redundancy constant, RFC
-	// 6206).
+	// A new statement is not relayed if enough others about the same worker already are, like in Trickle with its
+	// redundancy constant (RFC 6206).
 	if worker := s.Subject; s.Kind == ClaimWithdrawn || !isNew || c.relaysByWorker[worker] < maxRelayedSigners {
 		if isNew {
 			c.relaysByWorker[worker]++
--- a/internal/gossip/events.go
+++ b/internal/gossip/events.go
@@ -5,7 +5,7 @@
 // Event is an input of [Core.Step].
 type Event interface{ coreEvent() }
 
-// Join lists addresses at which members may be found. They are pinged now and again occasionally later.
+// Join lists addresses at which members may be found. They are pinged at once and occasionally later.
 type Join struct{ Addresses []string }
 
 // MessageReceived is a message signed by the member in Message.From. The caller has verified the message's signature
@@ -22,7 +22,7 @@
 // SubjectIncarnation and Text. A statement that is not about a worker is ignored.
 type Publish struct{ Statement Statement }
 
-// AdmissionChanged replaces the predicate that decides which members are admitted. All others are removed.
+// AdmissionChanged replaces the predicate that decides which members are admitted. Members that are not are removed.
 type AdmissionChanged struct{ Admitted func(id string) bool }
 
 // KnownMembers holds MemberAlive statements from a trusted source. The core does not disseminate them. It keeps the
--- a/internal/gossip/failure_detection.go
+++ b/internal/gossip/failure_detection.go
@@ -9,8 +9,7 @@
 const (
 	// maxProbes bounds the concurrent probes that other members can cause with ping requests.
 	maxProbes = 64
-	// seedPingOneIn: on average one in this many probes is accompanied by a join ping to a seed, so that a partition
-	// heals.
+	// seedPingOneIn is the average number of probes for each join ping to a seed. These pings let a partition heal.
 	seedPingOneIn = 8
 )
 
@@ -168,7 +167,7 @@
 func (c *Core) startProbe(id string, target *member, retry bool, slowdown time.Duration) {
 	c.probeSeq++
 	ping := Message{Kind: Ping, ProbeSeq: c.probeSeq}
-	if target.state == Suspect { // so that it can refute
+	if target.state == Suspect { // so that the target can refute it
 		ping.Statements = []Statement{c.signSuspicion(id, target)}
 	}
 	if !c.send(target.alive.Text, ping, 0) {
--- a/internal/gossip/failure_detection_test.go
+++ b/internal/gossip/failure_detection_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestSuspicionOfOwnMemberIsRefutedOnce checks that a member refutes a suspicion of itself and raises its health
+// TestSelfSuspicionIsRefutedOnce checks that a member refutes a suspicion of itself and raises its health
 // penalty, and that a suspicion of an already replaced MemberAlive has no effect.
-func TestSuspicionOfOwnMemberIsRefutedOnce(t *testing.T) {
+func TestSelfSuspicionIsRefutedOnce(t *testing.T) {
 	c := newTestCore(t)
 	c.Step(time.Second, []Event{messageFrom("b", suspicionStatement("b", "me", 5, 1))})
 	if c.ownAlive.Seq == 1 || c.HealthPenalty() != 1 || c.Stats().Refutations != 1 {
@@ -68,7 +68,8 @@
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			step(drawStatement(t))
 		}
-		end := now + c.suspicionTimeout(1) + 20*time.Second // includes suspicions that a probe in progress may still start
+		// A probe in progress may still start a suspicion.
+		end := now + c.suspicionTimeout(1) + 20*time.Second
 		sameMember := func(to string) string { return to }
 		for now < end {
 			now += 100 * time.Millisecond
--- a/internal/gossip/gossipsim/trial.go
+++ b/internal/gossip/gossipsim/trial.go
@@ -28,12 +28,12 @@
 	BytesPerSecond            float64 `json:"bytes_per_s"`      // sent by each member on average, in steady state
 	MessagesPerSecond         float64 `json:"messages_per_s"`   // likewise
 	PeakBytesPerSecond        float64 `json:"peak_bytes_per_s"` // maximum of any member in any second
-	SpreadTo50                float64 `json:"spread_half_s"`    // until 50 % of the others received a claim about a worker
+	SpreadTo50                float64 `json:"spread_half_s"`    // until 50 % of the others received the claim
 	SpreadTo99                float64 `json:"spread_99_s"`      // until 99 % received it
 	Reached                   float64 `json:"reached"`          // fraction of the others that received it
 	FirstDetection            float64 `json:"death_first_s"`    // until the first member declared a stopped one dead
 	DetectionTo99             float64 `json:"death_99_s"`       // until 99 % of the others declared it dead
-	FalseDeaths               int     `json:"false_deaths"`     // running members, even slow ones, that any other declared dead
+	FalseDeaths               int     `json:"false_deaths"`     // running members, slow or not, declared dead by any
 	SuspicionsPerMemberMinute float64 `json:"suspicions_per_member_minute"`
 	WallSeconds               float64 `json:"wall_s"`
 }
--- a/internal/gossip/keyring.go
+++ b/internal/gossip/keyring.go
@@ -14,7 +14,7 @@
 	ErrUnknownKey = errors.New("gossip: signed by a key that is not admitted")
 	ErrSignature  = errors.New("gossip: invalid signature")
 	ErrReplay     = errors.New("gossip: packet is a duplicate or too old")
-	// ErrStale: the sender may have restarted with its clock set back.
+	// ErrStale is an ErrReplay whose sender may have restarted with its clock set back.
 	ErrStale = fmt.Errorf("%w: counter far below the highest received", ErrReplay)
 )
 
--- a/internal/gossip/packet_limiter_test.go
+++ b/internal/gossip/packet_limiter_test.go
@@ -74,7 +74,9 @@
 			l.AllowStatement(0, member)
 		}
 	}
-	for name, n := range map[string]int{"sources": len(l.sources), "sources of members": len(l.sourceOf), "members": len(l.memberBuckets)} {
+	for name, n := range map[string]int{
+		"sources": len(l.sources), "sources of members": len(l.sourceOf), "members": len(l.memberBuckets),
+	} {
 		if n != 2 {
 			t.Errorf("%d %s kept for 2 members", n, name)
 		}
--- a/internal/gossip/receiving.go
+++ b/internal/gossip/receiving.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// signerShareDivisor: one signer may use up to 1/signerShareDivisor of the evidence store.
+// signerShareDivisor limits one signer to 1/signerShareDivisor of the evidence store.
 const signerShareDivisor = 16
 
 // Wants reports whether a statement is new to the core and would be stored. The caller need not verify the signatures
--- a/internal/gossip/replay_window.go
+++ b/internal/gossip/replay_window.go
@@ -4,8 +4,8 @@
 	// replayWindowSize is how many counters, up to the highest, are tracked individually.
 	replayWindowSize = 64
 	// staleDistance is how far below the highest counter a packet is considered stale rather than late. Counters start
-	// at the process's start time in nanoseconds, so this is a difference of about a quarter of a second in start
-	// times, and more packets than can be delayed in the network.
+	// at the process's start time in nanoseconds, so the distance stands for a quarter of a second between two start
+	// times. No packet of one process is delayed by that many later ones.
 	staleDistance = 1 << 28
 )
 
--- a/internal/gossip/suspicion_quorum.go
+++ b/internal/gossip/suspicion_quorum.go
@@ -86,7 +86,7 @@
 
 // The results of a check.
 const (
-	CheckSkipped     CheckResult = iota // no check was made
+	CheckSkipped     CheckResult = iota // no check was made; nothing is known
 	CheckFoundAlive                     // the worker responded
 	CheckFoundSilent                    // the worker did not respond
 )
--- a/internal/gossip/suspicion_quorum_test.go
+++ b/internal/gossip/suspicion_quorum_test.go
@@ -135,7 +135,8 @@
 			c.Kind = StatementKind(rapid.IntRange(int(WorkerSilent), int(ClaimWithdrawn)).Draw(t, "kind"))
 			c.Age = time.Duration(rapid.IntRange(-1, 7).Draw(t, "age")) * time.Second
 			c.Started = uint64(rapid.IntRange(4, 6).Draw(t, "incarnation"))
-			e := rapid.SampledFrom([]QuorumEvent{c, c, c, WorkerResponded{"w"}, WorkerChecked{Worker: "w", Result: CheckFoundSilent},
+			e := rapid.SampledFrom([]QuorumEvent{c, c, c, WorkerResponded{"w"},
+				WorkerChecked{Worker: "w", Result: CheckFoundSilent},
 				WorkerChecked{Worker: "w", Result: CheckFoundAlive}, WorkerList{Started: map[string]uint64{"w": c.Started}}}).Draw(t, "event")
 			if actions := q.Step(now, []QuorumEvent{e}); len(actions) > 0 {
 				t.Fatalf("%v caused %v", e, actions)
