--- a/internal/endpoints/merger_property_test.go
+++ b/internal/endpoints/merger_property_test.go
@@ -10,9 +10,9 @@
 	"github.com/topazfront/topazfront/dispatch"
 )
 
-// TestUpdatesMakeTheList checks over random updates, drains and steps that the updates that Step returns make together
-// the list as it is, with the reported drains, and that none changes nothing.
-func TestUpdatesMakeTheList(t *testing.T) {
+// TestUpdatesReproduceList checks with random updates, drains and steps that the updates returned by Step add up to the
+// list with the reported drains applied, and that no returned update is without effect.
+func TestUpdatesReproduceList(t *testing.T) {
 	drawWorker := func(t *rapid.T) Worker {
 		return Worker{Address: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), Endpoint: dispatch.Endpoint{
 			ID:        rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
@@ -21,7 +21,7 @@
 		}}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		f, list, now := newFollower(), map[string]Worker{}, time.Duration(0)
+		m, list, now := newTrackedMerger(), map[string]Worker{}, time.Duration(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"update": func(t *rapid.T) {
 				workers := rapid.SliceOfNDistinct(rapid.Custom(drawWorker), 0, 4, func(w Worker) string { return w.ID }).Draw(t, "workers")
@@ -34,29 +34,29 @@
 						delete(list, worker.ID)
 					}
 				}
-				f.Update(Update{Snapshot: snapshot, Workers: workers})
+				m.Update(Update{Snapshot: snapshot, Workers: workers})
 			},
-			"drain": func(t *rapid.T) { f.WorkerDraining(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")) },
+			"drain": func(t *rapid.T) { m.WorkerDraining(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")) },
 			"step": func(t *rapid.T) {
 				now += time.Second
-				before := maps.Clone(f.list)
-				actions := f.Step(now)
-				if actions.Update != nil && !actions.Update.Snapshot && maps.Equal(before, f.list) {
-					t.Fatalf("an update that changes nothing: %+v", actions.Update)
+				before := maps.Clone(m.list)
+				actions := m.Step(now)
+				if actions.Update != nil && !actions.Update.Snapshot && maps.Equal(before, m.list) {
+					t.Fatalf("update without effect: %+v", actions.Update)
 				}
 				for _, id := range actions.Check {
-					f.HealthChecked(now, id, rapid.Bool().Draw(t, "ready"))
+					m.HealthChecked(now, id, rapid.Bool().Draw(t, "ready"))
 				}
-				f.Step(now)
+				m.Step(now)
 				want := maps.Clone(list)
 				for id, worker := range want {
-					if f.draining[id] != nil && worker.State == dispatch.EndpointActive {
+					if m.draining[id] != nil && worker.State == dispatch.EndpointActive {
 						worker.State = dispatch.EndpointDraining
 						want[id] = worker
 					}
 				}
-				if !maps.Equal(f.list, want) {
-					t.Fatalf("list %+v, want %+v", f.list, want)
+				if !maps.Equal(m.list, want) {
+					t.Fatalf("list %+v, want %+v", m.list, want)
 				}
 			},
 		})
