--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -8,16 +8,17 @@
 	"github.com/topazfront/topazfront/internal/upstream"
 )
 
-// outgoingCall is a call that is to be sent on a stream of its own.
+// outgoingCall is a call to a worker that needs a stream: an attempt or a control call.
 type outgoingCall interface {
-	// openStream opens the stream on a connection that seemed to have a free one. On an error nothing was sent.
+	// openStream opens the stream on a connection that appeared to have a free one. If it returns an error, nothing
+	// was sent.
 	openStream(*http2.Conn) error
-	// fail ends a call of which nothing was sent, with a result that says so.
+	// fail ends a call of which nothing was sent. The result must imply that, as ConnectFailed and NotSent do.
 	fail(result dispatch.Result, reason string)
 }
 
-// startStream opens a stream for the call on the connection with the most free streams, or else waits for a new connection.
-// The call fails if there is neither.
+// startStream opens a stream for the call on the connection with the most free streams. If no stream is free, the call
+// waits for a new connection; it fails if MaxConnsPerWorker is reached and no connect is in progress.
 func (p *Pool) startStream(workerID string, call outgoingCall) {
 	p.mu.Lock()
 	w := p.workers[workerID]
@@ -29,8 +30,8 @@
 	var best *http2.Conn
 	freeStreams := 0
 	for _, c := range w.conns {
-		if r := c.AvailableStreams(); r > freeStreams {
-			best, freeStreams = c, r
+		if available := c.AvailableStreams(); available > freeStreams {
+			best, freeStreams = c, available
 		}
 	}
 	if best == nil {
@@ -56,8 +57,8 @@
 	}
 }
 
-// waitForConn makes a call wait for a new connection after its connection was lost, or the last free stream was taken, before
-// anything was sent.
+// waitForConn queues a call for a new connection, after openStream failed because the chosen connection was lost or
+// another call took its last free stream.
 func (p *Pool) waitForConn(workerID string, call outgoingCall, err error) {
 	p.mu.Lock()
 	w := p.workers[workerID]
@@ -74,8 +75,8 @@
 	p.mu.Unlock()
 }
 
-// dial opens one connection and opens the streams of the calls that wait for it. It runs on a goroutine of its own, which
-// ends once the connect has ended and those calls have their streams.
+// dial opens one connection and then the streams of the calls that wait for it. It runs on its own goroutine, which
+// ends when it returns.
 func (p *Pool) dial(w *worker, addr string) {
 	handler := &connHandler{pool: p, worker: w}
 	c, err := p.dialer("tcp", addr, p.config.ConnectTimeout, p.config.HTTP2, handler)
@@ -83,7 +84,7 @@
 	w.connecting--
 	waiting := w.waiting
 	w.waiting = nil
-	if err == nil && !handler.ended {
+	if err == nil && !handler.connClosed {
 		p.open[c] = struct{}{}
 	}
 	stale := p.closed || p.workers[w.id] != w || w.addr != addr
@@ -104,7 +105,7 @@
 			switch err := call.openStream(c); {
 			case errors.Is(err, http2.ErrTooManyStreams):
 				p.waitForConn(w.id, call, err)
-			case err != nil: // no redial: a worker may accept and close at once, again and again
+			case err != nil: // not redialled: a worker may accept each connection and close it at once
 				call.fail(dispatch.ConnectFailed, err.Error())
 			}
 		}
@@ -115,14 +116,14 @@
 type connHandler struct {
 	pool         *Pool
 	worker       *worker
-	noNewStreams bool // guarded by pool.mu
-	ended        bool // guarded by pool.mu
+	noNewStreams bool // the connection accepts no new streams; guarded by pool.mu
+	connClosed   bool // guarded by pool.mu
 }
 
-// StreamOpened implements http2.Handler. Servers open no streams to a client.
+// StreamOpened implements http2.Handler. A server opens no streams to its client.
 func (h *connHandler) StreamOpened(*http2.Stream) http2.Receiver { return nil }
 
-// GoAway implements http2.Handler. Without an error code it means that the worker drains.
+// GoAway implements http2.Handler. With the code NO_ERROR it means that the worker is draining.
 func (h *connHandler) GoAway(c *http2.Conn, code http2.ErrCode) {
 	h.removeConn(c)
 	if code == http2.NoError {
@@ -137,11 +138,11 @@
 	h.removeConn(c)
 	h.pool.mu.Lock()
 	defer h.pool.mu.Unlock()
-	h.ended = true
+	h.connClosed = true
 	delete(h.pool.open, c)
 }
 
-// removeConn removes the connection from the worker's list. If dial has not added it yet, noNewStreams keeps it out.
+// removeConn removes the connection from the worker's list. If dial has not added it yet, noNewStreams prevents it.
 func (h *connHandler) removeConn(c *http2.Conn) {
 	h.pool.mu.Lock()
 	defer h.pool.mu.Unlock()
