--- a/internal/transport/grpc/status_test.go
+++ b/internal/transport/grpc/status_test.go
@@ -19,20 +19,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := StatusFromTrailers(c.fields); got.Code != c.code {
-				t.Errorf("%v: %v", c.fields, got)
+				t.Errorf("%v: status %v", c.fields, got)
 			}
 		})
 	}
 	t.Run("round trip", func(t *testing.T) {
 		want := Status{Internal, "a\tb"}
 		if got := StatusFromTrailers(want.Trailers()); got != want {
-			t.Errorf("%v", got)
+			t.Errorf("status %v after a round trip", got)
 		}
 	})
 	for httpStatus, want := range map[string]Code{"503": Unavailable, "404": Unimplemented, "200": Unknown} {
 		t.Run("HTTP "+httpStatus, func(t *testing.T) {
 			if got := StatusFromHTTP(httpStatus).Code; got != want {
-				t.Errorf("%v, the specification has %v", got, want)
+				t.Errorf("code %v, the specification requires %v", got, want)
 			}
 		})
 	}
