--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestGoldenReplies holds the lines that a server sends, byte for byte.
-func TestGoldenReplies(t *testing.T) {
+// TestGoldenResponses holds the lines that a server sends, byte for byte.
+func TestGoldenResponses(t *testing.T) {
 	conn, err := net.Dial("unix", startServer(t))
 	if err != nil {
 		t.Fatal(err)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestGoldenReplyWithoutResult holds what a method without a result is answered by: an empty object.
-func TestGoldenReplyWithoutResult(t *testing.T) {
+// TestGoldenResponseWithoutResult holds what a method without a result is answered by: an empty object.
+func TestGoldenResponseWithoutResult(t *testing.T) {
 	s := &Server{methods: map[string]Method{"nothing": func(json.RawMessage) (any, error) { return nil, nil }}}
 	out, _ := s.handle([]byte(`{"jsonrpc":"2.0","id":1,"method":"nothing"}`))
 	if raw, err := json.Marshal(out); err != nil || string(raw) != `{"jsonrpc":"2.0","id":1,"result":{}}` {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -135,12 +135,12 @@
 		out.Error = &Error{codeMethodNotFound, fmt.Sprintf("no method %q here", in.Method)}
 		return out, respond
 	}
-	out.Result, out.Error = s.run(in, method)
+	out.Result, out.Error = s.callMethod(in, method)
 	return out, respond
 }
 
-// run calls a method.
-func (s *Server) run(in request, method Method) (result any, failure *Error) {
+// callMethod calls a method.
+func (s *Server) callMethod(in request, method Method) (result any, failure *Error) {
 	defer func() {
 		if p := recover(); p != nil {
 			s.logger.Error("admin method panicked", "method", in.Method, "panic", p)
--- a/internal/catalog/core.go
+++ b/internal/catalog/core.go
@@ -17,7 +17,7 @@
 	MaxBackoff       time.Duration // bounds the doubling
 	StaleAfter       time.Duration // without contact with the registry
 	SaveInterval     time.Duration // a snapshot is written no more often
-	MaxFirstAttempts int           // first attempts remembered for idempotency keys
+	MaxIdempotencyKeys int           // first attempts remembered for idempotency keys
 }
 
 // DefaultConfig holds the constants in use.
@@ -26,7 +26,7 @@
 	MaxBackoff:       10 * time.Second,
 	StaleAfter:       15 * time.Second,
 	SaveInterval:     5 * time.Second,
-	MaxFirstAttempts: 100_000,
+	MaxIdempotencyKeys: 100_000,
 }
 
 // Core is one router's catalog. It belongs to one goroutine. All times are durations since one fixed moment.
@@ -45,8 +45,8 @@
 	unsaved bool          // the state has changed since the latest SaveSnapshot
 	savedAt time.Duration // of the latest SaveSnapshot
 
-	firstAttempts     map[string]*firstAttempt // by idempotency key
-	firstAttemptOrder []string                 // keys of firstAttempts, oldest first
+	pinsByKey     map[string]*rememberedPin // by idempotency key
+	keyOrder []string                 // keys of firstAttempts, oldest first
 
 	actions []Action // of the Step in progress
 }
@@ -57,7 +57,7 @@
 		config:        config,
 		listNeeded:    true,
 		backoff:       config.InitialBackoff,
-		firstAttempts: map[string]*firstAttempt{},
+		pinsByKey: map[string]*rememberedPin{},
 		savedAt:       -config.SaveInterval,
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	c.requestIfDue()
 	c.saveIfDue()
-	c.expireFirstAttempts()
+	c.expirePins()
 	return c.actions
 }
 
@@ -89,7 +89,7 @@
 		c.recordContact()
 		c.applyRevisions(event.Revisions)
 	case RequestFailed:
-		c.requestFailed(event.Err)
+		c.handleFailure(event.Err)
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 }
 
-func (c *Core) requestFailed(err error) {
+func (c *Core) handleFailure(err error) {
 	if !c.requestPending { // reported twice: one failure must not postpone the next request again and again
 		return
 	}
@@ -234,12 +234,12 @@
 	Versions      int // number of versions
 	Aliases       int // number of aliases
 	Stale         bool
-	FirstAttempts int // number of first attempts remembered
+	IdempotencyKeys int // number of first attempts remembered
 }
 
 // Status describes the Core as of now.
 func (c *Core) Status(now time.Duration) Status {
-	status := Status{Synced: c.state != nil, Stale: c.stale(now), FirstAttempts: len(c.firstAttempts)}
+	status := Status{Synced: c.state != nil, Stale: c.stale(now), IdempotencyKeys: len(c.pinsByKey)}
 	if c.state != nil {
 		status.Revision = c.state.Revision()
 		status.Versions = len(c.state.Versions())
--- a/internal/catalog/core_test.go
+++ b/internal/catalog/core_test.go
@@ -37,8 +37,8 @@
 	return registry.Revision{Number: number, Changes: []registry.Change{move}}
 }
 
-// findAction returns the last action of a type, and how many there are.
-func findAction[T Action](actions []Action) (last T, count int) {
+// lastAction returns the last action of a type, and how many there are.
+func lastAction[T Action](actions []Action) (last T, count int) {
 	for _, action := range actions {
 		if typed, ok := action.(T); ok {
 			last = typed
@@ -50,7 +50,7 @@
 
 // warningText returns the last warning, or nothing.
 func warningText(actions []Action) string {
-	warning, _ := findAction[LogWarning](actions)
+	warning, _ := lastAction[LogWarning](actions)
 	return warning.Message
 }
 
@@ -58,10 +58,10 @@
 func watchingCore(t *testing.T) *Core {
 	t.Helper()
 	c := New(DefaultConfig)
-	if _, count := findAction[List](c.Step(0, nil)); count != 1 {
+	if _, count := lastAction[List](c.Step(0, nil)); count != 1 {
 		t.Fatal("no List was requested")
 	}
-	watch, count := findAction[Watch](c.Step(0, []Event{ListReceived{listingAt(5, "1")}}))
+	watch, count := lastAction[Watch](c.Step(0, []Event{ListReceived{listingAt(5, "1")}}))
 	if count != 1 || watch.After != 5 {
 		t.Fatalf("watch after %d", watch.After)
 	}
@@ -79,7 +79,7 @@
 		t.Error(err)
 	}
 	actions := c.Step(0, []Event{SnapshotLoaded{listingAt(5, "1")}})
-	if watch, count := findAction[Watch](actions); count != 1 || watch.After != 5 {
+	if watch, count := lastAction[Watch](actions); count != 1 || watch.After != 5 {
 		t.Errorf("after a snapshot: %v", actions)
 	}
 	if pin, err := c.ResolveAlias(0, currentAlias); err != nil || !pin.Stale {
@@ -100,19 +100,19 @@
 
 // TestWatchFaults disturbs the watch in each way that the core must handle.
 func TestWatchFaults(t *testing.T) {
-	t.Run("cut", testWatchCut)
+	t.Run("cut", testWatchFails)
 	t.Run("delivered twice", testWatchDeliveredTwice)
 	t.Run("gap", testWatchGap)
 	t.Run("compacted", testWatchCompacted)
-	t.Run("running backwards", testWatchRunningBackwards)
-	t.Run("contradictory", testWatchContradictory)
+	t.Run("running backwards", testRevisionDecreases)
+	t.Run("contradictory", testContradictoryListing)
 }
 
-func testWatchCut(t *testing.T) {
+func testWatchFails(t *testing.T) {
 	c := watchingCore(t)
 	var requestedAt []time.Duration
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
-		if _, count := findAction[Watch](c.Step(now, []Event{RequestFailed{errors.New("cut")}})); count > 0 {
+		if _, count := lastAction[Watch](c.Step(now, []Event{RequestFailed{errors.New("cut")}})); count > 0 {
 			requestedAt = append(requestedAt, now)
 		}
 	}
@@ -137,7 +137,7 @@
 func testWatchGap(t *testing.T) {
 	c := watchingCore(t)
 	actions := c.Step(1, []Event{RevisionsReceived{[]registry.Revision{moveRevision(7, "2")}}})
-	_, count := findAction[List](actions)
+	_, count := lastAction[List](actions)
 	if count != 1 || !strings.Contains(warningText(actions), "revision 7 after 5") {
 		t.Errorf("%v", actions)
 	}
@@ -149,19 +149,19 @@
 func testWatchCompacted(t *testing.T) {
 	c := watchingCore(t)
 	actions := c.Step(1, []Event{RequestFailed{fmt.Errorf("watch: %w", registry.ErrCompacted)}})
-	if _, count := findAction[List](actions); count != 1 {
+	if _, count := lastAction[List](actions); count != 1 {
 		t.Fatalf("%v", actions)
 	}
 	actions = c.Step(2, []Event{ListReceived{listingAt(400, "2")}})
-	if watch, _ := findAction[Watch](actions); watch.After != 400 || warningText(actions) != "" {
+	if watch, _ := lastAction[Watch](actions); watch.After != 400 || warningText(actions) != "" {
 		t.Errorf("%v", actions)
 	}
 }
 
-func testWatchRunningBackwards(t *testing.T) {
+func testRevisionDecreases(t *testing.T) {
 	c := watchingCore(t)
 	actions := c.Step(1, []Event{RequestFailed{registry.ErrFutureRevision}})
-	if _, count := findAction[List](actions); count != 1 || !strings.Contains(warningText(actions), "backup") {
+	if _, count := lastAction[List](actions); count != 1 || !strings.Contains(warningText(actions), "backup") {
 		t.Fatalf("%v", actions)
 	}
 	actions = c.Step(2, []Event{ListReceived{listingAt(2, "2")}})
@@ -171,7 +171,7 @@
 	}
 }
 
-func testWatchContradictory(t *testing.T) {
+func testContradictoryListing(t *testing.T) {
 	c := watchingCore(t)
 	otherContent := listingAt(9, "1")
 	otherContent.Versions[versionRef("1")] = content(7)
@@ -204,9 +204,9 @@
 				target := versionRef(rapid.SampledFrom([]string{"1", "2"}).Draw(t, "to"))
 				h.commit(registry.MoveAlias{AliasRef: currentAlias, Target: target})
 			case 2:
-				h.answer()
+				h.respond()
 			case 3:
-				h.cut()
+				h.failRequest()
 			default:
 				h.step()
 			}
@@ -214,7 +214,7 @@
 		for range 12 {
 			h.now += 11 * time.Second
 			h.step()
-			h.answer()
+			h.respond()
 		}
 		want, _ := h.registry.Alias(currentAlias)
 		got, err := h.core.ResolveAlias(h.now, currentAlias)
@@ -266,8 +266,8 @@
 	}
 }
 
-// answer answers the request in progress. A Watch that is answered goes on.
-func (h *watchHarness) answer() {
+// respond answers the request in progress. A Watch that is answered goes on.
+func (h *watchHarness) respond() {
 	switch request := h.request.(type) {
 	case List:
 		h.request = nil
@@ -283,8 +283,8 @@
 	}
 }
 
-// cut ends the request in progress.
-func (h *watchHarness) cut() {
+// failRequest ends the request in progress.
+func (h *watchHarness) failRequest() {
 	if h.request == nil {
 		return
 	}
@@ -308,14 +308,14 @@
 	return listing
 }
 
-// TestFirstAnswerIsAnError: whatever error the registry answers first, the core lists again.
-func TestFirstAnswerIsAnError(t *testing.T) {
+// TestFirstResponseIsError: whatever error the registry answers first, the core lists again.
+func TestFirstResponseIsError(t *testing.T) {
 	for _, err := range []error{registry.ErrFutureRevision, registry.ErrCompacted, errors.New("other")} {
 		c := New(DefaultConfig)
 		c.Step(0, nil)
 		c.Step(time.Second, []Event{RequestFailed{err}})
 		actions := c.Step(2*time.Second, []Event{ListReceived{listingAt(5, "1")}})
-		if _, count := findAction[Watch](actions); count != 1 {
+		if _, count := lastAction[Watch](actions); count != 1 {
 			t.Errorf("after %v and a listing: %v", err, actions)
 		}
 	}
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -21,19 +21,19 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		config := DefaultConfig
-		config.MaxFirstAttempts = 5
+		config.MaxIdempotencyKeys = 5
 		c := New(config)
 		now, revision := time.Duration(0), uint64(5)
 		for range 300 {
 			now += time.Duration(rng.IntN(3000)) * time.Millisecond
 			var events []Event
 			for range rng.IntN(3) {
-				events = append(events, goldenEvent(rng, &revision))
+				events = append(events, randomEvent(rng, &revision))
 			}
-			goldenActions(sum, c.Step(now, events))
+			hashActions(sum, c.Step(now, events))
 			deadline, ok := c.NextDeadline()
 			sum.Write(fmt.Appendln(nil, int64(deadline), ok))
-			goldenResolve(sum, rng, c, now)
+			hashResolutions(sum, rng, c, now)
 		}
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != want {
@@ -41,8 +41,8 @@
 	}
 }
 
-// goldenEvent draws an event near the registry's present revision, which it moves on.
-func goldenEvent(rng *rand.Rand, revision *uint64) Event {
+// randomEvent draws an event near the registry's present revision, which it moves on.
+func randomEvent(rng *rand.Rand, revision *uint64) Event {
 	target := []string{"1", "2"}[rng.IntN(2)]
 	switch rng.IntN(10) {
 	case 0:
@@ -70,8 +70,8 @@
 	}
 }
 
-// goldenActions adds actions to the sum.
-func goldenActions(sum hash.Hash, actions []Action) {
+// hashActions adds actions to the sum.
+func hashActions(sum hash.Hash, actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case List:
@@ -87,9 +87,9 @@
 	}
 }
 
-// goldenResolve adds the outcome of resolving drawn names, and the status, to the sum.
-func goldenResolve(sum hash.Hash, rng *rand.Rand, c *Core, now time.Duration) {
-	show := func(pin Pin, err error) {
+// hashResolutions adds the outcome of resolving drawn names, and the status, to the sum.
+func hashResolutions(sum hash.Hash, rng *rand.Rand, c *Core, now time.Duration) {
+	hashPin := func(pin Pin, err error) {
 		outcome := 0
 		for i, sentinel := range []error{ErrNotSynced, ErrNotFound, ErrVersionRemoved} {
 			if errors.Is(err, sentinel) {
@@ -98,16 +98,16 @@
 		}
 		sum.Write(fmt.Appendln(nil, outcome, pin.String(), pin.Digest.String(), pin.Size, pin.Revision, pin.Stale))
 	}
-	show(c.ResolveAlias(now, currentAlias))
-	show(c.ResolveVersion(now, versionRef(fmt.Sprint(rng.IntN(4)))))
+	hashPin(c.ResolveAlias(now, currentAlias))
+	hashPin(c.ResolveVersion(now, versionRef(fmt.Sprint(rng.IntN(4)))))
 	key := fmt.Sprint("k", rng.IntN(8))
 	window := time.Duration(rng.IntN(40)) * time.Second
 	if clientVersion := versionRef(fmt.Sprint(rng.IntN(4))); rng.IntN(4) == 0 {
-		show(c.ResolveIdempotent(now, key, window, currentAlias, &clientVersion))
+		hashPin(c.ResolveIdempotent(now, key, window, currentAlias, &clientVersion))
 	} else {
-		show(c.ResolveIdempotent(now, key, window, currentAlias, nil))
+		hashPin(c.ResolveIdempotent(now, key, window, currentAlias, nil))
 	}
 	status := c.Status(now)
 	sum.Write(fmt.Appendln(nil, status.Synced, status.Revision, status.Versions, status.Aliases,
-		status.Stale, status.FirstAttempts, len(c.Digests())))
+		status.Stale, status.IdempotencyKeys, len(c.Digests())))
 }
--- a/internal/catalog/resolve.go
+++ b/internal/catalog/resolve.go
@@ -26,8 +26,8 @@
 	Stale    bool   // the registry had not answered for Config.StaleAfter, or never
 }
 
-// firstAttempt remembers what the first attempt under an idempotency key was pinned to.
-type firstAttempt struct {
+// rememberedPin remembers what the first attempt under an idempotency key was pinned to.
+type rememberedPin struct {
 	pin       Pin
 	expiresAt time.Duration
 }
@@ -74,25 +74,25 @@
 		return Pin{}, ErrNotSynced
 	}
 	if clientVersion != nil {
-		return c.pinRepeat(now, *clientVersion)
+		return c.pinRepeatedCall(now, *clientVersion)
 	}
-	if first := c.firstAttempts[key]; first != nil && now < first.expiresAt {
+	if first := c.pinsByKey[key]; first != nil && now < first.expiresAt {
 		version := first.pin.VersionRef
 		if content, ok := c.state.Version(version); ok && content != first.pin.Content {
 			return Pin{}, fmt.Errorf("%w: %s has other content", ErrVersionRemoved, version)
 		}
-		return c.pinRepeat(now, version)
+		return c.pinRepeatedCall(now, version)
 	}
 	pin, err := c.ResolveAlias(now, alias)
 	if err != nil {
 		return Pin{}, err
 	}
-	c.rememberFirstAttempt(now, key, window, pin)
+	c.rememberPin(now, key, window, pin)
 	return pin, nil
 }
 
-// pinRepeat pins a repeat to the version of its first attempt.
-func (c *Core) pinRepeat(now time.Duration, version registry.VersionRef) (Pin, error) {
+// pinRepeatedCall pins a repeat to the version of its first attempt.
+func (c *Core) pinRepeatedCall(now time.Duration, version registry.VersionRef) (Pin, error) {
 	pin, err := c.pin(now, version)
 	if errors.Is(err, ErrNotFound) {
 		return Pin{}, fmt.Errorf("%w: %s", ErrVersionRemoved, version)
@@ -100,28 +100,28 @@
 	return pin, err
 }
 
-// rememberFirstAttempt remembers a first attempt until the window has passed. Memory is bounded: the oldest entry is
+// rememberPin remembers a first attempt until the window has passed. Memory is bounded: the oldest entry is
 // evicted, and its repeats get their version only where the client reports it.
-func (c *Core) rememberFirstAttempt(now time.Duration, key string, window time.Duration, pin Pin) {
-	if first := c.firstAttempts[key]; first != nil {
+func (c *Core) rememberPin(now time.Duration, key string, window time.Duration, pin Pin) {
+	if first := c.pinsByKey[key]; first != nil {
 		first.pin, first.expiresAt = pin, now+window
 		return
 	}
-	if len(c.firstAttemptOrder) >= c.config.MaxFirstAttempts {
-		c.forgetOldestFirstAttempt()
+	if len(c.keyOrder) >= c.config.MaxIdempotencyKeys {
+		c.evictOldestPin()
 	}
-	c.firstAttempts[key] = &firstAttempt{pin, now + window}
-	c.firstAttemptOrder = append(c.firstAttemptOrder, key)
+	c.pinsByKey[key] = &rememberedPin{pin, now + window}
+	c.keyOrder = append(c.keyOrder, key)
 }
 
-// expireFirstAttempts forgets first attempts from the oldest on, up to one whose window has not passed.
-func (c *Core) expireFirstAttempts() {
-	for len(c.firstAttemptOrder) > 0 && c.firstAttempts[c.firstAttemptOrder[0]].expiresAt <= c.now {
-		c.forgetOldestFirstAttempt()
+// expirePins forgets first attempts from the oldest on, up to one whose window has not passed.
+func (c *Core) expirePins() {
+	for len(c.keyOrder) > 0 && c.pinsByKey[c.keyOrder[0]].expiresAt <= c.now {
+		c.evictOldestPin()
 	}
 }
 
-func (c *Core) forgetOldestFirstAttempt() {
-	delete(c.firstAttempts, c.firstAttemptOrder[0])
-	c.firstAttemptOrder = c.firstAttemptOrder[1:]
+func (c *Core) evictOldestPin() {
+	delete(c.pinsByKey, c.keyOrder[0])
+	c.keyOrder = c.keyOrder[1:]
 }
--- a/internal/catalog/resolve_test.go
+++ b/internal/catalog/resolve_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestIdempotentRepeats expects repeats to get the version of the first attempt, or to be rejected.
-func TestIdempotentRepeats(t *testing.T) {
+// TestRepeatedIdempotentCall expects repeats to get the version of the first attempt, or to be rejected.
+func TestRepeatedIdempotentCall(t *testing.T) {
 	const window = 6 * time.Second
 	c := watchingCore(t)
 	first, err := c.ResolveIdempotent(0, "k", window, currentAlias, nil)
@@ -36,9 +36,9 @@
 		t.Fatal(err)
 	}
 	c.Step(time.Second, []Event{RevisionsReceived{[]registry.Revision{moveRevision(6, "2")}}})
-	repeat, err := c.ResolveIdempotent(2*time.Second, "k", window, currentAlias, nil)
-	if err != nil || repeat.VersionRef != first.VersionRef || repeat.Content != first.Content {
-		t.Errorf("a repeat: %+v, %v", repeat, err)
+	repeated, err := c.ResolveIdempotent(2*time.Second, "k", window, currentAlias, nil)
+	if err != nil || repeated.VersionRef != first.VersionRef || repeated.Content != first.Content {
+		t.Errorf("a repeat: %+v, %v", repeated, err)
 	}
 	other, err := c.ResolveIdempotent(2*time.Second, "other", window, currentAlias, nil)
 	if err != nil || other.VersionRef != versionRef("2") {
@@ -65,20 +65,20 @@
 	}
 }
 
-// TestFirstAttemptsAreBounded expects the memory of first attempts to be bounded in number and in time.
-func TestFirstAttemptsAreBounded(t *testing.T) {
+// TestRememberedPinsAreBounded expects the memory of first attempts to be bounded in number and in time.
+func TestRememberedPinsAreBounded(t *testing.T) {
 	config := DefaultConfig
-	config.MaxFirstAttempts = 10
+	config.MaxIdempotencyKeys = 10
 	c := New(config)
 	c.Step(0, []Event{SnapshotLoaded{listingAt(5, "1")}})
 	for i := range 1000 {
 		_, _ = c.ResolveIdempotent(time.Duration(i), fmt.Sprint(i), time.Hour, currentAlias, nil)
 	}
-	if n := c.Status(0).FirstAttempts; n != 10 {
+	if n := c.Status(0).IdempotencyKeys; n != 10 {
 		t.Errorf("%d first attempts remembered", n)
 	}
 	c.Step(3*time.Hour, nil)
-	if c.Status(3*time.Hour).FirstAttempts != 0 {
+	if c.Status(3*time.Hour).IdempotencyKeys != 0 {
 		t.Error("first attempts are never forgotten")
 	}
 }
--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -7,7 +7,7 @@
 	"github.com/topazfront/topazfront/internal/server"
 )
 
-// The words of the files and what they mean to the dispatcher. The schemas admit no others.
+// The enum values of the files and the dispatcher's values for them. The schemas reject all other values.
 var (
 	reportSources = map[string]dispatch.ReportSource{"none": dispatch.ReportsNone,
 		"answers": dispatch.ReportsWithResponses, "probes": dispatch.ReportsFromHealthChecks}
@@ -19,7 +19,7 @@
 		"draining": dispatch.EndpointDraining, "gone": dispatch.EndpointRemoved}
 )
 
-// DispatchSettings returns the dispatcher's settings.
+// DispatchSettings converts the settings to those of the dispatcher.
 func (g *Gateway) DispatchSettings() dispatch.Settings {
 	settings := dispatch.Settings{
 		Zone:                g.Zone,
@@ -69,7 +69,7 @@
 	}
 }
 
-// CallBuilder returns what the servers need to know of models and classes.
+// CallBuilder returns the builder with which the servers convert requests to calls.
 func (g *Gateway) CallBuilder() *server.CallBuilder {
 	builder := &server.CallBuilder{
 		Models:          map[string]server.ModelSettings{},
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,3 +1,4 @@
-// Package config reads a gateway's settings, its list of workers, and the files of the gossip between routers: JSON,
-// checked against a schema and then for what a schema cannot express. Every error names the path of the wrong value.
+// Package config reads a gateway's settings, its worker list, and the members and key files of the gossip between
+// routers. JSON files are validated against a schema and then against rules that a schema cannot express. Each problem
+// found in a JSON file is reported with the path of the invalid value.
 package config
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong in a file.
+// Problem is one invalid value in a file.
 type Problem struct {
-	Path    string // JSON pointer to the value; empty: the document
+	Path    string // JSON pointer to the value; empty for the whole document
 	Message string
 }
 
@@ -18,7 +18,7 @@
 	return p.Path + ": " + p.Message
 }
 
-// InvalidError lists everything that is wrong in a file.
+// InvalidError lists all problems found in a file.
 type InvalidError struct {
 	File     string
 	Problems []Problem
@@ -37,7 +37,7 @@
 	e.Problems = append(e.Problems, Problem{path, fmt.Sprintf(format, args...)})
 }
 
-// orNil returns the error if it lists any problem.
+// orNil returns the error if it lists any problem, otherwise nil.
 func (e *InvalidError) orNil() error {
 	if len(e.Problems) == 0 {
 		return nil
@@ -45,7 +45,7 @@
 	return e
 }
 
-// invalidDocument returns the error of a document that as a whole cannot be read.
+// invalidDocument returns the error for a document that cannot be decoded.
 func invalidDocument(file, text string) error {
 	return &InvalidError{File: file, Problems: []Problem{{Message: text}}}
 }
--- a/internal/config/follow.go
+++ b/internal/config/follow.go
@@ -8,35 +8,36 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// PollInterval is how often a file is read without a file event: events may be lost when many come at once.
+// PollInterval is the interval at which a file is read even without a file event, because events can be lost when many
+// occur at once.
 const PollInterval = time.Second
 
-// follower reads one file for as long as FollowFile runs, in its caller's goroutine.
+// follower is the state of one FollowFile. It belongs to that call's goroutine.
 type follower struct {
 	FileHandler
 	path        string
 	lastContent string
-	unreadable  bool // the last read failed
+	readFailed  bool // the last read failed
 	rejected    bool // Apply rejected lastContent
 }
 
-// FileHandler is notified of a file that is followed.
+// FileHandler receives the reads of a file that FollowFile follows.
 type FileHandler struct {
-	Apply   func(raw []byte) error // takes the content, now and after each change
-	Reject  func(error)            // takes the error where the file can't be read or Apply fails
-	Confirm func(readAt time.Time) // is called after each read that found what was last applied; nil: not called
+	Apply   func(raw []byte) error // is called with the content at the start and after each change
+	Reject  func(error)            // is called if the file is unreadable, Apply fails or the file watch fails
+	Confirm func(readAt time.Time) // is called after each read that found the content last applied; may be nil
 }
 
-// FollowFile tells a handler of a file's content. Content that Apply rejected is not tried again until it changes. It returns
-// when stop is closed.
+// FollowFile reads a file now and after each change, and calls the handler. Content that Apply rejected is not applied
+// again until it changes. FollowFile returns when stop is closed.
 func FollowFile(path string, stop <-chan struct{}, handler FileHandler) {
-	// Watches are few on some systems (inotify(7), max_user_instances). Without one the file is polled
-	// all the same: a worker list must not go unread because of that.
+	// Some systems allow few watches (inotify(7), max_user_instances). Without a watch the file is still polled, so
+	// that changes of a worker list take effect.
 	var events chan fsnotify.Event
 	var errs chan error
 	if watcher, err := fsnotify.NewWatcher(); err == nil {
 		defer func() { _ = watcher.Close() }()
-		// The folder is watched, as a file that is replaced by rename is another file.
+		// The directory is watched, because a watch on the file ends when a rename replaces the file.
 		if err := watcher.Add(filepath.Dir(path)); err == nil {
 			events, errs = watcher.Events, watcher.Errors
 		}
@@ -61,18 +62,18 @@
 	}
 }
 
-// read applies the file's content if it has changed, or can be read again.
+// read reads the file. It applies the content if it has changed or if the previous read failed.
 func (f *follower) read() {
 	readAt := time.Now()
 	raw, err := os.ReadFile(f.path)
 	if err != nil {
-		if !f.unreadable { // reported once, not at each poll
+		if !f.readFailed { // reported once, not after each poll
 			f.Reject(err)
 		}
-		f.unreadable = true
+		f.readFailed = true
 		return
 	}
-	if string(raw) != f.lastContent || f.unreadable {
+	if string(raw) != f.lastContent || f.readFailed {
 		f.applyContent(raw)
 	}
 	if f.Confirm != nil && !f.rejected {
@@ -80,10 +81,10 @@
 	}
 }
 
-// applyContent applies content that is new, or was not readable for a while.
+// applyContent applies the content and reports an error of Apply to Reject.
 func (f *follower) applyContent(raw []byte) {
 	f.lastContent = string(raw)
-	f.unreadable = false
+	f.readFailed = false
 	err := f.Apply(raw)
 	f.rejected = err != nil
 	if err != nil {
--- a/internal/config/follow_test.go
+++ b/internal/config/follow_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// eventTimeout is how long a test waits for a change of a file to be seen.
+// eventTimeout bounds a test's wait for the effect of a file change.
 const eventTimeout = 20 * time.Second
 
-// replaceFile replaces a file by rename.
+// replaceFile replaces a file through a rename.
 func replaceFile(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path+".tmp", []byte(content), 0o644); err != nil {
@@ -21,7 +21,7 @@
 	}
 }
 
-// followedWorkers is a worker list under FollowWorkers.
+// followedWorkers records the calls of FollowWorkers to its handler.
 type followedWorkers struct {
 	t         *testing.T
 	applied   chan *WorkerList
@@ -45,7 +45,7 @@
 	return f
 }
 
-// expectApplied waits for a list of so many workers.
+// expectApplied waits for a list with the given number of workers.
 func (f *followedWorkers) expectApplied(workers int) {
 	f.t.Helper()
 	select {
@@ -58,7 +58,7 @@
 	}
 }
 
-// expectRejected waits for an error, and for no list with it.
+// expectRejected waits for an error and checks that no list was applied.
 func (f *followedWorkers) expectRejected() {
 	f.t.Helper()
 	select {
@@ -74,7 +74,8 @@
 	}
 }
 
-// TestFollowWorkers replaces the list in every way that a file may change under a reader.
+// TestFollowWorkers changes the list in each way in which a file can change: by rename, truncation, removal, and in
+// place.
 func TestFollowWorkers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "w.json")
 	replaceFile(t, path, validWorkers)
@@ -84,7 +85,7 @@
 	f.expectRejected()
 	replaceFile(t, path, `{"workers": [{"id": "w1", "address": "127.0.0.1:1"}]}`)
 	f.expectApplied(1)
-	if err := os.Remove(path); err != nil { // removed, then back
+	if err := os.Remove(path); err != nil { // removed, then created again
 		t.Fatal(err)
 	}
 	f.expectRejected()
@@ -96,9 +97,9 @@
 	f.expectApplied(0)
 }
 
-// TestWorkerListIsConfirmedWhileItIsReadable checks that each read which finds the list in force confirms it, and that none
-// does while the file is invalid or missing.
-func TestWorkerListIsConfirmedWhileItIsReadable(t *testing.T) {
+// TestFollowWorkersConfirmsOnlyReadableList checks that each read of the list in use confirms it, and that no read does
+// while the file is invalid or missing.
+func TestFollowWorkersConfirmsOnlyReadableList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "w.json")
 	replaceFile(t, path, validWorkers)
 	f := followWorkers(t, path)
@@ -112,12 +113,12 @@
 	}
 	f.expectApplied(2)
 	awaitConfirm()
-	awaitConfirm() // without a change
-	for name, spoil := range map[string]func(){
+	awaitConfirm() // the file is unchanged
+	for name, damage := range map[string]func(){
 		"invalid": func() { replaceFile(t, path, validWorkers[:40]) },
 		"missing": func() { _ = os.Remove(path) },
 	} {
-		spoil()
+		damage()
 		f.expectRejected()
 		for len(f.confirmed) > 0 {
 			<-f.confirmed
@@ -132,8 +133,8 @@
 	}
 }
 
-// TestFollowFileWithoutWatch guards against files that went unread where the system gave no watch: here the folder does
-// not exist yet.
+// TestFollowFileWithoutWatch guards against files that are never read because they cannot be watched: here the
+// directory does not exist yet.
 func TestFollowFileWithoutWatch(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	path := filepath.Join(dir, "f")
@@ -158,7 +159,7 @@
 				t.Errorf("read %q, want %q", got, want)
 			}
 		case <-time.After(eventTimeout):
-			t.Fatal("never read")
+			t.Fatal("the file was not read")
 		}
 	}
 	close(stop)
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -5,13 +5,13 @@
 // Milliseconds is a duration in milliseconds, the unit of the files.
 type Milliseconds float64
 
-// Duration converts to Go's unit.
+// Duration converts m to a time.Duration.
 func (m Milliseconds) Duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Millisecond))
 }
 
-// Gateway holds the settings of one gateway; gateway.schema.json lists its keys. Keys are older than the Go names and
-// stay as they are.
+// Gateway holds the settings of one gateway; gateway.schema.json lists its keys. Some keys differ from the Go names;
+// they are kept for compatibility with existing files.
 type Gateway struct {
 	Name         string           `json:"name"`
 	Listen       string           `json:"listen"` // host:port of the gRPC server
@@ -23,22 +23,22 @@
 	Classes      []Class          `json:"classes"`
 	Tenants      []Tenant         `json:"tenants"`
 	Models       map[string]Model `json:"models"`
-	DefaultModel *Model           `json:"default_model"` // for models that are not listed; nil: such calls are rejected
+	DefaultModel *Model           `json:"default_model"` // for models that are not listed; nil rejects calls to them
 	Loading      LoadingSettings  `json:"loading"`
 	LoadReports  string           `json:"reports"` // none, answers or probes
 	Limits       Limits           `json:"limits"`
 	Safety       SafetySettings   `json:"safety"`
-	Gossip       *Gossip          `json:"gossip"` // nil: no gossip
+	Gossip       *Gossip          `json:"gossip"` // nil if gossip is off
 	Admin        AdminSettings    `json:"control"`
 	Log          LogSettings      `json:"log"`
 }
 
-// WorkerSettings say where the workers are listed and how they are connected to.
+// WorkerSettings configure the worker list and the connections to workers.
 type WorkerSettings struct {
-	File               string       `json:"file"` // the worker list, followed
+	File               string       `json:"file"` // path of the worker list, which is reloaded when it changes
 	ConnectTimeout     Milliseconds `json:"connect_timeout_ms"`
-	MaxConnections     int          `json:"connections"`  // most for each worker
-	CheckInterval      Milliseconds `json:"ask_after_ms"` // between health checks of a worker that reported that it drains
+	MaxConnections     int          `json:"connections"`  // per worker
+	CheckInterval      Milliseconds `json:"ask_after_ms"` // between health checks of a worker that reported draining
 	HealthCheckTimeout Milliseconds `json:"probe_timeout_ms"`
 }
 
@@ -52,12 +52,12 @@
 type Class struct {
 	Name                string       `json:"name"`
 	LatencyObjective    Milliseconds `json:"aim_ms"`
-	Deadline            Milliseconds `json:"deadline_ms"`
-	PriorityWeight      float64      `json:"worth"`
-	LateValueFraction   float64      `json:"late_share"`
+	Deadline            Milliseconds `json:"deadline_ms"`     // of a call whose client sets none
+	PriorityWeight      float64      `json:"worth"`           // of a response within the latency objective
+	LateValueFraction   float64      `json:"late_share"`      // of PriorityWeight, for a later response
 	Idempotency         string       `json:"effect"`          // safe, keyed or unsafe
-	DeduplicationScope  string       `json:"scope,omitempty"` // all, zone or cell; needed where Idempotency is keyed
-	DeduplicationWindow Milliseconds `json:"window_ms"`       // needed where Idempotency is keyed
+	DeduplicationScope  string       `json:"scope,omitempty"` // all, zone or cell; required if Idempotency is keyed
+	DeduplicationWindow Milliseconds `json:"window_ms"`       // required if Idempotency is keyed
 }
 
 // Tenant describes one tenant.
@@ -77,7 +77,7 @@
 	Versions               []string     `json:"versions,omitempty"`
 }
 
-// LoadingSettings say how workers come to hold models.
+// LoadingSettings configure how models are loaded at workers, and the load rate limit.
 type LoadingSettings struct {
 	OnCacheMiss         string       `json:"on_miss"` // load or refuse
 	CommandsAllowed     bool         `json:"may_order"`
@@ -89,20 +89,20 @@
 	RateRatio           float64      `json:"ration_share"`
 }
 
-// Limits bounds attempts, messages and streams, and says what the gateway may do besides a first attempt.
+// Limits bound attempts, messages and streams, and allow or forbid hedging, cancellation and health checks.
 type Limits struct {
 	MaxAttempts         int          `json:"attempts"`
 	HedgingAllowed      bool         `json:"second_copies"`
 	CancelAllowed       bool         `json:"cancel"`
 	HealthChecksAllowed bool         `json:"probe"`
 	MaxRetryAfter       Milliseconds `json:"retry_after_ms"`
-	ResponseMargin      Milliseconds `json:"answer_margin_ms"` // part of a client's deadline that is kept for the response's way back
+	ResponseMargin      Milliseconds `json:"answer_margin_ms"` // subtracted from a client's deadline to send the response
 	MaxMessageBytes     int          `json:"message_bytes"`
-	MaxStreams          uint32       `json:"streams"` // most open at once on one connection
+	MaxStreams          uint32       `json:"streams"` // concurrent streams per connection
 	StreamWindowBytes   uint32       `json:"stream_window_bytes"`
 }
 
-// SafetySettings bound what is sent to workers that drain or have just started, and detect overload.
+// SafetySettings limit the load of workers that are draining or have just started.
 type SafetySettings struct {
 	DrainGrace        Milliseconds `json:"drain_grace_ms"`
 	SlowStartShare    float64      `json:"cold_share"`
@@ -113,16 +113,16 @@
 
 // AdminSettings say where the admin API is served.
 type AdminSettings struct {
-	Socket string `json:"socket"` // path of a Unix socket; empty: not served
+	Socket string `json:"socket"` // path of a Unix socket; empty if the API is not served
 }
 
-// LogSettings say what is logged, and how.
+// LogSettings configure the log.
 type LogSettings struct {
 	Level  string `json:"level"`  // debug, info, warn or error
 	Format string `json:"format"` // text or json
 }
 
-// Defaults returns the settings that hold where a file has none.
+// Defaults returns the values of the settings that a file leaves out.
 func Defaults() Gateway {
 	return Gateway{
 		Name:    "router",
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -18,7 +18,7 @@
 	"github.com/topazfront/topazfront/internal/wallclock"
 )
 
-// indentedJSON marshals a value as the golden files hold it.
+// indentedJSON marshals a value in the format of the golden files.
 func indentedJSON(t *testing.T, value any) []byte {
 	t.Helper()
 	raw, err := json.MarshalIndent(value, "", " ")
@@ -28,8 +28,8 @@
 	return append(raw, '\n')
 }
 
-// TestGoldenGateway holds what is read from a file with every key, each of another value, and what the file's
-// settings become for the dispatcher, the servers and the gossip agent.
+// TestGoldenGateway parses a file that has every key, each with a different value. It compares the settings, and their
+// conversions for the dispatcher, the servers and the gossip agent, with golden files.
 func TestGoldenGateway(t *testing.T) {
 	g, err := Parse("gateway.json", golden.Read(t, "gateway.json"))
 	if err != nil {
@@ -58,7 +58,7 @@
 		a.Quorum.ClaimLifetime, a.CheckTimeout, a.Seed))
 }
 
-// TestGoldenGatewayHasEveryKey guards the golden input: a key that is added to the settings is added there too.
+// TestGoldenGatewayHasEveryKey checks that the golden input sets every key, so that a new setting is added there too.
 func TestGoldenGatewayHasEveryKey(t *testing.T) {
 	g, err := Parse("gateway.json", golden.Read(t, "gateway.json"))
 	if err != nil {
@@ -84,28 +84,29 @@
 	}
 }
 
-// TestGoldenDefaults holds the settings that a file without them gets.
+// TestGoldenDefaults compares the default settings with a golden file.
 func TestGoldenDefaults(t *testing.T) {
 	golden.Compare(t, "defaults.out", indentedJSON(t, Defaults()))
 }
 
-// utcClock is a router's clock that shows 0 at the start of December 2026, and the year's end by now.
-type utcClock struct{}
+// decemberClock is a router's clock that was 0 at the start of December 2026 and is now at the end of that year.
+type decemberClock struct{}
 
-func (utcClock) Now() time.Duration { return 31 * 24 * time.Hour }
+func (decemberClock) Now() time.Duration { return 31 * 24 * time.Hour }
 
-func (utcClock) FromWallTime(moment wallclock.Time) time.Duration {
+func (decemberClock) FromWallTime(moment wallclock.Time) time.Duration {
 	return moment.Sub(wallclock.FromTime(time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)))
 }
 
-// TestGoldenWorkers holds what is read from a worker list with every key, and how it is written.
+// TestGoldenWorkers compares a parsed worker list that has every key with a golden file, and checks that it is written
+// as it was read.
 func TestGoldenWorkers(t *testing.T) {
 	raw := golden.Read(t, "workers.json")
 	list, err := ParseWorkers("workers.json", raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	workers := list.Endpoints(endpoints.NewStartTimes(utcClock{}))
+	workers := list.Endpoints(endpoints.NewStartTimes(decemberClock{}))
 	golden.Compare(t, "workers.out", fmt.Appendf(nil, "%s\n%s\n", golden.PlainValue(workers),
 		golden.PlainValue(list.StartTimes())))
 	path := filepath.Join(t.TempDir(), "workers.json")
@@ -121,7 +122,7 @@
 	}
 }
 
-// TestGoldenMembers holds what is read from a file of admitted routers, and how it is written.
+// TestGoldenMembers compares a parsed members file with a golden file, and checks that it is written as it was read.
 func TestGoldenMembers(t *testing.T) {
 	raw := golden.Read(t, "members.json")
 	members, err := ParseMembers("members.json", raw)
@@ -144,7 +145,7 @@
 	}
 }
 
-// TestGoldenSchemas holds the schemas but for their texts for readers.
+// TestGoldenSchemas compares the schemas, without titles and descriptions, with golden files.
 func TestGoldenSchemas(t *testing.T) {
 	for name, schema := range map[string][]byte{"gateway": gatewaySchema, "workers": workersSchema, "members": membersSchema} {
 		t.Run(name, func(t *testing.T) {
@@ -152,14 +153,14 @@
 			if err := json.Unmarshal(schema, &doc); err != nil {
 				t.Fatal(err)
 			}
-			removeTexts(doc)
+			removeDescriptions(doc)
 			golden.Compare(t, name+"_schema.out", indentedJSON(t, doc))
 		})
 	}
 }
 
-// removeTexts removes titles and descriptions; a setting of such a name would be an object and stays.
-func removeTexts(v any) {
+// removeDescriptions removes titles and descriptions. A setting named title or description is an object and is kept.
+func removeDescriptions(v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for _, key := range []string{"title", "description"} {
@@ -168,11 +169,11 @@
 			}
 		}
 		for _, inner := range v {
-			removeTexts(inner)
+			removeDescriptions(inner)
 		}
 	case []any:
 		for _, inner := range v {
-			removeTexts(inner)
+			removeDescriptions(inner)
 		}
 	}
 }
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -11,19 +11,19 @@
 
 // Gossip holds the settings of the gossip between routers.
 type Gossip struct {
-	ID                  string       `json:"id"`        // of this router among the admitted ones; empty: the gateway's name
+	ID                  string       `json:"id"`        // of this router in the members file; empty means Gateway.Name
 	Listen              string       `json:"listen"`    // IP address and port, for UDP and TCP
-	Advertise           string       `json:"advertise"` // where other routers reach this one; empty: as it listens
-	Seeds               []string     `json:"seeds"`     // addresses where other routers may be found
-	MembersFile         string       `json:"members"`   // file of the admitted routers and their keys, followed
-	KeyFile             string       `json:"key"`       // file of this router's private key, followed
-	Preset              string       `json:"preset"`    // local or wide; empty: local
+	Advertise           string       `json:"advertise"` // address for other routers to connect to; empty means Listen
+	Seeds               []string     `json:"seeds"`     // addresses of other routers to join through
+	MembersFile         string       `json:"members"`   // path of the list of admitted routers; reloaded when it changes
+	KeyFile             string       `json:"key"`       // path of this router's private key; reloaded when it changes
+	Preset              string       `json:"preset"`    // local or wide; empty means local
 	BytesPerSecond      float64      `json:"bytes_per_s"`
 	MessagesPerSecond   float64      `json:"messages_per_s"`
-	VerificationTimeout Milliseconds `json:"look_timeout_ms"`
+	VerificationTimeout Milliseconds `json:"look_timeout_ms"` // of a health check that verifies a suspicion
 }
 
-// check adds what is wrong in the settings and a schema cannot express.
+// check adds the problems that the schema cannot express.
 func (g *Gossip) check(invalid *InvalidError) {
 	checkAddress(invalid, "/gossip/listen", g.Listen)
 	if g.Advertise != "" {
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkAddress adds a problem where an address is not an IP address and a port.
+// checkAddress adds a problem if an address is not an IP address with a port.
 func checkAddress(invalid *InvalidError, path, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err == nil && net.ParseIP(host) == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// AgentConfig returns the gossip agent's settings, without the key and the members, which are read from files. name is the
-// gateway's.
+// AgentConfig converts the settings to those of the gossip agent, except for the key and the members, which are read
+// from files. name is the gateway's name.
 func (g *Gossip) AgentConfig(name string, seed uint64) agent.Config {
 	id := name
 	if g.ID != "" {
@@ -70,7 +70,7 @@
 	if preset, ok := gossip.Presets[g.Preset]; ok {
 		agentConfig.Gossip = preset
 	}
-	if g.BytesPerSecond > 0 { // the burst keeps its ratio to the rate
+	if g.BytesPerSecond > 0 { // the burst is scaled with the rate
 		agentConfig.Gossip.BurstBytes *= g.BytesPerSecond / agentConfig.Gossip.BytesPerSecond
 		agentConfig.Gossip.BytesPerSecond = g.BytesPerSecond
 	}
--- a/internal/config/gossip_golden_test.go
+++ b/internal/config/gossip_golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// TestGoldenKeyFile holds the bytes of a router's key file.
+// TestGoldenKeyFile compares a key file with its expected bytes, and parses it.
 func TestGoldenKeyFile(t *testing.T) {
 	key := agent.Key{Name: "k1", Private: ed25519.NewKeyFromSeed(bytes.Repeat([]byte{7}, ed25519.SeedSize))}
 	got, err := FormatKey(key)
@@ -26,6 +26,6 @@
 	}
 	back, err := ParseKey("key.pem", []byte(want))
 	if err != nil || back.Name != key.Name || !back.Private.Equal(key.Private) {
-		t.Errorf("read back as %q, %v", back.Name, err)
+		t.Errorf("parsed as %q, %v", back.Name, err)
 	}
 }
--- a/internal/config/gossip_test.go
+++ b/internal/config/gossip_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// withGossip returns a gateway's settings with these of gossip.
-func withGossip(gossip string) []byte {
+// gatewayWithGossip returns valid gateway settings with the given gossip settings.
+func gatewayWithGossip(gossip string) []byte {
 	return []byte(strings.Replace(validGateway, `"models"`, `"gossip": `+gossip+`, "models"`, 1))
 }
 
 func TestParseValidGossip(t *testing.T) {
-	g, err := Parse("g.json", withGossip(
+	g, err := Parse("g.json", gatewayWithGossip(
 		`{"listen": "127.0.0.1:7000", "members": "m.json", "key": "k.pem", "preset": "wide", "bytes_per_s": 4000}`))
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestParseNamesWrongGossipByPath(t *testing.T) {
+func TestParseReportsPathOfInvalidGossipSetting(t *testing.T) {
 	for name, c := range map[string]struct{ gossip, path string }{
 		"no key":                {`{"listen": "127.0.0.1:7000", "members": "m.json"}`, "/gossip: missing property 'key'"},
 		"host by name":          {`{"listen": "localhost:7000", "members": "m", "key": "k"}`, "/gossip/listen"},
@@ -38,8 +38,8 @@
 		"unknown preset":        {`{"listen": "127.0.0.1:7000", "members": "m", "key": "k", "preset": "interplanetary"}`, "/gossip/preset"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := Parse("g.json", withGossip(c.gossip)); err == nil || !strings.Contains(err.Error(), c.path) {
-				t.Errorf("%s: %v, want it to name %s", c.gossip, err, c.path)
+			if _, err := Parse("g.json", gatewayWithGossip(c.gossip)); err == nil || !strings.Contains(err.Error(), c.path) {
+				t.Errorf("%s: %v, want an error with %s", c.gossip, err, c.path)
 			}
 		})
 	}
--- a/internal/config/key.go
+++ b/internal/config/key.go
@@ -12,12 +12,12 @@
 const (
 	keyBlockType  = "PRIVATE KEY"
 	keyNameHeader = "Key-Id"
-	// maxKeyNameBytes is the most that a key's name may have, as in members.schema.json.
+	// maxKeyNameBytes is the maximum length of a key's name. It equals the limit in members.schema.json.
 	maxKeyNameBytes = 31
 )
 
-// ParseKey reads a router's private key: PEM with PKCS #8 (RFC 5958, RFC 8410), its name in the header Key-Id. Errors
-// name the file.
+// ParseKey parses a router's private key: PEM with PKCS #8 (RFC 5958, RFC 8410) and the key's name in the header
+// Key-Id. Errors start with the name of the file.
 func ParseKey(file string, raw []byte) (agent.Key, error) {
 	block, _ := pem.Decode(raw)
 	if block == nil || block.Type != keyBlockType {
@@ -39,7 +39,7 @@
 	return agent.Key{Name: name, Private: private}, nil
 }
 
-// FormatKey writes a key as ParseKey reads it.
+// FormatKey encodes a key in the format that ParseKey parses.
 func FormatKey(key agent.Key) ([]byte, error) {
 	raw, err := x509.MarshalPKCS8PrivateKey(key.Private)
 	if err != nil {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -7,10 +7,10 @@
 	"path/filepath"
 )
 
-// defaultLookTimeout holds where the file has none.
+// defaultVerificationTimeout applies if the gossip settings have no timeout.
 const defaultVerificationTimeout Milliseconds = 400
 
-// Load reads and checks a gateway's settings. Relative paths in them are relative to the file's folder.
+// Load reads and validates a gateway's settings. Relative paths in them are resolved against the file's directory.
 func Load(path string) (*Gateway, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return g, nil
 }
 
-// Parse checks a gateway's settings and fills in defaults. Problems of the settings are an InvalidError, which names
-// them by file.
+// Parse validates a gateway's settings and fills in defaults. Invalid settings are reported as an InvalidError, in
+// which file is the name of the document.
 func Parse(file string, raw []byte) (*Gateway, error) {
 	g := Defaults()
 	if err := decode(file, raw, gatewaySchema, &g); err != nil {
@@ -50,7 +50,7 @@
 	return &g, nil
 }
 
-// check adds what is wrong in the settings and a schema cannot express.
+// check adds the problems that the schema cannot express.
 func (g *Gateway) check(invalid *InvalidError) {
 	if _, _, err := net.SplitHostPort(g.Listen); err != nil {
 		invalid.add("/listen", "%v", err)
@@ -69,7 +69,7 @@
 	}
 }
 
-// checkClasses returns the names of the classes.
+// checkClasses checks the classes and returns their names.
 func (g *Gateway) checkClasses(invalid *InvalidError) map[string]bool {
 	names := map[string]bool{}
 	for i, c := range g.Classes {
@@ -88,6 +88,7 @@
 	return names
 }
 
+// checkModels checks that each model's class exists, and that there is a model.
 func (g *Gateway) checkModels(invalid *InvalidError, classes map[string]bool) {
 	for name, m := range g.Models {
 		if !classes[m.Class] {
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestParseNamesWrongValuesByPath changes one thing at a time.
-func TestParseNamesWrongValuesByPath(t *testing.T) {
+// TestParseReportsPathOfInvalidValue makes one change at a time to valid settings.
+func TestParseReportsPathOfInvalidValue(t *testing.T) {
 	for _, c := range []struct{ name, from, to, path string }{
 		{"listen without host", `"listen": "127.0.0.1:9000"`, `"listen": "9000"`, "/listen"},
 		{"listen a number", `"listen": "127.0.0.1:9000"`, `"listen": 9000`, "/listen"},
@@ -60,7 +60,7 @@
 			_, err := Parse("g.json", []byte(strings.Replace(validGateway, c.from, c.to, 1)))
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || !strings.Contains(err.Error(), c.path) || !strings.HasPrefix(err.Error(), "g.json: ") {
-				t.Errorf("%s: %v, want it to name %s", c.to, err, c.path)
+				t.Errorf("%s: %v, want an error with %s", c.to, err, c.path)
 			}
 		})
 	}
@@ -73,11 +73,11 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if g, err := Parse("g", raw); err == nil {
 			if _, err := dispatch.New(g.DispatchSettings(), 1); err != nil {
-				t.Fatalf("settings that pass the check are rejected by the dispatcher: %v", err)
+				t.Fatalf("the dispatcher rejects settings that Parse accepts: %v", err)
 			}
 		}
 		if list, err := ParseWorkers("w", raw); err == nil {
-			list.Endpoints(endpoints.NewStartTimes(utcClock{}))
+			list.Endpoints(endpoints.NewStartTimes(decemberClock{}))
 		}
 	})
 }
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -8,7 +8,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// Member is one admitted router.
+// Member is one router that is admitted to the gossip.
 type Member struct {
 	ID   string      `json:"id"`
 	Keys []MemberKey `json:"keys"`
@@ -20,12 +20,13 @@
 	PublicKey string `json:"public"` // Ed25519, base64
 }
 
-// MemberList is the content of the file of admitted routers.
+// MemberList is the content of the members file.
 type MemberList struct {
 	Members []Member `json:"members"`
 }
 
-// ParseMembers checks a list of admitted routers. Problems of the list are an InvalidError, which names it by file.
+// ParseMembers parses and validates a list of admitted routers. An invalid list is reported as an InvalidError, in
+// which file is the list's name.
 func ParseMembers(file string, raw []byte) (agent.Members, error) {
 	var list MemberList
 	if err := decode(file, raw, membersSchema, &list); err != nil {
@@ -45,7 +46,7 @@
 	return members, nil
 }
 
-// publicKeys decodes the keys, by their names; path is the router's place in the list.
+// publicKeys decodes the member's keys into a map by key name. path is the JSON pointer to the member.
 func (m Member) publicKeys(path string, invalid *InvalidError) map[string]ed25519.PublicKey {
 	keys := map[string]ed25519.PublicKey{}
 	for i, key := range m.Keys {
--- a/internal/config/members_test.go
+++ b/internal/config/members_test.go
@@ -9,7 +9,7 @@
 	"github.com/topazfront/topazfront/internal/gossip/agent"
 )
 
-// testPrivateKey is made from a seed of zeros.
+// testPrivateKey returns the key whose seed is all zeros.
 func testPrivateKey() ed25519.PrivateKey {
 	return ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 }
@@ -54,7 +54,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseMembers("m.json", []byte(strings.Replace(list, c.from, c.to, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.path) {
-				t.Errorf("%s: %v, want it to name %s", c.to, err, c.path)
+				t.Errorf("%s: %v, want an error with %s", c.to, err, c.path)
 			}
 		})
 	}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -24,14 +24,14 @@
 //go:embed members.schema.json
 var membersSchema []byte
 
-// schemaResource names a schema to its compiler; it is seen nowhere else.
+// schemaResource is the name of a schema within its compiler; it appears nowhere else.
 const schemaResource = "schema.json"
 
 // pointerEscaper escapes one token of a JSON pointer (RFC 6901, section 3).
 var pointerEscaper = strings.NewReplacer("~", "~0", "/", "~1")
 
-// decode checks a document against a schema and unmarshals it into out. Problems of the document are an InvalidError,
-// which names it by file.
+// decode validates a document against a schema and unmarshals it into out. An invalid document is reported as an
+// InvalidError, in which file is the document's name.
 func decode(file string, raw, schema []byte, out any) error {
 	if err := validate(file, raw, schema); err != nil {
 		return err
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// validate checks a document against a schema.
+// validate validates a document against a schema. It returns an InvalidError if the document violates the schema.
 func validate(file string, raw, schema []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
@@ -71,7 +71,7 @@
 	return err
 }
 
-// addViolations adds the innermost causes of a violation, as they name the values at fault.
+// addViolations adds the innermost causes of a violation, because they point to the invalid values.
 func (e *InvalidError) addViolations(violation *jsonschema.ValidationError) {
 	if len(violation.Causes) > 0 {
 		for _, cause := range violation.Causes {
@@ -92,7 +92,7 @@
 	e.add(path, "%s", violation.ErrorKind.LocalizedString(message.NewPrinter(language.English)))
 }
 
-// describeSyntaxError adds the line to an error of JSON syntax.
+// describeSyntaxError describes a JSON syntax error with its line number.
 func describeSyntaxError(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	switch {
@@ -105,5 +105,5 @@
 	return err.Error()
 }
 
-// lineCount counts lines; the last needs no end.
+// lineCount returns the number of lines; the last line may lack a newline.
 func lineCount(raw []byte) int { return 1 + bytes.Count(raw, []byte("\n")) }
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -15,20 +15,21 @@
 	ID        string     `json:"id"`
 	Address   string     `json:"address"` // host:port
 	Zone      string     `json:"zone,omitempty"`
-	Kind      string     `json:"kind,omitempty"` // one of the gateway's kinds
+	Kind      string     `json:"kind,omitempty"` // name of one of Gateway.WorkerKinds
 	Cell      int        `json:"cell,omitempty"`
-	State     string     `json:"state,omitempty"` // on, draining or gone; empty: on
+	State     string     `json:"state,omitempty"` // on, draining or gone; empty means on
 	Weight    float64    `json:"weight,omitempty"`
-	StartedAt *time.Time `json:"started,omitempty"` // when its process last started; nil: long ago
+	StartedAt *time.Time `json:"started,omitempty"` // last start of the worker's process; nil if it started long ago
 }
 
-// WorkerList is the content of the file of workers.
+// WorkerList is the content of the worker list file.
 type WorkerList struct {
 	Workers []Worker `json:"workers"`
 }
 
-// ParseWorkers checks a worker list. Problems of the list are an InvalidError, which names it by file. A list with any
-// problem is rejected whole, so that a half-written one takes no worker out of service.
+// ParseWorkers parses and validates a worker list. An invalid list is reported as an InvalidError, in which file is the
+// list's name. A list with any problem is rejected as a whole, so that a half-written file takes no worker out of
+// service.
 func ParseWorkers(file string, raw []byte) (*WorkerList, error) {
 	var list WorkerList
 	if err := decode(file, raw, workersSchema, &list); err != nil {
@@ -50,7 +51,8 @@
 	return &list, nil
 }
 
-// Endpoints converts the list for the router. starts is the one with which the lists before it were converted.
+// Endpoints converts the list to the router's form. All lists from one file must be converted with the same starts,
+// which keeps the start times of earlier lists.
 func (l *WorkerList) Endpoints(starts *endpoints.StartTimes) []endpoints.Worker {
 	listed := make(map[string]bool, len(l.Workers))
 	workers := make([]endpoints.Worker, 0, len(l.Workers))
@@ -67,7 +69,8 @@
 	return workers
 }
 
-// StartTimes returns the workers' start times in Unix milliseconds, 0 where the list has none: the same at every router.
+// StartTimes returns the workers' start times in Unix milliseconds, or 0 if the list has none. They are the same at
+// every router that reads the list.
 func (l *WorkerList) StartTimes() map[string]uint64 {
 	starts := make(map[string]uint64, len(l.Workers))
 	for _, w := range l.Workers {
@@ -79,17 +82,18 @@
 	return starts
 }
 
-// WriteWorkers replaces a worker list atomically: a reader sees the old list or the new one, never a part.
+// WriteWorkers replaces a worker list file atomically: a reader sees either the old list or the new one.
 func WriteWorkers(path string, list WorkerList) error { return WriteJSON(path, list) }
 
-// WorkerListHandler is notified of a worker list that is followed.
+// WorkerListHandler receives the reads of a worker list that FollowWorkers follows.
 type WorkerListHandler struct {
-	Apply   func(*WorkerList)      // takes the list, now and after each change
-	Reject  func(error)            // takes the error where the file can't be read or has problems; the list applied before stays in force
-	Confirm func(readAt time.Time) // is called after each read that found the list in force
+	Apply   func(*WorkerList)      // is called with the list at the start and after each change
+	Reject  func(error)            // is called if the file is unreadable or invalid; the previous list stays in use
+	Confirm func(readAt time.Time) // is called after each read that found the list last applied
 }
 
-// FollowWorkers tells a handler of a worker list. It returns when stop is closed.
+// FollowWorkers reads a worker list file now and after each change, and calls the handler. It returns when stop is
+// closed.
 func FollowWorkers(path string, stop <-chan struct{}, handler WorkerListHandler) {
 	apply := func(raw []byte) error {
 		list, err := ParseWorkers(path, raw)
--- a/internal/config/workers_test.go
+++ b/internal/config/workers_test.go
@@ -17,15 +17,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	workers := list.Endpoints(endpoints.NewStartTimes(utcClock{}))
+	workers := list.Endpoints(endpoints.NewStartTimes(decemberClock{}))
 	if len(workers) != 2 || workers[0].State != dispatch.EndpointDraining || workers[0].StartedAt != 8*time.Hour ||
 		workers[0].Cell != 2 || workers[1].State != dispatch.EndpointActive {
 		t.Errorf("%+v", workers)
 	}
 }
 
-// TestParseWorkersNamesWrongValuesByPath changes one thing at a time.
-func TestParseWorkersNamesWrongValuesByPath(t *testing.T) {
+// TestParseWorkersReportsPathOfInvalidValue makes one change at a time to a valid list.
+func TestParseWorkersReportsPathOfInvalidValue(t *testing.T) {
 	for _, c := range []struct{ name, from, to, path string }{
 		{"worker named twice", `"w2"`, `"w1"`, "/workers/1/id"},
 		{"address without port", `127.0.0.1:2`, `nowhere`, "/workers/1/address"},
@@ -37,7 +37,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseWorkers("w.json", []byte(strings.Replace(validWorkers, c.from, c.to, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.path) {
-				t.Errorf("%s: %v, want it to name %s", c.to, err, c.path)
+				t.Errorf("%s: %v, want an error with %s", c.to, err, c.path)
 			}
 		})
 	}
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -5,8 +5,9 @@
 	"os"
 )
 
-// WriteJSON replaces a file's content by a value as JSON, atomically: a reader sees the old content or the new. It is for
-// what is written anew at each start, and not synced: after a loss of power the file may be as before, or empty.
+// WriteJSON atomically replaces a file with a value as JSON: a reader sees either the old content or the new. The file
+// is not synced, so after a power failure it may have the old content or be empty. Use it for files that are written
+// again at each start.
 func WriteJSON(path string, value any) error {
 	raw, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
@@ -14,7 +15,7 @@
 	}
 	temporary := path + ".new"
 	if err := os.WriteFile(temporary, raw, 0o644); err != nil {
-		_ = os.Remove(temporary) // on a full disk it would keep the space
+		_ = os.Remove(temporary) // it would keep using space on a full disk
 		return err
 	}
 	return os.Rename(temporary, path)
--- a/internal/registry/blobs.go
+++ b/internal/registry/blobs.go
@@ -38,7 +38,7 @@
 		err = storageError(closeErr)
 	}
 	if err == nil {
-		s.noteStored(content.Digest)
+		s.recordStoreTime(content.Digest)
 		err = s.publishBlob(file.Name(), content.Digest)
 	}
 	if err != nil {
--- a/internal/registry/commit.go
+++ b/internal/registry/commit.go
@@ -22,7 +22,7 @@
 func (s *Store) Commit(batch []Change) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.commitUnclear {
+	if s.commitOutcomeUnknown {
 		if err := s.recoverState(); err != nil {
 			return 0, err
 		}
@@ -44,11 +44,11 @@
 		return s.failpoint(StepCommitTransaction)
 	})
 	if err != nil {
-		s.commitUnclear = true
+		s.commitOutcomeUnknown = true
 		return 0, fmt.Errorf("registry: revision %d not acknowledged: %w", revision.Number, storageError(err))
 	}
 	if err := s.state.Apply(*revision); err != nil {
-		s.commitUnclear = true
+		s.commitOutcomeUnknown = true
 		return 0, fmt.Errorf("registry: revision %d is on disk and could not be applied: %w", revision.Number, err)
 	}
 	s.notifyWatchers()
@@ -72,7 +72,7 @@
 	if err != nil {
 		return storageError(err)
 	}
-	s.commitUnclear = false
+	s.commitOutcomeUnknown = false
 	if state.Revision() != s.state.Revision() {
 		s.state = state
 		s.notifyWatchers()
--- a/internal/registry/crash_test.go
+++ b/internal/registry/crash_test.go
@@ -18,7 +18,7 @@
 	acknowledged uint64                  // the latest revision that a Commit or a reopened store has shown
 	aliases      map[AliasRef]VersionRef // as of that revision
 	pending      map[AliasRef]VersionRef // what the batch in progress would make of them; nil if there is none
-	hits         map[Step]int            // number of crashes at a step
+	crashesAt         map[Step]int            // number of crashes at a step
 }
 
 // TestCrashAtAnyStep simulates crashes at random steps, opens the store anew after each and compares its state with
@@ -34,16 +34,16 @@
 		rng:     rand.New(rand.NewPCG(1, 15)),
 		dir:     t.TempDir(),
 		aliases: map[AliasRef]VersionRef{},
-		hits:    map[Step]int{},
+		crashesAt:    map[Step]int{},
 	}
 	for crash := range crashes {
 		c.runUntilCrash(crash)
 		c.checkRecovery(crash)
 	}
-	t.Logf("%d crashes: %v", crashes, c.hits)
+	t.Logf("%d crashes: %v", crashes, c.crashesAt)
 	for _, step := range []Step{StepCreateTempFile, StepWriteBlob, StepSyncBlob, StepRenameBlob, StepSyncDirectories,
 		StepBeginTransaction, StepWriteChange, StepCommitTransaction, StepAcknowledge} {
-		if c.hits[step] == 0 && crashes >= 60 {
+		if c.crashesAt[step] == 0 && crashes >= 60 {
 			t.Errorf("no crash at %q", step)
 		}
 	}
@@ -55,7 +55,7 @@
 	stepsLeft := c.rng.IntN(24)
 	s := mustOpenStore(c.t, c.dir, Options{MaxRevisions: 5, Failpoint: func(step Step) error {
 		if stepsLeft--; stepsLeft < 0 {
-			c.hits[step]++
+			c.crashesAt[step]++
 			return errCrash
 		}
 		return nil
@@ -64,7 +64,7 @@
 		if revision := state.Revision(); revision < c.acknowledged || revision > c.acknowledged+1 {
 			c.t.Fatalf("crash %d: revision %d, acknowledged %d", crash, revision, c.acknowledged)
 		}
-		c.adopt(state)
+		c.setAcknowledged(state)
 	})
 	if failures := s.Verify(nil); len(failures) > 0 {
 		c.t.Fatalf("crash %d: %v", crash, failures)
@@ -112,13 +112,13 @@
 					crash, revision, c.acknowledged, alias, got)
 			}
 		}
-		c.adopt(state)
+		c.setAcknowledged(state)
 	})
 	_ = s.Close()
 }
 
-// adopt takes a state as acknowledged, since it is durable.
-func (c *crashTest) adopt(state *State) {
+// setAcknowledged takes a state as acknowledged, since it is durable.
+func (c *crashTest) setAcknowledged(state *State) {
 	c.acknowledged = state.Revision()
 	for _, alias := range state.Aliases() {
 		c.aliases[alias], _ = state.Alias(alias)
--- a/internal/registry/database.go
+++ b/internal/registry/database.go
@@ -109,8 +109,8 @@
 	return err
 }
 
-// load initializes the database where it is empty, and reads the state.
-func (s *Store) load() error {
+// loadState initializes the database where it is empty, and reads the state.
+func (s *Store) loadState() error {
 	if err := s.db.Update(initializeDatabase); err != nil {
 		return fmt.Errorf("%s: %w", s.dir, storageError(err))
 	}
@@ -141,7 +141,7 @@
 			return err
 		}
 		revisions, err := readRevisions(tx)
-		state.recent = latestInRow(revisions, number, state.maxRecent)
+		state.recent = latestContiguous(revisions, number, state.maxRecent)
 		return err
 	})
 	return state, err
@@ -208,9 +208,9 @@
 	return revisions, err
 }
 
-// latestInRow returns the revisions at the end that lead to the latest without a gap, maxRevisions of them at the most. A
+// latestContiguous returns the revisions at the end that lead to the latest without a gap, maxRevisions of them at the most. A
 // store that was opened with other options may have left older ones, with a gap.
-func latestInRow(revisions []Revision, latest uint64, maxRevisions int) []Revision {
+func latestContiguous(revisions []Revision, latest uint64, maxRevisions int) []Revision {
 	first := len(revisions)
 	for want := latest; first > 0 && len(revisions)-first < maxRevisions && revisions[first-1].Number == want; want-- {
 		first--
--- a/internal/registry/database_faults_linux_test.go
+++ b/internal/registry/database_faults_linux_test.go
@@ -57,8 +57,8 @@
 	return s, f
 }
 
-// failSync makes syncs fail until repair.
-func (f *faultyDatabase) failSync() {
+// breakSync makes syncs fail until repair.
+func (f *faultyDatabase) breakSync() {
 	null, err := os.OpenFile(os.DevNull, os.O_RDWR, 0)
 	if err != nil {
 		f.t.Fatal(err)
@@ -78,7 +78,7 @@
 	_ = f.saved.Close()
 }
 
-func (f *faultyDatabase) isMeta(offset int64) bool { return offset < 2*int64(f.db.Info().PageSize) }
+func (f *faultyDatabase) isMetaPage(offset int64) bool { return offset < 2*int64(f.db.Info().PageSize) }
 
 // commitFault returns what is called for each write of a commit.
 type commitFault func(f *faultyDatabase) func(n int, p []byte, offset int64) (int, error)
@@ -99,8 +99,8 @@
 func failSync(meta bool) commitFault {
 	return func(f *faultyDatabase) func(int, []byte, int64) (int, error) {
 		return func(_ int, p []byte, offset int64) (int, error) {
-			if f.isMeta(offset) == meta {
-				f.failSync()
+			if f.isMetaPage(offset) == meta {
+				f.breakSync()
 			}
 			return len(p), nil
 		}
@@ -111,7 +111,7 @@
 func failMetaWrite(keep int) commitFault {
 	return func(f *faultyDatabase) func(int, []byte, int64) (int, error) {
 		return func(_ int, p []byte, offset int64) (int, error) {
-			if f.isMeta(offset) {
+			if f.isMetaPage(offset) {
 				return min(keep, len(p)), syscall.EIO
 			}
 			return len(p), nil
@@ -182,9 +182,9 @@
 	})
 }
 
-// TestDatabaseCutAtEachByte writes the pages of a commit in the order of a database, up to each byte that differs, and
+// TestPartiallyWrittenCommit writes the pages of a commit in the order of a database, up to each byte that differs, and
 // opens the store: it is as before the commit, or as after it.
-func TestDatabaseCutAtEachByte(t *testing.T) {
+func TestPartiallyWrittenCommit(t *testing.T) {
 	dir := t.TempDir()
 	s := mustOpenStore(t, dir, Options{})
 	if err := pushContent(s, "1", "text"); err != nil {
@@ -198,8 +198,8 @@
 	}
 	_ = s.Close()
 	after, _ := os.ReadFile(path)
-	cut := bytes.Clone(after)
-	copy(cut, before)
+	partial := bytes.Clone(after)
+	copy(partial, before)
 	order := make([]int, 0, len(after)) // of the bytes that the commit changed, the meta pages last
 	for i := 2 * pageSize; i < len(after); i++ {
 		order = append(order, i)
@@ -209,11 +209,11 @@
 	}
 	outcomes := map[uint64]int{}
 	for _, i := range order {
-		if cut[i] == after[i] {
+		if partial[i] == after[i] {
 			continue
 		}
-		cut[i] = after[i]
-		outcomes[openCut(t, dir, cut)]++
+		partial[i] = after[i]
+		outcomes[openPartialCommit(t, dir, partial)]++
 	}
 	if outcomes[1] == 0 || outcomes[2] == 0 {
 		t.Errorf("times that a revision was found: %v", outcomes)
@@ -221,8 +221,8 @@
 	t.Logf("times that a revision was found: %v", outcomes)
 }
 
-// openCut opens the store with that database and returns its revision.
-func openCut(t *testing.T, dir string, database []byte) uint64 {
+// openPartialCommit opens the store with that database and returns its revision.
+func openPartialCommit(t *testing.T, dir string, database []byte) uint64 {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(dir, databaseFile), database, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestUndurableContentIsNotReferred: content whose directory could not be synced is visible, but a version may refer to
+// TestUndurableContentIsNotReferenced: content whose directory could not be synced is visible, but a version may refer to
 // it only once it has been stored again.
-func TestUndurableContentIsNotReferred(t *testing.T) {
+func TestUndurableContentIsNotReferenced(t *testing.T) {
 	disk := &faultyfs.FS{}
 	s := mustOpenStore(t, t.TempDir(), Options{fileSystem: disk})
 	defer func() { _ = s.Close() }()
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestKillWhileDatabaseIsCreated cuts the new database short at many lengths, as a kill would. The next open creates it.
-func TestKillWhileDatabaseIsCreated(t *testing.T) {
+// TestKillDuringDatabaseCreation cuts the new database short at many lengths, as a kill would. The next open creates it.
+func TestKillDuringDatabaseCreation(t *testing.T) {
 	dir := t.TempDir()
 	_ = mustOpenStore(t, dir, Options{}).Close()
 	whole, err := os.ReadFile(filepath.Join(dir, databaseFile))
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestDatabaseThatIsOfNoUse: where the database itself fails, as after a mapping that the system refused, the store
+// TestDatabaseIsReopenedAfterFailure: where the database itself fails, as after a mapping that the system refused, the store
 // opens it anew, as soon as it can be opened.
-func TestDatabaseThatIsOfNoUse(t *testing.T) {
+func TestDatabaseIsReopenedAfterFailure(t *testing.T) {
 	broken := false
 	s := mustOpenStore(t, t.TempDir(), Options{openDatabaseFile: func(path string, flag int, mode os.FileMode) (*os.File, error) {
 		if broken {
--- a/internal/registry/gc.go
+++ b/internal/registry/gc.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			return nil // a file of another kind is not for this program to remove
 		}
-		if referenced[digest] || !s.olderThan(digest, gracePeriod) {
+		if referenced[digest] || !s.storedBefore(digest, gracePeriod) {
 			return nil
 		}
 		ok, err := s.removeUnused(path, digest, dryRun)
@@ -35,15 +35,15 @@
 	return removed, err
 }
 
-// noteStored begins the grace period of a content that is about to be published.
-func (s *Store) noteStored(digest Digest) {
+// recordStoreTime begins the grace period of a content that is about to be published.
+func (s *Store) recordStoreTime(digest Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storedAt[digest] = time.Now()
 }
 
-// olderThan reports whether a content was stored longer ago than a time.
-func (s *Store) olderThan(digest Digest, gracePeriod time.Duration) bool {
+// storedBefore reports whether a content was stored longer ago than a time.
+func (s *Store) storedBefore(digest Digest, gracePeriod time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	storedAt, known := s.storedAt[digest]
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -260,7 +260,7 @@
 		rng := rand.New(rand.NewPCG(seed, 7))
 		s := NewState(4)
 		for range 200 {
-			revision, err := s.Prepare(goldenRandomBatch(rng))
+			revision, err := s.Prepare(randomBatch(rng))
 			outcome := 0
 			for i, sentinel := range sentinels {
 				if errors.Is(err, sentinel) {
@@ -282,8 +282,8 @@
 	}
 }
 
-// goldenRandomBatch draws one to three changes over few names, some of which are invalid.
-func goldenRandomBatch(rng *rand.Rand) []Change {
+// randomBatch draws one to three changes over few names, some of which are invalid.
+func randomBatch(rng *rand.Rand) []Change {
 	var batch []Change
 	for range 1 + rng.IntN(3) {
 		version := VersionRef{[]string{"q", "r", "Q"}[min(rng.IntN(20)/9, 2)], fmt.Sprint(rng.IntN(4))}
--- a/internal/registry/names_test.go
+++ b/internal/registry/names_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestDigestsAreParsedAsTheyAreWritten(t *testing.T) {
+func TestParseDigest(t *testing.T) {
 	digest := Digest{1, 0xab}
 	if got, err := ParseDigest(digest.String()); err != nil || got != digest {
 		t.Errorf("%v, %v", got, err)
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestRestoreStateOfNothing: an empty listing has nil maps; what follows it applies.
-func TestRestoreStateOfNothing(t *testing.T) {
+// TestRestoreEmptyState: an empty listing has nil maps; what follows it applies.
+func TestRestoreEmptyState(t *testing.T) {
 	s, err := RestoreState(7, nil, nil, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -101,7 +101,7 @@
 	readers       map[Digest]int       // number of open BlobReaders by content, without zeros
 	undurable     map[Digest]bool      // contents whose names may not be durable, as a sync failed
 	changed       chan struct{}        // closed at the next revision, and replaced
-	commitUnclear bool                 // a commit failed: recoverState reads what became of it
+	commitOutcomeUnknown bool                 // a commit failed: recoverState reads what became of it
 }
 
 // OpenStore opens the store in a directory, which is created where it does not exist. Temporary files that a crash
@@ -128,7 +128,7 @@
 	if err := s.openDatabase(); err != nil {
 		return nil, err
 	}
-	if err := s.prepare(); err != nil {
+	if err := s.recoverDirectory(); err != nil {
 		if created { // its name may not be durable; nothing was acknowledged in it
 			_ = os.Remove(s.databasePath())
 		}
@@ -138,16 +138,16 @@
 	return s, nil
 }
 
-// prepare makes the names that are there durable, reads the state and removes what a crash left half-written. The
+// recoverDirectory makes the names that are there durable, reads the state and removes what a crash left half-written. The
 // database is open, and so no other process changes the directory.
-func (s *Store) prepare() error {
+func (s *Store) recoverDirectory() error {
 	if err := s.syncDirectories(); err != nil {
 		return storageError(err)
 	}
 	if err := s.rewriteMetaPages(); err != nil {
 		return storageError(err)
 	}
-	if err := s.load(); err != nil {
+	if err := s.loadState(); err != nil {
 		return err
 	}
 	if err := s.removeTemporaryFiles(); err != nil {
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestReopenedWithOtherMaxRevisions: watchers get revisions without a gap, or ErrCompacted, whatever was kept before.
-func TestReopenedWithOtherMaxRevisions(t *testing.T) {
+// TestReopenWithDifferentMaxRevisions: watchers get revisions without a gap, or ErrCompacted, whatever was kept before.
+func TestReopenWithDifferentMaxRevisions(t *testing.T) {
 	dir := t.TempDir()
 	var latest uint64
 	for _, maxRevisions := range []int{10, 2, 10, 1, 3} {
@@ -232,17 +232,17 @@
 				t.Fatal(err)
 			}
 			latest++
-			s.View(checkWithoutGap(t, maxRevisions))
+			s.View(checkNoGap(t, maxRevisions))
 		}
 		_ = s.Close()
 		s = mustOpenStore(t, dir, Options{MaxRevisions: 10})
-		s.View(checkWithoutGap(t, 10))
+		s.View(checkNoGap(t, 10))
 		_ = s.Close()
 	}
 }
 
-// checkWithoutGap returns a check of what every watcher gets, and that no more than that many revisions are kept.
-func checkWithoutGap(t *testing.T, maxRevisions int) func(*State) {
+// checkNoGap returns a check of what every watcher gets, and that no more than that many revisions are kept.
+func checkNoGap(t *testing.T, maxRevisions int) func(*State) {
 	return func(state *State) {
 		for after := range state.Revision() {
 			revisions, err := state.RevisionsAfter(after)
