--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -8,8 +8,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Call sends one request to the socket at path and unmarshals the result into out. timeout bounds the connecting and the
-// wait for the response, each. An error of the method is an *Error, wrapped.
+// Call sends one request to the socket at path and unmarshals the result into out. timeout applies to connecting and to
+// waiting for the response, separately. An error of the method is returned as a wrapped *Error.
 func Call(path, method string, params, out any, timeout time.Duration) error {
 	conn, err := netpoll.DialConnection("unix", path, timeout)
 	if err != nil {
@@ -28,27 +28,27 @@
 	if err != nil {
 		return fmt.Errorf("%s: no response: %w", path, err)
 	}
-	var in struct {
+	var resp struct {
 		Result json.RawMessage `json:"result"`
 		Error  *Error          `json:"error"`
 	}
-	if err := json.Unmarshal(line, &in); err != nil {
-		return fmt.Errorf("%s: the response is no JSON-RPC: %w", path, err)
+	if err := json.Unmarshal(line, &resp); err != nil {
+		return fmt.Errorf("%s: the response is not valid JSON-RPC: %w", path, err)
 	}
-	if in.Error != nil {
-		return fmt.Errorf("%s: %w", path, in.Error)
+	if resp.Error != nil {
+		return fmt.Errorf("%s: %w", path, resp.Error)
 	}
-	return json.Unmarshal(in.Result, out)
+	return json.Unmarshal(resp.Result, out)
 }
 
-// encodeRequest encodes the only request of a connection; nil params are left out.
+// encodeRequest encodes the only request of a connection. nil params are omitted.
 func encodeRequest(method string, params any) ([]byte, error) {
-	out := request{Version: protocolVersion, ID: json.RawMessage("1"), Method: method}
+	req := request{Version: protocolVersion, ID: json.RawMessage("1"), Method: method}
 	if params != nil {
 		var err error
-		if out.Params, err = json.Marshal(params); err != nil {
+		if req.Params, err = json.Marshal(params); err != nil {
 			return nil, err
 		}
 	}
-	return json.Marshal(out)
+	return json.Marshal(req)
 }
--- a/internal/adminapi/client_test.go
+++ b/internal/adminapi/client_test.go
@@ -30,6 +30,6 @@
 		})
 	}
 	if err := Call(path+"x", "echo", nil, &result, time.Second); err == nil {
-		t.Error("a socket that does not exist was called")
+		t.Error("a call to a socket that does not exist succeeded")
 	}
 }
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,4 +1,4 @@
-// Package adminapi serves a running program's admin API: JSON-RPC 2.0 (jsonrpc.org/specification), one object a line, over
-// a Unix stream socket that only its owner may open. Requests of one connection are answered in order. Batches are
-// rejected.
+// Package adminapi serves a running program's admin API: JSON-RPC 2.0 (jsonrpc.org/specification), one object per line,
+// over a Unix stream socket that only its owner can open. The requests of a connection are handled in order. Batch
+// requests are rejected.
 package adminapi
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestGoldenRequests holds the lines that Call sends.
+// TestGoldenRequests checks the lines that Call sends, byte for byte.
 func TestGoldenRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		method string
@@ -28,7 +28,7 @@
 			}
 			defer func() { _ = listener.Close() }()
 			lines := make(chan string, 1)
-			go func() { // ends with the listener, or with the call
+			go func() { // ends when the listener is closed or the call has its response
 				defer close(lines)
 				conn, err := listener.Accept()
 				if err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestGoldenResponses holds the lines that a server sends, byte for byte.
+// TestGoldenResponses checks the lines that a server sends, byte for byte.
 func TestGoldenResponses(t *testing.T) {
 	conn, err := net.Dial("unix", startServer(t))
 	if err != nil {
@@ -81,11 +81,11 @@
 	}
 }
 
-// TestGoldenResponseWithoutResult holds what a method without a result is answered by: an empty object.
+// TestGoldenResponseWithoutResult checks that the result in the response is an empty object if the method returns none.
 func TestGoldenResponseWithoutResult(t *testing.T) {
 	s := &Server{methods: map[string]Method{"nothing": func(json.RawMessage) (any, error) { return nil, nil }}}
-	out, _ := s.handle([]byte(`{"jsonrpc":"2.0","id":1,"method":"nothing"}`))
-	if raw, err := json.Marshal(out); err != nil || string(raw) != `{"jsonrpc":"2.0","id":1,"result":{}}` {
+	resp, _ := s.handle([]byte(`{"jsonrpc":"2.0","id":1,"method":"nothing"}`))
+	if raw, err := json.Marshal(resp); err != nil || string(raw) != `{"jsonrpc":"2.0","id":1,"result":{}}` {
 		t.Errorf("%s, %v", raw, err)
 	}
 }
--- a/internal/adminapi/protocol.go
+++ b/internal/adminapi/protocol.go
@@ -8,10 +8,10 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// protocolVersion stands in each request and response.
+// protocolVersion is the JSON-RPC version in each request and response.
 const protocolVersion = "2.0"
 
-// Codes of JSON-RPC 2.0, section 5.1.
+// Error codes of JSON-RPC 2.0, section 5.1.
 const (
 	codeParseError     = -32700
 	codeInvalidRequest = -32600
@@ -19,15 +19,15 @@
 	codeInternalError  = -32603
 )
 
-// maxLineBytes is the longest line that is read.
+// maxLineBytes limits the length of a line.
 const maxLineBytes = 1 << 20
 
-// nullID is the identifier in the response to a request whose own is not known.
+// nullID is the ID in the response to a request whose ID could not be read.
 var nullID = json.RawMessage("null")
 
 type request struct {
 	Version string          `json:"jsonrpc"`
-	ID      json.RawMessage `json:"id,omitempty"` // nil: a notification, which gets no response
+	ID      json.RawMessage `json:"id,omitempty"` // nil in a notification, which gets no response
 	Method  string          `json:"method"`
 	Params  json.RawMessage `json:"params,omitempty"`
 }
@@ -49,11 +49,11 @@
 
 var errLineTooLong = fmt.Errorf("a line of more than %d bytes", maxLineBytes)
 
-// readLine waits for a whole line and returns it without its end. The bytes belong to the reader, and are valid until
-// its next call. A line of more than maxLineBytes is errLineTooLong.
+// readLine waits for a complete line and returns it without the newline. The returned bytes are owned by the reader and
+// valid until its next call. A line of more than maxLineBytes fails with errLineTooLong.
 func readLine(reader netpoll.Reader) ([]byte, error) {
 	for scanned := 0; ; {
-		if _, err := reader.Peek(scanned + 1); err != nil { // waits for more than was scanned
+		if _, err := reader.Peek(scanned + 1); err != nil { // waits for at least one more byte
 			return nil, err
 		}
 		available := reader.Len()
@@ -71,7 +71,7 @@
 	}
 }
 
-// writeLine sends one encoded object.
+// writeLine sends one encoded object and a newline.
 func writeLine(conn netpoll.Connection, object []byte) error {
 	if _, err := conn.Writer().WriteBinary(append(object, '\n')); err != nil {
 		return err
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	idleTimeout     = 30 * time.Second       // of a connection without a request
-	shutdownTimeout = 100 * time.Millisecond // most that Close waits for requests
-	probeTimeout    = time.Second            // for finding out whether a socket is served
-	maxPathBytes    = 107                    // sun_path of unix(7), less its terminating zero
+	idleTimeout     = 30 * time.Second       // maximum time that a connection waits for a request
+	shutdownTimeout = 100 * time.Millisecond // maximum time that Close waits for running requests
+	probeTimeout    = time.Second            // for the connection that tests whether a socket is served
+	maxPathBytes    = 107                    // size of sun_path (unix(7)) without the terminating NUL
 )
 
-// Errors of Listen, to be told apart by errors.Is.
+// Errors of Listen; test for them with errors.Is.
 var (
-	ErrPathTooLong = errors.New("the path is too long for a socket")
-	ErrNotSocket   = errors.New("the file is no socket, and is left alone")
+	ErrPathTooLong = errors.New("the path is too long for a Unix socket")
+	ErrNotSocket   = errors.New("the file is not a socket and was not replaced")
 	ErrSocketInUse = errors.New("another process answers on the socket")
 )
 
-// Method carries out one request. It may be called from several goroutines at once. Its result is marshalled as JSON; a
-// nil result is an empty object.
+// Method handles one request. It must be safe for concurrent use. Its result is marshalled as JSON; a nil result
+// becomes an empty object.
 type Method func(params json.RawMessage) (any, error)
 
-// Server serves the API on one socket. Close ends it.
+// Server serves the API on one socket until Close.
 type Server struct {
 	listener *listen.Listener
 	loop     netpoll.EventLoop
@@ -41,8 +41,9 @@
 	logger   *slog.Logger
 }
 
-// Listen serves the methods on a socket at path. A socket that a process left behind there is replaced; one that is
-// served (ErrSocketInUse), or a file of another kind (ErrNotSocket), is not. methods must not change afterwards.
+// Listen serves the methods on a socket at path. It replaces a stale socket, on which no process listens any more. It
+// fails with ErrSocketInUse if another process serves the socket, and with ErrNotSocket if the file is not a socket.
+// methods must not be changed afterwards.
 func Listen(path string, methods map[string]Method, logger *slog.Logger) (*Server, error) {
 	if len(path) > maxPathBytes {
 		return nil, fmt.Errorf("adminapi: %w: %d bytes, at most %d: %s", ErrPathTooLong, len(path), maxPathBytes, path)
@@ -68,11 +69,11 @@
 	return s, nil
 }
 
-// removeStaleSocket removes a socket that nothing listens on.
+// removeStaleSocket removes the socket at path if no process listens on it.
 func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // listening will tell what is wrong, if anything is
+		return nil // usually no such file; listening reports any other problem
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("%w: %s", ErrNotSocket, path)
@@ -84,7 +85,7 @@
 	return os.Remove(path)
 }
 
-// Close ends the server, after at most shutdownTimeout for requests that are running.
+// Close stops the server. It waits at most shutdownTimeout for running requests.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -92,7 +93,8 @@
 	_ = s.listener.Close()
 }
 
-// serveRequest reads one request of a connection and answers it. An error closes the connection.
+// serveRequest reads one request from a connection and writes the response. After a read error it closes the
+// connection.
 func (s *Server) serveRequest(_ context.Context, conn netpoll.Connection) error {
 	_ = conn.SetReadTimeout(idleTimeout)
 	line, err := readLine(conn.Reader())
@@ -103,51 +105,52 @@
 		_ = conn.Close()
 		return err
 	}
-	out, respond := s.handle(line) // which keeps nothing of the line
-	_ = conn.Reader().Release()    // or a connection's requests would all be kept until it ends
+	resp, respond := s.handle(line) // retains no part of the line
+	_ = conn.Reader().Release()     // without it all requests would stay buffered until the connection ends
 	if respond {
-		writeResponse(conn, out)
+		writeResponse(conn, resp)
 	}
 	return nil
 }
 
-// handle carries one request out. respond is false for a notification. A panic of the method becomes an error.
-func (s *Server) handle(line []byte) (out response, respond bool) {
-	out = response{Version: protocolVersion, ID: nullID}
-	var in request
-	if err := json.Unmarshal(line, &in); err != nil {
-		out.Error = &Error{codeParseError, err.Error()}
+// handle executes one request. respond is false for a valid notification. If the method panics, the response is an
+// error.
+func (s *Server) handle(line []byte) (resp response, respond bool) {
+	resp = response{Version: protocolVersion, ID: nullID}
+	var req request
+	if err := json.Unmarshal(line, &req); err != nil {
+		resp.Error = &Error{codeParseError, err.Error()}
 		if json.Valid(line) {
-			out.Error.Code = codeInvalidRequest
+			resp.Error.Code = codeInvalidRequest
 		}
-		return out, true
+		return resp, true
 	}
-	if in.ID != nil {
-		out.ID = in.ID
+	if req.ID != nil {
+		resp.ID = req.ID
 	}
-	if in.Version != protocolVersion || in.Method == "" {
-		out.Error = &Error{codeInvalidRequest, `"jsonrpc" must be "2.0", and "method" be given`}
-		return out, true
+	if req.Version != protocolVersion || req.Method == "" {
+		resp.Error = &Error{codeInvalidRequest, `"jsonrpc" must be "2.0", and "method" be given`}
+		return resp, true
 	}
-	respond = in.ID != nil
-	method, found := s.methods[in.Method]
+	respond = req.ID != nil
+	method, found := s.methods[req.Method]
 	if !found {
-		out.Error = &Error{codeMethodNotFound, fmt.Sprintf("no method %q here", in.Method)}
-		return out, respond
+		resp.Error = &Error{codeMethodNotFound, fmt.Sprintf("no method %q here", req.Method)}
+		return resp, respond
 	}
-	out.Result, out.Error = s.callMethod(in, method)
-	return out, respond
+	resp.Result, resp.Error = s.callMethod(req, method)
+	return resp, respond
 }
 
-// callMethod calls a method.
-func (s *Server) callMethod(in request, method Method) (result any, failure *Error) {
+// callMethod calls a method and converts its error or panic to an Error.
+func (s *Server) callMethod(req request, method Method) (result any, failure *Error) {
 	defer func() {
 		if p := recover(); p != nil {
-			s.logger.Error("admin method panicked", "method", in.Method, "panic", p)
+			s.logger.Error("admin method panicked", "method", req.Method, "panic", p)
 			result, failure = nil, &Error{codeInternalError, "internal error"}
 		}
 	}()
-	result, err := method(in.Params)
+	result, err := method(req.Params)
 	if err != nil {
 		return nil, &Error{codeInternalError, err.Error()}
 	}
@@ -157,11 +160,12 @@
 	return result, nil
 }
 
-// writeResponse sends a response, or the error of its encoding. A connection that cannot be written to ends by itself.
-func writeResponse(conn netpoll.Connection, out response) {
-	raw, err := json.Marshal(out)
+// writeResponse sends a response, or an error response if the result cannot be encoded. Write errors are ignored,
+// because a broken connection is closed anyway.
+func writeResponse(conn netpoll.Connection, resp response) {
+	raw, err := json.Marshal(resp)
 	if err != nil {
-		raw, _ = json.Marshal(response{Version: protocolVersion, ID: out.ID, Error: &Error{codeInternalError, err.Error()}})
+		raw, _ = json.Marshal(response{Version: protocolVersion, ID: resp.ID, Error: &Error{codeInternalError, err.Error()}})
 	}
 	_ = writeLine(conn, raw)
 }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -18,7 +18,7 @@
 	"panic": func(json.RawMessage) (any, error) { panic("boom") },
 }
 
-// listenForTest serves testMethods on a socket, without a log.
+// listenForTest serves testMethods on a socket and discards the log.
 func listenForTest(path string) (*Server, error) {
 	return Listen(path, testMethods, slog.New(slog.DiscardHandler))
 }
@@ -35,7 +35,8 @@
 	return path
 }
 
-// TestInvalidLines: each is answered by its code, and its connection and others go on.
+// TestInvalidLines checks that the response to each invalid line has the right error code, and that its connection and
+// others stay usable.
 func TestInvalidLines(t *testing.T) {
 	path := startServer(t)
 	conn, err := net.Dial("unix", path)
@@ -47,7 +48,7 @@
 	decoder := json.NewDecoder(conn)
 	for _, c := range []struct {
 		name, lines string
-		code        int // 0: no error
+		code        int // 0 means no error
 		id          string
 	}{
 		{"cut short", `{"jsonrpc":"2.0","id":7,"method":`, codeParseError, "null"},
@@ -81,14 +82,14 @@
 	}
 	var got struct{ Error *Error }
 	if err := decoder.Decode(&got); err == nil && (got.Error == nil || got.Error.Code != codeParseError) {
-		t.Errorf("an endless line: %+v", got)
+		t.Errorf("line that is too long: %+v", got)
 	}
 	if err := Call(path, "echo", 1, new(int), 5*time.Second); err != nil {
 		t.Errorf("another connection: %v", err)
 	}
 }
 
-// TestListenPath: Listen replaces a socket that nobody serves, and nothing else.
+// TestListenPath checks that Listen replaces a socket only if no process serves it, and no other file.
 func TestListenPath(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
@@ -109,7 +110,7 @@
 			t.Fatal(err)
 		}
 		listener.SetUnlinkOnClose(false)
-		_ = listener.Close() // left behind, as by a crash
+		_ = listener.Close() // the file stays, as after a crash
 		server, err := listenForTest(path)
 		if err != nil {
 			t.Fatal(err)
@@ -122,7 +123,7 @@
 			t.Fatal(err)
 		}
 		if _, err := listenForTest(file); !errors.Is(err, ErrNotSocket) {
-			t.Errorf("a file was taken for a socket: %v", err)
+			t.Errorf("a file that is not a socket: %v", err)
 		}
 		if raw, _ := os.ReadFile(file); string(raw) != "kept" {
 			t.Error("a file was replaced")
--- a/internal/catalog/core.go
+++ b/internal/catalog/core.go
@@ -11,59 +11,59 @@
 	"github.com/topazfront/topazfront/internal/registry"
 )
 
-// Config holds a Core's tuned constants.
+// Config holds the settings of a Core.
 type Config struct {
-	InitialBackoff   time.Duration // before the registry is asked again after a failure; doubled each time
-	MaxBackoff       time.Duration // bounds the doubling
-	StaleAfter       time.Duration // without contact with the registry
-	SaveInterval     time.Duration // a snapshot is written no more often
-	MaxIdempotencyKeys int           // first attempts remembered for idempotency keys
+	InitialBackoff     time.Duration // from a failed request to the next; doubled after each failure
+	MaxBackoff         time.Duration // upper bound of the doubled backoff
+	StaleAfter         time.Duration // time without a response of the registry after which the catalog is stale
+	SaveInterval       time.Duration // least time between two snapshots
+	MaxIdempotencyKeys int           // maximum number of idempotency keys whose pins are remembered
 }
 
-// DefaultConfig holds the constants in use.
+// DefaultConfig holds the default settings.
 var DefaultConfig = Config{
-	InitialBackoff:   200 * time.Millisecond,
-	MaxBackoff:       10 * time.Second,
-	StaleAfter:       15 * time.Second,
-	SaveInterval:     5 * time.Second,
+	InitialBackoff:     200 * time.Millisecond,
+	MaxBackoff:         10 * time.Second,
+	StaleAfter:         15 * time.Second,
+	SaveInterval:       5 * time.Second,
 	MaxIdempotencyKeys: 100_000,
 }
 
-// Core is one router's catalog. It belongs to one goroutine. All times are durations since one fixed moment.
+// Core is one router's catalog. It is not safe for concurrent use. All times are durations since one fixed moment.
 type Core struct {
 	config Config
-	now    time.Duration   // of the latest Step
+	now    time.Duration   // time of the latest Step
 	state  *registry.State // nil until a listing or a snapshot is received
 
-	lastContact    time.Duration // when the registry last answered
-	contacted      bool          // whether the registry has ever answered
+	lastContact    time.Duration // when the registry last responded
+	contacted      bool          // whether the registry has ever responded
 	requestPending bool          // a List or Watch is in progress
 	listNeeded     bool          // the next request is a List, not a Watch
-	retryAt        time.Duration // no request is made before
-	backoff        time.Duration // until the retry after the next failure
+	retryAt        time.Duration // no request is made before this time
+	backoff        time.Duration // delay of the retry after the next failure
 
 	unsaved bool          // the state has changed since the latest SaveSnapshot
-	savedAt time.Duration // of the latest SaveSnapshot
+	savedAt time.Duration // time of the latest SaveSnapshot
 
-	pinsByKey     map[string]*rememberedPin // by idempotency key
-	keyOrder []string                 // keys of firstAttempts, oldest first
+	pinsByKey map[string]*rememberedPin // by idempotency key
+	keyOrder  []string                  // keys of pinsByKey, oldest first
 
-	actions []Action // of the Step in progress
+	actions []Action // result of the Step in progress
 }
 
-// New returns a Core that knows nothing of the registry.
+// New returns a Core that is not synced.
 func New(config Config) *Core {
 	return &Core{
-		config:        config,
-		listNeeded:    true,
-		backoff:       config.InitialBackoff,
-		pinsByKey: map[string]*rememberedPin{},
-		savedAt:       -config.SaveInterval,
+		config:     config,
+		listNeeded: true,
+		backoff:    config.InitialBackoff,
+		pinsByKey:  map[string]*rememberedPin{},
+		savedAt:    -config.SaveInterval,
 	}
 }
 
-// Step handles events and returns the actions that the caller must carry out. A time before that of an earlier Step
-// counts as that one.
+// Step handles events and returns the actions that the caller must execute. If now is before the time of an earlier
+// Step, that earlier time is used.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = max(now, c.now), nil
 	for _, event := range events {
@@ -80,7 +80,8 @@
 	case SnapshotLoaded:
 		if c.state == nil {
 			c.replaceState(event.Listing)
-			c.unsaved, c.listNeeded = false, false // the watch continues from there, if the registry still can
+			// The watch continues after the snapshot's revision, unless the registry has compacted it.
+			c.unsaved, c.listNeeded = false, false
 		}
 	case ListReceived:
 		c.recordContact()
@@ -93,7 +94,7 @@
 	}
 }
 
-// requestIfDue lists or watches, unless a request is in progress or the backoff has not passed.
+// requestIfDue starts a List or Watch, unless a request is in progress or the backoff has not elapsed.
 func (c *Core) requestIfDue() {
 	if c.requestPending || c.now < c.retryAt {
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// saveIfDue saves a changed state, unless the latest snapshot is too recent.
+// saveIfDue saves the state if it has changed and the latest snapshot is at least SaveInterval old.
 func (c *Core) saveIfDue() {
 	if !c.unsaved || c.now-c.savedAt < c.config.SaveInterval {
 		return
@@ -115,7 +116,7 @@
 	c.actions = append(c.actions, SaveSnapshot{c.currentListing()})
 }
 
-// NextDeadline returns the time at which Step has something to do without an event; false if there is none.
+// NextDeadline returns the time by which Step must be called even without an event, or false if there is none.
 func (c *Core) NextDeadline() (time.Duration, bool) {
 	deadline, ok := time.Duration(0), false
 	if !c.requestPending {
@@ -127,17 +128,18 @@
 	return deadline, ok
 }
 
+// warn adds a LogWarning to the actions.
 func (c *Core) warn(format string, args ...any) {
 	c.actions = append(c.actions, LogWarning{fmt.Sprintf(format, args...)})
 }
 
-// recordContact notes that the registry has answered.
+// recordContact records that the registry has responded.
 func (c *Core) recordContact() {
 	c.lastContact, c.contacted, c.backoff = c.now, true, c.config.InitialBackoff
 }
 
-// replaceState replaces all that is known by a listing. It reports whether the listing was accepted; after one that
-// was not, the registry is asked again after the backoff.
+// replaceState replaces the state by a listing and reports whether the listing was accepted. If it was not, the request
+// is retried after the backoff.
 func (c *Core) replaceState(listing Listing) bool {
 	next, err := registry.RestoreState(listing.Revision, listing.Versions, listing.Aliases, 1)
 	if err != nil {
@@ -152,7 +154,7 @@
 	return true
 }
 
-// warnOfContradictions warns where a listing cannot have followed from the present state.
+// warnOfContradictions logs warnings if a listing cannot be a later state of the same registry.
 func (c *Core) warnOfContradictions(next *registry.State) {
 	if next.Revision() < c.state.Revision() {
 		c.warn("the registry's revisions run backwards, from %d to %d: was it restored from a backup?",
@@ -166,12 +168,12 @@
 	}
 }
 
-// applyRevisions applies revisions in order. Those that are known already are skipped, since a watch may deliver them
-// twice. After a gap, or a revision that does not apply, all is listed again.
+// applyRevisions applies revisions in order. It skips revisions that are already applied, because a watch may deliver
+// them twice. After a gap, or if a revision cannot be applied, the next request is a List.
 func (c *Core) applyRevisions(revisions []registry.Revision) {
 	for _, revision := range revisions {
 		if c.state == nil || c.listNeeded {
-			return // the List that is in progress or due next includes it
+			return // the listing of the current or next List includes the revision
 		}
 		if revision.Number <= c.state.Revision() {
 			continue
@@ -185,14 +187,15 @@
 	}
 }
 
+// handleFailure handles the failure of a List or Watch.
 func (c *Core) handleFailure(err error) {
-	if !c.requestPending { // reported twice: one failure must not postpone the next request again and again
+	if !c.requestPending { // the failure was reported twice; it must not postpone the retry again
 		return
 	}
 	c.requestPending = false
 	switch {
 	case errors.Is(err, registry.ErrFutureRevision):
-		if c.state != nil { // a List gets no such error, but whatever answers it is not trusted to know that
+		if c.state != nil { // nil if a List failed with this error, which a correct registry never returns for one
 			c.warn("the registry has not reached revision %d: was it restored from a backup?", c.state.Revision())
 		}
 		c.listNeeded = true
@@ -205,13 +208,13 @@
 	}
 }
 
-// scheduleRetry puts the next request off by the backoff, which it doubles.
+// scheduleRetry delays the next request by the backoff and doubles the backoff.
 func (c *Core) scheduleRetry() {
 	c.retryAt = c.now + c.backoff
 	c.backoff = min(2*c.backoff, c.config.MaxBackoff)
 }
 
-// currentListing returns a copy of the state.
+// currentListing returns a copy of the state as a Listing.
 func (c *Core) currentListing() Listing {
 	listing := Listing{
 		Revision: c.state.Revision(),
@@ -227,17 +230,17 @@
 	return listing
 }
 
-// Status describes a Core.
+// Status is a summary of a Core's state.
 type Status struct {
-	Synced        bool // a listing or a snapshot has been received
-	Revision      uint64
-	Versions      int // number of versions
-	Aliases       int // number of aliases
-	Stale         bool
-	IdempotencyKeys int // number of first attempts remembered
+	Synced          bool // a listing or a snapshot has been received
+	Revision        uint64
+	Versions        int // number of versions
+	Aliases         int // number of aliases
+	Stale           bool
+	IdempotencyKeys int // number of idempotency keys whose pins are remembered
 }
 
-// Status describes the Core as of now.
+// Status returns a summary of the Core's state as of now.
 func (c *Core) Status(now time.Duration) Status {
 	status := Status{Synced: c.state != nil, Stale: c.stale(now), IdempotencyKeys: len(c.pinsByKey)}
 	if c.state != nil {
@@ -248,12 +251,12 @@
 	return status
 }
 
-// stale reports whether the registry has not answered lately, or never.
+// stale reports whether the registry has never responded, or not within Config.StaleAfter.
 func (c *Core) stale(now time.Duration) bool {
 	return !c.contacted || now-c.lastContact > c.config.StaleAfter
 }
 
-// Digests lists the contents that versions refer to, sorted, for those who keep copies of them.
+// Digests returns the sorted digests that versions refer to, for callers that keep copies of the contents.
 func (c *Core) Digests() []registry.Digest {
 	if c.state == nil {
 		return nil
--- a/internal/catalog/core_test.go
+++ b/internal/catalog/core_test.go
@@ -22,7 +22,7 @@
 	return registry.Content{Digest: registry.Digest{digestByte}, Size: 1}
 }
 
-// listingAt has versions 1 and 2, and the alias at the given one.
+// listingAt returns a listing with versions 1 and 2 and with the alias pointing at target.
 func listingAt(revision uint64, target string) Listing {
 	return Listing{
 		Revision: revision,
@@ -31,13 +31,13 @@
 	}
 }
 
-// moveRevision is a revision that moves the alias.
+// moveRevision returns a revision that moves the alias.
 func moveRevision(number uint64, target string) registry.Revision {
 	move := registry.MoveAlias{AliasRef: currentAlias, Target: versionRef(target)}
 	return registry.Revision{Number: number, Changes: []registry.Change{move}}
 }
 
-// lastAction returns the last action of a type, and how many there are.
+// lastAction returns the last action of a type, and the number of actions of that type.
 func lastAction[T Action](actions []Action) (last T, count int) {
 	for _, action := range actions {
 		if typed, ok := action.(T); ok {
@@ -48,13 +48,13 @@
 	return last, count
 }
 
-// warningText returns the last warning, or nothing.
+// warningText returns the message of the last warning, or an empty string.
 func warningText(actions []Action) string {
 	warning, _ := lastAction[LogWarning](actions)
 	return warning.Message
 }
 
-// watchingCore returns a core that has listed revision 5 and watches.
+// watchingCore returns a core that has received a listing at revision 5 and has requested a Watch.
 func watchingCore(t *testing.T) *Core {
 	t.Helper()
 	c := New(DefaultConfig)
@@ -68,8 +68,8 @@
 	return c
 }
 
-// TestMissingAndStaleCatalog expects nothing to be guessed while nothing is known, and what was known to be served
-// and marked as stale.
+// TestMissingAndStaleCatalog expects ErrNotSynced before the first listing or snapshot, and the last known version,
+// marked as stale, without recent contact with the registry.
 func TestMissingAndStaleCatalog(t *testing.T) {
 	c := New(DefaultConfig)
 	if _, err := c.ResolveAlias(0, currentAlias); !errors.Is(err, ErrNotSynced) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestWatchFaults disturbs the watch in each way that the core must handle.
+// TestWatchFaults tests each fault of a watch that the core must handle.
 func TestWatchFaults(t *testing.T) {
 	t.Run("cut", testWatchFails)
 	t.Run("delivered twice", testWatchDeliveredTwice)
@@ -118,7 +118,7 @@
 	}
 	n := len(requestedAt)
 	if n < 6 || n > 16 || requestedAt[n-1]-requestedAt[n-2] < 9*time.Second {
-		t.Errorf("requested again at %v", requestedAt)
+		t.Errorf("watch requested at %v", requestedAt)
 	}
 }
 
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestCatalogConverges is a property: with revisions delayed, delivered twice, cut off or compacted, the catalog has
-// the registry's state once its requests are answered again.
+// TestCatalogConverges checks the property that the catalog reaches the registry's state once its requests succeed
+// again, after revisions were delayed, delivered twice, lost or compacted.
 func TestCatalogConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newWatchHarness(t)
@@ -224,7 +224,7 @@
 	})
 }
 
-// watchHarness is a core and the registry that it follows.
+// watchHarness connects a core to the registry that it follows.
 type watchHarness struct {
 	t        *rapid.T
 	registry *registry.State
@@ -233,7 +233,7 @@
 	request  Action // the List or Watch in progress, or nil
 }
 
-// newWatchHarness returns a harness whose registry holds versions 1 and 2, and the alias at 1.
+// newWatchHarness returns a harness whose registry has versions 1 and 2 and the alias pointing at 1.
 func newWatchHarness(t *rapid.T) *watchHarness {
 	h := &watchHarness{t: t, registry: registry.NewState(4), core: New(DefaultConfig)}
 	h.commit(
@@ -256,7 +256,7 @@
 	}
 }
 
-// step hands events to the core and notes what it requests.
+// step passes events to the core and stores its request.
 func (h *watchHarness) step(events ...Event) {
 	for _, action := range h.core.Step(h.now, events) {
 		switch action.(type) {
@@ -266,7 +266,7 @@
 	}
 }
 
-// respond answers the request in progress. A Watch that is answered goes on.
+// respond responds to the request in progress. A Watch stays in progress after a successful response.
 func (h *watchHarness) respond() {
 	switch request := h.request.(type) {
 	case List:
@@ -283,7 +283,7 @@
 	}
 }
 
-// failRequest ends the request in progress.
+// failRequest makes the request in progress fail.
 func (h *watchHarness) failRequest() {
 	if h.request == nil {
 		return
@@ -292,7 +292,7 @@
 	h.step(RequestFailed{errors.New("cut")})
 }
 
-// listing returns all that the registry holds.
+// listing returns the complete content of the registry.
 func (h *watchHarness) listing() Listing {
 	listing := Listing{
 		Revision: h.registry.Revision(),
@@ -308,7 +308,7 @@
 	return listing
 }
 
-// TestFirstResponseIsError: whatever error the registry answers first, the core lists again.
+// TestFirstResponseIsError checks that the core recovers from any error in the registry's first response.
 func TestFirstResponseIsError(t *testing.T) {
 	for _, err := range []error{registry.ErrFutureRevision, registry.ErrCompacted, errors.New("other")} {
 		c := New(DefaultConfig)
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -13,8 +13,8 @@
 	"github.com/topazfront/topazfront/internal/registry"
 )
 
-// TestGoldenDecisions plays seeded random events to a core and holds all that it decides: its actions, the time
-// of its next deadline, and how calls are resolved. The texts of warnings are left out, their number is not.
+// TestGoldenDecisions passes seeded random events to a core and compares a hash of its results with the recorded value:
+// its actions, its next deadline and the pins of calls. The hash includes the number of warnings but not their texts.
 func TestGoldenDecisions(t *testing.T) {
 	const want = "cc07ca2362c4a37acca684672252743998356a3d3a414c4e2fdbf22fbe7f6ee0"
 	sum := sha256.New()
@@ -41,7 +41,7 @@
 	}
 }
 
-// randomEvent draws an event near the registry's present revision, which it moves on.
+// randomEvent returns a random event at or near the registry's current revision, and may advance that revision.
 func randomEvent(rng *rand.Rand, revision *uint64) Event {
 	target := []string{"1", "2"}[rng.IntN(2)]
 	switch rng.IntN(10) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// hashActions adds actions to the sum.
+// hashActions adds actions to a hash.
 func hashActions(sum hash.Hash, actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// hashResolutions adds the outcome of resolving drawn names, and the status, to the sum.
+// hashResolutions adds the results of resolving random names, and the status, to a hash.
 func hashResolutions(sum hash.Hash, rng *rand.Rand, c *Core, now time.Duration) {
 	hashPin := func(pin Pin, err error) {
 		outcome := 0
--- a/internal/catalog/messages.go
+++ b/internal/catalog/messages.go
@@ -2,7 +2,7 @@
 
 import "github.com/topazfront/topazfront/internal/registry"
 
-// Listing is all that the registry holds as of a revision.
+// Listing is the complete content of the registry as of a revision.
 type Listing struct {
 	Revision uint64
 	Versions map[registry.VersionRef]registry.Content
@@ -12,17 +12,17 @@
 // Event is one of SnapshotLoaded, ListReceived, RevisionsReceived and RequestFailed.
 type Event interface{ isEvent() }
 
-// SnapshotLoaded reports the last known good listing, read from disk at the start.
+// SnapshotLoaded reports the last saved listing, which was read from disk at startup.
 type SnapshotLoaded struct{ Listing }
 
-// ListReceived reports the answer to a List.
+// ListReceived reports the response to a List.
 type ListReceived struct{ Listing }
 
-// RevisionsReceived reports revisions that have come over the watch, or none as a sign that the registry is alive.
+// RevisionsReceived reports revisions received through the watch. Without revisions it is a heartbeat of the registry.
 type RevisionsReceived struct{ Revisions []registry.Revision }
 
-// RequestFailed reports that a List or the Watch has failed. An error that wraps registry.ErrCompacted or
-// registry.ErrFutureRevision makes the catalog list again.
+// RequestFailed reports that a List or Watch has failed. After an error that wraps registry.ErrCompacted or
+// registry.ErrFutureRevision, the next request is a List.
 type RequestFailed struct{ Err error }
 
 func (SnapshotLoaded) isEvent()    {}
@@ -33,16 +33,16 @@
 // Action is one of List, Watch, SaveSnapshot and LogWarning.
 type Action interface{ isAction() }
 
-// List asks the registry for all that it holds.
+// List requests a listing from the registry.
 type List struct{}
 
-// Watch asks the registry for the revisions after a given one, from now on.
+// Watch requests the revisions after a given one from the registry, both existing and future ones.
 type Watch struct{ After uint64 }
 
-// SaveSnapshot writes a listing to disk as the last known good one. Its maps must not be changed.
+// SaveSnapshot writes a listing to disk, to be read at the next startup. Its maps must not be changed.
 type SaveSnapshot struct{ Listing }
 
-// LogWarning logs a message that operators should see.
+// LogWarning logs a warning for operators.
 type LogWarning struct{ Message string }
 
 func (List) isAction()         {}
--- a/internal/catalog/resolve.go
+++ b/internal/catalog/resolve.go
@@ -8,32 +8,32 @@
 	"github.com/topazfront/topazfront/internal/registry"
 )
 
-// Errors of resolving. They are wrapped with details; compare them with errors.Is.
+// Errors of the Resolve methods. They are returned wrapped with details; test for them with errors.Is.
 var (
 	// ErrNotSynced reports that neither a listing nor a snapshot has been received.
-	ErrNotSynced = errors.New("catalog: nothing is known of the registry yet")
-	// ErrNotFound reports an alias or version that the registry does not hold.
+	ErrNotSynced = errors.New("catalog: not synced with the registry yet")
+	// ErrNotFound reports that an alias or version is not in the registry.
 	ErrNotFound = errors.New("catalog: no such alias or version")
-	// ErrVersionRemoved rejects a repeated call whose first attempt ran a version that no longer exists.
-	ErrVersionRemoved = errors.New("catalog: the version of the first attempt is removed")
+	// ErrVersionRemoved rejects a repeated call if the version of the first call no longer exists.
+	ErrVersionRemoved = errors.New("catalog: the version of the first call was removed")
 )
 
-// Pin is the version and content that a call runs, in all its attempts.
+// Pin is the version and content that all attempts of a call run.
 type Pin struct {
 	registry.VersionRef
 	registry.Content
-	Revision uint64 // of the catalog when the call was pinned
-	Stale    bool   // the registry had not answered for Config.StaleAfter, or never
+	Revision uint64 // revision of the catalog when the call was pinned
+	Stale    bool   // the registry had not responded within Config.StaleAfter, or never
 }
 
-// rememberedPin remembers what the first attempt under an idempotency key was pinned to.
+// rememberedPin is the pin of the first call with an idempotency key.
 type rememberedPin struct {
 	pin       Pin
 	expiresAt time.Duration
 }
 
-// ResolveAlias pins a call to the version that its plan's alias points at. It is called once for each call. The
-// errors are ErrNotSynced and ErrNotFound.
+// ResolveAlias pins a call to the version that its plan's alias points at. It must be called once for each call. It
+// fails with ErrNotSynced or ErrNotFound.
 func (c *Core) ResolveAlias(now time.Duration, alias registry.AliasRef) (Pin, error) {
 	if c.state == nil {
 		return Pin{}, ErrNotSynced
@@ -45,7 +45,7 @@
 	return c.pin(now, target)
 }
 
-// ResolveVersion pins a call that names its version. The errors are ErrNotSynced and ErrNotFound.
+// ResolveVersion pins a call that specifies its version. It fails with ErrNotSynced or ErrNotFound.
 func (c *Core) ResolveVersion(now time.Duration, version registry.VersionRef) (Pin, error) {
 	if c.state == nil {
 		return Pin{}, ErrNotSynced
@@ -53,6 +53,7 @@
 	return c.pin(now, version)
 }
 
+// pin returns the pin of a call to a version. The Core is synced.
 func (c *Core) pin(now time.Duration, version registry.VersionRef) (Pin, error) {
 	content, ok := c.state.Version(version)
 	if !ok {
@@ -61,13 +62,13 @@
 	return Pin{VersionRef: version, Content: content, Revision: c.state.Revision(), Stale: c.stale(now)}, nil
 }
 
-// ResolveIdempotent pins a call whose repeats within a deduplication window are dropped by its idempotency key. A
-// repeat gets the version of the first attempt at this router. Where that version is gone or has other content the
-// error is ErrVersionRemoved: the call must fail, since another version would not know it for a repeat.
+// ResolveIdempotent pins a call that is deduplicated by an idempotency key within a window. A repeated call with the
+// key gets the version of the first call at this router. It fails with ErrVersionRemoved if that version was
+// removed or has different content, because another version would not recognize the call as repeated.
 //
-// clientVersion is nil or the version that the client reports from the answer to its first attempt. It takes
-// precedence over what this router remembers, so that a repeat at another router finds the version too. Where neither
-// is known the call counts as a first attempt, and the errors of ResolveAlias apply.
+// clientVersion, if not nil, is the version that the client reports from the response to its first call. It takes
+// precedence over the pin that this router remembers, so that a call repeated at another router gets the same version.
+// If there is neither, the call counts as the first one and fails with the same errors as ResolveAlias.
 func (c *Core) ResolveIdempotent(now time.Duration, key string, window time.Duration, alias registry.AliasRef,
 	clientVersion *registry.VersionRef) (Pin, error) {
 	if c.state == nil {
@@ -79,7 +80,7 @@
 	if first := c.pinsByKey[key]; first != nil && now < first.expiresAt {
 		version := first.pin.VersionRef
 		if content, ok := c.state.Version(version); ok && content != first.pin.Content {
-			return Pin{}, fmt.Errorf("%w: %s has other content", ErrVersionRemoved, version)
+			return Pin{}, fmt.Errorf("%w: %s has different content", ErrVersionRemoved, version)
 		}
 		return c.pinRepeatedCall(now, version)
 	}
@@ -91,7 +92,7 @@
 	return pin, nil
 }
 
-// pinRepeatedCall pins a repeat to the version of its first attempt.
+// pinRepeatedCall pins a repeated call to the version of the first call.
 func (c *Core) pinRepeatedCall(now time.Duration, version registry.VersionRef) (Pin, error) {
 	pin, err := c.pin(now, version)
 	if errors.Is(err, ErrNotFound) {
@@ -100,8 +101,8 @@
 	return pin, err
 }
 
-// rememberPin remembers a first attempt until the window has passed. Memory is bounded: the oldest entry is
-// evicted, and its repeats get their version only where the client reports it.
+// rememberPin stores the pin of a first call until the window ends. To bound memory it evicts the oldest pin when there
+// are too many; calls repeated after that get the same version only if the client reports it.
 func (c *Core) rememberPin(now time.Duration, key string, window time.Duration, pin Pin) {
 	if first := c.pinsByKey[key]; first != nil {
 		first.pin, first.expiresAt = pin, now+window
@@ -114,13 +115,14 @@
 	c.keyOrder = append(c.keyOrder, key)
 }
 
-// expirePins forgets first attempts from the oldest on, up to one whose window has not passed.
+// expirePins deletes pins, starting with the oldest, up to the first one whose window has not ended.
 func (c *Core) expirePins() {
 	for len(c.keyOrder) > 0 && c.pinsByKey[c.keyOrder[0]].expiresAt <= c.now {
 		c.evictOldestPin()
 	}
 }
 
+// evictOldestPin deletes the pin that was stored first.
 func (c *Core) evictOldestPin() {
 	delete(c.pinsByKey, c.keyOrder[0])
 	c.keyOrder = c.keyOrder[1:]
--- a/internal/catalog/resolve_test.go
+++ b/internal/catalog/resolve_test.go
@@ -23,11 +23,11 @@
 		t.Errorf("%+v, %v", next, err)
 	}
 	if first.Digest != content(1).Digest {
-		t.Error("a pin has changed")
+		t.Error("the first pin has changed")
 	}
 }
 
-// TestRepeatedIdempotentCall expects repeats to get the version of the first attempt, or to be rejected.
+// TestRepeatedIdempotentCall expects a repeated call to get the version of the first call, or to be rejected.
 func TestRepeatedIdempotentCall(t *testing.T) {
 	const window = 6 * time.Second
 	c := watchingCore(t)
@@ -38,13 +38,13 @@
 	c.Step(time.Second, []Event{RevisionsReceived{[]registry.Revision{moveRevision(6, "2")}}})
 	repeated, err := c.ResolveIdempotent(2*time.Second, "k", window, currentAlias, nil)
 	if err != nil || repeated.VersionRef != first.VersionRef || repeated.Content != first.Content {
-		t.Errorf("a repeat: %+v, %v", repeated, err)
+		t.Errorf("repeated call: %+v, %v", repeated, err)
 	}
 	other, err := c.ResolveIdempotent(2*time.Second, "other", window, currentAlias, nil)
 	if err != nil || other.VersionRef != versionRef("2") {
 		t.Errorf("another key: %+v, %v", other, err)
 	}
-	clientVersion := versionRef("1") // as at a router that never had the first attempt
+	clientVersion := versionRef("1") // as at a router that did not receive the first call
 	elsewhere, err := c.ResolveIdempotent(2*time.Second, "elsewhere", window, currentAlias, &clientVersion)
 	if err != nil || elsewhere.VersionRef != clientVersion {
 		t.Errorf("reported by the client: %+v, %v", elsewhere, err)
@@ -56,7 +56,7 @@
 	for _, reported := range []*registry.VersionRef{nil, &clientVersion} {
 		_, err := c.ResolveIdempotent(4*time.Second, "k", window, currentAlias, reported)
 		if !errors.Is(err, ErrVersionRemoved) {
-			t.Errorf("a repeat whose version is removed: %v", err)
+			t.Errorf("repeated call whose version was removed: %v", err)
 		}
 	}
 	late, err := c.ResolveIdempotent(7*time.Second, "k", window, currentAlias, nil)
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestRememberedPinsAreBounded expects the memory of first attempts to be bounded in number and in time.
+// TestRememberedPinsAreBounded checks that remembered pins are bounded in number and expire.
 func TestRememberedPinsAreBounded(t *testing.T) {
 	config := DefaultConfig
 	config.MaxIdempotencyKeys = 10
@@ -75,10 +75,10 @@
 		_, _ = c.ResolveIdempotent(time.Duration(i), fmt.Sprint(i), time.Hour, currentAlias, nil)
 	}
 	if n := c.Status(0).IdempotencyKeys; n != 10 {
-		t.Errorf("%d first attempts remembered", n)
+		t.Errorf("%d pins remembered, want 10", n)
 	}
 	c.Step(3*time.Hour, nil)
 	if c.Status(3*time.Hour).IdempotencyKeys != 0 {
-		t.Error("first attempts are never forgotten")
+		t.Error("pins do not expire")
 	}
 }
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -96,13 +96,13 @@
 	CancelAllowed       bool         `json:"cancel"`
 	HealthChecksAllowed bool         `json:"probe"`
 	MaxRetryAfter       Milliseconds `json:"retry_after_ms"`
-	ResponseMargin      Milliseconds `json:"answer_margin_ms"` // subtracted from a client's deadline to send the response
+	ResponseMargin      Milliseconds `json:"answer_margin_ms"` // part of a client's deadline reserved for the response
 	MaxMessageBytes     int          `json:"message_bytes"`
 	MaxStreams          uint32       `json:"streams"` // concurrent streams per connection
 	StreamWindowBytes   uint32       `json:"stream_window_bytes"`
 }
 
-// SafetySettings limit the load of workers that are draining or have just started.
+// SafetySettings limit the load of workers that are draining or have just started, and configure overload detection.
 type SafetySettings struct {
 	DrainGrace        Milliseconds `json:"drain_grace_ms"`
 	SlowStartShare    float64      `json:"cold_share"`
@@ -111,7 +111,7 @@
 	OverloadWindow    Milliseconds `json:"fall_span_ms"`
 }
 
-// AdminSettings say where the admin API is served.
+// AdminSettings configure the admin API.
 type AdminSettings struct {
 	Socket string `json:"socket"` // path of a Unix socket; empty if the API is not served
 }
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -15,7 +15,7 @@
 	Listen              string       `json:"listen"`    // IP address and port, for UDP and TCP
 	Advertise           string       `json:"advertise"` // address for other routers to connect to; empty means Listen
 	Seeds               []string     `json:"seeds"`     // addresses of other routers to join through
-	MembersFile         string       `json:"members"`   // path of the list of admitted routers; reloaded when it changes
+	MembersFile         string       `json:"members"`   // path of the admitted routers' list; reloaded when it changes
 	KeyFile             string       `json:"key"`       // path of this router's private key; reloaded when it changes
 	Preset              string       `json:"preset"`    // local or wide; empty means local
 	BytesPerSecond      float64      `json:"bytes_per_s"`
--- a/internal/registry/blob_reader.go
+++ b/internal/registry/blob_reader.go
@@ -13,12 +13,12 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// decoderMaxMemory bounds the memory, in bytes, that a file's own header can make the decoder allocate.
+// decoderMaxMemory bounds the memory, in bytes, that the decoder allocates as requested by a file's header.
 const decoderMaxMemory = 64 << 20
 
-// BlobReader reads content, decompressed. Reading ends with ErrCorrupt where the content does not match its digest,
-// and never returns more bytes than the expected size: a file that decompresses into more is corrupt, and no more of
-// it is decompressed. A BlobReader belongs to one goroutine and must be closed.
+// BlobReader reads and decompresses content. It returns ErrCorrupt if the content does not match its digest. It never
+// returns more bytes than the expected size: if a file decompresses to more, it is corrupt and decompression stops. A
+// BlobReader is not safe for concurrent use and must be closed.
 type BlobReader struct {
 	store     *Store
 	file      *os.File
@@ -29,7 +29,7 @@
 	closeOnce sync.Once
 }
 
-// OpenContent opens content for reading, or returns ErrNotFound. Garbage collection leaves the file alone until the
+// OpenContent opens content for reading, or returns ErrNotFound. Garbage collection does not remove the file until the
 // BlobReader is closed.
 func (s *Store) OpenContent(content Content) (*BlobReader, error) {
 	s.mu.Lock()
@@ -55,7 +55,7 @@
 
 // Read implements io.Reader.
 func (r *BlobReader) Read(p []byte) (int, error) {
-	// One byte beyond the expected size is enough to tell that the content is too long.
+	// One byte beyond the expected size is enough to detect that the content is too long.
 	if limit := r.want.Size - r.size + 1; int64(len(p)) > limit {
 		p = p[:limit]
 	}
@@ -68,17 +68,17 @@
 		return n, nil
 	}
 	var pathErr *fs.PathError
-	if errors.As(err, &pathErr) { // the disk failed; what is on it may be correct
+	if errors.As(err, &pathErr) { // reading failed; the data on disk may be correct
 		return n, storageError(err)
 	}
 	if !errors.Is(err, io.EOF) {
 		return n, r.corruptError(err.Error())
 	}
 	if r.size < r.want.Size {
-		return n, r.corruptError("is cut short")
+		return n, r.corruptError("is truncated")
 	}
 	if Digest(r.hash.Sum(nil)) != r.want.Digest {
-		return n, r.corruptError("has other bytes")
+		return n, r.corruptError("does not match its digest")
 	}
 	return n, err
 }
@@ -87,7 +87,7 @@
 	return fmt.Errorf("%w: %s %s", ErrCorrupt, r.want.Digest, reason)
 }
 
-// Close ends the reading. Further calls do nothing.
+// Close releases the reader's resources. Further calls have no effect.
 func (r *BlobReader) Close() error {
 	var err error
 	r.closeOnce.Do(func() {
@@ -100,7 +100,7 @@
 	return err
 }
 
-// release lets garbage collection have the file.
+// release allows garbage collection to remove the file, unless it has other readers.
 func (r *BlobReader) release() {
 	s, digest := r.store, r.want.Digest
 	s.mu.Lock()
--- a/internal/registry/blobs.go
+++ b/internal/registry/blobs.go
@@ -11,20 +11,21 @@
 	"github.com/topazfront/topazfront/internal/durable"
 )
 
-// blobSuffix ends the name of a content's file, which is compressed with zstd.
+// blobSuffix is the file name suffix of contents, which are compressed with zstd.
 const blobSuffix = ".zst"
 
-// blobPath returns the path of a content's file. A digest's text has only hexadecimal digits, so that the path stays
-// within the store's directory.
+// blobPath returns the path of a content's file. It is always within the store's directory, because the text of a
+// digest has only hexadecimal digits.
 func (s *Store) blobPath(digest Digest) string {
 	name := digest.String()
 	return filepath.Join(s.dir, blobsDirectory, name[:2], name+blobSuffix)
 }
 
-// PutContent stores content compressed and returns its digest and size. It is durable when PutContent returns;
-// content that is stored already is stored again under the same name. Garbage collection may remove it, after a
-// grace period, until a PushVersion refers to it. ErrContentTooLarge rejects content above Options.MaxContentSize; after
-// ErrStorage the content must be stored again before a version can refer to it.
+// PutContent compresses and stores content, and returns its digest and size. The content is durable when PutContent
+// returns. Content that is already stored is written again and replaces the existing file. Until a committed
+// PushVersion refers to the content, garbage collection may remove it after a grace period. Content above
+// Options.MaxContentSize is rejected with ErrContentTooLarge. After ErrStorage the content must be stored again before
+// a version can refer to it.
 func (s *Store) PutContent(r io.Reader) (Content, error) {
 	if err := s.failpoint(StepCreateTempFile); err != nil {
 		return Content{}, err
@@ -48,7 +49,7 @@
 	return content, nil
 }
 
-// writeBlob compresses r into a file and syncs it.
+// writeBlob writes the compressed content of r to a file and syncs the file.
 func (s *Store) writeBlob(file durable.File, r io.Reader) (Content, error) {
 	encoder, err := zstd.NewWriter(storageWriter{file}, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -74,8 +75,8 @@
 	return content, err
 }
 
-// publishBlob gives a finished temporary file its final name. Where that fails the content is undurable until it is
-// stored again.
+// publishBlob renames a complete temporary file to its final name. If that fails, the content counts as not durable
+// until it is stored again.
 func (s *Store) publishBlob(temporaryPath string, digest Digest) error {
 	if err := s.failpoint(StepRenameBlob); err != nil {
 		return err
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// renameBlob renames a content's file and syncs the directories, since the name is durable only with them.
+// renameBlob renames a content's file and syncs the directories, because only their sync makes the name durable.
 func (s *Store) renameBlob(temporaryPath, path string) error {
 	fileSystem := s.options.fileSystem
 	if err := fileSystem.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// storageWriter tells errors of the disk from those of the content's reader.
+// storageWriter marks write errors as ErrStorage, to distinguish them from errors of the content's reader.
 type storageWriter struct{ file durable.File }
 
 // Write implements io.Writer.
@@ -125,11 +126,12 @@
 	return n, err
 }
 
-// boundedHasher passes what is written on to next and hashes it. It fails with ErrContentTooLarge above its limit.
+// boundedHasher hashes the bytes written to it and forwards them to next. Writes beyond its limit fail with
+// ErrContentTooLarge.
 type boundedHasher struct {
 	hash  hash.Hash
 	size  int64 // bytes written
-	limit int64 // bytes allowed
+	limit int64 // in bytes
 	next  io.Writer
 }
 
--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -6,7 +6,7 @@
 // String returns "plugin:version".
 func (r VersionRef) String() string { return r.Plugin + ":" + r.Version }
 
-// Content identifies what a version consists of.
+// Content identifies the content of a version.
 type Content struct {
 	Digest Digest
 	Size   int64 // bytes, before compression
@@ -21,8 +21,8 @@
 // Change is one of PushVersion, DeleteVersion, MoveAlias and DeleteAlias.
 type Change interface{ isChange() }
 
-// PushVersion adds a version. The same content again changes nothing; other content under the name of an existing
-// version is rejected with ErrAlreadyExists.
+// PushVersion adds a version. If the version exists, the change has no effect with the same content, and is rejected
+// with ErrAlreadyExists with different content.
 type PushVersion struct {
 	VersionRef
 	Content
@@ -31,12 +31,12 @@
 // DeleteVersion removes a version. It is rejected with ErrInUse while an alias points at the version.
 type DeleteVersion struct{ VersionRef }
 
-// MoveAlias points an alias at a version; the alias is created where it does not exist.
+// MoveAlias points an alias at a version. It creates the alias if it does not exist.
 type MoveAlias struct {
 	AliasRef
 	Target VersionRef
-	// ExpectedTarget is nil or the version that the alias must point at before the change, which is otherwise
-	// rejected with ErrConflict.
+	// ExpectedTarget, if not nil, is the version that the alias must point at before the change. Otherwise the change
+	// is rejected with ErrConflict.
 	ExpectedTarget *VersionRef
 }
 
@@ -48,7 +48,7 @@
 func (MoveAlias) isChange()     {}
 func (DeleteAlias) isChange()   {}
 
-// Revision is one batch of changes, which is applied as a whole or not at all. Numbers begin at 1 and have no gaps.
+// Revision is one batch of changes, which is applied atomically. Numbers start at 1 and have no gaps.
 type Revision struct {
 	Number  uint64
 	Changes []Change
--- a/internal/registry/commit.go
+++ b/internal/registry/commit.go
@@ -10,15 +10,16 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Commit makes a batch of changes one revision and returns its number once it is durable. A batch without effect
-// returns the number of the present revision. The content of each PushVersion must have been stored with PutContent
-// before.
+// Commit commits a batch of changes as one revision and returns the revision's number once it is durable. For a batch
+// without effect it returns the number of the current revision. The content of each PushVersion must have been stored
+// with PutContent before.
 //
-// An error that wraps ErrStorage leaves open whether the revision is durable: it is whole or absent. The state is as
-// before until the next Commit that the disk permits, or until the store is opened anew, either of which shows which.
-// The same batch can be committed again: what has been done has no effect, but that a deletion may get ErrNotFound.
+// After an error that wraps ErrStorage it is unknown whether the revision is durable; it is either complete or absent.
+// The state stays unchanged until a later Commit can read the database, or until the store is opened again; then the
+// state shows which was the case. The same batch can be committed again: changes that were made have no effect, except
+// that a deletion may fail with ErrNotFound.
 //
-// An error that Options.Failpoint returns at StepAcknowledge means that the revision is durable all the same.
+// If Options.Failpoint returns an error at StepAcknowledge, Commit returns that error although the revision is durable.
 func (s *Store) Commit(batch []Change) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,19 +50,19 @@
 	}
 	if err := s.state.Apply(*revision); err != nil {
 		s.commitOutcomeUnknown = true
-		return 0, fmt.Errorf("registry: revision %d is on disk and could not be applied: %w", revision.Number, err)
+		return 0, fmt.Errorf("registry: revision %d was committed but could not be applied: %w", revision.Number, err)
 	}
 	s.notifyWatchers()
-	if err := s.failpoint(StepAcknowledge); err != nil { // durable, but the caller is not told so
+	if err := s.failpoint(StepAcknowledge); err != nil { // the revision is durable, although the caller gets an error
 		return 0, err
 	}
 	return revision.Number, nil
 }
 
-// recoverState opens the database anew after a commit that failed, makes durable what it holds, and takes that as the
-// state. s.mu is held.
+// recoverState reopens the database after a failed commit, makes its content durable and reads the state from it. The
+// caller holds s.mu.
 func (s *Store) recoverState() error {
-	_ = s.db.Close() // what it could not do is left to the next
+	_ = s.db.Close() // the reopened database replaces it even if closing fails
 	if err := s.openDatabase(); err != nil {
 		return err
 	}
@@ -80,14 +81,14 @@
 	return nil
 }
 
-// notifyWatchers closes the channel that Changed returns, and replaces it. s.mu is held.
+// notifyWatchers closes and replaces the channel that Changed returns. The caller holds s.mu.
 func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// checkContents returns ErrNotFound where the content of a pushed version is not stored, and ErrStorage where it may
-// not be durable. s.mu is held.
+// checkContents returns ErrNotFound if the content of a pushed version is not stored, and ErrStorage if it may not be
+// durable. The caller holds s.mu.
 func (s *Store) checkContents(revision *Revision) error {
 	directories := map[string]bool{}
 	for _, change := range revision.Changes {
@@ -110,8 +111,8 @@
 	return s.syncContents(revision, directories)
 }
 
-// syncContents syncs the directories of pushed contents: an earlier process may have been killed between the rename of a
-// content and the sync. s.mu is held.
+// syncContents syncs the directories of pushed contents, because an earlier process may have been killed between the
+// rename of a content's file and the sync. The caller holds s.mu.
 func (s *Store) syncContents(revision *Revision, directories map[string]bool) error {
 	for directory := range directories {
 		if err := s.options.fileSystem.SyncDirectory(directory); err != nil {
--- a/internal/registry/crash_test.go
+++ b/internal/registry/crash_test.go
@@ -15,14 +15,14 @@
 	t            *testing.T
 	rng          *rand.Rand
 	dir          string
-	acknowledged uint64                  // the latest revision that a Commit or a reopened store has shown
+	acknowledged uint64                  // the latest revision that a Commit or a reopened store returned
 	aliases      map[AliasRef]VersionRef // as of that revision
-	pending      map[AliasRef]VersionRef // what the batch in progress would make of them; nil if there is none
-	crashesAt         map[Step]int            // number of crashes at a step
+	pending      map[AliasRef]VersionRef // aliases after the batch in progress; nil if there is none
+	crashesAt    map[Step]int            // number of crashes by step
 }
 
-// TestCrashAtAnyStep simulates crashes at random steps, opens the store anew after each and compares its state with
-// what was acknowledged: every acknowledged change is there, the one in progress is there as a whole or not at all,
+// TestCrashAtAnyStep simulates crashes at random steps, reopens the store after each and compares its state with what
+// was acknowledged: every acknowledged change is present, the batch in progress is present as a whole or not at all,
 // and all content is correct.
 func TestCrashAtAnyStep(t *testing.T) {
 	crashes := 500
@@ -30,11 +30,11 @@
 		crashes = 10
 	}
 	c := crashTest{
-		t:       t,
-		rng:     rand.New(rand.NewPCG(1, 15)),
-		dir:     t.TempDir(),
-		aliases: map[AliasRef]VersionRef{},
-		crashesAt:    map[Step]int{},
+		t:         t,
+		rng:       rand.New(rand.NewPCG(1, 15)),
+		dir:       t.TempDir(),
+		aliases:   map[AliasRef]VersionRef{},
+		crashesAt: map[Step]int{},
 	}
 	for crash := range crashes {
 		c.runUntilCrash(crash)
@@ -49,7 +49,7 @@
 	}
 }
 
-// runUntilCrash opens the store, checks it and commits batches until the drawn step.
+// runUntilCrash opens the store, checks it and commits batches until a crash at a randomly drawn step.
 func (c *crashTest) runUntilCrash(crash int) {
 	c.t.Helper()
 	stepsLeft := c.rng.IntN(24)
@@ -77,7 +77,7 @@
 	}
 }
 
-// pushAndMove commits one batch, which pushes a version and moves two aliases to it. It reports false after a crash.
+// pushAndMove commits one batch, which pushes a version and moves two aliases to it. It returns false after a crash.
 func (c *crashTest) pushAndMove(s *Store, version string) bool {
 	c.t.Helper()
 	content, err := s.PutContent(strings.NewReader("content " + version))
@@ -97,7 +97,8 @@
 	return true
 }
 
-// checkRecovery opens the store after a crash. It must be as acknowledged, or as the batch in progress made it.
+// checkRecovery reopens the store after a crash. Its state must be the acknowledged one, or the one after the batch in
+// progress.
 func (c *crashTest) checkRecovery(crash int) {
 	c.t.Helper()
 	s := mustOpenStore(c.t, c.dir, Options{MaxRevisions: 5})
@@ -117,7 +118,7 @@
 	_ = s.Close()
 }
 
-// setAcknowledged takes a state as acknowledged, since it is durable.
+// setAcknowledged records a state as acknowledged, because a state read from disk is durable.
 func (c *crashTest) setAcknowledged(state *State) {
 	c.acknowledged = state.Revision()
 	for _, alias := range state.Aliases() {
--- a/internal/registry/database.go
+++ b/internal/registry/database.go
@@ -15,15 +15,15 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// The database's buckets:
+// The database has these buckets:
 //
-//	versions   plug-in NUL version  ->  digest, size in 8 bytes big-endian
+//	versions   plug-in NUL version  ->  digest, size as a number
 //	aliases    plan NUL alias       ->  plug-in NUL version
-//	revisions  number               ->  storedRevision as JSON, for the latest Options.MaxRevisions
+//	revisions  number               ->  storedRevision as JSON, only the latest Options.MaxRevisions
 //	meta       "revision"           ->  number of the latest revision
 //	           "format"             ->  storeFormat
 //
-// Numbers are 8 bytes big-endian, so that keys sort by them.
+// Numbers are 8 bytes big-endian, so that keys are ordered by number.
 var (
 	bucketVersions  = []byte("versions")
 	bucketAliases   = []byte("aliases")
@@ -34,10 +34,10 @@
 )
 
 const (
-	// storeFormat is kept in the database. A store with any other format is not opened.
+	// storeFormat identifies the format and is stored in the database. Stores with another format are rejected.
 	storeFormat = "topazfront-registry-1"
 
-	// nameSeparator stands between two names of a key or value. ValidateName allows no NUL in a name.
+	// nameSeparator separates two names in a key or value. It is unambiguous because ValidateName rejects NUL.
 	nameSeparator = "\x00"
 
 	numberSize         = 8 // bytes of a number
@@ -46,16 +46,16 @@
 
 func (s *Store) databasePath() string { return filepath.Join(s.dir, databaseFile) }
 
-// databaseOptions returns the options with which the database is opened.
+// databaseOptions returns the options for opening the database.
 func (s *Store) databaseOptions() *bolt.Options {
 	return &bolt.Options{Timeout: databaseLockTimeout, OpenFile: s.options.openDatabaseFile}
 }
 
-// createDatabase creates the database where there is none, and reports whether it did. It gets its name only when it is
-// whole: a database that a crash cut short could never be opened again.
+// createDatabase creates the database if it does not exist, and reports whether it did. The file gets its final name
+// only when it is complete, because a database that a crash left truncated could never be opened again.
 func (s *Store) createDatabase() (created bool, err error) {
 	if _, err := os.Stat(s.databasePath()); !errors.Is(err, fs.ErrNotExist) {
-		return false, nil // opening it reports what may be wrong with it
+		return false, nil // any problem with the file is reported when it is opened
 	}
 	file, err := s.options.fileSystem.CreateTemp(filepath.Join(s.dir, temporaryDirectory), "state-")
 	if err != nil {
@@ -70,14 +70,14 @@
 	if err := db.Close(); err != nil {
 		return false, storageError(err)
 	}
-	// A link, as a rename would replace the database of another process that was as fast.
+	// A link fails if another process has created the database meanwhile; a rename would replace that database.
 	if err := os.Link(file.Name(), s.databasePath()); err != nil && !errors.Is(err, fs.ErrExist) {
 		return false, storageError(err)
 	}
 	return true, nil
 }
 
-// openDatabase opens the database, which exists.
+// openDatabase opens the existing database.
 func (s *Store) openDatabase() error {
 	db, err := bolt.Open(s.databasePath(), databaseFileMode, s.databaseOptions())
 	if err != nil {
@@ -87,9 +87,10 @@
 	return nil
 }
 
-// rewriteMetaPages writes the database's two meta pages again, as they are, and syncs them. A transaction's pages are
-// synced before its meta page; where the sync of that one failed, the system may show the transaction and yet never
-// write it, and the next transaction would overwrite pages of the one before, on which the disk still depends.
+// rewriteMetaPages writes the database's two meta pages again, unchanged, and syncs them. The database syncs a
+// transaction's data pages before it writes and syncs the meta page. If the sync of the meta page failed, the page may
+// be visible in the page cache although it is never written to disk. The next transaction would then overwrite pages to
+// which the meta page on disk still refers.
 func (s *Store) rewriteMetaPages() error {
 	const metaPages = 2
 	file, err := s.options.openDatabaseFile(s.databasePath(), os.O_RDWR, databaseFileMode)
@@ -109,7 +110,7 @@
 	return err
 }
 
-// loadState initializes the database where it is empty, and reads the state.
+// loadState initializes the database if it is empty, and reads the state.
 func (s *Store) loadState() error {
 	if err := s.db.Update(initializeDatabase); err != nil {
 		return fmt.Errorf("%s: %w", s.dir, storageError(err))
@@ -147,7 +148,7 @@
 	return state, err
 }
 
-// initializeDatabase creates missing buckets, and writes the format or checks it.
+// initializeDatabase creates missing buckets, and writes the format or checks the one found.
 func initializeDatabase(tx *bolt.Tx) error {
 	for _, name := range [][]byte{bucketVersions, bucketAliases, bucketRevisions, bucketMeta} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -160,11 +161,12 @@
 		return meta.Put(keyFormat, []byte(storeFormat))
 	}
 	if string(found) != storeFormat {
-		return fmt.Errorf("format %q, this program knows %q", found, storeFormat)
+		return fmt.Errorf("unsupported store format %q, want %q", found, storeFormat)
 	}
 	return nil
 }
 
+// readVersions reads the content of each version.
 func readVersions(tx *bolt.Tx) (map[VersionRef]Content, error) {
 	versions := map[VersionRef]Content{}
 	err := tx.Bucket(bucketVersions).ForEach(func(key, record []byte) error {
@@ -180,6 +182,7 @@
 	return versions, err
 }
 
+// readAliases reads the target of each alias.
 func readAliases(tx *bolt.Tx) (map[AliasRef]VersionRef, error) {
 	aliases := map[AliasRef]VersionRef{}
 	err := tx.Bucket(bucketAliases).ForEach(func(key, record []byte) error {
@@ -194,7 +197,7 @@
 	return aliases, err
 }
 
-// readRevisions reads the revisions that are kept, oldest first.
+// readRevisions reads the stored revisions, oldest first.
 func readRevisions(tx *bolt.Tx) ([]Revision, error) {
 	var revisions []Revision
 	err := tx.Bucket(bucketRevisions).ForEach(func(_, record []byte) error {
@@ -208,8 +211,8 @@
 	return revisions, err
 }
 
-// latestContiguous returns the revisions at the end that lead to the latest without a gap, maxRevisions of them at the most. A
-// store that was opened with other options may have left older ones, with a gap.
+// latestContiguous returns the longest run of revisions without a gap that ends with the latest, limited to
+// maxRevisions. There can be older revisions before a gap if the store was opened with another Options.MaxRevisions.
 func latestContiguous(revisions []Revision, latest uint64, maxRevisions int) []Revision {
 	first := len(revisions)
 	for want := latest; first > 0 && len(revisions)-first < maxRevisions && revisions[first-1].Number == want; want-- {
@@ -218,8 +221,8 @@
 	return revisions[first:]
 }
 
-// writeRevision writes a revision in a transaction: the effect of its changes, then the revision itself, then its
-// number as the latest. Those that are too many for Options.MaxRevisions are removed.
+// writeRevision writes a revision in a transaction: the effects of its changes, the revision itself, and its number as
+// the latest. It removes the revisions that exceed Options.MaxRevisions.
 func (s *Store) writeRevision(tx *bolt.Tx, revision *Revision) error {
 	for _, change := range revision.Changes {
 		if err := writeChange(tx, change); err != nil {
@@ -243,7 +246,7 @@
 	return tx.Bucket(bucketMeta).Put(keyRevision, encodeNumber(revision.Number))
 }
 
-// removeOldRevisions removes what is too old to be kept beside the latest revision.
+// removeOldRevisions removes the revisions that are not among the latest Options.MaxRevisions.
 func (s *Store) removeOldRevisions(revisions *bolt.Bucket, latest uint64) error {
 	var old [][]byte
 	cursor := revisions.Cursor()
@@ -261,7 +264,7 @@
 	return nil
 }
 
-// writeChange writes the effect of one change.
+// writeChange writes the effect of one change in a transaction.
 func writeChange(tx *bolt.Tx, change Change) error {
 	versions, aliases := tx.Bucket(bucketVersions), tx.Bucket(bucketAliases)
 	switch change := change.(type) {
--- a/internal/registry/database_faults_linux_test.go
+++ b/internal/registry/database_faults_linux_test.go
@@ -15,18 +15,21 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// faultyDatabase puts itself between a database and its file. bbolt has no seam for that, so its hook for tests is set by
-// reflection, and a sync fails as the descriptor is another file's meanwhile: fdatasync of /dev/null is EINVAL.
+// faultyDatabase injects faults between a database and its file. bbolt has no public hook for that: the unexported hook
+// of its tests is set by reflection. Syncs fail because the file descriptor is replaced by one of /dev/null, for which
+// fdatasync returns EINVAL.
 type faultyDatabase struct {
 	t     *testing.T
 	db    *bolt.DB
-	file  *os.File // the database's
-	saved *os.File // a second descriptor of the same open file
-	// onWrite is called for each write of the commit, counted from 1, and returns how many bytes to write and the error.
+	file  *os.File // of the database
+	saved *os.File // a duplicate of file's descriptor
+	// onWrite, if not nil, is called for each write, with its number counted from 1. It returns the number of bytes to
+	// write and the write's error.
 	onWrite func(n int, p []byte, offset int64) (int, error)
 	writes  int
 }
 
+// newFaultyDatabase opens a store whose database has the hooks but no fault yet.
 func newFaultyDatabase(t *testing.T, dir string) (*Store, *faultyDatabase) {
 	t.Helper()
 	s := mustOpenStore(t, dir, Options{})
@@ -57,7 +60,7 @@
 	return s, f
 }
 
-// breakSync makes syncs fail until repair.
+// breakSync makes all syncs fail until repair is called.
 func (f *faultyDatabase) breakSync() {
 	null, err := os.OpenFile(os.DevNull, os.O_RDWR, 0)
 	if err != nil {
@@ -69,7 +72,7 @@
 	}
 }
 
-// repair ends all faults. The second descriptor is closed, as it would keep the lock of the file.
+// repair ends all faults. It closes the duplicate descriptor, which would otherwise keep the file locked.
 func (f *faultyDatabase) repair() {
 	f.onWrite, f.writes = nil, 0
 	if err := unix.Dup3(int(f.saved.Fd()), int(f.file.Fd()), unix.O_CLOEXEC); err != nil {
@@ -80,10 +83,10 @@
 
 func (f *faultyDatabase) isMetaPage(offset int64) bool { return offset < 2*int64(f.db.Info().PageSize) }
 
-// commitFault returns what is called for each write of a commit.
+// commitFault returns the onWrite function that causes a fault.
 type commitFault func(f *faultyDatabase) func(n int, p []byte, offset int64) (int, error)
 
-// failWrite makes a write fail after some bytes, and all after it.
+// failWrite makes the write with the given number, and all later ones, fail after writing keep bytes.
 func failWrite(number int, cause error, keep int) commitFault {
 	return func(*faultyDatabase) func(int, []byte, int64) (int, error) {
 		return func(n int, p []byte, _ int64) (int, error) {
@@ -95,7 +98,7 @@
 	}
 }
 
-// failSync makes the sync of the pages fail, or that of the meta page.
+// failSync makes the sync of the meta page fail, or with meta false that of the data pages.
 func failSync(meta bool) commitFault {
 	return func(f *faultyDatabase) func(int, []byte, int64) (int, error) {
 		return func(_ int, p []byte, offset int64) (int, error) {
@@ -107,7 +110,7 @@
 	}
 }
 
-// failMetaWrite makes the write of the meta page fail after some bytes.
+// failMetaWrite makes the write of the meta page fail after writing keep bytes.
 func failMetaWrite(keep int) commitFault {
 	return func(f *faultyDatabase) func(int, []byte, int64) (int, error) {
 		return func(_ int, p []byte, offset int64) (int, error) {
@@ -119,9 +122,9 @@
 	}
 }
 
-// TestCommitOnFaultyDisk fails the writes and the syncs of a commit. The caller gets a typed error; the next commit
-// that the disk permits follows on what is durable, so that nothing of the batch that failed is mixed into another
-// revision; opened anew, the store is the same.
+// TestCommitOnFaultyDisk injects failures into the writes and syncs of a commit. The caller gets a typed error. The
+// next commit builds on the durable state, so that no part of the failed batch gets into another revision. The reopened
+// store has the same state.
 func TestCommitOnFaultyDisk(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault     commitFault
@@ -150,7 +153,7 @@
 			f.repair()
 			s.View(func(state *State) {
 				if state.Revision() != 1 {
-					t.Errorf("revision %d is shown and was not acknowledged", state.Revision())
+					t.Errorf("revision %d is visible but was not acknowledged", state.Revision())
 				}
 			})
 			if got, err := s.Commit([]Change{moveAlias("next", "q", "1")}); err != nil || got != test.wantAfter {
@@ -165,8 +168,8 @@
 	}
 }
 
-// checkAliases expects the alias of a commit that failed if the next one's revision is the third, and a revision's
-// changes in each revision.
+// checkAliases expects the alias of the failed commit only if the next commit made revision 3, because then the failed
+// one is revision 2. It also expects every revision to be kept.
 func checkAliases(t *testing.T, s *Store, revision uint64) {
 	t.Helper()
 	s.View(func(state *State) {
@@ -182,8 +185,8 @@
 	})
 }
 
-// TestPartiallyWrittenCommit writes the pages of a commit in the order of a database, up to each byte that differs, and
-// opens the store: it is as before the commit, or as after it.
+// TestPartiallyWrittenCommit writes a commit's bytes in the order in which the database writes them, and opens the
+// store after each changed byte. Its state must be the one before the commit or the one after it.
 func TestPartiallyWrittenCommit(t *testing.T) {
 	dir := t.TempDir()
 	s := mustOpenStore(t, dir, Options{})
@@ -200,7 +203,7 @@
 	after, _ := os.ReadFile(path)
 	partial := bytes.Clone(after)
 	copy(partial, before)
-	order := make([]int, 0, len(after)) // of the bytes that the commit changed, the meta pages last
+	order := make([]int, 0, len(after)) // indexes of all bytes, those of the meta pages last
 	for i := 2 * pageSize; i < len(after); i++ {
 		order = append(order, i)
 	}
@@ -216,12 +219,12 @@
 		outcomes[openPartialCommit(t, dir, partial)]++
 	}
 	if outcomes[1] == 0 || outcomes[2] == 0 {
-		t.Errorf("times that a revision was found: %v", outcomes)
+		t.Errorf("number of opened stores by revision: %v", outcomes)
 	}
-	t.Logf("times that a revision was found: %v", outcomes)
+	t.Logf("number of opened stores by revision: %v", outcomes)
 }
 
-// openPartialCommit opens the store with that database and returns its revision.
+// openPartialCommit replaces the store's database, opens the store and returns its revision.
 func openPartialCommit(t *testing.T, dir string, database []byte) uint64 {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(dir, databaseFile), database, 0o600); err != nil {
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -22,7 +22,7 @@
 	return err
 }
 
-// checkVersions expects a store to have exactly these versions of "q", all readable.
+// checkVersions expects a store to have exactly the given versions of "q", all readable.
 func checkVersions(t *testing.T, s *Store, want ...string) {
 	t.Helper()
 	s.View(func(state *State) {
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestPushOnFaultyDisk fails each call to the file system in turn, and cuts the writes of the content at each byte. The
-// caller gets a typed error with the cause; the store goes on once the disk works; opened anew it has what was
-// acknowledged, and nothing else.
+// TestPushOnFaultyDisk makes each call to the file system fail in turn, and each write of content after each byte. The
+// caller gets a typed error with the cause, the store works again once the disk does, and the reopened store has
+// exactly the acknowledged versions.
 func TestPushOnFaultyDisk(t *testing.T) {
 	text := strings.Repeat("plug-in ", 3)
 	disk := &faultyfs.FS{}
@@ -52,18 +52,18 @@
 	}
 	_ = s.Close()
 	for i, operation := range disk.Calls() {
-		cuts := 1
+		variants := 1
 		if operation == faultyfs.Write {
-			cuts = len(text) + 20 // the compressed content and its frame
+			variants = len(text) + 20 // upper bound on the size of the compressed content with its frame
 		}
-		for cut := range cuts {
-			cause := []error{syscall.ENOSPC, syscall.EIO}[cut%2]
+		for written := range variants {
+			cause := []error{syscall.ENOSPC, syscall.EIO}[written%2]
 			dir := t.TempDir()
 			s := mustOpenStore(t, dir, Options{fileSystem: disk})
 			if err := pushContent(s, "1", "acknowledged"); err != nil {
 				t.Fatal(err)
 			}
-			disk.Break(i+1, cause, cut)
+			disk.Break(i+1, cause, written)
 			if err := pushContent(s, "2", text); !errors.Is(err, ErrStorage) || !errors.Is(err, cause) {
 				t.Errorf("%s, call %d: %v", operation, i+1, err)
 			}
@@ -76,15 +76,15 @@
 			s = mustOpenStore(t, dir, Options{})
 			checkVersions(t, s, "1", "3")
 			if left, _ := os.ReadDir(filepath.Join(dir, temporaryDirectory)); len(left) > 0 {
-				t.Errorf("%s, call %d, left %v", operation, i+1, left)
+				t.Errorf("%s, call %d: temporary files left behind: %v", operation, i+1, left)
 			}
 			_ = s.Close()
 		}
 	}
 }
 
-// TestUndurableContentIsNotReferenced: content whose directory could not be synced is visible, but a version may refer to
-// it only once it has been stored again.
+// TestUndurableContentIsNotReferenced checks that a version cannot refer to content whose directory could not be synced
+// until the content is stored again, although its file is visible.
 func TestUndurableContentIsNotReferenced(t *testing.T) {
 	disk := &faultyfs.FS{}
 	s := mustOpenStore(t, t.TempDir(), Options{fileSystem: disk})
@@ -99,14 +99,15 @@
 		t.Errorf("%v, after %v", err, disk.Calls())
 	}
 	if _, err := s.Commit(push); !errors.Is(err, ErrStorage) {
-		t.Errorf("a later sync was taken for the one that failed: %v", err)
+		t.Errorf("a later successful sync hid the failed one: %v", err)
 	}
 	if err := pushContent(s, "1", "text"); err != nil {
 		t.Errorf("stored again: %v", err)
 	}
 }
 
-// TestOpenOnFaultyDisk fails each call of opening a store. Once the disk works, it is opened and used.
+// TestOpenOnFaultyDisk makes each call to the file system fail while a store is opened. Once the disk works, the store
+// can be opened and used.
 func TestOpenOnFaultyDisk(t *testing.T) {
 	disk := &faultyfs.FS{}
 	healthy := mustOpenStore(t, t.TempDir(), Options{fileSystem: disk})
@@ -115,7 +116,7 @@
 		dir := t.TempDir()
 		disk.Break(i+1, syscall.ENOSPC, 0)
 		s, err := OpenStore(dir, Options{fileSystem: disk})
-		if err == nil && operation == faultyfs.Remove { // the database's temporary name; the next open removes it
+		if err == nil && operation == faultyfs.Remove { // of the database's temporary file; the next open removes it
 			_ = s.Close()
 		} else if !errors.Is(err, ErrStorage) || !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("%s: %v", operation, err)
@@ -130,7 +131,8 @@
 	}
 }
 
-// TestKillDuringDatabaseCreation cuts the new database short at many lengths, as a kill would. The next open creates it.
+// TestKillDuringDatabaseCreation truncates the new database to many lengths, as if the process were killed. The next
+// open creates the database again.
 func TestKillDuringDatabaseCreation(t *testing.T) {
 	dir := t.TempDir()
 	_ = mustOpenStore(t, dir, Options{}).Close()
@@ -158,8 +160,8 @@
 	}
 }
 
-// TestDatabaseIsReopenedAfterFailure: where the database itself fails, as after a mapping that the system refused, the store
-// opens it anew, as soon as it can be opened.
+// TestDatabaseIsReopenedAfterFailure checks that the store reopens a database that has failed, for example because the
+// operating system refused a memory mapping, as soon as it can be opened.
 func TestDatabaseIsReopenedAfterFailure(t *testing.T) {
 	broken := false
 	s := mustOpenStore(t, t.TempDir(), Options{openDatabaseFile: func(path string, flag int, mode os.FileMode) (*os.File, error) {
--- a/internal/registry/gc.go
+++ b/internal/registry/gc.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// CollectGarbage removes content that no version refers to and nobody reads, and returns what it removed or, with
-// dryRun, what it would remove. Content younger than gracePeriod is left alone, since a PushVersion may be about to
-// refer to it. Content of before the store was opened counts as old as that: the files' times are by the wall clock,
-// which may have been set since.
+// CollectGarbage removes content that no version refers to and no BlobReader reads. It returns the digests of the
+// removed content or, with dryRun, of the content that it would remove. Content stored less than gracePeriod ago is
+// kept, because a PushVersion may be about to refer to it. Content stored before the store was opened counts as stored
+// at that time. File times are not used, because they are wall clock times and the wall clock may have been set since.
 func (s *Store) CollectGarbage(gracePeriod time.Duration, dryRun bool) ([]Digest, error) {
 	referenced := s.referencedDigests()
 	var removed []Digest
@@ -20,7 +20,7 @@
 		}
 		digest, err := ParseDigest(strings.TrimSuffix(entry.Name(), blobSuffix))
 		if err != nil {
-			return nil // a file of another kind is not for this program to remove
+			return nil // not a content file, so it is kept
 		}
 		if referenced[digest] || !s.storedBefore(digest, gracePeriod) {
 			return nil
@@ -35,14 +35,14 @@
 	return removed, err
 }
 
-// recordStoreTime begins the grace period of a content that is about to be published.
+// recordStoreTime starts the grace period of content that is about to be published.
 func (s *Store) recordStoreTime(digest Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storedAt[digest] = time.Now()
 }
 
-// storedBefore reports whether a content was stored longer ago than a time.
+// storedBefore reports whether content was stored at least gracePeriod ago.
 func (s *Store) storedBefore(digest Digest, gracePeriod time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	return time.Since(storedAt) >= gracePeriod
 }
 
-// referencedDigests returns the contents that versions refer to.
+// referencedDigests returns the digests that versions refer to.
 func (s *Store) referencedDigests() map[Digest]bool {
 	referenced := map[Digest]bool{}
 	s.View(func(state *State) {
@@ -65,8 +65,9 @@
 	return referenced
 }
 
-// removeUnused removes a content's file, or with dryRun does as if, unless the content is referenced or read by now.
-// The lock keeps a Commit from referring to it and a reader from opening it meanwhile.
+// removeUnused removes a content's file, unless the content has become referenced or has a reader. With dryRun it only
+// reports whether it would. The lock prevents a Commit from referring to the content, and a reader from opening it,
+// during the removal.
 func (s *Store) removeUnused(path string, digest Digest, dryRun bool) (removed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +88,7 @@
 	return true, nil
 }
 
-// isReferenced reports whether a version refers to a content. The caller holds s.mu.
+// isReferenced reports whether any version refers to a digest. The caller holds s.mu.
 func (s *Store) isReferenced(digest Digest) bool {
 	for _, content := range s.state.versions {
 		if content.Digest == digest {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -17,14 +17,14 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// goldenDir holds a store that the program wrote before any of its names were changed. It is never written anew:
-// a store of that form must be readable by every later program that knows the format.
+// goldenDir holds a store written by an early version of the program. It is never regenerated, because every later
+// version that supports the format must be able to read it.
 const goldenDir = "testdata/store"
 
-// goldenMaxRevisions is less than the number of golden revisions, so that the oldest has been removed from the log.
+// goldenMaxRevisions is less than the number of golden revisions, so that the oldest revision is removed.
 const goldenMaxRevisions = 4
 
-// goldenBatches returns the revisions of the golden store, in their order, with changes of all four kinds.
+// goldenBatches returns the batches committed to the golden store, in order. They have changes of all four kinds.
 func goldenBatches(contents []Content) [][]Change {
 	quote := func(version string) VersionRef { return VersionRef{"quote", version} }
 	price := VersionRef{"price-table_2", "v1.0"}
@@ -42,12 +42,12 @@
 	}
 }
 
-// goldenBodies are the contents of the golden store: short, empty, and one that compression shortens.
+// goldenBodies returns the contents of the golden store: a short one, an empty one and a compressible one.
 func goldenBodies() []string {
 	return []string{"first plug-in", "", strings.Repeat("price table ", 200)}
 }
 
-// fillGoldenStore puts the golden contents and commits the golden batches.
+// fillGoldenStore stores the golden contents and commits the golden batches.
 func fillGoldenStore(t *testing.T, s *Store) {
 	t.Helper()
 	var contents []Content
@@ -99,7 +99,7 @@
 	return lines
 }
 
-// copyGoldenStore returns a temporary copy of the golden store, since opening a store writes to it.
+// copyGoldenStore returns a temporary copy of the golden store, because opening a store writes to it.
 func copyGoldenStore(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -109,7 +109,7 @@
 	return dir
 }
 
-// goldenContents returns the digests and sizes of the golden contents, as the golden store was written.
+// goldenContents returns the sizes of the golden contents and their digests as recorded in the golden store.
 func goldenContents(t *testing.T) []Content {
 	t.Helper()
 	digests := []string{
@@ -128,7 +128,7 @@
 	return contents
 }
 
-// checkGoldenState compares the state of a golden store with all that its revisions made.
+// checkGoldenState compares the state of a golden store with the state that its batches result in.
 func checkGoldenState(t *testing.T, s *Store, contents []Content) {
 	t.Helper()
 	wantVersions := map[VersionRef]Content{
@@ -141,7 +141,7 @@
 	for i, batch := range goldenBatches(contents)[5-goldenMaxRevisions:] {
 		for j, c := range batch {
 			if m, ok := c.(MoveAlias); ok {
-				m.ExpectedTarget = nil // is not stored
+				m.ExpectedTarget = nil // not stored
 				batch[j] = m
 			}
 		}
@@ -171,8 +171,8 @@
 	})
 }
 
-// TestGoldenStoreIsRead opens a store that an earlier program wrote and reads all of it: the versions, aliases,
-// kept revisions and contents.
+// TestGoldenStoreIsRead opens a store written by an early version of the program and reads its versions, aliases, kept
+// revisions and contents.
 func TestGoldenStoreIsRead(t *testing.T) {
 	s, err := OpenStore(copyGoldenStore(t), Options{MaxRevisions: goldenMaxRevisions})
 	if err != nil {
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestGoldenStoreIsWritten does the golden changes in a fresh store and expects the same files and the same bytes
-// in each bucket.
+// TestGoldenStoreIsWritten commits the golden batches to a new store and expects the same files and the same records in
+// each bucket as in the golden store.
 func TestGoldenStoreIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	s, err := OpenStore(dir, Options{MaxRevisions: goldenMaxRevisions})
@@ -215,7 +215,7 @@
 	}
 }
 
-// TestGoldenStepOrder holds the order of the steps at which a store calls Options.Failpoint, which is that of its writes.
+// TestGoldenStepOrder checks the order in which a store calls Options.Failpoint, which is the order of its writes.
 func TestGoldenStepOrder(t *testing.T) {
 	var steps []Step
 	s, err := OpenStore(t.TempDir(), Options{Failpoint: func(step Step) error {
@@ -250,8 +250,8 @@
 	}
 }
 
-// TestGoldenPrepare holds the outcome of seeded random batches: whether each is accepted, which error rejects it and
-// how many of its changes remain.
+// TestGoldenPrepare compares a hash of the outcomes of seeded random batches with its recorded value. An outcome is the
+// error that rejects the batch, or the number of changes that remain.
 func TestGoldenPrepare(t *testing.T) {
 	const want = "2b8777ec499a11095eab8fd2d588a482742de00ef129d6630547e632acd0f62e"
 	sentinels := []error{ErrInvalidArgument, ErrNotFound, ErrAlreadyExists, ErrInUse, ErrConflict}
@@ -282,7 +282,7 @@
 	}
 }
 
-// randomBatch draws one to three changes over few names, some of which are invalid.
+// randomBatch returns one to three random changes of a few names, some of which are invalid.
 func randomBatch(rng *rand.Rand) []Change {
 	var batch []Change
 	for range 1 + rng.IntN(3) {
--- a/internal/registry/names.go
+++ b/internal/registry/names.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// maxNameLength is the largest number of bytes in a name.
+// maxNameLength is the maximum length of a name in bytes.
 const maxNameLength = 64
 
-// ValidateName accepts 1 to 64 bytes of a-z, 0-9, '-', '_' and '.'. The first and last byte must be a letter or a
-// digit, and no two dots may stand in a row. Other names are rejected with ErrInvalidArgument; kind tells in the
-// error what is named.
+// ValidateName accepts names of 1 to 64 bytes from a-z, 0-9, '-', '_' and '.'. The first and last byte must be a letter
+// or a digit, and there must be no two consecutive dots. Other names are rejected with ErrInvalidArgument; kind is the
+// kind of name in the error message.
 //
-// Names become parts of paths and of database keys, and people compare them by eye. So there are no separators, no
-// upper case and no character that can be mistaken for another.
+// Names are used in paths and in database keys, and people compare them by eye. Therefore separators, upper case and
+// characters that look alike are not allowed.
 func ValidateName(kind, name string) error {
 	if len(name) == 0 || len(name) > maxNameLength {
-		return fmt.Errorf("%w: %s of %d bytes, 1 to %d are allowed", ErrInvalidArgument, kind, len(name), maxNameLength)
+		return fmt.Errorf("%w: %s has %d bytes, want 1 to %d", ErrInvalidArgument, kind, len(name), maxNameLength)
 	}
 	for i := range len(name) {
 		if !isLetterOrDigit(name[i]) && !isInnerPunctuation(name, i) {
-			return fmt.Errorf("%w: %s %q at byte %d", ErrInvalidArgument, kind, name, i)
+			return fmt.Errorf("%w: %s %q has an invalid character at byte %d", ErrInvalidArgument, kind, name, i)
 		}
 	}
 	return nil
@@ -27,7 +27,7 @@
 	return c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
 }
 
-// isInnerPunctuation reports whether byte i of name is punctuation that may stand there.
+// isInnerPunctuation reports whether byte i of name is punctuation that is allowed at that position.
 func isInnerPunctuation(name string, i int) bool {
 	if i == 0 || i == len(name)-1 {
 		return false
@@ -36,7 +36,7 @@
 	return c == '-' || c == '_' || c == '.' && name[i-1] != '.'
 }
 
-// validateNames validates two names and returns the error of the first invalid one.
+// validateNames validates two names and returns the error for the first invalid one.
 func validateNames(kind1, name1, kind2, name2 string) error {
 	if err := ValidateName(kind1, name1); err != nil {
 		return err
--- a/internal/registry/overlay.go
+++ b/internal/registry/overlay.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// overlay is a batch in progress on top of a state, which stays as it is until commit.
+// overlay collects the changes of a batch on top of a state. The state does not change until commit.
 type overlay struct {
 	base             *State
-	versions         map[VersionRef]*Content  // nil where the version is deleted
-	aliases          map[AliasRef]*VersionRef // nil where the alias is deleted
-	aliasCountDeltas map[VersionRef]int       // differences from base.aliasCounts
+	versions         map[VersionRef]*Content  // nil if the version is deleted
+	aliases          map[AliasRef]*VersionRef // nil if the alias is deleted
+	aliasCountDeltas map[VersionRef]int       // to be added to base.aliasCounts
 }
 
 func newOverlay(base *State) *overlay {
@@ -19,7 +19,7 @@
 	}
 }
 
-// version looks up a version as the batch so far has it.
+// version looks up a version after the changes so far.
 func (o *overlay) version(ref VersionRef) (Content, bool) {
 	if content, ok := o.versions[ref]; ok {
 		if content == nil {
@@ -30,7 +30,7 @@
 	return o.base.Version(ref)
 }
 
-// alias looks up an alias as the batch so far has it.
+// alias looks up an alias after the changes so far.
 func (o *overlay) alias(ref AliasRef) (VersionRef, bool) {
 	if target, ok := o.aliases[ref]; ok {
 		if target == nil {
@@ -41,7 +41,7 @@
 	return o.base.Alias(ref)
 }
 
-// apply checks one change and adds it to the batch. It reports whether the change has any effect.
+// apply validates one change and adds it to the overlay. It reports whether the change has any effect.
 func (o *overlay) apply(change Change) (effective bool, err error) {
 	switch change := change.(type) {
 	case PushVersion:
@@ -53,7 +53,7 @@
 	case DeleteAlias:
 		return true, o.deleteAlias(change)
 	default:
-		return false, fmt.Errorf("%w: change of type %T", ErrInvalidArgument, change)
+		return false, fmt.Errorf("%w: unknown change type %T", ErrInvalidArgument, change)
 	}
 }
 
@@ -62,11 +62,11 @@
 		return false, err
 	}
 	if push.Size < 0 {
-		return false, fmt.Errorf("%w: %s of %d bytes", ErrInvalidArgument, push.VersionRef, push.Size)
+		return false, fmt.Errorf("%w: %s has a size of %d bytes", ErrInvalidArgument, push.VersionRef, push.Size)
 	}
 	if existing, ok := o.version(push.VersionRef); ok {
 		if existing != push.Content {
-			return false, fmt.Errorf("%w: %s is %s", ErrAlreadyExists, push.VersionRef, existing.Digest)
+			return false, fmt.Errorf("%w: %s has digest %s", ErrAlreadyExists, push.VersionRef, existing.Digest)
 		}
 		return false, nil
 	}
@@ -80,7 +80,7 @@
 		return fmt.Errorf("%w: %s", ErrNotFound, ref)
 	}
 	if aliases := o.base.aliasCounts[ref] + o.aliasCountDeltas[ref]; aliases > 0 {
-		return fmt.Errorf("%w: %s, by %d", ErrInUse, ref, aliases)
+		return fmt.Errorf("%w: %s is the target of %d aliases", ErrInUse, ref, aliases)
 	}
 	o.versions[ref] = nil
 	return nil
@@ -91,11 +91,11 @@
 		return false, err
 	}
 	if _, ok := o.version(move.Target); !ok {
-		return false, fmt.Errorf("%w: %s, for %s", ErrNotFound, move.Target, move.AliasRef)
+		return false, fmt.Errorf("%w: %s as the target of %s", ErrNotFound, move.Target, move.AliasRef)
 	}
 	previous, exists := o.alias(move.AliasRef)
 	if move.ExpectedTarget != nil && (!exists || previous != *move.ExpectedTarget) {
-		return false, fmt.Errorf("%w: %s points at %q, %s was expected",
+		return false, fmt.Errorf("%w: %s points at %q, want %s",
 			ErrConflict, move.AliasRef, previous, *move.ExpectedTarget)
 	}
 	if exists && previous == move.Target {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// commit writes the batch into the state.
+// commit applies the changes to the state.
 func (o *overlay) commit() {
 	for ref, content := range o.versions {
 		if content == nil {
--- a/internal/registry/revision_json.go
+++ b/internal/registry/revision_json.go
@@ -1,6 +1,6 @@
 package registry
 
-// Kinds of a storedChange.
+// Values of storedChange.Kind.
 const (
 	kindPushVersion   = "push"
 	kindDeleteVersion = "delete"
@@ -8,14 +8,14 @@
 	kindDeleteAlias   = "drop"
 )
 
-// storedRevision is the JSON form in which the database keeps a revision. The tags are part of the store's format.
+// storedRevision is the JSON encoding of a revision in the database. The tags are part of the store's format.
 type storedRevision struct {
 	Number  uint64         `json:"revision"`
 	Changes []storedChange `json:"changes"`
 }
 
-// storedChange is any Change, told apart by its kind. MoveAlias.ExpectedTarget is not stored: it was checked before
-// the revision was made.
+// storedChange is the JSON encoding of any Change; Kind has its type. MoveAlias.ExpectedTarget is not stored, because
+// it was checked before the revision was committed.
 type storedChange struct {
 	Kind    string `json:"kind"`
 	Plugin  string `json:"plugin,omitempty"`
@@ -47,8 +47,8 @@
 	return stored
 }
 
-// decode returns the revision that was stored. A change of an unknown kind is left out, and an invalid digest
-// reads as zeros.
+// decode converts a stored revision to a Revision. Changes of unknown kinds are omitted, and an invalid digest is
+// decoded as zeros.
 func (r storedRevision) decode() Revision {
 	revision := Revision{Number: r.Number}
 	for _, stored := range r.Changes {
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -7,18 +7,18 @@
 	"slices"
 )
 
-// State holds all versions and aliases as of a revision, and the latest revisions for those who watch. It has no
-// lock: its owner serializes the calls.
+// State holds all versions and aliases as of a revision, and the latest revisions for watchers. It is not safe for
+// concurrent use.
 type State struct {
 	revision    uint64
 	versions    map[VersionRef]Content
 	aliases     map[AliasRef]VersionRef
-	aliasCounts map[VersionRef]int // number of aliases that point at a version, without zeros
+	aliasCounts map[VersionRef]int // number of aliases that point at a version; has no zero counts
 	recent      []Revision         // the latest revisions, oldest first
-	maxRecent   int                // of revisions in recent
+	maxRecent   int                // maximum length of recent
 }
 
-// NewState returns an empty state at revision 0 that keeps the latest maxRecent revisions, but at least one.
+// NewState returns an empty state at revision 0. It keeps the latest maxRecent revisions, but at least one.
 func NewState(maxRecent int) *State {
 	return &State{
 		versions:    map[VersionRef]Content{},
@@ -28,8 +28,8 @@
 	}
 }
 
-// RestoreState returns a state as of a revision, without the revisions before it. The maps are copied. An alias
-// that points at an unknown version is rejected with ErrNotFound.
+// RestoreState returns a state as of a revision, without a history of earlier revisions. It copies the maps. It returns
+// ErrNotFound if an alias points at an unknown version.
 func RestoreState(revision uint64, versions map[VersionRef]Content, aliases map[AliasRef]VersionRef,
 	maxRecent int) (*State, error) {
 	s := NewState(maxRecent)
@@ -48,7 +48,7 @@
 // Revision returns the number of the latest revision.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Version looks up what a version consists of.
+// Version looks up the content of a version.
 func (s *State) Version(ref VersionRef) (Content, bool) {
 	content, ok := s.versions[ref]
 	return content, ok
@@ -74,9 +74,9 @@
 	})
 }
 
-// Prepare checks a batch against the state and returns the revision that it would make, without the changes that
-// have no effect, or nil if no change is left. The state stays as it is. An error names the rejected change by its
-// index in the batch.
+// Prepare validates a batch against the state and returns the resulting revision without changing the state. The
+// revision omits changes that have no effect; it is nil if none of them has. An error has the index of the rejected
+// change in the batch.
 func (s *State) Prepare(batch []Change) (*Revision, error) {
 	o := newOverlay(s)
 	revision := &Revision{Number: s.revision + 1}
@@ -95,8 +95,8 @@
 	return revision, nil
 }
 
-// Apply applies a revision that Prepare returned or that came over a watch. One whose number does not follow the
-// latest is rejected with ErrConflict. After an error the state is as before.
+// Apply applies a revision that was returned by Prepare or received through a watch. A revision whose number is not the
+// one after the latest is rejected with ErrConflict. If Apply returns an error, the state is unchanged.
 func (s *State) Apply(revision Revision) error {
 	if revision.Number != s.revision+1 {
 		return fmt.Errorf("%w: revision %d after %d", ErrConflict, revision.Number, s.revision)
@@ -116,16 +116,16 @@
 	return nil
 }
 
-// RevisionsAfter returns the revisions after the one with the given number. ErrCompacted tells a watcher to list
-// again, ErrFutureRevision that it has seen a revision that this state has not reached.
+// RevisionsAfter returns the revisions after the one with the given number. It returns ErrCompacted if some of them are
+// no longer kept, and ErrFutureRevision if the number is greater than that of the latest revision.
 func (s *State) RevisionsAfter(number uint64) ([]Revision, error) {
 	switch {
 	case number > s.revision:
-		return nil, fmt.Errorf("%w (asked after %d, latest %d)", ErrFutureRevision, number, s.revision)
+		return nil, fmt.Errorf("%w (requested after %d, latest is %d)", ErrFutureRevision, number, s.revision)
 	case number == s.revision:
 		return nil, nil
 	case len(s.recent) == 0 || number+1 < s.recent[0].Number:
-		return nil, fmt.Errorf("%w (asked after %d, kept from %d)", ErrCompacted, number,
+		return nil, fmt.Errorf("%w (requested after %d, oldest kept is %d)", ErrCompacted, number,
 			s.revision-uint64(len(s.recent))+1)
 	}
 	return s.recent[number+1-s.recent[0].Number:], nil
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// pushVersion pushes content of 10 bytes whose digest begins with the given byte.
+// pushVersion returns a push of content of 10 bytes whose digest starts with the given byte.
 func pushVersion(plugin, version string, digestByte byte) PushVersion {
 	return PushVersion{VersionRef{plugin, version}, Content{Digest{digestByte}, 10}}
 }
 
-// moveAlias moves the alias "current" of a plan.
+// moveAlias returns a move of the alias "current" of a plan.
 func moveAlias(plan, plugin, version string) MoveAlias {
 	return MoveAlias{AliasRef: AliasRef{plan, "current"}, Target: VersionRef{plugin, version}}
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestBatchIsOneRevision applies batches of several changes, and one without effect, which makes no revision.
+// TestBatchIsOneRevision checks that a batch of several changes makes one revision, and a batch without effect none.
 func TestBatchIsOneRevision(t *testing.T) {
 	s := NewState(10)
 	mustCommit(t, s, pushVersion("q", "1", 1), pushVersion("q", "2", 2), moveAlias("a", "q", "1"), moveAlias("b", "q", "1"))
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestFollowersAgree is a property: whoever applies the revisions in order, from any revision that is kept or from
-// a listing, has the same versions and aliases. Revisions that do not follow are rejected, and every alias points at
-// a version that exists.
+// TestFollowersAgree checks the property that a follower has the leader's versions and aliases after it has applied the
+// revisions in order, starting from any kept revision or from a listing. A revision that is applied twice is rejected,
+// and every alias points at an existing version.
 func TestFollowersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewState(8), NewState(8)
@@ -146,7 +146,7 @@
 	})
 }
 
-// drawBatch draws one to four changes over few names.
+// drawBatch draws one to four changes of a few names.
 func drawBatch(t *rapid.T) []Change {
 	var batch []Change
 	for range rapid.IntRange(1, 4).Draw(t, "changes") {
@@ -173,8 +173,8 @@
 	}
 }
 
-// catchUp applies the revisions that a follower lacks, to a copy of the leader where they are compacted, and
-// returns the follower.
+// catchUp applies the revisions that a follower lacks and returns the follower. If they are compacted, it returns a
+// copy of the leader instead.
 func catchUp(t *rapid.T, leader, follower *State) *State {
 	t.Helper()
 	revisions, err := leader.RevisionsAfter(follower.Revision())
@@ -195,11 +195,12 @@
 	t.Helper()
 	if !maps.Equal(follower.versions, leader.versions) || !maps.Equal(follower.aliases, leader.aliases) ||
 		!maps.Equal(follower.aliasCounts, leader.aliasCounts) || follower.revision != leader.revision {
-		t.Fatalf("a follower differs at revision %d", leader.revision)
+		t.Fatalf("the follower differs from the leader at revision %d", leader.revision)
 	}
 }
 
-// TestRestoreEmptyState: an empty listing has nil maps; what follows it applies.
+// TestRestoreEmptyState checks that revisions can be applied to a state restored from an empty listing, whose maps are
+// nil.
 func TestRestoreEmptyState(t *testing.T) {
 	s, err := RestoreState(7, nil, nil, 1)
 	if err != nil {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -16,7 +16,7 @@
 	defaultMaxRevisions   = 1000
 	defaultMaxContentSize = 1 << 30
 
-	// databaseLockTimeout bounds the wait for another process that has the database open.
+	// databaseLockTimeout bounds the wait for the lock of a database that another process has open.
 	databaseLockTimeout = time.Second
 
 	directoryMode    = 0o755
@@ -25,27 +25,27 @@
 
 // Names within a store's directory.
 const (
-	blobsDirectory     = "blobs" // contents, by digest
-	temporaryDirectory = "tmp"   // contents that are being written
+	blobsDirectory     = "blobs" // contents, named by digest
+	temporaryDirectory = "tmp"   // files that are being written
 	databaseFile       = "state.db"
 )
 
-// Options configure a Store.
+// Options configures a Store.
 type Options struct {
-	MaxRevisions   int   // revisions kept for those who watch; 0 means 1000
-	MaxContentSize int64 // bytes of a plug-in, before compression; 0 means 1 GiB
-	// Failpoint is nil, or is called before each step that changes the disk. Its error ends the operation there, as
-	// a crash would. Tests use it.
+	MaxRevisions   int   // revisions kept for watchers; 0 means 1000
+	MaxContentSize int64 // in bytes, before compression; 0 means 1 GiB
+	// Failpoint, if not nil, is called before each step that changes the disk. An error that it returns ends the
+	// operation at that step, as a crash would. It is for tests.
 	Failpoint func(step Step) error
 
-	fileSystem       durable.FileSystem // of contents; nil: the system's own
-	openDatabaseFile openFileFunc       // nil: os.OpenFile
+	fileSystem       durable.FileSystem // for contents; nil means durable.OS
+	openDatabaseFile openFileFunc       // nil means os.OpenFile
 }
 
 // openFileFunc has the signature of os.OpenFile.
 type openFileFunc func(path string, flag int, mode os.FileMode) (*os.File, error)
 
-// withDefaults returns the options with the default of each one that is not set.
+// withDefaults returns the options with unset ones replaced by their defaults.
 func (o Options) withDefaults() Options {
 	if o.MaxRevisions == 0 {
 		o.MaxRevisions = defaultMaxRevisions
@@ -62,10 +62,10 @@
 	return o
 }
 
-// Step names a step of an operation at which Options.Failpoint is called.
+// Step identifies a step of an operation at which Options.Failpoint is called.
 type Step string
 
-// The steps, in the order of a push; StepRemoveBlob belongs to garbage collection.
+// The steps, in the order in which a version is stored and committed. StepRemoveBlob is a step of garbage collection.
 const (
 	StepCreateTempFile    Step = "blob: create"
 	StepWriteBlob         Step = "blob: write"
@@ -79,33 +79,34 @@
 	StepRemoveBlob        Step = "gc: remove"
 )
 
-// Store keeps a registry in a directory: contents as files named by their digests, all else in an embedded
-// database whose commits are durable. A change is acknowledged once it is on disk; after a crash at any step the
-// state is the one before a change or the one after it. One process has a directory open at a time.
+// Store persists a registry in a directory: contents in files named by their digests, everything else in an embedded
+// database whose commits are durable. A change is acknowledged once it is on disk. After a crash at any step, the state
+// is either the one before a change or the one after it. Only one process can have a directory open at a time.
 //
-// An operation that fails with ErrStorage can be repeated, and the store goes on once the directory works again. A sync
-// that failed is never taken as made up for by a later one: what it was to make durable is written again before.
+// An operation that fails with ErrStorage can be retried; the store works again once the disk does. A later successful
+// sync does not make up for a failed one, because the failed sync may have discarded the data: the data is written
+// again before it is synced again.
 //
-// All methods but Close may be called concurrently.
+// All methods except Close may be called concurrently.
 type Store struct {
 	dir     string
 	options Options
 	db      *bolt.DB
 
 	openedAt  time.Time
-	publishMu sync.Mutex // serializes the renames of contents with the syncs of their directories
-
-	mu            sync.RWMutex // guards what follows
-	state         *State
-	storedAt      map[Digest]time.Time // of contents stored since the store was opened, and not removed since
-	readers       map[Digest]int       // number of open BlobReaders by content, without zeros
-	undurable     map[Digest]bool      // contents whose names may not be durable, as a sync failed
-	changed       chan struct{}        // closed at the next revision, and replaced
-	commitOutcomeUnknown bool                 // a commit failed: recoverState reads what became of it
+	publishMu sync.Mutex // makes a content's rename and the syncs of its directories one critical section
+
+	mu                   sync.RWMutex // guards the fields below
+	state                *State
+	storedAt             map[Digest]time.Time // for contents stored since the store was opened and not removed
+	readers              map[Digest]int       // number of open BlobReaders by content; has no zero counts
+	undurable            map[Digest]bool      // contents that may not be durable, because a rename or sync failed
+	changed              chan struct{}        // closed and replaced at the next revision
+	commitOutcomeUnknown bool                 // a commit failed; recoverState finds out whether it is durable
 }
 
-// OpenStore opens the store in a directory, which is created where it does not exist. Temporary files that a crash
-// left behind are removed.
+// OpenStore opens the store in a directory, and creates the directory if it does not exist. It removes temporary files
+// that a crash left behind.
 func OpenStore(dir string, options Options) (*Store, error) {
 	s := &Store{
 		dir:       dir,
@@ -129,7 +130,7 @@
 		return nil, err
 	}
 	if err := s.recoverDirectory(); err != nil {
-		if created { // its name may not be durable; nothing was acknowledged in it
+		if created { // its name may not be durable, and it has no acknowledged changes
 			_ = os.Remove(s.databasePath())
 		}
 		_ = s.db.Close()
@@ -138,8 +139,8 @@
 	return s, nil
 }
 
-// recoverDirectory makes the names that are there durable, reads the state and removes what a crash left half-written. The
-// database is open, and so no other process changes the directory.
+// recoverDirectory makes the existing directory entries durable, reads the state and removes temporary files. The open
+// database's lock prevents other processes from changing the directory.
 func (s *Store) recoverDirectory() error {
 	if err := s.syncDirectories(); err != nil {
 		return storageError(err)
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// syncDirectories makes the names of the store, of its database and of its directories durable.
+// syncDirectories makes the directory entries of the store, its database and its subdirectories durable.
 func (s *Store) syncDirectories() error {
 	for _, directory := range []string{filepath.Dir(filepath.Clean(s.dir)), s.dir, filepath.Join(s.dir, blobsDirectory)} {
 		if err := s.options.fileSystem.SyncDirectory(directory); err != nil {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// removeTemporaryFiles removes what a crash left half-written.
+// removeTemporaryFiles removes partially written files that a crash left behind.
 func (s *Store) removeTemporaryFiles() error {
 	dir := filepath.Join(s.dir, temporaryDirectory)
 	entries, err := os.ReadDir(dir)
@@ -179,7 +180,7 @@
 // Close closes the database. The store must not be used afterwards.
 func (s *Store) Close() error { return s.db.Close() }
 
-// View calls f with the state under the store's lock. f must neither change nor keep the state, nor call methods of
+// View calls f with the state while holding the store's lock. f must not change or retain the state, or call methods of
 // the store.
 func (s *Store) View(f func(*State)) {
 	s.mu.RLock()
@@ -187,14 +188,14 @@
 	f(s.state)
 }
 
-// Changed returns a channel that is closed when a revision after the present one is committed.
+// Changed returns a channel that is closed when the next revision is committed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.changed
 }
 
-// failpoint calls Options.Failpoint, where it is set.
+// failpoint calls Options.Failpoint if it is set.
 func (s *Store) failpoint(step Step) error {
 	if s.options.Failpoint == nil {
 		return nil
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// checkReopenedState returns a check of the state after four revisions, of which two are kept.
+// checkReopenedState returns a function that checks the state after four revisions, of which two are kept.
 func checkReopenedState(t *testing.T) func(*State) {
 	return func(state *State) {
 		target, _ := state.Alias(AliasRef{"p", "current"})
@@ -86,7 +86,7 @@
 	}
 }
 
-// compress returns b as a content's file holds it.
+// compress returns b in the format of a content's file.
 func compress(t *testing.T, b []byte) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -99,8 +99,8 @@
 	return out.Bytes()
 }
 
-// TestCorruptContentIsDetected damages a content's file in several ways. Each is detected by reading and by Verify,
-// and no more than the expected size is ever returned.
+// TestCorruptContentIsDetected damages a content's file in several ways. Reading and Verify must detect the damage, and
+// reading must not return more than the expected size.
 func TestCorruptContentIsDetected(t *testing.T) {
 	body := []byte(strings.Repeat("abc", 1000))
 	overwrite := func(replacement []byte) func(string, []byte) error {
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestCollectGarbage expects content to be kept that a version refers to, that is being read, or that a PushVersion
-// may be about to refer to.
+// TestCollectGarbage expects content to be kept if a version refers to it, if it is being read, or if it is within the
+// grace period, because a PushVersion may be about to refer to it.
 func TestCollectGarbage(t *testing.T) {
 	s := mustOpenStore(t, t.TempDir(), Options{})
 	defer func() { _ = s.Close() }()
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	if removed, err := s.CollectGarbage(time.Hour, false); err != nil || len(removed) > 0 {
-		t.Errorf("young content removed: %v, %v", removed, err)
+		t.Errorf("content within the grace period: removed %v, %v", removed, err)
 	}
 	for _, dryRun := range []bool{true, false} {
 		if removed, err := s.CollectGarbage(0, dryRun); err != nil || len(removed) != 1 || removed[0] != unused.Digest {
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestCollectGarbageWithSteppedWallClock checks that a step of the wall clock, which makes files look older or younger,
-// neither ends the grace period of a content nor prolongs it.
+// TestCollectGarbageWithSteppedWallClock checks that a step of the wall clock, which makes files look older or newer,
+// neither shortens nor extends the grace period.
 func TestCollectGarbageWithSteppedWallClock(t *testing.T) {
 	for _, step := range testsupport.WallClockSteps {
 		t.Run(step.String(), func(t *testing.T) {
@@ -221,7 +221,8 @@
 	}
 }
 
-// TestReopenWithDifferentMaxRevisions: watchers get revisions without a gap, or ErrCompacted, whatever was kept before.
+// TestReopenWithDifferentMaxRevisions checks that watchers get revisions without a gap, or ErrCompacted, regardless of
+// how many revisions were kept before.
 func TestReopenWithDifferentMaxRevisions(t *testing.T) {
 	dir := t.TempDir()
 	var latest uint64
@@ -241,7 +242,8 @@
 	}
 }
 
-// checkNoGap returns a check of what every watcher gets, and that no more than that many revisions are kept.
+// checkNoGap returns a function that checks, for each revision, that the revisions after it have no gap and are at most
+// maxRevisions.
 func checkNoGap(t *testing.T, maxRevisions int) func(*State) {
 	return func(state *State) {
 		for after := range state.Revision() {
@@ -254,7 +256,7 @@
 			}
 			for i, revision := range revisions {
 				if revision.Number != after+1+uint64(i) {
-					t.Errorf("revision %d stands where %d is due", revision.Number, after+1+uint64(i))
+					t.Errorf("revision %d, want %d", revision.Number, after+1+uint64(i))
 				}
 			}
 		}
--- a/internal/registry/verify.go
+++ b/internal/registry/verify.go
@@ -2,8 +2,8 @@
 
 import "io"
 
-// Verify reads the content of every version and returns the error of each one that cannot be read whole and
-// correct. progress is nil or is called after each version.
+// Verify reads the content of every version and returns the errors by version. progress, if not nil, is called after
+// each version.
 func (s *Store) Verify(progress func(done, total int)) map[VersionRef]error {
 	contents := map[VersionRef]Content{}
 	s.View(func(state *State) {
@@ -23,7 +23,7 @@
 	return failures
 }
 
-// verifyContent reads content to its end, where BlobReader compares the digest.
+// verifyContent reads content to its end, because BlobReader checks the digest there.
 func (s *Store) verifyContent(content Content) error {
 	r, err := s.OpenContent(content)
 	if err != nil {
