--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -165,7 +165,8 @@
 func writeResponse(conn netpoll.Connection, resp response) {
 	raw, err := json.Marshal(resp)
 	if err != nil {
-		raw, _ = json.Marshal(response{Version: protocolVersion, ID: resp.ID, Error: &Error{codeInternalError, err.Error()}})
+		raw, _ = json.Marshal(response{Version: protocolVersion, ID: resp.ID,
+			Error: &Error{codeInternalError, err.Error()}})
 	}
 	_ = writeLine(conn, raw)
 }
--- a/internal/config/gossip_test.go
+++ b/internal/config/gossip_test.go
@@ -38,7 +38,8 @@
 		"unknown preset":        {`{"listen": "127.0.0.1:7000", "members": "m", "key": "k", "preset": "interplanetary"}`, "/gossip/preset"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := Parse("g.json", gatewayWithGossip(c.gossip)); err == nil || !strings.Contains(err.Error(), c.path) {
+			if _, err := Parse("g.json", gatewayWithGossip(c.gossip)); err == nil ||
+				!strings.Contains(err.Error(), c.path) {
 				t.Errorf("%s: %v, want an error with %s", c.gossip, err, c.path)
 			}
 		})
