--- a/internal/registry/crash_test.go
+++ b/internal/registry/crash_test.go
@@ -15,14 +15,14 @@
 	t            *testing.T
 	rng          *rand.Rand
 	dir          string
-	acknowledged uint64                  // the latest revision that a Commit or a reopened store has shown
+	acknowledged uint64                  // the latest revision that a Commit or a reopened store returned
 	aliases      map[AliasRef]VersionRef // as of that revision
-	pending      map[AliasRef]VersionRef // what the batch in progress would make of them; nil if there is none
-	hits         map[Step]int            // number of crashes at a step
+	pending      map[AliasRef]VersionRef // aliases after the batch in progress; nil if there is none
+	crashesAt    map[Step]int            // number of crashes by step
 }
 
-// TestCrashAtAnyStep simulates crashes at random steps, opens the store anew after each and compares its state with
-// what was acknowledged: every acknowledged change is there, the one in progress is there as a whole or not at all,
+// TestCrashAtAnyStep simulates crashes at random steps, reopens the store after each and compares its state with what
+// was acknowledged: every acknowledged change is present, the batch in progress is present as a whole or not at all,
 // and all content is correct.
 func TestCrashAtAnyStep(t *testing.T) {
 	crashes := 500
@@ -30,32 +30,32 @@
 		crashes = 10
 	}
 	c := crashTest{
-		t:       t,
-		rng:     rand.New(rand.NewPCG(1, 15)),
-		dir:     t.TempDir(),
-		aliases: map[AliasRef]VersionRef{},
-		hits:    map[Step]int{},
+		t:         t,
+		rng:       rand.New(rand.NewPCG(1, 15)),
+		dir:       t.TempDir(),
+		aliases:   map[AliasRef]VersionRef{},
+		crashesAt: map[Step]int{},
 	}
 	for crash := range crashes {
 		c.runUntilCrash(crash)
 		c.checkRecovery(crash)
 	}
-	t.Logf("%d crashes: %v", crashes, c.hits)
+	t.Logf("%d crashes: %v", crashes, c.crashesAt)
 	for _, step := range []Step{StepCreateTempFile, StepWriteBlob, StepSyncBlob, StepRenameBlob, StepSyncDirectories,
 		StepBeginTransaction, StepWriteChange, StepCommitTransaction, StepAcknowledge} {
-		if c.hits[step] == 0 && crashes >= 60 {
+		if c.crashesAt[step] == 0 && crashes >= 60 {
 			t.Errorf("no crash at %q", step)
 		}
 	}
 }
 
-// runUntilCrash opens the store, checks it and commits batches until the drawn step.
+// runUntilCrash opens the store, checks it and commits batches until a crash at a randomly drawn step.
 func (c *crashTest) runUntilCrash(crash int) {
 	c.t.Helper()
 	stepsLeft := c.rng.IntN(24)
 	s := mustOpenStore(c.t, c.dir, Options{MaxRevisions: 5, Failpoint: func(step Step) error {
 		if stepsLeft--; stepsLeft < 0 {
-			c.hits[step]++
+			c.crashesAt[step]++
 			return errCrash
 		}
 		return nil
@@ -64,7 +64,7 @@
 		if revision := state.Revision(); revision < c.acknowledged || revision > c.acknowledged+1 {
 			c.t.Fatalf("crash %d: revision %d, acknowledged %d", crash, revision, c.acknowledged)
 		}
-		c.adopt(state)
+		c.setAcknowledged(state)
 	})
 	if failures := s.Verify(nil); len(failures) > 0 {
 		c.t.Fatalf("crash %d: %v", crash, failures)
@@ -77,7 +77,7 @@
 	}
 }
 
-// pushAndMove commits one batch, which pushes a version and moves two aliases to it. It reports false after a crash.
+// pushAndMove commits one batch, which pushes a version and moves two aliases to it. It returns false after a crash.
 func (c *crashTest) pushAndMove(s *Store, version string) bool {
 	c.t.Helper()
 	content, err := s.PutContent(strings.NewReader("content " + version))
@@ -97,7 +97,8 @@
 	return true
 }
 
-// checkRecovery opens the store after a crash. It must be as acknowledged, or as the batch in progress made it.
+// checkRecovery reopens the store after a crash. Its state must be the acknowledged one, or the one after the batch in
+// progress.
 func (c *crashTest) checkRecovery(crash int) {
 	c.t.Helper()
 	s := mustOpenStore(c.t, c.dir, Options{MaxRevisions: 5})
@@ -112,13 +113,13 @@
 					crash, revision, c.acknowledged, alias, got)
 			}
 		}
-		c.adopt(state)
+		c.setAcknowledged(state)
 	})
 	_ = s.Close()
 }
 
-// adopt takes a state as acknowledged, since it is durable.
-func (c *crashTest) adopt(state *State) {
+// setAcknowledged records a state as acknowledged, because a state read from disk is durable.
+func (c *crashTest) setAcknowledged(state *State) {
 	c.acknowledged = state.Revision()
 	for _, alias := range state.Aliases() {
 		c.aliases[alias], _ = state.Alias(alias)
