--- a/internal/catalog/core_test.go
+++ b/internal/catalog/core_test.go
@@ -22,7 +22,7 @@
 	return registry.Content{Digest: registry.Digest{digestByte}, Size: 1}
 }
 
-// listingAt has versions 1 and 2, and the alias at the given one.
+// listingAt returns a listing with versions 1 and 2 and with the alias pointing at target.
 func listingAt(revision uint64, target string) Listing {
 	return Listing{
 		Revision: revision,
@@ -31,14 +31,14 @@
 	}
 }
 
-// moveRevision is a revision that moves the alias.
+// moveRevision returns a revision that moves the alias.
 func moveRevision(number uint64, target string) registry.Revision {
 	move := registry.MoveAlias{AliasRef: currentAlias, Target: versionRef(target)}
 	return registry.Revision{Number: number, Changes: []registry.Change{move}}
 }
 
-// findAction returns the last action of a type, and how many there are.
-func findAction[T Action](actions []Action) (last T, count int) {
+// lastAction returns the last action of a type, and the number of actions of that type.
+func lastAction[T Action](actions []Action) (last T, count int) {
 	for _, action := range actions {
 		if typed, ok := action.(T); ok {
 			last = typed
@@ -48,28 +48,28 @@
 	return last, count
 }
 
-// warningText returns the last warning, or nothing.
+// warningText returns the message of the last warning, or an empty string.
 func warningText(actions []Action) string {
-	warning, _ := findAction[LogWarning](actions)
+	warning, _ := lastAction[LogWarning](actions)
 	return warning.Message
 }
 
-// watchingCore returns a core that has listed revision 5 and watches.
+// watchingCore returns a core that has received a listing at revision 5 and has requested a Watch.
 func watchingCore(t *testing.T) *Core {
 	t.Helper()
 	c := New(DefaultConfig)
-	if _, count := findAction[List](c.Step(0, nil)); count != 1 {
+	if _, count := lastAction[List](c.Step(0, nil)); count != 1 {
 		t.Fatal("no List was requested")
 	}
-	watch, count := findAction[Watch](c.Step(0, []Event{ListReceived{listingAt(5, "1")}}))
+	watch, count := lastAction[Watch](c.Step(0, []Event{ListReceived{listingAt(5, "1")}}))
 	if count != 1 || watch.After != 5 {
 		t.Fatalf("watch after %d", watch.After)
 	}
 	return c
 }
 
-// TestMissingAndStaleCatalog expects nothing to be guessed while nothing is known, and what was known to be served
-// and marked as stale.
+// TestMissingAndStaleCatalog expects ErrNotSynced before the first listing or snapshot, and the last known version,
+// marked as stale, without recent contact with the registry.
 func TestMissingAndStaleCatalog(t *testing.T) {
 	c := New(DefaultConfig)
 	if _, err := c.ResolveAlias(0, currentAlias); !errors.Is(err, ErrNotSynced) {
@@ -79,7 +79,7 @@
 		t.Error(err)
 	}
 	actions := c.Step(0, []Event{SnapshotLoaded{listingAt(5, "1")}})
-	if watch, count := findAction[Watch](actions); count != 1 || watch.After != 5 {
+	if watch, count := lastAction[Watch](actions); count != 1 || watch.After != 5 {
 		t.Errorf("after a snapshot: %v", actions)
 	}
 	if pin, err := c.ResolveAlias(0, currentAlias); err != nil || !pin.Stale {
@@ -98,27 +98,27 @@
 	}
 }
 
-// TestWatchFaults disturbs the watch in each way that the core must handle.
+// TestWatchFaults tests each fault of a watch that the core must handle.
 func TestWatchFaults(t *testing.T) {
-	t.Run("cut", testWatchCut)
+	t.Run("cut", testWatchFails)
 	t.Run("delivered twice", testWatchDeliveredTwice)
 	t.Run("gap", testWatchGap)
 	t.Run("compacted", testWatchCompacted)
-	t.Run("running backwards", testWatchRunningBackwards)
-	t.Run("contradictory", testWatchContradictory)
+	t.Run("running backwards", testRevisionDecreases)
+	t.Run("contradictory", testContradictoryListing)
 }
 
-func testWatchCut(t *testing.T) {
+func testWatchFails(t *testing.T) {
 	c := watchingCore(t)
 	var requestedAt []time.Duration
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
-		if _, count := findAction[Watch](c.Step(now, []Event{RequestFailed{errors.New("cut")}})); count > 0 {
+		if _, count := lastAction[Watch](c.Step(now, []Event{RequestFailed{errors.New("cut")}})); count > 0 {
 			requestedAt = append(requestedAt, now)
 		}
 	}
 	n := len(requestedAt)
 	if n < 6 || n > 16 || requestedAt[n-1]-requestedAt[n-2] < 9*time.Second {
-		t.Errorf("requested again at %v", requestedAt)
+		t.Errorf("watch requested at %v", requestedAt)
 	}
 }
 
@@ -137,7 +137,7 @@
 func testWatchGap(t *testing.T) {
 	c := watchingCore(t)
 	actions := c.Step(1, []Event{RevisionsReceived{[]registry.Revision{moveRevision(7, "2")}}})
-	_, count := findAction[List](actions)
+	_, count := lastAction[List](actions)
 	if count != 1 || !strings.Contains(warningText(actions), "revision 7 after 5") {
 		t.Errorf("%v", actions)
 	}
@@ -149,19 +149,19 @@
 func testWatchCompacted(t *testing.T) {
 	c := watchingCore(t)
 	actions := c.Step(1, []Event{RequestFailed{fmt.Errorf("watch: %w", registry.ErrCompacted)}})
-	if _, count := findAction[List](actions); count != 1 {
+	if _, count := lastAction[List](actions); count != 1 {
 		t.Fatalf("%v", actions)
 	}
 	actions = c.Step(2, []Event{ListReceived{listingAt(400, "2")}})
-	if watch, _ := findAction[Watch](actions); watch.After != 400 || warningText(actions) != "" {
+	if watch, _ := lastAction[Watch](actions); watch.After != 400 || warningText(actions) != "" {
 		t.Errorf("%v", actions)
 	}
 }
 
-func testWatchRunningBackwards(t *testing.T) {
+func testRevisionDecreases(t *testing.T) {
 	c := watchingCore(t)
 	actions := c.Step(1, []Event{RequestFailed{registry.ErrFutureRevision}})
-	if _, count := findAction[List](actions); count != 1 || !strings.Contains(warningText(actions), "backup") {
+	if _, count := lastAction[List](actions); count != 1 || !strings.Contains(warningText(actions), "backup") {
 		t.Fatalf("%v", actions)
 	}
 	actions = c.Step(2, []Event{ListReceived{listingAt(2, "2")}})
@@ -171,7 +171,7 @@
 	}
 }
 
-func testWatchContradictory(t *testing.T) {
+func testContradictoryListing(t *testing.T) {
 	c := watchingCore(t)
 	otherContent := listingAt(9, "1")
 	otherContent.Versions[versionRef("1")] = content(7)
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestCatalogConverges is a property: with revisions delayed, delivered twice, cut off or compacted, the catalog has
-// the registry's state once its requests are answered again.
+// TestCatalogConverges checks the property that the catalog reaches the registry's state once its requests succeed
+// again, after revisions were delayed, delivered twice, lost or compacted.
 func TestCatalogConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newWatchHarness(t)
@@ -204,9 +204,9 @@
 				target := versionRef(rapid.SampledFrom([]string{"1", "2"}).Draw(t, "to"))
 				h.commit(registry.MoveAlias{AliasRef: currentAlias, Target: target})
 			case 2:
-				h.answer()
+				h.respond()
 			case 3:
-				h.cut()
+				h.failRequest()
 			default:
 				h.step()
 			}
@@ -214,7 +214,7 @@
 		for range 12 {
 			h.now += 11 * time.Second
 			h.step()
-			h.answer()
+			h.respond()
 		}
 		want, _ := h.registry.Alias(currentAlias)
 		got, err := h.core.ResolveAlias(h.now, currentAlias)
@@ -224,7 +224,7 @@
 	})
 }
 
-// watchHarness is a core and the registry that it follows.
+// watchHarness connects a core to the registry that it follows.
 type watchHarness struct {
 	t        *rapid.T
 	registry *registry.State
@@ -233,7 +233,7 @@
 	request  Action // the List or Watch in progress, or nil
 }
 
-// newWatchHarness returns a harness whose registry holds versions 1 and 2, and the alias at 1.
+// newWatchHarness returns a harness whose registry has versions 1 and 2 and the alias pointing at 1.
 func newWatchHarness(t *rapid.T) *watchHarness {
 	h := &watchHarness{t: t, registry: registry.NewState(4), core: New(DefaultConfig)}
 	h.commit(
@@ -256,7 +256,7 @@
 	}
 }
 
-// step hands events to the core and notes what it requests.
+// step passes events to the core and stores its request.
 func (h *watchHarness) step(events ...Event) {
 	for _, action := range h.core.Step(h.now, events) {
 		switch action.(type) {
@@ -266,8 +266,8 @@
 	}
 }
 
-// answer answers the request in progress. A Watch that is answered goes on.
-func (h *watchHarness) answer() {
+// respond responds to the request in progress. A Watch stays in progress after a successful response.
+func (h *watchHarness) respond() {
 	switch request := h.request.(type) {
 	case List:
 		h.request = nil
@@ -283,8 +283,8 @@
 	}
 }
 
-// cut ends the request in progress.
-func (h *watchHarness) cut() {
+// failRequest makes the request in progress fail.
+func (h *watchHarness) failRequest() {
 	if h.request == nil {
 		return
 	}
@@ -292,7 +292,7 @@
 	h.step(RequestFailed{errors.New("cut")})
 }
 
-// listing returns all that the registry holds.
+// listing returns the complete content of the registry.
 func (h *watchHarness) listing() Listing {
 	listing := Listing{
 		Revision: h.registry.Revision(),
@@ -308,14 +308,14 @@
 	return listing
 }
 
-// TestFirstAnswerIsAnError: whatever error the registry answers first, the core lists again.
-func TestFirstAnswerIsAnError(t *testing.T) {
+// TestFirstResponseIsError checks that the core recovers from any error in the registry's first response.
+func TestFirstResponseIsError(t *testing.T) {
 	for _, err := range []error{registry.ErrFutureRevision, registry.ErrCompacted, errors.New("other")} {
 		c := New(DefaultConfig)
 		c.Step(0, nil)
 		c.Step(time.Second, []Event{RequestFailed{err}})
 		actions := c.Step(2*time.Second, []Event{ListReceived{listingAt(5, "1")}})
-		if _, count := findAction[Watch](actions); count != 1 {
+		if _, count := lastAction[Watch](actions); count != 1 {
 			t.Errorf("after %v and a listing: %v", err, actions)
 		}
 	}
