--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -13,8 +13,8 @@
 // settingsPrefix is the prefix of the name of each setting in the line protocol.
 const settingsPrefix = "profile_data."
 
-// fields holds the name=value pairs of a line. err is the first error that parsing or a read method found. A read
-// method returns the zero value for a missing or invalid value.
+// fields holds the name=value pairs of a line. err is the first error of parsing or of a read method. If it is set, the
+// values that the methods returned must not be used.
 type fields struct {
 	pairs map[string]string
 	err   error
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -90,7 +90,7 @@
 	for {
 		words, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
-			return Batch{}, r.errorf("unexpected end of input inside a batch")
+			return Batch{}, r.errorf("input ends inside a batch")
 		}
 		if err != nil {
 			return Batch{}, r.errorf("read: %w", err)
@@ -149,7 +149,7 @@
 		if update, ok := event.(dispatch.EndpointUpdate); ok && !update.SubscriptionLost && f.err == nil {
 			list, found := r.endpointLists[f.integer("set_id", true)]
 			if !found && f.err == nil {
-				return r.errorf("ROSTER_CHANGE: set_id of an unknown endpoint list")
+				return r.errorf("ROSTER_CHANGE: no list of that set_id")
 			}
 			update.Endpoints = list
 			event = update
@@ -191,7 +191,7 @@
 	for ; n > 0; n-- {
 		words, err := r.nextLine()
 		if err != nil {
-			return r.errorf("unexpected end of input inside a CENSUS")
+			return r.errorf("input ends inside a CENSUS")
 		}
 		if words[0] != "M" {
 			return r.errorf("expected M, found %q", words[0])
