--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the results of the tests")
 
 // Compare fails the test if got differs from the content of a file under testdata/golden. With the test flag -update it
 // first writes got to the file.
