--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -14,7 +14,7 @@
 	capacityHeadroom         = 0.2                    // epsilon of the paper: excess of capacity over demand
 	unservedCopies           = 0.1                    // copies counted for a function never served
 	rateSmoothing            = 0.3                    // weight of the newest interval: 6 s of memory
-	minRequestsPerWorker     = 3.0                    // request rates average over this many per worker
+	minRequestsPerWorker     = 3.0                    // request rates cover at least this many per worker
 	idleFunctionTTL          = 2 * time.Minute        // until a function without requests is deleted
 	unservedFunctionTTL      = 10 * time.Second       // if it was never served: clients can invent names
 	slowThreshold            = 1.0                    // slowness from which a worker is reported
@@ -153,8 +153,8 @@
 }
 
 // assignWorkers assigns a function's demand to the first workers of its ranking that have capacity left. It
-// stops after maxPassedOver workers in a row that have none or have ejected the class, because then only
-// few workers can have any.
+// stops after maxPassedOver workers in a row that have no capacity left or from which the class is ejected,
+// because then only few workers can have any.
 func (d *Dispatcher) assignWorkers(f *function) {
 	unassigned := f.demand
 	f.assignment = f.assignment[:0]
@@ -178,14 +178,14 @@
 
 // capacityFactor returns the fraction of its memory that counts as a worker's capacity. It moves functions
 // away from workers that are slow, overloaded by other routers, warming up or unresponsive, whatever the
-// cause. The functions return as soon as responses do. False positives: a worker whose functions are slow
-// by nature loses capacity.
+// cause. The functions return as the worker's responses become normal again. False positives: a worker whose
+// functions are slow by nature loses capacity.
 func (d *Dispatcher) capacityFactor(w *worker) float64 {
 	if w.suspected && !d.majoritySuspected() {
 		return suspectedCapacity
 	}
 	if w.loadExcess == 0 && w.slowness == 0 {
-		return d.slowStartFraction(w) // most workers of a large fleet have sent this router no response yet
+		return d.slowStartFraction(w) // no response or load report yet, as from most workers of a large fleet
 	}
 	return math.Exp(-w.loadExcess) * min(math.Exp(-w.slowness), maxSpeedFactor) * d.slowStartFraction(w)
 }
--- a/dispatch/attemptrules.go
+++ b/dispatch/attemptrules.go
@@ -4,8 +4,8 @@
 
 // This file contains the rules that every attempt has to satisfy.
 
-// minRunTimeDivisor defines the minimum time until the deadline with which an attempt is started: the
-// expected run time divided by this.
+// minRunTimeDivisor: no attempt is started if less than the expected run time, divided by this, is left
+// until the deadline.
 const minRunTimeDivisor = 2
 
 // admitAttempt reports whether the rules allow an attempt of a request at a worker now. It refills the
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -104,8 +104,8 @@
 	d.recordResult(a, e, classFault)
 }
 
-// recordResult updates lease, suspicion and placement after the end of an attempt, by its result and its
-// cache status.
+// recordResult updates the state of the worker, the function and its placement after the end of an attempt,
+// by the result and the cache status.
 func (d *Dispatcher) recordResult(a *attempt, e AttemptEnded, classFault bool) {
 	w := a.worker
 	p := a.request.function.ensurePlacement(w)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// shutDown moves the deadlines of all open requests forward.
+// shutDown limits the time until the deadline of all open requests to AnswerWithin.
 func (d *Dispatcher) shutDown(e ShutdownStarted) {
 	for _, id := range slices.Sorted(maps.Keys(d.requests)) {
 		r := d.requests[id]
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -15,8 +15,8 @@
 )
 
 // isClassFault reports whether the end of an attempt counts as a failure of its class at the worker: an
-// error, or a slow rejection by a worker that holds fewer requests than the mean, of a function that should
-// be loaded there.
+// error, or a slow rejection by a worker that reports fewer requests than the mean. Neither counts if the
+// function may not have been loaded there.
 func (d *Dispatcher) isClassFault(a *attempt, e AttemptEnded) bool {
 	shouldBeLoaded := a.expectedResident || !d.settings.WorkersLoadOnMiss
 	hasCapacity := e.LoadReport.InFlight >= 0 && e.LoadReport.InFlight < d.meanReportedInFlight
--- a/dispatch/failuredetection.go
+++ b/dispatch/failuredetection.go
@@ -24,9 +24,10 @@
 	}
 }
 
-// phi returns how unlikely a worker's silence is, as in an accrual failure detector: for each attempt in
-// flight, the time since its start or since the worker's last response, divided by its expected time. It
-// returns 0 for a silence that a usual stall explains.
+// phi returns how unlikely a worker's silence is, as in an accrual failure detector. It adds up, over the
+// attempts in flight, the time since the start of the attempt or the last response of the worker, whichever
+// is later, divided by the expected time of the attempt. It returns 0 for a silence that a usual stall
+// explains.
 func (d *Dispatcher) phi(w *worker) float64 {
 	if len(w.attempts) == 0 || d.now-max(w.lastResponseAt, w.attempts[0].startedAt) <= minSilence {
 		return 0
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -39,8 +39,8 @@
 func (d *Dispatcher) holdsLease(w *worker) bool { return d.now < d.leaseEnd(w) }
 
 // sendBefore returns the time before which the first byte of an attempt or load command that is sent to a
-// worker now has to be written; 0 means no limit. If a send is delayed beyond the drain grace, the request
-// is routed again, because the endpoint list may have changed.
+// worker now has to be written; 0 means no limit. If a send is delayed beyond that time, nothing is sent and
+// the request is routed again, because the endpoint list may have changed.
 func (d *Dispatcher) sendBefore(w *worker) time.Duration {
 	if !d.list.tracked {
 		return 0
@@ -69,9 +69,9 @@
 	w.lease.lostContactAt = d.now
 }
 
-// handlePossibleRestart starts the slow start of a worker that responds again after a loss of contact, if
-// the endpoint list is too old to show whether the worker was restarted. The next update of the list
-// corrects the start time. False positives: a worker that only lost its connections, or ended a drain
+// handlePossibleRestart resets a worker that responds again after a loss of contact and starts its slow
+// start, if the endpoint list is too old to show whether the worker was restarted. The next update of the
+// list corrects the start time. False positives: a worker that only lost its connections, or ended a drain
 // without a restart, gets less work until its slow start ends.
 func (d *Dispatcher) handlePossibleRestart(w *worker) {
 	isBack := w.lease.knownActiveAt > w.lease.lostContactAt
--- a/dispatch/listfreshness.go
+++ b/dispatch/listfreshness.go
@@ -22,10 +22,10 @@
 	forever         = time.Duration(math.MaxInt64)
 )
 
-// listLeaseEnd returns the end of the lease that the endpoint list gives to its active workers. The
-// platform regards the router as notified of a change that it did not receive lossNotificationDelay after
-// the loss of the list, or when the list is requested again. If the process was paused, the notification
-// may date from any time since the list was confirmed.
+// listLeaseEnd returns the end of the lease that the endpoint list gives to its active workers. If the list
+// is lost, the platform regards the router as notified of all changes after lossNotificationDelay, or as soon
+// as the list is requested again. If the process was paused, a change may have been notified at any time
+// since the list was confirmed.
 func (d *Dispatcher) listLeaseEnd() time.Duration {
 	list := &d.list
 	if !list.tracked {
--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -14,7 +14,7 @@
 const (
 	initialRankPrefix = maxRankedCandidates * 5 / 4 // average length of a new ranking
 	minRankPrefix     = 32                          // minimum length of a trimmed ranking
-	rankPrefixGrowth  = 4                           // a ranking grows to this multiple of the index needed
+	rankPrefixGrowth  = 4                           // a ranking grows to this multiple of the workers needed
 	rankPrefixExcess  = 2                           // trimmed if longer than this multiple of the new length
 )
 
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -41,12 +41,12 @@
 	startedAt         time.Duration
 	expectedSeconds   float64
 	expectedResident  bool    // the worker was expected to hold the function
-	weight            float64 // its weight in the concurrency limits: the chance that it needs no load
+	weight            float64 // chance that it needs no load; 0 once it no longer counts against the limits
 	firstMessageAfter time.Duration
 	countedAsTimeout  bool
 	ended             bool
 	mayHaveRun        bool // it has ended, and nothing proves that it did not run
-	failed            bool // it failed, so that its worker gets no retry
+	failed            bool // it failed, so that retries prefer other workers
 }
 
 // attemptInFlight returns an attempt, or nil if it is unknown or has ended.
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -93,8 +93,8 @@
 }
 
 // drawAssignmentOrder sorts a function's assigned workers into the order in which one request tries them:
-// by the attempts of this router in flight per share. With few attempts in flight the order is random,
-// weighted by the shares.
+// those with the fewest attempts of this router in flight per share first. With few attempts in flight the
+// order is random, weighted by the shares.
 func (d *Dispatcher) drawAssignmentOrder(f *function) {
 	for i := range f.assignment {
 		s := &f.assignment[i]
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -52,7 +52,7 @@
 	servedCount     float64
 
 	// Estimates from responses and load reports.
-	logLoadTime          float64 // logarithm of the mean time of a load in seconds
+	logLoadTime          float64 // logarithm of the usual time of a load in seconds
 	meanResponseTime     float64 // seconds
 	meanReportedInFlight float64 // mean number of requests that a worker reports
 	residentChance       float64 // chance that a worker holds a copy that this router does not know of
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// queueStateChange queues a worker for updateActiveWorkers and forgetRemovedWorkers, if its state requires it.
+// queueStateChange queues a worker for updateActiveWorkers and deleteRemovedWorkers, if its state requires it.
 func (d *Dispatcher) queueStateChange(w *worker) {
 	if w.active != (w.State == EndpointActive) {
 		d.changedWorkers = append(d.changedWorkers, w)
