--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -42,7 +42,7 @@
 
 // processBatch passes each part of a batch to the dispatcher of its instance and writes the dispatcher's actions.
 func processBatch(batch simwire.Batch, dispatchers map[int64]*dispatch.Dispatcher, writer *simwire.Writer) error {
-	lastStop := map[int64]int{} // by instance: index of its last stop; parts up to this one have no effect
+	lastStop := map[int64]int{} // by instance: index of its last stop; the parts before it are dropped
 	for i, part := range batch.Parts {
 		if part.Stop {
 			lastStop[part.Instance] = i
--- a/cmd/topazfront/demo.go
+++ b/cmd/topazfront/demo.go
@@ -19,7 +19,7 @@
 )
 
 type demoCmd struct {
-	Hold   bool   `help:"Keep the routers and workers running after the demo, and print the routers' addresses."`
+	Hold   bool   `help:"After the demo, run its routers and workers again without faults, and print the routers' addresses."`
 	Report string `help:"Write the report as JSON to this file." placeholder:"FILE"`
 }
 
--- a/cmd/topazfront/fake_worker.go
+++ b/cmd/topazfront/fake_worker.go
@@ -32,7 +32,7 @@
 	Listen  string   `default:"127.0.0.1:9000" help:"Listen address of the gateway in the written settings."`
 }
 
-// Run starts the workers, writes workers.json and gateway.json, and waits until ctx ends.
+// Run starts the workers, writes workers.json and gateway.json, and waits until ctx is done.
 func (c fakeWorkerCmd) Run(ctx context.Context) error {
 	store, deduplicator := fakeworker.NewStore(fakeFetchesPerSec, fakeMaxFetches), fakeworker.NewDeduplicator()
 	models := map[string]fakeworker.Model{}
--- a/cmd/topazfront/main.go
+++ b/cmd/topazfront/main.go
@@ -18,7 +18,7 @@
 // program defines the commands and flags. Renamed commands and flags keep their former names as aliases.
 type program struct {
 	Demo       demoCmd       `cmd:"" help:"Run a short scenario with faults on loopback (workers, two routers, streaming clients), then print the results and whether the rules held."`
-	Serve      serveCmd      `cmd:"" help:"Run a gateway until SIGTERM or SIGINT; pending calls are completed before it exits."`
+	Serve      serveCmd      `cmd:"" help:"Run a gateway until SIGTERM or SIGINT; open calls get a final answer before it exits."`
 	Node       nodeCmd       `cmd:"" help:"Run one router on the platform until SIGTERM, with the configuration file that GW_CONFIG names."`
 	FakeWorker fakeWorkerCmd `cmd:"" aliases:"standin" help:"Run fake workers for trying out a gateway, and write the worker list and the gateway's settings."`
 	Scenario   scenarioCmd   `cmd:"" aliases:"day" help:"Run or list scripted scenarios, which use real sockets."`
--- a/dispatch/leases_test.go
+++ b/dispatch/leases_test.go
@@ -245,7 +245,8 @@
 	}
 }
 
-// A worker that rejects an attempt or a load command while the list is out of date may be draining. Its lease ends.
+// A worker that rejects an attempt or a load command while the list is out of date may be draining. Its lease must end,
+// so that it is checked before it gets anything else.
 func TestRejectionEndsLease(t *testing.T) {
 	for name, reject := range map[string]func(h *leaseHarness, worker string) []Action{
 		"an attempt": func(h *leaseHarness, _ string) []Action {
--- a/dispatch/simulation_faults_test.go
+++ b/dispatch/simulation_faults_test.go
@@ -49,7 +49,7 @@
 		func() { pick().silentUntil = s.now + s.uniform(time.Second, 5*time.Second) },
 		func() { pick().hangs = "safe" },
 		func() { pick().fails = []string{"safe", "once", "all"}[s.rng.IntN(3)] },
-		func() { pick().speed *= 6 },
+		func() { pick().runTimeFactor *= 6 },
 		func() { // a function release invalidates all loaded copies
 			for _, w := range s.workers {
 				clear(w.resident)
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -133,17 +133,17 @@
 		endpoints = append(endpoints, s.endpoint(w))
 	}
 	s.step(i, EndpointUpdate{Snapshot: true, Endpoints: endpoints})
-	s.scheduleAt(s.now, i, nil, func() { s.arriveRequest(i, dispatcher) })
+	s.scheduleAt(s.now, i, nil, func() { s.submitRequest(i, dispatcher) })
 }
 
-// arriveRequest passes a new request to a router and schedules the next one.
-func (s *simulation) arriveRequest(i int, dispatcher *Dispatcher) {
+// submitRequest passes a new request to a router and schedules the next one.
+func (s *simulation) submitRequest(i int, dispatcher *Dispatcher) {
 	r := s.routers[i]
 	if r.dispatcher != dispatcher {
 		return
 	}
 	next := s.now + time.Duration(s.rng.ExpFloat64()/s.rate*float64(time.Second))
-	s.scheduleAt(next, i, nil, func() { s.arriveRequest(i, dispatcher) })
+	s.scheduleAt(next, i, nil, func() { s.submitRequest(i, dispatcher) })
 	r.lastID++
 	function := fmt.Sprint("f", int(simulatedFunctions*math.Pow(s.rng.Float64(), 2)))
 	class := []string{"safe", "safe", "once", "cell", "zone", "all", "unheard of"}[s.rng.IntN(7)]
--- a/dispatch/simulation_workers_test.go
+++ b/dispatch/simulation_workers_test.go
@@ -17,13 +17,13 @@
 	inFlight       int
 	silentUntil    time.Duration
 	hangs, fails   string  // a class that gets no responses, and one that gets only errors
-	speed          float64 // its run times as a multiple of the usual ones
+	runTimeFactor  float64 // its run times as a multiple of the usual ones
 }
 
 // startWorker adds a worker to the fleet.
 func (s *simulation) startWorker(i int) *simulatedWorker {
 	w := &simulatedWorker{id: fmt.Sprintf("w%02d", i), zone: fmt.Sprint("z", i%2), kind: []string{"big", "small"}[i%2],
-		cell: i / 3, startedAt: s.now, resident: map[string]time.Duration{}, speed: 0.8 + 0.4*s.rng.Float64()}
+		cell: i / 3, startedAt: s.now, resident: map[string]time.Duration{}, runTimeFactor: 0.8 + 0.4*s.rng.Float64()}
 	s.workers = append(s.workers, w)
 	return w
 }
@@ -85,7 +85,7 @@
 	if runTime == 0 {
 		runTime = 40 * time.Millisecond
 	}
-	runTime = time.Duration(float64(runTime) * w.speed * s.rng.ExpFloat64())
+	runTime = time.Duration(float64(runTime) * w.runTimeFactor * s.rng.ExpFloat64())
 	readyAt, resident := w.resident[simulated.event.Function]
 	switch chance := s.rng.IntN(100); {
 	case s.now < w.silentUntil || w.hangs == simulated.event.Class:
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -177,7 +177,7 @@
 	part.Events = append(part.Events, event)
 }
 
-// readEndpointList reads an endpoint list with its set_id. Each endpoint has a line.
+// readEndpointList reads an endpoint list and stores it under its set_id. Each endpoint has a line of its own.
 func (r *Reader) readEndpointList(words []string) error {
 	f := parseFields(words)
 	id, n := f.integer("set_id", true), f.integer("elements", true)
