--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -43,7 +43,7 @@
 	listReceived bool                      // at least one update was applied
 
 	checkScheduled bool          // a health check is due at nextCheckAt
-	nextCheckAt    time.Duration // the earliest nextCheckAt in draining
+	nextCheckAt    time.Duration // the earliest nextCheckAt of the drains that need a check
 }
 
 // listing is a worker as Step returns it. worker is the zero value if it is not listed.
--- a/internal/endpoints/starttimes.go
+++ b/internal/endpoints/starttimes.go
@@ -20,8 +20,8 @@
 // These facts, which hold even if a wall clock is wrong, therefore take precedence:
 //
 //   - no start time is in the future;
-//   - a worker that is new in the list, or has another start time in it, has started since the list was last confirmed
-//     (this does not apply to the first list);
+//   - a worker that is new in the list, or whose start time in it has changed, has started since the list was last
+//     confirmed (this does not apply to the first list);
 //   - a start time that was converted once keeps its converted time.
 //
 // A StartTimes is not safe for concurrent use.
@@ -55,8 +55,8 @@
 	return routerTime
 }
 
-// ListConfirmed records that the list contains all workers started before a time. It has no effect if a later time was
-// recorded before.
+// ListConfirmed records that the list, whose start times have been converted, contains all workers started before a
+// time. It has no effect if a later time was recorded before.
 func (s *StartTimes) ListConfirmed(at time.Duration) { s.confirmedAt = max(s.confirmedAt, at) }
 
 // Forget deletes the start times of the workers that an update removes, explicitly or by their absence from a snapshot.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -58,8 +58,8 @@
 	a.handle = r.upstream.StartAttempt(AttemptToken{a}, call.submitted, a.worker, a.number, limits)
 }
 
-// attemptTimedOut cancels an attempt that has timed out. An attempt whose response is being forwarded continues; it can
-// only be ended by the dispatcher.
+// attemptTimedOut cancels an attempt that has timed out. An attempt whose response is being forwarded continues until
+// it ends, the dispatcher fails the call or the client cancels it.
 func (r *Router) attemptTimedOut(a *attempt) {
 	if !a.ended && a.call.answering != a {
 		a.timedOut = true
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -87,7 +87,7 @@
 	attempts         []*attempt    // indexed by attempt number
 	attemptsInFlight int
 	answering        *attempt       // the attempt whose response the client gets
-	lastUnused       *AttemptResult // result of the last attempt that ended without answering the client
+	lastUnusedResult *AttemptResult // result of the last attempt that ended without answering the client
 }
 
 // attempt is one attempt of a call.
@@ -141,7 +141,7 @@
 		}
 		c.finish(FinalAnswer{Attempt: &result})
 	default:
-		c.lastUnused = &result
+		c.lastUnusedResult = &result
 	}
 	return c.state == callDone
 }
@@ -161,7 +161,7 @@
 	if c.state == callDone {
 		return false
 	}
-	c.finish(FinalAnswer{Kind: FinalFailed, DeadlineExceeded: now >= c.deadline, Attempt: c.lastUnused})
+	c.finish(FinalAnswer{Kind: FinalFailed, DeadlineExceeded: now >= c.deadline, Attempt: c.lastUnusedResult})
 	return true
 }
 
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -24,7 +24,8 @@
 	return actions
 }
 
-// startHealthCheckRouter starts a router with a healthCheckDispatcher and one worker, "w", which is draining.
+// startHealthCheckRouter starts a router with a healthCheckDispatcher and an empty endpoint list. Its worker "w"
+// answers health checks as not ready.
 func startHealthCheckRouter(t *testing.T) (*Router, chan dispatch.Event) {
 	t.Helper()
 	upstream := &fakeUpstream{draining: map[string]bool{"w": true}}
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -25,7 +25,7 @@
 
 // VerifyWorker checks whether a worker that other routers suspect is alive, and calls done from the loop. If there was
 // evidence within maxAge that the worker is alive, no health check is made and done gets gossip.CheckSkipped. The
-// result is not passed to the dispatcher, so that gossip can't improve its assessment of a worker.
+// result is not passed to the dispatcher, so that gossip can't improve the dispatcher's assessment of a worker.
 func (r *Router) VerifyWorker(worker string, maxAge, timeout time.Duration, done func(gossip.CheckResult)) {
 	r.post(func() {
 		if at, ok := r.lastAlive[worker]; ok && r.turnTime-at < maxAge {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -82,7 +82,7 @@
 
 	gossip               Gossip                   // nil means no gossip; the two fields below are then not maintained
 	lastAlive            map[string]time.Duration // time of the last evidence that a worker is alive, by worker
-	reportedUnresponsive map[string]bool          // reported to gossip as unresponsive, and not yet as alive again; by worker
+	reportedUnresponsive map[string]bool          // workers reported as unresponsive, and not as alive since
 }
 
 // New starts a router's loop. The caller must end it by Stop or Kill. The error is that of cfg.NewDispatcher.
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -7,7 +7,7 @@
 )
 
 // StartShutdown makes the router give every call its final answer within the given time, after which the process is
-// killed. The router still accepts calls, which have the same deadline.
+// killed. The router still accepts calls, and the limit applies to them, too.
 func (r *Router) StartShutdown(within time.Duration) {
 	r.post(func() {
 		r.shutdownDeadline = r.turnTime + within
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -13,8 +13,8 @@
 const stopTimeout = 20 * time.Second
 
 // TestWorkPostedInLastTurn posts work, which posts further work, in the turn in which the loop is about to stop. It
-// guards against work that is accepted but never run: all work must run, each call must be answered, and the loop must
-// end.
+// guards against work that is accepted but never run: all work must run, the call must be answered unless it was
+// cancelled, and the loop must end.
 func TestWorkPostedInLastTurn(t *testing.T) {
 	for name, test := range map[string]struct {
 		postWork   func(r *Router, call *Call)
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -7,7 +7,7 @@
 )
 
 // Stats holds counters since the router's start, and gauges of the current state. Its JSON form is the response of
-// "router.status" in the admin API.
+// "router.status" in the admin API; the struct tags keep the keys of that response unchanged.
 type Stats struct {
 	Calls         uint64 `json:"Calls"`
 	Served        uint64 `json:"Served"`
