--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -13,9 +13,9 @@
 	"github.com/topazfront/topazfront/internal/testsupport/platformtest"
 )
 
-// TestListConfirmationTime checks the time up to which a response confirms the list. The server writes a
-// response without events at the end of the poll's wait, however late it is read. A response with events may have been
-// written right after the poll was sent.
+// TestListConfirmationTime checks the time up to which a response confirms the list. The server writes a response
+// without events at the end of the poll's wait, however late it is read. A response with events may have been written
+// right after the poll was sent.
 func TestListConfirmationTime(t *testing.T) {
 	const wait = time.Second
 	for _, test := range []struct {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -95,7 +95,8 @@
 	if got := testsupport.Await(t, lists, "the event"); got != "a@1.1.1.1:1, b@1.1.1.2:1, c@1.1.1.3:1" {
 		t.Errorf("list %s", got)
 	}
-	const shortestDelay = 20 * time.Millisecond // of a retry: half of the delay after the second failure, retryBaseDelay << 2
+	// The shortest delay of a retry is half of the delay after the second failure, retryBaseDelay << 2.
+	const shortestDelay = 20 * time.Millisecond
 	if elapsed := time.Since(startedAt); elapsed < (rejected-2)*shortestDelay {
 		t.Errorf("%d polls were rejected within %v", rejected, elapsed)
 	}
@@ -128,8 +129,8 @@
 	}
 }
 
-// TestLatePollIsClosedOnceAnotherIsAnswered checks that the connection of a poll that is never answered is closed
-// eventually.
+// TestLatePollIsClosedOnceAnotherIsAnswered checks that the connection of a poll that is never answered is closed once
+// a later poll is answered.
 func TestLatePollIsClosedOnceAnotherIsAnswered(t *testing.T) {
 	listener := testsupport.Listen(t)
 	lists, silentEnded := make(chan string, 8), make(chan struct{})
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -54,7 +54,7 @@
 
 // pollQuery holds the parameters of a poll, and what its response must contain.
 type pollQuery struct {
-	sentAt         time.Time     // when the poll was sent
+	sentAt         time.Time     // right before the poll was sent
 	sentRouterTime time.Duration // the same time on the router's clock
 	revision       int64         // the events after this revision are requested; 0 requests the complete list
 	wait           time.Duration // how long the server may hold the poll
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -67,7 +67,7 @@
 	late          *latePolls
 	confirmedAt   time.Duration // the list contains all changes up to this time on the router's clock
 	recovering    bool          // there has been no poll, or the last one failed or was interrupted
-	resynchronize bool          // the next poll requests the complete list, as the server's events don't continue the log
+	resynchronize bool          // the next poll requests the complete list: the server's events don't continue the log
 
 	mu      sync.Mutex
 	address string
@@ -84,8 +84,8 @@
 	AddressChanges uint64
 }
 
-// Start passes the initial list to OnUpdate, then starts polling for the events after the list's revision. The initial
-// response must come from ParsePollResponse. The caller must call Close.
+// Start passes the initial list to OnUpdate before it returns, and starts polling for the events after the list's
+// revision. The initial response must come from ParsePollResponse. The caller must call Close.
 func Start(cfg Config, initial PollResponse) (*Watcher, error) {
 	if cfg.Logger == nil {
 		cfg.Logger = slog.New(slog.DiscardHandler)
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -15,16 +15,16 @@
 }
 
 // FromUnixMilli returns the Time that corresponds to a Unix time in milliseconds.
-func FromUnixMilli(milliseconds int64) Time { return Time{time.UnixMilli(milliseconds).UTC()} } //nolint:forbidigo // wall times are read only here
+func FromUnixMilli(milliseconds int64) Time { return Time{time.UnixMilli(milliseconds).UTC()} } //nolint:forbidigo // only this package converts wall times
 
 // FromTime returns the wall time of a time.Time, for example one parsed from a file.
-func FromTime(moment time.Time) Time { return Time{moment.Round(0).UTC()} } //nolint:forbidigo // wall times are read only here
+func FromTime(moment time.Time) Time { return Time{moment.Round(0).UTC()} } //nolint:forbidigo // only this package converts wall times
 
 // UnixMilli returns the Unix time in milliseconds, or 0 for a time before 1970.
-func (t Time) UnixMilli() uint64 { return uint64(max(t.moment.UnixMilli(), 0)) } //nolint:forbidigo // wall times are read only here
+func (t Time) UnixMilli() uint64 { return uint64(max(t.moment.UnixMilli(), 0)) } //nolint:forbidigo // only this package converts wall times
 
 // UnixNano returns the Unix time in nanoseconds, or 0 for a time before 1970.
-func (t Time) UnixNano() uint64 { return uint64(max(t.moment.UnixNano(), 0)) } //nolint:forbidigo // wall times are read only here
+func (t Time) UnixNano() uint64 { return uint64(max(t.moment.UnixNano(), 0)) } //nolint:forbidigo // only this package converts wall times
 
 // Add returns t+d.
 func (t Time) Add(d time.Duration) Time { return Time{t.moment.Add(d)} }
