--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestErrnoEvidence checks the result for each system call and errno. ConnectFailed means that nothing ran and that
-// the error counts against the worker; NotSent means only that nothing ran; ConnectionReset only counts against the
-// worker.
+// the error counts against the worker. NotSent means only that nothing ran, and ConnectionReset means only that the
+// error counts against the worker.
 func TestErrnoEvidence(t *testing.T) {
 	timeout := errors.New("i/o timeout")
 	for _, test := range []struct {
--- a/internal/upstream/grpcupstream/attempt.go
+++ b/internal/upstream/grpcupstream/attempt.go
@@ -93,8 +93,8 @@
 }
 
 // abort ends an attempt before the worker's trailers were received.
-func (a *attempt) abort(o outcome) {
-	a.finish(router.AttemptResult{Result: o.result, Trailer: oip.Trailer{Status: o.status},
+func (a *attempt) abort(callOutcome outcome) {
+	a.finish(router.AttemptResult{Result: callOutcome.result, Trailer: oip.Trailer{Status: callOutcome.status},
 		Report: router.NoWorkerReport})
 }
 
@@ -139,13 +139,13 @@
 	if err != nil {
 		a.pool.config.Logger.Info("malformed load report", "endpoint", a.worker, "error", err)
 	}
-	o, workerDraining := classifyTrailers(fields, messages, truncated, a.streamed)
+	callOutcome, workerDraining := classifyTrailers(fields, messages, truncated, a.streamed)
 	if invalid != nil {
-		o = *invalid
+		callOutcome = *invalid
 	}
 	a.finish(router.AttemptResult{
-		Result:         o.result,
-		Trailer:        oip.Trailer{Status: o.status, Metadata: forwardedMetadata(fields, false)},
+		Result:         callOutcome.result,
+		Trailer:        oip.Trailer{Status: callOutcome.status, Metadata: forwardedMetadata(fields, false)},
 		Report:         workerReport(report),
 		WorkerDraining: workerDraining,
 	})
--- a/internal/upstream/grpcupstream/conn.go
+++ b/internal/upstream/grpcupstream/conn.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// waitForConn queues a call for a new connection, after openStream failed because the chosen connection was lost or
-// another call took its last free stream.
+// waitForConn queues a call for a new connection, after openStream failed because the chosen connection was closing or
+// lost, or another call took its last free stream.
 func (p *Pool) waitForConn(workerID string, call outgoingCall, err error) {
 	p.mu.Lock()
 	w := p.workers[workerID]
@@ -76,7 +76,7 @@
 }
 
 // dial opens one connection and then the streams of the calls that wait for it. It runs on its own goroutine, which
-// ends when it returns.
+// ends once the connect has ended and these calls have their streams or have failed.
 func (p *Pool) dial(w *worker, addr string) {
 	handler := &connHandler{pool: p, worker: w}
 	c, err := p.dialer("tcp", addr, p.config.ConnectTimeout, p.config.HTTP2, handler)
@@ -105,7 +105,7 @@
 			switch err := call.openStream(c); {
 			case errors.Is(err, http2.ErrTooManyStreams):
 				p.waitForConn(w.id, call, err)
-			case err != nil: // not redialled: a worker may accept each connection and close it at once
+			case err != nil: // not redialled: a worker may accept and close connections endlessly
 				call.fail(dispatch.ConnectFailed, err.Error())
 			}
 		}
--- a/internal/upstream/grpcupstream/control.go
+++ b/internal/upstream/grpcupstream/control.go
@@ -25,7 +25,7 @@
 	body     []byte // the request message with its gRPC prefix
 	deadline time.Time
 	limits   router.SendLimits
-	done     func(o outcome, body []byte, report oip.LoadReport) // called once, without holding mu
+	done     func(callOutcome outcome, body []byte, report oip.LoadReport) // called once, without holding mu
 
 	mu       sync.Mutex    // guards the fields below
 	stream   *http2.Stream // nil until it is opened
@@ -83,7 +83,7 @@
 }
 
 // finish stops the timer and reports the result, once.
-func (cc *controlCall) finish(o outcome, report oip.LoadReport) {
+func (cc *controlCall) finish(callOutcome outcome, report oip.LoadReport) {
 	cc.mu.Lock()
 	if cc.ended {
 		cc.mu.Unlock()
@@ -93,7 +93,7 @@
 	cc.timer.Stop()
 	body := cc.response
 	cc.mu.Unlock()
-	cc.done(o, body, report)
+	cc.done(callOutcome, body, report)
 }
 
 // Headers implements http2.Receiver. Only the trailers are used.
@@ -105,8 +105,8 @@
 	messages, truncated := cc.messages, cc.reader.Partial()
 	cc.mu.Unlock()
 	report, _ := oip.ParseLoadReport(fields)
-	o, _ := classifyTrailers(fields, messages, truncated, false)
-	cc.finish(o, report)
+	callOutcome, _ := classifyTrailers(fields, messages, truncated, false)
+	cc.finish(callOutcome, report)
 }
 
 // Data implements http2.Receiver.
@@ -144,9 +144,9 @@
 		request.Parameters["version"] = &inference.ModelRepositoryParameter{
 			ParameterChoice: &inference.ModelRepositoryParameter_StringParam{StringParam: version}}
 	}
-	p.startControlCall(workerID, oip.Load, request, limits, func(o outcome, _ []byte, report oip.LoadReport) {
-		result := router.LoadResult{Result: o.result, Copies: int(max(report.Copies, 0))}
-		if o.result == dispatch.OK && o.status.Code != grpc.OK {
+	p.startControlCall(workerID, oip.Load, request, limits, func(callOutcome outcome, _ []byte, report oip.LoadReport) {
+		result := router.LoadResult{Result: callOutcome.result, Copies: int(max(report.Copies, 0))}
+		if callOutcome.result == dispatch.OK && callOutcome.status.Code != grpc.OK {
 			result.Result = dispatch.Errored // a status about the request itself means that no copy was loaded
 		}
 		done(result)
@@ -154,11 +154,12 @@
 }
 
 // CheckHealth implements router.Upstream with a call of ServerReady, whose trailers carry the worker's load report.
-func (p *Pool) CheckHealth(workerID string, limit time.Duration, done func(router.HealthResult)) {
-	p.startControlCall(workerID, oip.ServerReady, &inference.ServerReadyRequest{}, router.SendLimits{Remaining: limit},
-		func(o outcome, body []byte, report oip.LoadReport) {
-			result := router.HealthResult{Result: o.result, Report: workerReport(report)}
-			if o.result == dispatch.OK && o.status.Code != grpc.OK {
+func (p *Pool) CheckHealth(workerID string, timeout time.Duration, done func(router.HealthResult)) {
+	p.startControlCall(workerID, oip.ServerReady, &inference.ServerReadyRequest{},
+		router.SendLimits{Remaining: timeout},
+		func(callOutcome outcome, body []byte, report oip.LoadReport) {
+			result := router.HealthResult{Result: callOutcome.result, Report: workerReport(report)}
+			if callOutcome.result == dispatch.OK && callOutcome.status.Code != grpc.OK {
 				result.Result = dispatch.Errored
 			}
 			var response inference.ServerReadyResponse
--- a/internal/upstream/grpcupstream/evidence.go
+++ b/internal/upstream/grpcupstream/evidence.go
@@ -70,7 +70,9 @@
 
 // classifyTrailers returns the outcome of a response that ended with trailers. messages is the number of complete
 // messages before them, and truncated reports whether an incomplete message followed those.
-func classifyTrailers(trailers []hpack.Field, messages int, truncated, streamed bool) (o outcome, workerDraining bool) {
+func classifyTrailers(trailers []hpack.Field, messages int, truncated, streamed bool) (
+	callOutcome outcome, workerDraining bool,
+) {
 	if _, ok := grpc.FieldValue(trailers, "grpc-status"); !ok {
 		return outcome{dispatch.Errored, grpc.Status{Code: grpc.Unknown, Message: "worker sent no status"}}, false
 	}
--- a/internal/upstream/respupstream/exchange.go
+++ b/internal/upstream/respupstream/exchange.go
@@ -33,7 +33,7 @@
 	createdAt    time.Time
 	call         *router.Call                         // nil except for attempts
 	encode       func(remaining time.Duration) []byte // returns the message, given the time until writeBefore
-	done         func(dispatch.Result, *response)     // called once, without the lock; response may be nil
+	done         func(dispatch.Result, *response)     // called once, without the lock; nil response means none came
 
 	// Guarded by the pool's mutex.
 	conn          *conn     // where it is queued or in flight; nil while it waits for a connection
@@ -107,8 +107,8 @@
 }
 
 // CheckHealth implements router.Upstream.
-func (p *Pool) CheckHealth(workerID string, limit time.Duration, done func(router.HealthResult)) {
-	x := &exchange{pool: p, kind: kindHealthCheck, writeBefore: time.Now().Add(limit)}
+func (p *Pool) CheckHealth(workerID string, timeout time.Duration, done func(router.HealthResult)) {
+	x := &exchange{pool: p, kind: kindHealthCheck, writeBefore: time.Now().Add(timeout)}
 	x.done = func(result dispatch.Result, received *response) {
 		health := router.HealthResult{Result: result, Report: router.NoWorkerReport}
 		if received != nil {
@@ -118,16 +118,16 @@
 		done(health)
 	}
 	x.encode = func(time.Duration) []byte { return encodeHealthCheck(x.id) }
-	p.startWithTimeout(x, workerID, limit)
+	p.startWithTimeout(x, workerID, timeout)
 }
 
-// startWithTimeout starts a load command or a health check, which ends as TimedOut after limit. The router itself
+// startWithTimeout starts a load command or a health check, which ends as TimedOut after timeout. The router itself
 // times attempts.
-func (p *Pool) startWithTimeout(x *exchange, workerID string, limit time.Duration) {
+func (p *Pool) startWithTimeout(x *exchange, workerID string, timeout time.Duration) {
 	p.mu.Lock()
 	p.lastControlID++
 	x.id = "q" + strconv.FormatUint(p.lastControlID, 10)
-	x.timer = time.AfterFunc(limit, func() {
+	x.timer = time.AfterFunc(timeout, func() {
 		p.mu.Lock()
 		callback := p.finish(x, dispatch.TimedOut, nil)
 		p.mu.Unlock()
--- a/internal/upstream/respupstream/pool.go
+++ b/internal/upstream/respupstream/pool.go
@@ -13,7 +13,7 @@
 // Config holds the settings for connections to workers.
 type Config struct {
 	ConnectTimeout     time.Duration // also the longest time that a load command waits to be written
-	IdleTimeout        time.Duration // below the workers' own idle timeout; 0 keeps idle connections open
+	IdleTimeout        time.Duration // an idle connection is closed after it, before its worker would; 0 means never
 	WriteTimeout       time.Duration // from the first byte of a message to its last; 0 means no limit
 	StallTimeout       time.Duration // longest pause between two reads of an incomplete response
 	MaxConns           int           // to all workers together
@@ -53,10 +53,10 @@
 	Written           uint64 // exchanges whose write has started
 	Answered          uint64 // exchanges that received a response
 	CancelledInFlight uint64 // attempts cancelled after they were written
-	NeverWritten      uint64 // exchanges that ended before any byte was written
+	NeverWritten      uint64 // exchanges that ended before their write started, or by a failed write
 	Dials             uint64 // connects started
 	DialFailures      uint64
-	ProtocolErrors    uint64 // connections closed because of a malformed or stalled response
+	ProtocolErrors    uint64 // connections closed because of a malformed or stalled response, or a panic while reading
 	Evicted           uint64 // idle connections closed to make room for a connection to another worker
 
 	// Sums over the attempts that ended as OK.
--- a/internal/upstream/respupstream/send_test.go
+++ b/internal/upstream/respupstream/send_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestAttemptEndsAfterFailedWrites checks that an attempt ends as NotSent if the writes to all connections fail, because
-// it cannot have run.
+// TestAttemptEndsAfterFailedWrites checks that an attempt ends as NotSent if the writes to all connections fail,
+// because it cannot have run.
 func TestAttemptEndsAfterFailedWrites(t *testing.T) {
 	var steps []sendStep
 	for range maxFailedWrites + 1 {
--- a/internal/upstream/respupstream/write_test.go
+++ b/internal/upstream/respupstream/write_test.go
@@ -75,8 +75,8 @@
 	testsupport.Await(t, w.Arrivals(), "the queued exchange")
 }
 
-// TestNoRetryAfterClientCancelled: the client disconnects during the first attempt, and the attempt ends before the router
-// has been notified of that. The retry that the dispatcher then starts must not be written.
+// TestNoRetryAfterClientCancelled: the client disconnects during the first attempt, and the attempt ends before the
+// router has been notified of that. The retry that the dispatcher then starts must not be written.
 func TestNoRetryAfterClientCancelled(t *testing.T) {
 	var clientCancelled atomic.Bool
 	first := &fakeplatform.Worker{ID: "w", Handle: func(r fakeplatform.Request) {
