--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -8,15 +8,15 @@
 	"github.com/topazfront/topazfront/internal/transport/http1"
 )
 
-// minWaitDivisor determines the shortest plausible time of a poll without an event: the poll's wait / minWaitDivisor.
+// minWaitDivisor determines the shortest plausible time of a poll without a new event: its wait / minWaitDivisor.
 const minWaitDivisor = 4
 
 // statusOK is the HTTP status of a response that holds events.
 const statusOK = 200
 
-// errPrematureResponse ends a poll whose response arrived too early without an event. It counts as a failure, which
+// errPrematureResponse ends a poll whose response arrived too early without a new event. It counts as a failure, which
 // delays the next poll: a server that doesn't hold polls would otherwise be polled continuously.
-var errPrematureResponse = errors.New("discovery: empty response before the end of the poll's wait")
+var errPrematureResponse = errors.New("discovery: response without a new event long before the end of the poll's wait")
 
 // errNoSnapshot rejects a response to a poll for the complete list if the response contains no snapshot.
 var errNoSnapshot = errors.New("discovery: response to a poll for the complete list has no snapshot")
