--- a/internal/server/grpcserver/header.go
+++ b/internal/server/grpcserver/header.go
@@ -9,7 +9,7 @@
 	"github.com/topazfront/topazfront/internal/transport/hpack"
 )
 
-// minTimeout replaces a grpc-timeout that is 0 or malformed, because a stream.timeout of 0 means no timeout.
+// minTimeout replaces a grpc-timeout that is 0, malformed or used up, because a timeout of 0 means no timeout.
 const minTimeout = time.Nanosecond
 
 // parseHeader sets the stream's fields from the request's header. rejection is the status for the first field that
--- a/internal/server/grpcserver/shutdown.go
+++ b/internal/server/grpcserver/shutdown.go
@@ -1,7 +1,7 @@
 package grpcserver
 
 // Drain starts a graceful shutdown: GOAWAY tells clients to open no more streams, calls in flight continue, and
-// streams without a call in flight are ended.
+// ModelStreamInfer streams without a call in flight are ended. A unary stream is left open for its one call.
 func (s *Server) Drain() {
 	s.http2Server.Drain()
 	s.mu.Lock()
--- a/internal/server/httpserver/arrival.go
+++ b/internal/server/httpserver/arrival.go
@@ -28,7 +28,7 @@
 }
 
 // newArrival converts the system's report. An arrival time before the server started to listen is impossible;
-// newArrival replaces it by now.
+// newArrival replaces it with the current time.
 func newArrival(info *unix.TCPInfo, now, listeningSince time.Time) arrival {
 	last := now.Add(-time.Duration(info.Last_data_recv) * time.Millisecond)
 	if last.Before(listeningSince) {
--- a/internal/server/httpserver/close.go
+++ b/internal/server/httpserver/close.go
@@ -44,7 +44,7 @@
 }
 
 // abort cancels the call in flight, writes an error response and ends the connection. If a response is being written,
-// abort only makes further input be discarded, and responseWritten calls it again.
+// abort only sets discarding, so that further input is discarded, and responseWritten calls it again.
 func (c *conn) abort() {
 	c.server.mu.Lock()
 	c.discarding = true
--- a/internal/server/httpserver/conn.go
+++ b/internal/server/httpserver/conn.go
@@ -27,7 +27,7 @@
 
 	// The request.
 	reading         bool   // onReadable is reading received bytes
-	requestStarted  bool   // a part of a request has arrived
+	requestStarted  bool   // a request has begun to arrive and is not complete
 	requestInFlight bool   // a request is being handled, or its response is being written
 	requestCount    uint64 // complete requests so far
 	requestID       string // the connection's entry in the server's openIDs; empty: none
--- a/internal/server/httpserver/eviction.go
+++ b/internal/server/httpserver/eviction.go
@@ -18,9 +18,9 @@
 	return c
 }
 
-// register adds c to the server's connections and returns the connection to close in its place, if any. If the maximum
-// number of connections is being served, register evicts one of them. If none is evictable, c's first request is
-// rejected. If there are MaxConnections already, register returns c itself.
+// register adds c to the server's connections and returns the connection that the caller must close, if any. If the
+// maximum number of connections is being served, register evicts one of them. If none is evictable, c's first request
+// is rejected; if there are also MaxConnections already, register doesn't add c and returns c itself.
 func (s *Server) register(c *conn) (evicted *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/httpserver/server.go
+++ b/internal/server/httpserver/server.go
@@ -92,8 +92,8 @@
 	return s, nil
 }
 
-// setReceiveBuffer sets the receive buffer of a listener's socket. It uses SyscallConn and not listen.Listener.Fd, as
-// the first call of Fd signals to listen.Listener.Serve that the event loop watches the descriptor.
+// setReceiveBuffer sets the receive buffer of a listener's socket. It has no effect if the listener has no descriptor
+// or the system rejects the size.
 func setReceiveBuffer(listener net.Listener, size int) {
 	withDescriptor, ok := listener.(syscall.Conn)
 	if !ok {
