--- a/internal/httprouter/harness_test.go
+++ b/internal/httprouter/harness_test.go
@@ -75,7 +75,7 @@
 	handle     func(*fakeplatform.Worker, fakeplatform.Request) // Worker.Handle of each worker
 	sharedWith *harness                                         // source of workers and records; nil: its own
 	router     string                                           // name in the records; "": fakeplatform.DefaultRouter
-	unstarted  bool                                             // the test starts the router itself
+	unstarted  bool                                             // the test starts the router and sets client.BaseURL
 	firstCall  int                                              // call IDs start after this number
 }
 
--- a/internal/httprouter/idle_conns_test.go
+++ b/internal/httprouter/idle_conns_test.go
@@ -92,23 +92,23 @@
 // dispatcher gets only timers and confirmations of the endpoint list, as in a period without traffic.
 type clockAdvancingDispatcher struct {
 	router.Dispatcher
-	advance  atomic.Int64  // nanoseconds by which the test has set the clock forward
-	advanced time.Duration // part of advance that Step has applied
+	totalAdvance   atomic.Int64  // nanoseconds by which the test has set the clock forward
+	appliedAdvance time.Duration // part of totalAdvance that Step has applied
 }
 
 func (d *clockAdvancingDispatcher) Step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action) {
 	const timerInterval = 50 * time.Millisecond
-	for ; d.advanced < time.Duration(d.advance.Load()); d.advanced += timerInterval {
-		at := now + d.advanced
+	for ; d.appliedAdvance < time.Duration(d.totalAdvance.Load()); d.appliedAdvance += timerInterval {
+		at := now + d.appliedAdvance
 		quietEvents := []dispatch.Event{dispatch.EndpointListConfirmed{At: at}, dispatch.TimerFired{}}
 		actions = append(actions, d.Dispatcher.Step(at, quietEvents)...)
 	}
 	for i, event := range events {
 		if confirmed, ok := event.(dispatch.EndpointListConfirmed); ok {
-			events[i] = dispatch.EndpointListConfirmed{At: confirmed.At + d.advanced}
+			events[i] = dispatch.EndpointListConfirmed{At: confirmed.At + d.appliedAdvance}
 		}
 	}
-	return append(actions, d.Dispatcher.Step(now+d.advanced, events)...)
+	return append(actions, d.Dispatcher.Step(now+d.appliedAdvance, events)...)
 }
 
 // TestConnFailuresAfterIdlePeriod guards against calls that are lost because all idle connections fail after a period
@@ -125,7 +125,7 @@
 				return dispatcher, err
 			}})
 			h.requireAnswersDespiteFaults(fault, func() {
-				dispatcher.advance.Add(int64(5 * time.Minute))
+				dispatcher.totalAdvance.Add(int64(5 * time.Minute))
 				h.failWorkerConns(fault)
 			})
 		})
--- a/internal/httprouter/invariants_test.go
+++ b/internal/httprouter/invariants_test.go
@@ -15,7 +15,7 @@
 
 // TestInvariantsThroughDrainReplacementAndAddressChange has workers drain, crash, get replaced at the same address and
 // send corrupt responses, and moves the discovery server. It guards against a violation of an invariant as observed by
-// workers and clients.
+// workers and clients. Before the first fault nearly all calls must be served.
 func TestInvariantsThroughDrainReplacementAndAddressChange(t *testing.T) {
 	h := newHarness(t, nil)
 	resp, err := h.client.HTTPClient.Get(h.client.BaseURL + "/ping")
--- a/internal/httprouter/mixed_faults_test.go
+++ b/internal/httprouter/mixed_faults_test.go
@@ -17,7 +17,7 @@
 	routers   []*harness
 	silent    sync.Map // IDs of workers that answer nothing
 	served    atomic.Int64
-	attempted int64
+	callsMade int64
 }
 
 const (
@@ -62,7 +62,7 @@
 		}
 	})
 	wg.Wait()
-	f.attempted += int64(len(f.routers) * rounds * 3 * fleetCallsPerClass)
+	f.callsMade += int64(len(f.routers) * rounds * 3 * fleetCallsPerClass)
 }
 
 // worker returns the worker with an ID.
@@ -125,9 +125,9 @@
 			f.callDuring(func() {})
 			f.killRouters()
 			f.callDuring(func() {})
-			t.Logf("%d of %d served", f.served.Load(), f.attempted)
-			if f.served.Load() < f.attempted/3 {
-				t.Errorf("%d of %d served", f.served.Load(), f.attempted)
+			t.Logf("%d of %d served", f.served.Load(), f.callsMade)
+			if f.served.Load() < f.callsMade/3 {
+				t.Errorf("%d of %d served", f.served.Load(), f.callsMade)
 			}
 			f.routers[0].requireInvariants()
 		})
--- a/internal/httprouter/phases_test.go
+++ b/internal/httprouter/phases_test.go
@@ -10,7 +10,7 @@
 	clientSendPeriod = 600 * time.Millisecond // clients send requests for this long after SIGTERM
 	newConnPeriod    = 400 * time.Millisecond // clients open connections for this long after SIGTERM
 	allowedLateness  = 500 * time.Millisecond // an answer within this after its deadline has no value, but is not lost
-	closeRaceWindow  = 50 * time.Millisecond  // a client retries if its connection is closed within this
+	closeRaceWindow  = 50 * time.Millisecond  // a client resends a request if its connection ends within this time
 )
 
 var testedDeadlines = []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second}
--- a/internal/httprouter/planned_restart_test.go
+++ b/internal/httprouter/planned_restart_test.go
@@ -23,8 +23,8 @@
 // TestShutdownAnswersEachRequestByItsDeadline guards against a planned restart that loses requests or is cut off by
 // SIGKILL. For each of several longest deadlines, workers hang during the whole shutdown, and a client sends a request
 // every 50 ms, on open connections and at first also on new ones. The process also gets further SIGTERMs, and SIGHUPs
-// with an invalid file. Each request must be answered by its deadline, and the process must exit before the earliest
-// SIGKILL.
+// with an invalid file. Each request must be answered within allowedLateness of its deadline, or its connection must
+// end within closeRaceWindow of the send. The process must exit before the earliest SIGKILL.
 func TestShutdownAnswersEachRequestByItsDeadline(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	stalls := startStallMeter(t)
--- a/internal/httprouter/process.go
+++ b/internal/httprouter/process.go
@@ -23,7 +23,7 @@
 )
 
 // Run is the main function of the process. It reads the configuration file at path, serves until ctx is done and then
-// shuts down gracefully. The caller cancels ctx on SIGTERM. Run reloads the file on each SIGHUP, also during the
+// shuts down gracefully. The caller must cancel ctx on SIGTERM. Run reloads the file on each SIGHUP, also during the
 // shutdown.
 func Run(ctx context.Context, path string, logger *slog.Logger) error {
 	sighup := catchSignals()
--- a/internal/httprouter/process_test.go
+++ b/internal/httprouter/process_test.go
@@ -47,8 +47,8 @@
 // TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery opens more idle client connections than the process has
 // descriptors, while the discovery server is down. It guards against idle clients that take the descriptors for
 // connections to workers and to the discovery server. A further client must be served over a new connection to a
-// worker, and the discovery server must be polled when it is back at a new address. It then replaces the worker by
-// another one.
+// worker, and the discovery server must be polled when it is back at a new address. There it lists the worker as
+// draining and adds another one, which must then receive calls.
 func TestIdleClientsLeaveDescriptorsForWorkersAndDiscovery(t *testing.T) {
 	a := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "a"})
 	b := platformtest.StartWorker(t, &fakeplatform.Worker{ID: "b"})
