--- a/internal/grpcgateway/shutdown.go
+++ b/internal/grpcgateway/shutdown.go
@@ -46,7 +46,8 @@
 	})
 }
 
-// closeAdminAndGossip closes the admin API and the gossip agent, if they were started.
+// closeAdminAndGossip closes the parts that no call passes through: the admin API and the gossip agent, if they were
+// started.
 func (g *Gateway) closeAdminAndGossip() {
 	if g.adminServer != nil {
 		g.adminServer.Close()
--- a/internal/oip/routing.go
+++ b/internal/oip/routing.go
@@ -224,7 +224,8 @@
 	return r.Model + "@" + r.Version
 }
 
-// SplitFunction is the inverse of Function.
+// SplitFunction returns the model and the version of a key from Function. It splits the key at the last '@', so it is
+// the inverse of Function unless a model name contains '@' and no version is requested.
 func SplitFunction(key string) (model, version string) {
 	if i := strings.LastIndexByte(key, '@'); i >= 0 {
 		return key[:i], key[i+1:]
