--- a/internal/httprouter/server.go
+++ b/internal/httprouter/server.go
@@ -32,7 +32,7 @@
 	maxRequestHeadBytes    = 8 << 10
 	maxRequestFields       = 64 // number of header fields
 	maxRequestBodyBytes    = 16 << 10
-	maxPendingRequestBytes = 8 << 10 // received after the request that is being handled
+	maxPendingRequestBytes = 8 << 10 // buffered beyond the size of one request; see http1.Limits
 	maxWorkerResponseBytes = 64 << 10
 	maxPollResponseBytes   = 4 << 20 // enough for a list of about 20,000 workers
 )
--- a/internal/oip/routing_test.go
+++ b/internal/oip/routing_test.go
@@ -89,7 +89,7 @@
 		got, err := Scan(b)
 		var m inference.ModelInferRequest
 		if proto.Unmarshal(b, &m) != nil || err != nil {
-			return // Scan does not decode tensors, and has limits that protobuf has not
+			return // Scan does not decode tensors, and has limits that protobuf does not have
 		}
 		if got.Model != m.ModelName || got.Version != m.ModelVersion || got.ID != m.Id {
 			t.Fatalf("scanned %+v, protobuf reads %v", got, &m)
--- a/internal/transport/http1/reader.go
+++ b/internal/transport/http1/reader.go
@@ -1,6 +1,6 @@
 // Package http1 parses HTTP/1.1 messages (RFC 9112) incrementally from a byte stream, and formats responses. The parser
 // is strict where a lenient one would allow request smuggling, in which two parties see different messages in the same
-// bytes. It checks each limit before it buffers input.
+// bytes. It bounds the input that it buffers.
 package http1
 
 import (
@@ -14,7 +14,7 @@
 	Head    int // bytes of the start line and the header fields
 	Fields  int // number of header fields
 	Body    int // bytes
-	Pending int // bytes that may be buffered after a message that is being handled
+	Pending int // bytes that may be buffered beyond Head and Body, for input after a message that is being handled
 }
 
 // Error is the reason why a message can't be parsed. The connection must be closed, because the start of the next
@@ -30,7 +30,8 @@
 	return &Error{StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// ErrPendingLimit reports that a peer has sent more than Limits.Pending bytes after a message that is being handled.
+// ErrPendingLimit reports that a peer has sent more than the limits allow to be buffered (Head, Body and Pending
+// together), because it keeps sending after a message that is being handled.
 var ErrPendingLimit = errors.New("http1: too many bytes pending behind a message")
 
 // Message is a complete message. The caller owns its body.
