--- a/internal/server/httpserver/disconnect_test.go
+++ b/internal/server/httpserver/disconnect_test.go
@@ -73,8 +73,8 @@
 	waitForOpenRequests(t, s, 0)
 }
 
-// disconnectWays holds the ways in which a client may disconnect.
-var disconnectWays = map[string]func(*net.TCPConn){
+// disconnect holds the ways in which a client may disconnect.
+var disconnect = map[string]func(*net.TCPConn){
 	"FIN":        func(client *net.TCPConn) { _ = client.Close() },
 	"RST":        func(client *net.TCPConn) { _, _ = client.SetLinger(0), client.Close() },
 	"half-close": func(client *net.TCPConn) { _ = client.CloseWrite() },
@@ -84,7 +84,7 @@
 // precedes it.
 func TestDisconnectedBeforeNotification(t *testing.T) {
 	s, _ := startServer(t, nil)
-	for name, disconnect := range disconnectWays {
+	for name, disconnect := range disconnect {
 		for _, input := range []string{"", pingRequest} {
 			t.Run(fmt.Sprintf("%s/%d bytes unread", name, len(input)), func(t *testing.T) {
 				c, client := newUnnotifiedConn(t, s)
@@ -104,7 +104,7 @@
 // dispatcher starts the attempt. If the client stays connected, the attempt must be forwarded.
 func TestNoAttemptAfterClientDisconnected(t *testing.T) {
 	rows := map[string]func(*net.TCPConn){"stays": func(*net.TCPConn) {}}
-	maps.Copy(rows, disconnectWays)
+	maps.Copy(rows, disconnect)
 	for name, disconnect := range rows {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
