--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	idleTimeout     = 30 * time.Second       // maximum time that a connection waits for a request
+	readTimeout     = 30 * time.Second       // maximum wait for more bytes of an incomplete request
 	shutdownTimeout = 100 * time.Millisecond // maximum time that Close waits for running requests
 	probeTimeout    = time.Second            // for the connection that tests whether a socket is served
 	maxPathBytes    = 107                    // size of sun_path (unix(7)) without the terminating NUL
@@ -96,7 +96,7 @@
 // serveRequest reads one request from a connection and writes the response. After a read error it closes the
 // connection.
 func (s *Server) serveRequest(_ context.Context, conn netpoll.Connection) error {
-	_ = conn.SetReadTimeout(idleTimeout)
+	_ = conn.SetReadTimeout(readTimeout)
 	line, err := readLine(conn.Reader())
 	if err != nil {
 		if errors.Is(err, errLineTooLong) {
--- a/internal/catalog/core.go
+++ b/internal/catalog/core.go
@@ -195,7 +195,7 @@
 	c.requestPending = false
 	switch {
 	case errors.Is(err, registry.ErrFutureRevision):
-		if c.state != nil { // nil if a List failed with this error, which a correct registry never returns for one
+		if c.state != nil { // nil if a List failed with this error, which a correct registry returns only for a Watch
 			c.warn("the registry has not reached revision %d: was it restored from a backup?", c.state.Revision())
 		}
 		c.listNeeded = true
--- a/internal/gossip/agent/agent.go
+++ b/internal/gossip/agent/agent.go
@@ -38,7 +38,7 @@
 	mu             sync.Mutex
 	tasks          []func() // waiting to be run by the loop
 	queuedPackets  int      // number of tasks that process a packet
-	queueFullDrops uint64   // packets dropped because the queue was full
+	queueFullDrops uint64   // packets dropped because the queue was full or the agent closed
 	closed         bool
 
 	// The loop owns the fields below; Start sets them before it starts the loop.
@@ -139,7 +139,8 @@
 	return true
 }
 
-// enqueuePacket queues a task that processes a packet. It drops the task if too many packets are waiting.
+// enqueuePacket queues a task that processes a packet. It drops the task if too many packets are waiting or the agent
+// is closed.
 func (a *Agent) enqueuePacket(task func()) {
 	a.mu.Lock()
 	if a.closed || a.queuedPackets >= maxQueuedPackets {
--- a/internal/gossip/broadcast_queue.go
+++ b/internal/gossip/broadcast_queue.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// minStatementRoom is the size of the smallest statement in bytes, a signature and the shortest fields. With less room
-// in a packet the queue is not searched.
+// minStatementRoom is a lower bound of the size of a statement in bytes: a signature and the shortest fields. With less
+// room in a packet the queue is not searched.
 const minStatementRoom = 64 + 8
 
 // queuedStatement is a statement waiting to be disseminated.
@@ -28,8 +28,8 @@
 	return broadcastQueue{capacity: capacity, byKey: map[statementKey]*queuedStatement{}}
 }
 
-// initialRank returns the rank at which a statement is queued: how many transmissions of rank 0 statements precede its
-// first.
+// initialRank returns the rank at which a statement is queued. A statement queued at rank n comes after those queued at
+// rank 0 until these have been transmitted n times.
 func (s *Statement) initialRank() int {
 	switch s.Kind {
 	case WorkerFailing, WorkerSlow: // no router acts on them
@@ -54,7 +54,7 @@
 	q.length++
 }
 
-// evict drops one of the most transmitted statements.
+// evict drops one statement of the highest rank, so one of the most transmitted or least useful.
 func (q *broadcastQueue) evict() {
 	for rank := len(q.ranks) - 1; rank >= 0 && q.length >= q.capacity; rank-- {
 		for _, queued := range q.ranks[rank] {
--- a/internal/gossip/core_test.go
+++ b/internal/gossip/core_test.go
@@ -55,7 +55,7 @@
 }
 
 // TestDuplicateMemberIsReported checks that a process detects another one with the same key, and that it raises its
-// incarnation at most once per probe interval. Otherwise the two would raise their incarnations in an endless loop.
+// incarnation at most once per probe interval. Without this limit the two would raise each other's at network speed.
 func TestDuplicateMemberIsReported(t *testing.T) {
 	c := newTestCore(t)
 	duplicates, raises := 0, 0
--- a/internal/gossip/gossipsim/network_test.go
+++ b/internal/gossip/gossipsim/network_test.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestAllOtherMembersSilent checks that the last running member stays within its budget, and that it finds the others
-// again when they restart.
+// TestAllOtherMembersSilent checks that the last running member sends at most a quarter of its budget, and that it finds
+// the others again when they restart.
 func TestAllOtherMembersSilent(t *testing.T) {
 	network := NewNetwork(gossip.LocalConfig, 12, 9)
 	network.StartAll(false)
--- a/internal/gossip/gossipsim/trial.go
+++ b/internal/gossip/gossipsim/trial.go
@@ -28,7 +28,7 @@
 	BytesPerSecond            float64 `json:"bytes_per_s"`      // sent by each member on average, in steady state
 	MessagesPerSecond         float64 `json:"messages_per_s"`   // likewise
 	PeakBytesPerSecond        float64 `json:"peak_bytes_per_s"` // maximum of any member in any second
-	SpreadTo50                float64 `json:"spread_half_s"`    // until 50 % of the others received the claim
+	SpreadTo50                float64 `json:"spread_half_s"`    // until 50 % of the others received a worker claim
 	SpreadTo99                float64 `json:"spread_99_s"`      // until 99 % received it
 	Reached                   float64 `json:"reached"`          // fraction of the others that received it
 	FirstDetection            float64 `json:"death_first_s"`    // until the first member declared a stopped one dead
@@ -94,15 +94,15 @@
 
 // observe records the time at which a member received the claim or declared another member dead.
 func (run *trialRun) observe(action gossip.Action) {
-	sinceFrom := (run.network.Now - run.measuredFrom).Seconds()
+	elapsed := (run.network.Now - run.measuredFrom).Seconds()
 	switch a := action.(type) {
 	case gossip.EvidenceReceived:
-		run.receivedAt = append(run.receivedAt, sinceFrom)
+		run.receivedAt = append(run.receivedAt, elapsed)
 	case gossip.MemberStateChanged:
 		switch {
 		case a.State != gossip.Dead:
 		case run.victim >= 0 && a.ID == MemberID(run.victim):
-			run.detectedAt = append(run.detectedAt, sinceFrom)
+			run.detectedAt = append(run.detectedAt, elapsed)
 		default:
 			run.falselyDead[a.ID] = true
 		}
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -115,7 +115,7 @@
 }
 
 // raiseIncarnation raises this member's incarnation above that of an earlier process. It does so at most once per probe
-// interval, so that two processes with the same key don't raise each other's incarnation in an endless loop.
+// interval, which limits how fast two processes with the same key can raise each other's incarnation.
 func (c *Core) raiseIncarnation(above uint64) {
 	if above >= maxCounter-counterHeadroom || c.now-c.incarnationRaisedAt < c.cfg.ProbeInterval {
 		return
--- a/internal/gossip/packet_limiter.go
+++ b/internal/gossip/packet_limiter.go
@@ -4,8 +4,11 @@
 
 // PacketLimiterConfig holds the rates of a [PacketLimiter]. The burst of each is the amount for one second.
 type PacketLimiterConfig struct {
-	VerificationsPerSource float64 // signatures verified a second for each source address of a member
-	VerificationsOfUnknown float64 // signatures verified a second for all other addresses together
+	// VerificationsPerSource is how many packets a second are verified for each source address of a member, and also
+	// how many statements a second for each member that relays them.
+	VerificationsPerSource float64
+	// VerificationsOfUnknown is how many packets a second are verified for all other addresses together.
+	VerificationsOfUnknown float64
 }
 
 // LocalPacketLimiterConfig is the configuration for use with [LocalConfig].
--- a/internal/gossip/suspicion_quorum.go
+++ b/internal/gossip/suspicion_quorum.go
@@ -14,7 +14,7 @@
 	// where x falls with the age of the claim from 1 to this minimum.
 	minContradictionExponent = 0.15
 	// confirmedWeightFactor multiplies a signer's weight for each confirmed claim. The gain is smaller than the loss
-	// for a contradicted claim, as a signer that claims all workers to be silent is sometimes right.
+	// for a fresh contradicted claim, as a signer that claims all workers to be silent is sometimes right.
 	confirmedWeightFactor = 1.2
 )
 
@@ -126,7 +126,7 @@
 func (CheckWorker) quorumAction()      {}
 func (SilenceConfirmed) quorumAction() {}
 
-// weightPenalty is a signer's weight below 1.
+// weightPenalty is the amount by which a signer's weight is below 1.
 type weightPenalty struct {
 	penalty   float64 // 1 minus the weight at updatedAt; halves every WeightHalfLife
 	updatedAt time.Duration
@@ -297,7 +297,7 @@
 }
 
 // workerChecked adjusts the weights of the signers whose claims led to a check, and removes the claims. It reports
-// whether the check confirmed the silence.
+// whether the check confirmed the silence. After a skipped check the weights and the claims stay as they were.
 func (q *SuspicionQuorum) workerChecked(e WorkerChecked) (silent bool) {
 	w := q.workers[e.Worker]
 	if w == nil || !w.checking {
--- a/internal/registry/database.go
+++ b/internal/registry/database.go
@@ -51,8 +51,9 @@
 	return &bolt.Options{Timeout: databaseLockTimeout, OpenFile: s.options.openDatabaseFile}
 }
 
-// createDatabase creates the database if it does not exist, and reports whether it did. The file gets its final name
-// only when it is complete, because a database that a crash left truncated could never be opened again.
+// createDatabase creates the database if it does not exist, and reports whether it did. The result is also true if
+// another process has created it meanwhile. The file gets its final name only when it is complete, because a database
+// that a crash left truncated could never be opened again.
 func (s *Store) createDatabase() (created bool, err error) {
 	if _, err := os.Stat(s.databasePath()); !errors.Is(err, fs.ErrNotExist) {
 		return false, nil // any problem with the file is reported when it is opened
--- a/internal/registry/database_faults_linux_test.go
+++ b/internal/registry/database_faults_linux_test.go
@@ -203,7 +203,7 @@
 	after, _ := os.ReadFile(path)
 	partial := bytes.Clone(after)
 	copy(partial, before)
-	order := make([]int, 0, len(after)) // indexes of all bytes, those of the meta pages last
+	order := make([]int, 0, len(after)) // offsets of all bytes, those of the meta pages last
 	for i := 2 * pageSize; i < len(after); i++ {
 		order = append(order, i)
 	}
--- a/internal/transport/http2/config.go
+++ b/internal/transport/http2/config.go
@@ -15,9 +15,9 @@
 	MaxHeaderBlockSize   int           // largest encoded header block accepted, in bytes, summed over its frames
 	SendBufferSize       int           // bytes waiting for the socket at which further DATA stays queued in its stream
 	MaxControlBytes      int           // largest backlog of acknowledgements for a peer that does not read, in bytes
-	GlitchBurst          float64       // legal but costly frames accepted in a burst: resets, pings, settings, empty DATA
+	GlitchBurst          float64       // legal but costly frames accepted in a burst: resets, pings, empty frames etc.
 	GlitchRate           float64       // sustained rate of such frames per second; beyond it the connection is ended
-	FrameReadTimeout     time.Duration // time from the first byte of a frame within which it must be complete
+	FrameReadTimeout     time.Duration // longest wait for the rest of a frame's header or of its payload
 	WriteTimeout         time.Duration // time within which the socket must accept a write
 }
 
--- a/internal/transport/http2/read.go
+++ b/internal/transport/http2/read.go
@@ -14,7 +14,7 @@
 const framesPerFlush = 64
 
 // readFrames handles the frames that have arrived. netpoll calls it, on one goroutine at a time, when there are bytes
-// to read. For the rest of an incomplete frame it waits up to Config.FrameReadTimeout.
+// to read. For the rest of an incomplete frame header or payload it waits up to Config.FrameReadTimeout each.
 func (c *Conn) readFrames() error {
 	defer c.recoverPanic()
 	c.deferFlush(true)
--- a/internal/transport/http2/server.go
+++ b/internal/transport/http2/server.go
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	draining := s.draining
 	s.mu.Unlock()
-	if draining { // Drain may have listed the open connections before this one was added
+	if draining { // accepted after Drain was called, or too late for its list of open connections
 		c.Shutdown()
 	}
 	return ctx
--- a/internal/transport/http2/stream.go
+++ b/internal/transport/http2/stream.go
@@ -16,8 +16,9 @@
 )
 
 // Receiver receives the events of one stream. Headers and Data are called in order on the connection's reading
-// goroutine; Sent, and Closed if this end finishes last, are called on the writing goroutine. No method may block.
-// Closed is the last call and is made once, but not after this end called Reset.
+// goroutine, and Sent on the one that flushes. Closed is called on the goroutine that ends the stream: one of these, or
+// one that calls a write method of the stream or Conn.Close. No method may block. Closed is the last call and is made
+// once, but not after this end called Reset.
 type Receiver interface {
 	// Headers delivers the headers of a request or response, and later its trailers, if any. end reports that
 	// the peer has ended the stream, as trailers always do. The slice belongs to the connection and is valid until
--- a/internal/transport/http2/write.go
+++ b/internal/transport/http2/write.go
@@ -73,7 +73,7 @@
 // fillWriteBuffer moves queued bytes of the streams into writeBuffer, round-robin by one frame per stream, as far as
 // the windows and SendBufferSize allow. It appends an event for each stream that made progress. c.mu is held.
 func (c *Conn) fillWriteBuffer(events []sendEvent) []sendEvent {
-	// The loop ends when every queued stream in a row was blocked by a window.
+	// The loop ends when all queued streams, one after the other, were blocked by a window, or when the buffer is full.
 	for blocked := 0; blocked < len(c.sendQueue) && len(c.writeBuffer) < c.cfg.SendBufferSize; {
 		s := c.sendQueue[0]
 		copy(c.sendQueue, c.sendQueue[1:])
@@ -116,8 +116,8 @@
 	}
 }
 
-// sendOrQueue frames as much of p as the windows allow now and queues the rest. It returns the number of bytes framed.
-// c.mu is held.
+// sendOrQueue frames as much of p as the windows and SendBufferSize allow now and queues the rest. It returns the
+// number of bytes framed. c.mu is held.
 func (s *Stream) sendOrQueue(p []byte, end bool) int {
 	s.endQueued = end
 	if s.inSendQueue || s.sendOffset < len(s.sendBuffer) {
