--- a/internal/gossip/gossipsim/network.go
+++ b/internal/gossip/gossipsim/network.go
@@ -35,7 +35,7 @@
 // Traffic counts the messages sent by one core.
 type Traffic struct {
 	Bytes, Messages float64
-	PeakBytes       float64 // most bytes in any second, counted from full seconds
+	PeakBytes       float64 // most bytes from one full second to the next
 	second          time.Duration
 	bytesInSecond   float64
 }
