--- a/internal/experiment/growth/experiment_test.go
+++ b/internal/experiment/growth/experiment_test.go
@@ -50,8 +50,8 @@
 // loadIndependentCriteria are the names of the criteria that don't depend on the load of the machine.
 var loadIndependentCriteria = map[string]bool{"descriptors": true, "connections made": true, "list bytes": true}
 
-// TestGrowth compares 960 workers with 60. Processor time and the share of served calls depend on the load of the
-// machine, so the test logs them but doesn't check them against their allowances.
+// TestGrowth compares 960 workers with 60. Processor time, peak memory and the share of served calls depend on the load
+// of the machine, so the test logs them but doesn't check them against their allowances.
 func TestGrowth(t *testing.T) {
 	report, err := Run(t.Context(), testOptions())
 	if err != nil {
--- a/internal/experiment/growth/fleet.go
+++ b/internal/experiment/growth/fleet.go
@@ -163,8 +163,8 @@
 	return err
 }
 
-// replaceOldest starts count new workers, drains as many of the oldest ones, and returns the lines of the event with
-// these changes.
+// replaceOldest starts count new workers, marks as many of the oldest ones as draining, and returns the lines of the
+// event with these changes.
 func (f *fleet) replaceOldest(now time.Time, count int) (lines []string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/experiment/growth/options.go
+++ b/internal/experiment/growth/options.go
@@ -18,7 +18,7 @@
 
 // Options are the settings of an experiment.
 type Options struct {
-	UsualSizes     []int         // numbers of workers with which the others are compared
+	UsualSizes     []int         // numbers of workers that the others are compared with
 	Sizes          []int         // numbers of workers that are compared with a usual size
 	Disruptions    []Disruption  // there is a run for each of them at each size
 	Nodes          int           // number of routers that run; the figures are means over them
--- a/internal/experiment/growth/settings.go
+++ b/internal/experiment/growth/settings.go
@@ -37,7 +37,7 @@
  "safety":{"drain_grace":500000,"start_capacity":0.2,"warm_within":16000000,"overload_factor":3,"fall":1500000,
   "grace_to_answer":5000}}`
 
-// classes are the names of the classes in settingsForm.
+// classes are the names of the classes in settingsTemplate.
 var classes = []string{"safe", "keyed", "unsafe"}
 
 // nodeConfig returns the content of a router's configuration file. initialEndpoints is JSON.
--- a/internal/experiment/growth/traffic.go
+++ b/internal/experiment/growth/traffic.go
@@ -18,7 +18,7 @@
 	clientIdleTimeout = 3 * time.Second // clients close connections that have been idle for this long
 	maxIdleConns      = 64              // per client
 	zipfExponent      = 1.1             // parameter s of the functions' Zipf distribution, see rand.NewZipf
-	zipfOffset        = 2               // parameter v
+	zipfOffset        = 2               // parameter v of the same distribution
 )
 
 // traffic makes calls to a router at random times.
--- a/internal/fake/fakeplatform/discovery.go
+++ b/internal/fake/fakeplatform/discovery.go
@@ -120,7 +120,7 @@
 	return int64(len(s.events))
 }
 
-// BytesSent returns the total size of the response bodies so far, in bytes.
+// BytesSent returns the total size of the response bodies so far, in bytes. It includes bodies that Respond replaced.
 func (s *DiscoveryServer) BytesSent() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/fakeworker/jobs.go
+++ b/internal/fake/fakeworker/jobs.go
@@ -249,7 +249,7 @@
 	w.assignCores()
 }
 
-// finish ends a call and sends its outcome, unless it was cancelled. The first outcome counts. w.mu is held.
+// finish ends a call and, unless it was cancelled, sends its outcome. Only the first outcome counts. w.mu is held.
 func (w *Worker) finish(j *job, o outcome) {
 	if j.finished {
 		return
--- a/internal/fake/fakeworker/store.go
+++ b/internal/fake/fakeworker/store.go
@@ -20,7 +20,7 @@
 type Store struct {
 	mu          sync.Mutex
 	rate        float64 // fetches per second
-	limit       int     // on the fetches in flight
+	limit       int     // maximum number of fetches in flight
 	inFlight    int
 	pausedUntil time.Time
 	fetches     int
--- a/internal/scenario/hangs.go
+++ b/internal/scenario/hangs.go
@@ -14,7 +14,7 @@
 	Attempts        int     `json:"attempts"`
 	P50             float64 `json:"p50_s"`  // median time of the attempts
 	P95             float64 `json:"p95_s"`  // 95th percentile of the times of the attempts
-	MeanLastAttempt float64 `json:"stop_s"` // of each router's last attempt at a worker, if it sent any
+	MeanLastAttempt float64 `json:"stop_s"` // mean time of a router's last attempt at a worker
 }
 
 // hang is the period in which a worker hung.
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -55,8 +55,8 @@
 	listVersion      int
 	extraListDelay   overridden[time.Duration]         // added to the scenario's notification delay
 	trafficMultiple  overridden[float64]               // of the scenario's call rate
-	firstRouterShare overridden[float64]               // of the traffic; goes to the first router, not a random one
-	newModelShare    overridden[float64]               // of the calls; goes to the class's extra model (see models)
+	firstRouterShare overridden[float64]               // share of the traffic moved to the first router
+	newModelShare    overridden[float64]               // share of calls moved to their class's extra model
 	heavyTails       map[string]*overridden[heavyTail] // by class
 	activeFaults     map[string]int                    // by kind
 	hangs            []hang                            // of the workers, for the report
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// runTrafficAndFaults schedules the faults, generates the traffic, and returns once no request is pending or after
-// answerTimeout.
+// runTrafficAndFaults schedules the faults, generates the traffic, and returns once no request is pending, or at the
+// latest when the longest deadline and answerTimeout have passed after the end of the traffic.
 func (h *Harness) runTrafficAndFaults() {
 	startedAt := time.Now()
 	for _, f := range h.scenario.Faults {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -107,7 +107,7 @@
 
 // EndpointList describes the delivery of the endpoint list to the routers.
 type EndpointList struct {
-	NotificationDelay Seconds `json:"delay_s"` // until a router gets a change; drawn for each router within 20 percent
+	NotificationDelay Seconds `json:"delay_s"` // until a router gets a change; varies at random by up to 20%
 }
 
 // Limits are the limits of the rules; see invariants.Settings.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -187,8 +187,8 @@
 	if g.TimesOverCap > 0 {
 		t.Errorf("the limit was exceeded %d times", g.TimesOverCap)
 	}
-	// Besides forged packets, duplicates of valid packets and packets signed with an old key are dropped. The network
-	// of this test duplicates no packets.
+	// Besides forged packets, routers drop duplicates of valid packets, packets signed with an old key and packets over
+	// the rate limit of their source. The network of this test duplicates no packets.
 	dropped, forged := g.Dropped.TotalPackets(), uint64(g.ForgedSent)
 	if dropped < forged || dropped-g.Dropped.UnknownKey-g.Dropped.RateLimited > forged {
 		t.Errorf("%d forged, dropped %+v", forged, g.Dropped)
--- a/internal/scenario/statistics.go
+++ b/internal/scenario/statistics.go
@@ -65,7 +65,8 @@
 		class.failed++
 	}
 	if result.Answered && result.Answer == invariants.Served {
-		_ = class.latency.RecordValue(elapsed.Microseconds()) // fails only above maxLatencyMicros, which no deadline reaches
+		// An error means that the value is above maxLatencyMicros, which no deadline in the embedded scenarios reaches.
+		_ = class.latency.RecordValue(elapsed.Microseconds())
 	}
 	if s.pending--; s.pending == 0 {
 		select {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -13,8 +13,8 @@
 	// outageNotificationLimit is the time after the start of an outage of discovery from which routers count as
 	// notified of everything that discovery would have reported.
 	outageNotificationLimit = 2 * time.Second
-	reloadNotificationLimit = 4 * time.Second // the same, after SIGHUP
-	stoppedRouterSlack      = 500 * time.Millisecond
+	reloadNotificationLimit = 4 * time.Second        // the same, after SIGHUP
+	stoppedRouterSlack      = 500 * time.Millisecond // after a router's stop, for the calls that were in flight
 	// maxSlackForServedShare is the slack above which the served share is not checked: on a machine that stalls for
 	// longer, it depends more on the machine than on the routers.
 	maxSlackForServedShare = 250 * time.Millisecond
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -15,11 +15,11 @@
 const (
 	dialTimeout       = time.Second
 	clientIdleTimeout = 4 * time.Second // after which clients close idle connections
-	// crossedCloseWindow is how soon an idle connection has to fail after a request was sent on it for the request to
-	// be sent again: the router may have closed the connection while the request was on its way.
+	// crossedCloseWindow is the time within which a request on a reused connection has to fail to be sent again. Such
+	// a failure is allowed: the router may have closed the connection while the request was on its way.
 	crossedCloseWindow = 50 * time.Millisecond
-	lateAnswerTimeout  = 3 * time.Second        // after the deadline, in which a late answer is still read
-	newConnPeriod      = 300 * time.Millisecond // after SIGTERM, in which clients open new connections
+	lateAnswerTimeout  = 3 * time.Second        // how long after its deadline a call waits for a late answer
+	newConnPeriod      = 300 * time.Millisecond // how long after SIGTERM clients open new connections
 )
 
 // clientGroup represents all clients of one router. It keeps idle connections open for reuse.
@@ -27,7 +27,7 @@
 	router  int
 	address string
 	records *invariants.Log
-	slack   func() time.Duration // by which the machine may have delayed a close
+	slack   func() time.Duration // time by which the machine may have delayed a close
 
 	mu              sync.Mutex
 	idle            []*clientConn
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -12,10 +12,10 @@
 	firstFaultAt      = 1500 * time.Millisecond
 	lastFaultAt       = 12 * time.Second
 	discoveryFaultGap = 500 * time.Millisecond // minimum time between two faults of discovery
-	drawnSkew         = 1.3
+	drawnSkew         = 1.3                    // Schedule.FunctionSkew
 	// Minimum shares of the calls that have to be served. The remaining calls may be lost at hung workers, in bursts,
 	// and, without health checks, while the endpoint list is out of date, which loses most calls.
-	minServedWithMildFaults      = 0.95 // only faults of the kinds in requiredServedShare
+	minServedWithMildFaults      = 0.95 // only faults of discovery and the mild kinds in requiredServedShare
 	minServedWithAnyFaults       = 0.6
 	minServedWithoutHealthChecks = 0.2
 )
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -22,7 +22,10 @@
 	crowdConnCount  = 300                    // connections of a connection crowd
 	clockStep       = time.Hour              // of the clock for start times in the endpoint list
 	restartDelay    = 300 * time.Millisecond // from a router's end to its next start
-	quietBeforeKill = 60 * time.Millisecond  // above crossedCloseWindow: the router owes an answer to earlier requests
+
+	// quietBeforeKill is how long before a planned SIGKILL clients stop sending. It is longer than crossedCloseWindow,
+	// because the router owes an answer to requests that were sent earlier. sendCall extends that window by the slack.
+	quietBeforeKill = 60 * time.Millisecond
 )
 
 // interval is an injected fault with its actual start and end, since the start of the records.
--- a/internal/soak/outage_test.go
+++ b/internal/soak/outage_test.go
@@ -8,8 +8,8 @@
 // TestWorkersDrainWhileDiscoveryIsOutOfReach reproduces an incident that users reported. Discovery was out of reach
 // for all routers (connections refused, or polls accepted and never answered), and right afterwards two busy workers
 // began to drain; their processes stayed up. The outage outlasted the time after which routers count as notified of a
-// drain. From 7.6 s after its start, all routers still sent these workers 2,472 attempts and 741 load commands. Each
-// was rejected, and the calls were served elsewhere.
+// drain. From 7.6 s after the start of the outage, all routers still sent these workers 2,472 attempts and 741 load
+// commands. Each was rejected, and the calls were served elsewhere.
 //
 // The routers used the last endpoint list without a limit on its age, and did not treat a worker's rejection as a
 // sign of a drain.
--- a/internal/soak/seeds_test.go
+++ b/internal/soak/seeds_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestSeeds runs the schedules of fixed seeds. Together they cover each kind of fault of discovery, and earlier soaks
-// found a fault with each of them.
+// TestSeeds runs the schedules of fixed seeds, with each of which an earlier soak run failed. Their faults of discovery
+// are of the kinds slow, cut, silent, restarted and crowded.
 func TestSeeds(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{3, 51, 113, 141} {
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -18,8 +18,8 @@
 	slowStartDuration = 8 * time.Second
 	overloadMultiple  = 3
 	overloadWindow    = 1500 * time.Millisecond
-	maxDeadlineWait   = 3 * time.Second        // longest deadline that a planned restart waits for
-	sigkillGrace      = 700 * time.Millisecond // from then on until SIGKILL
+	maxDeadlineWait   = 3 * time.Second        // longest wait for calls' deadlines before a planned SIGKILL
+	sigkillGrace      = 700 * time.Millisecond // between the end of that wait and SIGKILL
 )
 
 // classNames are the request classes: idempotent, idempotent by key, and non-idempotent.
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -13,7 +13,7 @@
 	burstFactor        = 3   // multiplies the call rate during a traffic burst
 	leavingClientShare = 0.2 // of the clients, during a fault that makes clients leave early
 	maxLeaveDelay      = 40 * time.Millisecond
-	zipfShift          = 1
+	zipfShift          = 1 // parameter v of rand.NewZipf
 )
 
 // traffic sends calls to one router at random times.
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -12,7 +12,7 @@
 const (
 	workDuration = 8 * time.Millisecond // of a request
 	loadDuration = 40 * time.Millisecond
-	slowFactor   = 10 // of a slow worker's requests
+	slowFactor   = 10 // a slow worker's requests take this many times as long
 	workerCells  = 4  // deduplication scopes of the fleet
 	keyedClass   = "keyed"
 	execCommand  = "exec"
